--- a/acceptance/acceptance_test.go
+++ b/acceptance/acceptance_test.go
@@ -171,5 +171,5 @@
 	s, err := c.Service()
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, s.Policy, qt.Equals, "random")
-	qt.Check(t, c.Rank(), qt.Equals, gossip.Version{Minor: 1})
+	qt.Check(t, c.GossipVersion(), qt.Equals, gossip.Version{Minor: 1})
 }
--- a/acceptance/config.go
+++ b/acceptance/config.go
@@ -35,7 +35,7 @@
 func (c Config) Key() string { return c.Name }
 
 // Rank implements gossip.Record.
-func (c Config) Rank() gossip.Version {
+func (c Config) GossipVersion() gossip.Version {
 	return gossip.Version{
 		Major: c.Era,
 		Minor: c.Sequence,
--- a/admit/abandon.go
+++ b/admit/abandon.go
@@ -57,7 +57,7 @@
 
 // Refused tells the gate that the upstream has refused to run the request. It is called
 // before Release.
-func (t *Ticket) Refused() {
+func (t *Ticket) UpstreamRefused() {
 	g := t.gate
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/admit/abandon_test.go
+++ b/admit/abandon_test.go
@@ -43,7 +43,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var g admit.Gate
-				g.Set(admit.Limits{
+				g.SetLimits(admit.Limits{
 					Slots:       slots,
 					QueueLength: slots,
 					QueueWait:   time.Second,
@@ -70,7 +70,7 @@
 					if running == slots {
 						refused++
 						mu.Unlock()
-						k.Refused()
+						k.UpstreamRefused()
 						k.Release(false)
 						return
 					}
--- a/admit/cold_test.go
+++ b/admit/cold_test.go
@@ -41,7 +41,7 @@
 
 // turn turns the upstream cold.
 func (l *coldLoad) turn() {
-	l.gate.Pace.Turn(coldLasts)
+	l.gate.ColdLimiter.SetRemaining(coldLasts)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cold = true
@@ -74,8 +74,8 @@
 // newColdLoad returns a load on an upstream that has run for a while.
 func newColdLoad(run time.Duration) *coldLoad {
 	g := new(admit.Gate)
-	g.Set(admit.Limits{Slots: coldSlots, QueueLength: 16, QueueWait: 60 * time.Millisecond})
-	g.Pace.Set(coldPace)
+	g.SetLimits(admit.Limits{Slots: coldSlots, QueueLength: 16, QueueWait: 60 * time.Millisecond})
+	g.ColdLimiter.SetLimit(coldPace)
 	time.Sleep(2 * time.Second)
 	return &coldLoad{gate: g, run: run, shortestComeBack: time.Hour}
 }
@@ -169,7 +169,7 @@
 			zone = append(zone, newColdLoad(100*time.Millisecond))
 		}
 		for _, l := range zone {
-			l.gate.Pace.Restart()
+			l.gate.ColdLimiter.Reset()
 			l.turn()
 		}
 		back := time.Now()
--- a/admit/dispatch.go
+++ b/admit/dispatch.go
@@ -25,10 +25,10 @@
 			g.dispatchAfter(wait)
 			return
 		}
-		if sending, _ := g.Pace.Take(); sending != nil {
-			sending.Done()
+		if sending, _ := g.ColdLimiter.TryAcquire(); sending != nil {
+			sending.MarkWritten()
 		}
-		g.Named.Admit()
+		g.AdvertisedLimiter.Admit()
 		g.start(q, now)
 	}
 	if held > 0 && g.waiting > 0 {
@@ -39,11 +39,11 @@
 // boundWait returns after how long a request may start if the given number goes before it, as
 // far as the bounds on the requests in a time say: the lowest of them binds. The lock is held.
 func (g *Gate) boundWait(ahead int) time.Duration {
-	return max(g.Pace.Wait(ahead), g.Named.Wait(ahead))
+	return max(g.ColdLimiter.Wait(ahead), g.AdvertisedLimiter.Wait(ahead))
 }
 
 // Rebound starts waiting requests after the upstream has named another limit, or none.
-func (g *Gate) Rebound() {
+func (g *Gate) LimitChanged() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.dispatch(time.Now())
@@ -74,7 +74,7 @@
 // The lock is held.
 func (g *Gate) allowed(now time.Time) int {
 	n := g.limiter.allowed(g.limits, now)
-	most, bound := g.Pace.Most()
+	most, bound := g.ColdLimiter.Limit()
 	if !bound || g.limiter.fast == 0 {
 		return n
 	}
@@ -105,7 +105,7 @@
 // the rest r of the spell after r + p s, with the pace p. One that begins slow also
 // holds its slot for that much longer, and others wait for it.
 func (g *Gate) held(q *classQueue, now time.Time) bool {
-	if !g.limits.Hold {
+	if !g.limits.HoldWhileSlow {
 		return false
 	}
 	if _, slow := g.spells.age(now); !slow {
--- a/admit/expect.go
+++ b/admit/expect.go
@@ -14,7 +14,7 @@
 // given time: it is refused at once if it would be refused now with its body there, or if
 // that comes too late, and otherwise takes no slot until Arrive is called on its ticket. A
 // slot that is held while a body crosses a slow link is of no use to any request.
-func (g *Gate) Expect(organisation, class string, deadline time.Time, coming time.Duration) *Ticket {
+func (g *Gate) EnterPendingBody(organisation, class string, deadline time.Time, coming time.Duration) *Ticket {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
@@ -42,7 +42,7 @@
 // refused, or nil. Those that are expected already count as if they waited. The lock is held.
 func (g *Gate) expectable(t *Ticket, now time.Time, coming time.Duration) *verdict.Error {
 	free := min(g.allowed(now), t.queue.cap(g.limits.Slots)) - g.occupied(now) - g.waiting
-	wait := g.Named.Wait(g.waiting + g.expected)
+	wait := g.AdvertisedLimiter.Wait(g.waiting + g.expected)
 	if g.expected >= free {
 		wait = max(wait, g.expectedWait(t.queue, len(t.queue.waiting)+1+g.expected, now))
 	}
--- a/admit/expect_test.go
+++ b/admit/expect_test.go
@@ -79,12 +79,12 @@
 		}
 		return k, err
 	}
-	k := u.gate.Expect("", "upload", time.Time{}, u.coming())
+	k := u.gate.EnterPendingBody("", "upload", time.Time{}, u.coming())
 	if err := k.Err(); err != nil {
 		return k, err
 	}
 	u.cross()
-	k.Arrive()
+	k.BodyArrived()
 	return k, k.Wait(ctx)
 }
 
@@ -125,12 +125,12 @@
 	u.link = make(chan struct{}, 1)
 	u.offered = make(map[string]int)
 	u.inTime = make(map[string]int)
-	u.gate.Set(admit.Limits{
+	u.gate.SetLimits(admit.Limits{
 		Slots:       14,
 		QueueLength: 16,
 	}.WithClasses(
-		admit.Class{Name: "upload", Weight: 1, Share: 1, Objective: ms(1200)},
-		admit.Class{Name: "call", Weight: 1, Share: 1, Objective: ms(250)},
+		admit.Class{Name: "upload", Weight: 1, MaxShare: 1, Objective: ms(1200)},
+		admit.Class{Name: "call", Weight: 1, MaxShare: 1, Objective: ms(250)},
 	))
 	var all sync.WaitGroup
 	come := func(class string, perSecond float64, work, objective time.Duration) {
@@ -199,17 +199,17 @@
 		"nothing":   {meanwhile: func(*admit.Gate, *admit.Ticket) {}},
 		"revoked":   {meanwhile: func(_ *admit.Gate, k *admit.Ticket) { k.Revoke() }, want: verdict.Revoked},
 		"drained":   {meanwhile: func(g *admit.Gate, _ *admit.Ticket) { g.Drain() }, want: verdict.Draining},
-		"no limits": {meanwhile: func(g *admit.Gate, _ *admit.Ticket) { g.Set(admit.Limits{}) }, want: verdict.NoUpstream},
+		"no limits": {meanwhile: func(g *admit.Gate, _ *admit.Ticket) { g.SetLimits(admit.Limits{}) }, want: verdict.NoUpstream},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			var g admit.Gate
-			g.Set(admit.Limits{Slots: 1, QueueLength: 1})
-			k := g.Expect("", "", time.Time{}, 0)
+			g.SetLimits(admit.Limits{Slots: 1, QueueLength: 1})
+			k := g.EnterPendingBody("", "", time.Time{}, 0)
 			qt.Check(t, g.Report().Waiting, qt.Equals, 1)
 			qt.Check(t, g.Report().Running, qt.Equals, 0)
 			test.meanwhile(&g, k)
-			k.Arrive()
+			k.BodyArrived()
 			err := k.Wait(context.Background())
 			qt.Check(t, g.Report().Waiting, qt.Equals, 0)
 			if test.want != "" {
@@ -229,10 +229,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		var g admit.Gate
 		limits := admit.Limits{Slots: 2, QueueLength: 4, QueueWait: time.Second}
-		g.Set(limits.WithClasses(admit.Class{Name: "goes", Weight: 1, Share: 1}, admit.Class{Name: "stays", Weight: 1, Share: 1}))
-		expected := g.Expect("", "goes", time.Time{}, 0)
-		g.Set(limits.WithClasses(admit.Class{Name: "stays", Weight: 1, Share: 1}))
-		expected.Arrive()
+		g.SetLimits(limits.WithClasses(admit.Class{Name: "goes", Weight: 1, MaxShare: 1}, admit.Class{Name: "stays", Weight: 1, MaxShare: 1}))
+		expected := g.EnterPendingBody("", "goes", time.Time{}, 0)
+		g.SetLimits(limits.WithClasses(admit.Class{Name: "stays", Weight: 1, MaxShare: 1}))
+		expected.BodyArrived()
 		qt.Assert(t, expected.Wait(t.Context()) == nil, qt.IsTrue)
 		qt.Check(t, expected.Waited(), qt.Equals, time.Duration(0))
 		expected.Release(true)
--- a/admit/gate.go
+++ b/admit/gate.go
@@ -17,9 +17,9 @@
 // until Set is called. Its methods may be called from any goroutine.
 type Gate struct {
 	// Pace bounds the requests that start while the upstream is cold.
-	Pace cold.Limit
+	ColdLimiter cold.Limiter
 	// Named bounds those that start while the upstream names a limit.
-	Named throttle.Limit
+	AdvertisedLimiter throttle.Limiter
 
 	mu       sync.Mutex
 	woken    *time.Timer // dispatches again when a bound lets a request start
@@ -35,12 +35,12 @@
 	epoch    time.Time
 	draining bool
 	idle     chan struct{}
-	slowdown float64   // as last told by the upstream, 0 if never
-	observed time.Time // when it was told last
-	pace     pace      // the slowdown beside the spells
-	spells   spells    // of a slowdown by slowRatio times the pace or more
-	freeing  float64   // expected rate at which running requests end, per second
-	failing  Share     // of the requests that ran
+	slowdown float64       // as last told by the upstream, 0 if never
+	observed time.Time     // when it was told last
+	pace     pace          // the slowdown beside the spells
+	spells   spells        // of a slowdown by slowRatio times the pace or more
+	freeing  float64       // expected rate at which running requests end, per second
+	failing  DecayingRatio // of the requests that ran
 
 	abandoned abandoned
 	displaced uint64 // requests that gave way to another organisation's
@@ -48,7 +48,7 @@
 
 // Set replaces the limits. Requests that run or wait keep their places, also
 // when there are now more of them than the limits allow.
-func (g *Gate) Set(l Limits) {
+func (g *Gate) SetLimits(l Limits) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
@@ -78,10 +78,10 @@
 	g.observed = time.Time{}
 	g.pace = pace{}
 	g.spells = spells{}
-	g.failing = Share{}
+	g.failing = DecayingRatio{}
 	for _, q := range g.classes {
 		q.run = 0
-		q.flows.Restart()
+		q.flows.ResetHoldTimes()
 	}
 	g.dispatch(now)
 }
@@ -113,7 +113,7 @@
 }
 
 // Ran takes in whether the upstream failed a request that it was sent.
-func (g *Gate) Ran(failed bool) {
+func (g *Gate) RecordResult(failed bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.failing.Add(failed, time.Now())
@@ -121,7 +121,7 @@
 
 // Observe takes in how many times longer than usual work takes at the upstream
 // now.
-func (g *Gate) Observe(slowdown float64) {
+func (g *Gate) ObserveSlowdown(slowdown float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
@@ -138,7 +138,7 @@
 const slowRatio = 2.0
 
 // Observed returns how long ago the upstream told its speed last.
-func (g *Gate) Observed() time.Duration {
+func (g *Gate) SlowdownAge() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return time.Since(g.observed)
@@ -146,7 +146,7 @@
 
 // JustSlowed returns whether the upstream has been found to be slowed down
 // within the given time, so that senders may not know it yet.
-func (g *Gate) JustSlowed(within time.Duration) bool {
+func (g *Gate) SlowedWithin(within time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	age, slow := g.spells.age(time.Now())
@@ -200,8 +200,8 @@
 	}
 	t.state = waiting
 	t.flow = t.queue.flows.Flow(t.organisation, now)
-	t.runTime = max(leastRun, t.flow.Expected(g.run(t.queue)))
-	t.within = t.flow.Ask(t.runTime, g.room(t.queue, now), now)
+	t.runTime = max(leastRun, t.flow.ExpectedHoldTime(g.run(t.queue)))
+	t.within = t.flow.AddDemand(t.runTime, g.room(t.queue, now), now)
 	t.queue.tag(t, g.virtual, g.run(t.queue))
 	t.queue.push(t)
 	g.waiting++
@@ -308,7 +308,7 @@
 			q = &classQueue{}
 		}
 		q.flows.Weight = g.limits.Weight
-		q.flows.Reweigh()
+		q.flows.UpdateWeights()
 		q.class = c
 		g.classes = append(g.classes, q)
 		g.byName[c.Name] = q
--- a/admit/gate_test.go
+++ b/admit/gate_test.go
@@ -63,7 +63,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
 				var g admit.Gate
-				g.Set(base)
+				g.SetLimits(base)
 				warm(&g, 1, 10*time.Millisecond)
 				for range test.running + test.waiting {
 					g.Enter("", time.Time{})
@@ -93,7 +93,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		var g admit.Gate
-		g.Set(base)
+		g.SetLimits(base)
 		g.Enter("", time.Time{})
 		g.Enter("", time.Time{})
 		began := time.Now()
@@ -114,7 +114,7 @@
 		var g admit.Gate
 		l := base.WithSlots(10)
 		l.QueueLength = 100
-		g.Set(l)
+		g.SetLimits(l)
 		const service = 20 * time.Millisecond
 		warm(&g, 5, service)
 		var mu sync.Mutex
@@ -157,7 +157,7 @@
 func TestDrainRefusesWaitingAndSignalsIdle(t *testing.T) {
 	c := qt.New(t)
 	var g admit.Gate
-	g.Set(base.WithSlots(1))
+	g.SetLimits(base.WithSlots(1))
 	first := g.Enter("", time.Time{})
 	second := g.Enter("", time.Time{})
 	idle := g.Drain()
@@ -177,13 +177,13 @@
 func TestClassesShareByWeight(t *testing.T) {
 	c := qt.New(t)
 	var g admit.Gate
-	g.Set(admit.Limits{
+	g.SetLimits(admit.Limits{
 		Slots:       1,
 		QueueLength: 100,
 		QueueWait:   time.Hour,
 	}.WithClasses(
-		admit.Class{Name: "interactive", Weight: 3, Share: 1, Priority: 1},
-		admit.Class{Name: "batch", Weight: 1, Share: 1},
+		admit.Class{Name: "interactive", Weight: 3, MaxShare: 1, Priority: 1},
+		admit.Class{Name: "batch", Weight: 1, MaxShare: 1},
 	))
 	current := g.Enter("batch", time.Time{})
 	var tickets []*admit.Ticket
@@ -214,13 +214,13 @@
 func TestShareIsCappedAndLowestPriorityIsShed(t *testing.T) {
 	c := qt.New(t)
 	var g admit.Gate
-	g.Set(admit.Limits{
+	g.SetLimits(admit.Limits{
 		Slots:       4,
 		QueueLength: 1,
 		QueueWait:   time.Hour,
 	}.WithClasses(
-		admit.Class{Name: "interactive", Weight: 1, Share: 1, Priority: 1},
-		admit.Class{Name: "batch", Weight: 1, Share: 0.5},
+		admit.Class{Name: "interactive", Weight: 1, MaxShare: 1, Priority: 1},
+		admit.Class{Name: "batch", Weight: 1, MaxShare: 0.5},
 	))
 	g.Enter("batch", time.Time{})
 	g.Enter("batch", time.Time{})
@@ -240,7 +240,7 @@
 		var g admit.Gate
 		l := base.WithSlots(20)
 		l.Adaptive = true
-		g.Set(l)
+		g.SetLimits(l)
 		warm(&g, 200, 10*time.Millisecond)
 		c.Check(g.Report().Allowed, qt.Equals, 20)
 		warm(&g, 200, 100*time.Millisecond)
@@ -257,7 +257,7 @@
 		var g admit.Gate
 		l := base.WithSlots(20)
 		l.SlowStart = 10 * time.Second
-		g.Set(l)
+		g.SetLimits(l)
 		c.Check(g.Report().Allowed, qt.Equals, 5)
 		time.Sleep(5 * time.Second)
 		c.Check(g.Report().Allowed, qt.Equals, 12)
@@ -273,17 +273,17 @@
 func TestServiceGrowsWhileNothingAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var g admit.Gate
-		g.Set(base)
+		g.SetLimits(base)
 		warm(&g, 10, 10*time.Millisecond)
 		g.Enter("", time.Time{})
 		time.Sleep(300 * time.Millisecond)
-		qt.Check(t, g.Report().Service, qt.Equals, 300*time.Millisecond)
+		qt.Check(t, g.Report().ServiceTime, qt.Equals, 300*time.Millisecond)
 	})
 }
 
 func TestReleaseTwicePanics(t *testing.T) {
 	var g admit.Gate
-	g.Set(base)
+	g.SetLimits(base)
 	k := g.Enter("", time.Time{})
 	k.Release(true)
 	qt.Check(t, func() { k.Release(true) }, qt.PanicMatches, "admit: release .*")
@@ -296,13 +296,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var g admit.Gate
 		slots := rapid.IntRange(1, 4).Draw(t, "slots")
-		g.Set(admit.Limits{
+		g.SetLimits(admit.Limits{
 			Slots:       slots,
 			QueueLength: rapid.IntRange(0, 5).Draw(t, "queue"),
 			QueueWait:   time.Hour,
 		}.WithClasses(
-			admit.Class{Name: "a", Weight: 2, Share: 1, Priority: 1},
-			admit.Class{Name: "b", Weight: 1, Share: 0.5},
+			admit.Class{Name: "a", Weight: 2, MaxShare: 1, Priority: 1},
+			admit.Class{Name: "b", Weight: 1, MaxShare: 0.5},
 		))
 		var open []*admit.Ticket
 		revoked := make(map[*admit.Ticket]bool)
@@ -356,7 +356,7 @@
 
 func BenchmarkEnterRelease(b *testing.B) {
 	var g admit.Gate
-	g.Set(base)
+	g.SetLimits(base)
 	for b.Loop() {
 		g.Enter("", time.Time{}).Release(true)
 	}
@@ -369,11 +369,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		var g admit.Gate
 		l := base.WithSlots(10).WithClasses(
-			admit.Class{Name: "low", Weight: 1, Share: 1, Wait: 30 * time.Millisecond},
-			admit.Class{Name: "high", Weight: 16, Share: 1, Priority: 1, Wait: 60 * time.Millisecond},
+			admit.Class{Name: "low", Weight: 1, MaxShare: 1, MaxWait: 30 * time.Millisecond},
+			admit.Class{Name: "high", Weight: 16, MaxShare: 1, Priority: 1, MaxWait: 60 * time.Millisecond},
 		)
 		l.QueueLength = 100
-		g.Set(l)
+		g.SetLimits(l)
 		const service = 100 * time.Millisecond
 		warm(&g, 5, service)
 		var mu sync.Mutex
@@ -409,20 +409,20 @@
 func TestRestartForgets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var g, fresh admit.Gate
-		g.Set(base)
+		g.SetLimits(base)
 		warm(&g, 20, 40*time.Millisecond)
 		for range 5 {
-			g.Observe(1)
+			g.ObserveSlowdown(1)
 			time.Sleep(100 * time.Millisecond)
-			g.Observe(4)
+			g.ObserveSlowdown(4)
 			time.Sleep(300 * time.Millisecond)
-			g.Ran(true)
+			g.RecordResult(true)
 		}
-		qt.Check(t, g.Report().Failing > 0.3, qt.IsTrue)
+		qt.Check(t, g.Report().FailureRatio > 0.3, qt.IsTrue)
 		g.Restart()
-		fresh.Set(base)
+		fresh.SetLimits(base)
 		qt.Check(t, g.Report(), qt.DeepEquals, fresh.Report())
-		qt.Check(t, g.JustSlowed(time.Hour), qt.IsFalse)
+		qt.Check(t, g.SlowedWithin(time.Hour), qt.IsFalse)
 	})
 }
 
@@ -435,7 +435,7 @@
 		var g admit.Gate
 		l := base.WithSlots(1)
 		l.QueueWait = time.Second
-		g.Set(l)
+		g.SetLimits(l)
 		warm(&g, 20, run)
 		hanging := g.Enter("", time.Time{})
 		qt.Assert(t, hanging.Wait(context.Background()) == nil, qt.IsTrue)
--- a/admit/limits.go
+++ b/admit/limits.go
@@ -15,13 +15,13 @@
 	Weight float64
 	// Share is the largest part of the slots that the class may hold, in
 	// (0, 1]. A class may always hold one slot.
-	Share float64
+	MaxShare float64
 	// Priority orders the classes for shedding. When the queue is full, a
 	// waiting request of the lowest priority gives way to one of a higher.
 	Priority int
 	// Wait is the longest time that a request of the class waits. Zero means what
 	// Objective leaves beside the run or, without one, that Limits says so.
-	Wait time.Duration
+	MaxWait time.Duration
 	// Objective is the latency within which an answer is of full value, or 0.
 	Objective time.Duration
 }
@@ -43,7 +43,7 @@
 	Adaptive bool
 	// Hold is whether a request waits for the end of a slow spell of the upstream
 	// if it is expected to end sooner for that.
-	Hold bool
+	HoldWhileSlow bool
 	// Classes are the known classes. A request of an unknown class counts as
 	// one of the first class. No classes means one class for all requests.
 	Classes []Class
@@ -66,7 +66,7 @@
 
 // defaultClass is used if Limits names no classes.
 var defaultClass = Class{
-	Name:   "default",
-	Weight: 1,
-	Share:  1,
+	Name:     "default",
+	Weight:   1,
+	MaxShare: 1,
 }
--- a/admit/load_test.go
+++ b/admit/load_test.go
@@ -46,7 +46,7 @@
 // upstream works on a request with the speed at which it began.
 func (l load) play() map[string]float64 {
 	var g admit.Gate
-	g.Set(l.limits)
+	g.SetLimits(l.limits)
 	objective := make(map[string]time.Duration)
 	for _, c := range l.limits.Classes {
 		objective[c.Name] = c.Objective
@@ -71,12 +71,12 @@
 			mu.Lock()
 			slowdown = k
 			mu.Unlock()
-			g.Observe(k)
+			g.ObserveSlowdown(k)
 		}
 		mu.Lock()
 		slowdown = 1
 		mu.Unlock()
-		g.Observe(1)
+		g.ObserveSlowdown(1)
 	})
 	for i, f := range l.flows {
 		random := rand.New(rand.NewPCG(2, uint64(i)))
@@ -115,10 +115,10 @@
 func checks(hold bool, objective time.Duration, perSecond, pace float64) float64 {
 	return load{
 		limits: admit.Limits{
-			Slots:       14,
-			QueueLength: 16,
-			Hold:        hold,
-		}.WithClasses(admit.Class{Name: "check", Weight: 1, Share: 1, Objective: objective}),
+			Slots:         14,
+			QueueLength:   16,
+			HoldWhileSlow: hold,
+		}.WithClasses(admit.Class{Name: "check", Weight: 1, MaxShare: 1, Objective: objective}),
 		flows:  []flow{{"check", perSecond, ms(220)}},
 		spells: spellsOf{ms(150), 0.25, 5, pace},
 		length: 60 * time.Second,
@@ -161,13 +161,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		share := load{
 			limits: admit.Limits{
-				Slots:       14,
-				QueueLength: 16,
-				Hold:        true,
+				Slots:         14,
+				QueueLength:   16,
+				HoldWhileSlow: true,
 			}.WithClasses(
-				admit.Class{Name: "read", Weight: 1, Share: 1, Objective: 2 * time.Second},
-				admit.Class{Name: "upload", Weight: 4, Share: 1, Priority: 1, Objective: ms(800)},
-				admit.Class{Name: "call", Weight: 4, Share: 1, Priority: 1, Objective: ms(150)},
+				admit.Class{Name: "read", Weight: 1, MaxShare: 1, Objective: 2 * time.Second},
+				admit.Class{Name: "upload", Weight: 4, MaxShare: 1, Priority: 1, Objective: ms(800)},
+				admit.Class{Name: "call", Weight: 4, MaxShare: 1, Priority: 1, Objective: ms(150)},
 			),
 			flows: []flow{
 				{"read", 15.5, ms(880)},
--- a/admit/organisation_test.go
+++ b/admit/organisation_test.go
@@ -26,7 +26,7 @@
 // newLine returns a line whose slot is held by the given organisation.
 func newLine(organisation string, limits admit.Limits) *line {
 	l := new(line)
-	l.gate.Set(limits)
+	l.gate.SetLimits(limits)
 	warm(&l.gate, 1, 10*time.Millisecond)
 	l.enter(organisation, "")
 	return l
@@ -149,9 +149,9 @@
 // with requests of a class of the same priority, or of a lower one.
 func TestQueueFullOfClasses(t *testing.T) {
 	limits := single.WithClasses(
-		admit.Class{Name: "low", Weight: 1, Share: 1},
-		admit.Class{Name: "slow", Weight: 4, Share: 1, Priority: 1},
-		admit.Class{Name: "fast", Weight: 4, Share: 1, Priority: 1},
+		admit.Class{Name: "low", Weight: 1, MaxShare: 1},
+		admit.Class{Name: "slow", Weight: 4, MaxShare: 1, Priority: 1},
+		admit.Class{Name: "fast", Weight: 4, MaxShare: 1, Priority: 1},
 	)
 	tests := map[string]struct {
 		organisation, class string
@@ -208,7 +208,7 @@
 		l := newLine("a", single)
 		l.enterAll("a a a a b c")
 		r := l.gate.Report()
-		qt.Check(t, r.Organisations, qt.Equals, 3)
+		qt.Check(t, r.WaitingOrganisations, qt.Equals, 3)
 		qt.Check(t, r.Displaced, qt.Equals, uint64(2))
 	})
 }
--- a/admit/queue.go
+++ b/admit/queue.go
@@ -57,13 +57,13 @@
 
 // cap returns how many slots the class may hold of the given number.
 func (q *classQueue) cap(allowed int) int {
-	return max(1, int(q.class.Share*float64(allowed)))
+	return max(1, int(q.class.MaxShare*float64(allowed)))
 }
 
 // push adds t at the end.
 func (q *classQueue) push(t *Ticket) {
 	q.waiting = append(q.waiting, t)
-	t.flow.Wait()
+	t.flow.Enqueue()
 }
 
 // pop removes and returns the waiting request that has the next turn, with the tag of
@@ -99,7 +99,7 @@
 	for i, w := range q.waiting {
 		if w == t {
 			q.waiting = append(q.waiting[:i:i], q.waiting[i+1:]...)
-			t.flow.Leave()
+			t.flow.Cancel()
 			return true
 		}
 	}
--- a/admit/report.go
+++ b/admit/report.go
@@ -17,27 +17,27 @@
 	// the mean over recent requests, each divided by the slowdown that it began
 	// with, and the mean age of the running ones, so that it grows at once when the
 	// upstream stops answering. It is zero before the first request has ended.
-	Service time.Duration
+	ServiceTime time.Duration
 	// Limited is whether the upstream names a limit, Limit its requests a second, Used the part of
 	// it that was used in the last window, and Free after how long a request that comes now may
 	// start under it.
-	Limited bool
-	Limit   float64
-	Used    float64
-	Free    time.Duration
+	Limited   bool
+	Limit     float64
+	LimitUsed float64
+	LimitWait time.Duration
 	// Draining is whether the gate refuses all new requests.
 	Draining bool
 	// Slowdown is how many times longer than usual work takes now, as the
 	// upstream told last. It is 1 if it has not told.
 	Slowdown float64
 	// Pace is the least slowdown of the last second.
-	Pace float64
+	MinSlowdown float64
 	// Rest is the expected rest of the present slow spell, 0 if there is none.
-	Rest time.Duration
+	SlowRemaining time.Duration
 	// Failing is the share of the latest requests that the upstream failed.
-	Failing float64
+	FailureRatio float64
 	// Organisations is the number of them with waiting requests, summed over the classes.
-	Organisations int
+	WaitingOrganisations int
 	// Displaced is the number of requests so far that were refused while they waited, as
 	// the queue was full and their organisation had most in it.
 	Displaced uint64
@@ -52,25 +52,25 @@
 	if g.limiter.fast > 0 {
 		service = g.service(now)
 	}
-	limit := g.Named.State()
+	limit := g.AdvertisedLimiter.State()
 	waiting := g.waiting + g.expected
 	return Report{
-		Running:  g.occupied(now),
-		Waiting:  waiting,
-		Allowed:  g.allowed(now),
-		Limited:  limit.Named,
-		Limit:    limit.Rate,
-		Used:     limit.Used,
-		Free:     g.Named.Wait(waiting),
-		Service:  service,
-		Draining: g.draining,
-		Slowdown: g.slow(),
-		Pace:     g.pace.value(now),
-		Rest:     g.spells.rest(now, maxRest),
-		Failing:  g.failing.Value(now),
+		Running:       g.occupied(now),
+		Waiting:       waiting,
+		Allowed:       g.allowed(now),
+		Limited:       limit.Limited,
+		Limit:         limit.Rate,
+		LimitUsed:     limit.Used,
+		LimitWait:     g.AdvertisedLimiter.Wait(waiting),
+		ServiceTime:   service,
+		Draining:      g.draining,
+		Slowdown:      g.slow(),
+		MinSlowdown:   g.pace.value(now),
+		SlowRemaining: g.spells.rest(now, maxRest),
+		FailureRatio:  g.failing.Value(now),
 
-		Organisations: g.organisations(),
-		Displaced:     g.displaced,
+		WaitingOrganisations: g.organisations(),
+		Displaced:            g.displaced,
 	}
 }
 
@@ -78,7 +78,7 @@
 // classes.
 func (g *Gate) organisations() (sum int) {
 	for _, q := range g.classes {
-		sum += q.flows.Waiting()
+		sum += q.flows.WaitingOrganisations()
 	}
 	return sum
 }
--- a/admit/room_test.go
+++ b/admit/room_test.go
@@ -60,7 +60,7 @@
 // became of each organisation's requests.
 func (r room) play(named bool) map[string]fate {
 	var g admit.Gate
-	g.Set(r.limits)
+	g.SetLimits(r.limits)
 	objective := make(map[string]time.Duration)
 	for _, c := range r.limits.Classes {
 		objective[c.Name] = c.Objective
@@ -135,10 +135,10 @@
 // runs 63 a second.
 func desk(objective time.Duration) admit.Limits {
 	return admit.Limits{
-		Slots:       14,
-		QueueLength: 16,
-		Hold:        true,
-	}.WithClasses(admit.Class{Name: "check", Weight: 1, Share: 1, Objective: objective})
+		Slots:         14,
+		QueueLength:   16,
+		HoldWhileSlow: true,
+	}.WithClasses(admit.Class{Name: "check", Weight: 1, MaxShare: 1, Objective: objective})
 }
 
 // small returns so many organisations that send the same each.
@@ -338,13 +338,13 @@
 // can wait, each a priority below.
 func office() admit.Limits {
 	return admit.Limits{
-		Slots:       14,
-		QueueLength: 16,
-		Hold:        true,
+		Slots:         14,
+		QueueLength:   16,
+		HoldWhileSlow: true,
 	}.WithClasses(
-		admit.Class{Name: "statement", Weight: 1, Share: 1, Priority: -2, Objective: 3 * time.Second},
-		admit.Class{Name: "call", Weight: 4, Share: 1, Priority: -1, Objective: ms(150)},
-		admit.Class{Name: "refund", Weight: 16, Share: 1, Priority: 0, Objective: ms(500)},
+		admit.Class{Name: "statement", Weight: 1, MaxShare: 1, Priority: -2, Objective: 3 * time.Second},
+		admit.Class{Name: "call", Weight: 4, MaxShare: 1, Priority: -1, Objective: ms(150)},
+		admit.Class{Name: "refund", Weight: 16, MaxShare: 1, Priority: 0, Objective: ms(500)},
 	)
 }
 
--- a/admit/share.go
+++ b/admit/share.go
@@ -24,13 +24,13 @@
 //
 // in [0, 1), and 0 before the first event. It is not safe for use by several
 // goroutines at once.
-type Share struct {
+type DecayingRatio struct {
 	hits, all float64
 	at        time.Time
 }
 
 // Add takes in one event.
-func (s *Share) Add(hit bool, now time.Time) {
+func (s *DecayingRatio) Add(hit bool, now time.Time) {
 	s.fade(now)
 	s.all++
 	if hit {
@@ -39,13 +39,13 @@
 }
 
 // Value returns the share.
-func (s *Share) Value(now time.Time) float64 {
+func (s *DecayingRatio) Value(now time.Time) float64 {
 	s.fade(now)
 	return s.hits / (sharePrior + s.all)
 }
 
 // fade brings the sums to the given time.
-func (s *Share) fade(now time.Time) {
+func (s *DecayingRatio) fade(now time.Time) {
 	keep := math.Exp(-float64(now.Sub(s.at)) / float64(shareTime))
 	s.hits *= keep
 	s.all *= keep
--- a/admit/share_test.go
+++ b/admit/share_test.go
@@ -29,7 +29,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			var s admit.Share
+			var s admit.DecayingRatio
 			for range test.hits {
 				s.Add(true, now)
 			}
--- a/admit/slowdown_test.go
+++ b/admit/slowdown_test.go
@@ -20,20 +20,20 @@
 func TestServiceWithoutSlowdown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var g admit.Gate
-		g.Set(admit.Limits{Slots: 4})
+		g.SetLimits(admit.Limits{Slots: 4})
 		run := func(took time.Duration) {
 			ticket := g.Enter("", time.Time{})
 			qt.Assert(t, ticket.Err() == nil, qt.IsTrue)
 			time.Sleep(took)
 			ticket.Release(true)
 		}
-		g.Observe(1)
+		g.ObserveSlowdown(1)
 		run(50 * time.Millisecond)
 		for range 20 {
-			g.Observe(4)
+			g.ObserveSlowdown(4)
 			run(200 * time.Millisecond)
 		}
-		qt.Check(t, g.Report().Service, qt.Equals, 50*time.Millisecond)
+		qt.Check(t, g.Report().ServiceTime, qt.Equals, 50*time.Millisecond)
 		qt.Check(t, g.Report().Slowdown, qt.Equals, 4.0)
 	})
 }
--- a/admit/spells_test.go
+++ b/admit/spells_test.go
@@ -43,28 +43,28 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var g admit.Gate
-				g.Set(admit.Limits{
-					Slots:       4,
-					QueueLength: 4,
-					QueueWait:   time.Hour,
-					Hold:        true,
+				g.SetLimits(admit.Limits{
+					Slots:         4,
+					QueueLength:   4,
+					QueueWait:     time.Hour,
+					HoldWhileSlow: true,
 				})
 				warm(&g, 10, test.work)
 				if !test.cold {
-					g.Observe(1)
+					g.ObserveSlowdown(1)
 				}
 				for _, length := range test.spells {
-					g.Observe(test.slowdown)
+					g.ObserveSlowdown(test.slowdown)
 					time.Sleep(ms(length))
-					g.Observe(1)
+					g.ObserveSlowdown(1)
 					time.Sleep(ms(500))
 				}
-				g.Observe(test.slowdown)
+				g.ObserveSlowdown(test.slowdown)
 				time.Sleep(test.age)
 				k := g.Enter("", time.Time{})
 				qt.Check(t, isReady(k), qt.Equals, !test.held)
 				qt.Check(t, k.Err() == nil, qt.IsTrue)
-				g.Observe(1)
+				g.ObserveSlowdown(1)
 				qt.Check(t, isReady(k), qt.IsTrue, qt.Commentf("it starts once the upstream is quick again"))
 			})
 		})
@@ -76,19 +76,19 @@
 func TestHeldIsRefusedWhereItCannotEndInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var g admit.Gate
-		g.Set(admit.Limits{
-			Slots:       4,
-			QueueLength: 4,
-			Hold:        true,
-		}.WithClasses(admit.Class{Name: "tight", Weight: 1, Share: 1, Objective: ms(400)}))
+		g.SetLimits(admit.Limits{
+			Slots:         4,
+			QueueLength:   4,
+			HoldWhileSlow: true,
+		}.WithClasses(admit.Class{Name: "tight", Weight: 1, MaxShare: 1, Objective: ms(400)}))
 		warm(&g, 10, ms(220))
 		for range 3 {
-			g.Observe(5)
+			g.ObserveSlowdown(5)
 			time.Sleep(ms(600))
-			g.Observe(1)
+			g.ObserveSlowdown(1)
 			time.Sleep(ms(500))
 		}
-		g.Observe(5)
+		g.ObserveSlowdown(5)
 		k := g.Enter("tight", time.Time{})
 		qt.Assert(t, k.Err() != nil, qt.IsTrue)
 		qt.Check(t, k.Err().RetryAfter, qt.Equals, ms(600))
--- a/admit/ticket.go
+++ b/admit/ticket.go
@@ -90,7 +90,7 @@
 
 // Arrive has a request that was expected wait for a slot from now on. It does nothing if
 // the request has been refused meanwhile.
-func (t *Ticket) Arrive() {
+func (t *Ticket) BodyArrived() {
 	t.gate.arrive(t)
 }
 
--- a/admit/wait.go
+++ b/admit/wait.go
@@ -43,12 +43,12 @@
 
 // full returns the refusal of a request that would wait for so long. The lock is held.
 func (g *Gate) full(wait time.Duration) *verdict.Error {
-	return verdict.New(verdict.Refused, nil).WithRetryAfter(g.Named.Refuse(wait))
+	return verdict.New(verdict.Refused, nil).WithRetryAfter(g.AdvertisedLimiter.RetryAfter(wait))
 }
 
 // ahead returns the number of requests of t's class that start up to and with the last one
 // of its organisation.
-func (g *Gate) ahead(t *Ticket) int { return t.flow.Ahead(max(leastRun, g.run(t.queue))) }
+func (g *Gate) ahead(t *Ticket) int { return t.flow.QueuePosition(max(leastRun, g.run(t.queue))) }
 
 // expectedWait returns the time after which the given number of requests of q, of all that
 // wait, have started. Before the last of these n start as many of each other class o as fair
@@ -186,8 +186,8 @@
 	switch {
 	case q == nil:
 		return g.limits.QueueWait
-	case q.class.Wait > 0:
-		return q.class.Wait
+	case q.class.MaxWait > 0:
+		return q.class.MaxWait
 	case q.class.Objective > 0:
 		o := float64(q.class.Objective)
 		run := g.pace.value(time.Now()) * float64(g.run(q))
--- a/blocklist/ledger.go
+++ b/blocklist/ledger.go
@@ -38,7 +38,7 @@
 // Block is the spec of one object. It is an immutable value.
 type Block struct {
 	// Print is the fingerprint of the request.
-	Print string `json:"print"`
+	Fingerprint string `json:"print"`
 	// Upstreams are the starts of upstreams that have ended while it was isolated.
 	Upstreams []string `json:"upstreams"`
 	// At is when the last of them did, in milliseconds since 1970.
@@ -47,7 +47,7 @@
 
 // report returns the block as nodes tell it to each other, or why it can't be used.
 func (b Block) report(now time.Time) (quarantine.Report, error) {
-	p, err := quarantine.Parse(b.Print)
+	p, err := quarantine.Parse(b.Fingerprint)
 	if err != nil {
 		return quarantine.Report{}, err
 	}
@@ -55,18 +55,18 @@
 		return quarantine.Report{}, eris.New("no upstream has ended")
 	}
 	r := quarantine.Report{
-		Name:      "block/" + b.Print,
-		At:        b.At,
-		Upstreams: b.Upstreams,
-		Prints:    []quarantine.Fingerprint{p},
-		Alone:     p,
+		Name:         "block/" + b.Fingerprint,
+		At:           b.At,
+		Upstreams:    b.Upstreams,
+		Fingerprints: []quarantine.Fingerprint{p},
+		Isolated:     p,
 	}
 	return r, r.Check(now)
 }
 
 // Ledger reads and writes blocks. The exported fields are set before the first call. Its
 // methods may be called from any goroutine.
-type Ledger struct {
+type Store struct {
 	// API is the platform.
 	API objectapi.Objects
 	// Report is called with each block that is read.
@@ -81,7 +81,7 @@
 
 // Run reads the blocks, once more a little later unless there are many nodes and others do, and
 // now and then if this node is the first of its zone, until ctx ends.
-func (l *Ledger) Run(ctx context.Context) {
+func (l *Store) Run(ctx context.Context) {
 	l.Load(ctx)
 	sleep.For(ctx, lookAgain/2+rand.N(lookAgain))
 	if ctx.Err() == nil && l.drawn() {
@@ -96,12 +96,12 @@
 }
 
 // drawn draws whether this node is one of the readers.
-func (l *Ledger) drawn() bool {
+func (l *Store) drawn() bool {
 	return l.Nodes == nil || rand.Float64()*float64(l.Nodes()) < readers
 }
 
 // Load reads the blocks and reports them. Those that count no more are deleted.
-func (l *Ledger) Load(ctx context.Context) {
+func (l *Store) Load(ctx context.Context) {
 	list, err := l.API.ListStale(ctx, Kind)
 	if err != nil {
 		l.Log.Warn().Err(err).Msg("blocks not read")
@@ -131,7 +131,7 @@
 }
 
 // remove deletes the object of a block that counts no more.
-func (l *Ledger) remove(ctx context.Context, o *objectapi.Object) {
+func (l *Store) remove(ctx context.Context, o *objectapi.Object) {
 	err := l.API.Delete(ctx, Kind, o.Metadata.Name, o.Metadata.ResourceVersion)
 	if err != nil && !objectapi.IsNotFound(err) && !objectapi.IsConflict(err) {
 		l.Log.Warn().Err(err).Str("block", o.Metadata.Name).Msg("block not deleted")
@@ -140,30 +140,30 @@
 
 // Save writes the block of a request that is blocked. It returns when it is written, or was
 // given up after some tries.
-func (l *Ledger) Save(ctx context.Context, j quarantine.Judgment) {
+func (l *Store) Save(ctx context.Context, j quarantine.Assessment) {
 	b := Block{
-		Print:     j.Print.String(),
-		Upstreams: j.Isolated[max(0, len(j.Isolated)-quarantine.MaxUpstreams):],
-		At:        j.Since.UnixMilli(),
+		Fingerprint: j.Fingerprint.String(),
+		Upstreams:   j.IsolatedUpstreams[max(0, len(j.IsolatedUpstreams)-quarantine.MaxUpstreams):],
+		At:          j.LastCrash.UnixMilli(),
 	}
 	for n := range saveTries {
 		err := l.write(ctx, b)
 		if err == nil || ctx.Err() != nil {
 			return
 		}
-		l.Log.Warn().Err(err).Stringer("print", j.Print).Int("try", n+1).Msg("block not written")
+		l.Log.Warn().Err(err).Stringer("print", j.Fingerprint).Int("try", n+1).Msg("block not written")
 		sleep.For(ctx, objectapi.Backoff(n, err))
 	}
 }
 
 // write writes a block, unless a later one is there.
-func (l *Ledger) write(ctx context.Context, b Block) error {
-	o := objectapi.NewObject(Kind, b.Print, b)
+func (l *Store) write(ctx context.Context, b Block) error {
+	o := objectapi.NewObject(Kind, b.Fingerprint, b)
 	_, err := l.API.Create(ctx, o)
 	if !objectapi.IsConflict(err) {
 		return err
 	}
-	present, err := l.API.Get(ctx, Kind, b.Print)
+	present, err := l.API.Get(ctx, Kind, b.Fingerprint)
 	if err != nil {
 		return err
 	}
@@ -175,7 +175,7 @@
 }
 
 // Release deletes the block of a request, if there is one.
-func (l *Ledger) Release(ctx context.Context, p quarantine.Fingerprint) error {
+func (l *Store) Release(ctx context.Context, p quarantine.Fingerprint) error {
 	o, err := l.API.Get(ctx, Kind, p.String())
 	if err == nil {
 		err = l.API.Delete(ctx, Kind, o.Metadata.Name, o.Metadata.ResourceVersion)
--- a/blocklist/ledger_test.go
+++ b/blocklist/ledger_test.go
@@ -19,10 +19,10 @@
 	"sassafrasfront.example/quarantine"
 )
 
-var print = quarantine.Head("caller", "GET", "h.example", "/fatal").WithBody(nil)
+var print = quarantine.NewFingerprint("caller", "GET", "h.example", "/fatal").WithBody(nil)
 
 // open returns a ledger on a platform, with the index that it fills.
-func open(t *testing.T, store *objectstore.Server) (*blocklist.Ledger, *quarantine.Index) {
+func open(t *testing.T, store *objectstore.Server) (*blocklist.Store, *quarantine.Index) {
 	t.Helper()
 	server := httptest.NewServer(store)
 	t.Cleanup(func() {
@@ -30,7 +30,7 @@
 		server.Close()
 	})
 	index := new(quarantine.Index)
-	return &blocklist.Ledger{
+	return &blocklist.Store{
 		API:    &objectapi.Client{Caller: objectapi.Caller{URL: server.URL, Timeout: time.Second}, Namespace: "test"},
 		Report: index.Add,
 		Log:    zerolog.Nop(),
@@ -38,31 +38,31 @@
 }
 
 // blocked returns the judgment of a request that was blocked the given time ago.
-func blocked(ago time.Duration, upstreams ...string) quarantine.Judgment {
-	return quarantine.Judgment{
-		Print:    print,
-		Standing: quarantine.Blocked,
-		Ends:     len(upstreams),
-		Since:    time.Now().Add(-ago),
-		Isolated: upstreams,
+func blocked(ago time.Duration, upstreams ...string) quarantine.Assessment {
+	return quarantine.Assessment{
+		Fingerprint:       print,
+		State:             quarantine.Blocked,
+		Crashes:           len(upstreams),
+		LastCrash:         time.Now().Add(-ago),
+		IsolatedUpstreams: upstreams,
 	}
 }
 
 // TestBlocksOutliveNodes has one node write, and another that starts read.
 func TestBlocksOutliveNodes(t *testing.T) {
 	tests := map[string]struct {
-		saved []quarantine.Judgment
-		want  quarantine.Standing
+		saved []quarantine.Assessment
+		want  quarantine.State
 		ends  int
 		kept  int // objects, after they were read
 	}{
 		"none":           {},
-		"a block":        {saved: []quarantine.Judgment{blocked(0, "a")}, want: quarantine.Blocked, ends: 1, kept: 1},
-		"one that grew":  {saved: []quarantine.Judgment{blocked(time.Minute, "a"), blocked(0, "a", "b")}, want: quarantine.Blocked, ends: 2, kept: 1},
-		"an older one":   {saved: []quarantine.Judgment{blocked(0, "a", "b"), blocked(time.Minute, "a")}, want: quarantine.Blocked, ends: 2, kept: 1},
-		"one over":       {saved: []quarantine.Judgment{blocked(11*time.Minute, "a")}, want: quarantine.Seen, ends: 1, kept: 1},
-		"long forgotten": {saved: []quarantine.Judgment{blocked(3*time.Hour, "a")}},
-		"of no upstream": {saved: []quarantine.Judgment{blocked(0)}, kept: 1},
+		"a block":        {saved: []quarantine.Assessment{blocked(0, "a")}, want: quarantine.Blocked, ends: 1, kept: 1},
+		"one that grew":  {saved: []quarantine.Assessment{blocked(time.Minute, "a"), blocked(0, "a", "b")}, want: quarantine.Blocked, ends: 2, kept: 1},
+		"an older one":   {saved: []quarantine.Assessment{blocked(0, "a", "b"), blocked(time.Minute, "a")}, want: quarantine.Blocked, ends: 2, kept: 1},
+		"one over":       {saved: []quarantine.Assessment{blocked(11*time.Minute, "a")}, want: quarantine.SeenAtCrash, ends: 1, kept: 1},
+		"long forgotten": {saved: []quarantine.Assessment{blocked(3*time.Hour, "a")}},
+		"of no upstream": {saved: []quarantine.Assessment{blocked(0)}, kept: 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -72,11 +72,11 @@
 				writer.Save(ctx, j)
 			}
 			index := new(quarantine.Index)
-			reader := &blocklist.Ledger{API: writer.API, Report: index.Add, Log: zerolog.Nop()}
+			reader := &blocklist.Store{API: writer.API, Report: index.Add, Log: zerolog.Nop()}
 			reader.Load(ctx)
-			j := index.Judge(print)
-			qt.Check(t, j.Standing, qt.Equals, test.want)
-			qt.Check(t, j.Ends, qt.Equals, test.ends)
+			j := index.Assess(print)
+			qt.Check(t, j.State, qt.Equals, test.want)
+			qt.Check(t, j.Crashes, qt.Equals, test.ends)
 			list, err := writer.API.List(ctx, blocklist.Kind)
 			qt.Assert(t, err, qt.IsNil)
 			qt.Check(t, list.Items, qt.HasLen, test.kept)
@@ -93,7 +93,7 @@
 		qt.Check(t, writer.Release(ctx, print), qt.IsNil)
 	}
 	writer.Load(ctx)
-	qt.Check(t, index.Judge(print).Standing, qt.Equals, quarantine.Unsuspected)
+	qt.Check(t, index.Assess(print).State, qt.Equals, quarantine.Unsuspected)
 }
 
 // TestSaveUnderFaults has the platform lose answers, and be away for a moment: the block
@@ -111,7 +111,7 @@
 			writer.Save(context.Background(), blocked(0, "a"))
 			store.SetFaults(objectstore.Faults{})
 			writer.Load(context.Background())
-			qt.Check(t, index.Judge(print).Standing, qt.Equals, quarantine.Blocked)
+			qt.Check(t, index.Assess(print).State, qt.Equals, quarantine.Blocked)
 		})
 	}
 }
--- a/blocklist/readers_test.go
+++ b/blocklist/readers_test.go
@@ -52,7 +52,7 @@
 				var reads atomic.Int64
 				var all sync.WaitGroup
 				for range test.nodes {
-					l := &blocklist.Ledger{
+					l := &blocklist.Store{
 						API:    counted{reads: &reads},
 						Report: func(quarantine.Report) {},
 						Nodes:  func() int { return test.nodes },
--- a/caller/body_test.go
+++ b/caller/body_test.go
@@ -39,8 +39,8 @@
 // Do implements caller.Dispatcher.
 func (h *hasty) Do(_ context.Context, r *entry.Request) (*entry.Result, *verdict.Error) {
 	body := r.Stream
-	if r.Kept != nil {
-		body = r.Kept.Open()
+	if r.Spooled != nil {
+		body = r.Spooled.Open()
 	}
 	if body != nil {
 		first := make(chan struct{})
@@ -147,14 +147,14 @@
 	_, err = c.Write(bytes.Repeat([]byte("a"), size/2))
 	qt.Assert(t, err, qt.IsNil)
 	r := <-requests
-	qt.Assert(t, r.Kept, qt.IsNotNil)
+	qt.Assert(t, r.Spooled, qt.IsNotNil)
 	for range 2 {
-		_, err = io.ReadFull(r.Kept.Open(), make([]byte, size/2))
+		_, err = io.ReadFull(r.Spooled.Open(), make([]byte, size/2))
 		qt.Check(t, err, qt.IsNil)
 	}
 	_, err = c.Write(bytes.Repeat([]byte("b"), size/2))
 	qt.Assert(t, err, qt.IsNil)
-	whole, err := io.ReadAll(r.Kept.Open())
+	whole, err := io.ReadAll(r.Spooled.Open())
 	qt.Check(t, err, qt.IsNil)
 	qt.Check(t, string(whole), qt.Equals, string(bytes.Repeat([]byte("a"), size/2))+string(bytes.Repeat([]byte("b"), size/2)))
 	requests <- nil
--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -49,7 +49,7 @@
 		Config: config.WithDefaults(),
 	}
 	g := &gate.Gate{Tracer: tracer}
-	g.Announce(&upstream.Announcement{
+	g.SetAnnouncement(&upstream.Announcement{
 		Service:     "service",
 		Address:     back.Listener.Addr().String(),
 		Slots:       10,
@@ -63,7 +63,7 @@
 	go peers.Run(ctx, listener)
 	service.Members = []entry.Member{{ID: "n1", Addr: listener.Addr().String(), Slots: 10}}
 	d := &entry.Dispatcher{Hello: peer.Hello{Node: "entry"}}
-	d.Set(map[string]*entry.Service{"service": service})
+	d.SetServices(map[string]*entry.Service{"service": service})
 	front := httptest.NewUnstartedServer(&caller.Handler{
 		Lookup: func(host string) (*entry.Service, bool) {
 			if host == "service.example" {
@@ -386,7 +386,7 @@
 		t.Run(name, func(t *testing.T) {
 			p := newPath(t, operator.Service{}, http.HandlerFunc(tell))
 			if drained {
-				p.gate.Leave()
+				p.gate.Drain()
 			}
 			var asked bool
 			ctx := httptrace.WithClientTrace(context.Background(), &httptrace.ClientTrace{Got100Continue: func() { asked = true }})
@@ -477,7 +477,7 @@
 // TestProblem reads a failure as a document.
 func TestProblem(t *testing.T) {
 	p := newPath(t, operator.Service{}, http.HandlerFunc(tell))
-	p.gate.Leave()
+	p.gate.Drain()
 	r, _ := http.NewRequest("POST", p.front.URL, strings.NewReader("x"))
 	r.Host = "service.example"
 	a, err := http.DefaultTransport.RoundTrip(r)
--- a/caller/closing_test.go
+++ b/caller/closing_test.go
@@ -132,7 +132,7 @@
 		Trailer: func() []peer.Field { return nil },
 	}
 	if r.Target == "/abort" {
-		response.Body = iotest.ErrReader(verdict.New(verdict.AnswerCut, nil))
+		response.Body = iotest.ErrReader(verdict.New(verdict.AnswerTruncated, nil))
 	}
 	return &entry.Result{Response: response}, nil
 }
--- a/caller/handler.go
+++ b/caller/handler.go
@@ -78,7 +78,7 @@
 	// Resolver, if not nil, finds the targets of requests in place of Lookup.
 	Resolver Resolver
 	// Names are the header fields that callers use.
-	Names upstream.Names
+	Names upstream.FieldNames
 	// Service is the service that runs beside this node. It is named to the
 	// upstream as the one that the request comes from, if there is a field for it.
 	Service string
@@ -92,13 +92,13 @@
 	Suspects func(p quarantine.Fingerprint) bool
 	// Admit, if not nil, lets a request in as far as its organisation's rate limit allows,
 	// or returns why it must not run.
-	Admit func(ctx context.Context, r ratelimit.Request) (*ratelimit.Pass, *verdict.Error)
+	Admit func(ctx context.Context, r ratelimit.Request) (*ratelimit.Permit, *verdict.Error)
 	// Ends, if not nil, returns when the requests that are under way are cut, or the zero
 	// time if that is not to come. One that may take longer is refused.
 	Ends func() time.Time
 	// Claims keeps resent requests from running twice, for the services that ask
 	// for it. Nil refuses their requests that have an IdempotencyKey.
-	Claims *claim.Ledger
+	Claims *claim.Store
 	// Node is named in Via and in the header that says where a request ran.
 	Node string
 	// Tracer makes a span for each request.
@@ -126,7 +126,7 @@
 	// closes is whether the answer is the last one of its connection.
 	closes bool
 	// pass is what its organisation's rate limit lets it in by, or nil.
-	pass *ratelimit.Pass
+	pass *ratelimit.Permit
 }
 
 // ServeHTTP implements http.Handler.
@@ -152,7 +152,7 @@
 	ctx, span := h.Tracer.Start(ctx, "entry", trace.WithSpanKind(trace.SpanKindServer))
 	cut := x.serve(ctx)
 	if f := x.outcome.Failure; f != nil && f.Verdict() == verdict.NotRun {
-		x.pass.NotRun()
+		x.pass.Refund()
 	}
 	x.outcome.Took = time.Since(began)
 	x.noteBody()
@@ -237,7 +237,7 @@
 	x.pass, failure = x.handler.Admit(ctx, ratelimit.Request{
 		Organisation: t.Organisation,
 		Class:        t.Class,
-		Left:         left,
+		Remaining:    left,
 		Objective:    t.Objective,
 	})
 	return failure
@@ -272,7 +272,7 @@
 func (x *exchange) dispatch(ctx context.Context, q *entry.Request, keep *keeper) (cut bool) {
 	result, failure := x.handler.Dispatcher.Do(ctx, q)
 	x.outcome.Steps = q.Steps
-	x.outcome.Tries = entry.Sendings(q.Steps)
+	x.outcome.Tries = entry.CountAttempts(q.Steps)
 	if failure != nil {
 		failure = x.stopped(failure)
 	}
--- a/caller/keys.go
+++ b/caller/keys.go
@@ -59,13 +59,13 @@
 	if k.Age != nil {
 		age = k.Age(version)
 	}
-	j := k.Bounds.Judge(age, held)
+	j := k.Bounds.Evaluate(age, held)
 	if k.Judged != nil && held {
 		k.Judged(j != freshness.Stale, version, age)
 	}
 	switch j {
 	case freshness.Stale:
-		return verdict.New(verdict.NotFresh, eris.Errorf("version %d was known to be the latest %v ago", version, age)).WithRetryAfter(k.RetryAfter)
+		return verdict.New(verdict.KeysStale, eris.Errorf("version %d was known to be the latest %v ago", version, age)).WithRetryAfter(k.RetryAfter)
 	case freshness.Unknown:
 		return verdict.New(verdict.Unauthorized, eris.Errorf("no organisation of version %d has the key", version))
 	default:
@@ -122,6 +122,6 @@
 
 // withheld returns the fields that a trailer can't bear: an upstream that merges it into
 // the header would take them for the node's (RFC 9110, section 6.5.1).
-func withheld(names upstream.Names) []string {
-	return []string{bearer.Field, names.RequestID, names.Timeout, names.CallerService, names.Expected, names.Organisation}
+func withheld(names upstream.FieldNames) []string {
+	return []string{bearer.Field, names.RequestID, names.Timeout, names.CallerService, names.ExpectedInstance, names.Organisation}
 }
--- a/caller/keys_test.go
+++ b/caller/keys_test.go
@@ -80,7 +80,7 @@
 	d := new(taken)
 	return &caller.Handler{
 		Beside: true,
-		Names:  upstream.Names{RequestID: "X-Request-Id", Timeout: "X-Timeout", Organisation: organisationField, FractionalRetryAfter: true},
+		Names:  upstream.FieldNames{RequestID: "X-Request-Id", Timeout: "X-Timeout", Organisation: organisationField, FractionalRetryAfter: true},
 		Resolver: &caller.ByRoute{
 			Table:   func() *routes.Table { return table },
 			Service: func(string) *entry.Service { return service },
@@ -223,7 +223,7 @@
 func TestStaleTable(t *testing.T) {
 	var told []bool
 	h, d := keyed(t, caller.Keys{
-		Bounds:     freshness.Bounds{Revoke: 5 * time.Second, Apply: 2 * time.Second},
+		Bounds:     freshness.Bounds{MaxRevokeDelay: 5 * time.Second, MaxApplyDelay: 2 * time.Second},
 		Age:        func(uint64) freshness.Age { return freshness.Age{Known: true, Time: 6 * time.Second} },
 		Judged:     func(admitted bool, _ uint64, _ freshness.Age) { told = append(told, admitted) },
 		RetryAfter: 500 * time.Millisecond,
--- a/caller/request.go
+++ b/caller/request.go
@@ -59,19 +59,19 @@
 		return nil, verdict.New(verdict.BadRequest, err)
 	}
 	q := &entry.Request{
-		Service:      t.Service.Name,
-		Class:        t.Class,
-		Organisation: t.Organisation,
-		Method:       r.Method,
-		Target:       r.URL.RequestURI(),
-		Host:         r.Host,
-		Length:       r.ContentLength,
-		Idempotent:   t.Idempotent,
-		Attempts:     t.Attempts,
-		Regions:      t.Regions,
-		Objective:    t.Objective,
-		Deadline:     x.began.Add(timeout),
-		Inform:       x.inform,
+		Service:         t.Service.Name,
+		Class:           t.Class,
+		Organisation:    t.Organisation,
+		Method:          r.Method,
+		Target:          r.URL.RequestURI(),
+		Host:            r.Host,
+		Length:          r.ContentLength,
+		Idempotent:      t.Idempotent,
+		MaxAttempts:     t.Attempts,
+		Regions:         t.Regions,
+		Objective:       t.Objective,
+		Deadline:        x.began.Add(timeout),
+		OnInformational: x.inform,
 	}
 	if failure := x.body(q, t.MaxBody); failure != nil {
 		return nil, failure
@@ -93,18 +93,18 @@
 // if a request with this head is suspected of ending upstreams: its first bytes are then
 // waited for.
 func (x *exchange) print(q *entry.Request) *verdict.Error {
-	q.Print = quarantine.Head(x.handler.Service, q.Method, q.Host, q.Target)
+	q.Fingerprint = quarantine.NewFingerprint(x.handler.Service, q.Method, q.Host, q.Target)
 	switch {
-	case q.Kept == nil && q.Stream == nil:
-		q.Print = q.Print.WithBody(q.Body)
-	case x.handler.Suspects != nil && x.handler.Suspects(q.Print):
-		body, err := x.readUntil(q.Deadline, func() ([]byte, error) { return x.streamed.peek(quarantine.MaxBody) })
+	case q.Spooled == nil && q.Stream == nil:
+		q.Fingerprint = q.Fingerprint.WithBody(q.Body)
+	case x.handler.Suspects != nil && x.handler.Suspects(q.Fingerprint):
+		body, err := x.readUntil(q.Deadline, func() ([]byte, error) { return x.streamed.peek(quarantine.MaxBodyBytes) })
 		if err != nil {
 			return x.unread(err)
 		}
-		q.Print = q.Print.WithBody(body)
+		q.Fingerprint = q.Fingerprint.WithBody(body)
 	}
-	x.outcome.Print = q.Print
+	x.outcome.Print = q.Fingerprint
 	return nil
 }
 
@@ -142,16 +142,16 @@
 
 // name sets the fields by which the upstream knows the request, and removes the caller's
 // key.
-func (x *exchange) name(h http.Header, names upstream.Names, t *Target) {
+func (x *exchange) name(h http.Header, names upstream.FieldNames, t *Target) {
 	h.Del(names.Timeout)
-	if names.MakesIDs() {
+	if names.GeneratesRequestIDs() {
 		h.Set(names.RequestID, x.outcome.ID)
 	}
 	if names.CallerService != "" {
 		h.Set(names.CallerService, x.handler.Service)
 	}
-	if names.Expected != "" {
-		h.Del(names.Expected)
+	if names.ExpectedInstance != "" {
+		h.Del(names.ExpectedInstance)
 	}
 	if t.Keyed {
 		bearer.Strip(h, t.Organisation == "")
@@ -188,7 +188,7 @@
 	if x.r.Header.Get(IdempotencyKey) != "" {
 		return claimLimit
 	}
-	return entry.InlineBody
+	return entry.MaxInlineBodyBytes
 }
 
 // stream has the body read while the request is under way: an answer may begin before it
@@ -216,14 +216,14 @@
 	case r.ContentLength == 0:
 		return nil
 	case r.ContentLength < 0 || r.ContentLength > peer.MaxAhead || r.Header.Get("Expect") != "":
-		q.Stream = entry.Once(x.stream(most))
+		q.Stream = entry.ReadOnce(x.stream(most))
 		return nil
 	case r.ContentLength > x.gatherLimit():
 		x.kept = &spool.Body{
 			Reader: x.stream(most),
 			Length: r.ContentLength,
 		}
-		q.Kept = x.kept
+		q.Spooled = x.kept
 		return nil
 	}
 	data, err := x.readUntil(q.Deadline, func() ([]byte, error) { return io.ReadAll(r.Body) })
--- a/caller/resend.go
+++ b/caller/resend.go
@@ -40,10 +40,10 @@
 		return false
 	}
 	c, kept, failure := ledger.Begin(ctx, claim.Request{
-		Service: s.Name,
-		Key:     key,
-		Parts:   []string{q.Method, q.Target, string(q.Body)},
-		Keep:    s.Config.Resend.Keep.Std(),
+		Service:   s.Name,
+		Key:       key,
+		Parts:     []string{q.Method, q.Target, string(q.Body)},
+		Retention: s.Config.Resend.Keep.Std(),
 	})
 	switch {
 	case failure != nil:
@@ -92,7 +92,7 @@
 			Status: result.Status,
 			Header: result.Header,
 		}
-		if k.small = result.Length >= 0 && result.Length <= claim.MaxBody; k.small {
+		if k.small = result.Length >= 0 && result.Length <= claim.MaxBodyBytes; k.small {
 			result.Body = io.TeeReader(result.Body, &k.body)
 		}
 	}
--- a/canary/judgement.go
+++ b/canary/judgement.go
@@ -38,12 +38,12 @@
 }
 
 // judgementOf returns the work on an order. The lock is held.
-func (r *Runner) judgementOf(k rollout.Known) *judgement {
+func (r *Runner) judgementOf(k rollout.LocalState) *judgement {
 	j := r.judges[k.Order.Service]
 	if j == nil || j.judge.Order.At != k.Order.At {
 		j = &judgement{judge: rollout.Judge{
-			Order: k.Order,
-			Began: k.Received,
+			Order:     k.Order,
+			StartedAt: k.Received,
 		}}
 		r.judges[k.Order.Service] = j
 	}
@@ -58,7 +58,7 @@
 }
 
 // judge does a judge's work on one order, if this node is one.
-func (r *Runner) judge(ctx context.Context, service string, k rollout.Known, now time.Time) {
+func (r *Runner) judge(ctx context.Context, service string, k rollout.LocalState, now time.Time) {
 	if !r.isJudge(ctx, service, k, now) {
 		return
 	}
@@ -67,20 +67,20 @@
 	defer r.mu.Unlock()
 	j := r.judgementOf(k)
 	next, reason := j.judge.Step(k.State, room, now)
-	decided := k.With(next, reason, r.Hello.Node, now)
+	decided := k.WithPhase(next, reason, r.Hello.Node, now)
 	switch {
 	case next == rollout.Stopped && k.Phase == rollout.Stopped:
-		r.record(ctx, j, k.With(rollout.RolledBack, k.Reason, r.Hello.Node, now), now)
+		r.record(ctx, j, k.WithPhase(rollout.RolledBack, k.Reason, r.Hello.Node, now), now)
 	case next == rollout.Completed:
 		r.record(ctx, j, decided, now)
 	case next != k.Phase:
-		go r.Decide(decided)
+		go r.Decided(decided)
 	}
 }
 
 // isJudge returns whether this node has something to judge an order by. The first candidate
 // has it stand on the platform that the order is carried out.
-func (r *Runner) isJudge(ctx context.Context, service string, k rollout.Known, now time.Time) bool {
+func (r *Runner) isJudge(ctx context.Context, service string, k rollout.LocalState, now time.Time) bool {
 	first := r.isFirst(r.candidates(service, now))
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -98,7 +98,7 @@
 // room returns whether the upstreams of an order's version can take all requests.
 func (r *Runner) room(o rollout.Order) bool {
 	var former, next int
-	for version, s := range r.Sizes(o.Service) {
+	for version, s := range r.Capacities(o.Service) {
 		if version == o.Version {
 			next = s.Slots
 		} else {
@@ -133,7 +133,7 @@
 			return
 		}
 		if recorded.Phase.Settled() {
-			r.Decide(recorded)
+			r.Decided(recorded)
 		}
 	}()
 }
@@ -153,7 +153,7 @@
 		return s, eris.Errorf("another order has replaced the one for version %s", s.Order.Version)
 	}
 	if found.Outcome.Settled() {
-		return s.With(found.Outcome, "recorded on the platform", s.Node, s.When).WithRecorded(found.Order.At), nil
+		return s.WithPhase(found.Outcome, "recorded on the platform", s.Node, s.When).WithRecorded(found.Order.At), nil
 	}
 	if !s.Phase.Settled() && len(o.Status) > 0 && string(o.Status) != "null" {
 		return s, nil // that it is being carried out stands there already
--- a/canary/reader.go
+++ b/canary/reader.go
@@ -11,21 +11,21 @@
 
 // Orders takes in the orders that a Listing has read. The exported fields are set before the
 // first call.
-type Orders struct {
+type OrderReader struct {
 	// Decode decodes an order.
-	Decode func(o *objectapi.Object) (rollout.Found, error)
+	Decode func(o *objectapi.Object) (rollout.StoredOrder, error)
 	// Found is called with the orders that were read at a Point. Whole is whether those that
 	// are not among them have been withdrawn.
-	Found func(found []rollout.Found, at objectapi.Point, whole bool)
+	Found func(found []rollout.StoredOrder, at objectapi.Point, whole bool)
 	// Refused, if not nil, is called with why an order is not followed.
 	Refused func(reason error)
 }
 
 // Take takes in what was read. An order that can't be followed does not count as withdrawn, and
 // neither does one that a read lacks which is not current.
-func (r *Orders) Take(items []*objectapi.Object, at objectapi.Point, current bool) {
+func (r *OrderReader) Take(items []*objectapi.Object, at objectapi.Point, current bool) {
 	whole := current
-	var found []rollout.Found
+	var found []rollout.StoredOrder
 	for _, o := range items {
 		f, err := r.Decode(o)
 		if err != nil {
--- a/canary/report.go
+++ b/canary/report.go
@@ -53,7 +53,7 @@
 }
 
 // report tells a judge of the upstream, if that is due.
-func (r *Runner) report(ctx context.Context, u Upstream, k rollout.Known, now time.Time) {
+func (r *Runner) report(ctx context.Context, u Upstream, k rollout.LocalState, now time.Time) {
 	if u.Version == "" {
 		return
 	}
@@ -69,7 +69,7 @@
 	report := rollout.Report{
 		Service: u.Service,
 		Version: u.Version,
-		Start:   r.began,
+		StartID: r.began,
 		Running: u.Running,
 		Classes: make(map[string]rollout.Tally, len(r.classes)),
 	}
@@ -81,10 +81,10 @@
 
 // reportEvery returns the time between two reports: as long as keeps the reports to a judge
 // within bounds. Upstreams on trial report often enough for their leases.
-func (r *Runner) reportEvery(u Upstream, k rollout.Known) time.Duration {
-	n := r.Sizes(u.Service)[u.Version].Upstreams
+func (r *Runner) reportEvery(u Upstream, k rollout.LocalState) time.Duration {
+	n := r.Capacities(u.Service)[u.Version].Upstreams
 	every := stepEvery * time.Duration(max(1, n/reportsPerStep))
-	if k.Standing(u.Version) == rollout.OnTrial {
+	if k.Eligibility(u.Version) == rollout.OnTrial {
 		every = min(every, r.Lease/leaseParts)
 	}
 	return every - stepEvery/2 // steps are never quite on time
@@ -135,7 +135,7 @@
 
 // take takes in a report as the judge.
 func (r *Runner) take(node string, report rollout.Report) error {
-	k, ok := r.Known()[report.Service]
+	k, ok := r.Rollouts()[report.Service]
 	if !ok || k.Phase.Settled() {
 		return errNoOrder
 	}
--- a/canary/runner.go
+++ b/canary/runner.go
@@ -37,7 +37,7 @@
 	// Service and Version are what it says of itself; both are empty where there is none.
 	Service, Version string
 	// Start tells one start from another.
-	Start string
+	StartID string
 	// Running is the number of requests there.
 	Running int
 }
@@ -53,22 +53,22 @@
 	// what is written to one whose version is in a phase.
 	API    objectapi.Polled
 	Kind   string
-	Decode func(o *objectapi.Object) (rollout.Found, error)
+	Decode func(o *objectapi.Object) (rollout.StoredOrder, error)
 	Status func(version string, p rollout.Phase) any
 	// Lease is how long an upstream on trial runs requests after a judge has answered.
 	Lease time.Duration
 	// Known returns the roll-outs that the node knows of, by service.
-	Known func() map[string]rollout.Known
+	Rollouts func() map[string]rollout.LocalState
 	// Judges returns the nodes that may be judge for a service, in order.
 	Judges func(service string) []Peer
 	// Sizes returns how many upstreams a service has, by version.
-	Sizes func(service string) map[string]rollout.Size
+	Capacities func(service string) map[string]rollout.VersionCapacity
 	// Upstream returns the upstream beside the node.
 	Upstream func() Upstream
 	// Withhold takes in whether that one may not run requests.
-	Withhold func(withheld bool)
+	SetWithheld func(withheld bool)
 	// Decide takes in a decision of this node.
-	Decide func(s rollout.State)
+	Decided func(s rollout.State)
 	// Log takes the events.
 	Log zerolog.Logger
 
@@ -115,11 +115,11 @@
 }
 
 // Ran counts a request that the upstream has run.
-func (r *Runner) Ran(class string, failed bool, took time.Duration) {
+func (r *Runner) RecordRequest(class string, failed bool, took time.Duration) {
 	r.init()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.classes[class] = r.classes[class].With(failed, took)
+	r.classes[class] = r.classes[class].WithRequest(failed, took)
 }
 
 // Run carries out the node's part until ctx ends. Where no order is being carried out, it
@@ -144,7 +144,7 @@
 
 // step does what is due, and returns whether an order is being carried out.
 func (r *Runner) step(ctx context.Context, now time.Time) (active bool) {
-	known := r.Known()
+	known := r.Rollouts()
 	u := r.Upstream()
 	r.count(u)
 	for service, k := range known {
@@ -158,13 +158,13 @@
 	if k, ok := known[u.Service]; ok && !k.Phase.Settled() {
 		r.report(ctx, u, k, now)
 	}
-	r.Withhold(r.withheld(u, known, now))
+	r.SetWithheld(r.withheld(u, known, now))
 	return active
 }
 
 // withheld returns whether the upstream may not run requests. While an order is carried out, so
 // may one whose version is not known yet.
-func (r *Runner) withheld(u Upstream, known map[string]rollout.Known, now time.Time) bool {
+func (r *Runner) withheld(u Upstream, known map[string]rollout.LocalState, now time.Time) bool {
 	k, ok := known[u.Service]
 	if !ok || u.Service == "" {
 		return false
@@ -172,7 +172,7 @@
 	if u.Version == "" {
 		return !k.Phase.Settled()
 	}
-	switch k.Standing(u.Version) {
+	switch k.Eligibility(u.Version) {
 	case rollout.Withheld:
 		return true
 	case rollout.OnTrial:
@@ -187,7 +187,7 @@
 func (r *Runner) count(u Upstream) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	start := u.Start + "\x00" + u.Version
+	start := u.StartID + "\x00" + u.Version
 	if start == r.start {
 		return
 	}
--- a/canary/runner_test.go
+++ b/canary/runner_test.go
@@ -82,8 +82,8 @@
 }
 
 // decode reads an order of the store.
-func decode(o *objectapi.Object) (rollout.Found, error) {
-	f := rollout.Found{Order: order}
+func decode(o *objectapi.Object) (rollout.StoredOrder, error) {
+	f := rollout.StoredOrder{Order: order}
 	f.Order.At, _ = objectapi.ParsePoint(o.Metadata.ResourceVersion)
 	switch string(o.Status) {
 	case `"completed"`:
@@ -98,7 +98,7 @@
 type world struct {
 	store    *store
 	mu       sync.Mutex
-	known    rollout.Known
+	known    rollout.LocalState
 	deaf     bool // whether no judge can be reached
 	withheld map[string]bool
 }
@@ -106,12 +106,12 @@
 // node returns a node beside an upstream of a version, which is judge if it is so named.
 func (w *world) node(name, version, judge string) *Runner {
 	return &Runner{
-		Hello:  peer.Hello{Node: name},
-		API:    w.store,
-		Decode: decode,
-		Status: func(_ string, p rollout.Phase) any { return p.String() },
-		Lease:  lease,
-		Known:  func() map[string]rollout.Known { return map[string]rollout.Known{"s": w.present()} },
+		Hello:    peer.Hello{Node: name},
+		API:      w.store,
+		Decode:   decode,
+		Status:   func(_ string, p rollout.Phase) any { return p.String() },
+		Lease:    lease,
+		Rollouts: func() map[string]rollout.LocalState { return map[string]rollout.LocalState{"s": w.present()} },
 		Judges: func(string) []Peer {
 			w.mu.Lock()
 			defer w.mu.Unlock()
@@ -120,22 +120,22 @@
 			}
 			return []Peer{{ID: judge}}
 		},
-		Sizes: func(string) map[string]rollout.Size {
-			return map[string]rollout.Size{"v1": {Upstreams: 1, Slots: 8}, "v2": {Upstreams: 1, Slots: 8}}
+		Capacities: func(string) map[string]rollout.VersionCapacity {
+			return map[string]rollout.VersionCapacity{"v1": {Upstreams: 1, Slots: 8}, "v2": {Upstreams: 1, Slots: 8}}
 		},
-		Upstream: func() Upstream { return Upstream{Service: "s", Version: version, Start: "i"} },
-		Withhold: func(withheld bool) {
+		Upstream: func() Upstream { return Upstream{Service: "s", Version: version, StartID: "i"} },
+		SetWithheld: func(withheld bool) {
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			w.withheld[name] = withheld
 		},
-		Decide: w.decide,
-		Log:    zerolog.Nop(),
+		Decided: w.decide,
+		Log:     zerolog.Nop(),
 	}
 }
 
 // present returns the roll-out as all nodes know it.
-func (w *world) present() rollout.Known {
+func (w *world) present() rollout.LocalState {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.known
@@ -154,7 +154,7 @@
 func newWorld() *world {
 	return &world{
 		store:    &store{revision: 1},
-		known:    rollout.Known{State: rollout.State{Order: order}, Received: time.Now(), Changed: time.Now()},
+		known:    rollout.LocalState{State: rollout.State{Order: order}, Received: time.Now(), Changed: time.Now()},
 		withheld: make(map[string]bool),
 	}
 }
@@ -226,7 +226,7 @@
 				one.init()
 				other.init()
 				w.store.between = func() {
-					_, err := other.write(t.Context(), w.present().With(test.second, "", "b", time.Now()))
+					_, err := other.write(t.Context(), w.present().WithPhase(test.second, "", "b", time.Now()))
 					qt.Check(t, err, qt.IsNil)
 				}
 				began := time.Now()
@@ -235,7 +235,7 @@
 					w.store.away = time.Since(began) < test.away
 					w.store.mu.Unlock()
 					one.mu.Lock()
-					one.record(t.Context(), one.judgementOf(w.present()), w.present().With(test.first, "", "a", time.Now()), time.Now())
+					one.record(t.Context(), one.judgementOf(w.present()), w.present().WithPhase(test.first, "", "a", time.Now()), time.Now())
 					one.mu.Unlock()
 					time.Sleep(stepEvery)
 				}
@@ -260,13 +260,13 @@
 		go judge.Run(ctx)
 		for began := time.Now(); w.present().Phase < rollout.Stopped && time.Since(began) < 4*time.Second; {
 			for range 20 {
-				judge.Ran("class", false, 10*time.Millisecond)
+				judge.RecordRequest("class", false, 10*time.Millisecond)
 				for _, r := range others {
-					r.Ran("class", true, 10*time.Millisecond)
+					r.RecordRequest("class", true, 10*time.Millisecond)
 				}
 			}
 			for name, r := range others {
-				qt.Check(t, judge.take(name, rollout.Report{Service: "s", Version: "v2", Start: 1, Classes: map[string]rollout.Tally{"class": r.classes["class"]}}), qt.IsNil)
+				qt.Check(t, judge.take(name, rollout.Report{Service: "s", Version: "v2", StartID: 1, Classes: map[string]rollout.Tally{"class": r.classes["class"]}}), qt.IsNil)
 			}
 			time.Sleep(stepEvery)
 		}
@@ -276,7 +276,7 @@
 		w.store.mu.Unlock()
 		for range 4 * 8 {
 			for name := range others {
-				_ = judge.take(name, rollout.Report{Service: "s", Version: "v2", Start: 1}) // refused while it declines
+				_ = judge.take(name, rollout.Report{Service: "s", Version: "v2", StartID: 1}) // refused while it declines
 			}
 			time.Sleep(stepEvery)
 		}
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -21,11 +21,11 @@
 	"sassafrasfront.example/verdict"
 )
 
-func start(t *testing.T) (*objectstore.Server, *claim.Ledger) {
+func start(t *testing.T) (*objectstore.Server, *claim.Store) {
 	t.Helper()
 	s := new(objectstore.Server)
 	h := httptest.NewServer(s)
-	l := &claim.Ledger{
+	l := &claim.Store{
 		API:  &objectapi.Client{Caller: objectapi.Caller{URL: h.URL, Timeout: 300 * time.Millisecond}, Namespace: "test"},
 		Node: "n1",
 	}
@@ -39,7 +39,7 @@
 }
 
 func request(parts ...string) claim.Request {
-	return claim.Request{Service: "pledgebook", Key: "k", Parts: parts, Keep: time.Hour}
+	return claim.Request{Service: "pledgebook", Key: "k", Parts: parts, Retention: time.Hour}
 }
 
 // TestSecondSending has a first sending come as far as the row says, and tells
@@ -165,7 +165,7 @@
 	var all sync.WaitGroup
 	for range 20 {
 		all.Go(func() {
-			other := &claim.Ledger{API: l.API, Node: "other"}
+			other := &claim.Store{API: l.API, Node: "other"}
 			c, _, _ := other.Begin(context.Background(), request("a"))
 			if c != nil {
 				runs.Add(1)
@@ -179,7 +179,7 @@
 }
 
 func TestBudget(t *testing.T) {
-	var l claim.Ledger
+	var l claim.Store
 	var allowed int
 	for range 100 {
 		if l.Allow("a", 5) {
@@ -197,7 +197,7 @@
 		r := request("x")
 		r.Key = key
 		if key == "b" {
-			r.Keep = 24 * time.Hour
+			r.Retention = 24 * time.Hour
 		}
 		_, _, failed := l.Begin(ctx, r)
 		qt.Assert(t, failed == nil, qt.IsTrue)
--- a/claim/ledger.go
+++ b/claim/ledger.go
@@ -22,7 +22,7 @@
 
 const (
 	// MaxBody is the largest answer that is kept, in bytes.
-	MaxBody = 64 << 10
+	MaxBodyBytes = 64 << 10
 	// beginTimeout bounds the claiming, finishTimeout the writing of the answer.
 	beginTimeout  = 2 * time.Second
 	finishTimeout = 10 * time.Second
@@ -51,8 +51,8 @@
 	// ID tells the claim from all others, also of the same request and node.
 	ID string `json:"id,omitempty"`
 	// Until is when the claim may be deleted.
-	Until time.Time `json:"until"`
-	State State     `json:"state"`
+	ExpiresAt time.Time `json:"until"`
+	State     State     `json:"state"`
 	// Answer is the answer, if it has come and is kept.
 	Answer *Answer `json:"answer,omitempty"`
 }
@@ -72,11 +72,11 @@
 	// body.
 	Parts []string
 	// Keep is how long the claim is kept.
-	Keep time.Duration
+	Retention time.Duration
 }
 
 // Ledger makes claims. The exported fields are set before the first call.
-type Ledger struct {
+type Store struct {
 	// API is the platform.
 	API objectapi.API
 	// Node is the name of this node.
@@ -89,14 +89,14 @@
 
 // Claim is the right to run a request.
 type Claim struct {
-	ledger *Ledger
+	ledger *Store
 	object *objectapi.Object
 	record Record
 }
 
 // Allow returns whether the service's budget of claims per second has room, and
 // spends one.
-func (l *Ledger) Allow(service string, perSecond float64) bool {
+func (l *Store) Allow(service string, perSecond float64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.budgets == nil {
@@ -113,7 +113,7 @@
 // Begin claims a request. Exactly one of the results is not nil: the claim, if
 // the request is to be run; the answer, if it has been run and that is kept; or
 // the failure.
-func (l *Ledger) Begin(ctx context.Context, r Request) (*Claim, *Answer, *verdict.Error) {
+func (l *Store) Begin(ctx context.Context, r Request) (*Claim, *Answer, *verdict.Error) {
 	ctx, cancel := context.WithTimeout(ctx, beginTimeout)
 	defer cancel()
 	own := Record{
@@ -121,7 +121,7 @@
 		Fingerprint: digest(r.Parts...),
 		Node:        l.Node,
 		ID:          rand.Text(),
-		Until:       time.Now().Add(r.Keep).UTC(),
+		ExpiresAt:   time.Now().Add(r.Retention).UTC(),
 		State:       Claimed,
 	}
 	name := digest(r.Service, r.Key)
@@ -203,7 +203,7 @@
 
 // withdraw deletes a claim that may have been written though nobody answered, so that the
 // request, which does not run, can be sent again. It returns at once.
-func (l *Ledger) withdraw(name string, own Record) {
+func (l *Store) withdraw(name string, own Record) {
 	l.update(func(ctx context.Context) error {
 		present, err := l.API.Get(ctx, operator.KindClaim, name)
 		if err != nil {
@@ -218,7 +218,7 @@
 }
 
 // update has f try until it succeeds, or can't any more.
-func (l *Ledger) update(f func(ctx context.Context) error) {
+func (l *Store) update(f func(ctx context.Context) error) {
 	l.writing.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), finishTimeout)
 		defer cancel()
@@ -238,4 +238,4 @@
 }
 
 // Wait waits until what has been begun to be written is written, or given up.
-func (l *Ledger) Wait() { l.writing.Wait() }
+func (l *Store) Wait() { l.writing.Wait() }
--- a/claim/sweep.go
+++ b/claim/sweep.go
@@ -22,7 +22,7 @@
 	var deleted int
 	for _, o := range l.Items {
 		r, err := objectapi.SpecOf[Record](o)
-		if err != nil || now.Before(r.Until) {
+		if err != nil || now.Before(r.ExpiresAt) {
 			continue
 		}
 		err = api.Delete(ctx, operator.KindClaim, o.Metadata.Name, o.Metadata.ResourceVersion)
--- a/cmd/sassafrasbench/roles.go
+++ b/cmd/sassafrasbench/roles.go
@@ -58,7 +58,7 @@
 		Address:     args[0],
 		Slots:       slots,
 		Connections: 25 * slots,
-		Start:       strconv.FormatInt(time.Now().UnixNano(), 36),
+		StartID:     strconv.FormatInt(time.Now().UnixNano(), 36),
 	})
 	return serve(ctx, args[0], s)
 }
--- a/cmd/sassafrasctl/explain.go
+++ b/cmd/sassafrasctl/explain.go
@@ -159,5 +159,5 @@
 // hints say what stands behind causes for which nothing was sent.
 var hints = map[verdict.Cause]string{
 	verdict.Unauthorized: "the caller has to show a key that this version holds; a version that has just added one is named by 'configuration in force'",
-	verdict.NotFresh:     "the node had not heard for too long which keys are valid; look for 'keys can't be judged' and 'configuration not read' there",
+	verdict.KeysStale:    "the node had not heard for too long which keys are valid; look for 'keys can't be judged' and 'configuration not read' there",
 }
--- a/cold/limit.go
+++ b/cold/limit.go
@@ -16,16 +16,16 @@
 
 // Limit bounds the requests to one upstream in any second while it is cold. The zero value
 // bounds nothing. Its methods may be called from any goroutine.
-type Limit struct {
+type Limiter struct {
 	mu    sync.Mutex
-	until time.Time  // when the upstream is warm
-	sent  []*Sending // the latest requests, as many as are allowed: a ring
-	next  int        // the oldest of them, which the next one replaces
+	until time.Time // when the upstream is warm
+	sent  []*Permit // the latest requests, as many as are allowed: a ring
+	next  int       // the oldest of them, which the next one replaces
 }
 
 // Sending is a request that Take has let through.
-type Sending struct {
-	limit *Limit
+type Permit struct {
+	limit *Limiter
 	at    time.Time // when it was sent
 	done  bool
 }
@@ -33,7 +33,7 @@
 // Done records that the request has been written, be it in part. Until then it counts as
 // sent at each moment: a process may be held up for a tenth of a second between the two, and
 // then sends together what was let through one by one.
-func (s *Sending) Done() {
+func (s *Permit) MarkWritten() {
 	s.limit.mu.Lock()
 	defer s.limit.mu.Unlock()
 	s.at = time.Now()
@@ -43,15 +43,15 @@
 // Set allows the given number of requests in any second while the upstream is cold; 0 means
 // any number. Requests of the last second that are not known, as after a start of this
 // process, are taken to have been as many.
-func (l *Limit) Set(most int) {
+func (l *Limiter) SetLimit(most int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if most == len(l.sent) {
 		return
 	}
-	l.sent = make([]*Sending, max(0, most))
+	l.sent = make([]*Permit, max(0, most))
 	l.next = 0
-	unknown := &Sending{
+	unknown := &Permit{
 		limit: l,
 		at:    time.Now(),
 		done:  true,
@@ -62,7 +62,7 @@
 }
 
 // Restart says that the upstream has started anew, and was sent nothing yet.
-func (l *Limit) Restart() {
+func (l *Limiter) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	clear(l.sent)
@@ -70,7 +70,7 @@
 
 // Turn takes in that the upstream stays cold for the given time. Zero means that it is
 // warm.
-func (l *Limit) Turn(remaining time.Duration) {
+func (l *Limiter) SetRemaining(remaining time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.until = time.Now().Add(remaining)
@@ -78,7 +78,7 @@
 
 // AtLeast takes in that the upstream stays cold for the given time, or longer: word that
 // may be late.
-func (l *Limit) AtLeast(remaining time.Duration) {
+func (l *Limiter) ExtendRemaining(remaining time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if until := time.Now().Add(remaining); until.After(l.until) {
@@ -87,18 +87,18 @@
 }
 
 // Remaining returns how much longer the upstream is cold, or 0.
-func (l *Limit) Remaining() time.Duration {
+func (l *Limiter) Remaining() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return max(0, time.Until(l.until))
 }
 
 // binds returns whether the bound holds now. The lock is held.
-func (l *Limit) binds(now time.Time) bool { return len(l.sent) > 0 && now.Before(l.until) }
+func (l *Limiter) binds(now time.Time) bool { return len(l.sent) > 0 && now.Before(l.until) }
 
 // Most returns the number of requests that are allowed in a second now. The second result
 // is false if there is no bound.
-func (l *Limit) Most() (most int, bound bool) {
+func (l *Limiter) Limit() (most int, bound bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.sent), l.binds(time.Now())
@@ -106,13 +106,13 @@
 
 // Take counts a request that is about to be sent if it may be, and otherwise returns after
 // how long one may. The caller owes the Sending a Done.
-func (l *Limit) Take() (sending *Sending, wait time.Duration) {
+func (l *Limiter) TryAcquire() (sending *Permit, wait time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if wait := l.wait(time.Now(), 0); wait > 0 {
 		return nil, wait
 	}
-	s := &Sending{limit: l}
+	s := &Permit{limit: l}
 	if len(l.sent) > 0 {
 		l.sent[l.next] = s
 		l.next = (l.next + 1) % len(l.sent)
@@ -121,14 +121,14 @@
 }
 
 // Wait returns after how long a request may be sent if the given number goes before it.
-func (l *Limit) Wait(ahead int) time.Duration {
+func (l *Limiter) Wait(ahead int) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.wait(time.Now(), ahead)
 }
 
 // wait returns what Wait does, by when the upstream is warm at the latest. The lock is held.
-func (l *Limit) wait(now time.Time, ahead int) time.Duration {
+func (l *Limiter) wait(now time.Time, ahead int) time.Duration {
 	if !l.binds(now) {
 		return 0
 	}
--- a/cold/limit_test.go
+++ b/cold/limit_test.go
@@ -21,31 +21,36 @@
 const most = 5
 
 // newLimit returns a Limit whose upstream has not been sent anything yet.
-func newLimit() *cold.Limit {
-	l := new(cold.Limit)
-	l.Set(most)
-	l.Restart()
+func newLimit() *cold.Limiter {
+	l := new(cold.Limiter)
+	l.SetLimit(most)
+	l.Reset()
 	return l
 }
 
 // TestTake counts what is let through of many requests at once.
 func TestTake(t *testing.T) {
 	tests := map[string]struct {
-		play func(l *cold.Limit)
+		play func(l *cold.Limiter)
 		want int
 	}{
-		"warm":                    {play: func(*cold.Limit) {}, want: 100},
-		"cold":                    {play: func(l *cold.Limit) { l.Turn(time.Minute) }, want: most},
-		"cold no more":            {play: func(l *cold.Limit) { l.Turn(time.Minute); l.Turn(0) }, want: 100},
-		"its time is over":        {play: func(l *cold.Limit) { l.Turn(time.Second); time.Sleep(time.Second) }, want: 100},
-		"late word":               {play: func(l *cold.Limit) { l.Turn(time.Minute); l.AtLeast(0) }, want: most},
-		"turns cold after three":  {play: func(l *cold.Limit) { takeAll(l, 3); l.Turn(time.Minute) }, want: most - 3},
-		"turns cold after many":   {play: func(l *cold.Limit) { takeAll(l, 50); l.Turn(time.Minute) }, want: 0},
-		"after many, long ago":    {play: func(l *cold.Limit) { takeAll(l, 50); time.Sleep(2 * time.Second); l.Turn(time.Minute) }, want: most},
-		"a new start":             {play: func(l *cold.Limit) { takeAll(l, 50); l.Turn(time.Minute); l.Restart() }, want: most},
-		"a new process":           {play: func(l *cold.Limit) { l.Set(0); l.Set(most); l.Turn(time.Minute) }, want: 0},
-		"a new process, a second": {play: func(l *cold.Limit) { l.Set(0); l.Set(most); l.Turn(time.Minute); time.Sleep(2 * time.Second) }, want: most},
-		"no bound":                {play: func(l *cold.Limit) { l.Set(0); l.Turn(time.Minute) }, want: 100},
+		"warm":                   {play: func(*cold.Limiter) {}, want: 100},
+		"cold":                   {play: func(l *cold.Limiter) { l.SetRemaining(time.Minute) }, want: most},
+		"cold no more":           {play: func(l *cold.Limiter) { l.SetRemaining(time.Minute); l.SetRemaining(0) }, want: 100},
+		"its time is over":       {play: func(l *cold.Limiter) { l.SetRemaining(time.Second); time.Sleep(time.Second) }, want: 100},
+		"late word":              {play: func(l *cold.Limiter) { l.SetRemaining(time.Minute); l.ExtendRemaining(0) }, want: most},
+		"turns cold after three": {play: func(l *cold.Limiter) { takeAll(l, 3); l.SetRemaining(time.Minute) }, want: most - 3},
+		"turns cold after many":  {play: func(l *cold.Limiter) { takeAll(l, 50); l.SetRemaining(time.Minute) }, want: 0},
+		"after many, long ago":   {play: func(l *cold.Limiter) { takeAll(l, 50); time.Sleep(2 * time.Second); l.SetRemaining(time.Minute) }, want: most},
+		"a new start":            {play: func(l *cold.Limiter) { takeAll(l, 50); l.SetRemaining(time.Minute); l.Reset() }, want: most},
+		"a new process":          {play: func(l *cold.Limiter) { l.SetLimit(0); l.SetLimit(most); l.SetRemaining(time.Minute) }, want: 0},
+		"a new process, a second": {play: func(l *cold.Limiter) {
+			l.SetLimit(0)
+			l.SetLimit(most)
+			l.SetRemaining(time.Minute)
+			time.Sleep(2 * time.Second)
+		}, want: most},
+		"no bound": {play: func(l *cold.Limiter) { l.SetLimit(0); l.SetRemaining(time.Minute) }, want: 100},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -59,10 +64,10 @@
 }
 
 // takeAll takes so many at once, and returns how many were let through.
-func takeAll(l *cold.Limit, count int) (taken int) {
+func takeAll(l *cold.Limiter, count int) (taken int) {
 	for range count {
-		if s, _ := l.Take(); s != nil {
-			s.Done()
+		if s, _ := l.TryAcquire(); s != nil {
+			s.MarkWritten()
 			taken++
 		}
 	}
@@ -83,19 +88,19 @@
 				time.Sleep(time.Duration(gap) * time.Millisecond)
 				for _, turn := range turns {
 					if turn == i%31 {
-						l.Turn(3 * time.Second)
+						l.SetRemaining(3 * time.Second)
 					}
 				}
-				_, bound := l.Most()
-				s, wait := l.Take()
+				_, bound := l.Limit()
+				s, wait := l.TryAcquire()
 				if s == nil {
 					time.Sleep(wait)
-					if s, _ = l.Take(); s == nil {
+					if s, _ = l.TryAcquire(); s == nil {
 						r.Fatalf("not let through after %v", wait)
 					}
-					_, bound = l.Most()
+					_, bound = l.Limit()
 				}
-				s.Done()
+				s.MarkWritten()
 				now := time.Now()
 				sent = append(sent, now)
 				if n := within(sent, now); bound && n > most {
@@ -127,7 +132,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, seed))
 			l := newLimit()
-			l.Turn(time.Minute)
+			l.SetRemaining(time.Minute)
 			var mu sync.Mutex
 			var written []time.Time
 			var all sync.WaitGroup
@@ -137,7 +142,7 @@
 				if random.IntN(10) == 0 {
 					held = time.Now().Add(time.Duration(random.IntN(300)) * time.Millisecond)
 				}
-				s, _ := l.Take()
+				s, _ := l.TryAcquire()
 				if s == nil {
 					continue
 				}
@@ -147,7 +152,7 @@
 					mu.Lock()
 					written = append(written, time.Now())
 					mu.Unlock()
-					s.Done()
+					s.MarkWritten()
 				})
 			}
 			all.Wait()
@@ -162,7 +167,7 @@
 func TestWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newLimit()
-		l.Turn(time.Minute)
+		l.SetRemaining(time.Minute)
 		takeAll(l, 3)
 		time.Sleep(500 * time.Millisecond)
 		takeAll(l, 2)
@@ -170,17 +175,17 @@
 		qt.Check(t, first > 500*time.Millisecond && first < 600*time.Millisecond, qt.IsTrue, qt.Commentf("%v", first))
 		qt.Check(t, second-first, qt.Equals, 500*time.Millisecond)
 		qt.Check(t, l.Wait(most)-first > time.Second, qt.IsTrue)
-		l.Turn(100 * time.Millisecond)
+		l.SetRemaining(100 * time.Millisecond)
 		qt.Check(t, l.Wait(2*most), qt.Equals, 100*time.Millisecond, qt.Commentf("it is warm then"))
 	})
 }
 
 // BenchmarkTake lets requests through to a warm upstream, as nearly all are.
 func BenchmarkTake(b *testing.B) {
-	l := new(cold.Limit)
-	l.Set(most)
+	l := new(cold.Limiter)
+	l.SetLimit(most)
 	for b.Loop() {
-		s, _ := l.Take()
-		s.Done()
+		s, _ := l.TryAcquire()
+		s.MarkWritten()
 	}
 }
--- a/comeback/after.go
+++ b/comeback/after.go
@@ -26,7 +26,7 @@
 
 // Full returns when a caller comes back that all upstreams were too full for, given its
 // objective, or 0 for none, and the least wait that one of them expects, or 0.
-func Full(objective, expected time.Duration) time.Duration {
+func WhenFull(objective, expected time.Duration) time.Duration {
 	mean := soon
 	if objective > 0 {
 		mean = time.Duration(fullPart * float64(objective))
@@ -36,7 +36,7 @@
 
 // Shed returns when a caller comes back that an upstream refused though it had room, given
 // its objective, or 0 for none, and the wait that the upstream asks for, or 0.
-func Shed(objective, asked time.Duration) time.Duration {
+func WhenShed(objective, asked time.Duration) time.Duration {
 	mean := soon
 	if objective > 0 {
 		mean = time.Duration(shedPart * float64(objective))
--- a/comeback/load_test.go
+++ b/comeback/load_test.go
@@ -61,8 +61,8 @@
 
 // advised is what the package says.
 var advised = advice{
-	full: func(least time.Duration) time.Duration { return comeback.Full(objective, least) },
-	shed: func() time.Duration { return comeback.Shed(objective, 0) },
+	full: func(least time.Duration) time.Duration { return comeback.WhenFull(objective, least) },
+	shed: func() time.Duration { return comeback.WhenShed(objective, 0) },
 }
 
 // mean returns the mean of some plays.
@@ -83,7 +83,7 @@
 		gates := make([]*admit.Gate, gateCount)
 		for i := range gates {
 			gates[i] = new(admit.Gate)
-			gates[i].Set(admit.Limits{Slots: slots, QueueLength: 16, Hold: true}.WithClasses(admit.Class{Name: "check", Weight: 1, Share: 1, Objective: objective}))
+			gates[i].SetLimits(admit.Limits{Slots: slots, QueueLength: 16, HoldWhileSlow: true}.WithClasses(admit.Class{Name: "check", Weight: 1, MaxShare: 1, Objective: objective}))
 		}
 		speeds := make([]float64, gateCount)
 		budgets := make([]retry.Budget, nodes)
@@ -105,7 +105,7 @@
 					mu.Lock()
 					speeds[i] = k
 					mu.Unlock()
-					gates[i].Observe(k)
+					gates[i].ObserveSlowdown(k)
 					time.Sleep(300 * time.Millisecond)
 				}
 			})
@@ -118,7 +118,7 @@
 			if rushing() {
 				there -= s.away
 			}
-			budget.Earn()
+			budget.RecordRequest()
 			var least time.Duration
 			for _, g := range random.Perm(there)[:min(3, there)] {
 				k := gates[g].Enter("check", until)
@@ -243,12 +243,12 @@
 		wait        func() time.Duration
 		least, most time.Duration
 	}{
-		"full":                    {wait: func() time.Duration { return comeback.Full(time.Second, 0) }, least: 112 * ms, most: 188 * ms},
-		"full, no objective":      {wait: func() time.Duration { return comeback.Full(0, 0) }, least: 75 * ms, most: 125 * ms},
-		"full for long":           {wait: func() time.Duration { return comeback.Full(time.Second, 800*ms) }, least: 800 * ms, most: 800 * ms},
-		"shed":                    {wait: func() time.Duration { return comeback.Shed(time.Second, 0) }, least: 37 * ms, most: 63 * ms},
-		"shed, with a time":       {wait: func() time.Duration { return comeback.Shed(time.Second, 2*time.Second) }, least: 2 * time.Second, most: 2 * time.Second},
-		"shed, without objective": {wait: func() time.Duration { return comeback.Shed(0, 0) }, least: 75 * ms, most: 125 * ms},
+		"full":                    {wait: func() time.Duration { return comeback.WhenFull(time.Second, 0) }, least: 112 * ms, most: 188 * ms},
+		"full, no objective":      {wait: func() time.Duration { return comeback.WhenFull(0, 0) }, least: 75 * ms, most: 125 * ms},
+		"full for long":           {wait: func() time.Duration { return comeback.WhenFull(time.Second, 800*ms) }, least: 800 * ms, most: 800 * ms},
+		"shed":                    {wait: func() time.Duration { return comeback.WhenShed(time.Second, 0) }, least: 37 * ms, most: 63 * ms},
+		"shed, with a time":       {wait: func() time.Duration { return comeback.WhenShed(time.Second, 2*time.Second) }, least: 2 * time.Second, most: 2 * time.Second},
+		"shed, without objective": {wait: func() time.Duration { return comeback.WhenShed(0, 0) }, least: 75 * ms, most: 125 * ms},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/contact/discovery.go
+++ b/contact/discovery.go
@@ -72,9 +72,9 @@
 	Nodes() int
 	// FirstOfZone returns whether the node looks after the book for its zone. One that knows
 	// no other does.
-	FirstOfZone() bool
+	IsFirstInZone() bool
 	// Unknown returns those of some addresses that no known node has.
-	Unknown(addrs []string) []string
+	UnknownAddresses(addrs []string) []string
 	// LearnFrom learns what a node at one of some addresses knows, and returns whether one
 	// answered.
 	LearnFrom(ctx context.Context, addrs []string) bool
@@ -130,7 +130,7 @@
 	d.awaitFirstPeer(ctx)
 	pause := lookFirst
 	for n := 0; ctx.Err() == nil; n++ {
-		if n > 0 || d.Node.Alone() || d.Node.FirstOfZone() {
+		if n > 0 || d.Node.Alone() || d.Node.IsFirstInZone() {
 			d.join(ctx)
 		}
 		if d.registersAsFirst(n) {
@@ -161,10 +161,10 @@
 // join looks into the book and learns from some nodes there that this one does not know.
 func (d *Discovery) join(ctx context.Context) {
 	addrs := d.look(ctx)
-	d.joinSome(ctx, d.Node.Unknown(slices.Clone(addrs)))
+	d.joinSome(ctx, d.Node.UnknownAddresses(slices.Clone(addrs)))
 	for try := 1; try < tries && len(addrs) > 0 && d.Node.Alone() && ctx.Err() == nil; try++ {
 		sleep.For(ctx, tryAgain/2+rand.N(tryAgain))
-		d.joinSome(ctx, d.Node.Unknown(slices.Clone(addrs)))
+		d.joinSome(ctx, d.Node.UnknownAddresses(slices.Clone(addrs)))
 	}
 	d.looks.Add(1)
 }
@@ -186,7 +186,7 @@
 				if joined.Load() >= joinAtOnce || ctx.Err() != nil {
 					return
 				}
-				if joined.Load() > 0 && len(d.Node.Unknown([]string{addr})) == 0 {
+				if joined.Load() > 0 && len(d.Node.UnknownAddresses([]string{addr})) == 0 {
 					continue // learnt of meanwhile
 				}
 				answered := d.Node.LearnFrom(ctx, []string{addr})
@@ -234,7 +234,7 @@
 	if n == 0 && d.Node.Alone() {
 		return false
 	}
-	return d.Node.FirstOfZone()
+	return d.Node.IsFirstInZone()
 }
 
 // rest waits until the next look: for about the given time at the first node of a zone, and
@@ -244,7 +244,7 @@
 	seldom := lookSeldom/2 + rand.N(lookSeldom)
 	began := time.Now()
 	sought := d.await(ctx, often)
-	for !sought && ctx.Err() == nil && !d.Node.FirstOfZone() && time.Since(began) < seldom {
+	for !sought && ctx.Err() == nil && !d.Node.IsFirstInZone() && time.Since(began) < seldom {
 		sought = d.await(ctx, rankCheck)
 	}
 	if sought {
--- a/contact/discovery_test.go
+++ b/contact/discovery_test.go
@@ -91,7 +91,7 @@
 }
 
 // FirstOfZone implements contact.Node.
-func (n *worldNode) FirstOfZone() bool {
+func (n *worldNode) IsFirstInZone() bool {
 	n.w.mu.Lock()
 	defer n.w.mu.Unlock()
 	for _, o := range n.known {
@@ -103,7 +103,7 @@
 }
 
 // Unknown implements contact.Node.
-func (n *worldNode) Unknown(addrs []string) []string {
+func (n *worldNode) UnknownAddresses(addrs []string) []string {
 	n.w.mu.Lock()
 	defer n.w.mu.Unlock()
 	return slices.DeleteFunc(addrs, func(a string) bool { return n.known[a] != nil })
--- a/control/bootstrap.go
+++ b/control/bootstrap.go
@@ -27,13 +27,13 @@
 	for n := 0; ctx.Err() == nil; n++ {
 		learnt := c.LearnFrom(ctx, contacts) || c.API != nil && c.learnFromLeases(ctx)
 		if first {
-			contacts = c.Unknown(contacts)
+			contacts = c.UnknownAddresses(contacts)
 		}
 		if first && len(contacts) == 0 || !first && (learnt || !c.Alone()) {
 			return
 		}
 		pause := objectapi.Backoff(n, nil)
-		if c.Represents() {
+		if c.IsRepresentative() {
 			pause = max(pause, c.Timing.Lease)
 		}
 		sleep.For(ctx, pause)
@@ -125,7 +125,7 @@
 }
 
 // Unknown returns those of some addresses that no known node has.
-func (c *Control) Unknown(addrs []string) []string {
+func (c *Control) UnknownAddresses(addrs []string) []string {
 	c.init()
 	known := make(map[string]bool)
 	c.do(func() {
--- a/control/candidates.go
+++ b/control/candidates.go
@@ -20,18 +20,18 @@
 	ids := c.candidateIDs()
 	seeing := slices.DeleteFunc(slices.Clone(ids), c.blind)
 	switch {
-	case c.self.Blind && len(seeing) > 0:
+	case c.self.PlatformUnreachable && len(seeing) > 0:
 		return len(seeing), len(ids) + 1
-	case c.self.Blind:
-		return member.RankOf(c.self.Zone, c.self.ID, ids), len(ids) + 1
+	case c.self.PlatformUnreachable:
+		return member.RendezvousRank(c.self.Zone, c.self.ID, ids), len(ids) + 1
 	}
-	return member.RankOf(c.self.Zone, c.self.ID, seeing), len(ids) + 1
+	return member.RendezvousRank(c.self.Zone, c.self.ID, seeing), len(ids) + 1
 }
 
 // blind returns whether a node is known not to reach the platform.
 func (c *Control) blind(id string) bool {
 	r, _ := c.members.Set.Get(id)
-	return r.Blind
+	return r.PlatformUnreachable
 }
 
 // candidateIDs returns the other live nodes of the zone that are not suspected.
@@ -65,7 +65,7 @@
 		if id != c.self.ID {
 			now := time.Now()
 			c.suspects[id] = now.Add(suspicion)
-			c.searches.Silent(id, now)
+			c.searches.StartUnresponsive(id, now)
 		}
 	}
 }
@@ -77,7 +77,7 @@
 // cost does not grow with the zone.
 func (c *Control) probeCandidates(ctx context.Context) {
 	var ids []string
-	c.do(func() { ids = member.Order(c.self.Zone, c.candidateIDs()) })
+	c.do(func() { ids = member.RendezvousOrder(c.self.Zone, c.candidateIDs()) })
 	var silent []string
 	for _, id := range ids {
 		err := c.askCandidate(ctx, id, silent)
@@ -109,7 +109,7 @@
 // First returns the first n nodes in the order of rendezvous hashing for a subject, of those
 // that are live and stay, as far as this node knows. It may be among them. Suspected nodes
 // are, too: each node suspects others, and all are to choose alike.
-func (c *Control) First(subject string, n int) []member.Record {
+func (c *Control) RendezvousTop(subject string, n int) []member.Record {
 	c.init()
 	var list []member.Record
 	c.do(func() {
@@ -119,7 +119,7 @@
 				ids = append(ids, r.ID)
 			}
 		}
-		for _, id := range member.First(subject, ids, n) {
+		for _, id := range member.RendezvousTop(subject, ids, n) {
 			r, _ := c.members.Set.Get(id)
 			list = append(list, r)
 		}
--- a/control/control.go
+++ b/control/control.go
@@ -51,16 +51,16 @@
 	Lease time.Duration
 	// Bridge is the time after which a representative looks for nodes of other zones
 	// that it has lost. The default is 60 s.
-	Bridge time.Duration
+	ZoneDiscovery time.Duration
 	// Patience is the time of silence after which a node is removed. The
 	// default is 3 min.
-	Patience time.Duration
+	SilenceTimeout time.Duration
 	// Sweep is the time in which a representative asks all nodes of its zone for a sign
 	// of life. The default is 60 s.
 	Sweep time.Duration
 	// Takeover is the wait of a representative for each of those that come before it
 	// in accepting a change. The default is 300 ms.
-	Takeover time.Duration
+	TakeoverDelay time.Duration
 }
 
 func (t Timing) withDefaults() Timing {
@@ -73,10 +73,10 @@
 	fill(&t.Compare, time.Second)
 	fill(&t.Turnover, 10*time.Second)
 	fill(&t.Lease, 15*time.Second)
-	fill(&t.Bridge, time.Minute)
-	fill(&t.Patience, 3*time.Minute)
+	fill(&t.ZoneDiscovery, time.Minute)
+	fill(&t.SilenceTimeout, 3*time.Minute)
 	fill(&t.Sweep, time.Minute)
-	fill(&t.Takeover, 300*time.Millisecond)
+	fill(&t.TakeoverDelay, 300*time.Millisecond)
 	return t
 }
 
@@ -91,18 +91,18 @@
 	// Template, if not nil, says that the configuration is one table of routes,
 	// given by Configure. It returns what holds for a service of a table, given
 	// the number of live nodes.
-	Template func(t *routes.Table, service string, nodes int) operator.Service
+	ServiceConfig func(t *routes.Table, service string, nodes int) operator.Service
 	// Within is the time within which a change of that table has to be in force
 	// everywhere. Zero means 2 s.
-	Within time.Duration
+	MaxPropagationDelay time.Duration
 	// Clock, if not nil, is a clock that goes on while the instance is suspended. With it
 	// nodes tell each other how fresh that table is, so that each knows whether it has every
 	// change that is older than FreshWithin.
-	Clock       boottime.Clock
-	FreshWithin time.Duration
+	Clock        boottime.Clock
+	MaxStaleness time.Duration
 	// EraHeard, if not nil, is called when another node tells of a later era of the
 	// platform, by a goroutine of its own.
-	EraHeard func(era uint64)
+	EraAdvanced func(era uint64)
 	// Exposure bounds what a version gets that an operator has ordered to be rolled out. Zero
 	// means that no orders are read.
 	Exposure rollout.Exposure
@@ -140,8 +140,8 @@
 	configs    reconcile.Exchange[acceptance.Config]
 	reports    reconcile.Exchange[quarantine.Report]
 	byService  map[string]map[string]member.Record
-	table      *routes.Table            // in force, or nil
-	rollouts   map[string]rollout.Known // by service
+	table      *routes.Table                 // in force, or nil
+	rollouts   map[string]rollout.LocalState // by service
 	evacuated  evacuation.Set
 	zonesKnown evacuation.State
 	live       int // live nodes, this one included
@@ -153,7 +153,7 @@
 	heard      chan struct{}
 	fresh      *tableFreshness // of the table, if there is a Clock
 	placed     time.Time       // when lastPlace was found
-	lastPlace  follow.Place
+	lastPlace  follow.Role
 	pace       publishPace
 	fetching   bool // whether a table is being fetched
 	comparing  bool
@@ -171,7 +171,7 @@
 		c.done = make(chan struct{})
 		c.byService = make(map[string]map[string]member.Record)
 		c.dirty = make(map[string]bool)
-		c.rollouts = make(map[string]rollout.Known)
+		c.rollouts = make(map[string]rollout.LocalState)
 		c.suspects = make(map[string]time.Time)
 		c.clients = make(map[string]*peer.Client)
 		c.random = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
@@ -206,11 +206,11 @@
 			Sequences: map[string]uint64{},
 		})
 		c.heard = make(chan struct{}, 1)
-		if c.Template != nil {
-			c.reads = follow.New(cmp.Or(c.Within, defaultWithin), time.Now(), c.random)
+		if c.ServiceConfig != nil {
+			c.reads = follow.New(cmp.Or(c.MaxPropagationDelay, defaultWithin), time.Now(), c.random)
 		}
 		c.initFresh()
-		c.self = c.Self.Reborn(member.Record{}, time.Now())
+		c.self = c.Self.NextIncarnation(member.Record{}, time.Now())
 		c.members.Put(c.self)
 	})
 }
@@ -230,9 +230,9 @@
 
 // Represents returns whether this node holds its zone's lease, as far as it
 // knows.
-func (c *Control) Represents() bool {
+func (c *Control) IsRepresentative() bool {
 	r := c.represents.Load()
-	return r != nil && r.Holds()
+	return r != nil && r.HoldsLease()
 }
 
 // Run keeps the state until ctx ends. It then tells a few peers that the node
@@ -260,7 +260,7 @@
 	defer compare.Stop()
 	turnover := time.NewTicker(c.Timing.Turnover)
 	defer turnover.Stop()
-	expire := time.NewTicker(member.Keep / 60)
+	expire := time.NewTicker(member.TombstoneRetention / 60)
 	defer expire.Stop()
 	for {
 		select {
@@ -301,7 +301,7 @@
 	c.enforceZones(time.Now()) // some are retained for a time only
 	c.endPreference(time.Now())
 	last := c.snapshot.Load().Evacuated
-	if len(c.dirty) > 0 || c.evacuated.At != last.At || !c.evacuated.Same(last) {
+	if len(c.dirty) > 0 || c.evacuated.At != last.At || !c.evacuated.SameZones(last) {
 		c.rebuild()
 	}
 }
@@ -340,7 +340,7 @@
 
 // CompareSoon has the state compared with a neighbour's at the next push, and not only when that is
 // due.
-func (c *Control) CompareSoon() { c.compareSoon.Store(true) }
+func (c *Control) TriggerComparison() { c.compareSoon.Store(true) }
 
 // setSelf replaces the node's own record.
 func (c *Control) setSelf(r member.Record) {
@@ -357,11 +357,11 @@
 	if r.Live() && !wasLive(old) && r.ID != c.self.ID {
 		c.neighbours.Consider(r, c.known())
 	}
-	if r.ID == c.self.ID && c.self.Rank().Less(r.Rank()) {
+	if r.ID == c.self.ID && c.self.GossipVersion().Less(r.GossipVersion()) {
 		// Somebody knows a later word than this node's own: one from before its
 		// restart, or its tombstone.
 		c.Log.Info().Str("heard", string(r.State)).Msg("taking a higher incarnation")
-		c.setSelf(c.self.Reborn(r, time.Now()))
+		c.setSelf(c.self.NextIncarnation(r, time.Now()))
 	}
 }
 
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -94,14 +94,14 @@
 			Self: member.Record{ID: id, Zone: zone, Region: "r", Addr: listener.Addr().String(), State: member.Idle},
 			API:  client,
 			Timing: Timing{
-				Push:     10 * time.Millisecond,
-				Compare:  50 * time.Millisecond,
-				Turnover: 200 * time.Millisecond,
-				Lease:    600 * time.Millisecond,
-				Bridge:   500 * time.Millisecond,
-				Patience: time.Second,
-				Sweep:    200 * time.Millisecond,
-				Takeover: 50 * time.Millisecond,
+				Push:           10 * time.Millisecond,
+				Compare:        50 * time.Millisecond,
+				Turnover:       200 * time.Millisecond,
+				Lease:          600 * time.Millisecond,
+				ZoneDiscovery:  500 * time.Millisecond,
+				SilenceTimeout: time.Second,
+				Sweep:          200 * time.Millisecond,
+				TakeoverDelay:  50 * time.Millisecond,
 			},
 			Budget:    watch.NewBudget(1<<20, 1),
 			Limits:    peer.Limits{Silence: 400 * time.Millisecond, Handshake: 400 * time.Millisecond},
@@ -171,7 +171,7 @@
 			for _, r := range n.neighbours.All() {
 				near = append(near, r.ID)
 			}
-			c.t.Logf("%s: representative=%v live=%d neighbours=%v suspects=%d comparing=%v sequences=%v", n.Self.ID, n.Represents(), n.live, near, len(n.suspects), n.comparing, n.Snapshot().Sequences)
+			c.t.Logf("%s: representative=%v live=%d neighbours=%v suspects=%d comparing=%v sequences=%v", n.Self.ID, n.IsRepresentative(), n.live, near, len(n.suspects), n.comparing, n.Snapshot().Sequences)
 		})
 	}
 	l, err := c.api.List(context.Background(), operator.KindAccepted)
@@ -371,7 +371,7 @@
 		var representative *testNode
 		c.eventually("a representative", func() bool {
 			for _, n := range c.nodes {
-				if n.Represents() {
+				if n.IsRepresentative() {
 					representative = n
 					return true
 				}
@@ -521,7 +521,7 @@
 	c.apply("a", `{"hosts":["a.example"],"policy":"random"}`)
 	c.eventually("some node of the late zone has it", func() bool {
 		for _, n := range c.nodes[24:] {
-			if n.Snapshot().Sequences["a"] == 2 && !n.Represents() {
+			if n.Snapshot().Sequences["a"] == 2 && !n.IsRepresentative() {
 				return true
 			}
 		}
@@ -548,7 +548,7 @@
 func TestIslandIsFound(t *testing.T) {
 	c := newCluster(t)
 	island := c.add("island", "z0")
-	c.eventually("the island has the lease", island.Represents)
+	c.eventually("the island has the lease", island.IsRepresentative)
 	// The others learn from each other, and so never ask for the representative's
 	// contacts.
 	a, b := c.listener(), c.listener()
--- a/control/digest_test.go
+++ b/control/digest_test.go
@@ -90,11 +90,11 @@
 				}
 			}
 			client, counters := between(t, one, other)
-			qt.Assert(t, one.members.With(context.Background(), client), qt.IsNil)
-			qt.Assert(t, one.members.With(context.Background(), client), qt.IsNil, qt.Commentf("which finds nothing, after what was told"))
+			qt.Assert(t, one.members.Reconcile(context.Background(), client), qt.IsNil)
+			qt.Assert(t, one.members.Reconcile(context.Background(), client), qt.IsNil, qt.Commentf("which finds nothing, after what was told"))
 			var a, b uint64
-			one.do(func() { a = one.members.Set.Root() })
-			other.do(func() { b = other.members.Set.Root() })
+			one.do(func() { a = one.members.Set.RootHash() })
+			other.do(func() { b = other.members.Set.RootHash() })
 			qt.Check(t, a, qt.Equals, b, qt.Commentf("they are the same then"))
 			crossed := int(counters.BytesIn.Load() + counters.BytesOut.Load())
 			most := fixed + perMember*test.members + perChange*2*test.changed
@@ -112,11 +112,11 @@
 			fresh.members.Put(recordOf(99999, 6, 1))
 			client, _ := between(t, fresh, old)
 			for range 2 {
-				qt.Assert(t, fresh.members.With(context.Background(), client), qt.IsNil)
+				qt.Assert(t, fresh.members.Reconcile(context.Background(), client), qt.IsNil)
 			}
 			var a, b uint64
-			fresh.do(func() { a = fresh.members.Set.Root() })
-			old.do(func() { b = old.members.Set.Root() })
+			fresh.do(func() { a = fresh.members.Set.RootHash() })
+			old.do(func() { b = old.members.Set.RootHash() })
 			qt.Check(t, a, qt.Equals, b)
 		})
 	}
--- a/control/era.go
+++ b/control/era.go
@@ -8,19 +8,19 @@
 
 // EraSeen takes in that the platform names an era to this node. Restored is whether it had
 // answered it before.
-func (c *Control) EraSeen(era uint64, restored bool) {
+func (c *Control) ObserveEra(era uint64, restored bool) {
 	c.init()
 	c.do(func() {
 		if c.reads != nil {
-			c.reads.EraSeen(era, restored, time.Now())
+			c.reads.ObserveEra(era, restored, time.Now())
 		}
 	})
 }
 
 // eraRose returns when the platform's present era was first seen, by the calendar clock.
 func (c *Control) eraRose(now time.Time) time.Time {
-	if c.reads == nil || c.reads.EraRose().IsZero() {
+	if c.reads == nil || c.reads.EraSeenAt().IsZero() {
 		return now
 	}
-	return c.reads.EraRose()
+	return c.reads.EraSeenAt()
 }
--- a/control/era_test.go
+++ b/control/era_test.go
@@ -25,14 +25,14 @@
 
 // readZones has a node read the platform.
 func (n *testNode) readZones(s evacuation.Set) {
-	n.EraSeen(s.At.Era, true)
-	n.Evacuate(s)
-	n.Read(true, 0)
+	n.ObserveEra(s.At.Era, true)
+	n.ApplyEvacuation(s)
+	n.RecordRead(true, 0)
 }
 
 // configRoot returns the hash over the configurations that a node knows.
 func (n *testNode) configRoot() (root uint64) {
-	n.do(func() { root = n.configs.Set.Root() })
+	n.do(func() { root = n.configs.Set.RootHash() })
 	return root
 }
 
@@ -42,7 +42,7 @@
 	for _, n := range nodes {
 		c.eventually(fmt.Sprintf("%s has %v", n.Self.ID, want), func() bool {
 			got := n.Snapshot().Evacuated
-			return got.At == want.At && got.Same(want)
+			return got.At == want.At && got.SameZones(want)
 		})
 	}
 }
@@ -55,7 +55,7 @@
 	list := c.tableNodes(6)
 	first := list[0].Self.Addr
 	var heard atomic.Uint64
-	list[5].do(func() { list[5].EraHeard = func(era uint64) { heard.Store(era) } })
+	list[5].do(func() { list[5].EraAdvanced = func(era uint64) { heard.Store(era) } })
 	list[2].readZones(zonesAt(1, 900, "z"))
 	c.waitZones(list, zonesAt(1, 900, "z"))
 
@@ -65,8 +65,8 @@
 	late := c.tableNode("late", "y", func() []string { return []string{first} })
 	list = append(list, late)
 	c.waitZones(list, zonesAt(2, 870, "z"))
-	late.Evacuate(zonesAt(2, 872))
-	late.Read(true, 0)
+	late.ApplyEvacuation(zonesAt(2, 872))
+	late.RecordRead(true, 0)
 	list[0].readZones(zonesAt(1, 901))
 	time.Sleep(100 * time.Millisecond)
 	c.waitZones(list, zonesAt(2, 870, "z"))
@@ -97,8 +97,8 @@
 				}
 				return nil
 			})
-			late.EraSeen(2, false)
-			late.Evacuate(zonesAt(2, 880))
+			late.ObserveEra(2, false)
+			late.ApplyEvacuation(zonesAt(2, 880))
 			joins.Store(true)
 			return late
 		},
@@ -136,7 +136,7 @@
 	c.waitZones(list, zonesAt(2, 870))
 	began := time.Now()
 	list[1].do(func() {
-		list[1].configs.Put(acceptance.FromRetained(zonesAt(1, 900, "z"), began.Add(left-evacuation.RetainFor)))
+		list[1].configs.Put(acceptance.FromRetained(zonesAt(1, 900, "z"), began.Add(left-evacuation.RetentionPeriod)))
 	})
 	c.waitZones(list[1:2], zonesAt(2, 870, "z"))
 	c.waitZones(list, zonesAt(2, 870))
@@ -172,9 +172,9 @@
 				return nil
 			})
 			if test.knew.At.Era > 0 {
-				apart.EraSeen(test.knew.At.Era, false)
-				apart.Evacuate(test.knew)
-				qt.Assert(t, apart.Snapshot().Evacuated.Same(test.knew), qt.IsTrue)
+				apart.ObserveEra(test.knew.At.Era, false)
+				apart.ApplyEvacuation(test.knew)
+				qt.Assert(t, apart.Snapshot().Evacuated.SameZones(test.knew), qt.IsTrue)
 			}
 			joins.Store(true)
 			c.eventually("it has met the others", func() bool { return apart.liveNodes() == 4 })
@@ -202,19 +202,19 @@
 			c.eventually(fmt.Sprint("in force: ", version), func() bool { s := n.Snapshot(); return s.Table != nil && s.Table.Version == version })
 		}
 	}
-	list[0].Configure(table(7))
-	list[0].Read(true, 0)
+	list[0].ApplyTable(table(7))
+	list[0].RecordRead(true, 0)
 	all(7)
 	for i, n := range list {
-		n.EraSeen(uint64(i), true)
-		n.Configure(table(6))
-		n.Read(true, 0)
+		n.ObserveEra(uint64(i), true)
+		n.ApplyTable(table(6))
+		n.RecordRead(true, 0)
 	}
 	late := c.tableNode("late", "y", func() []string { return []string{first} })
-	late.Configure(table(6))
+	late.ApplyTable(table(6))
 	list = append(list, late)
 	all(7)
-	list[2].Configure(table(8))
-	list[2].Read(true, 0)
+	list[2].ApplyTable(table(8))
+	list[2].RecordRead(true, 0)
 	all(8)
 }
--- a/control/evacuation.go
+++ b/control/evacuation.go
@@ -15,11 +15,11 @@
 
 // Evacuate takes in the evacuated zones as they were read from the platform, unless they
 // are the same as before in this era, or from an earlier Point than those known.
-func (c *Control) Evacuate(s evacuation.Set) {
+func (c *Control) ApplyEvacuation(s evacuation.Set) {
 	c.init()
 	c.do(func() {
-		last := c.zonesKnown.Listed()
-		if s.Same(last) && s.At.Era == last.At.Era {
+		last := c.zonesKnown.Latest()
+		if s.SameZones(last) && s.At.Era == last.At.Era {
 			return // a later revision of the same is no news to anybody
 		}
 		c.configs.Put(acceptance.FromZones(s))
@@ -37,11 +37,11 @@
 		return
 	}
 	now := time.Now()
-	if before, restored := c.zonesKnown.Take(s, now); restored {
+	if before, restored := c.zonesKnown.Update(s, now); restored {
 		c.configs.Put(acceptance.FromRetained(before, c.eraRose(now)))
 	}
 	if c.reads != nil {
-		c.reads.ZonesInForce(s.At)
+		c.reads.SetZones(s.At)
 	}
 	c.tellStood()
 	c.enforceZones(now)
@@ -64,15 +64,15 @@
 // tellStood has other nodes know of the zones that need not be retained any more. One that has
 // started since, or has missed the moment, would retain them otherwise.
 func (c *Control) tellStood() {
-	for _, zone := range c.zonesKnown.WrittenAgain() {
-		c.configs.Put(acceptance.FromStood(zone, c.zonesKnown.Listed().At.Era))
+	for _, zone := range c.zonesKnown.SeenAgain() {
+		c.configs.Put(acceptance.FromStood(zone, c.zonesKnown.Latest().At.Era))
 	}
 }
 
 // stoodChanged takes in that a zone has stood on the platform in an era.
 func (c *Control) stoodChanged(r acceptance.Config, zone string) {
 	delete(c.configs.Outbox, r.Name)
-	c.zonesKnown.Stood(zone, r.Era)
+	c.zonesKnown.MarkSeen(zone, r.Era)
 	c.enforceZones(time.Now())
 }
 
@@ -80,7 +80,7 @@
 // read last: who takes them in that order never puts zones in force that have been removed.
 func (c *Control) zoneNames() []string {
 	var names []string
-	for _, zone := range c.zonesKnown.WrittenAgain() {
+	for _, zone := range c.zonesKnown.SeenAgain() {
 		names = append(names, acceptance.StoodName(zone))
 	}
 	return append(names, acceptance.Retained, acceptance.Evacuated)
@@ -88,15 +88,15 @@
 
 // enforceZones puts the evacuated zones in force as they now are.
 func (c *Control) enforceZones(now time.Time) {
-	s := c.zonesKnown.InForce(now)
-	if s.At == c.evacuated.At && s.Same(c.evacuated) {
+	s := c.zonesKnown.Active(now)
+	if s.At == c.evacuated.At && s.SameZones(c.evacuated) {
 		return
 	}
 	c.evacuated = s
 	for name := range c.byService {
 		c.dirty[name] = true
 	}
-	retained := slices.DeleteFunc(slices.Clone(s.Zones), c.zonesKnown.Listed().Has)
+	retained := slices.DeleteFunc(slices.Clone(s.Zones), c.zonesKnown.Latest().Has)
 	c.Log.Info().Uint64("era", s.At.Era).Uint64("revision", s.At.Revision).Strs("zones", s.Zones).Strs("retained", retained).Int("upstreams", c.upstreamsIn(s)).Msg("evacuated zones in force")
 }
 
@@ -113,7 +113,7 @@
 }
 
 // Left returns the number of upstreams that would take requests in each evacuated zone.
-func (c *Control) Left() map[string]int {
+func (c *Control) RemainingUpstreams() map[string]int {
 	c.init()
 	left := make(map[string]int)
 	c.do(func() {
--- a/control/evacuation_test.go
+++ b/control/evacuation_test.go
@@ -27,7 +27,7 @@
 	table, err := routes.New(routes.Table{Version: 1, Services: []routes.Service{{Name: "s"}}})
 	qt.Assert(t, err, qt.IsNil)
 	for _, n := range list {
-		n.Configure(table)
+		n.ApplyTable(table)
 		n.Announce(member.Upstream{Service: "s", Slots: 1, State: member.Up})
 	}
 	members := func(n *testNode) int {
@@ -39,7 +39,7 @@
 	all := func(count int, zones ...string) func() bool {
 		return func() bool {
 			for _, n := range list {
-				if members(n) != count || !n.Snapshot().Evacuated.Same(evacuation.New(objectapi.Point{Revision: 0}, zones...)) {
+				if members(n) != count || !n.Snapshot().Evacuated.SameZones(evacuation.New(objectapi.Point{Revision: 0}, zones...)) {
 					return false
 				}
 			}
@@ -48,12 +48,12 @@
 	}
 	c.eventually("all are members", all(6))
 	read := func(n *testNode, s evacuation.Set) {
-		n.Evacuate(s)
-		n.Read(true, 0)
+		n.ApplyEvacuation(s)
+		n.RecordRead(true, 0)
 	}
 	read(list[2], evacuation.New(objectapi.Point{Revision: 50}, "z"))
 	c.eventually("none is", all(0, "z"))
-	qt.Check(t, list[0].Left(), qt.DeepEquals, map[string]int{"z": 6})
+	qt.Check(t, list[0].RemainingUpstreams(), qt.DeepEquals, map[string]int{"z": 6})
 
 	late := c.tableNode("late", "y", func() []string { return []string{list[0].Self.Addr} })
 	c.eventually("one that starts late knows", func() bool { return late.Snapshot().Evacuated.Has("z") })
@@ -86,12 +86,12 @@
 	}
 	go func() { // as fakePlatform.follow does, with a zone
 		for ctx.Err() == nil {
-			if action, after, _ := list[5].Next(); action == follow.Wait {
+			if action, after, _ := list[5].NextAction(); action == follow.Wait {
 				time.Sleep(min(after, 20*time.Millisecond))
 				continue
 			}
-			list[5].Evacuate(evacuation.New(objectapi.Point{Revision: 9}, "z"))
-			list[5].Read(true, 0)
+			list[5].ApplyEvacuation(evacuation.New(objectapi.Point{Revision: 9}, "z"))
+			list[5].RecordRead(true, 0)
 		}
 	}()
 	for _, n := range list {
--- a/control/freshness.go
+++ b/control/freshness.go
@@ -17,8 +17,8 @@
 // newsAndProof is the news of a read with the teller's proof of how fresh its table is. The proof
 // stands by itself: it may be that of another read.
 type newsAndProof struct {
-	follow.News
-	Proof freshness.Told `msgpack:"proof"`
+	follow.ReadStatus
+	Proof freshness.Message `msgpack:"proof"`
 }
 
 // The ages of a node's proof from which it looks for a younger one, as parts of
@@ -71,26 +71,26 @@
 }
 
 // Overdue returns whether the proof is so old that something is to be done about it.
-func (c *Control) Overdue() bool {
+func (c *Control) ProofOverdue() bool {
 	age := c.TableAge(c.snapshotVersion())
 	return !age.Known || age.Time >= c.freshPart(freshAskPart)
 }
 
 // freshPart returns a part of the time within which a change has to be known.
 func (c *Control) freshPart(p float64) time.Duration {
-	return time.Duration(p * float64(c.FreshWithin))
+	return time.Duration(p * float64(c.MaxStaleness))
 }
 
 // Confirm takes in that the platform answered a read of the table which was sent at the
 // given reading of the clock. What it found has been given to Configure. It confirms nothing
 // where the platform has come back from a copy that may lack the latest table.
-func (c *Control) Confirm(sent time.Duration) {
+func (c *Control) ConfirmRead(sent time.Duration) {
 	c.init()
 	c.do(func() {
-		if c.fresh == nil || !c.reads.Rewritten(time.Now()) {
+		if c.fresh == nil || !c.reads.RewriteWindowElapsed(time.Now()) {
 			return
 		}
-		c.fresh.Read(sent)
+		c.fresh.ObserveRead(sent)
 		c.publishProofs()
 	})
 }
@@ -106,27 +106,27 @@
 	if c.fresh == nil || t == nil {
 		return
 	}
-	c.fresh.InForce(t.Version)
+	c.fresh.SetVersion(t.Version)
 	c.publishProofs()
 }
 
 // tell returns news together with this node's proof.
-func (c *Control) tell(news follow.News) newsAndProof {
+func (c *Control) tell(news follow.ReadStatus) newsAndProof {
 	if c.fresh == nil {
-		return newsAndProof{News: news}
+		return newsAndProof{ReadStatus: news}
 	}
 	return newsAndProof{
-		News:  news,
-		Proof: c.fresh.Tell(c.Clock()),
+		ReadStatus: news,
+		Proof:      c.fresh.Message(c.Clock()),
 	}
 }
 
 // hearProof takes in another node's proof, and asks that node if its clock is not known.
-func (c *Control) hearProof(from string, p freshness.Told) {
+func (c *Control) hearProof(from string, p freshness.Message) {
 	if c.fresh == nil {
 		return
 	}
-	known := c.fresh.Hear(p, c.Clock())
+	known := c.fresh.Receive(p, c.Clock())
 	c.publishProofs()
 	r, ok := c.members.Set.Get(from)
 	if known || !ok || c.fresh.asking[from] {
@@ -151,11 +151,11 @@
 
 // proofReplied takes in a proof from the reply to a question that was asked at the given
 // reading of the clock.
-func (c *Control) proofReplied(asked time.Duration, p freshness.Told) {
+func (c *Control) proofReplied(asked time.Duration, p freshness.Message) {
 	if c.fresh == nil {
 		return
 	}
-	c.fresh.Answered(asked, p, c.Clock())
+	c.fresh.ReceiveReply(asked, p, c.Clock())
 	c.publishProofs()
 }
 
@@ -174,7 +174,7 @@
 		return action
 	}
 	c.fresh.tried = reading
-	if age.Time > c.freshPart(freshReadPart) && c.reads.Heard(now) {
+	if age.Time > c.freshPart(freshReadPart) && c.reads.HasRecentRead(now) {
 		return follow.Read
 	}
 	return follow.Ask
--- a/control/freshness_test.go
+++ b/control/freshness_test.go
@@ -38,10 +38,10 @@
 		n := c.addAtWith(c.listener(), string(rune('a'+i)), "z", func(k *Control) {
 			k.API = nil
 			k.Contacts = contacts
-			k.Within = 500 * time.Millisecond
-			k.Template = func(*routes.Table, string, int) operator.Service { return operator.Service{}.WithDefaults() }
+			k.MaxPropagationDelay = 500 * time.Millisecond
+			k.ServiceConfig = func(*routes.Table, string, int) operator.Service { return operator.Service{}.WithDefaults() }
 			k.Clock = func() time.Duration { return time.Since(start) + time.Duration(i)*time.Hour }
-			k.FreshWithin = freshWithin
+			k.MaxStaleness = freshWithin
 		})
 		list = append(list, n)
 	}
@@ -93,18 +93,18 @@
 // TestNewsAndProof has news with and without a proof: nodes of a version that has none read
 // the news in it, and the other way round.
 func TestNewsAndProof(t *testing.T) {
-	news := follow.News{Round: 3, Version: 5, Age: time.Second}
-	payload := mustPack(newsAndProof{News: news, Proof: freshness.Told{Clock: 1, Now: 4, Version: 5, At: 2}})
-	var plain follow.News
+	news := follow.ReadStatus{Round: 3, Version: 5, Age: time.Second}
+	payload := mustPack(newsAndProof{ReadStatus: news, Proof: freshness.Message{Clock: 1, Now: 4, Version: 5, At: 2}})
+	var plain follow.ReadStatus
 	qt.Assert(t, msgpack.Unmarshal(payload, &plain), qt.IsNil)
 	qt.Check(t, plain, qt.Equals, news)
 	back, err := peer.Unpack[newsAndProof](payload)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Check(t, back.News, qt.Equals, news)
+	qt.Check(t, back.ReadStatus, qt.Equals, news)
 	qt.Check(t, back.Proof.At, qt.Equals, time.Duration(2))
 	back, err = peer.Unpack[newsAndProof](mustPack(news))
 	qt.Assert(t, err, qt.IsNil)
-	qt.Check(t, back, qt.Equals, newsAndProof{News: news})
+	qt.Check(t, back, qt.Equals, newsAndProof{ReadStatus: news})
 }
 
 // TestFreshen has a node hear of reads all the while, but of no proof that it can use: as the
@@ -112,10 +112,10 @@
 func TestFreshen(t *testing.T) {
 	var now time.Duration
 	c := &Control{
-		Template:    func(*routes.Table, string, int) operator.Service { return operator.Service{} },
-		Within:      time.Hour,
-		Clock:       func() time.Duration { return now },
-		FreshWithin: time.Second,
+		ServiceConfig:       func(*routes.Table, string, int) operator.Service { return operator.Service{} },
+		MaxPropagationDelay: time.Hour,
+		Clock:               func() time.Duration { return now },
+		MaxStaleness:        time.Second,
 	}
 	c.init()
 	steps := []struct {
@@ -135,11 +135,11 @@
 		{at: 1500 * time.Millisecond, want: follow.Wait},
 	}
 	c.snapshot.Store(&Snapshot{Table: &routes.Table{Version: 1}})
-	c.fresh.InForce(1)
+	c.fresh.SetVersion(1)
 	for _, step := range steps {
 		now = step.at
 		if step.confirm {
-			c.fresh.Read(now)
+			c.fresh.ObserveRead(now)
 		}
 		qt.Check(t, c.freshen(follow.Wait, time.Now()), qt.Equals, step.want, qt.Commentf("at %v", step.at))
 		qt.Check(t, c.freshen(follow.Watch, time.Now()), qt.Equals, follow.Watch)
@@ -154,13 +154,13 @@
 func TestAloneStaysFresh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &Control{
-			Self:        member.Record{ID: "a", Zone: "z", State: member.Idle},
-			Template:    func(*routes.Table, string, int) operator.Service { return operator.Service{}.WithDefaults() },
-			Within:      freshWithin / 2,
-			Clock:       boottime.Steady(),
-			FreshWithin: freshWithin,
-			Budget:      watch.NewBudget(1e6, 1),
-			Published:   func(*Snapshot) {},
+			Self:                member.Record{ID: "a", Zone: "z", State: member.Idle},
+			ServiceConfig:       func(*routes.Table, string, int) operator.Service { return operator.Service{}.WithDefaults() },
+			MaxPropagationDelay: freshWithin / 2,
+			Clock:               boottime.Steady(),
+			MaxStaleness:        freshWithin,
+			Budget:              watch.NewBudget(1e6, 1),
+			Published:           func(*Snapshot) {},
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		var all sync.WaitGroup
@@ -185,31 +185,31 @@
 		start := time.Now()
 		clock := func() time.Duration { return time.Since(start) }
 		c := &Control{
-			Self:        member.Record{ID: "a", Zone: "z", State: member.Idle},
-			Template:    func(*routes.Table, string, int) operator.Service { return operator.Service{}.WithDefaults() },
-			Within:      freshWithin / 2,
-			Clock:       clock,
-			FreshWithin: freshWithin,
-			Budget:      watch.NewBudget(1e6, 1),
-			Published:   func(*Snapshot) {},
+			Self:                member.Record{ID: "a", Zone: "z", State: member.Idle},
+			ServiceConfig:       func(*routes.Table, string, int) operator.Service { return operator.Service{}.WithDefaults() },
+			MaxPropagationDelay: freshWithin / 2,
+			Clock:               clock,
+			MaxStaleness:        freshWithin,
+			Budget:              watch.NewBudget(1e6, 1),
+			Published:           func(*Snapshot) {},
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		var all sync.WaitGroup
 		defer all.Wait()
 		defer cancel()
 		all.Go(func() { c.Run(ctx) })
-		c.Configure(&routes.Table{Version: 7, Services: []routes.Service{{Name: "s"}}})
-		c.EraSeen(1, false)
-		c.Confirm(clock())
+		c.ApplyTable(&routes.Table{Version: 7, Services: []routes.Service{{Name: "s"}}})
+		c.ObserveEra(1, false)
+		c.ConfirmRead(clock())
 		qt.Check(t, c.TableAge(7), qt.Equals, freshness.Age{Known: true})
-		c.EraSeen(2, true)
+		c.ObserveEra(2, true)
 		for range 2 {
 			time.Sleep(time.Second)
-			c.Confirm(clock())
+			c.ConfirmRead(clock())
 		}
 		qt.Check(t, c.TableAge(7), qt.Equals, freshness.Age{Known: true, Time: 2 * time.Second})
 		time.Sleep(time.Second)
-		c.Confirm(clock())
+		c.ConfirmRead(clock())
 		qt.Check(t, c.TableAge(7), qt.Equals, freshness.Age{Known: true})
 	})
 }
--- a/control/introduce.go
+++ b/control/introduce.go
@@ -44,7 +44,7 @@
 // introduce answers an introduction.
 func (c *Control) introduce(q introduction) introduced {
 	if c.live <= 1 {
-		c.CompareSoon() // the asker may know more than its own record
+		c.TriggerComparison() // the asker may know more than its own record
 	}
 	c.members.PutAll([]member.Record{q.Self})
 	reply := introduced{Members: c.live}
--- a/control/neighbours.go
+++ b/control/neighbours.go
@@ -88,8 +88,8 @@
 }
 
 // known returns how many other live nodes there are.
-func (c *Control) known() neighbour.Known {
-	return neighbour.Known{
+func (c *Control) known() neighbour.NodeCounts {
+	return neighbour.NodeCounts{
 		Near: c.near,
 		Far:  c.live - c.near - 1,
 	}
--- a/control/quarantine_test.go
+++ b/control/quarantine_test.go
@@ -16,12 +16,12 @@
 
 // printOf returns the fingerprint of a request with the given number.
 func printOf(i int) quarantine.Fingerprint {
-	return quarantine.Head("caller", "GET", "h.example", fmt.Sprint("/", i)).WithBody(nil)
+	return quarantine.NewFingerprint("caller", "GET", "h.example", fmt.Sprint("/", i)).WithBody(nil)
 }
 
 // endOf returns the report that an upstream has ended with a request at hand.
 func endOf(start string, i int) quarantine.Report {
-	return quarantine.Ended(start, []quarantine.Fingerprint{printOf(i)}, quarantine.Fingerprint{})
+	return quarantine.NewCrashReport(start, []quarantine.Fingerprint{printOf(i)}, quarantine.Fingerprint{})
 }
 
 // TestReportsReachAll has nodes report ends of upstreams, one after the other: all nodes
@@ -37,11 +37,11 @@
 		}
 		return true
 	})
-	standing := func(s quarantine.Standing) func() bool {
+	standing := func(s quarantine.State) func() bool {
 		return func() bool {
 			for _, n := range c.nodes {
 				n.init() // which sets the field
-				if n.Quarantine.Judge(printOf(1)).Standing != s {
+				if n.Quarantine.Assess(printOf(1)).State != s {
 					return false
 				}
 			}
@@ -49,12 +49,12 @@
 		}
 	}
 	c.nodes[0].Report(endOf("a", 1))
-	c.eventually("all have seen one end", standing(quarantine.Seen))
+	c.eventually("all have seen one end", standing(quarantine.SeenAtCrash))
 	c.nodes[5].Report(endOf("b", 1))
 	c.eventually("all have seen two", standing(quarantine.Isolated))
 	c.add("late", "z0", c.nodes[0].Self.Addr)
 	c.eventually("so has one that starts late", standing(quarantine.Isolated))
-	c.nodes[3].Report(quarantine.Ran(printOf(1)))
+	c.nodes[3].Report(quarantine.NewCompletionReport(printOf(1)))
 	c.eventually("all know that it ran", standing(quarantine.Unsuspected))
 }
 
@@ -80,19 +80,19 @@
 	qt.Check(t, c.reports.Set.Len(), qt.Equals, quarantine.MaxReports)
 	c.reports.Put(first)
 	qt.Check(t, c.reports.Set.Len(), qt.Equals, quarantine.MaxReports)
-	qt.Check(t, c.Quarantine.Judge(printOf(0)).Standing, qt.Equals, quarantine.Unsuspected, qt.Commentf("an old report does not come back"))
-	qt.Check(t, c.Quarantine.Judge(printOf(2*quarantine.MaxReports-1)).Standing, qt.Equals, quarantine.Seen)
+	qt.Check(t, c.Quarantine.Assess(printOf(0)).State, qt.Equals, quarantine.Unsuspected, qt.Commentf("an old report does not come back"))
+	qt.Check(t, c.Quarantine.Assess(printOf(2*quarantine.MaxReports-1)).State, qt.Equals, quarantine.SeenAtCrash)
 
-	before := c.reports.Set.Root()
+	before := c.reports.Set.RootHash()
 	future := endOf("future", 1)
 	future.At += time.Hour.Milliseconds()
 	past := endOf("past", 1)
-	past.At -= 2 * quarantine.Keep.Milliseconds()
+	past.At -= 2 * quarantine.ReportLifetime.Milliseconds()
 	for _, r := range []quarantine.Report{{}, future, past} {
 		c.reports.Put(r)
 	}
-	qt.Check(t, c.reports.Set.Root(), qt.Equals, before)
-	c.expireReports(time.Now().Add(quarantine.Keep + time.Minute))
+	qt.Check(t, c.reports.Set.RootHash(), qt.Equals, before)
+	c.expireReports(time.Now().Add(quarantine.ReportLifetime + time.Minute))
 	qt.Check(t, c.reports.Set.Len(), qt.Equals, 0)
 	qt.Check(t, c.Quarantine.All(), qt.HasLen, 0)
 }
--- a/control/reads.go
+++ b/control/reads.go
@@ -41,46 +41,46 @@
 
 // Next returns what the node is to do next about the platform, and after how long. A
 // Watch is to stay open for the third result.
-func (c *Control) Next() (action follow.Action, after, watchFor time.Duration) {
+func (c *Control) NextAction() (action follow.Action, after, watchFor time.Duration) {
 	c.init()
 	c.do(func() {
 		now := time.Now()
 		var at time.Time
 		action, at = c.reads.Next(c.place(now), now)
 		action = c.freshen(action, now)
-		after, watchFor = at.Sub(now), c.freshWatch(c.reads.WatchFor())
+		after, watchFor = at.Sub(now), c.freshWatch(c.reads.WatchTimeout())
 	})
 	return action, after, watchFor
 }
 
 // Leads returns whether this node reads the platform for all, as far as it knows.
-func (c *Control) Leads() (leads bool) {
+func (c *Control) IsLeader() (leads bool) {
 	c.init()
-	c.do(func() { leads = c.place(time.Now()).Leads })
+	c.do(func() { leads = c.place(time.Now()).IsLeader })
 	return leads
 }
 
 // Heard returns a channel that has a value when Next may have another answer.
-func (c *Control) Heard() <-chan struct{} {
+func (c *Control) NextChanged() <-chan struct{} {
 	c.init()
 	return c.heard
 }
 
 // Read takes in the node's own read of the platform: whether the platform answered,
 // and how long ago what it said held.
-func (c *Control) Read(answered bool, age time.Duration) {
+func (c *Control) RecordRead(answered bool, age time.Duration) {
 	c.init()
 	c.do(func() {
-		c.reads.Done(answered, age, time.Now())
+		c.reads.ReadDone(answered, age, time.Now())
 		c.sighted(answered)
 		c.passNews()
 	})
 }
 
 // AskNews asks a few neighbours for their news.
-func (c *Control) AskNews(ctx context.Context) {
+func (c *Control) QueryNeighbours(ctx context.Context) {
 	c.do(func() {
-		for _, t := range c.targets(askNews, func() []member.Record { return c.neighbours.Some(askNews) }) {
+		for _, t := range c.targets(askNews, func() []member.Record { return c.neighbours.Sample(askNews) }) {
 			go func() {
 				ctx, cancel := context.WithTimeout(ctx, newsTimeout)
 				defer cancel()
@@ -103,7 +103,7 @@
 // live nodes that are not suspected and that the platform answers. Its order is that
 // of representatives in the first zone, so that where there is one zone, the leader is
 // its first node.
-func (c *Control) place(now time.Time) follow.Place {
+func (c *Control) place(now time.Time) follow.Role {
 	if now.Sub(c.placed) < placeEvery {
 		return c.lastPlace
 	}
@@ -115,20 +115,20 @@
 		}
 		zone = min(zone, r.Zone)
 		all = append(all, r.ID)
-		if !r.Blind {
+		if !r.PlatformUnreachable {
 			seeing = append(seeing, r.ID)
 		}
 	}
-	noneSees := c.self.Blind && len(seeing) == 0
+	noneSees := c.self.PlatformUnreachable && len(seeing) == 0
 	if noneSees {
 		seeing = all
 	}
-	first := member.RankOf(zone, c.self.ID, seeing) == 0
+	first := member.RendezvousRank(zone, c.self.ID, seeing) == 0
 	c.placed = now
-	c.lastPlace = follow.Place{
-		Leads: first && (!c.self.Blind || noneSees),
-		Blind: first && c.self.Blind && !noneSees,
-		Nodes: c.live,
+	c.lastPlace = follow.Role{
+		IsLeader:  first && (!c.self.PlatformUnreachable || noneSees),
+		WouldLead: first && c.self.PlatformUnreachable && !noneSees,
+		Nodes:     c.live,
 	}
 	return c.lastPlace
 }
@@ -136,11 +136,11 @@
 // hearNews takes in news from another node.
 func (c *Control) hearNews(from string, news newsAndProof) {
 	era := c.reads.Era()
-	if c.reads.Hear(news.News, time.Now()) {
+	if c.reads.Receive(news.ReadStatus, time.Now()) {
 		c.fetchTable(from)
 	}
-	if later := c.reads.Era(); later > era && c.EraHeard != nil {
-		go c.EraHeard(later)
+	if later := c.reads.Era(); later > era && c.EraAdvanced != nil {
+		go c.EraAdvanced(later)
 	}
 	c.hearProof(from, news.Proof)
 	c.passNews()
@@ -157,7 +157,7 @@
 
 // passNews tells a few neighbours of the latest read, if that has not been done.
 func (c *Control) passNews() {
-	news, ok := c.reads.Pass(time.Now())
+	news, ok := c.reads.PendingStatus(time.Now())
 	if !ok {
 		return
 	}
@@ -166,7 +166,7 @@
 		c.Log.Error().Err(err).Msg("news not encoded")
 		return
 	}
-	for _, t := range c.targets(neighbour.Most, c.neighbours.ForNews) {
+	for _, t := range c.targets(neighbour.MaxNeighbours, c.neighbours.ForReadStatus) {
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), newsTimeout)
 			defer cancel()
@@ -217,7 +217,7 @@
 		c.hearNews(from.Node, news)
 		return nil, true, nil
 	case topicAskNews:
-		return c.tell(c.reads.Tell(time.Now())), true, nil
+		return c.tell(c.reads.Status(time.Now())), true, nil
 	case topicTable:
 		return reconcile.Records[acceptance.Config]{Records: c.configs.Get(append(append(c.rolloutNames(), acceptance.Whole), c.zoneNames()...))}, true, nil
 	}
--- a/control/rejoin.go
+++ b/control/rejoin.go
@@ -24,11 +24,11 @@
 func (c *Control) searchChanged(old, r member.Record) {
 	switch {
 	case r.Live() && r.Incarnation != old.Incarnation:
-		c.searches.End(r.ID)
+		c.searches.Stop(r.ID)
 		delete(c.suspects, r.ID)
 	case !r.Live():
 		now := time.Now()
-		c.searches.Gone(r.ID, now.Sub(time.Unix(r.At, 0)), now)
+		c.searches.StartRemoved(r.ID, now.Sub(time.Unix(r.WrittenAt, 0)), now)
 	}
 }
 
@@ -38,7 +38,7 @@
 	for _, id := range c.searches.Due(time.Now(), c.live, searchesAtOnce-c.searching) {
 		r, ok := c.members.Set.Get(id)
 		if !ok || c.addressTaken(r) {
-			c.searches.End(id)
+			c.searches.Stop(id)
 			continue
 		}
 		c.searching++
@@ -61,7 +61,7 @@
 	if !ok || !now.Live() {
 		return
 	}
-	c.searches.End(r.ID)
+	c.searches.Stop(r.ID)
 	if _, suspected := c.suspects[r.ID]; suspected {
 		delete(c.suspects, r.ID)
 		c.neighbours.Consider(now, c.known())
--- a/control/represent.go
+++ b/control/represent.go
@@ -17,13 +17,13 @@
 // newRepresentative returns what represents this node's zone at the platform.
 func (c *Control) newRepresentative() *representative.Representative {
 	return &representative.Representative{
-		Node:     represented{c},
-		Zone:     c.Self.Zone,
-		API:      c.API,
-		Lease:    c.Timing.Lease,
-		Bridge:   c.Timing.Bridge,
-		Takeover: c.Timing.Takeover,
-		Log:      c.Log,
+		Node:          represented{c},
+		Zone:          c.Self.Zone,
+		API:           c.API,
+		Lease:         c.Timing.Lease,
+		ZoneDiscovery: c.Timing.ZoneDiscovery,
+		TakeoverDelay: c.Timing.TakeoverDelay,
+		Log:           c.Log,
 	}
 }
 
@@ -79,13 +79,13 @@
 }
 
 // Others implements representative.Node.
-func (r represented) Others() (near []member.Record) {
+func (r represented) ZonePeers() (near []member.Record) {
 	r.c.do(func() { near, _ = r.c.split() })
 	return near
 }
 
 // Nodes implements representative.Node.
-func (r represented) Nodes() (n int) {
+func (r represented) ZoneSize() (n int) {
 	r.c.do(func() { n = r.c.near + 1 })
 	return n
 }
@@ -106,7 +106,7 @@
 func (r represented) Sweep(ctx context.Context) { newSweeper(r.c).run(ctx) }
 
 // InForce implements representative.Node.
-func (r represented) InForce() map[string]bool {
+func (r represented) ActiveServices() map[string]bool {
 	names := make(map[string]bool)
 	r.c.do(func() {
 		for config := range r.c.configs.Set.All {
@@ -127,7 +127,7 @@
 }
 
 // PutInForce implements representative.Node.
-func (r represented) PutInForce(config acceptance.Config) {
+func (r represented) ApplyConfig(config acceptance.Config) {
 	r.c.do(func() { r.c.configs.Put(config) })
 }
 
--- a/control/rollouts.go
+++ b/control/rollouts.go
@@ -19,7 +19,7 @@
 
 // Orders takes in the orders to roll versions out, as they were read from the platform at a
 // Point. Whole is whether those that are not among them have been withdrawn.
-func (c *Control) Orders(found []rollout.Found, at objectapi.Point, whole bool) {
+func (c *Control) ApplyOrders(found []rollout.StoredOrder, at objectapi.Point, whole bool) {
 	c.init()
 	c.do(func() {
 		now := time.Now()
@@ -27,13 +27,13 @@
 		for _, f := range found {
 			listed[f.Order.Service] = true
 			known, ok := c.rollouts[f.Order.Service]
-			if s, changed := rollout.Take(known.State, ok, f, now); changed {
+			if s, changed := rollout.Merge(known.State, ok, f, now); changed {
 				c.configs.Put(acceptance.FromRollout(s))
 			}
 		}
 		for name, known := range c.rollouts {
 			if whole && !listed[name] && known.Phase < rollout.Stopped && known.Order.At.Era == at.Era && known.Order.At.Less(at) {
-				c.configs.Put(acceptance.FromRollout(known.With(rollout.Stopped, "the order was withdrawn", c.self.ID, now)))
+				c.configs.Put(acceptance.FromRollout(known.WithPhase(rollout.Stopped, "the order was withdrawn", c.self.ID, now)))
 			}
 		}
 		c.publish()
@@ -41,7 +41,7 @@
 }
 
 // Decide takes in a decision of this node on a roll-out.
-func (c *Control) Decide(s rollout.State) {
+func (c *Control) SetRolloutState(s rollout.State) {
 	c.init()
 	c.do(func() {
 		c.configs.Put(acceptance.FromRollout(s))
@@ -57,7 +57,7 @@
 		return
 	}
 	now := time.Now()
-	next := rollout.Known{
+	next := rollout.LocalState{
 		State:     s,
 		Received:  now,
 		Changed:   now,
@@ -94,15 +94,15 @@
 
 // Versions returns how many upstreams of a service take requests, by the version of their
 // software. Those whose version is not known have none.
-func (c *Control) Versions(service string) map[string]rollout.Size {
+func (c *Control) UpstreamsByVersion(service string) map[string]rollout.VersionCapacity {
 	c.init()
-	sizes := make(map[string]rollout.Size)
+	sizes := make(map[string]rollout.VersionCapacity)
 	c.do(func() {
 		for _, r := range c.byService[service] {
 			s := sizes[r.Software]
 			s.Upstreams++
 			s.Slots += r.Slots
-			if r.Trial {
+			if r.Canary {
 				s.Trial++
 			}
 			sizes[r.Software] = s
@@ -114,7 +114,7 @@
 // trial is what a service's version on trial gets.
 type trial struct {
 	known bool
-	state rollout.Known
+	state rollout.LocalState
 	share float64
 	inUse map[string]bool // upstreams of the version that get it
 }
@@ -122,17 +122,17 @@
 // unknownOrder returns whether an upstream is on trial by an order that this node has not heard
 // of, as the node beside it says.
 func (t trial) unknownOrder(r member.Record) bool {
-	return r.Trial && (!t.known || r.Software != t.state.Order.Version)
+	return r.Canary && (!t.known || r.Software != t.state.Order.Version)
 }
 
 // standing returns what an upstream may get.
-func (t trial) standing(r member.Record) rollout.Standing {
-	s := rollout.Ordinary
+func (t trial) standing(r member.Record) rollout.Eligibility {
+	s := rollout.Unrestricted
 	switch {
 	case t.unknownOrder(r):
 		s = rollout.OnTrial
 	case t.known:
-		s = t.state.Standing(r.Software)
+		s = t.state.Eligibility(r.Software)
 	}
 	if s == rollout.OnTrial && !t.inUse[r.ID] {
 		return rollout.Withheld
@@ -154,7 +154,7 @@
 		case c.evacuated.Has(r.Zone):
 		case t.unknownOrder(r):
 			unknown = append(unknown, id)
-		case t.known && (t.state.Standing(r.Software) == rollout.OnTrial || t.state.Preferred && r.Software == t.state.Order.Version):
+		case t.known && (t.state.Eligibility(r.Software) == rollout.OnTrial || t.state.Preferred && r.Software == t.state.Order.Version):
 			ids = append(ids, id)
 		}
 	}
@@ -162,7 +162,7 @@
 	if len(unknown) > 0 {
 		ids, phase = unknown, rollout.Trial
 	}
-	for _, id := range member.First(service, ids, c.Exposure.InUse(phase, len(ids))) {
+	for _, id := range member.RendezvousTop(service, ids, c.Exposure.UpstreamCount(phase, len(ids))) {
 		t.inUse[id] = true
 	}
 	if len(t.inUse) > 0 {
--- a/control/rollouts_test.go
+++ b/control/rollouts_test.go
@@ -21,7 +21,7 @@
 func TestMembersOnTrial(t *testing.T) {
 	order := func(version string, p rollout.Phase) *rollout.State {
 		s := rollout.State{Order: rollout.Order{Service: "s", Version: version, Duration: time.Second, At: objectapi.Point{Revision: 5}}}
-		s = s.With(p, "", "n", time.Now())
+		s = s.WithPhase(p, "", "n", time.Now())
 		return &s
 	}
 	tests := map[string]struct {
@@ -52,7 +52,7 @@
 				r := recordOf(100+i, 120, 1)
 				r.Service, r.Software = "s", "v1"
 				if i >= 10 {
-					r.Software, r.Trial = "v2", test.flagged
+					r.Software, r.Canary = "v2", test.flagged
 				}
 				c.members.Put(r)
 			}
@@ -62,13 +62,13 @@
 			s := c.withMembers("s", operator.Service{})
 			trial := 0
 			for _, m := range s.Members {
-				if m.Trial {
+				if m.Canary {
 					trial++
 				}
 			}
 			qt.Check(t, trial, qt.Equals, test.trial)
 			qt.Check(t, len(s.Members)-trial, qt.Equals, test.ordinary)
-			qt.Check(t, s.TrialShare > test.share-1e-9 && s.TrialShare < test.share+1e-9, qt.IsTrue, qt.Commentf("%f", s.TrialShare))
+			qt.Check(t, s.CanaryShare > test.share-1e-9 && s.CanaryShare < test.share+1e-9, qt.IsTrue, qt.Commentf("%f", s.CanaryShare))
 		})
 	}
 }
@@ -81,8 +81,8 @@
 	r.Service, r.Software = "s", "v2"
 	c.members.Put(r)
 	s := rollout.State{Order: rollout.Order{Service: "s", Version: "v2"}}
-	c.configs.Put(acceptance.FromRollout(s.With(rollout.Completed, "", "n", time.Now())))
-	qt.Check(t, c.withMembers("s", operator.Service{}).TrialShare, qt.Equals, 1.0)
+	c.configs.Put(acceptance.FromRollout(s.WithPhase(rollout.Completed, "", "n", time.Now())))
+	qt.Check(t, c.withMembers("s", operator.Service{}).CanaryShare, qt.Equals, 1.0)
 	c.endPreference(time.Now().Add(preferFor))
-	qt.Check(t, c.withMembers("s", operator.Service{}).TrialShare, qt.Equals, 0.0)
+	qt.Check(t, c.withMembers("s", operator.Service{}).CanaryShare, qt.Equals, 0.0)
 }
--- a/control/size_test.go
+++ b/control/size_test.go
@@ -54,7 +54,7 @@
 		State:       member.Up,
 		Incarnation: uint64(time.Now().UnixNano()),
 		Version:     version,
-		At:          time.Now().Unix(),
+		WrittenAt:   time.Now().Unix(),
 	}
 }
 
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -33,7 +33,7 @@
 	// Evacuated are the zones whose upstreams get no requests.
 	Evacuated evacuation.Set
 	// Rollouts are the latest orders to roll a version out, by service.
-	Rollouts map[string]rollout.Known
+	Rollouts map[string]rollout.LocalState
 	// Ready is whether any configuration is known.
 	Ready bool
 }
@@ -55,7 +55,7 @@
 	next.Rollouts = maps.Clone(c.rollouts)
 	hosts := false
 	for name := range c.dirty {
-		if c.Template != nil {
+		if c.ServiceConfig != nil {
 			c.rebuildFromTable(next, name)
 			continue
 		}
@@ -104,7 +104,7 @@
 		Config: config,
 	}
 	trial := c.onTrial(name)
-	s.TrialShare = trial.share
+	s.CanaryShare = trial.share
 	for _, r := range c.byService[name] {
 		if c.evacuated.Has(r.Zone) || trial.standing(r) == rollout.Withheld {
 			continue
@@ -115,7 +115,7 @@
 			Zone:   r.Zone,
 			Region: r.Region,
 			Slots:  r.Slots,
-			Trial:  trial.inUse[r.ID],
+			Canary: trial.inUse[r.ID],
 		})
 	}
 	sort.Slice(s.Members, func(i, j int) bool { return s.Members[i].ID < s.Members[j].ID })
@@ -143,11 +143,11 @@
 	if r.Live() {
 		c.countLive(r, 1)
 	}
-	if old.Takes() {
+	if old.AcceptsRequests() {
 		delete(c.byService[old.Service], old.ID)
 		c.dirty[old.Service] = true
 	}
-	if r.Takes() {
+	if r.AcceptsRequests() {
 		if c.byService[r.Service] == nil {
 			c.byService[r.Service] = make(map[string]member.Record)
 		}
--- a/control/spread.go
+++ b/control/spread.go
@@ -116,9 +116,9 @@
 
 func (c *Control) roots() roots {
 	return roots{
-		Members: c.members.Set.Root(),
-		Configs: c.configs.Set.Root(),
-		Reports: c.reports.Set.Root(),
+		Members: c.members.Set.RootHash(),
+		Configs: c.configs.Set.RootHash(),
+		Reports: c.reports.Set.RootHash(),
 	}
 }
 
@@ -155,7 +155,7 @@
 	if len(c.members.Outbox)+len(c.configs.Outbox)+len(c.reports.Outbox) == 0 {
 		return nil, nil
 	}
-	targets := c.targets(neighbour.Most, func() []member.Record { return c.neighbours.ForChange(c.known()) })
+	targets := c.targets(neighbour.MaxNeighbours, func() []member.Record { return c.neighbours.ForChange(c.known()) })
 	if len(targets) == 0 {
 		return nil, nil
 	}
@@ -185,7 +185,7 @@
 			delete(e.Outbox, key)
 		}
 		list = append(list, message{
-			topic:   e.Topic + reconcile.TellRecords,
+			topic:   e.Topic + reconcile.RecordsSuffix,
 			payload: payload,
 		})
 	}
@@ -199,7 +199,7 @@
 // still on. A comparison that finds no difference has a small and fixed cost,
 // so it is made even while the budget is spent.
 func (c *Control) compare(ctx context.Context) {
-	targets := c.targets(neighbour.Most, func() []member.Record { return c.neighbours.ForComparison(compareTries, c.known()) })
+	targets := c.targets(neighbour.MaxNeighbours, func() []member.Record { return c.neighbours.ForComparison(compareTries, c.known()) })
 	if c.comparing || len(targets) == 0 {
 		return
 	}
@@ -232,17 +232,17 @@
 	// table of thousands of routes takes a slow link most of a second, and a node that
 	// starts reads it from the platform meanwhile.
 	if own.Members != theirs.Members {
-		if err := c.members.With(ctx, p); err != nil {
+		if err := c.members.Reconcile(ctx, p); err != nil {
 			return err
 		}
 	}
 	if theirs.Reports != 0 && own.Reports != theirs.Reports {
-		if err := c.reports.With(ctx, p); err != nil {
+		if err := c.reports.Reconcile(ctx, p); err != nil {
 			return err
 		}
 	}
 	if own.Configs != theirs.Configs {
-		return c.configs.With(ctx, p)
+		return c.configs.Reconcile(ctx, p)
 	}
 	return nil
 }
--- a/control/sweeper.go
+++ b/control/sweeper.go
@@ -26,16 +26,16 @@
 // zone sweeps: its representative, or its first node where there are no representatives.
 type sweeper struct {
 	*Control
-	liveness member.Liveness
+	liveness member.FailureDetector
 }
 
 func newSweeper(c *Control) *sweeper {
 	return &sweeper{
 		Control: c,
-		liveness: member.Liveness{
-			Patience: c.Timing.Patience,
-			Every:    removeEvery,
-			MaxShare: removeShare,
+		liveness: member.FailureDetector{
+			SilenceTimeout:  c.Timing.SilenceTimeout,
+			RemovalWindow:   removeEvery,
+			MaxRemovalShare: removeShare,
 		},
 	}
 }
@@ -50,7 +50,7 @@
 
 // turn makes a round if this node is its zone's first node.
 func (s *sweeper) turn(ctx context.Context) {
-	if !s.FirstOfZone() {
+	if !s.IsFirstInZone() {
 		s.liveness.Reset()
 		return
 	}
@@ -89,15 +89,15 @@
 	ctx, cancel := context.WithTimeout(ctx, compareTimeout)
 	defer cancel()
 	if _, err := peer.Ask[struct{}, roots](ctx, p, topicRoots, struct{}{}); err == nil {
-		s.liveness.Heard(r.ID)
+		s.liveness.MarkAlive(r.ID)
 	} else if ctx.Err() != context.Canceled {
-		s.liveness.Missed(r.ID, time.Now())
+		s.liveness.MarkSilent(r.ID, time.Now())
 	}
 }
 
 // remove removes the nodes that are due.
 func (s *sweeper) remove(known int) {
-	for _, id := range s.liveness.Due(known, time.Now()) {
+	for _, id := range s.liveness.TakeRemovals(known, time.Now()) {
 		s.do(func() {
 			if r, ok := s.members.Set.Get(id); ok && r.Live() {
 				s.Log.Warn().Str("node", id).Msg("node removed after long silence")
--- a/control/sweeper_test.go
+++ b/control/sweeper_test.go
@@ -30,13 +30,13 @@
 			c := newCluster(t)
 			n := c.addAtWith(c.listener(), "a", "z", func(k *Control) {
 				k.API = nil
-				k.Timing.Patience = time.Hour
+				k.Timing.SilenceTimeout = time.Hour
 			})
 			closed := c.listener()
 			qt.Assert(t, closed.Close(), qt.IsNil)
 			silent := member.Record{ID: "silent", Zone: "z", Addr: closed.Addr().String(), State: member.Idle, Incarnation: 1}
 			other := member.Record{ID: "other", Zone: "z", Addr: closed.Addr().String(), State: member.Idle, Incarnation: 1}
-			for member.RankOf("z", "a", []string{other.ID}) == 0 {
+			for member.RendezvousRank("z", "a", []string{other.ID}) == 0 {
 				other.ID += "x" // until it comes before a
 			}
 			n.init()
@@ -45,14 +45,14 @@
 				n.suspect([]string{silent.ID, other.ID})
 			})
 			s := newSweeper(n.Control)
-			s.liveness.Missed(silent.ID, time.Now().Add(-2*time.Hour))
+			s.liveness.MarkSilent(silent.ID, time.Now().Add(-2*time.Hour))
 			if test.between {
 				n.do(func() { delete(n.suspects, other.ID) })
-				qt.Assert(t, n.FirstOfZone(), qt.IsFalse)
+				qt.Assert(t, n.IsFirstInZone(), qt.IsFalse)
 				s.turn(context.Background())
 				n.do(func() { n.suspect([]string{other.ID}) })
 			}
-			qt.Assert(t, n.FirstOfZone(), qt.IsTrue)
+			qt.Assert(t, n.IsFirstInZone(), qt.IsTrue)
 			s.turn(context.Background())
 			var live bool
 			n.do(func() {
--- a/control/table.go
+++ b/control/table.go
@@ -15,7 +15,7 @@
 // FirstOfZone returns whether this node is the one of its zone that looks after the
 // platform most closely, as far as it knows. It is the first of the zone's live
 // nodes in the order of representatives.
-func (c *Control) FirstOfZone() bool {
+func (c *Control) IsFirstInZone() bool {
 	c.init()
 	var rank int
 	return c.do(func() { rank, _ = c.zoneRank() }) && rank == 0
@@ -27,21 +27,21 @@
 // alone. Other nodes keep it to
 // themselves, or all of them would speak at once when the platform is away.
 func (c *Control) sighted(answered bool) {
-	if answered == !c.self.Blind {
+	if answered == !c.self.PlatformUnreachable {
 		return
 	}
 	rank, _ := c.zoneRank()
-	if !answered && rank > 0 && !c.place(time.Now()).Leads {
+	if !answered && rank > 0 && !c.place(time.Now()).IsLeader {
 		return
 	}
 	c.Log.Info().Bool("platformAnswers", answered).Msg("sight of the platform")
-	c.setSelf(c.self.WithBlind(!answered))
+	c.setSelf(c.self.WithPlatformUnreachable(!answered))
 	c.placed = time.Time{}
 	c.push(context.Background())
 }
 
 // Configure takes in a table of routes, unless a later one is in force.
-func (c *Control) Configure(t *routes.Table) {
+func (c *Control) ApplyTable(t *routes.Table) {
 	c.init()
 	record := acceptance.FromTable(t)
 	c.do(func() {
@@ -67,7 +67,7 @@
 	}
 	c.table = t
 	if c.reads != nil {
-		c.reads.InForce(t.Version)
+		c.reads.SetVersion(t.Version)
 	}
 	for _, s := range t.Services {
 		c.dirty[s.Name] = true
@@ -84,5 +84,5 @@
 		delete(next.Services, name)
 		return
 	}
-	next.Services[name] = c.withMembers(name, c.Template(c.table, name, max(1, c.live)))
+	next.Services[name] = c.withMembers(name, c.ServiceConfig(c.table, name, max(1, c.live)))
 }
--- a/control/table_test.go
+++ b/control/table_test.go
@@ -26,8 +26,8 @@
 	listener := c.listener()
 	n := c.addAtWith(listener, id, zone, func(k *Control) {
 		k.API = nil
-		k.Within = 500 * time.Millisecond
-		k.Template = func(*routes.Table, string, int) operator.Service { return operator.Service{}.WithDefaults() }
+		k.MaxPropagationDelay = 500 * time.Millisecond
+		k.ServiceConfig = func(*routes.Table, string, int) operator.Service { return operator.Service{}.WithDefaults() }
 	})
 	return n
 }
@@ -125,8 +125,8 @@
 	}
 	c.eventually("they have met", func() bool { return first.liveNodes() == 2 })
 	for _, v := range []uint64{3, 1, 7, 2, 7} {
-		first.Configure(table(v))
-		second.Configure(table(v - 1))
+		first.ApplyTable(table(v))
+		second.ApplyTable(table(v - 1))
 	}
 	for _, n := range []*testNode{first, second} {
 		c.eventually("the latest is in force", func() bool { s := n.Snapshot(); return s.Table != nil && s.Table.Version == 7 })
@@ -158,7 +158,7 @@
 	list := c.tableNodes(3)
 	firsts := func() (ids []string) {
 		for _, n := range list {
-			if n.FirstOfZone() {
+			if n.IsFirstInZone() {
 				ids = append(ids, n.Self.ID)
 			}
 		}
@@ -170,19 +170,19 @@
 	first := firsts()[0]
 	for _, n := range list {
 		if n.Self.ID != first {
-			n.Read(false, 0) // it is not the first of its zone, and tells nobody
+			n.RecordRead(false, 0) // it is not the first of its zone, and tells nobody
 		}
 	}
 	qt.Check(t, firsts(), qt.DeepEquals, []string{first})
-	node(first).Read(false, 0)
+	node(first).RecordRead(false, 0)
 	c.eventually("another first node", func() bool { return one() && firsts()[0] != first })
 	second := firsts()[0]
-	node(second).Read(false, 0)
+	node(second).RecordRead(false, 0)
 	c.eventually("a third one", func() bool { return one() && firsts()[0] != first && firsts()[0] != second })
-	node(firsts()[0]).Read(false, 0)
+	node(firsts()[0]).RecordRead(false, 0)
 	c.eventually("all are blind, and one of them goes on asking", one)
 	for _, n := range list {
-		n.Read(true, 0)
+		n.RecordRead(true, 0)
 	}
 	c.eventually("the first again", func() bool { return one() && firsts()[0] == first })
 }
@@ -233,18 +233,18 @@
 // follow has a node do what Next says until ctx ends.
 func (p *fakePlatform) follow(ctx context.Context, n *testNode) {
 	for ctx.Err() == nil {
-		action, after, watchFor := n.Next()
+		action, after, watchFor := n.NextAction()
 		sent := n.reading()
 		switch action {
 		case follow.Wait:
 			select {
 			case <-ctx.Done():
-			case <-n.Heard():
+			case <-n.NextChanged():
 			case <-time.After(min(after, 50*time.Millisecond)):
 			}
 			continue
 		case follow.Ask:
-			n.AskNews(ctx)
+			n.QueryNeighbours(ctx)
 			continue
 		case follow.Watch:
 			sleep.For(ctx, watchFor)
@@ -255,10 +255,10 @@
 			if err != nil {
 				panic(err)
 			}
-			n.Configure(t)
-			n.Confirm(sent)
+			n.ApplyTable(t)
+			n.ConfirmRead(sent)
 		}
-		n.Read(ok, 0)
+		n.RecordRead(ok, 0)
 	}
 }
 
@@ -299,7 +299,7 @@
 			c.eventually("there is a leader", func() bool {
 				for _, n := range list {
 					n.do(func() {
-						if n.place(time.Now()).Leads {
+						if n.place(time.Now()).IsLeader {
 							leader = n.Self.ID
 						}
 					})
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -17,7 +17,7 @@
 
 // attempt is one sending of a request.
 type attempt struct {
-	use      *route.Use[string]
+	use      *route.Assignment[string]
 	member   Member
 	exchange *peer.Exchange
 	began    time.Time
@@ -47,7 +47,7 @@
 	}
 	switch failure.Cause {
 	case verdict.DialFailed, verdict.UpstreamDialFailed, verdict.Misrouted:
-		return route.Down
+		return route.Unreachable
 	case verdict.PeerLost, verdict.UpstreamLost, verdict.TimedOut, verdict.AnswerInvalid:
 		return route.Failed
 	case verdict.Refused, verdict.Slowed, verdict.Draining, verdict.UpstreamRefused:
@@ -109,7 +109,7 @@
 // choose picks an upstream, as start says, among the members that the service has now, and returns
 // them too. The pool is the same for a service and those that come after it, so that a pick may be
 // of a member that has come meanwhile.
-func (d *Dispatcher) choose(s *service, r *Request, tried, refused []string) (*service, *route.Use[string], Member, bool) {
+func (d *Dispatcher) choose(s *service, r *Request, tried, refused []string) (*service, *route.Assignment[string], Member, bool) {
 	for {
 		if now := d.load()[s.Name]; now != nil {
 			s = now
@@ -137,7 +137,7 @@
 }
 
 // pick picks an upstream, as start says.
-func (d *Dispatcher) pick(s *service, r *Request, tried, refused []string) (*route.Use[string], bool) {
+func (d *Dispatcher) pick(s *service, r *Request, tried, refused []string) (*route.Assignment[string], bool) {
 	for _, kind := range s.kinds(len(tried) > 0) {
 		if use, ok := d.pickOf(s, r, tried, refused, kind); ok {
 			return use, true
@@ -147,22 +147,22 @@
 }
 
 // pickOf picks an upstream of those that other does not pass over, as start says.
-func (d *Dispatcher) pickOf(s *service, r *Request, tried, refused []string, other func(id string) bool) (*route.Use[string], bool) {
+func (d *Dispatcher) pickOf(s *service, r *Request, tried, refused []string, other func(id string) bool) (*route.Assignment[string], bool) {
 	out := func(id string) bool { return other(id) || !s.within(id, r.Regions) }
 	barred := func(id string) bool { return slices.Contains(tried, id) || out(id) }
-	if d.Quarantine.Judge(r.Print).Standing == quarantine.Isolated {
-		return s.pickIsolated(r.Print, barred)
+	if d.Quarantine.Assess(r.Fingerprint).State == quarantine.Isolated {
+		return s.pickIsolated(r.Fingerprint, barred)
 	}
 	// What answers is found out first: Pick holds the pool's lock, and Set takes
 	// that while it holds the Dispatcher's.
 	answering := d.answering(s)
 	most := r.mostWait(refused)
-	use, ok := s.pool.PickWithin(most, r.crosses(), func(id string) bool { return barred(id) || !answering[id] })
+	use, ok := s.pool.PickWithMaxWait(most, r.crosses(), func(id string) bool { return barred(id) || !answering[id] })
 	if !ok {
-		use, ok = s.pool.PickWithin(most, r.crosses(), barred)
+		use, ok = s.pool.PickWithMaxWait(most, r.crosses(), barred)
 	}
 	if !ok && len(tried) > 0 {
-		use, ok = s.pool.PickWithin(most, r.crosses(), func(id string) bool { return slices.Contains(refused, id) || out(id) })
+		use, ok = s.pool.PickWithMaxWait(most, r.crosses(), func(id string) bool { return slices.Contains(refused, id) || out(id) })
 	}
 	return use, ok
 }
--- a/entry/bodylink_test.go
+++ b/entry/bodylink_test.go
@@ -95,7 +95,7 @@
 					time.Sleep(time.Second)
 					r := w.request(idempotent, test.size)
 					if test.stream {
-						r.Stream = entry.Once(bytes.NewReader(r.Body))
+						r.Stream = entry.ReadOnce(bytes.NewReader(r.Body))
 						r.Body = nil
 					}
 					got, err := w.send(r)
@@ -164,7 +164,7 @@
 				var all sync.WaitGroup
 				for i := range 20 {
 					all.Go(func() {
-						r := w.request(false, entry.InlineBody)
+						r := w.request(false, entry.MaxInlineBodyBytes)
 						r.Target = fmt.Sprint("/", i)
 						r.Deadline = time.Now().Add(deadline(i))
 						began := time.Now()
--- a/entry/changed_test.go
+++ b/entry/changed_test.go
@@ -49,7 +49,7 @@
 					return map[string]*entry.Service{"service": s}
 				}
 				refuseAndChange := func(in *peer.Inbound) {
-					change.Do(func() { d.Set(service(test.before, test.after)) })
+					change.Do(func() { d.SetServices(service(test.before, test.after)) })
 					time.Sleep(time.Second)
 					in.Fail(verdict.New(test.first, nil), nil)
 				}
@@ -58,7 +58,7 @@
 				d, g, stop = playedDispatcher(config, test.after, refuseAndChange, answer)
 				defer stop()
 				defer time.Sleep(2 * time.Minute) // connections to former members end
-				d.Set(service(0, test.before))
+				d.SetServices(service(0, test.before))
 				r := &entry.Request{Service: "service", Method: "X", Target: "/", Idempotent: test.idempotent, Deadline: time.Now().Add(10 * time.Second)}
 				result, failed := d.Do(context.Background(), r)
 				qt.Assert(t, failed == nil, qt.IsTrue, qt.Commentf("%v", failed))
--- a/entry/comeback.go
+++ b/entry/comeback.go
@@ -27,9 +27,9 @@
 func (f *flight) final(e *verdict.Error) *verdict.Error {
 	switch {
 	case e.Cause == verdict.UpstreamRefused:
-		e = e.WithRetryAfter(comeback.Shed(f.request.Objective, e.RetryAfter))
+		e = e.WithRetryAfter(comeback.WhenShed(f.request.Objective, e.RetryAfter))
 	case f.full(e):
-		e = e.WithRetryAfter(comeback.Full(f.request.Objective, f.expected))
+		e = e.WithRetryAfter(comeback.WhenFull(f.request.Objective, f.expected))
 	}
 	return final(e)
 }
@@ -42,7 +42,7 @@
 		return true
 	}
 	entry := verdict.Lookup(e.Cause)
-	return len(f.refused) > 0 && entry.Verdict == verdict.NotRun && entry.Elsewhere
+	return len(f.refused) > 0 && entry.Verdict == verdict.NotRun && entry.RetryElsewhere
 }
 
 // expect takes in the wait that a gate expects which refused the request.
--- a/entry/dispatcher.go
+++ b/entry/dispatcher.go
@@ -31,7 +31,7 @@
 	// Slots is the number of requests that its upstream runs at once.
 	Slots int
 	// Trial is whether it is of a version that gets a share of the requests of its own.
-	Trial bool
+	Canary bool
 }
 
 // Service is a service in force with its members. It is an immutable value.
@@ -45,7 +45,7 @@
 	// TrialShare is the share of the requests, within 0 and 1, that is sent to the members
 	// on trial first. What they don't serve goes to the others. Nothing else goes to them,
 	// unless the share is that of a version which has proved itself.
-	TrialShare float64
+	CanaryShare float64
 }
 
 // Dispatcher sends requests. The exported fields are set before the first
@@ -68,16 +68,16 @@
 	// Policy, if not empty, overrides the routing policy of all services.
 	Policy string
 	// Rate is how many bytes a second this node's link carries, or 0 if that is not known.
-	Rate float64
+	LinkRate float64
 	// Event, if not nil, is called with each event of the kinds below.
-	Event func(service string, e Event)
+	OnEvent func(service string, e Event)
 
 	// Learnt, if not nil, is closed once this node has had the time to learn of the others. Before
 	// that, requests to a service without a known upstream wait for one.
-	Learnt <-chan struct{}
+	DiscoveryDone <-chan struct{}
 	// Seek, if not nil, is called when a request waits so, to have the others looked for now. It
 	// must not block.
-	Seek func()
+	TriggerDiscovery func()
 
 	services atomic.Pointer[map[string]*service]
 	updates  updates
@@ -117,7 +117,7 @@
 // Set replaces the services. What is known of those that stay is kept. A service
 // that has not changed is best given as the same pointer: nothing is done for it
 // then.
-func (d *Dispatcher) Set(services map[string]*Service) {
+func (d *Dispatcher) SetServices(services map[string]*Service) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	old := d.load()
@@ -161,9 +161,9 @@
 	if old == nil || old.policy != n.policy {
 		policy, _ := route.ByName(n.policy)
 		n.pool = &route.Pool[string]{
-			Policy:   policy,
-			Expected: s.Config.ServiceTime.Std(),
-			Rate:     d.Rate,
+			Policy:              policy,
+			ExpectedServiceTime: s.Config.ServiceTime.Std(),
+			LinkBandwidth:       d.LinkRate,
 		}
 	}
 	ordinary, onTrial := byTrial(s.Members)
@@ -181,14 +181,14 @@
 			n.chosen = append(n.chosen, m)
 		}
 		targets[m.ID] = route.Target{
-			Slots:    max(1, m.Slots),
-			Distance: d.distance(s, m),
-			Crossing: d.crossing(s, m),
-			Local:    m.ID == d.Hello.Node,
-			Spare:    !chosen[m.ID],
+			Slots:            max(1, m.Slots),
+			Distance:         d.distance(s, m),
+			ZoneCrossingCost: d.crossing(s, m),
+			Local:            m.ID == d.Hello.Node,
+			Spare:            !chosen[m.ID],
 		}
 	}
-	n.pool.Set(targets)
+	n.pool.SetTargets(targets)
 	d.warm(n)
 	return n
 }
@@ -290,19 +290,19 @@
 // loadOf returns a report as package route knows it.
 func loadOf(r peer.Report) route.Load {
 	return route.Load{
-		Running:  r.Running,
-		Waiting:  r.Waiting,
-		Allowed:  r.Allowed,
-		Service:  r.Service,
-		Draining: r.Draining,
-		Slowdown: r.Slowdown,
-		Failing:  r.Failing,
-		Rate:     r.BodyRate,
-		Backlog:  r.BodyBacklog,
-		Limited:  r.Limited,
-		Limit:    r.Limit,
-		Used:     r.Used,
-		Free:     r.Free,
+		Running:       r.Running,
+		Waiting:       r.Waiting,
+		Slots:         r.Allowed,
+		ServiceTime:   r.Service,
+		Draining:      r.Draining,
+		Slowdown:      r.Slowdown,
+		FailureRatio:  r.Failing,
+		LinkBandwidth: r.BodyRate,
+		BacklogBytes:  r.BodyBacklog,
+		Limited:       r.Limited,
+		Limit:         r.Limit,
+		LimitUsed:     r.Used,
+		LimitWait:     r.Free,
 	}
 }
 
@@ -318,7 +318,7 @@
 }
 
 func (d *Dispatcher) event(service string, e Event) {
-	if d.Event != nil {
-		d.Event(service, e)
+	if d.OnEvent != nil {
+		d.OnEvent(service, e)
 	}
 }
--- a/entry/do.go
+++ b/entry/do.go
@@ -30,11 +30,11 @@
 		// Whoever resolved the request knows the service already, so it exists.
 		return nil, final(d.noUpstream())
 	}
-	if blocked := d.Quarantine.Judge(r.Print).Failure(); blocked != nil {
+	if blocked := d.Quarantine.Assess(r.Fingerprint).Failure(); blocked != nil {
 		return nil, final(blocked)
 	}
-	s.budget.EarnFor(r.Organisation)
-	s.hedges.Earn()
+	s.budget.RecordRequestFor(r.Organisation)
+	s.hedges.RecordRequest()
 	f := &flight{
 		dispatcher: d,
 		service:    s,
@@ -76,13 +76,13 @@
 // fly sends the request as often as it may, and returns the first answer.
 func (f *flight) fly() (*Result, *verdict.Error) {
 	defer f.abandonAll()
-	plan := retry.Plan{
-		MaxTries: f.service.Config.Retry.MaxTries,
-		Budget:   f.service.budget,
-		Part:     f.service.parts[f.request.Class],
+	plan := retry.Policy{
+		MaxAttempts:    f.service.Config.Retry.MaxTries,
+		Budget:         f.service.budget,
+		BudgetFraction: f.service.parts[f.request.Class],
 
 		Organisation: f.request.Organisation,
-		Least:        least,
+		MinRemaining: least,
 	}
 	for {
 		f.launch("")
@@ -104,7 +104,7 @@
 			}
 		}
 		remaining := time.Until(f.request.Deadline)
-		if f.ctx.Err() != nil || !f.mayGoOn(failure) || !f.attemptsLeft() || !f.repeatable() || !plan.Again(failure, f.request.Idempotent, len(f.tried), remaining) {
+		if f.ctx.Err() != nil || !f.mayGoOn(failure) || !f.attemptsLeft() || !f.repeatable() || !plan.ShouldRetry(failure, f.request.Idempotent, len(f.tried), remaining) {
 			if f.aside != nil {
 				return f.land(f.aside), nil
 			}
@@ -124,12 +124,12 @@
 // another returns whether an answer is set aside and the request sent once more:
 // if the upstream stands out by its failures. Where all fail alike, their faults lie
 // elsewhere, and more requests would make them worse.
-func (f *flight) another(a *attempt, plan retry.Plan) bool {
-	if !f.failed(a) || f.others(nil) || !f.service.pool.StandsOut(a.member.ID) {
+func (f *flight) another(a *attempt, plan retry.Policy) bool {
+	if !f.failed(a) || f.others(nil) || !f.service.pool.IsOutlier(a.member.ID) {
 		return false
 	}
 	f.reached++
-	if !f.attemptsLeft() || len(f.tried) >= plan.MaxTries || !plan.Take() {
+	if !f.attemptsLeft() || len(f.tried) >= plan.MaxAttempts || !plan.TakeFromBudget() {
 		return false
 	}
 	f.setAside(a)
@@ -153,13 +153,13 @@
 // setAside keeps an answer for the case that no better one comes.
 func (f *flight) setAside(a *attempt) {
 	f.aside = a
-	f.note(Step{Event: EventAside, Node: a.member.ID})
+	f.note(Step{Event: EventAnswerHeld, Node: a.member.ID})
 }
 
 // attemptsLeft returns whether one more upstream may get the request. Sendings
 // that are known to have reached none don't count.
 func (f *flight) attemptsLeft() bool {
-	most := f.request.Attempts
+	most := f.request.MaxAttempts
 	return most == 0 || f.reached+len(f.open)+f.beginning() < most
 }
 
@@ -225,7 +225,7 @@
 			Node:      a.member.ID,
 			Candidate: candidate,
 			Age:       age,
-			Trial:     a.member.Trial,
+			Canary:    a.member.Canary,
 		})
 	}
 	if l.failure != nil {
@@ -243,7 +243,7 @@
 
 // await waits for the next thing to happen. It returns an attempt that has its
 // answer, or a failure, or neither if there is more to wait for.
-func (f *flight) await(plan retry.Plan) (*attempt, *verdict.Error) {
+func (f *flight) await(plan retry.Policy) (*attempt, *verdict.Error) {
 	var ready, silent [2]<-chan struct{}
 	var informs <-chan *peer.Inform
 	for i, a := range f.open {
@@ -266,8 +266,8 @@
 	case <-begun:
 		return nil, f.launched()
 	case m := <-informs:
-		if f.request.Inform != nil {
-			f.request.Inform(m)
+		if f.request.OnInformational != nil {
+			f.request.OnInformational(m)
 		}
 	case <-slow:
 		f.hurry()
@@ -299,7 +299,7 @@
 	if failure.Cause == verdict.Refused || failure.Cause == verdict.Draining {
 		f.refused = append(f.refused, a.member.ID)
 	}
-	if retry.Reached(failure) {
+	if retry.MayHaveReached(failure) {
 		f.reached++
 	}
 	if failure.Verdict() != verdict.NotRun && f.mayRun == nil {
@@ -311,10 +311,10 @@
 // failedAt notes that a sending has failed.
 func (f *flight) failedAt(a *attempt, failure *verdict.Error) {
 	f.note(Step{
-		Event:  EventFailed,
-		Node:   a.member.ID,
-		Cause:  failure.Cause,
-		Reason: failure.Err,
+		Event: EventFailed,
+		Node:  a.member.ID,
+		Cause: failure.Cause,
+		Err:   failure.Err,
 	})
 }
 
@@ -367,7 +367,7 @@
 		Response: response,
 		Node:     a.member.ID,
 		Zone:     a.member.Zone,
-		Tries:    len(f.tried),
+		Attempts: len(f.tried),
 		attempt:  a,
 	}
 }
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -73,7 +73,7 @@
 		s.Members = append(s.Members, g.member(t, fmt.Sprint("gate", i), plays...))
 	}
 	d := &entry.Dispatcher{Hello: peer.Hello{Node: "entry"}}
-	d.Set(map[string]*entry.Service{"service": s})
+	d.SetServices(map[string]*entry.Service{"service": s})
 	t.Cleanup(d.Close)
 	return d, g
 }
@@ -103,7 +103,7 @@
 		Hello: peer.Hello{Node: "entry"},
 		Dial:  func(ctx context.Context, addr string) (net.Conn, error) { return from.Dial(ctx, addr) },
 	}
-	d.Set(map[string]*entry.Service{"service": s})
+	d.SetServices(map[string]*entry.Service{"service": s})
 	return d, g, func() {
 		d.Close()
 		calls.Wait()
@@ -190,7 +190,7 @@
 				}
 				r := &entry.Request{Service: "service", Method: "X", Target: "/", Idempotent: test.idempotent, Deadline: time.Now().Add(timeout)}
 				if test.stream {
-					r.Stream = entry.Once(strings.NewReader("body"))
+					r.Stream = entry.ReadOnce(strings.NewReader("body"))
 					r.Length = -1
 				}
 				result, failed := d.Do(context.Background(), r)
@@ -211,7 +211,7 @@
 				data, err := io.ReadAll(result.Body)
 				qt.Assert(t, err, qt.IsNil)
 				qt.Check(t, string(data), qt.Equals, "done")
-				qt.Check(t, result.Tries, qt.Equals, test.calls)
+				qt.Check(t, result.Attempts, qt.Equals, test.calls)
 			})
 		})
 	}
@@ -250,7 +250,7 @@
 				retry = config
 			}
 			d, g := dispatcher(t, operator.Service{Retry: retry}, 4, test.plays...)
-			result, failed := d.Do(context.Background(), &entry.Request{Service: "service", Method: "X", Target: "/", Idempotent: !test.once, Attempts: test.attempt, Deadline: time.Now().Add(10 * time.Second)})
+			result, failed := d.Do(context.Background(), &entry.Request{Service: "service", Method: "X", Target: "/", Idempotent: !test.once, MaxAttempts: test.attempt, Deadline: time.Now().Add(10 * time.Second)})
 			qt.Assert(t, failed == nil, qt.IsTrue, qt.Commentf("%v", failed))
 			defer result.Close()
 			qt.Check(t, result.Status, qt.Equals, test.want)
@@ -352,7 +352,7 @@
 				d := &entry.Dispatcher{Started: time.Now().Add(-test.age)}
 				defer d.Close()
 				s := &entry.Service{Name: "known", Config: operator.Service{}.WithDefaults()}
-				d.Set(map[string]*entry.Service{s.Name: s})
+				d.SetServices(map[string]*entry.Service{s.Name: s})
 				for _, service := range []string{"known", "not known yet"} {
 					_, failed := d.Do(context.Background(), &entry.Request{Service: service, Deadline: time.Now().Add(time.Second)})
 					qt.Assert(t, failed, qt.IsNotNil)
@@ -381,7 +381,7 @@
 			for b.Loop() {
 				changed := *services["service0"]
 				services["service0"] = &changed
-				d.Set(services)
+				d.SetServices(services)
 			}
 		})
 	}
--- a/entry/hedge.go
+++ b/entry/hedge.go
@@ -25,7 +25,7 @@
 		return nil, func() {}
 	}
 	if usual, _ := f.service.latency.Quantile(0.5); f.request.Idempotent {
-		after = retry.HedgeAfter(after, usual, f.request.Objective)
+		after = retry.HedgeDelay(after, usual, f.request.Objective)
 	}
 	after = max(after, hedge.MinDelay.Std())
 	t := time.NewTimer(time.Until(f.open[0].began.Add(after)))
@@ -44,7 +44,7 @@
 // peerSilent acts on the silence of the node that has an open attempt. It may be slow, as its
 // upstream may be at work on the request, so the attempt goes on; an idempotent request is
 // sent a second time, within the budget.
-func (f *flight) peerSilent(i int, plan retry.Plan) {
+func (f *flight) peerSilent(i int, plan retry.Policy) {
 	a := f.open[i]
 	a.silent = true
 	f.note(Step{
@@ -58,7 +58,7 @@
 
 // sendElsewhere sends a request once more that is open at silent nodes only, after a second sending
 // that has reached no upstream.
-func (f *flight) sendElsewhere(failure *verdict.Error, plan retry.Plan) {
+func (f *flight) sendElsewhere(failure *verdict.Error, plan retry.Policy) {
 	heard := func(a *attempt) bool { return !a.silent }
 	if failure.Verdict() == verdict.NotRun && !slices.ContainsFunc(f.open, heard) {
 		f.sendBesides(failure, plan)
@@ -67,9 +67,9 @@
 
 // sendBesides sends an idempotent request once more after a failure, while what is open goes on,
 // if nothing is being sent, its body can be sent again, and the plan has it so.
-func (f *flight) sendBesides(failure *verdict.Error, plan retry.Plan) {
+func (f *flight) sendBesides(failure *verdict.Error, plan retry.Policy) {
 	if f.pending != nil || !f.request.Idempotent || f.request.Stream != nil || !f.mayGoOn(failure) || !f.attemptsLeft() ||
-		!plan.Again(failure, true, len(f.tried), time.Until(f.request.Deadline)) {
+		!plan.ShouldRetry(failure, true, len(f.tried), time.Until(f.request.Deadline)) {
 		return
 	}
 	f.launch(EventRetry)
@@ -85,7 +85,7 @@
 		f.did(EventRevoke)
 		return
 	}
-	if f.dispatcher.Quarantine.Judge(f.request.Print).Standing >= quarantine.Isolated || !f.attemptsLeft() || len(f.tried) >= f.service.Config.Retry.MaxTries || !f.service.takeHedge(f.request.Organisation) {
+	if f.dispatcher.Quarantine.Assess(f.request.Fingerprint).State >= quarantine.Isolated || !f.attemptsLeft() || len(f.tried) >= f.service.Config.Retry.MaxTries || !f.service.takeHedge(f.request.Organisation) {
 		return
 	}
 	f.launch(EventHedge)
--- a/entry/isolate.go
+++ b/entry/isolate.go
@@ -15,12 +15,12 @@
 // is the same at all nodes, so that all copies of the request meet at one gate, which
 // runs one of them. Three copies that come at once end one upstream in place of three
 // then, and no node has to agree with another.
-func (s *service) pickIsolated(p quarantine.Fingerprint, barred func(id string) bool) (*route.Use[string], bool) {
+func (s *service) pickIsolated(p quarantine.Fingerprint, barred func(id string) bool) (*route.Assignment[string], bool) {
 	ids := make([]string, len(s.Members))
 	for i, m := range s.Members {
 		ids[i] = m.ID
 	}
-	for _, chosen := range member.Order(p.String(), ids) {
+	for _, chosen := range member.RendezvousOrder(p.String(), ids) {
 		if barred(chosen) {
 			continue
 		}
@@ -35,7 +35,7 @@
 // of it. An isolated one has its place at one upstream, and goes to the next only if that
 // one is not there.
 func (f *flight) mayGoOn(failure *verdict.Error) bool {
-	switch f.dispatcher.Quarantine.Judge(f.request.Print).Standing {
+	switch f.dispatcher.Quarantine.Assess(f.request.Fingerprint).State {
 	case quarantine.Blocked:
 		return false
 	case quarantine.Isolated:
--- a/entry/isolate_test.go
+++ b/entry/isolate_test.go
@@ -22,14 +22,14 @@
 // suspected returns an index by which the given number of upstreams have ended with a
 // request at hand, and the request.
 func suspected(ends int) (*quarantine.Index, quarantine.Fingerprint) {
-	p := quarantine.Head("caller", "GET", "h.example", "/fatal").WithBody(nil)
+	p := quarantine.NewFingerprint("caller", "GET", "h.example", "/fatal").WithBody(nil)
 	x := new(quarantine.Index)
 	for i := range ends {
 		var alone quarantine.Fingerprint
-		if x.Judge(p).Standing == quarantine.Isolated {
+		if x.Assess(p).State == quarantine.Isolated {
 			alone = p
 		}
-		x.Add(quarantine.Ended(fmt.Sprint(i), []quarantine.Fingerprint{p}, alone))
+		x.Add(quarantine.NewCrashReport(fmt.Sprint(i), []quarantine.Fingerprint{p}, alone))
 	}
 	return x, p
 }
@@ -58,7 +58,7 @@
 			d, g := dispatcher(t, config, gates, test.plays...)
 			var p quarantine.Fingerprint
 			d.Quarantine, p = suspected(test.ends)
-			r := &entry.Request{Service: "service", Method: "GET", Target: "/fatal", Print: p, Idempotent: true, Deadline: time.Now().Add(5 * time.Second)}
+			r := &entry.Request{Service: "service", Method: "GET", Target: "/fatal", Fingerprint: p, Idempotent: true, Deadline: time.Now().Add(5 * time.Second)}
 			result, failure := d.Do(context.Background(), r)
 			if test.want == "" {
 				qt.Assert(t, failure == nil, qt.IsTrue, qt.Commentf("%v", failure))
@@ -82,10 +82,10 @@
 	members := make(map[string]bool)
 	for i := range requests {
 		target := fmt.Sprint("/", i)
-		p := quarantine.Head("caller", "GET", "h.example", target).WithBody(nil)
+		p := quarantine.NewFingerprint("caller", "GET", "h.example", target).WithBody(nil)
 		index := new(quarantine.Index)
 		for _, start := range []string{"a", "b"} {
-			index.Add(quarantine.Ended(start, []quarantine.Fingerprint{p}, quarantine.Fingerprint{}))
+			index.Add(quarantine.NewCrashReport(start, []quarantine.Fingerprint{p}, quarantine.Fingerprint{}))
 		}
 		d.Quarantine = index
 		g.mu.Lock()
@@ -93,7 +93,7 @@
 		g.mu.Unlock()
 		for n := range nodes {
 			d.Hello = peer.Hello{Node: fmt.Sprint("node", n)}
-			result, failure := d.Do(context.Background(), &entry.Request{Service: "service", Print: p, Deadline: time.Now().Add(5 * time.Second)})
+			result, failure := d.Do(context.Background(), &entry.Request{Service: "service", Fingerprint: p, Deadline: time.Now().Add(5 * time.Second)})
 			qt.Assert(t, failure == nil, qt.IsTrue, qt.Commentf("%v", failure))
 			result.Close()
 		}
--- a/entry/kept_test.go
+++ b/entry/kept_test.go
@@ -73,7 +73,7 @@
 				Method:   "X",
 				Target:   "/",
 				Length:   int64(len(data)),
-				Kept:     &spool.Body{Reader: reader, Length: int64(len(data))},
+				Spooled:  &spool.Body{Reader: reader, Length: int64(len(data))},
 				Deadline: time.Now().Add(10 * time.Second),
 			}
 			result, failed := d.Do(context.Background(), r)
--- a/entry/learning.go
+++ b/entry/learning.go
@@ -39,11 +39,11 @@
 
 // learns returns whether this node may not have heard of the others yet.
 func (d *Dispatcher) learns() bool {
-	if d.Learnt == nil {
+	if d.DiscoveryDone == nil {
 		return false
 	}
 	select {
-	case <-d.Learnt:
+	case <-d.DiscoveryDone:
 		return false
 	default:
 		return true
@@ -69,12 +69,12 @@
 			defer t.Stop()
 			enough = t.C
 		}
-		if d.Seek != nil {
-			d.Seek()
+		if d.TriggerDiscovery != nil {
+			d.TriggerDiscovery()
 		}
 		select {
 		case <-changed:
-		case <-d.Learnt:
+		case <-d.DiscoveryDone:
 		case <-d.stopping.done():
 			return s
 		case <-enough:
--- a/entry/learning_test.go
+++ b/entry/learning_test.go
@@ -59,15 +59,15 @@
 				learnt := make(chan struct{})
 				sought := 0
 				d := &entry.Dispatcher{
-					Learnt: learnt,
-					Seek:   func() { sought++ },
+					DiscoveryDone:    learnt,
+					TriggerDiscovery: func() { sought++ },
 				}
 				defer d.Close()
 				if test.learnt == 0 {
 					close(learnt)
 				}
 				if s := test.known[0]; s != nil {
-					d.Set(map[string]*entry.Service{s.Name: s})
+					d.SetServices(map[string]*entry.Service{s.Name: s})
 				}
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
@@ -77,7 +77,7 @@
 					}
 				}
 				for when, s := range test.known {
-					at(when, func() { d.Set(map[string]*entry.Service{s.Name: s}) })
+					at(when, func() { d.SetServices(map[string]*entry.Service{s.Name: s}) })
 				}
 				at(test.learnt, func() { close(learnt) })
 				at(test.stop, d.Stop)
@@ -87,7 +87,7 @@
 				_, failed := d.Do(ctx, r)
 				qt.Check(t, time.Since(began), qt.Equals, test.after)
 				qt.Assert(t, failed != nil, qt.IsTrue)
-				qt.Check(t, entry.Sendings(r.Steps) > 0, qt.Equals, test.sent)
+				qt.Check(t, entry.CountAttempts(r.Steps) > 0, qt.Equals, test.sent)
 				if !test.sent {
 					qt.Check(t, failed.Cause, qt.Equals, test.want)
 				}
--- a/entry/notice.go
+++ b/entry/notice.go
@@ -25,15 +25,15 @@
 	count atomic.Int64 // so that nothing is locked while there are none
 
 	mu     sync.Mutex
-	byNode map[string]Heard
+	byNode map[string]ReceivedNotice
 }
 
 // Heard is what the upstream beside a node has said of the requests that it wants, and when that
 // was told last.
-type Heard struct {
-	Node   string
-	Notice *peer.Notice
-	At     time.Time
+type ReceivedNotice struct {
+	Node       string
+	Notice     *peer.Notice
+	ReceivedAt time.Time
 }
 
 // set replaces what the upstream beside a node has said. Nil stands for nothing.
@@ -47,21 +47,21 @@
 	}
 	now := time.Now()
 	if _, known := n.byNode[node]; !known {
-		maps.DeleteFunc(n.byNode, func(_ string, h Heard) bool { return now.Sub(h.At) > noticeLife })
+		maps.DeleteFunc(n.byNode, func(_ string, h ReceivedNotice) bool { return now.Sub(h.ReceivedAt) > noticeLife })
 	}
 	if n.byNode == nil {
-		n.byNode = make(map[string]Heard)
+		n.byNode = make(map[string]ReceivedNotice)
 	}
-	n.byNode[node] = Heard{
-		Node:   node,
-		Notice: notice,
-		At:     now,
+	n.byNode[node] = ReceivedNotice{
+		Node:       node,
+		Notice:     notice,
+		ReceivedAt: now,
 	}
 	n.count.Store(int64(len(n.byNode)))
 }
 
 // Notices returns what the upstreams beside other nodes have said.
-func (d *Dispatcher) Notices() []Heard {
+func (d *Dispatcher) Notices() []ReceivedNotice {
 	n := &d.notices
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/entry/oldlink_test.go
+++ b/entry/oldlink_test.go
@@ -182,7 +182,7 @@
 			w.play = answerAfter(2 * time.Minute)
 			r := w.request(false, 0)
 			r.Deadline = time.Now().Add(5 * time.Minute)
-			time.AfterFunc(time.Second, func() { w.dispatcher.Set(nil) })
+			time.AfterFunc(time.Second, func() { w.dispatcher.SetServices(nil) })
 			got, err := w.send(r)
 			qt.Check(t, err, qt.IsNil)
 			qt.Check(t, got, qt.Equals, "gate0")
@@ -350,11 +350,11 @@
 				time.Sleep(time.Second)
 				r := w.request(true, 0)
 				informs := 0
-				r.Inform = func(*peer.Inform) { informs++ }
+				r.OnInformational = func(*peer.Inform) { informs++ }
 				got, err := w.send(r)
 				qt.Check(t, err, qt.IsNil)
 				qt.Check(t, len(got), qt.Equals, size)
-				qt.Check(t, entry.Sendings(r.Steps), qt.Equals, test.sends)
+				qt.Check(t, entry.CountAttempts(r.Steps), qt.Equals, test.sends)
 				qt.Check(t, informs, qt.Equals, test.informs)
 			})
 		})
--- a/entry/parts.go
+++ b/entry/parts.go
@@ -50,7 +50,7 @@
 	ranks = slices.Compact(ranks)
 	parts := make(map[string]float64, len(config.Classes))
 	for _, c := range config.Classes {
-		parts[c.Name] = retry.PartOf(slices.Index(ranks, urgencyOf(c)), len(ranks), config.Retry.Reserve)
+		parts[c.Name] = retry.BudgetFraction(slices.Index(ranks, urgencyOf(c)), len(ranks), config.Retry.Reserve)
 	}
 	return parts
 }
--- a/entry/regions_test.go
+++ b/entry/regions_test.go
@@ -53,9 +53,9 @@
 				}
 				d.Region = "r0"
 				d.Hello = peer.Hello{Node: fmt.Sprint("node", round)}
-				d.Set(map[string]*entry.Service{"service": {Name: "service", Config: config.WithDefaults(), Members: members}})
+				d.SetServices(map[string]*entry.Service{"service": {Name: "service", Config: config.WithDefaults(), Members: members}})
 				q := &entry.Request{Service: "service", Target: "/", Idempotent: true, Regions: test.allowed, Deadline: time.Now().Add(5 * time.Second)}
-				d.Quarantine, q.Print = suspected(test.suspected)
+				d.Quarantine, q.Fingerprint = suspected(test.suspected)
 				result, failure := d.Do(context.Background(), q)
 				if test.want == "" {
 					qt.Assert(t, failure == nil, qt.IsTrue, qt.Commentf("%v", failure))
--- a/entry/request.go
+++ b/entry/request.go
@@ -30,7 +30,7 @@
 	Body []byte
 	// Kept is the body if it is sent on as it comes in, and kept so that it can be sent
 	// again.
-	Kept *spool.Body
+	Spooled *spool.Body
 	// Stream yields the body if it is very large. It is read at most once.
 	Stream io.Reader
 	// Length is the length of the body, or -1 if it is not known.
@@ -38,10 +38,10 @@
 	// Idempotent is whether running the request twice does no harm.
 	Idempotent bool
 	// Print tells the request from others.
-	Print quarantine.Fingerprint
+	Fingerprint quarantine.Fingerprint
 	// Attempts bounds the upstreams that the request is sent to. Zero means that
 	// the service's configuration says so.
-	Attempts int
+	MaxAttempts int
 	// Regions are those to whose nodes and upstreams the request may be sent, be it once
 	// more or alone. None means all.
 	Regions []string
@@ -50,7 +50,7 @@
 	// Deadline is when the answer must have begun.
 	Deadline time.Time
 	// Inform, if not nil, is called with informational answers.
-	Inform func(*peer.Inform)
+	OnInformational func(*peer.Inform)
 	// Steps are what was decided on the request. The Dispatcher adds to them until
 	// Do returns.
 	Steps []Step
@@ -67,11 +67,11 @@
 		Host:         r.Host,
 		Header:       r.Header,
 		Remaining:    time.Until(r.Deadline),
-		Streams:      r.Kept != nil || r.Stream != nil || len(r.Body) > InlineBody,
+		Streams:      r.Spooled != nil || r.Stream != nil || len(r.Body) > MaxInlineBodyBytes,
 		Ahead:        r.ahead(),
 		Length:       r.Length,
 		Try:          try,
-		Print:        r.Print,
+		Print:        r.Fingerprint,
 	}
 	if !c.Streams {
 		c.Body = r.Body
@@ -83,18 +83,18 @@
 // follows once the gate asks for it, which costs an exchange between
 // nodes, so that a call that is refused does not carry it in vain: a request of 60
 // KB that three gates refuse takes 150 ms of a link of 10 Mbit/s otherwise.
-const InlineBody = 8 << 10
+const MaxInlineBodyBytes = 8 << 10
 
 // ahead returns whether the body may be sent before the call is admitted: if it can be sent
 // again from its start where the call is refused after all.
 func (r *Request) ahead() bool {
-	return r.Length > InlineBody && r.Length <= peer.MaxAhead && r.Stream == nil
+	return r.Length > MaxInlineBodyBytes && r.Length <= peer.MaxAhead && r.Stream == nil
 }
 
 // crosses returns how many bytes of the body cross the link in their own frames, as far as
 // is known.
 func (r *Request) crosses() int64 {
-	if r.Length <= InlineBody {
+	if r.Length <= MaxInlineBodyBytes {
 		return 0
 	}
 	return r.Length
@@ -103,8 +103,8 @@
 // stream returns the body of a sending that follows the call.
 func (r *Request) stream() io.Reader {
 	switch {
-	case r.Kept != nil:
-		return r.Kept.Open()
+	case r.Spooled != nil:
+		return r.Spooled.Open()
 	case r.Stream != nil:
 		return streamOf(r.Stream)
 	}
@@ -119,7 +119,7 @@
 	// Zone is where it is.
 	Zone string
 	// Tries is the number of sendings, the first included.
-	Tries int
+	Attempts int
 
 	attempt *attempt
 }
--- a/entry/schedule_test.go
+++ b/entry/schedule_test.go
@@ -112,13 +112,13 @@
 	}
 	switch s.random.IntN(6) {
 	case 0:
-		d.size = s.random.IntN(entry.InlineBody)
+		d.size = s.random.IntN(entry.MaxInlineBodyBytes)
 	case 1:
 		d.size = s.random.IntN(peer.MaxAhead)
 	case 2:
 		d.size = s.random.IntN(360 << 10)
 	}
-	if d.size > entry.InlineBody && s.random.IntN(3) == 0 {
+	if d.size > entry.MaxInlineBodyBytes && s.random.IntN(3) == 0 {
 		d.slow = s.between(0, 2*time.Second)
 	}
 	if s.random.IntN(3) == 0 {
@@ -303,7 +303,7 @@
 	}
 	if d.slow > 0 {
 		const pieces = 20
-		d.Stream = entry.Once(&slowBody{left: d.size, piece: d.size/pieces + 1, pause: d.slow / pieces})
+		d.Stream = entry.ReadOnce(&slowBody{left: d.size, piece: d.size/pieces + 1, pause: d.slow / pieces})
 		d.Body = nil
 	}
 	d.sent = time.Now()
@@ -363,7 +363,7 @@
 		if len(s.stops) == 0 {
 			s.fail(d, "ends as %v, and nothing has stopped", d.failure)
 		}
-	case verdict.PeerLost, verdict.AnswerCut:
+	case verdict.PeerLost, verdict.AnswerTruncated:
 		if !s.proven(d) {
 			s.fail(d, "ends without proof as %v", d.failure)
 		}
@@ -470,7 +470,7 @@
 		fmt.Fprintf(b, "%s at %v for %v until %v, idempotent %v, %d bytes in %v, queue %v, work %v, answer %d: ended %v, answered %v, %v, runs %v\n",
 			d.Target, d.sent.Sub(s.began), d.allowed, d.Deadline.Sub(s.began), d.Idempotent, d.size, d.slow, d.queue, d.work, d.answer, d.ended.Sub(s.began), d.answered, d.failure, d.runs)
 		for _, step := range d.Steps {
-			fmt.Fprintf(b, "    %v %s %s %s %v\n", d.sent.Sub(s.began)+step.After, step.Event, step.Node, step.Cause, step.Reason)
+			fmt.Fprintf(b, "    %v %s %s %s %v\n", d.sent.Sub(s.began)+step.After, step.Event, step.Node, step.Cause, step.Err)
 		}
 	}
 	return b.String()
--- a/entry/second_test.go
+++ b/entry/second_test.go
@@ -51,7 +51,7 @@
 				}
 				fail = true
 				r := w.requestTo("/", test.idempotent)
-				r.Attempts = test.attempts
+				r.MaxAttempts = test.attempts
 				r.Deadline = time.Now().Add(20 * time.Second)
 				_, err := w.send(r)
 				qt.Check(t, err, qt.IsNotNil)
--- a/entry/silentlink_test.go
+++ b/entry/silentlink_test.go
@@ -114,7 +114,7 @@
 		Limits: limits,
 		Dial:   w.dials.dial(w.entry),
 	}
-	w.dispatcher.Set(map[string]*entry.Service{service.Name: service})
+	w.dispatcher.SetServices(map[string]*entry.Service{service.Name: service})
 	w.addStop(func() {
 		w.dispatcher.Close()
 		cancel()
--- a/entry/step.go
+++ b/entry/step.go
@@ -25,11 +25,11 @@
 	Candidate route.Candidate
 	Age       time.Duration
 	// Trial is whether that node's upstream is of a version on trial. It is set for EventSent.
-	Trial bool
+	Canary bool
 	// Cause is why a sending failed, and Reason what stands behind that, or nil. They are
 	// set for EventFailed.
-	Cause  verdict.Cause
-	Reason error
+	Cause verdict.Cause
+	Err   error
 }
 
 // The events that are steps of a request only.
@@ -40,11 +40,11 @@
 	EventSilent Event = "silent"
 	// EventAside is an error answer that is kept back while another upstream is
 	// asked.
-	EventAside Event = "answer set aside"
+	EventAnswerHeld Event = "answer set aside"
 )
 
 // Sendings returns how many of some steps are sendings of the request.
-func Sendings(steps []Step) (n int) {
+func CountAttempts(steps []Step) (n int) {
 	for _, s := range steps {
 		if s.Event == EventSent {
 			n++
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -29,7 +29,7 @@
 
 // Once returns a reader for Request.Stream. It lets the Dispatcher know whether
 // the body has been begun, after which the request can't be sent again.
-func Once(r io.Reader) io.Reader { return &onceReader{body: r} }
+func ReadOnce(r io.Reader) io.Reader { return &onceReader{body: r} }
 
 // Read implements io.Reader, for a single reader.
 func (r *onceReader) Read(p []byte) (int, error) { return r.view().Read(p) }
--- a/entry/stream_test.go
+++ b/entry/stream_test.go
@@ -15,7 +15,7 @@
 // TestBodyBelongsToOneSending has a first sending come late to the body, after
 // the request has been found fit to be sent again.
 func TestBodyBelongsToOneSending(t *testing.T) {
-	body := Once(strings.NewReader("whole"))
+	body := ReadOnce(strings.NewReader("whole"))
 	f := &flight{request: &Request{Stream: body}}
 	first := streamOf(body)
 	qt.Assert(t, f.repeatable(), qt.IsTrue)
--- a/entry/trial.go
+++ b/entry/trial.go
@@ -9,7 +9,7 @@
 // byTrial returns the members of a service by whether they are on trial.
 func byTrial(members []Member) (ordinary, onTrial []Member) {
 	for _, m := range members {
-		if m.Trial {
+		if m.Canary {
 			onTrial = append(onTrial, m)
 		} else {
 			ordinary = append(ordinary, m)
@@ -34,9 +34,9 @@
 	}
 	ordinary := func(id string) bool { return s.trial[id] }
 	onTrial := func(id string) bool { return !s.trial[id] }
-	trusted := s.TrialShare >= trustedShare
+	trusted := s.CanaryShare >= trustedShare
 	switch {
-	case (!again || trusted) && rand.Float64() < s.TrialShare:
+	case (!again || trusted) && rand.Float64() < s.CanaryShare:
 		return []func(id string) bool{onTrial, ordinary}
 	case trusted:
 		return []func(id string) bool{ordinary, onTrial}
--- a/entry/trial_test.go
+++ b/entry/trial_test.go
@@ -35,7 +35,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			s := &service{
-				Service: &Service{TrialShare: test.share},
+				Service: &Service{CanaryShare: test.share},
 				trial:   map[string]bool{"new": true},
 			}
 			var first, both float64
@@ -60,13 +60,13 @@
 func TestTrialSubset(t *testing.T) {
 	list := members(200)
 	for i := range 20 {
-		list[10*i].Trial = true
+		list[10*i].Canary = true
 	}
 	d := &Dispatcher{Hello: peer.Hello{Node: "n", Zone: "z0"}}
 	s := d.build(nil, &Service{Name: "s", Members: list})
 	count := make(map[bool]int)
 	for _, m := range s.chosen {
-		count[m.Trial]++
+		count[m.Canary]++
 	}
 	qt.Check(t, count, qt.DeepEquals, map[bool]int{true: subsetNear + subsetFar, false: subsetNear + subsetFar}, qt.Commentf(fmt.Sprint(s.chosen)))
 }
--- a/evacuation/evacuation_test.go
+++ b/evacuation/evacuation_test.go
@@ -67,7 +67,7 @@
 				API:  test.store,
 				Kind: "zone",
 				Found: func(items []*objectapi.Object, at objectapi.Point, _ bool) {
-					found = append(found, evacuation.Named(items, at))
+					found = append(found, evacuation.FromObjects(items, at))
 				},
 			}
 			for _, read := range []func(context.Context) error{r.First, r.Read} {
@@ -92,7 +92,7 @@
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, got, qt.DeepEquals, s)
 	qt.Check(t, got.Has("a") && got.Has("b") && !got.Has("c"), qt.IsTrue)
-	qt.Check(t, got.Same(evacuation.New(objectapi.Point{Revision: 1}, "a", "b")), qt.IsTrue)
+	qt.Check(t, got.SameZones(evacuation.New(objectapi.Point{Revision: 1}, "a", "b")), qt.IsTrue)
 	_, err = evacuation.Decode([]byte(`{"zones":7}`))
 	qt.Check(t, err, qt.IsNotNil)
 }
--- a/evacuation/set.go
+++ b/evacuation/set.go
@@ -24,7 +24,7 @@
 
 // Named returns the zones that objects read at a Point are named for. What an object says
 // beside its name does not count, so one that can't be decoded holds for its zone all the same.
-func Named(items []*objectapi.Object, at objectapi.Point) Set {
+func FromObjects(items []*objectapi.Object, at objectapi.Point) Set {
 	zones := make([]string, len(items))
 	for i, o := range items {
 		zones[i] = o.Metadata.Name
@@ -46,7 +46,7 @@
 func (s Set) Has(zone string) bool { return slices.Contains(s.Zones, zone) }
 
 // Same returns whether both have the same zones, whenever that was.
-func (s Set) Same(o Set) bool { return slices.Equal(s.Zones, o.Zones) }
+func (s Set) SameZones(o Set) bool { return slices.Equal(s.Zones, o.Zones) }
 
 // Encode returns s as JSON.
 func (s Set) Encode() []byte {
--- a/evacuation/state.go
+++ b/evacuation/state.go
@@ -10,7 +10,7 @@
 // copy, unless their operator writes them again, or removes them. Without it requests would
 // go to zones that are out of service for as long as the operator takes; what is not written
 // again by then was dropped.
-const RetainFor = 30 * time.Second
+const RetentionPeriod = 30 * time.Second
 
 // State is what one node knows of evacuated zones. The zero value knows of none. It is not
 // safe for use by several goroutines at once.
@@ -22,23 +22,23 @@
 }
 
 // Listed returns the latest Set that was read.
-func (s *State) Listed() Set { return s.listed }
+func (s *State) Latest() Set { return s.listed }
 
 // Take takes in a Set that is later than the one read before. If it is the first one of its
 // era, Take returns what was in force until now, which is to be retained.
-func (s *State) Take(n Set, now time.Time) (before Set, restored bool) {
+func (s *State) Update(n Set, now time.Time) (before Set, restored bool) {
 	if s.listed.At.Era < n.At.Era {
-		before, restored = s.InForce(now), s.listed.At.Revision > 0
+		before, restored = s.Active(now), s.listed.At.Revision > 0
 	}
 	s.listed = n
 	for _, zone := range n.Zones {
-		s.Stood(zone, n.At.Era)
+		s.MarkSeen(zone, n.At.Era)
 	}
 	return before, restored
 }
 
 // Stood takes in that a zone has stood on the platform in an era.
-func (s *State) Stood(zone string, era uint64) {
+func (s *State) MarkSeen(zone string, era uint64) {
 	if s.stood == nil {
 		s.stood = make(map[string]uint64)
 	}
@@ -47,7 +47,7 @@
 
 // WrittenAgain returns those of the zones to be retained that have stood on the platform in the
 // present era, sorted: a node that has not read them there must not retain them either.
-func (s *State) WrittenAgain() (zones []string) {
+func (s *State) SeenAgain() (zones []string) {
 	if s.before.At.Era >= s.listed.At.Era {
 		return nil
 	}
@@ -71,12 +71,12 @@
 	if seen.After(now) {
 		seen = now // the clock of another instance may be ahead
 	}
-	s.until = now.Add(RetainFor - now.Sub(seen))
+	s.until = now.Add(RetentionPeriod - now.Sub(seen))
 }
 
 // InForce returns the zones that are evacuated: those read last, and of those that were
 // before the platform came back from a copy the ones that have not stood there since.
-func (s *State) InForce(now time.Time) Set {
+func (s *State) Active(now time.Time) Set {
 	return New(s.listed.At, append(s.retained(now), s.listed.Zones...)...)
 }
 
--- a/evacuation/state_test.go
+++ b/evacuation/state_test.go
@@ -29,8 +29,8 @@
 	}{
 		"one era":                            {sets: []evacuation.Set{set(1, 5, "z"), set(1, 9)}},
 		"lost":                               {sets: []evacuation.Set{set(1, 900, "z"), set(2, 870)}, want: []string{"z"}},
-		"lost, and not written again":        {sets: []evacuation.Set{set(1, 900, "z"), set(2, 870)}, after: evacuation.RetainFor},
-		"just before it ends":                {sets: []evacuation.Set{set(1, 900, "z"), set(2, 870)}, after: evacuation.RetainFor - 1, want: []string{"z"}},
+		"lost, and not written again":        {sets: []evacuation.Set{set(1, 900, "z"), set(2, 870)}, after: evacuation.RetentionPeriod},
+		"just before it ends":                {sets: []evacuation.Set{set(1, 900, "z"), set(2, 870)}, after: evacuation.RetentionPeriod - 1, want: []string{"z"}},
 		"lost, and written again":            {sets: []evacuation.Set{set(1, 900, "z"), set(2, 870), set(2, 871, "z")}, after: time.Hour, want: []string{"z"}},
 		"written again and removed":          {sets: []evacuation.Set{set(1, 900, "z"), set(2, 870), set(2, 871, "z"), set(2, 872)}},
 		"in the copy, and removed":           {sets: []evacuation.Set{set(1, 900, "z"), set(2, 870, "z"), set(2, 871)}},
@@ -48,12 +48,12 @@
 			var s evacuation.State
 			for _, n := range test.sets {
 				now = now.Add(time.Second)
-				if before, restored := s.Take(n, now); restored {
+				if before, restored := s.Update(n, now); restored {
 					s.Retain(before, now, now)
 				}
 			}
-			got := s.InForce(now.Add(test.after))
-			qt.Check(t, got.Same(evacuation.New(objectapi.Point{}, test.want...)), qt.IsTrue, qt.Commentf("%v", got.Zones))
+			got := s.Active(now.Add(test.after))
+			qt.Check(t, got.SameZones(evacuation.New(objectapi.Point{}, test.want...)), qt.IsTrue, qt.Commentf("%v", got.Zones))
 			qt.Check(t, got.At, qt.Equals, test.sets[len(test.sets)-1].At)
 		})
 	}
@@ -67,21 +67,21 @@
 		seen time.Time
 		want time.Duration // for how long from now it is retained
 	}{
-		"just now":         {seen: now, want: evacuation.RetainFor},
-		"a while ago":      {seen: now.Add(-10 * time.Second), want: evacuation.RetainFor - 10*time.Second},
+		"just now":         {seen: now, want: evacuation.RetentionPeriod},
+		"a while ago":      {seen: now.Add(-10 * time.Second), want: evacuation.RetentionPeriod - 10*time.Second},
 		"long ago":         {seen: now.Add(-time.Hour)},
-		"by a clock ahead": {seen: now.Add(time.Hour), want: evacuation.RetainFor},
+		"by a clock ahead": {seen: now.Add(time.Hour), want: evacuation.RetentionPeriod},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			var s evacuation.State
 			s.Retain(set(1, 900, "z"), test.seen, now)
-			qt.Check(t, s.InForce(now).Zones, qt.HasLen, 0, qt.Commentf("before the era is known"))
-			_, restored := s.Take(set(2, 870), now)
+			qt.Check(t, s.Active(now).Zones, qt.HasLen, 0, qt.Commentf("before the era is known"))
+			_, restored := s.Update(set(2, 870), now)
 			qt.Check(t, restored, qt.IsFalse)
-			qt.Check(t, s.InForce(now.Add(test.want)).Has("z"), qt.IsFalse)
+			qt.Check(t, s.Active(now.Add(test.want)).Has("z"), qt.IsFalse)
 			if test.want > 0 {
-				qt.Check(t, s.InForce(now.Add(test.want-1)).Has("z"), qt.IsTrue)
+				qt.Check(t, s.Active(now.Add(test.want-1)).Has("z"), qt.IsTrue)
 			}
 		})
 	}
@@ -107,16 +107,16 @@
 			now := time.Unix(1e9, 0)
 			var s evacuation.State
 			if test.first {
-				s.Stood("z", test.era)
+				s.MarkSeen("z", test.era)
 			}
-			s.Take(set(2, 872), now)
+			s.Update(set(2, 872), now)
 			s.Retain(set(1, 900, "y", "z"), now, now)
 			if !test.first {
-				s.Stood("z", test.era)
+				s.MarkSeen("z", test.era)
 			}
-			s.Stood("x", test.era)
-			qt.Check(t, s.InForce(now).Zones, qt.DeepEquals, test.want)
-			qt.Check(t, s.WrittenAgain(), qt.DeepEquals, test.again)
+			s.MarkSeen("x", test.era)
+			qt.Check(t, s.Active(now).Zones, qt.DeepEquals, test.want)
+			qt.Check(t, s.SeenAgain(), qt.DeepEquals, test.again)
 		})
 	}
 }
