--- a/fair/flows.go
+++ b/fair/flows.go
@@ -76,7 +76,7 @@
 }
 
 // Reweigh takes in that weights may have changed.
-func (f *Flows) Reweigh() {
+func (f *Flows) UpdateWeights() {
 	f.weights = 0
 	for name, l := range f.list {
 		l.weight = f.weightOf(name)
@@ -118,7 +118,7 @@
 func (f *Flows) Len() int { return len(f.list) }
 
 // Waiting returns the number of organisations with waiting requests.
-func (f *Flows) Waiting() int {
+func (f *Flows) WaitingOrganisations() int {
 	var n int
 	for _, l := range f.active {
 		if l.waiting > 0 && l.name != "" {
@@ -129,7 +129,7 @@
 }
 
 // Restart forgets for how long requests have held slots, as the upstream has started anew.
-func (f *Flows) Restart() {
+func (f *Flows) ResetHoldTimes() {
 	for _, l := range f.list {
 		l.held = 0
 	}
@@ -150,7 +150,7 @@
 }
 
 // Wait takes in that a request waits.
-func (l *Flow) Wait() {
+func (l *Flow) Enqueue() {
 	if l.waiting == 0 {
 		l.start = max(l.flows.virtual, l.finish)
 	}
@@ -162,7 +162,7 @@
 }
 
 // Leave takes in that a request waits no more and has not run.
-func (l *Flow) Leave() {
+func (l *Flow) Cancel() {
 	l.waiting--
 	l.deactivate()
 }
@@ -194,7 +194,7 @@
 
 // Expected returns for how long its next request is expected to hold a slot, given what
 // is expected of those of all organisations.
-func (l *Flow) Expected(all time.Duration) time.Duration {
+func (l *Flow) ExpectedHoldTime(all time.Duration) time.Duration {
 	if l.held == 0 {
 		return all
 	}
@@ -227,7 +227,7 @@
 
 // Ahead returns the number of waiting requests that start up to and with its last one,
 // given that a request holds a slot for the given time.
-func (l *Flow) Ahead(each time.Duration) int {
+func (l *Flow) QueuePosition(each time.Duration) int {
 	n := l.waiting
 	rank := l.rank()
 	last := l.start + float64(l.waiting-1)*each.Seconds()/l.share()
--- a/fair/flows_test.go
+++ b/fair/flows_test.go
@@ -27,7 +27,7 @@
 	got := make(map[string]time.Duration)
 	now := began
 	for _, l := range flows {
-		l.Wait()
+		l.Enqueue()
 	}
 	for range turns {
 		var next string
@@ -38,7 +38,7 @@
 		}
 		l := flows[next]
 		l.Start(run)
-		l.Wait()
+		l.Enqueue()
 		now = now.Add(held[next])
 		l.End(run, held[next], now)
 		got[next] += held[next]
@@ -93,8 +93,8 @@
 				for o, slots := range test.asks {
 					if gap := int(run.Seconds() / slots * 1000); i%gap == 0 {
 						l := f.Flow(o, now)
-						got[o] = l.Ask(run, 10, now)
-						l.Wait()
+						got[o] = l.AddDemand(run, 10, now)
+						l.Enqueue()
 						l.Start(run)
 						l.End(run, run, now)
 					}
@@ -115,12 +115,12 @@
 		for _, o := range []string{"small", "big"} {
 			l := f.Flow(o, now)
 			for range map[string]int{"small": 1, "big": 4}[o] {
-				if l.Ask(run, 10, now) && o == "big" {
+				if l.AddDemand(run, 10, now) && o == "big" {
 					within++
 				}
 			}
 			if o == "small" {
-				l.Wait()
+				l.Enqueue()
 				l.Start(run)
 				l.End(run, run, now)
 			}
@@ -138,14 +138,14 @@
 	for i := range 10000 * 3 {
 		now := began.Add(time.Duration(i) * time.Second / perSecond)
 		l := f.Flow(fmt.Sprint(i%10000), now)
-		l.Ask(run, 10, now)
-		l.Wait()
+		l.AddDemand(run, 10, now)
+		l.Enqueue()
 		l.Start(run)
 		l.End(run, run, now)
 		most = max(most, f.Len())
 	}
 	qt.Check(t, most <= 10*perSecond+1, qt.IsTrue, qt.Commentf("%d", most))
-	qt.Check(t, f.Waiting(), qt.Equals, 0)
+	qt.Check(t, f.WaitingOrganisations(), qt.Equals, 0)
 }
 
 // TestAccounts draws what happens to requests, and checks the counts and that the time
@@ -162,11 +162,11 @@
 			l := f.Flow(name, now)
 			switch k := rapid.IntRange(0, 3).Draw(t, "what"); {
 			case k == 0 || k == 3:
-				l.Ask(run, 2, now)
-				l.Wait()
+				l.AddDemand(run, 2, now)
+				l.Enqueue()
 				waiting[name]++
 			case k == 1 && waiting[name] > 0:
-				l.Leave()
+				l.Cancel()
 				waiting[name]--
 			case k == 2 && waiting[name] > 0:
 				l.Start(run)
@@ -183,10 +183,10 @@
 					organisations++
 				}
 			}
-			if l.Waiting() != waiting[name] || f.Waiting() != organisations {
-				t.Fatalf("%d wait of %q and %d organisations, want %d and %d", l.Waiting(), name, f.Waiting(), waiting[name], organisations)
+			if l.Waiting() != waiting[name] || f.WaitingOrganisations() != organisations {
+				t.Fatalf("%d wait of %q and %d organisations, want %d and %d", l.Waiting(), name, f.WaitingOrganisations(), waiting[name], organisations)
 			}
-			if ahead := l.Ahead(run); waiting[name] > 0 && (ahead < waiting[name] || ahead > all) {
+			if ahead := l.QueuePosition(run); waiting[name] > 0 && (ahead < waiting[name] || ahead > all) {
 				t.Fatalf("%d are ahead of the last of %d, of %d", ahead, waiting[name], all)
 			}
 		}
@@ -207,8 +207,8 @@
 			for i := 0; b.Loop(); i++ {
 				now := began.Add(time.Duration(i) * time.Millisecond)
 				l := f.Flow(names[i%n], now)
-				l.Ask(run, math.MaxInt32, now)
-				l.Wait()
+				l.AddDemand(run, math.MaxInt32, now)
+				l.Enqueue()
 				l.Start(run)
 				l.End(run, run, now)
 			}
@@ -246,7 +246,7 @@
 			a, b := f.Flow("a", now), f.Flow("b", now)
 			for _, l := range []*fair.Flow{a, b} {
 				if l.Waiting() == 0 {
-					l.Wait()
+					l.Enqueue()
 				}
 			}
 			next := a
@@ -261,7 +261,7 @@
 	}
 	turns()
 	weights["a"] = 10
-	f.Reweigh()
+	f.UpdateWeights()
 	got := turns()
 	qt.Check(t, got["a"] >= 95, qt.IsTrue, qt.Commentf("%v", got))
 }
--- a/fair/level.go
+++ b/fair/level.go
@@ -36,7 +36,7 @@
 // so that what an organisation doesn't use of its part goes to the others. Where the slots
 // are too few for the spare requests alone, no organisation is the cause, and all are
 // treated alike. See D. Bertsekas and R. Gallager, Data Networks, 1992, section 6.5.2.
-func (l *Flow) Ask(expected time.Duration, slots float64, now time.Time) bool {
+func (l *Flow) AddDemand(expected time.Duration, slots float64, now time.Time) bool {
 	f := l.flows
 	l.fade(now)
 	l.each = expected.Seconds() / demandTime.Seconds()
--- a/follow/era.go
+++ b/follow/era.go
@@ -20,7 +20,7 @@
 
 // EraSeen takes in that the platform names an era. Restored is whether it had answered this
 // node before, in an earlier one.
-func (s *State) EraSeen(number uint64, restored bool, now time.Time) {
+func (s *State) ObserveEra(number uint64, restored bool, now time.Time) {
 	if number <= s.era.number {
 		return
 	}
@@ -31,7 +31,7 @@
 }
 
 // hear takes in the era that another node knows.
-func (e *era) hear(n News, now time.Time) {
+func (e *era) hear(n ReadStatus, now time.Time) {
 	rose := now.Add(-n.EraAge)
 	switch {
 	case n.Era < e.number:
@@ -60,11 +60,11 @@
 
 // EraRose returns when the present era was first seen by any node, or the zero time if none
 // has seen it rise.
-func (s *State) EraRose() time.Time { return s.era.rose }
+func (s *State) EraSeenAt() time.Time { return s.era.rose }
 
 // Rewritten returns whether operators have had the time to write again what the platform may
 // have lost. Before that, a read that does not find something does not confirm that it was
 // not written.
-func (s *State) Rewritten(now time.Time) bool {
+func (s *State) RewriteWindowElapsed(now time.Time) bool {
 	return s.era.rose.IsZero() || now.Sub(s.era.rose) >= rewriteFor
 }
--- a/follow/era_test.go
+++ b/follow/era_test.go
@@ -23,13 +23,13 @@
 func TestZonesOverEras(t *testing.T) {
 	now := origin
 	old, later := newState(now), newState(now)
-	old.ZonesInForce(objectapi.Point{Era: 1, Revision: 900})
-	old.Done(true, 0, now)
-	later.ZonesInForce(objectapi.Point{Era: 2, Revision: 870})
-	later.Done(true, 0, now)
-	qt.Check(t, old.Hear(later.Tell(now), now), qt.IsTrue, qt.Commentf("870 of the next era is later"))
-	qt.Check(t, later.Hear(old.Tell(now), now), qt.IsFalse)
-	later.ZonesInForce(objectapi.Point{Era: 1, Revision: 901})
+	old.SetZones(objectapi.Point{Era: 1, Revision: 900})
+	old.ReadDone(true, 0, now)
+	later.SetZones(objectapi.Point{Era: 2, Revision: 870})
+	later.ReadDone(true, 0, now)
+	qt.Check(t, old.Receive(later.Status(now), now), qt.IsTrue, qt.Commentf("870 of the next era is later"))
+	qt.Check(t, later.Receive(old.Status(now), now), qt.IsFalse)
+	later.SetZones(objectapi.Point{Era: 1, Revision: 901})
 	qt.Check(t, later.zones, qt.Equals, objectapi.Point{Era: 2, Revision: 870})
 }
 
@@ -38,32 +38,32 @@
 func TestEraByNews(t *testing.T) {
 	now := origin
 	first, second, late := newState(now), newState(now), newState(now)
-	first.EraSeen(4, false, now)
-	second.EraSeen(4, false, now)
-	qt.Check(t, first.Rewritten(now), qt.IsTrue, qt.Commentf("an era that was there at the start is none that rose"))
-	first.EraSeen(5, true, now)
-	qt.Check(t, first.Rewritten(now), qt.IsFalse)
-	qt.Check(t, first.EraRose(), qt.Equals, now)
+	first.ObserveEra(4, false, now)
+	second.ObserveEra(4, false, now)
+	qt.Check(t, first.RewriteWindowElapsed(now), qt.IsTrue, qt.Commentf("an era that was there at the start is none that rose"))
+	first.ObserveEra(5, true, now)
+	qt.Check(t, first.RewriteWindowElapsed(now), qt.IsFalse)
+	qt.Check(t, first.EraSeenAt(), qt.Equals, now)
 
 	now = now.Add(rewriteFor / 2)
-	second.Hear(first.Tell(now), now)
+	second.Receive(first.Status(now), now)
 	qt.Check(t, second.Era(), qt.Equals, uint64(5))
-	qt.Check(t, second.Rewritten(now), qt.IsFalse)
-	second.EraSeen(5, true, now)
-	qt.Check(t, second.EraRose(), qt.Equals, origin, qt.Commentf("the first to see it counts"))
+	qt.Check(t, second.RewriteWindowElapsed(now), qt.IsFalse)
+	second.ObserveEra(5, true, now)
+	qt.Check(t, second.EraSeenAt(), qt.Equals, origin, qt.Commentf("the first to see it counts"))
 
-	late.EraSeen(5, false, now)
-	qt.Check(t, late.Rewritten(now), qt.IsTrue, qt.Commentf("it can't know better"))
-	late.Hear(second.Tell(now), now)
-	qt.Check(t, late.Rewritten(now), qt.IsFalse)
-	second.Hear(News{Era: 4}, now)
+	late.ObserveEra(5, false, now)
+	qt.Check(t, late.RewriteWindowElapsed(now), qt.IsTrue, qt.Commentf("it can't know better"))
+	late.Receive(second.Status(now), now)
+	qt.Check(t, late.RewriteWindowElapsed(now), qt.IsFalse)
+	second.Receive(ReadStatus{Era: 4}, now)
 	qt.Check(t, second.Era(), qt.Equals, uint64(5))
 
 	now = now.Add(rewriteFor/2 - 1)
-	qt.Check(t, late.Rewritten(now), qt.IsFalse)
+	qt.Check(t, late.RewriteWindowElapsed(now), qt.IsFalse)
 	now = now.Add(1)
 	for _, s := range []*State{first, second, late} {
-		qt.Check(t, s.Rewritten(now), qt.IsTrue)
+		qt.Check(t, s.RewriteWindowElapsed(now), qt.IsTrue)
 	}
 }
 
--- a/follow/state.go
+++ b/follow/state.go
@@ -13,7 +13,7 @@
 )
 
 // News is what nodes tell each other of the latest reads of the configuration.
-type News struct {
+type ReadStatus struct {
 	// Round numbers the reads that the platform answered: a node that reads takes the
 	// number after the highest that it knows. The higher one is the later.
 	Round uint64 `msgpack:"round"`
@@ -98,11 +98,11 @@
 )
 
 // Place is a node's place among the others, as far as it knows.
-type Place struct {
+type Role struct {
 	// Leads is whether it is the leader, as far as it knows.
-	Leads bool
+	IsLeader bool
 	// Blind is whether it would be, had the platform answered it.
-	Blind bool
+	WouldLead bool
 	// Nodes is the number of live nodes.
 	Nodes int
 }
@@ -151,7 +151,7 @@
 
 // WatchFor returns how long a Watch is to stay open. A node that hears nobody watches
 // for longer each time: the platform tells it of a change at once.
-func (s *State) WatchFor() time.Duration {
+func (s *State) WatchTimeout() time.Duration {
 	d := s.part(leadPart)
 	for range s.alone - aloneReads {
 		d = min(2*d, s.part(alonePart))
@@ -160,13 +160,13 @@
 }
 
 // InForce takes in the version of the configuration that is in force now.
-func (s *State) InForce(version uint64) {
+func (s *State) SetVersion(version uint64) {
 	s.version = max(s.version, version)
 	s.refresh()
 }
 
 // ZonesInForce takes in the Point of the evacuated zones that are in force now.
-func (s *State) ZonesInForce(at objectapi.Point) {
+func (s *State) SetZones(at objectapi.Point) {
 	if s.zones.Less(at) {
 		s.zones = at
 	}
@@ -186,7 +186,7 @@
 
 // Hear takes in what another node told, and returns whether that node has a later
 // configuration, which is then to be fetched from it.
-func (s *State) Hear(n News, now time.Time) (behind bool) {
+func (s *State) Receive(n ReadStatus, now time.Time) (behind bool) {
 	s.alone = 0
 	s.era.hear(n, now)
 	if n.Failure > s.failure {
@@ -211,7 +211,7 @@
 
 // Done takes in the node's own read that ended now: whether the platform answered,
 // and how long ago what it said held.
-func (s *State) Done(answered bool, age time.Duration, now time.Time) {
+func (s *State) ReadDone(answered bool, age time.Duration, now time.Time) {
 	s.tried = now
 	s.failing = !answered
 	s.alone = min(s.alone+1, mostAlone)
@@ -234,8 +234,8 @@
 }
 
 // Tell returns what this node knows.
-func (s *State) Tell(now time.Time) News {
-	return News{
+func (s *State) Status(now time.Time) ReadStatus {
+	return ReadStatus{
 		Round:      s.round,
 		Version:    s.found,
 		Zones:      s.zonesAt,
@@ -250,17 +250,17 @@
 // Pass returns news to be told to others, once for each read. Those who hear of a
 // later configuration fetch it from this node, so there are none before it has that
 // itself.
-func (s *State) Pass(now time.Time) (News, bool) {
+func (s *State) PendingStatus(now time.Time) (ReadStatus, bool) {
 	if s.passed || !s.hasFound() {
-		return News{}, false
+		return ReadStatus{}, false
 	}
 	s.passed = true
-	return s.Tell(now), true
+	return s.Status(now), true
 }
 
 // Next returns what to do now, or until when to wait.
-func (s *State) Next(p Place, now time.Time) (Action, time.Time) {
-	p.Leads = p.Leads && p.Nodes > 1 && now.Sub(s.started) >= s.part(startPart)
+func (s *State) Next(p Role, now time.Time) (Action, time.Time) {
+	p.IsLeader = p.IsLeader && p.Nodes > 1 && now.Sub(s.started) >= s.part(startPart)
 	action, due := s.turn(p)
 	if !now.Before(due) {
 		return action, now
@@ -268,7 +268,7 @@
 	since := s.since()
 	ask := since.Add(s.part(askPart))
 	switch {
-	case p.Leads || p.Nodes < 2 || s.asked.Equal(since) || !ask.Before(due):
+	case p.IsLeader || p.Nodes < 2 || s.asked.Equal(since) || !ask.Before(due):
 		return Wait, due
 	case now.Before(ask):
 		return Wait, ask
@@ -278,8 +278,8 @@
 }
 
 // turn returns the node's own next read, and when it is due.
-func (s *State) turn(p Place) (Action, time.Time) {
-	if p.Leads && !s.away() {
+func (s *State) turn(p Role) (Action, time.Time) {
+	if p.IsLeader && !s.away() {
 		return Watch, s.tried.Add(s.part(s.pausePart()))
 	}
 	if s.alone >= aloneReads && !s.failing {
@@ -287,7 +287,7 @@
 	}
 	since := s.since()
 	due := since.Add(s.wait(since, p.Nodes))
-	if again := s.tried.Add(s.part(seeAgainPart)); p.Blind && again.Before(due) {
+	if again := s.tried.Add(s.part(seeAgainPart)); p.WouldLead && again.Before(due) {
 		due = again
 	}
 	if retry := s.tried.Add(s.part(s.pausePart())); retry.After(due) {
--- a/follow/system_test.go
+++ b/follow/system_test.go
@@ -97,7 +97,7 @@
 			version: 1,
 			inForce: map[uint64]time.Duration{1: 0},
 		}
-		n.InForce(1)
+		n.SetVersion(1)
 		for range min(contacts, nodes-1) {
 			n.others = append(n.others, s.random.IntN(nodes))
 		}
@@ -123,7 +123,7 @@
 		return
 	}
 	leads := n.id == s.leader || n.alone && n.id == 0 // who leads does not know that it is cut off
-	action, at := n.Next(Place{Leads: leads && !n.blind, Blind: n.blind, Nodes: len(s.nodes)}, s.clock())
+	action, at := n.Next(Role{IsLeader: leads && !n.blind, WouldLead: n.blind, Nodes: len(s.nodes)}, s.clock())
 	switch action {
 	case Wait:
 		wait := at.Sub(s.clock())
@@ -139,7 +139,7 @@
 		for range 2 {
 			other := s.other(n)
 			s.send(n, other, func() {
-				news := other.Tell(s.clock())
+				news := other.Status(s.clock())
 				s.send(other, n, func() { s.hear(n, other, news) })
 			})
 		}
@@ -148,7 +148,7 @@
 	case Read:
 		s.read(n, 0)
 	case Watch:
-		s.read(n, n.WatchFor())
+		s.read(n, n.WatchTimeout())
 	}
 }
 
@@ -183,9 +183,9 @@
 func (s *system) ended(n *node, answered bool, age time.Duration) {
 	n.busy = false
 	if answered {
-		n.EraSeen(s.era, s.era > 1, s.clock())
+		n.ObserveEra(s.era, s.era > 1, s.clock())
 	}
-	n.Done(answered, age, s.clock())
+	n.ReadDone(answered, age, s.clock())
 	if n.id == s.leader && !answered {
 		n.blind = true
 		s.after(200*time.Millisecond, s.elect)
@@ -226,7 +226,7 @@
 		n.version = version
 		n.inForce[version] = s.now
 	}
-	n.InForce(n.version)
+	n.SetVersion(n.version)
 }
 
 // other returns one of the nodes that n talks to. One that has been gone for a while
@@ -253,7 +253,7 @@
 }
 
 func (s *system) pass(n *node) {
-	news, ok := n.Pass(s.clock())
+	news, ok := n.PendingStatus(s.clock())
 	if !ok || len(n.others) == 0 {
 		return
 	}
@@ -263,8 +263,8 @@
 	}
 }
 
-func (s *system) hear(n, from *node, news News) {
-	if n.Hear(news, s.clock()) {
+func (s *system) hear(n, from *node, news ReadStatus) {
+	if n.Receive(news, s.clock()) {
 		s.send(n, from, func() {
 			version := from.version
 			s.send(from, n, func() {
@@ -383,7 +383,7 @@
 	for range nodes {
 		s := New(within, now, random)
 		for d := time.Duration(0); d < met; d += 10 * time.Millisecond {
-			if action, _ := s.Next(Place{Leads: true, Nodes: 1}, now.Add(d)); action != Wait {
+			if action, _ := s.Next(Role{IsLeader: true, Nodes: 1}, now.Add(d)); action != Wait {
 				reads++
 			}
 		}
@@ -391,9 +391,9 @@
 	qt.Check(t, reads, qt.Equals, 0)
 	alone := New(within, now, random)
 	for d := time.Duration(0); d < 10*time.Second; d += 10 * time.Millisecond {
-		if action, _ := alone.Next(Place{Leads: true, Nodes: 1}, now.Add(d)); action != Wait {
+		if action, _ := alone.Next(Role{IsLeader: true, Nodes: 1}, now.Add(d)); action != Wait {
 			reads++
-			alone.Done(true, 0, now.Add(d))
+			alone.ReadDone(true, 0, now.Add(d))
 		}
 	}
 	qt.Check(t, reads >= 5, qt.IsTrue, qt.Commentf("%d", reads))
--- a/freshness/bounds.go
+++ b/freshness/bounds.go
@@ -26,12 +26,12 @@
 }
 
 // Judgement is what is to be done with a request that shows a key.
-type Judgement int
+type KeyStatus int
 
 // The judgements.
 const (
 	// Valid means that the key is an organisation's, as far as the bounds want it known.
-	Valid Judgement = iota
+	Valid KeyStatus = iota
 	// Unknown means that no organisation has the key.
 	Unknown
 	// Stale means that the table is not known to be fresh enough to say either.
@@ -41,20 +41,20 @@
 // Bounds are how fresh a table has to be. A bound of zero is none.
 type Bounds struct {
 	// Revoke is the time after which a request whose key has been revoked is not taken.
-	Revoke time.Duration
+	MaxRevokeDelay time.Duration
 	// Apply is the time after which a request whose key has been added is not refused for
 	// that key.
-	Apply time.Duration
+	MaxApplyDelay time.Duration
 }
 
 // Judge returns what is to be done with a request whose key the table has, or has not.
-func (b Bounds) Judge(a Age, held bool) Judgement {
+func (b Bounds) Evaluate(a Age, held bool) KeyStatus {
 	switch {
-	case b.Revoke > 0 && !a.within(b.Revoke):
+	case b.MaxRevokeDelay > 0 && !a.within(b.MaxRevokeDelay):
 		return Stale
 	case held:
 		return Valid
-	case b.Revoke > 0 && b.Apply > 0 && !a.within(b.Apply):
+	case b.MaxRevokeDelay > 0 && b.MaxApplyDelay > 0 && !a.within(b.MaxApplyDelay):
 		return Stale
 	default:
 		return Unknown
--- a/freshness/state.go
+++ b/freshness/state.go
@@ -43,21 +43,21 @@
 type Proofs struct {
 	// Held is the latest proof for the version in force, and Ahead the latest one for a
 	// version that the node does not have yet.
-	Held, Ahead Proof
+	Current, Ahead Proof
 }
 
 // latest returns the later of the proofs.
 func (p Proofs) latest() Proof {
-	if p.Ahead.laterThan(p.Held) {
+	if p.Ahead.laterThan(p.Current) {
 		return p.Ahead
 	}
-	return p.Held
+	return p.Current
 }
 
 // Age returns for how long a table with the version may have been out of date.
 func (p Proofs) Age(version uint64, now time.Duration) Age {
 	best := Proof{}
-	for _, q := range []Proof{p.Held, p.Ahead} {
+	for _, q := range []Proof{p.Current, p.Ahead} {
 		if q.known() && q.Version <= version && q.laterThan(best) {
 			best = q
 		}
@@ -69,7 +69,7 @@
 }
 
 // Told is what a node tells another of its latest proof, by its own clock.
-type Told struct {
+type Message struct {
 	// Clock identifies the clock, which is one process's.
 	Clock uint64 `msgpack:"clock"`
 	// Now is its reading when this was told.
@@ -116,7 +116,7 @@
 func (s *State) Proofs() Proofs { return s.proofs }
 
 // InForce takes in the version that is in force now.
-func (s *State) InForce(version uint64) {
+func (s *State) SetVersion(version uint64) {
 	s.inForce = max(s.inForce, version)
 	if s.proofs.Ahead.known() && s.proofs.Ahead.Version <= s.inForce {
 		ahead := s.proofs.Ahead
@@ -127,7 +127,7 @@
 
 // Read takes in a read that the platform answered, which was sent at the given time, after
 // what it found is in force.
-func (s *State) Read(sent time.Duration) {
+func (s *State) ObserveRead(sent time.Duration) {
 	s.take(Proof{
 		Version: s.inForce,
 		At:      sent,
@@ -136,7 +136,7 @@
 
 // take takes in a proof.
 func (s *State) take(p Proof) {
-	held := &s.proofs.Held
+	held := &s.proofs.Current
 	if p.Version > s.inForce {
 		held = &s.proofs.Ahead
 	}
@@ -146,9 +146,9 @@
 }
 
 // Tell returns what to tell another node.
-func (s *State) Tell(now time.Duration) Told {
+func (s *State) Message(now time.Duration) Message {
 	latest := s.proofs.latest()
-	return Told{
+	return Message{
 		Clock:   s.clock,
 		Now:     now,
 		Version: latest.Version,
@@ -158,7 +158,7 @@
 
 // Hear takes in what another node told. It returns false if that node is to be asked, as
 // the offset of its clock is not known, or not well any more.
-func (s *State) Hear(t Told, now time.Duration) (known bool) {
+func (s *State) Receive(t Message, now time.Duration) (known bool) {
 	if t.Clock == 0 || t.Clock == s.clock {
 		return true // a node that knows of no proofs, or this one
 	}
@@ -176,7 +176,7 @@
 }
 
 // Answered takes in a reply to a question that was asked at the given time.
-func (s *State) Answered(asked time.Duration, t Told, now time.Duration) {
+func (s *State) ReceiveReply(asked time.Duration, t Message, now time.Duration) {
 	if t.Clock == 0 || t.Clock == s.clock {
 		return
 	}
@@ -188,7 +188,7 @@
 		s.forgetOldest()
 		s.offsets[t.Clock] = learnt
 	}
-	s.Hear(t, now)
+	s.Receive(t, now)
 }
 
 // forgetOldest makes room for another offset.
--- a/freshness/state_test.go
+++ b/freshness/state_test.go
@@ -22,13 +22,13 @@
 }
 
 // tell returns what it tells at a moment by the tested node's clock.
-func (t *teller) tell(now time.Duration) freshness.Told { return t.Tell(now + t.ahead) }
+func (t *teller) tell(now time.Duration) freshness.Message { return t.Message(now + t.ahead) }
 
 // newTeller returns a node that has a version, read at a moment by the tested node's clock.
 func newTeller(ahead time.Duration, version uint64, read time.Duration) *teller {
 	t := &teller{State: freshness.New(), ahead: ahead}
-	t.InForce(version)
-	t.Read(read + ahead)
+	t.SetVersion(version)
+	t.ObserveRead(read + ahead)
 	return t
 }
 
@@ -43,70 +43,70 @@
 	}{
 		"nothing": {func(*freshness.State) {}, 0},
 		"own read": {func(s *freshness.State) {
-			s.Read(9 * time.Second)
+			s.ObserveRead(9 * time.Second)
 		}, time.Second},
 		"an earlier read answered later": {func(s *freshness.State) {
-			s.Read(9 * time.Second)
-			s.Read(8 * time.Second)
+			s.ObserveRead(9 * time.Second)
+			s.ObserveRead(8 * time.Second)
 		}, time.Second},
 		"told by a clock that is not known": {func(s *freshness.State) {
 			o := newTeller(ahead, 5, 9*time.Second)
-			qt.Check(t, s.Hear(o.tell(9500*ms), 9600*ms), qt.IsFalse)
+			qt.Check(t, s.Receive(o.tell(9500*ms), 9600*ms), qt.IsFalse)
 		}, 0},
 		"told in a reply": {func(s *freshness.State) {
 			o := newTeller(ahead, 5, 9*time.Second)
-			s.Answered(9400*ms, o.tell(9500*ms), 9600*ms)
+			s.ReceiveReply(9400*ms, o.tell(9500*ms), 9600*ms)
 		}, 1100 * ms},
 		"the reply was delayed": {func(s *freshness.State) {
 			o := newTeller(ahead, 5, 1*time.Second)
-			s.Answered(1400*ms, o.tell(1500*ms), 9600*ms)
+			s.ReceiveReply(1400*ms, o.tell(1500*ms), 9600*ms)
 		}, 9100 * ms},
 		"the question was delayed": {func(s *freshness.State) {
 			o := newTeller(ahead, 5, 9*time.Second)
-			s.Answered(2*time.Second, o.tell(9500*ms), 9600*ms)
+			s.ReceiveReply(2*time.Second, o.tell(9500*ms), 9600*ms)
 		}, 8500 * ms},
 		"a known clock, the news was delayed": {func(s *freshness.State) {
 			o := newTeller(ahead, 5, 1*time.Second)
-			s.Answered(1990*ms, o.tell(2*time.Second), 2010*ms)
-			o.Read(3*time.Second + ahead)
+			s.ReceiveReply(1990*ms, o.tell(2*time.Second), 2010*ms)
+			o.ObserveRead(3*time.Second + ahead)
 			late := o.tell(3100 * ms)
-			qt.Check(t, s.Hear(late, 9900*ms), qt.IsTrue)
+			qt.Check(t, s.Receive(late, 9900*ms), qt.IsTrue)
 		}, 7010 * ms},
 		"the teller froze before it sent": {func(s *freshness.State) {
 			o := newTeller(ahead, 5, 1*time.Second)
-			s.Answered(1990*ms, o.tell(2*time.Second), 2010*ms)
-			qt.Check(t, s.Hear(o.tell(9*time.Second), 9900*ms), qt.IsTrue)
+			s.ReceiveReply(1990*ms, o.tell(2*time.Second), 2010*ms)
+			qt.Check(t, s.Receive(o.tell(9*time.Second), 9900*ms), qt.IsTrue)
 		}, 9010 * ms},
 		"a later proof of a later version": {func(s *freshness.State) {
-			s.Read(2 * time.Second)
+			s.ObserveRead(2 * time.Second)
 			o := newTeller(ahead, 6, 9*time.Second)
-			s.Answered(9400*ms, o.tell(9500*ms), 9600*ms)
+			s.ReceiveReply(9400*ms, o.tell(9500*ms), 9600*ms)
 		}, 8 * time.Second},
 		"an earlier version read elsewhere": {func(s *freshness.State) {
 			o := newTeller(ahead, 4, 9*time.Second)
-			s.Answered(9500*ms, o.tell(9500*ms), 9600*ms)
+			s.ReceiveReply(9500*ms, o.tell(9500*ms), 9600*ms)
 		}, time.Second},
 		"a moment that the teller has not seen": {func(s *freshness.State) {
 			o := newTeller(ahead, 5, 9*time.Second)
 			told := o.tell(9 * time.Second)
 			told.At += time.Minute
-			s.Answered(9*time.Second, told, 9100*ms)
+			s.ReceiveReply(9*time.Second, told, 9100*ms)
 		}, 0},
 		"another start of the teller": {func(s *freshness.State) {
 			o := newTeller(ahead, 5, 1*time.Second)
-			s.Answered(1990*ms, o.tell(2*time.Second), 2010*ms)
+			s.ReceiveReply(1990*ms, o.tell(2*time.Second), 2010*ms)
 			again := newTeller(-ahead, 5, 9*time.Second)
-			qt.Check(t, s.Hear(again.tell(9*time.Second), 9*time.Second), qt.IsFalse)
+			qt.Check(t, s.Receive(again.tell(9*time.Second), 9*time.Second), qt.IsFalse)
 		}, 9010 * ms},
 		"a node that tells of no proof": {func(s *freshness.State) {
-			qt.Check(t, s.Hear(freshness.Told{}, 9*time.Second), qt.IsTrue)
-			s.Answered(9*time.Second, freshness.Told{}, 9*time.Second)
-			s.Answered(9*time.Second, freshness.New().Tell(9*time.Second), 9*time.Second)
+			qt.Check(t, s.Receive(freshness.Message{}, 9*time.Second), qt.IsTrue)
+			s.ReceiveReply(9*time.Second, freshness.Message{}, 9*time.Second)
+			s.ReceiveReply(9*time.Second, freshness.New().Message(9*time.Second), 9*time.Second)
 		}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := freshness.New()
-			s.InForce(5)
+			s.SetVersion(5)
 			row.do(s)
 			age := s.Proofs().Age(5, 10*time.Second)
 			qt.Assert(t, age.Known, qt.Equals, row.want > 0, qt.Commentf("%v", age))
@@ -123,14 +123,14 @@
 // and that of the version before until then.
 func TestAhead(t *testing.T) {
 	s := freshness.New()
-	s.InForce(5)
-	s.Read(time.Second)
+	s.SetVersion(5)
+	s.ObserveRead(time.Second)
 	o := newTeller(0, 6, 3*time.Second)
-	s.Answered(4*time.Second, o.tell(4*time.Second), 4*time.Second)
+	s.ReceiveReply(4*time.Second, o.tell(4*time.Second), 4*time.Second)
 	qt.Check(t, s.Proofs().Age(5, 5*time.Second).Time, qt.Equals, 4*time.Second)
 	qt.Check(t, s.Proofs().Age(6, 5*time.Second).Time < 2100*ms, qt.IsTrue)
 	qt.Check(t, s.Proofs().Age(4, 5*time.Second).Known, qt.IsFalse)
-	s.InForce(6)
+	s.SetVersion(6)
 	qt.Check(t, s.Proofs().Age(6, 5*time.Second).Time < 2100*ms, qt.IsTrue)
 	qt.Check(t, s.Proofs().Age(5, 5*time.Second).Known, qt.IsFalse, qt.Commentf("traffic sees 6 by then"))
 }
@@ -138,7 +138,7 @@
 // TestManyClocks hears more clocks than are kept.
 func TestManyClocks(t *testing.T) {
 	s := freshness.New()
-	s.InForce(1)
+	s.SetVersion(1)
 	var first *teller
 	for i := range 1000 {
 		now := time.Duration(i) * ms
@@ -146,33 +146,33 @@
 		if first == nil {
 			first = o
 		}
-		s.Answered(now, o.tell(now), now)
-		qt.Assert(t, s.Hear(o.tell(now), now), qt.IsTrue)
+		s.ReceiveReply(now, o.tell(now), now)
+		qt.Assert(t, s.Receive(o.tell(now), now), qt.IsTrue)
 	}
-	qt.Check(t, s.Hear(first.tell(time.Second), time.Second), qt.IsFalse)
+	qt.Check(t, s.Receive(first.tell(time.Second), time.Second), qt.IsFalse)
 }
 
 // TestRenewal asks again for a clock that has been known for long.
 func TestRenewal(t *testing.T) {
 	s := freshness.New()
-	s.InForce(1)
+	s.SetVersion(1)
 	o := newTeller(time.Minute, 1, 0)
-	s.Answered(time.Second, o.tell(time.Second), time.Second)
-	qt.Check(t, s.Hear(o.tell(10*time.Second), 10*time.Second), qt.IsTrue)
-	qt.Check(t, s.Hear(o.tell(40*time.Second), 40*time.Second), qt.IsFalse)
-	s.Answered(40*time.Second, o.tell(40*time.Second), 40*time.Second)
-	qt.Check(t, s.Hear(o.tell(50*time.Second), 50*time.Second), qt.IsTrue)
+	s.ReceiveReply(time.Second, o.tell(time.Second), time.Second)
+	qt.Check(t, s.Receive(o.tell(10*time.Second), 10*time.Second), qt.IsTrue)
+	qt.Check(t, s.Receive(o.tell(40*time.Second), 40*time.Second), qt.IsFalse)
+	s.ReceiveReply(40*time.Second, o.tell(40*time.Second), 40*time.Second)
+	qt.Check(t, s.Receive(o.tell(50*time.Second), 50*time.Second), qt.IsTrue)
 }
 
 // TestJudge has the bounds.
 func TestJudge(t *testing.T) {
 	age := func(d time.Duration) freshness.Age { return freshness.Age{Known: true, Time: d} }
-	strict := freshness.Bounds{Revoke: 5 * time.Second, Apply: 2 * time.Second}
+	strict := freshness.Bounds{MaxRevokeDelay: 5 * time.Second, MaxApplyDelay: 2 * time.Second}
 	for name, row := range map[string]struct {
 		bounds freshness.Bounds
 		age    freshness.Age
 		held   bool
-		want   freshness.Judgement
+		want   freshness.KeyStatus
 	}{
 		"fresh, held":                  {strict, age(time.Second), true, freshness.Valid},
 		"fresh, not held":              {strict, age(time.Second), false, freshness.Unknown},
@@ -183,12 +183,12 @@
 		"beyond the bound":             {strict, age(6 * time.Second), true, freshness.Stale},
 		"never confirmed, held":        {strict, freshness.Age{}, true, freshness.Stale},
 		"never confirmed, not held":    {strict, freshness.Age{}, false, freshness.Stale},
-		"no bound on additions":        {freshness.Bounds{Revoke: 5 * time.Second}, age(time.Second), false, freshness.Unknown},
+		"no bound on additions":        {freshness.Bounds{MaxRevokeDelay: 5 * time.Second}, age(time.Second), false, freshness.Unknown},
 		"not strict, held":             {freshness.Bounds{}, freshness.Age{}, true, freshness.Valid},
 		"not strict, not held":         {freshness.Bounds{}, freshness.Age{}, false, freshness.Unknown},
 	} {
 		t.Run(name, func(t *testing.T) {
-			qt.Check(t, row.bounds.Judge(row.age, row.held), qt.Equals, row.want)
+			qt.Check(t, row.bounds.Evaluate(row.age, row.held), qt.Equals, row.want)
 		})
 	}
 	qt.Check(t, age(1234567*time.Microsecond).String(), qt.Equals, "1234 ms")
@@ -266,8 +266,8 @@
 		found := uint64(len(d.acks))
 		d.flying = append(d.flying, func() {
 			n.version = max(n.version, found)
-			n.InForce(n.version)
-			n.Read(sent)
+			n.SetVersion(n.version)
+			n.ObserveRead(sent)
 		})
 	})
 }
@@ -275,11 +275,11 @@
 // tell has a node tell another, which may fetch the table later or never.
 func (d *drawn) tell(t *rapid.T) {
 	n, to := d.nodes[d.index(t)], d.nodes[d.index(t)]
-	told, version := n.Tell(n.clock(d.now)), n.version
-	d.flying = append(d.flying, func() { to.Hear(told, to.clock(d.now)) })
+	told, version := n.Message(n.clock(d.now)), n.version
+	d.flying = append(d.flying, func() { to.Receive(told, to.clock(d.now)) })
 	d.flying = append(d.flying, func() {
 		to.version = max(to.version, version)
-		to.InForce(to.version)
+		to.SetVersion(to.version)
 	})
 }
 
@@ -288,8 +288,8 @@
 	n, other := d.nodes[d.index(t)], d.nodes[d.index(t)]
 	asked := n.clock(d.now)
 	d.flying = append(d.flying, func() {
-		told := other.Tell(other.clock(d.now))
-		d.flying = append(d.flying, func() { n.Answered(asked, told, n.clock(d.now)) })
+		told := other.Message(other.clock(d.now))
+		d.flying = append(d.flying, func() { n.ReceiveReply(asked, told, n.clock(d.now)) })
 	})
 }
 
--- a/gate/admission.go
+++ b/gate/admission.go
@@ -47,13 +47,13 @@
 // the upstream has just slowed down, which its sender could not know. A call that
 // comes from elsewhere already is taken as it is.
 func (g *Gate) slowed(ctx context.Context, in *peer.Inbound) *verdict.Error {
-	if g.Ask == nil || in.Call.Try != 1 {
+	if g.ProbeLoad == nil || in.Call.Try != 1 {
 		return nil
 	}
-	if g.admit.Observed() > freshSpeed {
-		g.Ask(ctx)
+	if g.admit.SlowdownAge() > freshSpeed {
+		g.ProbeLoad(ctx)
 	}
-	if !g.admit.JustSlowed(newsTime) {
+	if !g.admit.SlowedWithin(newsTime) {
 		return nil
 	}
 	return verdict.New(verdict.Slowed, nil)
--- a/gate/ahead.go
+++ b/gate/ahead.go
@@ -20,7 +20,7 @@
 		c.in.OnRevoke(t.Revoke)
 		return t, t.Wait(ctx)
 	}
-	t := c.gate.admit.Expect(m.Organisation, m.Class, c.in.Deadline(), c.in.Coming())
+	t := c.gate.admit.EnterPendingBody(m.Organisation, m.Class, c.in.Deadline(), c.in.Coming())
 	receiving, stop := context.WithCancel(ctx)
 	defer stop()
 	c.in.OnRevoke(func() bool {
@@ -39,9 +39,9 @@
 		return t, verdict.New(verdict.Revoked, err)
 	}
 	c.arrived = took
-	if c.gate.Received != nil {
-		c.gate.Received(m.Service, m.Class, m.Length, took)
+	if c.gate.BodyReceived != nil {
+		c.gate.BodyReceived(m.Service, m.Class, m.Length, took)
 	}
-	t.Arrive()
+	t.BodyArrived()
 	return t, t.Wait(ctx)
 }
--- a/gate/ahead_test.go
+++ b/gate/ahead_test.go
@@ -44,14 +44,14 @@
 	}{
 		"comes": {meanwhile: func(_ *rig, _ *peer.Exchange, _ *io.PipeWriter) {}},
 		"upstream starts again": {meanwhile: func(r *rig, _ *peer.Exchange, _ *io.PipeWriter) {
-			r.gate.Announce(&upstream.Announcement{Service: "service", Address: r.address, Slots: 1, Connections: 1, Start: "two"})
+			r.gate.SetAnnouncement(&upstream.Announcement{Service: "service", Address: r.address, Slots: 1, Connections: 1, StartID: "two"})
 		}},
 		"breaks":                 {meanwhile: func(_ *rig, _ *peer.Exchange, w *io.PipeWriter) { w.CloseWithError(io.ErrUnexpectedEOF) }, want: verdict.BadRequest},
 		"call revoked":           {meanwhile: func(_ *rig, x *peer.Exchange, _ *io.PipeWriter) { x.Revoke(); <-x.Ready() }, want: verdict.Revoked},
-		"zone evacuated":         {meanwhile: func(r *rig, _ *peer.Exchange, _ *io.PipeWriter) { r.gate.Evacuate(true) }, want: verdict.Draining},
-		"node leaves":            {meanwhile: func(r *rig, _ *peer.Exchange, _ *io.PipeWriter) { r.gate.Leave() }, want: verdict.Draining},
+		"zone evacuated":         {meanwhile: func(r *rig, _ *peer.Exchange, _ *io.PipeWriter) { r.gate.SetEvacuated(true) }, want: verdict.Draining},
+		"node leaves":            {meanwhile: func(r *rig, _ *peer.Exchange, _ *io.PipeWriter) { r.gate.Drain() }, want: verdict.Draining},
 		"connection is lost":     {meanwhile: func(r *rig, _ *peer.Exchange, _ *io.PipeWriter) { r.client.Close() }, want: verdict.NotWritten},
-		"upstream goes":          {meanwhile: func(r *rig, _ *peer.Exchange, _ *io.PipeWriter) { r.gate.Announce(nil) }, want: verdict.Misrouted},
+		"upstream goes":          {meanwhile: func(r *rig, _ *peer.Exchange, _ *io.PipeWriter) { r.gate.SetAnnouncement(nil) }, want: verdict.Misrouted},
 		"nobody wants an answer": {meanwhile: func(_ *rig, x *peer.Exchange, _ *io.PipeWriter) { x.Close() }},
 	}
 	for name, test := range tests {
--- a/gate/call.go
+++ b/gate/call.go
@@ -35,7 +35,7 @@
 	waited time.Duration
 	// arrived is how long the body took to arrive, if it was sent ahead.
 	arrived time.Duration
-	body    *quarantine.Body // that passes through, if the entry has not gathered it
+	body    *quarantine.BodyHasher // that passes through, if the entry has not gathered it
 }
 
 // guarded does what run does, and has the call fail if that panics: a fault that one request
@@ -58,7 +58,7 @@
 // run handles the call up to the end of its answer, or returns why there is
 // none, or why it is cut.
 func (c *call) run(ctx context.Context) *verdict.Error {
-	if failure := c.gate.Quarantine.Judge(c.in.Call.Print).Failure(); failure != nil {
+	if failure := c.gate.Quarantine.Assess(c.in.Call.Print).Failure(); failure != nil {
 		return failure
 	}
 	ticket, b, failure := c.admit(ctx)
@@ -94,7 +94,7 @@
 	defer rejoin()
 	b.start.calls.Add(1)
 	defer b.start.calls.Add(-1)
-	run := c.track(b, judgment.Standing == quarantine.Isolated)
+	run := c.track(b, judgment.State == quarantine.Isolated)
 	defer run.End()
 	r, err := c.request(ctx, b)
 	if err != nil {
@@ -111,7 +111,7 @@
 			abandoned = ctx.Err() != nil
 		}
 		if failure.Cause == verdict.UpstreamRefused {
-			ticket.Refused()
+			ticket.UpstreamRefused()
 		}
 		c.judge(b, failure, time.Since(began))
 		c.gate.sendFailed(b, failure)
@@ -157,17 +157,17 @@
 	known := failure == nil
 	if failure != nil {
 		switch failure.Cause {
-		case verdict.UpstreamLost, verdict.UpstreamRefused, verdict.AnswerSpoilt, verdict.AnswerInvalid, verdict.AnswerCut:
+		case verdict.UpstreamLost, verdict.UpstreamRefused, verdict.AnswerMalformed, verdict.AnswerInvalid, verdict.AnswerTruncated:
 			failed, known = true, true
 		case verdict.UpstreamDialFailed, verdict.NotWritten, verdict.WrongUpstream, verdict.Draining, verdict.Refused:
 			return // nothing ran
 		}
 	}
 	if known {
-		c.gate.admit.Ran(failed)
+		c.gate.admit.RecordResult(failed)
 	}
-	if c.gate.Ran != nil {
-		c.gate.Ran(c.in.Call.Class, known && failed, took)
+	if c.gate.RequestCompleted != nil {
+		c.gate.RequestCompleted(c.in.Call.Class, known && failed, took)
 	}
 }
 
@@ -191,8 +191,8 @@
 	remaining := max(1, time.Until(c.in.Deadline()).Milliseconds())
 	names := c.gate.Names.OrDefault()
 	r.Header.Set(names.Timeout, strconv.FormatInt(remaining, 10))
-	if names.Expected != "" {
-		r.Header.Set(names.Expected, b.announcement.Start)
+	if names.ExpectedInstance != "" {
+		r.Header.Set(names.ExpectedInstance, b.announcement.StartID)
 	}
 	if m.Length != 0 {
 		r.Body = io.NopCloser(c.reader())
@@ -268,17 +268,17 @@
 	a.Body = data
 	if err != nil && c.gate.Names.Signature != "" {
 		// Nothing of the answer has gone on yet: another upstream may give one.
-		return verdict.New(verdict.AnswerSpoilt, err)
+		return verdict.New(verdict.AnswerMalformed, err)
 	}
 	if err != nil {
 		// The whole head and what there is of the body go on, and then the cut.
 		_ = c.in.Begin(a)
-		return verdict.As(err, verdict.AnswerCut)
+		return verdict.As(err, verdict.AnswerTruncated)
 	}
 	ended()
 	a.Trailer = httpfield.From(r.Trailer)
 	if c.in.Reply(a) != nil {
-		return verdict.New(verdict.AnswerCut, nil)
+		return verdict.New(verdict.AnswerTruncated, nil)
 	}
 	return nil
 }
@@ -286,15 +286,15 @@
 // stream passes on an answer that is large or of unknown length.
 func (c *call) stream(r *http.Response, a *peer.Answer, ended func()) *verdict.Error {
 	if err := c.in.Begin(a); err != nil {
-		return verdict.As(err, verdict.AnswerCut)
+		return verdict.As(err, verdict.AnswerTruncated)
 	}
 	if err := c.in.CopyBody(r.Body); err != nil {
-		return verdict.As(err, verdict.AnswerCut)
+		return verdict.As(err, verdict.AnswerTruncated)
 	}
 	ended()
 	trailer := httpfield.From(r.Trailer)
 	if len(trailer) > peer.MaxFields || c.in.Finish(trailer) != nil {
-		return verdict.New(verdict.AnswerCut, nil)
+		return verdict.New(verdict.AnswerTruncated, nil)
 	}
 	return nil
 }
--- a/gate/evacuate_test.go
+++ b/gate/evacuate_test.go
@@ -42,7 +42,7 @@
 	for r.gate.Load().Waiting == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	r.gate.Evacuate(true)
+	r.gate.SetEvacuated(true)
 	refused := func(failure *verdict.Error) {
 		t.Helper()
 		qt.Assert(t, failure != nil, qt.IsTrue)
@@ -55,7 +55,7 @@
 	qt.Check(t, <-first == nil, qt.IsTrue)
 	refused(r.call("service", time.Minute))
 	qt.Check(t, runs.Load(), qt.Equals, int32(1))
-	r.gate.Evacuate(false)
+	r.gate.SetEvacuated(false)
 	qt.Check(t, r.call("service", time.Minute) == nil, qt.IsTrue)
 	qt.Check(t, runs.Load(), qt.Equals, int32(2))
 }
@@ -71,7 +71,7 @@
 			<-goOn
 		}
 	})
-	r.gate.Announce(&upstream.Announcement{Service: "service", Address: r.address, Slots: 2, Connections: 1, Start: "one"})
+	r.gate.SetAnnouncement(&upstream.Announcement{Service: "service", Address: r.address, Slots: 2, Connections: 1, StartID: "one"})
 	config := operator.Service{}.WithDefaults()
 	r.gate.Configure(&config)
 	// Of two connections the transport opens one at a time where it may have one only, and
@@ -89,7 +89,7 @@
 		}
 		done <- failure
 	}()
-	r.gate.Evacuate(true)
+	r.gate.SetEvacuated(true)
 	close(body)
 	close(goOn)
 	failure := <-done
@@ -139,7 +139,7 @@
 			if test.configured {
 				r.gate.Configure(&config)
 			}
-			r.gate.Announce(&upstream.Announcement{Service: "service", Address: r.address, Slots: calls, Connections: calls, Start: "one", Cold: test.cold})
+			r.gate.SetAnnouncement(&upstream.Announcement{Service: "service", Address: r.address, Slots: calls, Connections: calls, StartID: "one", ColdRemaining: test.cold})
 			if !test.configured {
 				r.gate.Configure(&config)
 			}
@@ -176,9 +176,9 @@
 			r := newRig(t, calls, func(http.ResponseWriter, *http.Request) { runs.Add(1) })
 			config := operator.Service{Cold: test.cold, Queue: operator.Queue{Length: calls, Wait: operator.Duration(10 * time.Millisecond)}}.WithDefaults()
 			r.gate.Configure(&config)
-			r.gate.Announce(&upstream.Announcement{Service: "service", Address: r.address, Slots: calls, Connections: calls, Start: "new"})
+			r.gate.SetAnnouncement(&upstream.Announcement{Service: "service", Address: r.address, Slots: calls, Connections: calls, StartID: "new"})
 			if test.warm {
-				r.gate.Cold(0)
+				r.gate.SetColdRemaining(0)
 			}
 			done := make(chan *verdict.Error, calls)
 			for range calls {
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -34,57 +34,57 @@
 	// Started is when the process started.
 	Started time.Time
 	// Names are the header fields that the upstream uses.
-	Names upstream.Names
+	Names upstream.FieldNames
 	// Weight, if not nil, returns the part of the slots that an organisation gets beside
 	// others.
 	Weight func(organisation string) float64
 	// Failed, if not nil, is called when a call shows that the announced upstream
 	// is not there: it can't be reached, or another has its address.
-	Failed func(a *upstream.Announcement, failure *verdict.Error)
+	UpstreamUnreachable func(a *upstream.Announcement, failure *verdict.Error)
 	// Ask, if not nil, asks the upstream for its present speed and returns when it
 	// has answered, or soon in any case.
-	Ask func(ctx context.Context)
+	ProbeLoad func(ctx context.Context)
 	// Tell, if not nil, sends a report to all nodes that send calls here. It is
 	// called when the upstream's speed has changed.
-	Tell func(*peer.Report)
+	BroadcastReport func(*peer.Report)
 	// Inflow, if not nil, returns how fast bodies come in to this node, as in peer.Server.
 	Inflow func() (rate float64, backlog int)
 	// Reports says when a load report goes to which node. Nil means never.
 	Reports *watch.Pacer[string]
 	// Refused, if not nil, is called with each call that ends without an answer,
 	// with the load at that moment, how long it waited for a slot and how long all took.
-	Refused func(c *peer.Call, from string, failure *verdict.Error, load admit.Report, waited, took time.Duration)
+	CallFailed func(c *peer.Call, from string, failure *verdict.Error, load admit.Report, waited, took time.Duration)
 	// Panicked, if not nil, is called when the handling of a call panics, with the stack.
 	Panicked func(c *peer.Call, value any, stack []byte)
 	// Quarantine, if not nil, knows the requests that end upstreams.
 	Quarantine *quarantine.Index
 	// Cleared, if not nil, is called when a suspected request has run to its end.
-	Cleared func(p quarantine.Fingerprint)
+	SuspectCleared func(p quarantine.Fingerprint)
 	// Gone, if not nil, is called when an upstream has ended without leave, with the
 	// requests that it may have ended under, without those that are answered there all
 	// the time, and the one of them that was isolated and never answered, or zero. It is
 	// not called where no request was at hand.
-	Gone func(a *upstream.Announcement, prints []quarantine.Fingerprint, alone quarantine.Fingerprint)
+	UpstreamCrashed func(a *upstream.Announcement, prints []quarantine.Fingerprint, alone quarantine.Fingerprint)
 	// Received, if not nil, is called when the body of a call that was sent ahead of its
 	// admission is there.
-	Received func(service, class string, bytes int64, took time.Duration)
+	BodyReceived func(service, class string, bytes int64, took time.Duration)
 	// Ran, if not nil, is called with each request that the upstream has answered or failed,
 	// with whether it failed it and how long that took.
-	Ran func(class string, failed bool, took time.Duration)
+	RequestCompleted func(class string, failed bool, took time.Duration)
 	// Noticed, if not nil, is called when what the upstream says of the requests that it wants
 	// has changed, and Unreadable with why that can't be read.
-	Noticed    func(Standing)
-	Unreadable func(start string, reason error)
+	NoticeChanged func(NoticeState)
+	NoticeInvalid func(start string, reason error)
 	// Left, if not nil, is called when a start of an upstream has said that it leaves.
-	Left func(start string, born int64)
+	UpstreamLeaving func(start string, born int64)
 	// Ended, if not nil, is called at the end of each call.
-	Ended func(service, class string, failure *verdict.Error, waited, took time.Duration)
+	CallEnded func(service, class string, failure *verdict.Error, waited, took time.Duration)
 
 	admit    admit.Gate
-	sending  cold.Limit
+	sending  cold.Limiter
 	current  atomic.Pointer[binding]
 	isolated sync.Mutex // held by the isolated request that runs
-	answers  quarantine.Answers
+	answers  quarantine.AnswerCounter
 	written  atomic.Uint64 // requests, so far
 
 	mu      sync.Mutex
@@ -120,13 +120,13 @@
 }
 
 // Announce takes in an announcement, or the withdrawal of one if a is nil.
-func (g *Gate) Announce(a *upstream.Announcement) {
+func (g *Gate) SetAnnouncement(a *upstream.Announcement) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	old := g.current.Load()
 	if a == nil {
 		g.current.Store(nil)
-		if g.latest != nil && g.latest.Start == "" {
+		if g.latest != nil && g.latest.StartID == "" {
 			g.forgetNotices() // the next one can't be told from it
 		}
 		g.update()
@@ -143,7 +143,7 @@
 	g.latest = a
 	if old != nil && old.transport != b.transport {
 		if old.start != b.start {
-			old.transport.Probe()
+			old.transport.ProbeBusyConns()
 			g.replaced(old)
 		}
 		old.transport.Resize(old.announcement.Connections, 0)
@@ -152,8 +152,8 @@
 		g.startCold(a, first)
 		g.admit.Restart()
 		g.told = 0
-		if g.Tell != nil {
-			go g.Tell(g.Report()) // peers go by what the start before has told
+		if g.BroadcastReport != nil {
+			go g.BroadcastReport(g.Report()) // peers go by what the start before has told
 		}
 	}
 }
@@ -174,17 +174,17 @@
 		return b
 	}
 	b.transport = &upstream.Transport{
-		Addr:        a.Address,
-		Connections: a.Connections,
-		Warm:        min(a.Slots, a.Connections),
-		Names:       g.Names.OrDefault(),
-		Observed: func(l upstream.Load) {
+		Addr:         a.Address,
+		MaxConns:     a.Connections,
+		MaxIdleConns: min(a.Slots, a.Connections),
+		Names:        g.Names.OrDefault(),
+		LoadReported: func(l upstream.Load) {
 			if g.present(b) {
-				g.Observe(l)
+				g.ObserveLoad(l)
 			}
 		},
-		Noticed: func(n upstream.Notice) { g.Notice(a.Start, n) },
-		Permit:  g.permit,
+		NoticeReceived: func(n upstream.Notice) { g.HandleNotice(a.StartID, n) },
+		Permit:         g.permit,
 	}
 	return b
 }
@@ -193,9 +193,9 @@
 const tellRatio = 1.3
 
 // Observe takes in the load that the upstream tells.
-func (g *Gate) Observe(l upstream.Load) {
-	g.admit.Observe(l.Slowdown)
-	if g.Tell == nil {
+func (g *Gate) ObserveLoad(l upstream.Load) {
+	g.admit.ObserveSlowdown(l.Slowdown)
+	if g.BroadcastReport == nil {
 		return
 	}
 	g.mu.Lock()
@@ -206,7 +206,7 @@
 	}
 	g.mu.Unlock()
 	if changed {
-		go func() { g.Tell(g.Report()) }() // answers wait for Observe
+		go func() { g.BroadcastReport(g.Report()) }() // answers wait for Observe
 	}
 }
 
@@ -226,11 +226,11 @@
 	if b != nil && g.service != nil {
 		limits = limitsOf(*g.service).WithSlots(g.usableSlots(b.announcement))
 		limits.Weight = g.Weight
-		g.admit.Pace.Set(g.service.Cold.Pace)
-		g.sending.Set(g.service.Cold.Most)
+		g.admit.ColdLimiter.SetLimit(g.service.Cold.Pace)
+		g.sending.SetLimit(g.service.Cold.Most)
 		g.firstStart()
 	}
-	g.admit.Set(limits)
+	g.admit.SetLimits(limits)
 	if g.leaving || g.emptied || g.withheld || g.departing || b != nil && b.announcement.Draining {
 		g.admit.Drain()
 	} else {
@@ -254,24 +254,24 @@
 		classes[i] = admit.Class{
 			Name:      c.Name,
 			Weight:    c.Weight,
-			Share:     c.MaxShare,
+			MaxShare:  c.MaxShare,
 			Priority:  c.Priority,
-			Wait:      c.Wait.Std(),
+			MaxWait:   c.Wait.Std(),
 			Objective: c.Objective.Std(),
 		}
 	}
 	return admit.Limits{
-		QueueLength: s.Queue.Length,
-		QueueWait:   s.Queue.Wait.Std(),
-		SlowStart:   s.Queue.SlowStart.Std(),
-		Hold:        s.Queue.Hold,
-		Adaptive:    s.Queue.Adaptive == nil || *s.Queue.Adaptive,
+		QueueLength:   s.Queue.Length,
+		QueueWait:     s.Queue.Wait.Std(),
+		SlowStart:     s.Queue.SlowStart.Std(),
+		HoldWhileSlow: s.Queue.Hold,
+		Adaptive:      s.Queue.Adaptive == nil || *s.Queue.Adaptive,
 	}.WithClasses(classes...)
 }
 
 // Leave refuses all new calls from now on. The returned channel is closed once
 // no request runs at the upstream.
-func (g *Gate) Leave() <-chan struct{} {
+func (g *Gate) Drain() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.leaving = true
@@ -295,13 +295,13 @@
 	if failure != nil {
 		in.Notice = g.notice()
 		in.Fail(failure, g.reportFor(in.From.Node))
-		if g.Refused != nil {
-			g.Refused(in.Call, in.From.Node, failure, g.admit.Report(), c.waited, time.Since(began))
+		if g.CallFailed != nil {
+			g.CallFailed(in.Call, in.From.Node, failure, g.admit.Report(), c.waited, time.Since(began))
 		}
 	}
 	tracing.End(span, c.status, failure)
-	if g.Ended != nil {
-		g.Ended(in.Call.Service, in.Call.Class, failure, c.waited, time.Since(began))
+	if g.CallEnded != nil {
+		g.CallEnded(in.Call.Service, in.Call.Class, failure, c.waited, time.Since(began))
 	}
 }
 
@@ -340,7 +340,7 @@
 	case failure.Cause == verdict.WrongUpstream || errors.Is(failure, syscall.ECONNREFUSED):
 		g.gone(b)
 	}
-	if g.Failed != nil && tellsOfAbsence(failure) {
-		g.Failed(b.announcement, failure)
+	if g.UpstreamUnreachable != nil && tellsOfAbsence(failure) {
+		g.UpstreamUnreachable(b.announcement, failure)
 	}
 }
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -45,8 +45,8 @@
 	r := &rig{back: back, address: back.Listener.Addr().String()}
 	r.gate = &gate.Gate{
 		Tracer:  noop.NewTracerProvider().Tracer(""),
-		Reports: &watch.Pacer[string]{Budget: watch.NewBudget(1<<20, 1), Size: 1},
-		Ended: func(_, _ string, failure *verdict.Error, _, _ time.Duration) {
+		Reports: &watch.Pacer[string]{Budget: watch.NewBudget(1<<20, 1), MessageBytes: 1},
+		CallEnded: func(_, _ string, failure *verdict.Error, _, _ time.Duration) {
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			if failure == nil {
@@ -58,7 +58,7 @@
 	}
 	config := operator.Service{Queue: operator.Queue{Length: 1, Wait: operator.Duration(50 * time.Millisecond)}}.WithDefaults()
 	r.gate.Configure(&config)
-	r.gate.Announce(&upstream.Announcement{Service: "service", Address: back.Listener.Addr().String(), Slots: slots, Connections: slots})
+	r.gate.SetAnnouncement(&upstream.Announcement{Service: "service", Address: back.Listener.Addr().String(), Slots: slots, Connections: slots})
 	r.serve(t)
 	t.Cleanup(func() {
 		back.CloseClientConnections()
@@ -106,8 +106,8 @@
 // call fails as one that may have run, its slot is free again, and the gate goes on.
 func TestPanic(t *testing.T) {
 	tests := map[string]func(g *gate.Gate, fault func()){
-		"before it is sent": func(g *gate.Gate, fault func()) { g.Ask = func(context.Context) { fault() } },
-		"with its answer":   func(g *gate.Gate, fault func()) { g.Cleared = func(quarantine.Fingerprint) { fault() } },
+		"before it is sent": func(g *gate.Gate, fault func()) { g.ProbeLoad = func(context.Context) { fault() } },
+		"with its answer":   func(g *gate.Gate, fault func()) { g.SuspectCleared = func(quarantine.Fingerprint) { fault() } },
 	}
 	for name, fault := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -171,11 +171,11 @@
 		t.Run(name, func(t *testing.T) {
 			var failed atomic.Int32
 			r := newRig(t, 4, func(http.ResponseWriter, *http.Request) {})
-			r.gate = &gate.Gate{Tracer: r.gate.Tracer, Failed: func(*upstream.Announcement, *verdict.Error) { failed.Add(1) }}
+			r.gate = &gate.Gate{Tracer: r.gate.Tracer, UpstreamUnreachable: func(*upstream.Announcement, *verdict.Error) { failed.Add(1) }}
 			r.serve(t)
 			config := operator.Service{}.WithDefaults()
 			r.gate.Configure(&config)
-			r.gate.Announce(&upstream.Announcement{Service: "service", Address: r.address, Slots: 4, Connections: 4, Start: "one"})
+			r.gate.SetAnnouncement(&upstream.Announcement{Service: "service", Address: r.address, Slots: 4, Connections: 4, StartID: "one"})
 			qt.Assert(t, r.call("service", time.Minute) == nil, qt.IsTrue, qt.Commentf("a connection is kept"))
 			asked := make(chan struct{})
 			r.gate.Tracer = beforeSending{Tracer: r.gate.Tracer, do: func(ctx context.Context) {
@@ -213,13 +213,13 @@
 	}{
 		"runs":                  {ran: true},
 		"another service":       {service: "other", want: verdict.Misrouted},
-		"withdrawn":             {before: func(g *gate.Gate) { g.Announce(nil) }, want: verdict.Misrouted},
+		"withdrawn":             {before: func(g *gate.Gate) { g.SetAnnouncement(nil) }, want: verdict.Misrouted},
 		"not configured":        {before: func(g *gate.Gate) { g.Configure(nil) }, want: verdict.Misrouted},
-		"leaving":               {before: func(g *gate.Gate) { g.Leave() }, want: verdict.Draining},
+		"leaving":               {before: func(g *gate.Gate) { g.Drain() }, want: verdict.Draining},
 		"no time left":          {remaining: -1, want: verdict.DeadlinePassed},
 		"upstream moved away":   {before: func(g *gate.Gate) { move(g, false) }, want: verdict.UpstreamDialFailed},
 		"upstream drains":       {before: func(g *gate.Gate) { move(g, true) }, want: verdict.Draining},
-		"left, and called late": {before: func(g *gate.Gate) { <-g.Leave() }, want: verdict.Draining},
+		"left, and called late": {before: func(g *gate.Gate) { <-g.Drain() }, want: verdict.Draining},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -260,7 +260,7 @@
 
 // move announces an address where nobody listens.
 func move(g *gate.Gate, draining bool) {
-	g.Announce(&upstream.Announcement{Service: "service", Address: "127.0.0.1:1", Slots: 1, Connections: 1, Draining: draining})
+	g.SetAnnouncement(&upstream.Announcement{Service: "service", Address: "127.0.0.1:1", Slots: 1, Connections: 1, Draining: draining})
 }
 
 // TestSlotsAreExact sends many calls at once to an upstream of three slots.
@@ -321,14 +321,14 @@
 		qt.Assert(t, r.call("service", time.Second) == nil, qt.IsTrue)
 	}
 	before := r.gate.Load()
-	qt.Check(t, before.Failing, qt.Equals, 0.0)
+	qt.Check(t, before.FailureRatio, qt.Equals, 0.0)
 	failing.Store(true)
 	for range 10 {
 		qt.Assert(t, r.call("service", time.Second) == nil, qt.IsTrue)
 	}
 	after := r.gate.Load()
-	qt.Check(t, after.Failing > 0.3, qt.IsTrue, qt.Commentf("%v", after.Failing))
-	qt.Check(t, after.Service, qt.Equals, before.Service)
+	qt.Check(t, after.FailureRatio > 0.3, qt.IsTrue, qt.Commentf("%v", after.FailureRatio))
+	qt.Check(t, after.ServiceTime, qt.Equals, before.ServiceTime)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	qt.Check(t, r.loads[10].Failing > 0, qt.IsTrue, qt.Commentf("the answer itself tells of it"))
@@ -341,9 +341,9 @@
 	r := newRig(t, 4, func(http.ResponseWriter, *http.Request) {})
 	var asked atomic.Int32
 	slowdown := 1.0
-	r.gate.Ask = func(context.Context) {
+	r.gate.ProbeLoad = func(context.Context) {
 		asked.Add(1)
-		r.gate.Observe(upstream.Load{Slowdown: slowdown})
+		r.gate.ObserveLoad(upstream.Load{Slowdown: slowdown})
 	}
 	call := func(try int) verdict.Cause {
 		x, failure := r.client.Start(context.Background(), &peer.Call{Service: "service", Method: "GET", Target: "/", Remaining: time.Second, Try: try}, nil)
@@ -378,14 +378,14 @@
 		first, second upstream.Announcement
 		ends          bool // whether the first start does
 	}{
-		"under its id":                  {upstream.Announcement{Start: "i-1", Born: 1000}, upstream.Announcement{Start: "i-1", Born: 2000}, true},
-		"under another id":              {upstream.Announcement{Start: "i-1"}, upstream.Announcement{Start: "i-2"}, true},
-		"under its id, and it goes on":  {upstream.Announcement{Start: "i-1", Born: 1000}, upstream.Announcement{Start: "i-1", Born: 2000}, false},
-		"under another id, and goes on": {upstream.Announcement{Start: "i-1"}, upstream.Announcement{Start: "i-2"}, false},
-		"after a drain":                 {upstream.Announcement{Start: "i-1", Born: 1000, Draining: true}, upstream.Announcement{Start: "i-1", Born: 2000}, false},
-		"no, it tells its birth":        {upstream.Announcement{Start: "i-1"}, upstream.Announcement{Start: "i-1", Born: 2000}, false},
-		"no, it only drains":            {upstream.Announcement{Start: "i-1", Born: 1000}, upstream.Announcement{Start: "i-1", Born: 1000, Draining: true}, false},
-		"no, it has another size":       {upstream.Announcement{Start: "i-1", Born: 1000}, upstream.Announcement{Start: "i-1", Born: 1000, Slots: 8}, false},
+		"under its id":                  {upstream.Announcement{StartID: "i-1", StartMillis: 1000}, upstream.Announcement{StartID: "i-1", StartMillis: 2000}, true},
+		"under another id":              {upstream.Announcement{StartID: "i-1"}, upstream.Announcement{StartID: "i-2"}, true},
+		"under its id, and it goes on":  {upstream.Announcement{StartID: "i-1", StartMillis: 1000}, upstream.Announcement{StartID: "i-1", StartMillis: 2000}, false},
+		"under another id, and goes on": {upstream.Announcement{StartID: "i-1"}, upstream.Announcement{StartID: "i-2"}, false},
+		"after a drain":                 {upstream.Announcement{StartID: "i-1", StartMillis: 1000, Draining: true}, upstream.Announcement{StartID: "i-1", StartMillis: 2000}, false},
+		"no, it tells its birth":        {upstream.Announcement{StartID: "i-1"}, upstream.Announcement{StartID: "i-1", StartMillis: 2000}, false},
+		"no, it only drains":            {upstream.Announcement{StartID: "i-1", StartMillis: 1000}, upstream.Announcement{StartID: "i-1", StartMillis: 1000, Draining: true}, false},
+		"no, it has another size":       {upstream.Announcement{StartID: "i-1", StartMillis: 1000}, upstream.Announcement{StartID: "i-1", StartMillis: 1000, Slots: 8}, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -399,12 +399,12 @@
 				a.Address = r.address
 				a.Slots = max(4, a.Slots)
 				a.Connections = a.Slots
-				r.gate.Announce(&a)
+				r.gate.SetAnnouncement(&a)
 			}
 			running := test.first
 			running.Draining = false
 			announce(running)
-			r.gate.Observe(upstream.Load{Running: 1, Slots: 4, Slowdown: 4})
+			r.gate.ObserveLoad(upstream.Load{Running: 1, Slots: 4, Slowdown: 4})
 			ended := make(chan *verdict.Error, 1)
 			go func() { ended <- r.call("service", 5*time.Second) }()
 			<-inside
@@ -412,7 +412,7 @@
 				announce(test.first)
 			}
 			announce(test.second)
-			restarted := test.first.Start != test.second.Start || test.first.Born != 0 && test.first.Born != test.second.Born
+			restarted := test.first.StartID != test.second.StartID || test.first.StartMillis != 0 && test.first.StartMillis != test.second.StartMillis
 			if test.ends {
 				r.back.CloseClientConnections()
 				failure := <-ended
@@ -430,8 +430,8 @@
 			}
 			report := r.gate.Load()
 			qt.Check(t, report.Slowdown, qt.Equals, 1.0)
-			qt.Check(t, report.Failing, qt.Equals, 0.0)
-			qt.Check(t, report.Service, qt.Equals, time.Duration(0))
+			qt.Check(t, report.FailureRatio, qt.Equals, 0.0)
+			qt.Check(t, report.ServiceTime, qt.Equals, time.Duration(0))
 		})
 	}
 }
--- a/gate/goeson_test.go
+++ b/gate/goeson_test.go
@@ -22,34 +22,34 @@
 // learns meanwhile: it may refuse others by that, and end none.
 func TestRunsGoOn(t *testing.T) {
 	announced := func(address string) upstream.Announcement {
-		return upstream.Announcement{Service: "service", Address: address, Slots: 4, Connections: 4, Start: "one"}
+		return upstream.Announcement{Service: "service", Address: address, Slots: 4, Connections: 4, StartID: "one"}
 	}
 	events := map[string]func(g *gate.Gate, a upstream.Announcement){
-		"the node leaves":          func(g *gate.Gate, _ upstream.Announcement) { g.Leave() },
-		"the zone is evacuated":    func(g *gate.Gate, _ upstream.Announcement) { g.Evacuate(true) },
-		"the version is withheld":  func(g *gate.Gate, _ upstream.Announcement) { g.Withhold(true) },
-		"it is withdrawn":          func(g *gate.Gate, _ upstream.Announcement) { g.Announce(nil) },
+		"the node leaves":          func(g *gate.Gate, _ upstream.Announcement) { g.Drain() },
+		"the zone is evacuated":    func(g *gate.Gate, _ upstream.Announcement) { g.SetEvacuated(true) },
+		"the version is withheld":  func(g *gate.Gate, _ upstream.Announcement) { g.SetVersionWithheld(true) },
+		"it is withdrawn":          func(g *gate.Gate, _ upstream.Announcement) { g.SetAnnouncement(nil) },
 		"its service is withdrawn": func(g *gate.Gate, _ upstream.Announcement) { g.Configure(nil) },
 		"it says in an answer that it leaves": func(g *gate.Gate, a upstream.Announcement) {
-			g.Notice(a.Start, upstream.Notice{Leaving: true, Asked: time.Now()})
+			g.HandleNotice(a.StartID, upstream.Notice{Leaving: true, SentAt: time.Now()})
 		},
 		"it names a limit of none": func(g *gate.Gate, a upstream.Announcement) {
-			g.Notice(a.Start, upstream.Notice{Limited: true, Asked: time.Now()})
+			g.HandleNotice(a.StartID, upstream.Notice{Limited: true, SentAt: time.Now()})
 		},
-		"it drains":          func(g *gate.Gate, a upstream.Announcement) { a.Draining = true; g.Announce(&a) },
-		"it has fewer slots": func(g *gate.Gate, a upstream.Announcement) { a.Slots, a.Connections = 1, 1; g.Announce(&a) },
+		"it drains":          func(g *gate.Gate, a upstream.Announcement) { a.Draining = true; g.SetAnnouncement(&a) },
+		"it has fewer slots": func(g *gate.Gate, a upstream.Announcement) { a.Slots, a.Connections = 1, 1; g.SetAnnouncement(&a) },
 		"it has another address": func(g *gate.Gate, a upstream.Announcement) {
 			a.Address = "127.0.0.1:1"
-			g.Announce(&a)
+			g.SetAnnouncement(&a)
 		},
-		"it is of another service": func(g *gate.Gate, a upstream.Announcement) { a.Service = "other"; g.Announce(&a) },
+		"it is of another service": func(g *gate.Gate, a upstream.Announcement) { a.Service = "other"; g.SetAnnouncement(&a) },
 		"another start, and back": func(g *gate.Gate, a upstream.Announcement) {
 			b := a
-			b.Start = "two"
-			g.Announce(&b)
-			g.Announce(&a)
+			b.StartID = "two"
+			g.SetAnnouncement(&b)
+			g.SetAnnouncement(&a)
 		},
-		"it turns cold": func(g *gate.Gate, _ upstream.Announcement) { g.ColdAtLeast(time.Minute) },
+		"it turns cold": func(g *gate.Gate, _ upstream.Announcement) { g.ExtendColdStart(time.Minute) },
 	}
 	for name, event := range events {
 		for _, begun := range []bool{false, true} {
@@ -72,7 +72,7 @@
 					_, _ = io.WriteString(w, "gun")
 				})
 				a := announced(r.address)
-				r.gate.Announce(&a)
+				r.gate.SetAnnouncement(&a)
 				x, failure := r.client.Start(context.Background(), &peer.Call{Service: "service", Method: "POST", Target: "/", Remaining: time.Minute}, nil)
 				qt.Assert(t, failure == nil, qt.IsTrue)
 				defer x.Close()
--- a/gate/gone.go
+++ b/gate/gone.go
@@ -17,8 +17,8 @@
 // track records that the call is sent to its upstream, and whether it is isolated.
 func (c *call) track(b *binding, isolated bool) *quarantine.Run {
 	print := c.in.Call.Print
-	if !print.Known() && c.in.Call.Streams {
-		c.body = &quarantine.Body{
+	if !print.Complete() && c.in.Call.Streams {
+		c.body = &quarantine.BodyHasher{
 			Reader: c.in.Body(),
 		}
 	}
@@ -32,7 +32,7 @@
 		return
 	}
 	defer b.start.looking.Store(false)
-	if err := b.transport.Reach(context.Background()); errors.Is(err, syscall.ECONNREFUSED) {
+	if err := b.transport.CheckReachable(context.Background()); errors.Is(err, syscall.ECONNREFUSED) {
 		g.gone(b)
 	}
 }
@@ -40,27 +40,27 @@
 // gone tells that an upstream has ended, with the requests that it may have ended under.
 // One that drains, or that has left, ends as it was to.
 func (g *Gate) gone(b *binding) {
-	if g.Gone == nil || g.current.Load() == nil || b.start.drained.Load() {
+	if g.UpstreamCrashed == nil || g.current.Load() == nil || b.start.drained.Load() {
 		return
 	}
 	atHand, alone := b.start.running.Take()
 	if len(atHand) == 0 {
 		return
 	}
-	suspects, blamed := g.answers.Ended(atHand, alone)
-	g.Gone(b.announcement, suspects, blamed)
+	suspects, blamed := g.answers.Suspects(atHand, alone)
+	g.UpstreamCrashed(b.announcement, suspects, blamed)
 }
 
 // answered takes in that a request has run to its end here. A suspected one is cleared by
 // that, also if it began before anything was known of it: what ends upstreams is never
 // answered.
 func (g *Gate) answered(p quarantine.Fingerprint) {
-	if !p.Known() {
+	if !p.Complete() {
 		return
 	}
 	g.answers.Add(p)
-	if g.Cleared != nil && g.Quarantine.Judge(p).Ends > 0 {
-		g.Cleared(p)
+	if g.SuspectCleared != nil && g.Quarantine.Assess(p).Crashes > 0 {
+		g.SuspectCleared(p)
 	}
 }
 
@@ -71,12 +71,12 @@
 // isolate returns the standing of a request that is about to run, which may be another
 // than when it came, and what it owes at its end. An isolated one runs if no other
 // isolated one does: the upstream can then end under one of them only.
-func (g *Gate) isolate(p quarantine.Fingerprint) (j quarantine.Judgment, rejoin func(), failure *verdict.Error) {
-	j = g.Quarantine.Judge(p)
+func (g *Gate) isolate(p quarantine.Fingerprint) (j quarantine.Assessment, rejoin func(), failure *verdict.Error) {
+	j = g.Quarantine.Assess(p)
 	if failure := j.Failure(); failure != nil {
 		return j, nil, failure
 	}
-	if j.Standing != quarantine.Isolated {
+	if j.State != quarantine.Isolated {
 		return j, func() {}, nil
 	}
 	if !g.isolated.TryLock() {
--- a/gate/gone_test.go
+++ b/gate/gone_test.go
@@ -21,7 +21,7 @@
 
 // printOf returns the fingerprint of a request for a target.
 func printOf(target string) quarantine.Fingerprint {
-	return quarantine.Head("caller", "GET", "h.example", target).WithBody(nil)
+	return quarantine.NewFingerprint("caller", "GET", "h.example", target).WithBody(nil)
 }
 
 // end is what a gate told of the end of its upstream.
@@ -46,10 +46,10 @@
 		cleared: make(chan quarantine.Fingerprint, 10),
 	}
 	w.gate.Quarantine = &w.index
-	w.gate.Gone = func(_ *upstream.Announcement, prints []quarantine.Fingerprint, alone quarantine.Fingerprint) {
+	w.gate.UpstreamCrashed = func(_ *upstream.Announcement, prints []quarantine.Fingerprint, alone quarantine.Fingerprint) {
 		w.ends <- end{prints, alone}
 	}
-	w.gate.Cleared = func(p quarantine.Fingerprint) { w.cleared <- p }
+	w.gate.SuspectCleared = func(p quarantine.Fingerprint) { w.cleared <- p }
 	return w
 }
 
@@ -69,10 +69,10 @@
 func (w *watched) suspect(target string, starts ...string) {
 	for _, s := range starts {
 		var alone quarantine.Fingerprint
-		if w.index.Judge(printOf(target)).Standing == quarantine.Isolated {
+		if w.index.Assess(printOf(target)).State == quarantine.Isolated {
 			alone = printOf(target)
 		}
-		w.index.Add(quarantine.Ended(s, []quarantine.Fingerprint{printOf(target)}, alone))
+		w.index.Add(quarantine.NewCrashReport(s, []quarantine.Fingerprint{printOf(target)}, alone))
 	}
 }
 
@@ -153,7 +153,7 @@
 		},
 		"another start is announced, and its connections end": {
 			before: func(w *watched) {
-				w.gate.Announce(&upstream.Announcement{Service: "service", Address: w.address, Slots: 4, Connections: 4, Start: "another"})
+				w.gate.SetAnnouncement(&upstream.Announcement{Service: "service", Address: w.address, Slots: 4, Connections: 4, StartID: "another"})
 				w.back.CloseClientConnections()
 			},
 			isGone: true,
@@ -164,28 +164,28 @@
 				for w.gate.Load().Running > 0 {
 					time.Sleep(time.Millisecond)
 				}
-				w.gate.Announce(&upstream.Announcement{Service: "service", Address: w.address, Slots: 4, Connections: 4, Start: "another"})
+				w.gate.SetAnnouncement(&upstream.Announcement{Service: "service", Address: w.address, Slots: 4, Connections: 4, StartID: "another"})
 			},
 			isGone: true,
 		},
 		"it left before": {
 			before: func(w *watched) {
-				w.gate.Announce(nil)
+				w.gate.SetAnnouncement(nil)
 				w.back.Listener.Close()
 				w.back.CloseClientConnections()
 			},
 		},
 		"it drained before": {
 			before: func(w *watched) {
-				w.gate.Announce(&upstream.Announcement{Service: "service", Address: w.address, Slots: 4, Connections: 4, Draining: true})
+				w.gate.SetAnnouncement(&upstream.Announcement{Service: "service", Address: w.address, Slots: 4, Connections: 4, Draining: true})
 				w.back.Listener.Close()
 				w.back.CloseClientConnections()
 			},
 		},
 		"another start is announced after its drain": {
 			before: func(w *watched) {
-				w.gate.Announce(&upstream.Announcement{Service: "service", Address: w.address, Slots: 4, Connections: 4, Draining: true})
-				w.gate.Announce(&upstream.Announcement{Service: "service", Address: w.address, Slots: 4, Connections: 4, Start: "another"})
+				w.gate.SetAnnouncement(&upstream.Announcement{Service: "service", Address: w.address, Slots: 4, Connections: 4, Draining: true})
+				w.gate.SetAnnouncement(&upstream.Announcement{Service: "service", Address: w.address, Slots: 4, Connections: 4, StartID: "another"})
 				w.back.CloseClientConnections()
 			},
 		},
@@ -237,7 +237,7 @@
 	done := make(chan *verdict.Error, 1)
 	go func() { done <- w.get("/it") }()
 	<-inside
-	w.gate.Announce(&upstream.Announcement{Service: "service", Address: w.address, Slots: 4, Connections: 4, Start: "another"})
+	w.gate.SetAnnouncement(&upstream.Announcement{Service: "service", Address: w.address, Slots: 4, Connections: 4, StartID: "another"})
 	qt.Check(t, w.get("/after") == nil, qt.IsTrue)
 	close(goOn)
 	failure := <-done
--- a/gate/notice.go
+++ b/gate/notice.go
@@ -14,7 +14,7 @@
 
 // Standing is what the upstream has said of the requests that it wants, and how far that is
 // used.
-type Standing struct {
+type NoticeState struct {
 	// Start is the start of the upstream that has said it.
 	Start string
 	// Limit is the limit that it names.
@@ -30,22 +30,22 @@
 const limitTellEvery = 500 * time.Millisecond
 
 // Notice takes in what an answer of a start of the upstream says of the requests that it wants.
-func (g *Gate) Notice(start string, n upstream.Notice) {
-	if n.Fault != nil && g.Unreadable != nil {
-		g.Unreadable(start, n.Fault)
+func (g *Gate) HandleNotice(start string, n upstream.Notice) {
+	if n.Err != nil && g.NoticeInvalid != nil {
+		g.NoticeInvalid(start, n.Err)
 	}
 	g.mu.Lock()
 	var c change
-	if g.latest != nil && g.latest.Start == start {
-		c = g.hear(func(named *throttle.Limit) {
+	if g.latest != nil && g.latest.StartID == start {
+		c = g.hear(func(named *throttle.Limiter) {
 			switch {
 			case n.Limited:
-				g.healthNames = g.healthNames || n.Health
-				named.Name(n.Limit, n.Asked)
-			case n.Fault != nil: // what was known holds
-			case n.Health && !g.healthNames: // it never says
+				g.healthNames = g.healthNames || n.FromHealthCheck
+				named.ObserveLimit(n.Limit, n.SentAt)
+			case n.Err != nil: // what was known holds
+			case n.FromHealthCheck && !g.healthNames: // it never says
 			default:
-				named.End(n.Asked)
+				named.ObserveNoLimit(n.SentAt)
 			}
 		}, n.Leaving)
 	}
@@ -60,15 +60,15 @@
 		return
 	}
 	of := upstream.Announcement{
-		Start: n.Start,
-		Born:  n.Born,
+		StartID:     n.Start,
+		StartMillis: n.Born,
 	}
 	g.mu.Lock()
 	var c change
 	if g.latest != nil && g.latest.SameStart(&of) {
-		c = g.hear(func(named *throttle.Limit) {
+		c = g.hear(func(named *throttle.Limiter) {
 			if n.Limited {
-				named.Adopt(n.Limit)
+				named.AdoptLimit(n.Limit)
 			}
 		}, n.Leaving)
 	} else if n.Leaving {
@@ -83,13 +83,13 @@
 	limit bool
 	left  *upstream.Announcement // the start that leaves, or nil
 	tell  bool                   // whether peers are told at once
-	now   Standing
+	now   NoticeState
 }
 
 // hear takes in a notice of the present start: what set makes of its limit, and whether the
 // upstream leaves. The lock is held.
-func (g *Gate) hear(set func(*throttle.Limit), leaving bool) (c change) {
-	named := &g.admit.Named
+func (g *Gate) hear(set func(*throttle.Limiter), leaving bool) (c change) {
+	named := &g.admit.AdvertisedLimiter
 	rateBefore, namedBefore := named.Rate()
 	set(named)
 	if leaving && !g.departing {
@@ -114,16 +114,16 @@
 // changed acts on what a notice has changed.
 func (g *Gate) changed(c change) {
 	if c.limit {
-		g.admit.Rebound()
+		g.admit.LimitChanged()
 	}
-	if c.left != nil && g.Left != nil {
-		g.Left(c.left.Start, c.left.Born)
+	if c.left != nil && g.UpstreamLeaving != nil {
+		g.UpstreamLeaving(c.left.StartID, c.left.StartMillis)
 	}
-	if c.tell && g.Tell != nil {
-		go g.Tell(g.Report())
+	if c.tell && g.BroadcastReport != nil {
+		go g.BroadcastReport(g.Report())
 	}
-	if (c.limit || c.now.Leaving && c.left != nil) && g.Noticed != nil {
-		g.Noticed(c.now)
+	if (c.limit || c.now.Leaving && c.left != nil) && g.NoticeChanged != nil {
+		g.NoticeChanged(c.now)
 	}
 }
 
@@ -131,25 +131,25 @@
 // held.
 func (g *Gate) forgetNotices() {
 	g.departing, g.healthNames = false, false
-	g.admit.Named.Restart()
+	g.admit.AdvertisedLimiter.Reset()
 }
 
 // Standing returns what the upstream has said of the requests that it wants.
-func (g *Gate) Standing() Standing {
+func (g *Gate) NoticeState() NoticeState {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.standing()
 }
 
 // standing does what Standing does. The lock is held.
-func (g *Gate) standing() Standing {
-	s := Standing{
-		Limit:        g.admit.Named.State(),
+func (g *Gate) standing() NoticeState {
+	s := NoticeState{
+		Limit:        g.admit.AdvertisedLimiter.State(),
 		Leaving:      g.departing,
 		LeavingSince: g.departed,
 	}
 	if g.latest != nil {
-		s.Start = g.latest.Start
+		s.Start = g.latest.StartID
 	}
 	return s
 }
@@ -158,13 +158,13 @@
 func (g *Gate) notice() *peer.Notice {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	rate, limited := g.admit.Named.Rate()
+	rate, limited := g.admit.AdvertisedLimiter.Rate()
 	if g.latest == nil || !limited && !g.departing {
 		return nil
 	}
 	return &peer.Notice{
-		Start:   g.latest.Start,
-		Born:    g.latest.Born,
+		Start:   g.latest.StartID,
+		Born:    g.latest.StartMillis,
 		Limited: limited,
 		Limit:   rate,
 		Leaving: g.departing,
@@ -174,13 +174,13 @@
 // AskHealth returns 0 if the health check of the upstream may be asked now, which counts, and
 // otherwise after how long it may: the limit that an upstream names is taken to hold for that as
 // well.
-func (g *Gate) AskHealth() time.Duration { return g.admit.Named.Ask() }
+func (g *Gate) ReserveHealthCheck() time.Duration { return g.admit.AdvertisedLimiter.TryHealthCheck() }
 
 // Limited returns whether the upstream names a limit.
-func (g *Gate) Limited() bool {
-	_, limited := g.admit.Named.Rate()
+func (g *Gate) LimitAdvertised() bool {
+	_, limited := g.admit.AdvertisedLimiter.Rate()
 	return limited
 }
 
 // Written returns how many requests have been written to upstreams so far.
-func (g *Gate) Written() uint64 { return g.written.Load() }
+func (g *Gate) RequestsWritten() uint64 { return g.written.Load() }
--- a/gate/notice_test.go
+++ b/gate/notice_test.go
@@ -48,17 +48,17 @@
 			w.WriteHeader(int(s))
 		}
 	})
-	n.gate.Left = func(start string, _ int64) {
+	n.gate.UpstreamLeaving = func(start string, _ int64) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		n.left = append(n.left, start)
 	}
-	n.gate.Noticed = func(gate.Standing) {
+	n.gate.NoticeChanged = func(gate.NoticeState) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		n.changes++
 	}
-	n.gate.Unreadable = func(string, error) {
+	n.gate.NoticeInvalid = func(string, error) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		n.faults++
@@ -74,13 +74,13 @@
 
 // announce announces a start of the upstream.
 func (n *noticed) announce(start string, born int64) {
-	n.gate.Announce(&upstream.Announcement{
+	n.gate.SetAnnouncement(&upstream.Announcement{
 		Service:     "service",
 		Address:     n.address,
 		Slots:       n.slots,
 		Connections: n.slots,
-		Start:       start,
-		Born:        born,
+		StartID:     start,
+		StartMillis: born,
 	})
 }
 
@@ -143,8 +143,8 @@
 			n.say(test.fields...)
 			n.status.Store(int64(test.status))
 			_ = n.send(nil)
-			s := n.gate.Standing()
-			qt.Check(t, s.Limit.Named, qt.Equals, test.limited)
+			s := n.gate.NoticeState()
+			qt.Check(t, s.Limit.Limited, qt.Equals, test.limited)
 			qt.Check(t, s.Limit.Rate, qt.Equals, test.limit)
 			qt.Check(t, s.Leaving, qt.IsFalse)
 			qt.Check(t, n.faults, qt.Equals, test.faults)
@@ -165,11 +165,11 @@
 	n.say(limitField, "soon")
 	time.Sleep(5 * time.Millisecond)
 	_ = n.send(nil)
-	qt.Check(t, n.gate.Standing().Limit.Rate, qt.Equals, 1000.0)
+	qt.Check(t, n.gate.NoticeState().Limit.Rate, qt.Equals, 1000.0)
 	n.say()
 	time.Sleep(5 * time.Millisecond)
 	qt.Assert(t, n.send(n.last(t)) == nil, qt.IsTrue)
-	qt.Check(t, n.gate.Standing().Limit.Named, qt.IsFalse)
+	qt.Check(t, n.gate.NoticeState().Limit.Limited, qt.IsFalse)
 	qt.Check(t, n.last(t), qt.IsNil, qt.Commentf("the sender is told that it is over"))
 }
 
@@ -184,13 +184,13 @@
 	qt.Assert(t, failure, qt.IsNotNil)
 	qt.Check(t, failure.Verdict(), qt.Equals, verdict.NotRun)
 	qt.Check(t, failure.RetryAfter > time.Second, qt.IsTrue, qt.Commentf("%v", failure.RetryAfter))
-	qt.Check(t, n.gate.Standing().Limit.Adopted, qt.IsTrue)
+	qt.Check(t, n.gate.NoticeState().Limit.Adopted, qt.IsTrue)
 	qt.Check(t, n.came.Load(), qt.Equals, int64(0))
 	qt.Check(t, *n.last(t), qt.Equals, *known, qt.Commentf("who sends is told as well"))
 
 	other := newNoticed(t, 4, 0)
 	qt.Check(t, other.send(&peer.Notice{Start: "i-0", Limited: true, Limit: 0.5}) == nil, qt.IsTrue, qt.Commentf("another start's"))
-	qt.Check(t, other.gate.Standing().Limit.Named, qt.IsFalse)
+	qt.Check(t, other.gate.NoticeState().Limit.Limited, qt.IsFalse)
 
 	failure = other.send(&peer.Notice{Start: "i-1", Leaving: true})
 	qt.Assert(t, failure, qt.IsNotNil)
@@ -227,14 +227,14 @@
 	}
 	n.announce("i-1", 0)
 	qt.Check(t, n.send(nil).Cause, qt.Equals, verdict.Draining, qt.Commentf("the same start"))
-	qt.Check(t, n.gate.Standing().Leaving, qt.IsTrue)
+	qt.Check(t, n.gate.NoticeState().Leaving, qt.IsTrue)
 	qt.Check(t, n.left, qt.DeepEquals, []string{"i-1"})
 	for i, born := range []int64{5, 9} {
 		n.announce(fmt.Sprint("i-", 2), born)
 		qt.Check(t, n.send(nil) == nil, qt.IsTrue, qt.Commentf("start %d", i))
 		n.say(leavingField, "1")
 		_ = n.send(nil)
-		qt.Check(t, n.gate.Standing().Leaving, qt.IsTrue)
+		qt.Check(t, n.gate.NoticeState().Leaving, qt.IsTrue)
 		n.say()
 	}
 }
@@ -243,16 +243,16 @@
 // none says nothing.
 func TestHealthNotices(t *testing.T) {
 	ask := func(n *noticed, limit float64) {
-		n.gate.Notice("i-1", upstream.Notice{Health: true, Limited: limit > 0, Limit: limit, Asked: time.Now()})
+		n.gate.HandleNotice("i-1", upstream.Notice{FromHealthCheck: true, Limited: limit > 0, Limit: limit, SentAt: time.Now()})
 	}
 	n := newNoticed(t, 4, 0)
-	n.gate.Notice("i-1", upstream.Notice{Limited: true, Limit: 5})
+	n.gate.HandleNotice("i-1", upstream.Notice{Limited: true, Limit: 5})
 	ask(n, 0)
-	qt.Check(t, n.gate.Standing().Limit.Named, qt.IsTrue, qt.Commentf("it never says"))
+	qt.Check(t, n.gate.NoticeState().Limit.Limited, qt.IsTrue, qt.Commentf("it never says"))
 	ask(n, 4)
 	ask(n, 0)
-	qt.Check(t, n.gate.Standing().Limit.Named, qt.IsFalse)
-	n.gate.Notice("i-0", upstream.Notice{Limited: true, Limit: 5})
-	qt.Check(t, n.gate.Standing().Limit.Named, qt.IsFalse, qt.Commentf("another start's"))
+	qt.Check(t, n.gate.NoticeState().Limit.Limited, qt.IsFalse)
+	n.gate.HandleNotice("i-0", upstream.Notice{Limited: true, Limit: 5})
+	qt.Check(t, n.gate.NoticeState().Limit.Limited, qt.IsFalse, qt.Commentf("another start's"))
 	qt.Check(t, n.changes, qt.Equals, 3)
 }
--- a/gate/observe_test.go
+++ b/gate/observe_test.go
@@ -20,11 +20,11 @@
 // the changed load that it told.
 func TestAnswerPastReport(t *testing.T) {
 	r := newRig(t, 4, func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("Load", "3,0,8,300") })
-	r.gate.Names = upstream.Names{Load: "Load"}
+	r.gate.Names = upstream.FieldNames{Load: "Load"}
 	held := make(chan struct{})
 	defer close(held)
-	r.gate.Tell = func(*peer.Report) { <-held }
-	r.gate.Announce(&upstream.Announcement{Service: "service", Address: r.address, Start: "s", Slots: 4, Connections: 4})
+	r.gate.BroadcastReport = func(*peer.Report) { <-held }
+	r.gate.SetAnnouncement(&upstream.Announcement{Service: "service", Address: r.address, StartID: "s", Slots: 4, Connections: 4})
 	x, failed := r.client.Start(context.Background(), &peer.Call{Service: "service", Method: "POST", Target: "/", Remaining: time.Minute}, nil)
 	qt.Assert(t, failed == nil, qt.IsTrue)
 	defer x.Close()
--- a/gate/permit.go
+++ b/gate/permit.go
@@ -13,10 +13,10 @@
 
 // Evacuate takes in whether the zone is evacuated: the upstream then gets no requests, and
 // those that wait are refused. Peers are told at once.
-func (g *Gate) Evacuate(evacuated bool) { g.close(&g.emptied, evacuated) }
+func (g *Gate) SetEvacuated(evacuated bool) { g.close(&g.emptied, evacuated) }
 
 // Withhold takes in whether the upstream's version is not to be used, with the same effect.
-func (g *Gate) Withhold(withheld bool) { g.close(&g.withheld, withheld) }
+func (g *Gate) SetVersionWithheld(withheld bool) { g.close(&g.withheld, withheld) }
 
 // close sets a reason for which the upstream gets no requests.
 func (g *Gate) close(reason *bool, closed bool) {
@@ -27,8 +27,8 @@
 		g.update()
 	}
 	g.mu.Unlock()
-	if changed && g.Tell != nil {
-		go g.Tell(g.Report())
+	if changed && g.BroadcastReport != nil {
+		go g.BroadcastReport(g.Report())
 	}
 }
 
@@ -41,19 +41,19 @@
 	if closed {
 		return nil, verdict.New(verdict.Draining, nil)
 	}
-	named := &g.admit.Named
-	if wait := named.Take(); wait > 0 {
+	named := &g.admit.AdvertisedLimiter
+	if wait := named.TryAcquire(); wait > 0 {
 		return nil, verdict.New(verdict.Refused, nil).WithRetryAfter(wait)
 	}
-	sending, wait := g.sending.Take()
+	sending, wait := g.sending.TryAcquire()
 	if sending == nil {
-		named.Undo()
+		named.Cancel()
 		return nil, verdict.New(verdict.Refused, nil).WithRetryAfter(wait)
 	}
 	g.written.Add(1)
 	return func() {
-		sending.Done()
-		named.Done()
+		sending.MarkWritten()
+		named.MarkWritten()
 	}, nil
 }
 
@@ -61,21 +61,21 @@
 // nothing yet, and is cold until it says otherwise. The first one that this node knows may
 // have been there before it, and goes by its word. The lock is held.
 func (g *Gate) startCold(a *upstream.Announcement, first bool) {
-	remaining := a.Cold
+	remaining := a.ColdRemaining
 	if !first {
 		g.unsent()
 		if g.service != nil {
 			remaining = max(remaining, g.service.Cold.Lasts.Std())
 		}
 	}
-	g.ColdAtLeast(remaining)
+	g.ExtendColdStart(remaining)
 	g.firstStart()
 }
 
 // unsent says that the upstream has been sent nothing by this node or one before it.
 func (g *Gate) unsent() {
-	g.admit.Pace.Restart()
-	g.sending.Restart()
+	g.admit.ColdLimiter.Reset()
+	g.sending.Reset()
 }
 
 // startGrace is how much earlier than this node an upstream may have begun that is taken to
@@ -111,22 +111,22 @@
 
 // ColdAtLeast takes in that the upstream stays cold for the given time, or longer, by word
 // that may be late.
-func (g *Gate) ColdAtLeast(remaining time.Duration) {
+func (g *Gate) ExtendColdStart(remaining time.Duration) {
 	if remaining <= 0 {
 		return
 	}
-	g.sending.AtLeast(remaining + coldTold)
-	g.admit.Pace.AtLeast(remaining + coldTold)
+	g.sending.ExtendRemaining(remaining + coldTold)
+	g.admit.ColdLimiter.ExtendRemaining(remaining + coldTold)
 }
 
 // Cold takes in how much longer the upstream is cold, as it tells at this moment.
-func (g *Gate) Cold(remaining time.Duration) {
+func (g *Gate) SetColdRemaining(remaining time.Duration) {
 	switch {
 	case remaining > 0:
 		remaining += coldTold
 	case g.sending.Remaining() <= coldTold+coldUnit:
 		return // less than a unit is told as nothing, or it is warm already
 	}
-	g.sending.Turn(remaining)
-	g.admit.Pace.Turn(remaining)
+	g.sending.SetRemaining(remaining)
+	g.admit.ColdLimiter.SetRemaining(remaining)
 }
--- a/gate/permit_test.go
+++ b/gate/permit_test.go
@@ -19,8 +19,8 @@
 func TestColdBetweenMilliseconds(t *testing.T) {
 	const most, calls = 5, 30
 	tell := map[string]func(g *Gate, remaining time.Duration){
-		"health check": (*Gate).Cold,
-		"announcement": (*Gate).ColdAtLeast,
+		"health check": (*Gate).SetColdRemaining,
+		"announcement": (*Gate).ExtendColdStart,
 	}
 	for name, tell := range tell {
 		t.Run(name, func(t *testing.T) {
@@ -28,7 +28,7 @@
 				synctest.Test(t, func(t *testing.T) {
 					random := rand.New(rand.NewPCG(1, seed))
 					var g Gate
-					g.sending.Set(most)
+					g.sending.SetLimit(most)
 					g.unsent()
 					end := time.Now().Add(800*time.Millisecond + time.Duration(random.IntN(1000))*time.Microsecond)
 					sent := 0
--- a/gate/reason_test.go
+++ b/gate/reason_test.go
@@ -74,20 +74,20 @@
 	}{
 		"its caller leaves": {
 			end:    func(p *ended) { p.exchange.Close() },
-			causes: []verdict.Cause{verdict.Revoked, verdict.CallerGone, verdict.BodyLost, verdict.UpstreamDialFailed, verdict.AnswerCut, verdict.AnswerSpoilt},
+			causes: []verdict.Cause{verdict.Revoked, verdict.CallerGone, verdict.BodyLost, verdict.UpstreamDialFailed, verdict.AnswerTruncated, verdict.AnswerMalformed},
 		},
 		"its sender stops": {
 			end:    func(p *ended) { p.client.Close() },
-			causes: []verdict.Cause{verdict.Revoked, verdict.PeerLost, verdict.UpstreamDialFailed, verdict.AnswerCut, verdict.AnswerSpoilt},
+			causes: []verdict.Cause{verdict.Revoked, verdict.PeerLost, verdict.UpstreamDialFailed, verdict.AnswerTruncated, verdict.AnswerMalformed},
 		},
 		"its connection is reset": {
 			end:    func(p *ended) { _ = p.conn.(*net.TCPConn).SetLinger(0); p.conn.Close() },
-			causes: []verdict.Cause{verdict.Revoked, verdict.PeerLost, verdict.UpstreamDialFailed, verdict.AnswerCut, verdict.AnswerSpoilt},
+			causes: []verdict.Cause{verdict.Revoked, verdict.PeerLost, verdict.UpstreamDialFailed, verdict.AnswerTruncated, verdict.AnswerMalformed},
 		},
 		"its deadline passes": {
 			remaining: 50 * time.Millisecond,
 			end:       func(*ended) {},
-			causes:    []verdict.Cause{verdict.Revoked, verdict.Refused, verdict.DeadlinePassed, verdict.UpstreamDialFailed, verdict.TimedOut, verdict.CallerGone, verdict.AnswerCut, verdict.AnswerSpoilt},
+			causes:    []verdict.Cause{verdict.Revoked, verdict.Refused, verdict.DeadlinePassed, verdict.UpstreamDialFailed, verdict.TimedOut, verdict.CallerGone, verdict.AnswerTruncated, verdict.AnswerMalformed},
 		},
 	}
 	for stage, s := range stages {
@@ -173,13 +173,13 @@
 	}
 	p.gate = &gate.Gate{
 		Tracer: r.gate.Tracer,
-		Ended: func(_, _ string, failure *verdict.Error, _, _ time.Duration) {
+		CallEnded: func(_, _ string, failure *verdict.Error, _, _ time.Duration) {
 			p.failures <- failure
 		},
 	}
 	config := operator.Service{Queue: operator.Queue{Length: 1, Wait: operator.Duration(time.Minute)}}.WithDefaults()
 	p.gate.Configure(&config)
-	p.gate.Announce(&upstream.Announcement{Service: "service", Address: r.address, Slots: 1, Connections: 1})
+	p.gate.SetAnnouncement(&upstream.Announcement{Service: "service", Address: r.address, Slots: 1, Connections: 1})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	ctx, stop := context.WithCancel(context.Background())
--- a/gate/report.go
+++ b/gate/report.go
@@ -15,7 +15,7 @@
 func (g *Gate) Load() admit.Report { return g.admit.Report() }
 
 // Observed returns how long ago the upstream told its speed last.
-func (g *Gate) Observed() time.Duration { return g.admit.Observed() }
+func (g *Gate) LoadAge() time.Duration { return g.admit.SlowdownAge() }
 
 // Report returns the load as it is told to peers.
 func (g *Gate) Report() *peer.Report {
@@ -32,20 +32,20 @@
 		Running:  r.Running,
 		Waiting:  r.Waiting,
 		Allowed:  r.Allowed,
-		Service:  r.Service,
+		Service:  r.ServiceTime,
 		Draining: r.Draining,
 		Slowdown: r.Slowdown,
-		Failing:  r.Failing,
+		Failing:  r.FailureRatio,
 		Limited:  r.Limited,
 		Limit:    r.Limit,
-		Used:     r.Used,
-		Free:     r.Free,
+		Used:     r.LimitUsed,
+		Free:     r.LimitWait,
 	}
 }
 
 // reportFor returns a load report if one is due to the node.
 func (g *Gate) reportFor(node string) *peer.Report {
-	if g.Reports == nil || !g.Reports.Due(node) {
+	if g.Reports == nil || !g.Reports.Allow(node) {
 		return nil
 	}
 	return g.Report()
--- a/gate/resize_test.go
+++ b/gate/resize_test.go
@@ -52,7 +52,7 @@
 			defer back.Close()
 			r := newRig(t, 1, handle)
 			announce := func(slots int, start string) {
-				r.gate.Announce(&upstream.Announcement{Service: "service", Address: back.Listener.Addr().String(), Slots: slots, Connections: slots, Start: start})
+				r.gate.SetAnnouncement(&upstream.Announcement{Service: "service", Address: back.Listener.Addr().String(), Slots: slots, Connections: slots, StartID: start})
 			}
 			ended := make(chan *verdict.Error)
 			begin := func(calls int) {
--- a/gate/start.go
+++ b/gate/start.go
@@ -14,7 +14,7 @@
 // next one, as the upstream may go on with what it has.
 type start struct {
 	// running are the requests at it, and calls how many they are.
-	running quarantine.Running
+	running quarantine.InFlight
 	calls   atomic.Int32
 	// drained is whether it has said that it drains.
 	drained atomic.Bool
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -19,19 +19,19 @@
 	version gossip.Version
 }
 
-func (r record) Key() string          { return r.key }
-func (r record) Rank() gossip.Version { return r.version }
+func (r record) Key() string                   { return r.key }
+func (r record) GossipVersion() gossip.Version { return r.version }
 
 type set = gossip.Set[record]
 
 // exchange makes a and b the same, the way two nodes do it.
 func exchange(a, b *set) (moved int) {
-	if a.Root() == b.Root() {
+	if a.RootHash() == b.RootHash() {
 		return 0
 	}
-	for _, g := range gossip.Differing(a.Group(), b.Group()) {
-		for _, l := range gossip.Differing(a.Leaf(g), b.Leaf(g)) {
-			leaf := g*gossip.Groups + l
+	for _, g := range gossip.Differing(a.GroupHashes(), b.GroupHashes()) {
+		for _, l := range gossip.Differing(a.LeafHashes(g), b.LeafHashes(g)) {
+			leaf := g*gossip.GroupCount + l
 			for _, r := range b.Newer(leaf, a.Versions(leaf)) {
 				a.Put(r)
 				moved++
@@ -102,7 +102,7 @@
 			exchange(sets[1], sets[2])
 		}
 		for i, s := range sets {
-			if s.Root() != sets[0].Root() || s.Len() != sets[0].Len() {
+			if s.RootHash() != sets[0].RootHash() || s.Len() != sets[0].Len() {
 				t.Fatalf("set %d differs", i)
 			}
 		}
@@ -112,11 +112,11 @@
 func TestRemoveUndoesPut(t *testing.T) {
 	var s set
 	s.Put(record{"a", gossip.Version{Major: 1}})
-	before := s.Root()
+	before := s.RootHash()
 	s.Put(record{"b", gossip.Version{Major: 1}})
 	s.Remove("b")
 	s.Remove("none")
-	qt.Check(t, s.Root(), qt.Equals, before)
+	qt.Check(t, s.RootHash(), qt.Equals, before)
 	qt.Check(t, s.Len(), qt.Equals, 1)
 }
 
@@ -126,9 +126,9 @@
 		s.Put(record{fmt.Sprint(i), gossip.Version{Major: 1}})
 	}
 	got := make(map[string]bool)
-	for leaf := 0; leaf < gossip.Leaves; {
+	for leaf := 0; leaf < gossip.LeafCount; {
 		var list []record
-		list, leaf = s.From(leaf, 100)
+		list, leaf = s.Scan(leaf, 100)
 		for _, r := range list {
 			got[r.key] = true
 		}
--- a/gossip/set.go
+++ b/gossip/set.go
@@ -16,9 +16,9 @@
 	// node of the hash tree. The tree has a root, groups and leaves.
 	groupBits = 6
 	// Groups is the number of children of the root, and of each group.
-	Groups = 1 << groupBits
+	GroupCount = 1 << groupBits
 	// Leaves is the number of leaves.
-	Leaves = Groups * Groups
+	LeafCount = GroupCount * GroupCount
 )
 
 // Version orders the versions of one record: by Major, then by Minor.
@@ -37,15 +37,15 @@
 	// Key identifies the record.
 	Key() string
 	// Rank orders its versions.
-	Rank() Version
+	GossipVersion() Version
 }
 
 // Set holds the newest version of each record. The zero value is empty. It is
 // not safe for use by several goroutines at once.
 type Set[R Record] struct {
-	leaves [Leaves]map[string]R
-	hashes [Leaves]uint64
-	groups [Groups]uint64
+	leaves [LeafCount]map[string]R
+	hashes [LeafCount]uint64
+	groups [GroupCount]uint64
 	root   uint64
 	count  int
 }
@@ -57,7 +57,7 @@
 
 // hash returns the hash of a record's key and version.
 func hash(r Record) uint64 {
-	v := r.Rank()
+	v := r.GossipVersion()
 	b := make([]byte, 0, 64)
 	b = append(b, r.Key()...)
 	b = binary.BigEndian.AppendUint64(b, v.Major)
@@ -71,7 +71,7 @@
 	key := r.Key()
 	i := leafOf(key)
 	old, ok := s.leaves[i][key]
-	if ok && !old.Rank().Less(r.Rank()) {
+	if ok && !old.GossipVersion().Less(r.GossipVersion()) {
 		return false
 	}
 	if ok {
@@ -116,14 +116,14 @@
 // Root returns the hash over all records. Two sets that hold the same records
 // have the same hash, and two that don't have different ones but for a chance
 // of 2⁻⁶⁴.
-func (s *Set[R]) Root() uint64 { return s.root }
+func (s *Set[R]) RootHash() uint64 { return s.root }
 
 // Group returns the hashes of all groups.
-func (s *Set[R]) Group() []uint64 { return slices.Clone(s.groups[:]) }
+func (s *Set[R]) GroupHashes() []uint64 { return slices.Clone(s.groups[:]) }
 
 // Leaf returns the hashes of the leaves of group g. It panics if there is no
 // such group.
-func (s *Set[R]) Leaf(g int) []uint64 {
+func (s *Set[R]) LeafHashes(g int) []uint64 {
 	return slices.Clone(s.hashes[g<<groupBits : (g+1)<<groupBits])
 }
 
@@ -142,7 +142,7 @@
 func (s *Set[R]) Versions(leaf int) map[string]Version {
 	m := make(map[string]Version, len(s.leaves[leaf]))
 	for key, r := range s.leaves[leaf] {
-		m[key] = r.Rank()
+		m[key] = r.GossipVersion()
 	}
 	return m
 }
@@ -157,7 +157,7 @@
 
 // Beyond returns the records in some groups whose digests are not among the given ones, and of
 // these the digests that no record there has. It panics if there is no such group.
-func (s *Set[R]) Beyond(groups []int, digests []uint64) (records []R, unknown []uint64) {
+func (s *Set[R]) DiffDigests(groups []int, digests []uint64) (records []R, unknown []uint64) {
 	theirs := make(map[uint64]bool, len(digests))
 	for _, d := range digests {
 		theirs[d] = true
@@ -178,7 +178,7 @@
 }
 
 // Of returns the records in some groups that have one of the given digests.
-func (s *Set[R]) Of(groups []int, digests []uint64) (records []R) {
+func (s *Set[R]) WithDigests(groups []int, digests []uint64) (records []R) {
 	wanted := make(map[uint64]bool, len(digests))
 	for _, d := range digests {
 		wanted[d] = true
@@ -207,7 +207,7 @@
 func (s *Set[R]) Newer(leaf int, than map[string]Version) []R {
 	var list []R
 	for key, r := range s.leaves[leaf] {
-		if v, ok := than[key]; !ok || v.Less(r.Rank()) {
+		if v, ok := than[key]; !ok || v.Less(r.GossipVersion()) {
 			list = append(list, r)
 		}
 	}
@@ -216,9 +216,9 @@
 
 // From returns the records of the leaves from the given one on, until there are
 // at least n, and the leaf to go on from, which is Leaves at the end.
-func (s *Set[R]) From(leaf, n int) ([]R, int) {
+func (s *Set[R]) Scan(leaf, n int) ([]R, int) {
 	var list []R
-	for ; leaf < Leaves && len(list) < n; leaf++ {
+	for ; leaf < LeafCount && len(list) < n; leaf++ {
 		for _, r := range s.leaves[leaf] {
 			list = append(list, r)
 		}
--- a/member/liveness.go
+++ b/member/liveness.go
@@ -13,24 +13,24 @@
 // network looks like many dead nodes, so the removals are slow and bounded. The
 // exported fields are set before the first call. It is not safe for use by
 // several goroutines at once.
-type Liveness struct {
+type FailureDetector struct {
 	// Patience is the time of silence after which a node may be removed.
-	Patience time.Duration
+	SilenceTimeout time.Duration
 	// Every is the time over which MaxShare of the nodes may be removed.
-	Every time.Duration
+	RemovalWindow time.Duration
 	// MaxShare is the largest part of the nodes that is removed within Every;
 	// one node always may.
-	MaxShare float64
+	MaxRemovalShare float64
 
 	silent  map[string]time.Time // since when
 	removed []time.Time
 }
 
 // Heard records that the node gave a sign of life.
-func (l *Liveness) Heard(id string) { delete(l.silent, id) }
+func (l *FailureDetector) MarkAlive(id string) { delete(l.silent, id) }
 
 // Missed records that the node gave no sign when asked.
-func (l *Liveness) Missed(id string, now time.Time) {
+func (l *FailureDetector) MarkSilent(id string, now time.Time) {
 	if l.silent == nil {
 		l.silent = make(map[string]time.Time)
 	}
@@ -40,17 +40,17 @@
 }
 
 // Silent returns the number of nodes that are silent now.
-func (l *Liveness) Silent() int { return len(l.silent) }
+func (l *FailureDetector) SilentCount() int { return len(l.silent) }
 
 // Due returns the nodes to remove now, those silent for longest first, given
 // the number of nodes that are known. They count as removed.
-func (l *Liveness) Due(known int, now time.Time) []string {
-	for len(l.removed) > 0 && now.Sub(l.removed[0]) >= l.Every {
+func (l *FailureDetector) TakeRemovals(known int, now time.Time) []string {
+	for len(l.removed) > 0 && now.Sub(l.removed[0]) >= l.RemovalWindow {
 		l.removed = l.removed[1:]
 	}
 	var list []string
 	for id, since := range l.silent {
-		if now.Sub(since) >= l.Patience {
+		if now.Sub(since) >= l.SilenceTimeout {
 			list = append(list, id)
 		}
 	}
@@ -58,7 +58,7 @@
 		a, b := l.silent[list[i]], l.silent[list[j]]
 		return a.Before(b) || a.Equal(b) && list[i] < list[j]
 	})
-	room := max(1, int(l.MaxShare*float64(known))) - len(l.removed)
+	room := max(1, int(l.MaxRemovalShare*float64(known))) - len(l.removed)
 	list = list[:max(0, min(len(list), room))]
 	for _, id := range list {
 		delete(l.silent, id)
@@ -68,7 +68,7 @@
 }
 
 // Forget drops what is known of a node that is no longer there.
-func (l *Liveness) Forget(id string) { delete(l.silent, id) }
+func (l *FailureDetector) Forget(id string) { delete(l.silent, id) }
 
 // Reset drops all silence that is known: a node that is asked no longer may be well.
-func (l *Liveness) Reset() { clear(l.silent) }
+func (l *FailureDetector) Reset() { clear(l.silent) }
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -24,14 +24,14 @@
 	}{
 		"next version":              {older: r, newer: r.WithState(member.Draining)},
 		"tombstone":                 {older: r.WithState(member.Draining), newer: r.Tombstone()},
-		"back after the tombstone":  {older: r.Tombstone(), newer: r.Reborn(r.Tombstone(), now)},
-		"restart":                   {older: r, newer: r.Reborn(member.Record{}, now)},
-		"restart with a slow clock": {older: r, newer: r.Reborn(r, time.Unix(0, 1))},
+		"back after the tombstone":  {older: r.Tombstone(), newer: r.NextIncarnation(r.Tombstone(), now)},
+		"restart":                   {older: r, newer: r.NextIncarnation(member.Record{}, now)},
+		"restart with a slow clock": {older: r, newer: r.NextIncarnation(r, time.Unix(0, 1))},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			qt.Check(t, test.older.Rank().Less(test.newer.Rank()), qt.IsTrue)
-			qt.Check(t, test.newer.Rank().Less(test.older.Rank()), qt.IsFalse)
+			qt.Check(t, test.older.GossipVersion().Less(test.newer.GossipVersion()), qt.IsTrue)
+			qt.Check(t, test.newer.GossipVersion().Less(test.older.GossipVersion()), qt.IsFalse)
 		})
 	}
 }
@@ -52,16 +52,16 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			l := member.Liveness{Patience: 5 * time.Minute, Every: 10 * time.Minute, MaxShare: 0.05}
+			l := member.FailureDetector{SilenceTimeout: 5 * time.Minute, RemovalWindow: 10 * time.Minute, MaxRemovalShare: 0.05}
 			for i := range test.silent {
-				l.Missed(fmt.Sprint(i), start)
-				l.Missed(fmt.Sprint(i), start.Add(time.Minute))
+				l.MarkSilent(fmt.Sprint(i), start)
+				l.MarkSilent(fmt.Sprint(i), start.Add(time.Minute))
 			}
 			if test.heard {
-				l.Heard("0")
+				l.MarkAlive("0")
 			}
-			qt.Check(t, l.Due(test.known, start.Add(test.after)), qt.HasLen, test.want)
-			qt.Check(t, len(l.Due(test.known, start.Add(test.after+time.Second))) == 0, qt.IsTrue,
+			qt.Check(t, l.TakeRemovals(test.known, start.Add(test.after)), qt.HasLen, test.want)
+			qt.Check(t, len(l.TakeRemovals(test.known, start.Add(test.after+time.Second))) == 0, qt.IsTrue,
 				qt.Commentf("nothing more within the same time"))
 		})
 	}
@@ -69,15 +69,15 @@
 
 func TestOrder(t *testing.T) {
 	ids := []string{"a", "b", "c", "d"}
-	order := member.Order("zone", ids)
+	order := member.RendezvousOrder("zone", ids)
 	qt.Check(t, order, qt.HasLen, 4)
 	for i, id := range order {
-		qt.Check(t, member.RankOf("zone", id, ids), qt.Equals, i)
+		qt.Check(t, member.RendezvousRank("zone", id, ids), qt.Equals, i)
 	}
 	for n := range len(ids) + 2 {
-		qt.Check(t, member.First("zone", ids, n), qt.DeepEquals, order[:min(n, len(ids))])
+		qt.Check(t, member.RendezvousTop("zone", ids, n), qt.DeepEquals, order[:min(n, len(ids))])
 	}
-	less := member.Order("zone", []string{"d", "a", "b"})
+	less := member.RendezvousOrder("zone", []string{"d", "a", "b"})
 	var want []string
 	for _, id := range order {
 		if id != "c" {
@@ -94,7 +94,7 @@
 		own := member.Record{ID: "a", State: member.Up, Incarnation: 1, Version: 1}
 		words := []member.Record{own, own.WithState(member.Draining)}
 		stone := words[1].Tombstone()
-		back := words[1].Reborn(stone, time.Unix(0, 1))
+		back := words[1].NextIncarnation(stone, time.Unix(0, 1))
 		words = append(words, stone, back, back.WithState(member.Up))
 		last := words[len(words)-1]
 		var s gossip.Set[member.Record]
--- a/member/order.go
+++ b/member/order.go
@@ -16,7 +16,7 @@
 // subjects have different orders, and one id more or less leaves the order of
 // the others. See D. Thaler and C. Ravishankar, Using name-based mappings to
 // increase hit rates, 1998. doi:10.1109/90.663936.
-func Order(subject string, ids []string) []string {
+func RendezvousOrder(subject string, ids []string) []string {
 	weight := make(map[string]uint64, len(ids))
 	for _, id := range ids {
 		weight[id] = weightOf(subject, id)
@@ -35,7 +35,7 @@
 
 // RankOf returns the place of id in the order for a subject, from 0, without
 // sorting. An id that is not among the ids gets the place it would have.
-func RankOf(subject, id string, ids []string) int {
+func RendezvousRank(subject, id string, ids []string) int {
 	own := weightOf(subject, id)
 	var rank int
 	for _, other := range ids {
@@ -48,7 +48,7 @@
 }
 
 // First returns the first n ids in the order for a subject, without sorting.
-func First(subject string, ids []string, n int) []string {
+func RendezvousTop(subject string, ids []string, n int) []string {
 	type weighed struct {
 		id     string
 		weight uint64
--- a/member/record.go
+++ b/member/record.go
@@ -51,29 +51,29 @@
 	Software string `json:"software,omitempty"`
 	// Trial is whether an operator has ordered a roll-out of that version which is not
 	// completed, as the node itself has heard.
-	Trial bool `json:"trial,omitempty"`
+	Canary bool `json:"trial,omitempty"`
 	// Blind is whether the node was to look after the platform for others and can't
 	// reach it.
-	Blind bool `json:"blind,omitempty"`
+	PlatformUnreachable bool `json:"blind,omitempty"`
 	// At is when the record was written, in seconds since 1970.
-	At int64 `json:"at"`
+	WrittenAt int64 `json:"at"`
 }
 
 // Keep is how long a record of a node that is gone is kept after it was
 // written. Nodes whose clocks differ drop it at different times, and until
 // then may hand it to each other; it is not taken in again.
-const Keep = time.Hour
+const TombstoneRetention = time.Hour
 
 // Expired returns whether the record is of a node that is gone for long.
 func (r Record) Expired(now time.Time) bool {
-	return !r.Live() && now.Sub(time.Unix(r.At, 0)) > Keep
+	return !r.Live() && now.Sub(time.Unix(r.WrittenAt, 0)) > TombstoneRetention
 }
 
 // Key implements gossip.Record.
 func (r Record) Key() string { return r.ID }
 
 // Rank implements gossip.Record.
-func (r Record) Rank() gossip.Version {
+func (r Record) GossipVersion() gossip.Version {
 	return gossip.Version{
 		Major: r.Incarnation,
 		Minor: r.Version,
@@ -84,13 +84,13 @@
 func (r Record) Live() bool { return r.State != Left && r.State != Removed }
 
 // Takes returns whether the node's upstream takes requests.
-func (r Record) Takes() bool { return r.State == Up && r.Service != "" }
+func (r Record) AcceptsRequests() bool { return r.State == Up && r.Service != "" }
 
 // WithState returns the next version of r, with the given state.
 func (r Record) WithState(s State) Record {
 	r.State = s
 	r.Version++
-	r.At = time.Now().Unix()
+	r.WrittenAt = time.Now().Unix()
 	return r
 }
 
@@ -100,7 +100,7 @@
 	Slots    int
 	State    State
 	Software string
-	Trial    bool
+	Canary   bool
 }
 
 // Upstream returns what r says of the upstream.
@@ -110,7 +110,7 @@
 		Slots:    r.Slots,
 		State:    r.State,
 		Software: r.Software,
-		Trial:    r.Trial,
+		Canary:   r.Canary,
 	}
 }
 
@@ -119,25 +119,25 @@
 	r.Service = u.Service
 	r.Slots = u.Slots
 	r.Software = u.Software
-	r.Trial = u.Trial
+	r.Canary = u.Canary
 	return r.WithState(u.State)
 }
 
 // WithBlind returns the next version of r, which can't reach the platform, or can
 // again.
-func (r Record) WithBlind(blind bool) Record {
-	r.Blind = blind
+func (r Record) WithPlatformUnreachable(blind bool) Record {
+	r.PlatformUnreachable = blind
 	return r.WithState(r.State)
 }
 
 // Reborn returns r as of a new incarnation, which is higher than its present
 // one and that of the record heard of it, and otherwise counts the nanoseconds
 // since 1970 at the given time.
-func (r Record) Reborn(heard Record, now time.Time) Record {
+func (r Record) NextIncarnation(heard Record, now time.Time) Record {
 	r.Incarnation = max(uint64(now.UnixNano()), heard.Incarnation+1, r.Incarnation+1)
 	r.Version = 1
-	r.Blind = false
-	r.At = now.Unix()
+	r.PlatformUnreachable = false
+	r.WrittenAt = now.Unix()
 	return r
 }
 
@@ -146,7 +146,7 @@
 // its next incarnation.
 func (r Record) Tombstone() Record {
 	r.State = Removed
-	r.At = time.Now().Unix()
+	r.WrittenAt = time.Now().Unix()
 	r.Version = tombstoneVersion
 	return r
 }
--- a/member/wire.go
+++ b/member/wire.go
@@ -16,7 +16,7 @@
 // wire returns the fields in their order on the wire. Their names are left out: records are most
 // of what nodes tell each other while many start.
 func (r *Record) wire() []any {
-	return []any{&r.ID, &r.Addr, &r.Zone, &r.Region, &r.Service, &r.Slots, &r.State, &r.Incarnation, &r.Version, &r.Software, &r.Trial, &r.Blind, &r.At}
+	return []any{&r.ID, &r.Addr, &r.Zone, &r.Region, &r.Service, &r.Slots, &r.State, &r.Incarnation, &r.Version, &r.Software, &r.Canary, &r.PlatformUnreachable, &r.WrittenAt}
 }
 
 // EncodeMsgpack implements msgpack.CustomEncoder.
@@ -24,7 +24,7 @@
 	if err := e.EncodeArrayLen(wireFields); err != nil {
 		return err
 	}
-	return e.EncodeMulti(r.ID, r.Addr, r.Zone, r.Region, r.Service, r.Slots, string(r.State), r.Incarnation, r.Version, r.Software, r.Trial, r.Blind, r.At)
+	return e.EncodeMulti(r.ID, r.Addr, r.Zone, r.Region, r.Service, r.Slots, string(r.State), r.Incarnation, r.Version, r.Software, r.Canary, r.PlatformUnreachable, r.WrittenAt)
 }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
--- a/member/wire_test.go
+++ b/member/wire_test.go
@@ -25,7 +25,7 @@
 	Incarnation: 1765000000123456789,
 	Version:     2,
 	Software:    "v1",
-	At:          1765000000,
+	WrittenAt:   1765000000,
 }
 
 // TestWire has records come back as they were, from a later version of the program as well, and
--- a/neighbour/crossing.go
+++ b/neighbour/crossing.go
@@ -24,12 +24,12 @@
 
 // crosses draws whether this node takes something to another zone, given how many others of its
 // own there are.
-func (s *Set) crosses(known Known) bool {
+func (s *Set) crosses(known NodeCounts) bool {
 	return s.Random.Float64()*float64(known.Near+1) < crossings
 }
 
 // ForChange returns the neighbours that a change is pushed to.
-func (s *Set) ForChange(known Known) []member.Record {
+func (s *Set) ForChange(known NodeCounts) []member.Record {
 	if s.crosses(known) {
 		return s.nearAndFar(1)
 	}
@@ -38,14 +38,14 @@
 
 // ForNews returns the neighbours that news of a read is passed on to. Each node tells one
 // elsewhere: it is some 40 bytes, and its way is that of a configuration.
-func (s *Set) ForNews() []member.Record { return s.nearAndFar(1) }
+func (s *Set) ForReadStatus() []member.Record { return s.nearAndFar(1) }
 
 // nearAndFar returns fanOut neighbours, the given number of them in other zones. Where there
 // are too few of one kind, there are more of the other.
 func (s *Set) nearAndFar(elsewhere int) []member.Record {
 	own := fanOut - elsewhere
 	var list, rest []member.Record
-	for _, r := range s.Some(Most) {
+	for _, r := range s.Sample(MaxNeighbours) {
 		left := &elsewhere
 		if r.Zone == s.Zone {
 			left = &own
@@ -63,8 +63,8 @@
 
 // ForComparison returns the first n neighbours to compare with, in the order in which they are
 // tried: those of the own zone first, unless the node draws otherwise.
-func (s *Set) ForComparison(n int, known Known) []member.Record {
-	list := s.Some(Most)
+func (s *Set) ForComparison(n int, known NodeCounts) []member.Record {
+	list := s.Sample(MaxNeighbours)
 	if !s.crosses(known) {
 		slices.SortStableFunc(list, func(a, b member.Record) int { return s.distance(a) - s.distance(b) })
 	}
--- a/neighbour/crossing_test.go
+++ b/neighbour/crossing_test.go
@@ -36,7 +36,7 @@
 				Zone:   "here",
 				Random: rand.New(rand.NewPCG(1, uint64(test.near))),
 			}
-			known := Known{
+			known := NodeCounts{
 				Near: test.near,
 				Far:  test.far,
 			}
@@ -55,7 +55,7 @@
 				list := s.ForChange(known)
 				qt.Assert(t, list, qt.HasLen, test.targets)
 				if test.far > 0 && test.near > fanOut {
-					qt.Assert(t, outside(s.ForNews()), qt.Equals, 1)
+					qt.Assert(t, outside(s.ForReadStatus()), qt.Equals, 1)
 				}
 				if outside(list) > 0 {
 					passed++
--- a/neighbour/set.go
+++ b/neighbour/set.go
@@ -16,7 +16,7 @@
 	near = 7
 	far  = 5
 	// Most is the number of neighbours.
-	Most = near + far
+	MaxNeighbours = near + far
 )
 
 // Set is the neighbours of one node. The exported fields are set before the first call. One
@@ -31,7 +31,7 @@
 }
 
 // Known is the numbers of other live nodes that are known, in the own zone and elsewhere.
-type Known struct {
+type NodeCounts struct {
 	Near, Far int
 }
 
@@ -93,7 +93,7 @@
 // Consider makes a node that has come up a neighbour, with the chance that each
 // node of its kind has. Without it, nodes that start late would be nobody's
 // neighbours for some time, and changes would reach them by comparisons only.
-func (s *Set) Consider(r member.Record, known Known) {
+func (s *Set) Consider(r member.Record, known NodeCounts) {
 	s.Remove(r.ID)
 	own := r.Zone == s.Zone
 	quota, of := far, known.Far
@@ -115,7 +115,7 @@
 }
 
 // Some returns n neighbours at most, in random order.
-func (s *Set) Some(n int) []member.Record {
+func (s *Set) Sample(n int) []member.Record {
 	s.Random.Shuffle(len(s.list), func(i, j int) { s.list[i], s.list[j] = s.list[j], s.list[i] })
 	return slices.Clone(s.list[:min(n, len(s.list))])
 }
--- a/neighbour/set_test.go
+++ b/neighbour/set_test.go
@@ -41,7 +41,7 @@
 					Zone:   "here",
 					Random: rand.New(rand.NewPCG(7, uint64(i))),
 				}
-				var known Known
+				var known NodeCounts
 				for j := range test.elsewhere {
 					known.Far++
 					s.Consider(nodeIn("there", j), known)
@@ -83,7 +83,7 @@
 	}
 	stays := func(member.Record) bool { return true }
 	s.TurnOver(stays, nearby, elsewhere)
-	qt.Assert(t, s.Len(), qt.Equals, Most)
+	qt.Assert(t, s.Len(), qt.Equals, MaxNeighbours)
 	before := slices.Clone(s.All())
 	s.TurnOver(stays, nearby, elsewhere)
 	kept := 0
@@ -92,12 +92,12 @@
 			kept++
 		}
 	}
-	qt.Check(t, kept >= Most-1, qt.IsTrue, qt.Commentf("%d kept", kept))
+	qt.Check(t, kept >= MaxNeighbours-1, qt.IsTrue, qt.Commentf("%d kept", kept))
 	s.TurnOver(func(r member.Record) bool { return r.Zone == "here" }, nearby, nil)
 	qt.Check(t, s.Len(), qt.Equals, near, qt.Commentf("nobody elsewhere is left"))
 	gone := s.All()[0]
 	s.Remove(gone.ID)
 	qt.Check(t, s.HasAddress(gone.Addr), qt.IsFalse)
 	s.Clear()
-	qt.Check(t, s.Some(3), qt.HasLen, 0)
+	qt.Check(t, s.Sample(3), qt.HasLen, 0)
 }
--- a/node/build.go
+++ b/node/build.go
@@ -46,7 +46,7 @@
 		n.buildManaged()
 	case s.PlatformURL != "":
 		n.control.API = n.platform()
-		n.claims = &claim.Ledger{
+		n.claims = &claim.Store{
 			API:  n.control.API,
 			Node: s.Node,
 		}
@@ -63,11 +63,11 @@
 		Closed:  n.peerClosed,
 	}
 	n.announced = &upstream.Announcements{
-		Changed:  n.upstreamChanged,
-		Patience: silentHeartbeats * s.Heartbeat,
-		Known:    n.serviceKnown,
-		Cold:     n.gate.ColdAtLeast,
-		Refused:  n.announcementRefused,
+		Changed:        n.upstreamChanged,
+		StaleAfter:     silentHeartbeats * s.Heartbeat,
+		IsKnownService: n.serviceKnown,
+		ColdReported:   n.gate.ExtendColdStart,
+		Refused:        n.announcementRefused,
 	}
 }
 
@@ -78,22 +78,22 @@
 		Tracer:     n.tracer,
 		Quarantine: &n.suspects,
 		Reports: &watch.Pacer[string]{
-			Budget: reports,
-			Every:  reportEvery,
-			Size:   reportSize,
+			Budget:       reports,
+			MinInterval:  reportEvery,
+			MessageBytes: reportSize,
 		},
-		Ended:    n.callEnded,
-		Received: n.metrics.bodyIn,
-		Inflow:   func() (rate float64, backlog int) { return n.peers.Inflow() },
-		Gone:     n.upstreamGone,
-		Cleared:  func(p quarantine.Fingerprint) { n.control.Report(quarantine.Ran(p)) },
-		Refused:  n.callRefused,
-		Weight:   n.weightOf,
-		Panicked: n.callPanicked,
+		CallEnded:       n.callEnded,
+		BodyReceived:    n.metrics.bodyIn,
+		Inflow:          func() (rate float64, backlog int) { return n.peers.Inflow() },
+		UpstreamCrashed: n.upstreamGone,
+		SuspectCleared:  func(p quarantine.Fingerprint) { n.control.Report(quarantine.NewCompletionReport(p)) },
+		CallFailed:      n.callRefused,
+		Weight:          n.weightOf,
+		Panicked:        n.callPanicked,
 
-		Noticed:    n.upstreamNoticed,
-		Unreadable: n.noticeUnreadable,
-		Left:       func(start string, born int64) { n.announced.Leave(start, born) },
+		NoticeChanged:   n.upstreamNoticed,
+		NoticeInvalid:   n.noticeUnreadable,
+		UpstreamLeaving: func(start string, born int64) { n.announced.Leave(start, born) },
 	}
 }
 
@@ -101,15 +101,15 @@
 func (n *Node) newDispatcher(hello peer.Hello) *entry.Dispatcher {
 	s := &n.Settings
 	return &entry.Dispatcher{
-		Hello:      hello,
-		Region:     s.Region,
-		Started:    time.Now(),
-		Counters:   &n.metrics.traffic,
-		Policy:     s.Policy,
-		Rate:       linkRate(s.LinkMbps),
-		Quarantine: &n.suspects,
-		Event:      n.metrics.dispatcherEvent,
-		Learnt:     n.learnt,
+		Hello:         hello,
+		Region:        s.Region,
+		Started:       time.Now(),
+		Counters:      &n.metrics.traffic,
+		Policy:        s.Policy,
+		LinkRate:      linkRate(s.LinkMbps),
+		Quarantine:    &n.suspects,
+		OnEvent:       n.metrics.dispatcherEvent,
+		DiscoveryDone: n.learnt,
 	}
 }
 
@@ -126,9 +126,9 @@
 		},
 		Contacts: s.FirstPeers(),
 		Timing: control.Timing{
-			Lease:    s.Lease,
-			Patience: s.Patience,
-			Sweep:    s.Patience / 3,
+			Lease:          s.Lease,
+			SilenceTimeout: s.Patience,
+			Sweep:          s.Patience / 3,
 		},
 		Quarantine: &n.suspects,
 		Budget:     exchange,
@@ -141,26 +141,26 @@
 // buildManaged sets the parts up for a table of routes.
 func (n *Node) buildManaged() {
 	n.gate.Names = n.Platform.Names
-	n.gate.Failed = n.upstreamFailed
+	n.gate.UpstreamUnreachable = n.upstreamFailed
 	n.dispatcher.Limits = peer.Limits{
 		Silence:   peerSilence,
 		Loss:      peerLoss,
 		Handshake: peerHandshake,
 	}
-	n.gate.Tell = func(r *peer.Report) { n.peers.Tell(r) }
+	n.gate.BroadcastReport = func(r *peer.Report) { n.peers.Tell(r) }
 	n.loadAsked = make(chan chan struct{})
 	n.asks = rate.NewLimiter(askRate, askBurst)
-	n.gate.Ask = n.askLoad
+	n.gate.ProbeLoad = n.askLoad
 	n.limits = n.rateLimits()
 	n.control.Topics = n.limits.Topics()
-	n.control.Template = func(t *routes.Table, service string, nodes int) operator.Service {
-		return policy.Service(t, service, nodes, n.live())
+	n.control.ServiceConfig = func(t *routes.Table, service string, nodes int) operator.Service {
+		return policy.FromTable(t, service, nodes, n.live())
 	}
-	n.control.Within = n.configWithin()
+	n.control.MaxPropagationDelay = n.configWithin()
 	n.keepFresh()
 	n.store = n.storeClient()
 	n.store.EraChanged = n.eraChanged
-	n.control.EraHeard = n.store.Raise
+	n.control.EraAdvanced = n.store.Raise
 	n.restored = make(chan struct{}, 1)
 	n.metrics.platformCalls = n.store.Calls
 	n.api = n.Platform.API(n.store)
@@ -170,19 +170,19 @@
 		Node:       n.control,
 		FirstPeers: len(n.control.Contacts) > 0,
 	}
-	n.dispatcher.Seek = n.seek
+	n.dispatcher.TriggerDiscovery = n.seek
 	n.contacts.Nodes = n.limits.Nodes
-	n.contacts.Counted = n.limits.Told
+	n.contacts.Counted = n.limits.SetStoredNodes
 	n.blocked = n.blocklistOn(n.api)
 	n.buildRollouts()
 }
 
 // blocklistOn returns the blocked requests that a platform keeps.
-func (n *Node) blocklistOn(api objectapi.Objects) *blocklist.Ledger {
-	return &blocklist.Ledger{
+func (n *Node) blocklistOn(api objectapi.Objects) *blocklist.Store {
+	return &blocklist.Store{
 		API:         api,
 		Report:      n.control.Report,
-		FirstOfZone: n.control.FirstOfZone,
+		FirstOfZone: n.control.IsFirstInZone,
 		Nodes:       n.control.Nodes,
 		Log:         n.Log,
 	}
--- a/node/events.go
+++ b/node/events.go
@@ -57,7 +57,7 @@
 	e := n.Log.Info().Str("requestId", o.ID).Str("route", o.Route).Str("service", o.Service).Str("class", o.Class).Str("organisation", o.Organisation).Str("method", o.Method).Str("path", o.Path).
 		Int("status", o.Status).Str("verdict", v).Str("cause", cause).Int("tries", o.Tries).Dur("tookMs", o.Took).Uint64("version", n.version()).Stringer("print", o.Print)
 	if o.Failure != nil {
-		e = e.Str("by", string(verdict.Lookup(o.Failure.Cause).By)).Str("phase", string(n.phase()))
+		e = e.Str("by", string(verdict.Lookup(o.Failure.Cause).EndedBy)).Str("phase", string(n.phase()))
 		e = n.withStall(e, o.Took)
 	}
 	if o.Failure != nil && o.Failure.RetryAfter > 0 {
@@ -86,20 +86,20 @@
 	e := n.Log.Info().Str("requestId", id).Dur("afterMs", s.After)
 	switch s.Event {
 	case entry.EventSent:
-		e = e.Str("to", s.Node).Str("load", fmt.Sprintf("%.1f/%d", s.Candidate.Load, s.Candidate.Allowed)).
-			Float64("slowdown", s.Candidate.Slowdown).Float64("failing", s.Candidate.Failing).Dur("serviceMs", s.Candidate.Service).Dur("reportAgeMs", s.Age)
-		if s.Trial {
+		e = e.Str("to", s.Node).Str("load", fmt.Sprintf("%.1f/%d", s.Candidate.Load, s.Candidate.Slots)).
+			Float64("slowdown", s.Candidate.Slowdown).Float64("failing", s.Candidate.FailureRatio).Dur("serviceMs", s.Candidate.ServiceTime).Dur("reportAgeMs", s.Age)
+		if s.Canary {
 			e = e.Bool("trial", true)
 		}
-		if s.Candidate.Transfer > 0 {
-			e = e.Dur("transferMs", s.Candidate.Transfer)
+		if s.Candidate.TransferTime > 0 {
+			e = e.Dur("transferMs", s.Candidate.TransferTime)
 		}
 	case entry.EventSilent:
 		e = e.Str("to", s.Node)
-	case entry.EventAside:
+	case entry.EventAnswerHeld:
 		e = e.Str("from", s.Node).Int("status", http.StatusInternalServerError)
 	case entry.EventFailed:
-		e = e.Str("to", s.Node).Str("cause", string(s.Cause)).AnErr("reason", s.Reason)
+		e = e.Str("to", s.Node).Str("cause", string(s.Cause)).AnErr("reason", s.Err)
 	}
 	e.Msg("request " + string(s.Event))
 }
@@ -118,10 +118,10 @@
 	}
 	e := n.withStall(n.Log.Info().Dur("waitedMs", waited).Dur("tookMs", took), took)
 	if load.Limited {
-		e = e.Float64("limit", load.Limit).Float64("limitUsed", load.Used).Dur("freeMs", load.Free)
+		e = e.Float64("limit", load.Limit).Float64("limitUsed", load.LimitUsed).Dur("freeMs", load.LimitWait)
 	}
 	e.Str("requestId", id).Str("from", from).Str("class", c.Class).Str("organisation", c.Organisation).Str("target", c.Target).Stringer("print", c.Print).Int("try", c.Try).Str("cause", string(failure.Cause)).Str("verdict", failure.Verdict().String()).
-		Int("running", load.Running).Int("waiting", load.Waiting).Int("organisations", load.Organisations).Int("allowed", load.Allowed).Float64("slowdown", load.Slowdown).Float64("pace", load.Pace).Dur("restMs", load.Rest).Float64("failing", load.Failing).Bool("draining", load.Draining).Dur("retryAfterMs", failure.RetryAfter).AnErr("reason", failure.Err).Msg("call not answered")
+		Int("running", load.Running).Int("waiting", load.Waiting).Int("organisations", load.WaitingOrganisations).Int("allowed", load.Allowed).Float64("slowdown", load.Slowdown).Float64("pace", load.MinSlowdown).Dur("restMs", load.SlowRemaining).Float64("failing", load.FailureRatio).Bool("draining", load.Draining).Dur("retryAfterMs", failure.RetryAfter).AnErr("reason", failure.Err).Msg("call not answered")
 }
 
 // callEnded counts a call to the upstream.
@@ -136,13 +136,13 @@
 
 // upstreamNoticed logs that the upstream says something else of the requests that it wants, with
 // how many requests and questions it has been sent so far.
-func (n *Node) upstreamNoticed(s gate.Standing) {
+func (n *Node) upstreamNoticed(s gate.NoticeState) {
 	n.metrics.set.GetOrCreateCounter(`sassafras_upstream_notices_total`).Inc()
 	if !n.lines.Allow("notice", noticeLines, 1) {
 		return
 	}
-	e := n.Log.Info().Str("start", s.Start).Bool("limited", s.Limit.Named).Bool("leaving", s.Leaving).Uint64("requests", n.gate.Written()).Uint64("questions", n.questions.Load()).Int("written", s.Limit.Written).Uint64("refused", s.Limit.Refused)
-	if s.Limit.Named {
+	e := n.Log.Info().Str("start", s.Start).Bool("limited", s.Limit.Limited).Bool("leaving", s.Leaving).Uint64("requests", n.gate.RequestsWritten()).Uint64("questions", n.questions.Load()).Int("written", s.Limit.Written).Uint64("refused", s.Limit.Refused)
+	if s.Limit.Limited {
 		e = e.Float64("limit", s.Limit.Rate).Bool("fromPeers", s.Limit.Adopted)
 	}
 	e.Msg("upstream notice")
@@ -168,17 +168,17 @@
 // upstreamGone tells all nodes that the upstream has ended, with what it may have ended
 // under.
 func (n *Node) upstreamGone(a *upstream.Announcement, prints []quarantine.Fingerprint, alone quarantine.Fingerprint) {
-	n.Log.Warn().Str("address", a.Address).Str("start", a.Start).Int("requests", len(prints)).Stringers("prints", stringers(prints)).Bool("isolated", alone.Known()).Msg("upstream ended")
-	start := n.Settings.Node + "/" + a.Start + "/" + strconv.FormatInt(a.Born, 10)
+	n.Log.Warn().Str("address", a.Address).Str("start", a.StartID).Int("requests", len(prints)).Stringers("prints", stringers(prints)).Bool("isolated", alone.Complete()).Msg("upstream ended")
+	start := n.Settings.Node + "/" + a.StartID + "/" + strconv.FormatInt(a.StartMillis, 10)
 	if len(prints) == 0 {
 		return
 	}
-	n.control.Report(quarantine.Ended(start, prints, alone))
-	j := n.suspects.Judge(alone)
-	if j.Standing != quarantine.Blocked {
+	n.control.Report(quarantine.NewCrashReport(start, prints, alone))
+	j := n.suspects.Assess(alone)
+	if j.State != quarantine.Blocked {
 		return
 	}
-	n.Log.Warn().Stringer("print", alone).Strs("upstreams", j.Upstreams).Time("until", j.Until).Msg("request blocked")
+	n.Log.Warn().Stringer("print", alone).Strs("upstreams", j.Upstreams).Time("until", j.BlockedUntil).Msg("request blocked")
 	if n.blocked != nil {
 		go n.blocked.Save(context.Background(), j)
 	}
--- a/node/follow.go
+++ b/node/follow.go
@@ -40,16 +40,16 @@
 			Found: n.tableFound,
 		},
 		clock:    n.control.Clock,
-		answered: n.control.Confirm,
-		overdue:  n.control.Overdue,
-		leads:    n.control.Leads,
+		answered: n.control.ConfirmRead,
+		overdue:  n.control.ProofOverdue,
+		leads:    n.control.IsLeader,
 	}
 	if n.Settings.EvacuateWithin > 0 {
 		r.zones = &objectapi.Listing{
 			API:  api,
 			Kind: n.Platform.ZoneKind,
 			Found: func(items []*objectapi.Object, at objectapi.Point, _ bool) {
-				n.control.Evacuate(evacuation.Named(items, at))
+				n.control.ApplyEvacuation(evacuation.FromObjects(items, at))
 			},
 		}
 	}
@@ -145,12 +145,12 @@
 		n.Log.Warn().Err(err).Msg("configuration not read")
 	}
 	for ctx.Err() == nil {
-		action, after, watchFor := n.control.Next()
+		action, after, watchFor := n.control.NextAction()
 		switch action {
 		case follow.Wait:
 			n.rest(ctx, after)
 		case follow.Ask:
-			n.control.AskNews(ctx)
+			n.control.QueryNeighbours(ctx)
 		case follow.Read:
 			n.read(ctx, r, 0)
 		case follow.Watch:
@@ -169,7 +169,7 @@
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
-	case <-n.control.Heard():
+	case <-n.control.NextChanged():
 	case <-t.C:
 	}
 }
@@ -185,5 +185,5 @@
 	if err != nil {
 		n.Log.Warn().Err(err).Msg("configuration not read")
 	}
-	n.control.Read(err == nil, max(0, time.Since(began)-wait))
+	n.control.RecordRead(err == nil, max(0, time.Since(began)-wait))
 }
--- a/node/handlers.go
+++ b/node/handlers.go
@@ -29,7 +29,7 @@
 		Claims:     n.claims,
 		Node:       n.Settings.Node,
 		Tracer:     n.tracer,
-		Suspects:   n.suspects.Suspects,
+		Suspects:   n.suspects.MaySuspect,
 		Ended:      n.requestEnded,
 		Ends:       n.ends,
 	}
--- a/node/keys.go
+++ b/node/keys.go
@@ -25,7 +25,7 @@
 		return
 	}
 	n.control.Clock = n.clock()
-	n.control.FreshWithin = n.Settings.RevokeWithin
+	n.control.MaxStaleness = n.Settings.RevokeWithin
 }
 
 // clock returns a clock that goes on while the instance is suspended, if there is one.
@@ -53,8 +53,8 @@
 // keyBounds returns how fresh the table of routes has to be for keys to be judged by it.
 func (n *Node) keyBounds() freshness.Bounds {
 	return freshness.Bounds{
-		Revoke: n.Settings.RevokeWithin,
-		Apply:  n.Settings.ConfigWithin,
+		MaxRevokeDelay: n.Settings.RevokeWithin,
+		MaxApplyDelay:  n.Settings.ConfigWithin,
 	}
 }
 
@@ -77,7 +77,7 @@
 	if n.Settings.RevokeWithin == 0 || t == nil || !t.Keyed {
 		return true
 	}
-	return n.keyBounds().Judge(n.control.TableAge(t.Version), true) == freshness.Valid
+	return n.keyBounds().Evaluate(n.control.TableAge(t.Version), true) == freshness.Valid
 }
 
 // tableAgeSeconds returns for how long the table of routes may have been out of date:
--- a/node/learning.go
+++ b/node/learning.go
@@ -35,7 +35,7 @@
 // seek has the node learn of others now: what its neighbours know, and who stands in the book of
 // contacts.
 func (n *Node) seek() {
-	n.control.CompareSoon()
+	n.control.TriggerComparison()
 	n.discovery.Seek()
 }
 
--- a/node/leave.go
+++ b/node/leave.go
@@ -63,7 +63,7 @@
 	leave := n.Settings.LeaveWithin()
 	admitting := min(n.Settings.AdmitDelay, leave)
 	sleep.For(ctx, admitting)
-	idle := n.gate.Leave()
+	idle := n.gate.Drain()
 	n.mu.Lock()
 	n.closing = true
 	n.mu.Unlock()
--- a/node/limits.go
+++ b/node/limits.go
@@ -16,12 +16,12 @@
 // those that it sends requests to.
 func (n *Node) listLimits(w http.ResponseWriter, _ *http.Request) {
 	list := []operator.UpstreamLimit{}
-	if s := n.gate.Standing(); s.Limit.Named || s.Leaving {
+	if s := n.gate.NoticeState(); s.Limit.Limited || s.Leaving {
 		l := operator.UpstreamLimit{
 			Node:    n.Settings.Node,
 			Start:   s.Start,
 			Source:  operator.SourceUpstream,
-			Limited: s.Limit.Named,
+			Limited: s.Limit.Limited,
 			Limit:   s.Limit.Rate,
 			Leaving: s.Leaving,
 			Since:   s.Limit.Since,
@@ -47,7 +47,7 @@
 			Limited: h.Notice.Limited,
 			Limit:   h.Notice.Limit,
 			Leaving: h.Notice.Leaving,
-			Since:   h.At,
+			Since:   h.ReceivedAt,
 		})
 	}
 	slices.SortFunc(list, func(a, b operator.UpstreamLimit) int { return cmp.Compare(a.Node, b.Node) })
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -38,7 +38,7 @@
 	gauge := m.gauge
 	m.upstreamGauges(n)
 	gauge(`sassafras_members`, func() float64 { return float64(n.control.Snapshot().Members) })
-	gauge(`sassafras_representative`, func() float64 { return oneIf(n.control.Represents()) })
+	gauge(`sassafras_representative`, func() float64 { return oneIf(n.control.IsRepresentative()) })
 	gauge(`sassafras_table_age_seconds`, n.tableAgeSeconds)
 	gauge(`sassafras_platform_era`, func() float64 { return float64(n.era()) })
 	gauge(`sassafras_evacuated_zones`, func() float64 { return float64(len(n.control.Snapshot().Evacuated.Zones)) })
@@ -46,7 +46,7 @@
 		gauge(fmt.Sprintf(`sassafras_rollouts{phase=%q}`, p), func() float64 { return float64(n.rolloutsIn(p)) })
 	}
 	m.quotaGauges(n)
-	for _, s := range []quarantine.Standing{quarantine.Seen, quarantine.Isolated, quarantine.Blocked} {
+	for _, s := range []quarantine.State{quarantine.SeenAtCrash, quarantine.Isolated, quarantine.Blocked} {
 		gauge(fmt.Sprintf(`sassafras_suspected_requests{standing=%q}`, s), func() float64 { return float64(n.suspects.Count(s)) })
 	}
 	gauge(`sassafras_platform_calls_total`, func() float64 { return float64(m.platformCalls()) })
@@ -76,21 +76,21 @@
 // upstreamGauges adds what the gate knows of its upstream and of the bodies that come in.
 func (m *metricSet) upstreamGauges(n *Node) {
 	gauge := m.gauge
-	gauge(`sassafras_upstream_requests_total`, func() float64 { return float64(n.gate.Written()) })
+	gauge(`sassafras_upstream_requests_total`, func() float64 { return float64(n.gate.RequestsWritten()) })
 	gauge(`sassafras_upstream_questions_total`, func() float64 { return float64(n.questions.Load()) })
-	gauge(`sassafras_upstream_limited`, func() float64 { return oneIf(n.gate.Limited()) })
-	gauge(`sassafras_upstream_limit`, func() float64 { return n.gate.Standing().Limit.Rate })
-	gauge(`sassafras_upstream_limit_used`, func() float64 { return n.gate.Standing().Limit.Used })
-	gauge(`sassafras_upstream_limit_refused_total`, func() float64 { return float64(n.gate.Standing().Limit.Refused) })
-	gauge(`sassafras_upstream_leaving`, func() float64 { return oneIf(n.gate.Standing().Leaving) })
+	gauge(`sassafras_upstream_limited`, func() float64 { return oneIf(n.gate.LimitAdvertised()) })
+	gauge(`sassafras_upstream_limit`, func() float64 { return n.gate.NoticeState().Limit.Rate })
+	gauge(`sassafras_upstream_limit_used`, func() float64 { return n.gate.NoticeState().Limit.Used })
+	gauge(`sassafras_upstream_limit_refused_total`, func() float64 { return float64(n.gate.NoticeState().Limit.Refused) })
+	gauge(`sassafras_upstream_leaving`, func() float64 { return oneIf(n.gate.NoticeState().Leaving) })
 	gauge(`sassafras_upstream_running`, func() float64 { return float64(n.gate.Load().Running) })
 	gauge(`sassafras_upstream_waiting`, func() float64 { return float64(n.gate.Load().Waiting) })
-	gauge(`sassafras_upstream_organisations_waiting`, func() float64 { return float64(n.gate.Load().Organisations) })
+	gauge(`sassafras_upstream_organisations_waiting`, func() float64 { return float64(n.gate.Load().WaitingOrganisations) })
 	gauge(`sassafras_upstream_displaced_total`, func() float64 { return float64(n.gate.Load().Displaced) })
 	gauge(`sassafras_upstream_allowed`, func() float64 { return float64(n.gate.Load().Allowed) })
 	gauge(`sassafras_upstream_slowdown`, func() float64 { return n.gate.Load().Slowdown })
-	gauge(`sassafras_upstream_pace`, func() float64 { return n.gate.Load().Pace })
-	gauge(`sassafras_upstream_service_seconds`, func() float64 { return n.gate.Load().Service.Seconds() })
+	gauge(`sassafras_upstream_pace`, func() float64 { return n.gate.Load().MinSlowdown })
+	gauge(`sassafras_upstream_service_seconds`, func() float64 { return n.gate.Load().ServiceTime.Seconds() })
 	gauge(`sassafras_body_rate_bytes`, func() float64 {
 		rate, _ := n.peers.Inflow()
 		return rate
@@ -111,12 +111,12 @@
 		return n.limits.State()
 	}
 	gauge(`sassafras_quota_nodes`, func() float64 { return float64(limits().Nodes) })
-	gauge(`sassafras_quota_share_held`, func() float64 { return limits().Share })
+	gauge(`sassafras_quota_share_held`, func() float64 { return limits().HeldFraction })
 	gauge(`sassafras_quota_waiting`, func() float64 { return float64(limits().Waiting) })
 	for name, f := range map[string]func(ratelimit.State) uint64{
 		"answered":   func(s ratelimit.State) uint64 { return s.Answered },
 		"unanswered": func(s ratelimit.State) uint64 { return s.Unanswered },
-		"taken":      func(s ratelimit.State) uint64 { return s.Taken },
+		"taken":      func(s ratelimit.State) uint64 { return s.Served },
 	} {
 		gauge(fmt.Sprintf(`sassafras_quota_exchanges_total{result=%q}`, name), func() float64 { return float64(f(limits())) })
 	}
@@ -139,7 +139,7 @@
 	v, cause := verdict.Ran, verdict.Cause("")
 	if o.Failure != nil {
 		v, cause = o.Failure.Verdict(), o.Failure.Cause
-		m.set.GetOrCreateCounter(fmt.Sprintf(`sassafras_unanswered_requests_total{by=%q,cause=%q,phase=%q}`, verdict.Lookup(cause).By, string(cause), string(p))).Inc()
+		m.set.GetOrCreateCounter(fmt.Sprintf(`sassafras_unanswered_requests_total{by=%q,cause=%q,phase=%q}`, verdict.Lookup(cause).EndedBy, string(cause), string(p))).Inc()
 	}
 	m.set.GetOrCreateCounter(fmt.Sprintf(`sassafras_requests_total{service=%q,class=%q,verdict=%q,cause=%q}`, o.Service, o.Class, v, string(cause))).Inc()
 	if o.Failure != nil && o.Failure.RetryAfter > 0 {
--- a/node/node.go
+++ b/node/node.go
@@ -75,14 +75,14 @@
 	dispatcher *entry.Dispatcher
 	peers      *peer.Server
 	announced  *upstream.Announcements
-	claims     *claim.Ledger
+	claims     *claim.Store
 	evacuated  zoneLog
 	limits     *ratelimit.Limiter                // of organisations, or nil
 	rollouts   *canary.Runner                    // or nil, where none are ordered
 	orders     *objectapi.Listing                // of the same
 	versions   versionCheck                      // of the upstream
 	suspects   quarantine.Index                  // the requests that upstreams have ended under
-	blocked    *blocklist.Ledger                 // of them, on the platform, or nil
+	blocked    *blocklist.Store                  // of them, on the platform, or nil
 	api        objectapi.Polled                  // of Platform
 	store      *objectapi.Caller                 // which makes its calls, or nil
 	discovery  *contact.Discovery                // finds other nodes by it
@@ -181,11 +181,11 @@
 }
 
 // names returns the header fields in use.
-func (n *Node) names() upstream.Names {
+func (n *Node) names() upstream.FieldNames {
 	if n.Platform != nil {
 		return n.Platform.Names
 	}
-	return upstream.DefaultNames
+	return upstream.DefaultFieldNames
 }
 
 // peerClosed logs why the connection of a peer ended, if it broke the protocol.
@@ -197,12 +197,12 @@
 
 // published takes in a new view of the system.
 func (n *Node) published(s *control.Snapshot) {
-	n.dispatcher.Set(s.Services)
+	n.dispatcher.SetServices(s.Services)
 	n.evacuated.set(s.Evacuated)
 	if n.limits != nil && s.Table != nil {
 		n.limits.Set(s.Table.OrganisationSet())
 	}
-	n.gate.Evacuate(s.Evacuated.Has(n.Settings.Zone))
+	n.gate.SetEvacuated(s.Evacuated.Has(n.Settings.Zone))
 	n.rolloutsKnown(s.Rollouts)
 	if n.configureGate() {
 		go n.announce() // which waits for the goroutine that calls this
--- a/node/organisations.go
+++ b/node/organisations.go
@@ -46,18 +46,18 @@
 			Loss:      peerLoss,
 			Handshake: peerHandshake,
 		},
-		Clock:    n.clock(),
-		Counters: &n.metrics.control,
-		Homes:    n.homes,
-		Members:  func() int { return n.control.Snapshot().Members },
-		Log:      n.Log,
+		Clock:        n.clock(),
+		Counters:     &n.metrics.control,
+		Coordinators: n.homes,
+		Members:      func() int { return n.control.Snapshot().Members },
+		Log:          n.Log,
 	}
 }
 
 // homes returns the nodes that are to be home of the rate limits, in order.
 func (n *Node) homes() []ratelimit.Peer {
 	list := []ratelimit.Peer{}
-	for _, r := range n.control.First(homeSubject, homeCandidates) {
+	for _, r := range n.control.RendezvousTop(homeSubject, homeCandidates) {
 		list = append(list, ratelimit.Peer{
 			ID:   r.ID,
 			Addr: r.Addr,
@@ -84,8 +84,8 @@
 				Organisation: u.Organisation,
 				Rate:         u.Limit.Rate,
 				Burst:        u.Limit.Burst,
-				Here:         u.Here,
-				All:          u.All,
+				Here:         u.LocalRate,
+				All:          u.TotalRate,
 				Limited:      u.Limited,
 				Unknown:      u.Unknown,
 			})
--- a/node/platform.go
+++ b/node/platform.go
@@ -23,7 +23,7 @@
 // table of routes. The exported fields are set before Run.
 type Platform struct {
 	// Names are the header fields that callers and upstreams use.
-	Names upstream.Names
+	Names upstream.FieldNames
 	// API returns the object API, given what makes its calls.
 	API func(c *objectapi.Caller) objectapi.Polled
 	// Era reads the era that an answer of the platform names, if it names one.
@@ -39,7 +39,7 @@
 	// for its service. Rollout decodes one, and RolloutStatus returns what is written to one
 	// whose version is in a phase.
 	RolloutKind   string
-	Rollout       func(o *objectapi.Object) (rollout.Found, error)
+	Rollout       func(o *objectapi.Object) (rollout.StoredOrder, error)
 	RolloutStatus func(version string, p rollout.Phase) any
 	// Announce returns the handler of the calls by which the upstream announces
 	// itself.
@@ -116,7 +116,7 @@
 	if v := n.version(); t.Version < v && n.lines.Allow("older", otherLines, 1) {
 		n.Log.Warn().Uint64("version", t.Version).Uint64("inForce", v).Str("revision", o.Metadata.ResourceVersion).Msg("configuration is older than the one in force, which stays")
 	}
-	n.control.Configure(t)
+	n.control.ApplyTable(t)
 }
 
 // book returns the nodes' addresses as the platform holds them.
--- a/node/restore.go
+++ b/node/restore.go
@@ -30,7 +30,7 @@
 // eraChanged takes in that the platform has named a later era, here or to another node. If
 // it has come back from a copy, this node's entries are written again.
 func (n *Node) eraChanged(e objectapi.EraChange) {
-	n.control.EraSeen(e.New, e.Restored)
+	n.control.ObserveEra(e.New, e.Restored)
 	if !e.Restored {
 		n.Log.Info().Uint64("era", e.New).Msg("era of the platform")
 		return
@@ -66,7 +66,7 @@
 func (n *Node) writeAgain(ctx context.Context) {
 	sleep.For(ctx, rand.N(rewriteSpread))
 	n.contacts.WriteAgain(ctx)
-	if n.control.FirstOfZone() {
+	if n.control.IsFirstInZone() {
 		n.saveBlocks(ctx)
 	}
 }
@@ -74,7 +74,7 @@
 // saveBlocks writes the requests that are blocked as far as this node knows.
 func (n *Node) saveBlocks(ctx context.Context) {
 	for _, j := range n.suspects.All() {
-		if j.Standing == quarantine.Blocked {
+		if j.State == quarantine.Blocked {
 			n.blocked.Save(ctx, j)
 		}
 	}
--- a/node/rollouts.go
+++ b/node/rollouts.go
@@ -38,8 +38,8 @@
 	wanted chan string // a version to confirm
 
 	mu        sync.Mutex
-	confirmed string        // the platform has no order for it, or the node knows of that
-	told      rollout.Known // the roll-out of the service as it was announced last
+	confirmed string             // the platform has no order for it, or the node knows of that
+	told      rollout.LocalState // the roll-out of the service as it was announced last
 }
 
 // buildRollouts sets up what carries out roll-outs, where they are ordered.
@@ -50,9 +50,9 @@
 	}
 	n.versions.wanted = make(chan string, 1)
 	n.control.Exposure = rollout.Exposure(s.RolloutShare)
-	orders := &canary.Orders{
+	orders := &canary.OrderReader{
 		Decode:  n.Platform.Rollout,
-		Found:   n.control.Orders,
+		Found:   n.control.ApplyOrders,
 		Refused: func(reason error) { n.warnOfOther("order refused", reason) },
 	}
 	n.orders = &objectapi.Listing{
@@ -66,21 +66,21 @@
 			Zone:    s.Zone,
 			Control: true,
 		},
-		Counters: &n.metrics.control,
-		API:      n.api,
-		Kind:     n.Platform.RolloutKind,
-		Decode:   n.Platform.Rollout,
-		Status:   n.Platform.RolloutStatus,
-		Lease:    time.Duration(leasePart * float64(s.RollbackWithin)),
-		Known:    func() map[string]rollout.Known { return n.control.Snapshot().Rollouts },
-		Judges:   n.judgesOf,
-		Sizes:    n.control.Versions,
-		Upstream: n.judgedUpstream,
-		Withhold: n.gate.Withhold,
-		Decide:   n.control.Decide,
-		Log:      n.Log,
-	}
-	n.gate.Ran = n.rollouts.Ran
+		Counters:    &n.metrics.control,
+		API:         n.api,
+		Kind:        n.Platform.RolloutKind,
+		Decode:      n.Platform.Rollout,
+		Status:      n.Platform.RolloutStatus,
+		Lease:       time.Duration(leasePart * float64(s.RollbackWithin)),
+		Rollouts:    func() map[string]rollout.LocalState { return n.control.Snapshot().Rollouts },
+		Judges:      n.judgesOf,
+		Capacities:  n.control.UpstreamsByVersion,
+		Upstream:    n.judgedUpstream,
+		SetWithheld: n.gate.SetVersionWithheld,
+		Decided:     n.control.SetRolloutState,
+		Log:         n.Log,
+	}
+	n.gate.RequestCompleted = n.rollouts.RecordRequest
 	n.control.Topics = maps.Clone(n.control.Topics)
 	n.control.Topics[canary.Topic] = n.rollouts.Handle
 }
@@ -88,7 +88,7 @@
 // judgesOf returns the nodes that may be judge of a service's roll-out, in order.
 func (n *Node) judgesOf(service string) []canary.Peer {
 	var list []canary.Peer
-	for _, r := range n.control.First("rollout/"+service, judges) {
+	for _, r := range n.control.RendezvousTop("rollout/"+service, judges) {
 		list = append(list, canary.Peer{
 			ID:   r.ID,
 			Addr: r.Addr,
@@ -106,7 +106,7 @@
 	return canary.Upstream{
 		Service: a.Service,
 		Version: a.Version,
-		Start:   a.Start,
+		StartID: a.StartID,
 		Running: n.gate.Load().Running,
 	}
 }
@@ -118,7 +118,7 @@
 		return "", false
 	}
 	k, ok := n.control.Snapshot().Rollouts[a.Service]
-	return a.Version, ok && a.Version != "" && k.Standing(a.Version) == rollout.OnTrial
+	return a.Version, ok && a.Version != "" && k.Eligibility(a.Version) == rollout.OnTrial
 }
 
 // versionAdmitted returns whether the upstream may take requests as far as its version goes. A
@@ -134,9 +134,9 @@
 		return !ordered || k.Phase.Settled()
 	}
 	if ordered && a.Version == k.Order.Version {
-		return k.Standing(a.Version) != rollout.Withheld
+		return k.Eligibility(a.Version) != rollout.Withheld
 	}
-	sizes := n.control.Versions(a.Service)
+	sizes := n.control.UpstreamsByVersion(a.Service)
 	delete(sizes, "") // not known yet
 	if own := sizes[a.Version]; len(sizes) == 0 || own.Upstreams > own.Trial {
 		return true
@@ -184,7 +184,7 @@
 }
 
 // rolloutsKnown takes in the roll-outs that the node knows of.
-func (n *Node) rolloutsKnown(known map[string]rollout.Known) {
+func (n *Node) rolloutsKnown(known map[string]rollout.LocalState) {
 	if n.rollouts == nil {
 		return
 	}
--- a/node/state.go
+++ b/node/state.go
@@ -51,7 +51,7 @@
 func (n *Node) upstreamChanged(a *upstream.Announcement) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.gate.Announce(a)
+	n.gate.SetAnnouncement(a)
 	if n.stopProbe != nil {
 		n.stopProbe()
 		n.stopProbe = nil
@@ -60,7 +60,7 @@
 	if a == nil {
 		n.Log.Info().Msg("upstream withdrawn")
 	} else {
-		n.Log.Info().Str("service", a.Service).Str("address", a.Address).Str("start", a.Start).Int64("bornMs", a.Born).Int("slots", a.Slots).Bool("draining", a.Draining).Msg("upstream announced")
+		n.Log.Info().Str("service", a.Service).Str("address", a.Address).Str("start", a.StartID).Int64("bornMs", a.StartMillis).Int("slots", a.Slots).Bool("draining", a.Draining).Msg("upstream announced")
 		if n.Platform == nil {
 			n.probe(a)
 		}
@@ -105,7 +105,7 @@
 	if a != nil {
 		u.Service = a.Service
 		u.Slots = min(a.Slots, a.Connections)
-		u.Software, u.Trial = n.software(a)
+		u.Software, u.Canary = n.software(a)
 	}
 	n.control.Announce(u)
 	if n.rollouts != nil {
@@ -189,7 +189,7 @@
 	p := View{
 		Node:           n.Settings.Node,
 		Zone:           n.Settings.Zone,
-		Representative: n.control.Represents(),
+		Representative: n.control.IsRepresentative(),
 		Members:        s.Members,
 		Sequences:      s.Sequences,
 		Upstreams:      make(map[string][]string),
--- a/node/suspects.go
+++ b/node/suspects.go
@@ -16,14 +16,14 @@
 	list := []operator.Suspect{}
 	for _, j := range n.suspects.All() {
 		s := operator.Suspect{
-			Print:     j.Print.String(),
-			Standing:  j.Standing.String(),
-			Ends:      j.Ends,
+			Print:     j.Fingerprint.String(),
+			Standing:  j.State.String(),
+			Ends:      j.Crashes,
 			Upstreams: j.Upstreams,
-			Since:     j.Since.UTC(),
+			Since:     j.LastCrash.UTC(),
 		}
-		if j.Standing == quarantine.Blocked {
-			until := j.Until.UTC()
+		if j.State == quarantine.Blocked {
+			until := j.BlockedUntil.UTC()
 			s.Until = &until
 		}
 		list = append(list, s)
@@ -39,7 +39,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if n.suspects.Judge(p).Standing == quarantine.Unsuspected {
+	if n.suspects.Assess(p).State == quarantine.Unsuspected {
 		http.Error(w, "not suspected", http.StatusNotFound)
 		return
 	}
@@ -50,6 +50,6 @@
 		}
 	}
 	n.Log.Info().Stringer("print", p).Msg("request released")
-	n.control.Report(quarantine.Ran(p))
+	n.control.Report(quarantine.NewCompletionReport(p))
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/node/upstreamwatch.go
+++ b/node/upstreamwatch.go
@@ -44,19 +44,19 @@
 	defer tick.Stop()
 	for n.announced.Current() == nil {
 		h, err := n.health(ctx, s.Service, s.UpstreamAddress)
-		if h.Notice.Leaving && h.Start != "" {
-			n.announced.Leave(h.Start, h.Born)
-		} else if err == nil && h.Start != "" && h.Load.Slots > 0 {
-			n.announced.Offer(&upstream.Announcement{
-				Service:     s.Service,
-				Address:     s.UpstreamAddress,
-				Slots:       h.Load.Slots,
-				Connections: h.Load.Slots,
-				Start:       h.Start,
-				Born:        h.Born,
-				Cold:        max(0, h.Cold),
+		if h.Notice.Leaving && h.StartID != "" {
+			n.announced.Leave(h.StartID, h.StartMillis)
+		} else if err == nil && h.StartID != "" && h.Load.Slots > 0 {
+			n.announced.SetIfAbsent(&upstream.Announcement{
+				Service:       s.Service,
+				Address:       s.UpstreamAddress,
+				Slots:         h.Load.Slots,
+				Connections:   h.Load.Slots,
+				StartID:       h.StartID,
+				StartMillis:   h.StartMillis,
+				ColdRemaining: max(0, h.ColdRemaining),
 			})
-			n.gate.Notice(h.Start, h.Notice)
+			n.gate.HandleNotice(h.StartID, h.Notice)
 			return
 		}
 		if !next(ctx, tick) {
@@ -72,13 +72,13 @@
 var errBeyondLimit = eris.New("a question would be beyond the upstream's limit")
 
 // health asks the health check of an upstream once.
-func (n *Node) health(ctx context.Context, service, address string) (upstream.Healthy, error) {
+func (n *Node) health(ctx context.Context, service, address string) (upstream.HealthStatus, error) {
 	path, ok := n.healthPath(service)
 	if !ok {
-		return upstream.Healthy{}, errNoHealthPath
+		return upstream.HealthStatus{}, errNoHealthPath
 	}
-	if n.gate.AskHealth() > 0 {
-		return upstream.Healthy{}, errBeyondLimit
+	if n.gate.ReserveHealthCheck() > 0 {
+		return upstream.HealthStatus{}, errBeyondLimit
 	}
 	n.questions.Add(1)
 	return upstream.Health(ctx, address, path, n.Platform.Names, healthTimeout)
@@ -107,7 +107,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	n.stopProbe = cancel
 	n.mu.Unlock()
-	n.Log.Warn().Str("address", a.Address).Str("start", a.Start).Err(failure).Msg("upstream down")
+	n.Log.Warn().Str("address", a.Address).Str("start", a.StartID).Err(failure).Msg("upstream down")
 	go n.announce()
 	go n.awaitUpstream(ctx, a)
 }
@@ -121,13 +121,13 @@
 		if err != nil {
 			continue
 		}
-		if h.Start != a.Start {
-			if n.announced.Restore(h.Start, h.Born, a) {
+		if h.StartID != a.StartID {
+			if n.announced.Restore(h.StartID, h.StartMillis, a) {
 				return
 			}
 			continue
 		}
-		if again := a.WithStart(h.Start, h.Born); !again.SameStart(a) {
+		if again := a.WithStart(h.StartID, h.StartMillis); !again.SameStart(a) {
 			n.announced.Set(again)
 			return
 		}
@@ -143,7 +143,7 @@
 		n.down = false
 	}
 	n.mu.Unlock()
-	n.Log.Info().Str("address", a.Address).Str("start", a.Start).Msg("upstream up")
+	n.Log.Info().Str("address", a.Address).Str("start", a.StartID).Msg("upstream up")
 	n.announce()
 }
 
@@ -167,7 +167,7 @@
 // askLoad has the upstream asked for its speed at once, and waits for its word.
 // Requests that ask at the same time wait for the same one.
 func (n *Node) askLoad(ctx context.Context) {
-	if n.gate.Limited() || !n.asks.Allow() {
+	if n.gate.LimitAdvertised() || !n.asks.Allow() {
 		return // what a limited upstream takes goes to requests
 	}
 	told := make(chan struct{})
@@ -191,11 +191,11 @@
 // the calls that come in, and whenever askLoad wants it, until ctx ends.
 func (n *Node) pollLoad(ctx context.Context) {
 	poller := &upstream.Poller{
-		Names:    n.Platform.Names,
-		Timeout:  healthTimeout,
-		Observed: n.gate.Observe,
-		Cold:     n.gate.Cold,
-		Noticed:  n.gate.Notice,
+		Names:          n.Platform.Names,
+		Timeout:        healthTimeout,
+		LoadReported:   n.gate.ObserveLoad,
+		ColdReported:   n.gate.SetColdRemaining,
+		NoticeReceived: n.gate.HandleNotice,
 	}
 	defer poller.Close()
 	due := time.NewTimer(leastLoadAge)
@@ -210,9 +210,9 @@
 		case <-due.C:
 			// Answers tell the speed as well as the health check does, but not that the
 			// upstream has turned cold.
-			rest := min(pace.loadAge(n.calls.Load(), time.Now())-n.gate.Observed(), coldEvery-time.Since(polled))
+			rest := min(pace.loadAge(n.calls.Load(), time.Now())-n.gate.LoadAge(), coldEvery-time.Since(polled))
 			if rest <= 0 {
-				rest = min(n.gate.AskHealth(), coldEvery) // the limit may be over by then
+				rest = min(n.gate.ReserveHealthCheck(), coldEvery) // the limit may be over by then
 			}
 			if rest > 0 {
 				due.Reset(rest)
--- a/node/upstreamwatch_test.go
+++ b/node/upstreamwatch_test.go
@@ -43,8 +43,8 @@
 					asks:      rate.NewLimiter(askRate, askBurst),
 				}
 				if test.limited {
-					n.gate.Announce(&upstream.Announcement{Start: "i-1"})
-					n.gate.Notice("i-1", upstream.Notice{Limited: true, Limit: 5})
+					n.gate.SetAnnouncement(&upstream.Announcement{StartID: "i-1"})
+					n.gate.HandleNotice("i-1", upstream.Notice{Limited: true, Limit: 5})
 				}
 				heard := 0
 				ended := make(chan struct{})
--- a/node/zones.go
+++ b/node/zones.go
@@ -44,7 +44,7 @@
 // listZones answers with the evacuated zones, and how far their evacuation is.
 func (n *Node) listZones(w http.ResponseWriter, _ *http.Request) {
 	set := n.control.Snapshot().Evacuated
-	left := n.control.Left()
+	left := n.control.RemainingUpstreams()
 	list := []operator.Zone{}
 	for _, name := range set.Zones {
 		z := operator.Zone{
--- a/organisation/organisation.go
+++ b/organisation/organisation.go
@@ -112,7 +112,7 @@
 func (s *Set) List() []Organisation { return s.list }
 
 // Named returns the organisation with the given name, or nil.
-func (s *Set) Named(name string) *Organisation {
+func (s *Set) ByName(name string) *Organisation {
 	i, ok := s.named[name]
 	if !ok {
 		return nil
--- a/organisation/organisation_test.go
+++ b/organisation/organisation_test.go
@@ -34,8 +34,8 @@
 		qt.Check(t, s.ByKey("key-3").Rate, qt.Equals, 3.0)
 		qt.Check(t, s.ByKey(""), qt.IsNil)
 		qt.Check(t, s.ByKey("KEY-1"), qt.IsNil)
-		qt.Check(t, s.Named("c").Name, qt.Equals, "c")
-		qt.Check(t, s.Named("d"), qt.IsNil)
+		qt.Check(t, s.ByName("c").Name, qt.Equals, "c")
+		qt.Check(t, s.ByName("d"), qt.IsNil)
 	}
 }
 
--- a/organisation/weight.go
+++ b/organisation/weight.go
@@ -8,7 +8,7 @@
 // rate limit, as operators set limits by what organisations usually ask for. One that has
 // no limit, or isn't known, counts as the mean of those with one.
 func (s *Set) Weight(name string) float64 {
-	if o := s.Named(name); o != nil && o.Rate > 0 {
+	if o := s.ByName(name); o != nil && o.Rate > 0 {
 		return o.Rate
 	}
 	return s.meanRate
--- a/peer/exchange.go
+++ b/peer/exchange.go
@@ -138,7 +138,7 @@
 		// What is left of its body must not come before the Cancel, which another goroutine sends.
 		x.stage.CompareAndSwap(stagePending, stageWithdrawn)
 		x.cancel()
-		x.body.end(verdict.New(verdict.AnswerCut, eris.New("closed by the receiver")), nil)
+		x.body.end(verdict.New(verdict.AnswerTruncated, eris.New("closed by the receiver")), nil)
 	}
 	x.stop()
 }
@@ -182,7 +182,7 @@
 		x.failure = e
 		close(x.ready)
 	})
-	x.body.end(verdict.New(verdict.AnswerCut, e), nil)
+	x.body.end(verdict.New(verdict.AnswerTruncated, e), nil)
 	x.stop()
 }
 
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -304,7 +304,7 @@
 func TestCutAnswerIsACut(t *testing.T) {
 	_, c := serve(t, peer.Limits{}, func(in *peer.Inbound) {
 		_ = in.Begin(&peer.Answer{Status: 200, Length: 10, Body: []byte("half")})
-		in.Fail(verdict.New(verdict.AnswerCut, nil), nil)
+		in.Fail(verdict.New(verdict.AnswerTruncated, nil), nil)
 	})
 	x, failed := c.Start(context.Background(), newCall(), nil)
 	qt.Assert(t, failed == nil, qt.IsTrue)
@@ -312,7 +312,7 @@
 	qt.Assert(t, failed == nil, qt.IsTrue)
 	got, err := io.ReadAll(r.Body)
 	qt.Check(t, string(got), qt.Equals, "half")
-	qt.Check(t, verdict.As(err, verdict.PeerLost).Cause, qt.Equals, verdict.AnswerCut)
+	qt.Check(t, verdict.As(err, verdict.PeerLost).Cause, qt.Equals, verdict.AnswerTruncated)
 }
 
 func TestRevokeAndCancel(t *testing.T) {
--- a/policy/service.go
+++ b/policy/service.go
@@ -51,7 +51,7 @@
 
 // Service returns what holds for a service of a table of routes at a node with the given
 // settings, where there are so many live nodes.
-func Service(t *routes.Table, service string, nodes int, s settings.Settings) operator.Service {
+func FromTable(t *routes.Table, service string, nodes int, s settings.Settings) operator.Service {
 	fixed := false
 	o := operator.Service{
 		Classes:     classes(t, service),
--- a/quarantine/answers.go
+++ b/quarantine/answers.go
@@ -28,14 +28,14 @@
 // Answers counts the answered runs of each request at one gate, so that an end of its
 // upstream is not put down to requests that run there all the time. The zero value is
 // ready. Its methods may be called from any goroutine.
-type Answers struct {
+type AnswerCounter struct {
 	mu          sync.Mutex
 	began       time.Time // of the present span
 	now, before map[Fingerprint]int
 }
 
 // Add counts a run that was answered.
-func (a *Answers) Add(p Fingerprint) {
+func (a *AnswerCounter) Add(p Fingerprint) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.turn(time.Now())
@@ -45,7 +45,7 @@
 }
 
 // turn begins a new span if the present one is over. The lock is held.
-func (a *Answers) turn(now time.Time) {
+func (a *AnswerCounter) turn(now time.Time) {
 	switch age := now.Sub(a.began); {
 	case a.now == nil || age >= 2*answersSpan:
 		a.before = nil
@@ -66,7 +66,7 @@
 // An isolated request that was answered here lately is not blocked: what ends upstreams is
 // never answered. Without that, frequent harmless requests would be blocked where upstreams
 // end for other reasons.
-func (a *Answers) Ended(atHand []Fingerprint, isolated Fingerprint) (suspects []Fingerprint, blamed Fingerprint) {
+func (a *AnswerCounter) Suspects(atHand []Fingerprint, isolated Fingerprint) (suspects []Fingerprint, blamed Fingerprint) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.turn(time.Now())
--- a/quarantine/bystanders_test.go
+++ b/quarantine/bystanders_test.go
@@ -72,7 +72,7 @@
 // send sends a request to an upstream that is there, as nodes do.
 func (s *sim) send(r *simRequest) {
 	r.tries++
-	standing := s.index.Judge(r.print).Standing
+	standing := s.index.Assess(r.print).State
 	if !r.fatal && standing == quarantine.Isolated {
 		s.isolated++
 	}
@@ -139,8 +139,8 @@
 		if r == u.isolated {
 			u.isolated = nil
 		}
-		if s.index.Judge(r.print).Ends > 0 {
-			s.index.Add(quarantine.Ran(r.print))
+		if s.index.Assess(r.print).Crashes > 0 {
+			s.index.Add(quarantine.NewCompletionReport(r.print))
 		}
 	}
 	if !fatal {
@@ -168,10 +168,10 @@
 	if isolated != nil {
 		alone = isolated.print
 	}
-	report := quarantine.Ended(fmt.Sprintf("%d/%d", i, u.start), prints, alone)
+	report := quarantine.NewCrashReport(fmt.Sprintf("%d/%d", i, u.start), prints, alone)
 	time.AfterFunc(simNews, func() { s.index.Add(report) })
 	for _, r := range lost {
-		if r.tries < 3 && s.index.Judge(r.print).Standing < quarantine.Isolated {
+		if r.tries < 3 && s.index.Assess(r.print).State < quarantine.Isolated {
 			s.send(r)
 		}
 	}
@@ -190,7 +190,7 @@
 
 // play plays the load once, with the fatal request coming every so often.
 func (s *sim) play() {
-	fatal := quarantine.Head("caller", "GET", "h.example", "/fatal").WithBody(nil)
+	fatal := quarantine.NewFingerprint("caller", "GET", "h.example", "/fatal").WithBody(nil)
 	began := time.Now()
 	for next := s.every; time.Since(began) < simLasts; time.Sleep(simStep) {
 		for range simRate * int(simStep/time.Millisecond) / 1000 {
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -34,11 +34,11 @@
 
 // MaxBody is how much of a body is part of a fingerprint, in bytes: as much as is waited for
 // where a request with the same head is suspected.
-const MaxBody = 64 << 10
+const MaxBodyBytes = 64 << 10
 
 // Head returns the fingerprint of a request without its body, given the service that it
 // comes from, its method, host and target.
-func Head(caller, method, host, target string) Fingerprint {
+func NewFingerprint(caller, method, host, target string) Fingerprint {
 	const ofCaller = 1<<callerBits - 1
 	return Fingerprint{
 		Head: max(1, sumOf(method, host, target)&^ofCaller|sumOf(caller)&ofCaller),
@@ -74,13 +74,13 @@
 // WithBody returns f with the given body, of which the first MaxBody bytes count.
 func (f Fingerprint) WithBody(body []byte) Fingerprint {
 	h := sha256.New()
-	_, _ = h.Write(body[:min(len(body), MaxBody)])
+	_, _ = h.Write(body[:min(len(body), MaxBodyBytes)])
 	f.Body = sum(h)
 	return f
 }
 
 // Known returns whether f stands for a whole request, body included.
-func (f Fingerprint) Known() bool { return f.Head != 0 && f.Body != 0 }
+func (f Fingerprint) Complete() bool { return f.Head != 0 && f.Body != 0 }
 
 // String returns f as it stands in logs.
 func (f Fingerprint) String() string { return fmt.Sprintf(format, f.Head, f.Body) }
@@ -104,7 +104,7 @@
 
 // Body is an io.Reader that takes the fingerprint of what passes through it. The
 // exported fields are set before the first Read.
-type Body struct {
+type BodyHasher struct {
 	// Reader yields the body.
 	Reader io.Reader
 
@@ -114,7 +114,7 @@
 }
 
 // Read implements io.Reader.
-func (b *Body) Read(p []byte) (int, error) {
+func (b *BodyHasher) Read(p []byte) (int, error) {
 	n, err := b.Reader.Read(p)
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -127,7 +127,7 @@
 
 // Fingerprint returns f with the body that has passed so far. It may be called from
 // any goroutine.
-func (b *Body) Fingerprint(f Fingerprint) Fingerprint {
+func (b *BodyHasher) Fingerprint(f Fingerprint) Fingerprint {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.init()
@@ -135,9 +135,9 @@
 	return f
 }
 
-func (b *Body) init() {
+func (b *BodyHasher) init() {
 	if b.hash == nil {
 		b.hash = sha256.New()
-		b.left = MaxBody
+		b.left = MaxBodyBytes
 	}
 }
--- a/quarantine/fingerprint_test.go
+++ b/quarantine/fingerprint_test.go
@@ -15,27 +15,27 @@
 )
 
 func TestFingerprint(t *testing.T) {
-	base := quarantine.Head("desk", "PUT", "h.example", "/a/x?y=1").WithBody([]byte("body"))
+	base := quarantine.NewFingerprint("desk", "PUT", "h.example", "/a/x?y=1").WithBody([]byte("body"))
 	tests := map[string]struct {
 		other quarantine.Fingerprint
 		same  bool
 	}{
-		"the same":            {other: quarantine.Head("desk", "PUT", "h.example", "/a/x?y=1").WithBody([]byte("body")), same: true},
-		"another caller":      {other: quarantine.Head("crew", "PUT", "h.example", "/a/x?y=1").WithBody([]byte("body"))},
-		"another method":      {other: quarantine.Head("desk", "GET", "h.example", "/a/x?y=1").WithBody([]byte("body"))},
-		"another host":        {other: quarantine.Head("desk", "PUT", "i.example", "/a/x?y=1").WithBody([]byte("body"))},
-		"another query":       {other: quarantine.Head("desk", "PUT", "h.example", "/a/x?y=2").WithBody([]byte("body"))},
-		"another body":        {other: quarantine.Head("desk", "PUT", "h.example", "/a/x?y=1").WithBody([]byte("bodz"))},
-		"no body":             {other: quarantine.Head("desk", "PUT", "h.example", "/a/x?y=1").WithBody(nil)},
-		"a body not known":    {other: quarantine.Head("desk", "PUT", "h.example", "/a/x?y=1")},
-		"parts that run over": {other: quarantine.Head("deskP", "UT", "h.example", "/a/x?y=1").WithBody([]byte("body"))},
+		"the same":            {other: quarantine.NewFingerprint("desk", "PUT", "h.example", "/a/x?y=1").WithBody([]byte("body")), same: true},
+		"another caller":      {other: quarantine.NewFingerprint("crew", "PUT", "h.example", "/a/x?y=1").WithBody([]byte("body"))},
+		"another method":      {other: quarantine.NewFingerprint("desk", "GET", "h.example", "/a/x?y=1").WithBody([]byte("body"))},
+		"another host":        {other: quarantine.NewFingerprint("desk", "PUT", "i.example", "/a/x?y=1").WithBody([]byte("body"))},
+		"another query":       {other: quarantine.NewFingerprint("desk", "PUT", "h.example", "/a/x?y=2").WithBody([]byte("body"))},
+		"another body":        {other: quarantine.NewFingerprint("desk", "PUT", "h.example", "/a/x?y=1").WithBody([]byte("bodz"))},
+		"no body":             {other: quarantine.NewFingerprint("desk", "PUT", "h.example", "/a/x?y=1").WithBody(nil)},
+		"a body not known":    {other: quarantine.NewFingerprint("desk", "PUT", "h.example", "/a/x?y=1")},
+		"parts that run over": {other: quarantine.NewFingerprint("deskP", "UT", "h.example", "/a/x?y=1").WithBody([]byte("body"))},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			qt.Check(t, test.other == base, qt.Equals, test.same)
 		})
 	}
-	qt.Check(t, base.Known(), qt.IsTrue)
+	qt.Check(t, base.Complete(), qt.IsTrue)
 	parsed, err := quarantine.Parse(base.String())
 	qt.Check(t, err, qt.IsNil)
 	qt.Check(t, parsed, qt.Equals, base)
@@ -43,17 +43,17 @@
 		_, err := quarantine.Parse(bad)
 		qt.Check(t, err, qt.IsNotNil, qt.Commentf("%q", bad))
 	}
-	qt.Check(t, quarantine.Head("a", "b", "c", "d").Known(), qt.IsFalse)
+	qt.Check(t, quarantine.NewFingerprint("a", "b", "c", "d").Complete(), qt.IsFalse)
 }
 
 // TestFingerprintOfStream has a body pass in pieces: it has the fingerprint of the same
 // body in one.
 func TestFingerprintOfStream(t *testing.T) {
-	for name, size := range map[string]int{"empty": 0, "small": 100, "at the bound": quarantine.MaxBody, "over the bound": quarantine.MaxBody + 1000} {
+	for name, size := range map[string]int{"empty": 0, "small": 100, "at the bound": quarantine.MaxBodyBytes, "over the bound": quarantine.MaxBodyBytes + 1000} {
 		t.Run(name, func(t *testing.T) {
 			data := bytes.Repeat([]byte("x"), size)
-			head := quarantine.Head("a", "b", "c", "d")
-			b := &quarantine.Body{Reader: bytes.NewReader(data)}
+			head := quarantine.NewFingerprint("a", "b", "c", "d")
+			b := &quarantine.BodyHasher{Reader: bytes.NewReader(data)}
 			_, err := io.CopyBuffer(struct{ io.Writer }{io.Discard}, struct{ io.Reader }{b}, make([]byte, 777))
 			qt.Assert(t, err, qt.IsNil)
 			qt.Check(t, b.Fingerprint(head), qt.Equals, head.WithBody(data))
@@ -66,7 +66,7 @@
 		b.Run(name, func(b *testing.B) {
 			body := make([]byte, size)
 			for b.Loop() {
-				quarantine.Head("desk", "PUT", "reports.example", "/area/reports/0a1b2c").WithBody(body)
+				quarantine.NewFingerprint("desk", "PUT", "reports.example", "/area/reports/0a1b2c").WithBody(body)
 			}
 		})
 	}
--- a/quarantine/index.go
+++ b/quarantine/index.go
@@ -27,14 +27,14 @@
 )
 
 // Standing is what is thought of a request.
-type Standing uint8
+type State uint8
 
 // The standings.
 const (
 	// Unsuspected means that no upstream has ended under it, or that it has run since.
-	Unsuspected Standing = iota
+	Unsuspected State = iota
 	// Seen means that it was at hand when an upstream ended.
-	Seen
+	SeenAtCrash
 	// Isolated means that it runs only where no other isolated request does.
 	Isolated
 	// Blocked means that it does not run: an upstream has ended while it was isolated.
@@ -42,26 +42,26 @@
 )
 
 // String returns the name of s as it stands in logs and metrics.
-func (s Standing) String() string {
+func (s State) String() string {
 	return [...]string{"unsuspected", "seen", "isolated", "blocked"}[s]
 }
 
 // Judgment is a request's standing with the grounds for it. It is an immutable value.
-type Judgment struct {
+type Assessment struct {
 	// Print is the request.
-	Print Fingerprint
+	Fingerprint Fingerprint
 	// Standing is what is thought of it.
-	Standing Standing
+	State State
 	// Ends is the number of upstreams that have ended with it at hand since it last ran
 	// to its end.
-	Ends int
+	Crashes int
 	// Since is when the last of them did.
-	Since time.Time
+	LastCrash time.Time
 	// Until is when a block ends.
-	Until time.Time
+	BlockedUntil time.Time
 	// Upstreams are the starts that have ended, and Isolated those of them that ended
 	// while it was isolated.
-	Upstreams, Isolated []string
+	Upstreams, IsolatedUpstreams []string
 }
 
 // Index knows the standing of requests, by the reports given to it. The zero value is
@@ -101,7 +101,7 @@
 		x.others = make(map[request][]Fingerprint)
 	}
 	x.reports[r.Name] = r
-	for _, p := range r.Prints {
+	for _, p := range r.Fingerprints {
 		h := x.prints[p]
 		if h == nil {
 			h = &history{
@@ -115,7 +115,7 @@
 		h.reports++
 		for _, u := range r.Upstreams {
 			h.ends[u] = max(h.ends[u], r.At)
-			if p == r.Alone {
+			if p == r.Isolated {
 				h.alone[u] = h.ends[u]
 			}
 		}
@@ -139,7 +139,7 @@
 // drop takes a report out of the histories. The lock is held.
 func (x *Index) drop(r Report) {
 	delete(x.reports, r.Name)
-	for _, p := range r.Prints {
+	for _, p := range r.Fingerprints {
 		h := x.prints[p]
 		for _, u := range r.Upstreams {
 			if h.ends[u] == r.At {
@@ -172,7 +172,7 @@
 
 // Suspects returns whether a request with the head of p may be suspected, so that its
 // body has to be known.
-func (x *Index) Suspects(p Fingerprint) bool {
+func (x *Index) MaySuspect(p Fingerprint) bool {
 	if x.known.Load() == 0 {
 		return false
 	}
@@ -183,10 +183,10 @@
 
 // Judge returns the standing of a request. Of a request whose body is not known nothing
 // is thought, and a nil Index suspects none.
-func (x *Index) Judge(p Fingerprint) Judgment {
+func (x *Index) Assess(p Fingerprint) Assessment {
 	if x == nil || x.known.Load() == 0 {
-		return Judgment{
-			Print: p,
+		return Assessment{
+			Fingerprint: p,
 		}
 	}
 	x.mu.RLock()
@@ -196,10 +196,10 @@
 
 // judge returns the standing of a request. One that is blocked for another caller is
 // isolated at least, unless it has run to its end since. The lock is held.
-func (x *Index) judge(p Fingerprint, now time.Time) Judgment {
+func (x *Index) judge(p Fingerprint, now time.Time) Assessment {
 	j := x.judgeAlone(p, now)
-	if j.Standing < Isolated && x.blockedForOthers(p, now) {
-		j.Standing = Isolated
+	if j.State < Isolated && x.blockedForOthers(p, now) {
+		j.State = Isolated
 	}
 	return j
 }
@@ -213,15 +213,15 @@
 	}
 	return slices.ContainsFunc(x.others[p.request()], func(o Fingerprint) bool {
 		j := x.judgeAlone(o, now)
-		return o != p && j.Standing == Blocked && j.Since.UnixMilli() > ran
+		return o != p && j.State == Blocked && j.LastCrash.UnixMilli() > ran
 	})
 }
 
 // judgeAlone returns the standing of a request by what has been seen of it with its own
 // caller. The lock is held.
-func (x *Index) judgeAlone(p Fingerprint, now time.Time) Judgment {
-	j := Judgment{
-		Print: p,
+func (x *Index) judgeAlone(p Fingerprint, now time.Time) Assessment {
+	j := Assessment{
+		Fingerprint: p,
 	}
 	h := x.prints[p]
 	if h == nil {
@@ -235,26 +235,26 @@
 		j.Upstreams = append(j.Upstreams, u)
 		last = max(last, at)
 		if h.alone[u] > 0 {
-			j.Isolated = append(j.Isolated, u)
+			j.IsolatedUpstreams = append(j.IsolatedUpstreams, u)
 			lastAlone = max(lastAlone, at)
 		}
 	}
-	j.Ends = len(j.Upstreams)
-	if j.Ends == 0 {
+	j.Crashes = len(j.Upstreams)
+	if j.Crashes == 0 {
 		return j
 	}
 	slices.Sort(j.Upstreams)
-	slices.Sort(j.Isolated)
-	j.Since = time.UnixMilli(last)
-	j.Standing = Seen
-	if j.Ends >= endsToIsolate {
-		j.Standing = Isolated
+	slices.Sort(j.IsolatedUpstreams)
+	j.LastCrash = time.UnixMilli(last)
+	j.State = SeenAtCrash
+	if j.Crashes >= endsToIsolate {
+		j.State = Isolated
 	}
-	if len(j.Isolated) > 0 {
-		j.Until = time.UnixMilli(lastAlone).Add(blockFor(len(j.Isolated)))
+	if len(j.IsolatedUpstreams) > 0 {
+		j.BlockedUntil = time.UnixMilli(lastAlone).Add(blockFor(len(j.IsolatedUpstreams)))
 	}
-	if now.Before(j.Until) {
-		j.Standing = Blocked
+	if now.Before(j.BlockedUntil) {
+		j.State = Blocked
 	}
 	return j
 }
@@ -268,29 +268,29 @@
 func blockFor(ends int) time.Duration {
 	block := firstBlock
 	for range ends - 1 {
-		block = min(2*block, Keep)
+		block = min(2*block, ReportLifetime)
 	}
 	return block
 }
 
 // All returns the judgments of all requests that are suspected, those with the most ends
 // first.
-func (x *Index) All() []Judgment {
+func (x *Index) All() []Assessment {
 	list := x.suspected()
-	slices.SortFunc(list, func(a, b Judgment) int {
-		return cmp.Or(cmp.Compare(b.Ends, a.Ends), b.Since.Compare(a.Since), cmp.Compare(a.Print.Head, b.Print.Head))
+	slices.SortFunc(list, func(a, b Assessment) int {
+		return cmp.Or(cmp.Compare(b.Crashes, a.Crashes), b.LastCrash.Compare(a.LastCrash), cmp.Compare(a.Fingerprint.Head, b.Fingerprint.Head))
 	})
 	return list
 }
 
 // suspected returns the judgments of all requests that are suspected, in no order.
-func (x *Index) suspected() []Judgment {
+func (x *Index) suspected() []Assessment {
 	x.mu.RLock()
 	defer x.mu.RUnlock()
 	now := time.Now()
-	var list []Judgment
+	var list []Assessment
 	for p := range x.prints {
-		if j := x.judge(p, now); j.Standing != Unsuspected {
+		if j := x.judge(p, now); j.State != Unsuspected {
 			list = append(list, j)
 		}
 	}
@@ -298,9 +298,9 @@
 }
 
 // Count returns the number of requests with a standing other than Unsuspected.
-func (x *Index) Count(s Standing) (n int) {
+func (x *Index) Count(s State) (n int) {
 	for _, j := range x.suspected() {
-		if j.Standing == s {
+		if j.State == s {
 			n++
 		}
 	}
@@ -343,9 +343,9 @@
 }
 
 // Failure returns why a request with the judgment is not run, or nil if it may run.
-func (j Judgment) Failure() *verdict.Error {
-	if j.Standing != Blocked {
+func (j Assessment) Failure() *verdict.Error {
+	if j.State != Blocked {
 		return nil
 	}
-	return verdict.New(verdict.Quarantined, eris.Errorf("%d upstreams have ended under requests like this one", j.Ends)).WithRetryAfter(time.Until(j.Until))
+	return verdict.New(verdict.Quarantined, eris.Errorf("%d upstreams have ended under requests like this one", j.Crashes)).WithRetryAfter(time.Until(j.BlockedUntil))
 }
--- a/quarantine/index_test.go
+++ b/quarantine/index_test.go
@@ -19,7 +19,7 @@
 // the first is isolated if it is to be.
 func end(x *quarantine.Index, start string, requests ...int) {
 	var alone quarantine.Fingerprint
-	if x.Judge(printOf(requests[0])).Standing == quarantine.Isolated {
+	if x.Assess(printOf(requests[0])).State == quarantine.Isolated {
 		alone = printOf(requests[0])
 	}
 	endTogether(x, start, alone, requests...)
@@ -31,13 +31,13 @@
 	for _, i := range requests {
 		prints = append(prints, printOf(i))
 	}
-	x.Add(quarantine.Ended(start, prints, alone))
+	x.Add(quarantine.NewCrashReport(start, prints, alone))
 	time.Sleep(10 * time.Millisecond)
 }
 
 // ran adds the report that a request has run to its end.
 func ran(x *quarantine.Index, request int) {
-	x.Add(quarantine.Ran(printOf(request)))
+	x.Add(quarantine.NewCompletionReport(printOf(request)))
 	time.Sleep(10 * time.Millisecond)
 }
 
@@ -45,12 +45,12 @@
 func TestStandings(t *testing.T) {
 	tests := map[string]struct {
 		play func(x *quarantine.Index)
-		want quarantine.Standing
+		want quarantine.State
 		ends int
 	}{
 		"nothing":             {play: func(*quarantine.Index) {}},
 		"another was at hand": {play: func(x *quarantine.Index) { end(x, "a", 2); end(x, "b", 2); end(x, "c", 2) }},
-		"one end":             {play: func(x *quarantine.Index) { end(x, "a", 1, 2) }, want: quarantine.Seen, ends: 1},
+		"one end":             {play: func(x *quarantine.Index) { end(x, "a", 1, 2) }, want: quarantine.SeenAtCrash, ends: 1},
 		"two ends":            {play: func(x *quarantine.Index) { end(x, "a", 1, 2); end(x, "b", 1, 3) }, want: quarantine.Isolated, ends: 2},
 		"three ends":          {play: func(x *quarantine.Index) { end(x, "a", 1); end(x, "b", 1); end(x, "c", 1) }, want: quarantine.Blocked, ends: 3},
 		"many end at once": {
@@ -67,11 +67,11 @@
 		},
 		"the same start, told twice": {
 			play: func(x *quarantine.Index) { end(x, "a", 1); end(x, "a", 1); end(x, "a", 1) },
-			want: quarantine.Seen, ends: 1,
+			want: quarantine.SeenAtCrash, ends: 1,
 		},
 		"ran between": {
 			play: func(x *quarantine.Index) { end(x, "a", 1); end(x, "b", 1); ran(x, 1); end(x, "c", 1) },
-			want: quarantine.Seen, ends: 1,
+			want: quarantine.SeenAtCrash, ends: 1,
 		},
 		"ran since": {play: func(x *quarantine.Index) { end(x, "a", 1); end(x, "b", 1); end(x, "c", 1); ran(x, 1) }},
 		"ran before": {
@@ -107,7 +107,7 @@
 				for i := range 20 {
 					end(x, fmt.Sprint(i), 1)
 				}
-				time.Sleep(quarantine.Keep)
+				time.Sleep(quarantine.ReportLifetime)
 			},
 			want: quarantine.Isolated, ends: 20,
 		},
@@ -117,11 +117,11 @@
 			synctest.Test(t, func(t *testing.T) {
 				var x quarantine.Index
 				test.play(&x)
-				j := x.Judge(printOf(1))
-				qt.Check(t, j.Standing, qt.Equals, test.want, qt.Commentf("%+v", j))
-				qt.Check(t, j.Ends, qt.Equals, test.ends)
+				j := x.Assess(printOf(1))
+				qt.Check(t, j.State, qt.Equals, test.want, qt.Commentf("%+v", j))
+				qt.Check(t, j.Crashes, qt.Equals, test.ends)
 				qt.Check(t, j.Failure() != nil, qt.Equals, test.want == quarantine.Blocked)
-				qt.Check(t, x.Suspects(printOf(1)), qt.Equals, len(x.Judge(printOf(1)).Upstreams) > 0 || name == "ran since")
+				qt.Check(t, x.MaySuspect(printOf(1)), qt.Equals, len(x.Assess(printOf(1)).Upstreams) > 0 || name == "ran since")
 			})
 		})
 	}
@@ -139,18 +139,18 @@
 			r, ok := x.Oldest()
 			qt.Assert(t, ok, qt.IsTrue)
 			x.Remove(r.Name)
-			qt.Check(t, x.Judge(printOf(1)).Ends, qt.Equals, want)
+			qt.Check(t, x.Assess(printOf(1)).Crashes, qt.Equals, want)
 		}
 		_, ok := x.Oldest()
 		qt.Check(t, ok, qt.IsFalse)
-		qt.Check(t, x.Suspects(printOf(1)), qt.IsFalse)
+		qt.Check(t, x.MaySuspect(printOf(1)), qt.IsFalse)
 		qt.Check(t, x.All(), qt.HasLen, 0)
 	})
 }
 
 // TestReportCheck tells which reports of others are used.
 func TestReportCheck(t *testing.T) {
-	good := quarantine.Ended("a", []quarantine.Fingerprint{printOf(1)}, quarantine.Fingerprint{})
+	good := quarantine.NewCrashReport("a", []quarantine.Fingerprint{printOf(1)}, quarantine.Fingerprint{})
 	with := func(f func(r *quarantine.Report)) quarantine.Report {
 		r := good
 		f(&r)
@@ -161,13 +161,13 @@
 		good   bool
 	}{
 		"an end":             {report: good, good: true},
-		"a run":              {report: quarantine.Ran(printOf(1)), good: true},
+		"a run":              {report: quarantine.NewCompletionReport(printOf(1)), good: true},
 		"nothing":            {},
-		"no request":         {report: with(func(r *quarantine.Report) { r.Prints = nil })},
-		"too many requests":  {report: with(func(r *quarantine.Report) { r.Prints = make([]quarantine.Fingerprint, 65) })},
-		"no body":            {report: with(func(r *quarantine.Report) { r.Prints = []quarantine.Fingerprint{{Head: 1}} })},
+		"no request":         {report: with(func(r *quarantine.Report) { r.Fingerprints = nil })},
+		"too many requests":  {report: with(func(r *quarantine.Report) { r.Fingerprints = make([]quarantine.Fingerprint, 65) })},
+		"no body":            {report: with(func(r *quarantine.Report) { r.Fingerprints = []quarantine.Fingerprint{{Head: 1}} })},
 		"from the future":    {report: with(func(r *quarantine.Report) { r.At += time.Hour.Milliseconds() })},
-		"alone, not at hand": {report: with(func(r *quarantine.Report) { r.Alone = printOf(2) })},
+		"alone, not at hand": {report: with(func(r *quarantine.Report) { r.Isolated = printOf(2) })},
 		"an empty upstream":  {report: with(func(r *quarantine.Report) { r.Upstreams = []string{""} })},
 		"too many upstreams": {report: with(func(r *quarantine.Report) { r.Upstreams = make([]string, 17) })},
 	}
@@ -186,15 +186,15 @@
 		var x quarantine.Index
 		var ends int
 		for _, caller := range []string{"a", "b", "c"} {
-			p := quarantine.Head(caller, "GET", "h.example", "/b/fatal").WithBody(nil)
-			for x.Judge(p).Standing != quarantine.Blocked {
+			p := quarantine.NewFingerprint(caller, "GET", "h.example", "/b/fatal").WithBody(nil)
+			for x.Assess(p).State != quarantine.Blocked {
 				var alone quarantine.Fingerprint
-				if x.Judge(p).Standing == quarantine.Isolated {
+				if x.Assess(p).State == quarantine.Isolated {
 					alone = p
 				}
 				ends++
 				qt.Assert(t, ends <= 10, qt.IsTrue)
-				x.Add(quarantine.Ended(fmt.Sprint("n", ends), []quarantine.Fingerprint{p}, alone))
+				x.Add(quarantine.NewCrashReport(fmt.Sprint("n", ends), []quarantine.Fingerprint{p}, alone))
 				time.Sleep(time.Second)
 			}
 		}
@@ -207,23 +207,23 @@
 func TestHarmlessForOtherCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var x quarantine.Index
-		one := quarantine.Head("a", "GET", "h.example", "/b/x").WithBody(nil)
-		other := quarantine.Head("b", "GET", "h.example", "/b/x").WithBody(nil)
-		different := quarantine.Head("b", "GET", "h.example", "/b/y").WithBody(nil)
+		one := quarantine.NewFingerprint("a", "GET", "h.example", "/b/x").WithBody(nil)
+		other := quarantine.NewFingerprint("b", "GET", "h.example", "/b/x").WithBody(nil)
+		different := quarantine.NewFingerprint("b", "GET", "h.example", "/b/y").WithBody(nil)
 		for i, alone := range []quarantine.Fingerprint{{}, {}, one} {
-			x.Add(quarantine.Ended(fmt.Sprint("n", i), []quarantine.Fingerprint{one}, alone))
+			x.Add(quarantine.NewCrashReport(fmt.Sprint("n", i), []quarantine.Fingerprint{one}, alone))
 			time.Sleep(time.Second)
 		}
-		qt.Check(t, x.Judge(one).Standing, qt.Equals, quarantine.Blocked)
-		qt.Check(t, x.Judge(other).Standing, qt.Equals, quarantine.Isolated)
-		qt.Check(t, x.Suspects(quarantine.Head("b", "GET", "h.example", "/b/x")), qt.IsTrue)
-		qt.Check(t, x.Judge(different).Standing < quarantine.Isolated, qt.IsTrue)
+		qt.Check(t, x.Assess(one).State, qt.Equals, quarantine.Blocked)
+		qt.Check(t, x.Assess(other).State, qt.Equals, quarantine.Isolated)
+		qt.Check(t, x.MaySuspect(quarantine.NewFingerprint("b", "GET", "h.example", "/b/x")), qt.IsTrue)
+		qt.Check(t, x.Assess(different).State < quarantine.Isolated, qt.IsTrue)
 
-		x.Add(quarantine.Ran(other))
-		qt.Check(t, x.Judge(other).Standing < quarantine.Isolated, qt.IsTrue)
-		qt.Check(t, x.Judge(one).Standing, qt.Equals, quarantine.Blocked)
+		x.Add(quarantine.NewCompletionReport(other))
+		qt.Check(t, x.Assess(other).State < quarantine.Isolated, qt.IsTrue)
+		qt.Check(t, x.Assess(one).State, qt.Equals, quarantine.Blocked)
 		time.Sleep(time.Second)
-		x.Add(quarantine.Ended("n3", []quarantine.Fingerprint{one}, one))
-		qt.Check(t, x.Judge(other).Standing, qt.Equals, quarantine.Isolated)
+		x.Add(quarantine.NewCrashReport("n3", []quarantine.Fingerprint{one}, one))
+		qt.Check(t, x.Assess(other).State, qt.Equals, quarantine.Isolated)
 	})
 }
--- a/quarantine/popular_test.go
+++ b/quarantine/popular_test.go
@@ -33,7 +33,7 @@
 
 // crowdGate is what the gate of one upstream knows.
 type crowdGate struct {
-	answers quarantine.Answers
+	answers quarantine.AnswerCounter
 	running map[*simRequest]bool
 	alone   *simRequest
 	back    time.Time
@@ -51,7 +51,7 @@
 // send sends a request of some kind.
 func (c *crowd) send(p quarantine.Fingerprint) {
 	c.sent++
-	standing := c.index.Judge(p).Standing
+	standing := c.index.Assess(p).State
 	if standing == quarantine.Blocked {
 		c.blocked++
 		return
@@ -85,8 +85,8 @@
 			g.alone = nil
 		}
 		g.answers.Add(r.print)
-		if c.index.Judge(r.print).Ends > 0 {
-			ran := quarantine.Ran(r.print)
+		if c.index.Assess(r.print).Crashes > 0 {
+			ran := quarantine.NewCompletionReport(r.print)
 			time.AfterFunc(simNews, func() { c.index.Add(ran) })
 		}
 	}
@@ -96,7 +96,7 @@
 func (c *crowd) end(i int) {
 	g := c.gates[i]
 	c.number++
-	prints := []quarantine.Fingerprint{quarantine.Head("caller", "PUT", "h.example", "/bug").WithBody([]byte(fmt.Sprint(c.number)))}
+	prints := []quarantine.Fingerprint{quarantine.NewFingerprint("caller", "PUT", "h.example", "/bug").WithBody([]byte(fmt.Sprint(c.number)))}
 	for r := range g.running {
 		prints = append(prints, r.print)
 	}
@@ -104,12 +104,12 @@
 	if g.alone != nil {
 		alone = g.alone.print
 	}
-	suspects, alone := g.answers.Ended(prints, alone)
+	suspects, alone := g.answers.Suspects(prints, alone)
 	clear(g.running)
 	g.alone = nil
 	g.starts++
 	g.back = time.Now().Add(crowdBack)
-	report := quarantine.Ended(fmt.Sprint(i, "/", g.starts), suspects, alone)
+	report := quarantine.NewCrashReport(fmt.Sprint(i, "/", g.starts), suspects, alone)
 	time.AfterFunc(simNews, func() { c.index.Add(report) })
 }
 
@@ -174,29 +174,29 @@
 // TestAnswers tells which requests at hand an end is put down to.
 func TestAnswers(t *testing.T) {
 	tests := map[string]struct {
-		play func(a *quarantine.Answers)
+		play func(a *quarantine.AnswerCounter)
 		want bool
 		may  bool // whether it is blocked if it was isolated
 	}{
-		"never answered":              {play: func(*quarantine.Answers) {}, want: true, may: true},
-		"answered once":               {play: func(a *quarantine.Answers) { answer(a, 1) }, want: true},
-		"answered often":              {play: func(a *quarantine.Answers) { answer(a, 100) }},
-		"answered long ago":           {play: func(a *quarantine.Answers) { answer(a, 100); time.Sleep(20 * time.Second) }, want: true, may: true},
-		"answered in the span before": {play: func(a *quarantine.Answers) { answer(a, 100); time.Sleep(15 * time.Second); answer(a, 1) }},
+		"never answered":              {play: func(*quarantine.AnswerCounter) {}, want: true, may: true},
+		"answered once":               {play: func(a *quarantine.AnswerCounter) { answer(a, 1) }, want: true},
+		"answered often":              {play: func(a *quarantine.AnswerCounter) { answer(a, 100) }},
+		"answered long ago":           {play: func(a *quarantine.AnswerCounter) { answer(a, 100); time.Sleep(20 * time.Second) }, want: true, may: true},
+		"answered in the span before": {play: func(a *quarantine.AnswerCounter) { answer(a, 100); time.Sleep(15 * time.Second); answer(a, 1) }},
 		"ends one run in ten": {
-			play: func(a *quarantine.Answers) {
+			play: func(a *quarantine.AnswerCounter) {
 				for range 5 {
 					answer(a, 10)
-					a.Ended([]quarantine.Fingerprint{printOf(1)}, quarantine.Fingerprint{})
+					a.Suspects([]quarantine.Fingerprint{printOf(1)}, quarantine.Fingerprint{})
 				}
 			},
 			want: true,
 		},
 		"at hand at one end for a hundred runs": {
-			play: func(a *quarantine.Answers) {
+			play: func(a *quarantine.AnswerCounter) {
 				for range 5 {
 					answer(a, 100)
-					a.Ended([]quarantine.Fingerprint{printOf(1)}, quarantine.Fingerprint{})
+					a.Suspects([]quarantine.Fingerprint{printOf(1)}, quarantine.Fingerprint{})
 				}
 			},
 		},
@@ -204,9 +204,9 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				var a quarantine.Answers
+				var a quarantine.AnswerCounter
 				test.play(&a)
-				suspects, blamed := a.Ended([]quarantine.Fingerprint{printOf(1)}, printOf(1))
+				suspects, blamed := a.Suspects([]quarantine.Fingerprint{printOf(1)}, printOf(1))
 				qt.Check(t, len(suspects) == 1, qt.Equals, test.want)
 				qt.Check(t, blamed == printOf(1), qt.Equals, test.may)
 			})
@@ -215,7 +215,7 @@
 }
 
 // answer counts a number of answered runs of request 1.
-func answer(a *quarantine.Answers, runs int) {
+func answer(a *quarantine.AnswerCounter, runs int) {
 	for range runs {
 		a.Add(printOf(1))
 	}
@@ -223,7 +223,7 @@
 
 // BenchmarkAnswers counts answered runs, one in two of them of a kind that comes often.
 func BenchmarkAnswers(b *testing.B) {
-	var a quarantine.Answers
+	var a quarantine.AnswerCounter
 	i := 0
 	for b.Loop() {
 		i++
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -26,15 +26,15 @@
 	// requests have run to their end.
 	Upstreams []string `msgpack:"u,omitempty"`
 	// Prints are the requests.
-	Prints []Fingerprint `msgpack:"p"`
+	Fingerprints []Fingerprint `msgpack:"p"`
 	// Alone is the one of them that was isolated, or zero if there was none.
-	Alone Fingerprint `msgpack:"a"`
+	Isolated Fingerprint `msgpack:"a"`
 }
 
 const (
 	// Keep is how long a report counts. Blocks that have grown twice, to 40 minutes, end
 	// within it.
-	Keep = 2 * time.Hour
+	ReportLifetime = 2 * time.Hour
 	// MaxReports bounds the reports that are kept, the newest ones: 850 upstreams of a
 	// zone that end at once have 18 requests each at hand, few of which come again. With
 	// MaxSuspects requests each they take 0.7 MB.
@@ -49,23 +49,23 @@
 
 // Ended returns the report that an upstream has ended with some requests at hand, of
 // which one, or none, was isolated. Start tells its start from all others.
-func Ended(start string, prints []Fingerprint, alone Fingerprint) Report {
+func NewCrashReport(start string, prints []Fingerprint, alone Fingerprint) Report {
 	now := time.Now()
 	return Report{
-		Name:      "end/" + start + "/" + now.UTC().Format(time.RFC3339Nano),
-		At:        now.UnixMilli(),
-		Upstreams: []string{start},
-		Prints:    prints,
-		Alone:     alone,
+		Name:         "end/" + start + "/" + now.UTC().Format(time.RFC3339Nano),
+		At:           now.UnixMilli(),
+		Upstreams:    []string{start},
+		Fingerprints: prints,
+		Isolated:     alone,
 	}
 }
 
 // Ran returns the report that a request has run to its end.
-func Ran(p Fingerprint) Report {
+func NewCompletionReport(p Fingerprint) Report {
 	return Report{
-		Name:   "ran/" + p.String(),
-		At:     time.Now().UnixMilli(),
-		Prints: []Fingerprint{p},
+		Name:         "ran/" + p.String(),
+		At:           time.Now().UnixMilli(),
+		Fingerprints: []Fingerprint{p},
 	}
 }
 
@@ -73,7 +73,7 @@
 func (r Report) Key() string { return r.Name }
 
 // Rank implements gossip.Record.
-func (r Report) Rank() gossip.Version {
+func (r Report) GossipVersion() gossip.Version {
 	return gossip.Version{
 		Major: uint64(max(0, r.At)),
 	}
@@ -81,7 +81,7 @@
 
 // Expired returns whether the report counts no more.
 func (r Report) Expired(now time.Time) bool {
-	return now.Sub(time.UnixMilli(r.At)) > Keep
+	return now.Sub(time.UnixMilli(r.At)) > ReportLifetime
 }
 
 // Check returns why a report of another node can't be used, or nil.
@@ -91,15 +91,15 @@
 		return eris.Errorf("a name of %d bytes", len(r.Name))
 	case time.UnixMilli(r.At).Sub(now) > ahead:
 		return eris.Errorf("written %v ahead of this node's clock", time.UnixMilli(r.At).Sub(now))
-	case len(r.Prints) == 0 || len(r.Prints) > MaxSuspects:
-		return eris.Errorf("%d requests are not within 1 and %d", len(r.Prints), MaxSuspects)
+	case len(r.Fingerprints) == 0 || len(r.Fingerprints) > MaxSuspects:
+		return eris.Errorf("%d requests are not within 1 and %d", len(r.Fingerprints), MaxSuspects)
 	case len(r.Upstreams) > MaxUpstreams:
 		return eris.Errorf("%d upstreams are over %d", len(r.Upstreams), MaxUpstreams)
 	case slices.ContainsFunc(r.Upstreams, func(s string) bool { return s == "" || len(s) > maxName }):
 		return eris.New("an upstream without a name, or with too long a one")
-	case slices.ContainsFunc(r.Prints, func(p Fingerprint) bool { return !p.Known() }):
+	case slices.ContainsFunc(r.Fingerprints, func(p Fingerprint) bool { return !p.Complete() }):
 		return eris.New("a request that is not known whole")
-	case r.Alone != Fingerprint{} && (len(r.Upstreams) == 0 || !slices.Contains(r.Prints, r.Alone)):
+	case r.Isolated != Fingerprint{} && (len(r.Upstreams) == 0 || !slices.Contains(r.Fingerprints, r.Isolated)):
 		return eris.New("an isolated request that was not at hand")
 	}
 	return nil
--- a/quarantine/running.go
+++ b/quarantine/running.go
@@ -24,7 +24,7 @@
 
 // Running knows the requests that are at one upstream. The zero value is ready. Its
 // methods may be called from any goroutine.
-type Running struct {
+type InFlight struct {
 	mu   sync.Mutex
 	open map[*Run]bool
 	lost []*Run // by the time of their loss
@@ -32,7 +32,7 @@
 
 // Run is a request at an upstream.
 type Run struct {
-	running *Running
+	running *InFlight
 	print   func() Fingerprint
 	alone   bool // whether it is isolated
 	began   time.Time
@@ -41,7 +41,7 @@
 
 // Begin records that a request is sent to the upstream, and whether it is isolated.
 // Print returns its fingerprint, as far as its body has been sent.
-func (r *Running) Begin(print func() Fingerprint, alone bool) *Run {
+func (r *InFlight) Begin(print func() Fingerprint, alone bool) *Run {
 	run := &Run{
 		running: r,
 		print:   print,
@@ -89,7 +89,7 @@
 
 // close takes a request out of those in flight, and returns whether it was one of them.
 // The lock is held.
-func (r *Running) close(u *Run) bool {
+func (r *InFlight) close(u *Run) bool {
 	open := r.open[u]
 	delete(r.open, u)
 	return open
@@ -99,7 +99,7 @@
 // most MaxSuspects, and the one of them that is isolated, and forgets them. It is for an
 // upstream that has ended. If one isolated request was given up and another has begun
 // since, nobody can say which of them it was, and none is returned.
-func (r *Running) Take() (prints []Fingerprint, alone Fingerprint) {
+func (r *InFlight) Take() (prints []Fingerprint, alone Fingerprint) {
 	r.mu.Lock()
 	runs := slices.Clone(r.lost)
 	for u := range r.open {
@@ -112,7 +112,7 @@
 	isolated := 0
 	for _, u := range runs {
 		p := u.print()
-		if !p.Known() || len(prints) == MaxSuspects {
+		if !p.Complete() || len(prints) == MaxSuspects {
 			continue
 		}
 		if u.alone {
--- a/quarantine/running_test.go
+++ b/quarantine/running_test.go
@@ -17,25 +17,25 @@
 
 // print returns the fingerprint of a request with the given number.
 func printOf(i int) quarantine.Fingerprint {
-	return quarantine.Head("caller", "GET", "h.example", fmt.Sprint("/", i)).WithBody(nil)
+	return quarantine.NewFingerprint("caller", "GET", "h.example", fmt.Sprint("/", i)).WithBody(nil)
 }
 
 // TestRunning tells which requests an upstream may have ended under.
 func TestRunning(t *testing.T) {
 	tests := map[string]struct {
-		play func(r *quarantine.Running, begin func(i int) *quarantine.Run)
+		play func(r *quarantine.InFlight, begin func(i int) *quarantine.Run)
 		want []int
 	}{
 		"in flight, the last begun first": {
-			play: func(_ *quarantine.Running, begin func(i int) *quarantine.Run) { begin(1); begin(2) },
+			play: func(_ *quarantine.InFlight, begin func(i int) *quarantine.Run) { begin(1); begin(2) },
 			want: []int{2, 1},
 		},
 		"one that was answered is none": {
-			play: func(_ *quarantine.Running, begin func(i int) *quarantine.Run) { begin(1).End(); begin(2) },
+			play: func(_ *quarantine.InFlight, begin func(i int) *quarantine.Run) { begin(1).End(); begin(2) },
 			want: []int{2},
 		},
 		"one whose connection was lost a moment ago": {
-			play: func(_ *quarantine.Running, begin func(i int) *quarantine.Run) {
+			play: func(_ *quarantine.InFlight, begin func(i int) *quarantine.Run) {
 				u := begin(1)
 				u.Abandon()
 				u.End()
@@ -44,25 +44,25 @@
 			want: []int{1},
 		},
 		"one that was given up long before the last sign of life is none": {
-			play: func(_ *quarantine.Running, begin func(i int) *quarantine.Run) {
+			play: func(_ *quarantine.InFlight, begin func(i int) *quarantine.Run) {
 				begin(1).Abandon()
 				time.Sleep(3 * time.Second)
 				begin(2).End()
 			},
 		},
 		"one that was lost long ago, and no sign of life since": {
-			play: func(_ *quarantine.Running, begin func(i int) *quarantine.Run) {
+			play: func(_ *quarantine.InFlight, begin func(i int) *quarantine.Run) {
 				begin(1).Abandon()
 				time.Sleep(time.Minute)
 			},
 			want: []int{1},
 		},
 		"the same twice": {
-			play: func(_ *quarantine.Running, begin func(i int) *quarantine.Run) { begin(1); begin(1) },
+			play: func(_ *quarantine.InFlight, begin func(i int) *quarantine.Run) { begin(1); begin(1) },
 			want: []int{1},
 		},
 		"each end has its own": {
-			play: func(r *quarantine.Running, begin func(i int) *quarantine.Run) {
+			play: func(r *quarantine.InFlight, begin func(i int) *quarantine.Run) {
 				u := begin(1)
 				r.Take()
 				u.Abandon()
@@ -74,7 +74,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				var r quarantine.Running
+				var r quarantine.InFlight
 				test.play(&r, func(i int) *quarantine.Run {
 					time.Sleep(time.Millisecond)
 					return r.Begin(func() quarantine.Fingerprint { return printOf(i) }, false)
@@ -93,7 +93,7 @@
 }
 
 func TestRunningIsBounded(t *testing.T) {
-	var r quarantine.Running
+	var r quarantine.InFlight
 	for i := range 1000 {
 		u := r.Begin(func() quarantine.Fingerprint { return printOf(i) }, false)
 		if i%2 == 0 {
@@ -119,7 +119,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			var r quarantine.Running
+			var r quarantine.InFlight
 			r.Begin(func() quarantine.Fingerprint { return printOf(0) }, false)
 			for i, n := range test.isolated {
 				u := r.Begin(func() quarantine.Fingerprint { return printOf(n) }, true)
--- a/quota/bounds.go
+++ b/quota/bounds.go
@@ -8,13 +8,13 @@
 
 const (
 	// Lease is how long a right that is not deposited anew stays at a home.
-	Lease = 500 * time.Millisecond
+	LeaseDuration = 500 * time.Millisecond
 	// Renew is the time after which a right is deposited anew.
-	Renew = 200 * time.Millisecond
+	RenewInterval = 200 * time.Millisecond
 	// Life is how long a token may be used after the node has asked for it.
-	Life = 250 * time.Millisecond
+	TokenLifetime = 250 * time.Millisecond
 	// drift is how much of a lease two clocks may differ by over its length.
-	drift = Lease / 50
+	drift = LeaseDuration / 50
 )
 
 // Limit is the rate limit of an organisation: Rate requests a second, and Burst more after
@@ -32,7 +32,7 @@
 }
 
 // Most returns the number of requests that may run in any Window.
-func (b Bounds) Most(l Limit) float64 {
+func (b Bounds) MaxRequests(l Limit) float64 {
 	return (l.Rate*b.Window.Seconds()+l.Burst)*(1+b.Overage) + b.Slack
 }
 
@@ -41,7 +41,7 @@
 // pays for that, and what it does not cover is taken off the rate. The other half is for
 // rights of nodes that the others have not counted yet.
 func (b Bounds) pace() float64 {
-	return min(1, b.Window.Seconds()*(1+b.Overage/2)/(b.Window+Life).Seconds())
+	return min(1, b.Window.Seconds()*(1+b.Overage/2)/(b.Window+TokenLifetime).Seconds())
 }
 
 // depth returns the depth of the bucket of a home that holds all rights. Half of the slack
--- a/quota/census.go
+++ b/quota/census.go
@@ -17,7 +17,7 @@
 
 // Census is the number of nodes among which the rights are divided: the largest one that is
 // known from lately. A count that is too small would give the nodes too much together.
-type Census struct {
+type NodeEstimate struct {
 	began     time.Duration
 	turned    time.Duration // when the present span of remember began
 	now, last int           // the most nodes counted in this span and in the one before it
@@ -26,15 +26,15 @@
 }
 
 // NewCensus returns the Census of a node that starts.
-func NewCensus(now time.Duration) *Census {
-	return &Census{
+func NewNodeEstimate(now time.Duration) *NodeEstimate {
+	return &NodeEstimate{
 		began:  now,
 		turned: now,
 	}
 }
 
 // Count takes in how many nodes there are, as far as this one knows.
-func (c *Census) Count(nodes int, now time.Duration) {
+func (c *NodeEstimate) Observe(nodes int, now time.Duration) {
 	if now-c.turned >= remember {
 		c.last = c.now
 		c.now = 0
@@ -44,19 +44,19 @@
 }
 
 // Told takes in a number that others have left on the platform.
-func (c *Census) Told(nodes int, now time.Duration) {
+func (c *NodeEstimate) ObserveStored(nodes int, now time.Duration) {
 	if nodes > 0 && nodes <= maxNodes {
 		c.told = true
-		c.Count(nodes, now)
+		c.Observe(nodes, now)
 	}
 }
 
 // Heard takes in a number that a home has said. It is used only while there is no better
 // one, as it comes from the nodes in the first place.
-func (c *Census) Heard(nodes int) { c.heard = min(nodes, maxNodes) }
+func (c *NodeEstimate) ObserveReported(nodes int) { c.heard = min(nodes, maxNodes) }
 
 // Nodes returns the number, or 0 if it is not known yet.
-func (c *Census) Nodes(now time.Duration) int {
+func (c *NodeEstimate) Nodes(now time.Duration) int {
 	counted := max(c.now, c.last)
 	switch {
 	case c.told || now-c.began >= settling:
