--- a/quota/client.go
+++ b/quota/client.go
@@ -49,7 +49,7 @@
 func NewClient(start uint64, now time.Duration) *Client {
 	return &Client{
 		start:    start,
-		until:    now + Lease,
+		until:    now + LeaseDuration,
 		echoes:   make(map[string]echo),
 		avoided:  make(map[string]time.Duration),
 		failures: make(map[string]int),
@@ -64,7 +64,7 @@
 
 // Leaves returns the home that holds the node's right and is to give it back, as another
 // one is asked now, or "". One that does not answer isn't asked to.
-func (c *Client) Leaves(now time.Duration) string {
+func (c *Client) PreviousHolder(now time.Duration) string {
 	if now >= c.until || c.holder == c.home || c.avoids(c.holder, now) {
 		return ""
 	}
@@ -73,73 +73,73 @@
 
 // Ask returns the next Ask to a home, which deposits the node's right there unless it may
 // be elsewhere, and returns the tokens of that home that are left over.
-func (c *Client) Ask(home string, wants []Count, now time.Duration) *Ask {
+func (c *Client) NextRequest(home string, wants []TokenCount, now time.Duration) *Request {
 	a := c.ask(home, now)
-	a.Wants = wants
-	a.Returns = c.leftOver(home, now)
+	a.Wanted = wants
+	a.Returned = c.leftOver(home, now)
 	switch {
 	case c.failures[home] > 0:
 		a.Nodes = Unchanged // a home that does not answer isn't to hold the right for longer
-	case a.Home != 0 && c.nodes > 0 && (now >= c.until || c.holder == home):
+	case a.Coordinator != 0 && c.nodes > 0 && (now >= c.until || c.holder == home):
 		a.Nodes = c.nodes
 		c.holder = home
-		c.until = now + Lease
+		c.until = now + LeaseDuration
 	}
 	return a
 }
 
 // Due returns the time until the next Ask is due even if no token is wanted.
-func (c *Client) Due(now time.Duration) time.Duration {
+func (c *Client) NextRenewal(now time.Duration) time.Duration {
 	switch {
 	case c.nodes == 0:
-		return Renew
+		return RenewInterval
 	case now >= c.until:
 		return 0
 	case c.holder == c.home:
-		return max(0, c.until-Lease+Renew-now)
+		return max(0, c.until-LeaseDuration+RenewInterval-now)
 	default:
-		return min(Renew, c.until-now)
+		return min(RenewInterval, c.until-now)
 	}
 }
 
 // Probe returns an Ask that finds out whether a home answers. It takes back the right if
 // the home holds it.
-func (c *Client) Probe(home string, now time.Duration) *Ask { return c.ask(home, now) }
+func (c *Client) ProbeRequest(home string, now time.Duration) *Request { return c.ask(home, now) }
 
 // ask returns an Ask that names the home's last Answer, if that is young enough to count.
-func (c *Client) ask(home string, now time.Duration) *Ask {
+func (c *Client) ask(home string, now time.Duration) *Request {
 	c.number++
 	c.sent[home] = c.number
 	e := c.echoes[home]
-	a := &Ask{
-		Start:  c.start,
-		Number: c.number,
+	a := &Request{
+		Incarnation: c.start,
+		Sequence:    c.number,
 	}
 	if e.home != 0 && now-e.received < forget {
-		a.Home = e.home
+		a.Coordinator = e.home
 		a.Clock = e.clock
-		a.Since = now - e.received
+		a.Elapsed = now - e.received
 	}
 	return a
 }
 
 // leftOver takes the tokens of a home out that can still be returned, and drops those whose
 // time is over.
-func (c *Client) leftOver(home string, now time.Duration) []Count {
-	var list []Count
+func (c *Client) leftOver(home string, now time.Duration) []TokenCount {
+	var list []TokenCount
 	for _, name := range slices.Sorted(maps.Keys(c.tokens)) {
 		var kept []Token
 		var returned int
 		for _, t := range c.tokens[name] {
 			switch {
-			case t.home == home && now-t.asked < Life/2:
+			case t.home == home && now-t.asked < TokenLifetime/2:
 				returned++
-			case now-t.asked < Life:
+			case now-t.asked < TokenLifetime:
 				kept = append(kept, t)
 			}
 		}
 		if returned > 0 {
-			list = append(list, Count{
+			list = append(list, TokenCount{
 				Organisation: name,
 				Tokens:       returned,
 			})
@@ -154,15 +154,15 @@
 }
 
 // Answered takes in the answer to an Ask that was sent at a time.
-func (c *Client) Answered(home string, a *Ask, answer *Answer, sent, now time.Duration) {
+func (c *Client) HandleResponse(home string, a *Request, answer *Response, sent, now time.Duration) {
 	delete(c.failures, home)
 	delete(c.avoided, home)
 	c.echoes[home] = echo{
-		home:     answer.Home,
+		home:     answer.Coordinator,
 		clock:    answer.Clock,
 		received: now,
 	}
-	if a.Nodes == 0 && a.Number == c.sent[home] && c.holder == home {
+	if a.Nodes == 0 && a.Sequence == c.sent[home] && c.holder == home {
 		c.holder = ""
 		c.until = now // the home has said so
 	}
@@ -187,7 +187,7 @@
 // Next returns the home to ask now, given those that nodes are to choose from, the first
 // one first. A home that comes before the present one takes its place once it has answered
 // a probe; the result is whom to probe, or "".
-func (c *Client) Next(homes []string, now time.Duration) (home, probe string) {
+func (c *Client) ChooseCoordinator(homes []string, now time.Duration) (home, probe string) {
 	best := homes[len(homes)-1]
 	for _, h := range homes {
 		if !c.avoids(h, now) {
@@ -213,11 +213,11 @@
 // heard returns whether a home has answered lately.
 func (c *Client) heard(home string, now time.Duration) bool {
 	e, ok := c.echoes[home]
-	return ok && now-e.received < Lease
+	return ok && now-e.received < LeaseDuration
 }
 
 // Failed takes in that a home did not answer.
-func (c *Client) Failed(home string, now time.Duration) {
+func (c *Client) RecordFailure(home string, now time.Duration) {
 	c.failures[home]++
 	if c.failures[home] >= maxFailures {
 		c.avoided[home] = now + avoid
@@ -241,7 +241,7 @@
 // Take takes a token, if there is one that may be used.
 func (c *Client) Take(organisation string, now time.Duration) (Token, bool) {
 	list := c.tokens[organisation]
-	for len(list) > 0 && now-list[0].asked >= Life {
+	for len(list) > 0 && now-list[0].asked >= TokenLifetime {
 		list = list[1:]
 	}
 	if len(list) == 0 {
@@ -254,8 +254,8 @@
 
 // GiveBack takes a token back whose request is known not to have run. It can be used again
 // in its time only: later it might be one more than fits into a window.
-func (c *Client) GiveBack(t Token, now time.Duration) {
-	if now-t.asked < Life && t.organisation != "" {
+func (c *Client) ReturnToken(t Token, now time.Duration) {
+	if now-t.asked < TokenLifetime && t.organisation != "" {
 		c.hold(t)
 	}
 }
--- a/quota/home.go
+++ b/quota/home.go
@@ -14,12 +14,12 @@
 	maxWants = 1 << 12
 	// forget is how long a node is remembered that does not ask: far longer than an Ask
 	// that is overtaken by another may be on its way and count.
-	forget = 20 * Lease
+	forget = 20 * LeaseDuration
 )
 
 // Home holds the rights that nodes deposit, and grants tokens. It is not safe for use by
 // several goroutines at once.
-type Home struct {
+type Coordinator struct {
 	id      uint32 // tells the starts of the process apart
 	pool    pool
 	nodes   int // the most that one of the askers counts
@@ -36,8 +36,8 @@
 
 // NewHome returns a Home without rights. The id, which is not 0, tells it from those of
 // other starts of the process.
-func NewHome(id uint32, bounds Bounds, now time.Duration) *Home {
-	return &Home{
+func NewCoordinator(id uint32, bounds Bounds, now time.Duration) *Coordinator {
+	return &Coordinator{
 		id: id,
 		pool: pool{
 			bounds: bounds,
@@ -49,16 +49,18 @@
 }
 
 // SetLimits takes in the rate limits in force, by organisation.
-func (h *Home) SetLimits(limits map[string]Limit, now time.Duration) { h.pool.setLimits(limits, now) }
+func (h *Coordinator) SetLimits(limits map[string]Limit, now time.Duration) {
+	h.pool.setLimits(limits, now)
+}
 
 // Rights returns the number of rights that the Home holds, and their part of all.
-func (h *Home) Rights(now time.Duration) (count int, share float64) {
+func (h *Coordinator) HeldShares(now time.Duration) (count int, share float64) {
 	h.pool.advance(now)
 	return len(h.pool.rights), h.pool.share
 }
 
 // Rate returns the tokens of an organisation that were granted a second lately.
-func (h *Home) Rate(organisation string, now time.Duration) float64 {
+func (h *Coordinator) Rate(organisation string, now time.Duration) float64 {
 	b := h.pool.buckets[organisation]
 	if b == nil {
 		return 0
@@ -67,28 +69,28 @@
 }
 
 // Answer takes in what a node asks. It returns nil for an Ask that another has overtaken.
-func (h *Home) Answer(node string, a *Ask, now time.Duration) *Answer {
+func (h *Coordinator) HandleRequest(node string, a *Request, now time.Duration) *Response {
 	if h.overtaken(node, a, now) {
 		return nil
 	}
 	sent, known := h.sent(a)
-	if known && now-sent <= Life/2 {
-		for _, c := range a.Returns[:min(len(a.Returns), maxWants)] {
+	if known && now-sent <= TokenLifetime/2 {
+		for _, c := range a.Returned[:min(len(a.Returned), maxWants)] {
 			h.pool.put(c.Organisation, max(0, min(c.Tokens, maxCount)), now)
 		}
 	}
 	switch {
 	case a.Nodes < 0:
 	case a.Nodes > 0 && known && h.nodes > 0:
-		h.pool.deposit(node, 1/float64(h.nodes), sent+Lease-drift, now)
+		h.pool.deposit(node, 1/float64(h.nodes), sent+LeaseDuration-drift, now)
 	default:
 		h.pool.withdraw(node, now)
 	}
-	answer := &Answer{
-		Home:  h.id,
-		Nodes: h.nodes,
+	answer := &Response{
+		Coordinator: h.id,
+		Nodes:       h.nodes,
 	}
-	for _, c := range a.Wants[:min(len(a.Wants), maxWants)] {
+	for _, c := range a.Wanted[:min(len(a.Wanted), maxWants)] {
 		answer.Grants = append(answer.Grants, h.grant(c, now))
 	}
 	answer.Clock = now
@@ -97,7 +99,7 @@
 
 // overtaken returns whether a later Ask of the node has come before this one, and otherwise
 // takes in who asks.
-func (h *Home) overtaken(node string, a *Ask, now time.Duration) bool {
+func (h *Coordinator) overtaken(node string, a *Request, now time.Duration) bool {
 	if now >= h.forgets {
 		var nodes int
 		for name, k := range h.askers {
@@ -111,13 +113,13 @@
 		h.forgets = now + forget
 	}
 	k := h.askers[node]
-	if a.Start < k.start || a.Start == k.start && a.Number <= k.number {
+	if a.Incarnation < k.start || a.Incarnation == k.start && a.Sequence <= k.number {
 		return true
 	}
 	nodes := min(max(0, a.Nodes), maxNodes)
 	h.askers[node] = asker{
-		start:  a.Start,
-		number: a.Number,
+		start:  a.Incarnation,
+		number: a.Sequence,
 		at:     now,
 		nodes:  nodes,
 	}
@@ -127,15 +129,15 @@
 
 // sent returns a time before which an Ask was not sent, by this Home's clock: the answer that
 // it names can't have arrived before it was written.
-func (h *Home) sent(a *Ask) (at time.Duration, known bool) {
-	if a.Home != h.id || a.Clock < 0 || a.Since < 0 || a.Since > forget {
+func (h *Coordinator) sent(a *Request) (at time.Duration, known bool) {
+	if a.Coordinator != h.id || a.Clock < 0 || a.Elapsed < 0 || a.Elapsed > forget {
 		return 0, false
 	}
-	return a.Clock + a.Since, true
+	return a.Clock + a.Elapsed, true
 }
 
 // grant grants what it can of what is asked for.
-func (h *Home) grant(c Count, now time.Duration) Grant {
+func (h *Coordinator) grant(c TokenCount, now time.Duration) Grant {
 	n := max(0, min(c.Tokens, maxCount))
 	late := max(0, min(c.Late, n))
 	taken, ok := h.pool.take(c.Organisation, n-late, now)
@@ -149,9 +151,9 @@
 		Unknown:      !ok,
 	}
 	if ok && taken < n {
-		g.Wait, g.Step = h.pool.wait(c.Organisation, missing, now)
+		g.RetryAfter, g.RetryStep = h.pool.wait(c.Organisation, missing, now)
 		if missing == 0 {
-			g.Wait = max(g.Wait, spareFor)
+			g.RetryAfter = max(g.RetryAfter, spareFor)
 		}
 		g.Unknown = !h.pool.settled(now)
 	}
--- a/quota/lease_test.go
+++ b/quota/lease_test.go
@@ -20,51 +20,51 @@
 	t      *testing.T
 	now    time.Duration
 	client *quota.Client
-	homes  map[string]*quota.Home
+	homes  map[string]*quota.Coordinator
 }
 
 func newPair(t *testing.T) *pair {
 	p := &pair{
 		t:      t,
 		client: quota.NewClient(1, 0),
-		homes:  make(map[string]*quota.Home),
+		homes:  make(map[string]*quota.Coordinator),
 	}
 	p.client.SetNodes(2)
 	for i, name := range []string{"a", "b"} {
-		h := quota.NewHome(uint32(i+1), sharp, 0)
+		h := quota.NewCoordinator(uint32(i+1), sharp, 0)
 		h.SetLimits(limited(100, 50), 0)
 		p.homes[name] = h
 	}
-	p.pass(quota.Lease)
+	p.pass(quota.LeaseDuration)
 	return p
 }
 
 func (p *pair) pass(d time.Duration) { p.now += d }
 
 // ask makes an exchange that takes a time each way.
-func (p *pair) ask(home string, wants int, there, back time.Duration) *quota.Answer {
-	p.client.Next([]string{home}, p.now)
-	var list []quota.Count
+func (p *pair) ask(home string, wants int, there, back time.Duration) *quota.Response {
+	p.client.ChooseCoordinator([]string{home}, p.now)
+	var list []quota.TokenCount
 	if wants > 0 {
-		list = append(list, quota.Count{Organisation: "o", Tokens: wants})
+		list = append(list, quota.TokenCount{Organisation: "o", Tokens: wants})
 	}
-	a := p.client.Ask(home, list, p.now)
+	a := p.client.NextRequest(home, list, p.now)
 	return p.exchange(home, a, there, back)
 }
 
-func (p *pair) exchange(home string, a *quota.Ask, there, back time.Duration) *quota.Answer {
+func (p *pair) exchange(home string, a *quota.Request, there, back time.Duration) *quota.Response {
 	sent := p.now
 	p.pass(there)
-	answer := p.homes[home].Answer("n", a, p.now)
+	answer := p.homes[home].HandleRequest("n", a, p.now)
 	p.pass(back)
 	if answer != nil {
-		p.client.Answered(home, a, answer, sent, p.now)
+		p.client.HandleResponse(home, a, answer, sent, p.now)
 	}
 	return answer
 }
 
 func (p *pair) share(home string) float64 {
-	_, share := p.homes[home].Rights(p.now)
+	_, share := p.homes[home].HeldShares(p.now)
 	return share
 }
 
@@ -77,9 +77,9 @@
 	}{
 		"at once":             {old: 0.5},
 		"withdrawn":           {withdraw: true, new: 0.5},
-		"late in the lease":   {after: quota.Lease - 30*time.Millisecond, old: 0.5},
-		"when it has ended":   {after: quota.Lease, new: 0.5},
-		"long after it ended": {after: 3 * quota.Lease, new: 0.5},
+		"late in the lease":   {after: quota.LeaseDuration - 30*time.Millisecond, old: 0.5},
+		"when it has ended":   {after: quota.LeaseDuration, new: 0.5},
+		"long after it ended": {after: 3 * quota.LeaseDuration, new: 0.5},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -90,7 +90,7 @@
 			p.ask("a", 0, 0, 0)
 			qt.Check(t, p.share("a"), qt.Equals, 0.5)
 			if test.withdraw {
-				p.exchange("a", p.client.Probe("a", p.now), 0, 0)
+				p.exchange("a", p.client.ProbeRequest("a", p.now), 0, 0)
 			}
 			p.pass(test.after)
 			p.ask("b", 0, 0, 0)
@@ -107,16 +107,16 @@
 	p.ask("a", 0, 0, 0)
 	p.ask("b", 0, 0, 0)
 	sent := p.now
-	p.ask("a", 0, quota.Lease/2, 0)
+	p.ask("a", 0, quota.LeaseDuration/2, 0)
 	qt.Check(t, p.share("a"), qt.Equals, 0.5)
-	p.now = sent + quota.Lease
+	p.now = sent + quota.LeaseDuration
 	qt.Check(t, p.share("a"), qt.Equals, 0.0)
 	p.ask("b", 0, 0, 0)
 	qt.Check(t, p.share("b"), qt.Equals, 0.5)
 
-	late := p.client.Ask("a", nil, p.now)
-	p.pass(2 * quota.Lease)
-	p.homes["a"].Answer("n", late, p.now)
+	late := p.client.NextRequest("a", nil, p.now)
+	p.pass(2 * quota.LeaseDuration)
+	p.homes["a"].HandleRequest("n", late, p.now)
 	qt.Check(t, p.share("a"), qt.Equals, 0.0)
 }
 
@@ -124,9 +124,9 @@
 func TestOvertaken(t *testing.T) {
 	p := newPair(t)
 	p.ask("a", 0, 0, 0)
-	slow := p.client.Ask("a", nil, p.now)
-	p.exchange("a", p.client.Probe("a", p.now), 0, 0)
-	qt.Check(t, p.homes["a"].Answer("n", slow, p.now), qt.IsNil)
+	slow := p.client.NextRequest("a", nil, p.now)
+	p.exchange("a", p.client.ProbeRequest("a", p.now), 0, 0)
+	qt.Check(t, p.homes["a"].HandleRequest("n", slow, p.now), qt.IsNil)
 	qt.Check(t, p.share("a"), qt.Equals, 0.0)
 }
 
@@ -135,7 +135,7 @@
 func TestStartsAnew(t *testing.T) {
 	p := newPair(t)
 	p.ask("a", 0, 0, 0)
-	old := p.client.Ask("a", nil, p.now)
+	old := p.client.NextRequest("a", nil, p.now)
 	p.ask("a", 0, 0, 0)
 	qt.Check(t, p.share("a"), qt.Equals, 0.5)
 	p.client = quota.NewClient(2, p.now)
@@ -143,12 +143,12 @@
 	p.ask("b", 0, 0, 0)
 	p.ask("b", 0, 0, 0)
 	qt.Check(t, p.share("b"), qt.Equals, 0.0)
-	p.pass(quota.Lease)
+	p.pass(quota.LeaseDuration)
 	qt.Check(t, p.share("a"), qt.Equals, 0.0)
 	p.ask("b", 0, 0, 0)
 	qt.Check(t, p.share("b"), qt.Equals, 0.5)
 	p.ask("a", 0, 0, 0)
-	qt.Check(t, p.homes["a"].Answer("n", old, p.now), qt.IsNil)
+	qt.Check(t, p.homes["a"].HandleRequest("n", old, p.now), qt.IsNil)
 }
 
 // TestHomeStartsAnew has a home start anew, which knows nothing of the rights that it held
@@ -157,9 +157,9 @@
 	p := newPair(t)
 	p.ask("a", 0, 0, 0)
 	p.ask("a", 0, 0, 0)
-	p.pass(quota.Renew)
+	p.pass(quota.RenewInterval)
 	qt.Check(t, p.ask("a", 1, 0, 0).Grants[0].Tokens, qt.Equals, 1)
-	p.homes["a"] = quota.NewHome(9, sharp, p.now)
+	p.homes["a"] = quota.NewCoordinator(9, sharp, p.now)
 	p.homes["a"].SetLimits(limited(100, 50), p.now)
 	answer := p.ask("a", 1, 0, 0)
 	qt.Check(t, answer.Grants[0].Tokens, qt.Equals, 0)
@@ -168,7 +168,7 @@
 	answer = p.ask("a", 1, 0, 0)
 	qt.Check(t, p.share("a"), qt.Equals, 0.5)
 	qt.Check(t, answer.Grants[0].Tokens, qt.Equals, 0)
-	qt.Check(t, answer.Grants[0].Wait > 0, qt.IsTrue)
+	qt.Check(t, answer.Grants[0].RetryAfter > 0, qt.IsTrue)
 }
 
 // TestSaysBeyond has a home without tokens, which says that the limit is reached only if it
@@ -195,7 +195,7 @@
 			}
 			g := p.ask("a", 1000, 0, 0).Grants[0]
 			qt.Check(t, g.Tokens < 1000, qt.IsTrue)
-			qt.Check(t, g.Wait > 0, qt.IsTrue)
+			qt.Check(t, g.RetryAfter > 0, qt.IsTrue)
 			qt.Check(t, g.Unknown, qt.Equals, test.unknown)
 		})
 	}
@@ -212,22 +212,22 @@
 	qt.Assert(t, ok, qt.IsTrue)
 	_, ok = p.client.Take("o", p.now)
 	qt.Assert(t, ok, qt.IsTrue)
-	p.client.GiveBack(token, p.now)
+	p.client.ReturnToken(token, p.now)
 	_, ok = p.client.Take("o", p.now)
 	qt.Check(t, ok, qt.IsTrue, qt.Commentf("one was left over"))
-	p.pass(quota.Life - 11*time.Millisecond)
+	p.pass(quota.TokenLifetime - 11*time.Millisecond)
 	_, ok = p.client.Take("o", p.now)
 	qt.Check(t, ok, qt.IsTrue, qt.Commentf("one was given back"))
 	_, ok = p.client.Take("o", p.now)
 	qt.Check(t, ok, qt.IsFalse)
 
 	p.ask("a", 0, 0, 0)
-	p.pass(quota.Renew)
+	p.pass(quota.RenewInterval)
 	p.ask("a", 1, 0, 0)
 	token, ok = p.client.Take("o", p.now)
 	qt.Assert(t, ok, qt.IsTrue)
-	p.pass(quota.Life)
-	p.client.GiveBack(token, p.now)
+	p.pass(quota.TokenLifetime)
+	p.client.ReturnToken(token, p.now)
 	_, ok = p.client.Take("o", p.now)
 	qt.Check(t, ok, qt.IsFalse, qt.Commentf("too late"))
 }
@@ -240,34 +240,34 @@
 	p.pass(100 * time.Millisecond)
 	granted := p.ask("a", 50, 0, 0).Grants[0].Tokens
 	qt.Assert(t, granted > 1, qt.IsTrue)
-	back := p.client.Ask("a", []quota.Count{{Organisation: "o", Tokens: 50}}, p.now)
-	qt.Check(t, back.Returns, qt.DeepEquals, []quota.Count{{Organisation: "o", Tokens: granted}})
+	back := p.client.NextRequest("a", []quota.TokenCount{{Organisation: "o", Tokens: 50}}, p.now)
+	qt.Check(t, back.Returned, qt.DeepEquals, []quota.TokenCount{{Organisation: "o", Tokens: granted}})
 	qt.Check(t, p.exchange("a", back, 0, 0).Grants[0].Tokens, qt.Equals, granted)
-	late := p.client.Ask("a", []quota.Count{{Organisation: "o", Tokens: 50}}, p.now)
-	qt.Check(t, late.Returns, qt.HasLen, 1)
-	p.pass(quota.Life/2 + time.Millisecond)
-	grown := p.homes["a"].Answer("n", late, p.now).Grants[0].Tokens
+	late := p.client.NextRequest("a", []quota.TokenCount{{Organisation: "o", Tokens: 50}}, p.now)
+	qt.Check(t, late.Returned, qt.HasLen, 1)
+	p.pass(quota.TokenLifetime/2 + time.Millisecond)
+	grown := p.homes["a"].HandleRequest("n", late, p.now).Grants[0].Tokens
 	qt.Check(t, grown < granted+8, qt.IsTrue, qt.Commentf("%d: what comes back late is not taken", grown))
 }
 
 // TestCensus is about the number among which the rights are divided.
 func TestCensus(t *testing.T) {
-	c := quota.NewCensus(0)
-	c.Count(3, 0)
+	c := quota.NewNodeEstimate(0)
+	c.Observe(3, 0)
 	qt.Check(t, c.Nodes(time.Second), qt.Equals, 0, qt.Commentf("the others may not be known yet"))
-	c.Heard(70)
+	c.ObserveReported(70)
 	qt.Check(t, c.Nodes(time.Second), qt.Equals, 70)
-	c.Told(60, 0)
+	c.ObserveStored(60, 0)
 	qt.Check(t, c.Nodes(time.Second), qt.Equals, 60)
-	c.Count(80, time.Second)
-	c.Count(20, time.Minute)
+	c.Observe(80, time.Second)
+	c.Observe(20, time.Minute)
 	qt.Check(t, c.Nodes(time.Minute), qt.Equals, 80)
-	c.Count(20, 10*time.Minute)
+	c.Observe(20, 10*time.Minute)
 	qt.Check(t, c.Nodes(10*time.Minute), qt.Equals, 80)
-	c.Count(20, 20*time.Minute)
+	c.Observe(20, 20*time.Minute)
 	qt.Check(t, c.Nodes(20*time.Minute), qt.Equals, 20)
-	alone := quota.NewCensus(0)
-	alone.Count(1, 0)
+	alone := quota.NewNodeEstimate(0)
+	alone.Observe(1, 0)
 	qt.Check(t, alone.Nodes(10*time.Second), qt.Equals, 1)
 }
 
@@ -290,7 +290,7 @@
 			p.ask("a", 0, 0, 0)
 			for range 10 {
 				p.ask("a", 0, 0, 0)
-				p.pass(quota.Renew)
+				p.pass(quota.RenewInterval)
 			}
 			p.ask("a", 0, 0, 0)
 			for _, l := range test.limits {
@@ -327,10 +327,10 @@
 
 	p := newPair(t)
 	limiter := quota.NewLimiter(p.client)
-	limiter.Next([]string{"a"}, p.now)
+	limiter.ChooseCoordinator([]string{"a"}, p.now)
 	for range 3 {
-		p.exchange("a", limiter.Ask("a", p.now), 0, 0)
-		p.pass(quota.Renew)
+		p.exchange("a", limiter.NextRequest("a", p.now), 0, 0)
+		p.pass(quota.RenewInterval)
 	}
 	var granted, refused int
 	count := func(d quota.Decision) {
@@ -341,8 +341,8 @@
 		}
 	}
 	ask := func() {
-		a := limiter.Ask("a", p.now)
-		limiter.Answered("a", a, p.homes["a"].Answer("n", a, p.now), p.now, p.now)
+		a := limiter.NextRequest("a", p.now)
+		limiter.HandleResponse("a", a, p.homes["a"].HandleRequest("n", a, p.now), p.now, p.now)
 	}
 	for range 100 {
 		limiter.Admit("o", false, p.now, count)
@@ -359,7 +359,7 @@
 	ask()
 	qt.Check(t, granted, qt.Equals, before+1, qt.Commentf("there was a token"))
 	for range 5 {
-		p.pass(quota.Renew)
+		p.pass(quota.RenewInterval)
 		ask()
 	}
 	limiter.Admit("o", true, p.now, count)
@@ -375,13 +375,13 @@
 		nodes = 20
 		step  = 10 * time.Millisecond
 	)
-	home := quota.NewHome(1, sharp, 0)
+	home := quota.NewCoordinator(1, sharp, 0)
 	home.SetLimits(limited(100, 50), 0)
 	limiters := make([]*quota.Limiter, nodes)
 	for i := range limiters {
 		limiters[i] = quota.NewLimiter(quota.NewClient(uint64(i+1), 0))
 		limiters[i].SetNodes(nodes)
-		limiters[i].Next([]string{"a"}, 0)
+		limiters[i].ChooseCoordinator([]string{"a"}, 0)
 	}
 	random := rand.New(rand.NewPCG(1, 1))
 	now := time.Duration(0)
@@ -399,11 +399,11 @@
 				})
 			}
 			for i, l := range limiters {
-				if now%quota.Renew != 0 && l.Waiting() == 0 {
+				if now%quota.RenewInterval != 0 && l.Waiting() == 0 {
 					continue
 				}
-				a := l.Ask("a", now)
-				l.Answered("a", a, home.Answer(fmt.Sprint("n", i), a, now), now, now)
+				a := l.NextRequest("a", now)
+				l.HandleResponse("a", a, home.HandleRequest(fmt.Sprint("n", i), a, now), now, now)
 			}
 		}
 		return granted
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -24,7 +24,7 @@
 	// asked again about then.
 	nearly = 20 * time.Millisecond
 	// unknownWait is when a caller may come back that was refused as no home has answered.
-	unknownWait = Lease / 2
+	unknownWait = LeaseDuration / 2
 )
 
 // Decision is what is decided on a request.
@@ -35,7 +35,7 @@
 	// Unknown is whether it may not as nobody knows if the limit is reached; otherwise it is.
 	Unknown bool
 	// Wait is when the caller may come back.
-	Wait time.Duration
+	RetryAfter time.Duration
 }
 
 // Pending is a request that waits.
@@ -83,8 +83,8 @@
 	r, refused := l.refusals[organisation]
 	if refused && late && now < r.until+lateAfter {
 		decide(Decision{
-			Unknown: r.unknown,
-			Wait:    max(r.next-now, r.step),
+			Unknown:    r.unknown,
+			RetryAfter: max(r.next-now, r.step),
 		})
 		return nil
 	}
@@ -97,8 +97,8 @@
 	}
 	if refused && now < r.until {
 		decide(Decision{
-			Unknown: r.unknown,
-			Wait:    max(r.next-now, r.step),
+			Unknown:    r.unknown,
+			RetryAfter: max(r.next-now, r.step),
 		})
 		r.next += r.step
 		l.refusals[organisation] = r
@@ -123,8 +123,8 @@
 
 // unknown is the decision on a request for which there is no room to wait.
 var unknown = Decision{
-	Unknown: true,
-	Wait:    unknownWait,
+	Unknown:    true,
+	RetryAfter: unknownWait,
 }
 
 // Cancel has a request not wait any longer. It returns false if it is decided on already.
@@ -141,8 +141,8 @@
 func (l *Limiter) Waiting() int { return l.count }
 
 // Ask returns the next Ask to a home, for the requests that wait.
-func (l *Limiter) Ask(home string, now time.Duration) *Ask {
-	var wants []Count
+func (l *Limiter) NextRequest(home string, now time.Duration) *Request {
+	var wants []TokenCount
 	for _, name := range slices.Sorted(maps.Keys(l.waiting)) {
 		list := uncancelled(l.waiting[name])
 		delete(l.waiting, name)
@@ -151,13 +151,13 @@
 		}
 		slices.SortStableFunc(list, inTimeFirst)
 		l.asked[name] = list
-		wants = append(wants, Count{
+		wants = append(wants, TokenCount{
 			Organisation: name,
 			Tokens:       len(list),
 			Late:         len(list) - inTime(list),
 		})
 	}
-	return l.Client.Ask(home, wants, now)
+	return l.Client.NextRequest(home, wants, now)
 }
 
 // inTimeFirst orders requests that are late after others.
@@ -192,9 +192,9 @@
 }
 
 // Answered takes in the answer to an Ask or a probe that was sent at a time.
-func (l *Limiter) Answered(home string, a *Ask, answer *Answer, sent, now time.Duration) {
-	l.Client.Answered(home, a, answer, sent, now)
-	if len(a.Wants) == 0 {
+func (l *Limiter) HandleResponse(home string, a *Request, answer *Response, sent, now time.Duration) {
+	l.Client.HandleResponse(home, a, answer, sent, now)
+	if len(a.Wanted) == 0 {
 		return
 	}
 	for _, g := range answer.Grants {
@@ -204,9 +204,9 @@
 }
 
 // Unanswered takes in that an Ask or a probe was not answered. Who waits goes on.
-func (l *Limiter) Unanswered(home string, a *Ask, now time.Duration) {
-	l.Failed(home, now)
-	if len(a.Wants) > 0 {
+func (l *Limiter) HandleFailure(home string, a *Request, now time.Duration) {
+	l.RecordFailure(home, now)
+	if len(a.Wanted) > 0 {
 		l.requeue()
 	}
 }
@@ -238,15 +238,15 @@
 	}
 	switch {
 	case len(list) == 0:
-	case g.Wait <= 0: // nothing is known, or the tokens came too late
+	case g.RetryAfter <= 0: // nothing is known, or the tokens came too late
 		l.waiting[g.Organisation] = append(list, l.waiting[g.Organisation]...)
 	default:
-		soon := min(inTime(list), 1+int((nearly-g.Wait)/max(g.Step, 1)))
-		if g.Wait > nearly {
+		soon := min(inTime(list), 1+int((nearly-g.RetryAfter)/max(g.RetryStep, 1)))
+		if g.RetryAfter > nearly {
 			soon = 0
 		}
 		l.waiting[g.Organisation] = append(slices.Clone(list[:soon]), l.waiting[g.Organisation]...)
-		g.Wait += g.Step * time.Duration(soon)
+		g.RetryAfter += g.RetryStep * time.Duration(soon)
 		if soon < len(list) {
 			l.refuse(list[soon:], g, now)
 		}
@@ -256,22 +256,22 @@
 // refuse refuses requests and, if some of them are in time, those that come in the next
 // moment.
 func (l *Limiter) refuse(list []*Pending, g Grant, now time.Duration) {
-	next := now + g.Wait
+	next := now + g.RetryAfter
 	others := inTime(list) > 0
 	for _, p := range list {
 		l.settle(p, Decision{
-			Unknown: g.Unknown,
-			Wait:    next - now,
+			Unknown:    g.Unknown,
+			RetryAfter: next - now,
 		})
-		next += g.Step
+		next += g.RetryStep
 	}
 	if !others {
 		return
 	}
 	l.refusals[g.Organisation] = refusal{
-		until:   now + min(g.Wait, refuseFor),
+		until:   now + min(g.RetryAfter, refuseFor),
 		next:    next,
-		step:    g.Step,
+		step:    g.RetryStep,
 		unknown: g.Unknown,
 	}
 }
@@ -284,7 +284,7 @@
 }
 
 // Limits takes in which organisations have a limit now: what is kept of others goes.
-func (l *Limiter) Limits(limits map[string]Limit) {
+func (l *Limiter) SetLimits(limits map[string]Limit) {
 	for name := range l.refusals {
 		if _, ok := limits[name]; !ok {
 			delete(l.refusals, name)
--- a/quota/message.go
+++ b/quota/message.go
@@ -7,7 +7,7 @@
 import "time"
 
 // Count is a number of tokens of an organisation.
-type Count struct {
+type TokenCount struct {
 	Organisation string `msgpack:"o"`
 	Tokens       int    `msgpack:"n"`
 	// Late is how many of the tokens are for late requests: they get what others leave.
@@ -15,25 +15,25 @@
 }
 
 // Ask is what a node sends to a home.
-type Ask struct {
+type Request struct {
 	// Start tells the starts of the node's process apart, and grows; Number grows with
 	// each Ask of a start.
-	Start  uint64 `msgpack:"s"`
-	Number uint64 `msgpack:"q"`
+	Incarnation uint64 `msgpack:"s"`
+	Sequence    uint64 `msgpack:"q"`
 	// Home and Clock are those of the home's last Answer, and Since is the time from its
 	// arrival to the sending of this Ask, by the node's clock. Home is 0 if there was none.
-	Home  uint32        `msgpack:"h,omitempty"`
-	Clock time.Duration `msgpack:"c,omitempty"`
-	Since time.Duration `msgpack:"e,omitempty"`
+	Coordinator uint32        `msgpack:"h,omitempty"`
+	Clock       time.Duration `msgpack:"c,omitempty"`
+	Elapsed     time.Duration `msgpack:"e,omitempty"`
 	// Nodes, if above 0, deposits the node's right, which is this part of all. If it is 0,
 	// a right that the home holds of the node is withdrawn, and if it is Unchanged, nothing
 	// is changed.
 	Nodes int `msgpack:"p,omitempty"`
 	// Wants are the tokens asked for.
-	Wants []Count `msgpack:"w,omitempty"`
+	Wanted []TokenCount `msgpack:"w,omitempty"`
 	// Returns are tokens of the home's last Answers that are not used, granted less than
 	// half of Life before.
-	Returns []Count `msgpack:"r,omitempty"`
+	Returned []TokenCount `msgpack:"r,omitempty"`
 }
 
 // Unchanged stands for Nodes in an Ask that leaves the node's right as it is.
@@ -45,17 +45,17 @@
 	Tokens       int    `msgpack:"n,omitempty"`
 	// Wait, if some are missing, is the time after which the first of them is likely to be
 	// granted, and Step that from each to the next.
-	Wait time.Duration `msgpack:"w,omitempty"`
-	Step time.Duration `msgpack:"i,omitempty"`
+	RetryAfter time.Duration `msgpack:"w,omitempty"`
+	RetryStep  time.Duration `msgpack:"i,omitempty"`
 	// Unknown is whether the home can't say if the limit is reached. Without a Wait it knows
 	// no limit of the organisation, or holds no rights.
 	Unknown bool `msgpack:"u,omitempty"`
 }
 
 // Answer is what a home sends back.
-type Answer struct {
+type Response struct {
 	// Home tells the starts of the home's process apart.
-	Home uint32 `msgpack:"h"`
+	Coordinator uint32 `msgpack:"h"`
 	// Clock is a reading of the home's clock.
 	Clock time.Duration `msgpack:"c"`
 	// Nodes is the largest number of nodes that the home has heard of.
--- a/quota/pool.go
+++ b/quota/pool.go
@@ -36,7 +36,7 @@
 	level       float64
 	seen        float64       // what the pool's grown was at that level
 	promised    time.Duration // when the last caller that was refused may come back
-	granted     Recent
+	granted     RateMeter
 }
 
 // setLimits takes in the limits in force. A bucket keeps its level as far as its new depth
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -35,8 +35,8 @@
 			w.run(25 * time.Second)
 			most := w.most("o", 0, w.now)
 			ran := w.ran("o", 10*time.Second, 25*time.Second)
-			t.Logf("%d in a window, %.0f allowed; %d ran in 15 s", most, sharp.Most(limit), ran)
-			qt.Check(t, float64(most) <= sharp.Most(limit), qt.IsTrue, qt.Commentf("%d", most))
+			t.Logf("%d in a window, %.0f allowed; %d ran in 15 s", most, sharp.MaxRequests(limit), ran)
+			qt.Check(t, float64(most) <= sharp.MaxRequests(limit), qt.IsTrue, qt.Commentf("%d", most))
 			qt.Check(t, float64(ran) >= limit.Rate*15/3, qt.IsTrue, qt.Commentf("%d", ran))
 		})
 	}
@@ -54,8 +54,8 @@
 	w.load("o", 2000, 4*time.Second, 25*time.Second, func() *simNode { return w.nodes[w.random.IntN(60)] })
 	w.run(25 * time.Second)
 	most := w.most("o", 0, w.now)
-	t.Logf("%d in a window, %.0f allowed", most, sharp.Most(limit))
-	qt.Check(t, float64(most) <= sharp.Most(limit), qt.IsTrue, qt.Commentf("%d", most))
+	t.Logf("%d in a window, %.0f allowed", most, sharp.MaxRequests(limit))
+	qt.Check(t, float64(most) <= sharp.MaxRequests(limit), qt.IsTrue, qt.Commentf("%d", most))
 }
 
 // limited is one organisation with the given limit.
@@ -75,7 +75,7 @@
 	qt.Check(t, first >= 272, qt.IsTrue, qt.Commentf("%d in the first 300 ms: the burst", first))
 	rest := w.ran("o", 4*time.Second, 13*time.Second)
 	qt.Check(t, float64(rest) >= 0.97*272*9*0.9, qt.IsTrue, qt.Commentf("%d in 9 s, beside a tenth that was given back", rest))
-	qt.Check(t, float64(w.most("o", 0, w.now)) <= w.bounds.Most(quota.Limit{Rate: 272, Burst: 272}), qt.IsTrue)
+	qt.Check(t, float64(w.most("o", 0, w.now)) <= w.bounds.MaxRequests(quota.Limit{Rate: 272, Burst: 272}), qt.IsTrue)
 	t.Logf("burst %d in 300 ms, then %d in 9 s of %d", first, rest, 272*9)
 }
 
@@ -180,7 +180,7 @@
 // check checks that no more requests ran in a window than the limit allows.
 func (s *scenario) check(t *testing.T, what string, most int, limit quota.Limit) {
 	t.Helper()
-	bound := s.bounds.Most(limit)
+	bound := s.bounds.MaxRequests(limit)
 	if s.bounds.Slack == 0 && limit.Burst < 1 {
 		bound += 1 - limit.Burst // a whole request is let in after a pause
 	}
@@ -304,7 +304,7 @@
 // flap has the links of some nodes to one fail and come back, time and again.
 func (s *scenario) flap(n *simNode, lasts time.Duration) {
 	until := s.now + lasts
-	off := quota.Lease + time.Duration(s.random.Int64N(int64(time.Second)))
+	off := quota.LeaseDuration + time.Duration(s.random.Int64N(int64(time.Second)))
 	var turn func()
 	turn = func() {
 		if s.now < until {
@@ -339,5 +339,5 @@
 			n.set(map[string]quota.Limit{"o": s.lower})
 		}
 	})
-	s.lowered += quota.Life
+	s.lowered += quota.TokenLifetime
 }
--- a/quota/recent.go
+++ b/quota/recent.go
@@ -11,13 +11,13 @@
 
 // Recent counts tokens in the present span and the one before it. The zero value has counted
 // none.
-type Recent struct {
+type RateMeter struct {
 	span      int64 // the number of the present one
 	now, last int
 }
 
 // turn goes on to the span of a time.
-func (r *Recent) turn(at time.Duration) {
+func (r *RateMeter) turn(at time.Duration) {
 	switch span := int64(at / recentSpan); {
 	case span == r.span+1:
 		r.last = r.now
@@ -31,13 +31,13 @@
 }
 
 // Add counts n tokens.
-func (r *Recent) Add(n int, at time.Duration) {
+func (r *RateMeter) Add(n int, at time.Duration) {
 	r.turn(at)
 	r.now += n
 }
 
 // Rate returns the tokens a second over about the last span.
-func (r *Recent) Rate(at time.Duration) float64 {
+func (r *RateMeter) Rate(at time.Duration) float64 {
 	r.turn(at)
 	into := (at % recentSpan).Seconds()
 	left := recentSpan.Seconds() - into
--- a/quota/size_test.go
+++ b/quota/size_test.go
@@ -29,22 +29,22 @@
 // organisations or of nodes, but of the tokens that are asked for.
 func TestMessageSize(t *testing.T) {
 	for _, wants := range []int{0, 1, 10} {
-		a := quota.Ask{
-			Start:  1796255000000,
-			Number: 123456,
-			Home:   1 << 31,
-			Clock:  time.Hour,
-			Since:  150 * time.Millisecond,
-			Nodes:  18000,
+		a := quota.Request{
+			Incarnation: 1796255000000,
+			Sequence:    123456,
+			Coordinator: 1 << 31,
+			Clock:       time.Hour,
+			Elapsed:     150 * time.Millisecond,
+			Nodes:       18000,
 		}
-		answer := quota.Answer{
-			Home:  1 << 31,
-			Clock: time.Hour,
-			Nodes: 18000,
+		answer := quota.Response{
+			Coordinator: 1 << 31,
+			Clock:       time.Hour,
+			Nodes:       18000,
 		}
 		for i := range wants {
 			name := fmt.Sprintf("org%05d", i)
-			a.Wants = append(a.Wants, quota.Count{Organisation: name, Tokens: 1})
+			a.Wanted = append(a.Wanted, quota.TokenCount{Organisation: name, Tokens: 1})
 			answer.Grants = append(answer.Grants, quota.Grant{Organisation: name, Tokens: 1})
 		}
 		there, err := msgpack.Marshal(a)
@@ -81,12 +81,12 @@
 	for _, size := range []struct{ organisations, nodes int }{{1000, 70}, {10000, 70}, {10000, 1000}, {10000, 18000}} {
 		limits := organisations(size.organisations)
 		before := heapInUse()
-		h := quota.NewHome(1, sharp, 0)
+		h := quota.NewCoordinator(1, sharp, 0)
 		h.SetLimits(limits, 0)
 		for i := range size.nodes {
 			node := fmt.Sprint("node-", i)
 			for number := range uint64(2) {
-				h.Answer(node, &quota.Ask{Start: 1, Number: number + 1, Home: 1, Nodes: size.nodes}, 0)
+				h.HandleRequest(node, &quota.Request{Incarnation: 1, Sequence: number + 1, Coordinator: 1, Nodes: size.nodes}, 0)
 			}
 		}
 		after := heapInUse()
@@ -108,19 +108,19 @@
 func BenchmarkAnswer(b *testing.B) {
 	for _, nodes := range []int{70, 1000, 18000} {
 		b.Run(fmt.Sprint("nodes ", nodes), func(b *testing.B) {
-			h := quota.NewHome(1, sharp, 0)
+			h := quota.NewCoordinator(1, sharp, 0)
 			h.SetLimits(organisations(10000), 0)
 			names := make([]string, nodes)
 			for i := range names {
 				names[i] = fmt.Sprint("node-", i)
 			}
-			wants := []quota.Count{{Organisation: "organisation-00007", Tokens: 1}}
+			wants := []quota.TokenCount{{Organisation: "organisation-00007", Tokens: 1}}
 			for _, name := range names {
-				h.Answer(name, &quota.Ask{Start: 1, Number: 1, Home: 1, Nodes: nodes}, 0)
+				h.HandleRequest(name, &quota.Request{Incarnation: 1, Sequence: 1, Coordinator: 1, Nodes: nodes}, 0)
 			}
 			b.ResetTimer()
 			for i := range uint64(b.N) {
-				h.Answer(names[i%uint64(nodes)], &quota.Ask{Start: 1, Number: i + 2, Home: 1, Nodes: nodes, Wants: wants}, 0)
+				h.HandleRequest(names[i%uint64(nodes)], &quota.Request{Incarnation: 1, Sequence: i + 2, Coordinator: 1, Nodes: nodes, Wanted: wants}, 0)
 			}
 		})
 	}
@@ -130,11 +130,11 @@
 func BenchmarkJoin(b *testing.B) {
 	for _, n := range []int{100, 10000} {
 		b.Run(fmt.Sprint("organisations ", n), func(b *testing.B) {
-			h := quota.NewHome(1, sharp, 0)
+			h := quota.NewCoordinator(1, sharp, 0)
 			h.SetLimits(organisations(n), 0)
 			for i := range uint64(b.N) {
 				nodes := int(i%2) * 70 // deposited and withdrawn
-				h.Answer("n", &quota.Ask{Start: 1, Number: i + 1, Home: 1, Nodes: nodes}, 0)
+				h.HandleRequest("n", &quota.Request{Incarnation: 1, Sequence: i + 1, Coordinator: 1, Nodes: nodes}, 0)
 			}
 		})
 	}
--- a/quota/world_test.go
+++ b/quota/world_test.go
@@ -76,7 +76,7 @@
 	up      bool
 	slow    time.Duration // until when it does nothing
 	limits  map[string]quota.Limit
-	home    *quota.Home
+	home    *quota.Coordinator
 	limiter *quota.Limiter
 	asking  bool
 	probing bool
@@ -121,7 +121,7 @@
 		limits: limits,
 	}
 	w.nodes = append(w.nodes, n)
-	w.ids = member.Order("quota", append(w.ids, n.id))
+	w.ids = member.RendezvousOrder("quota", append(w.ids, n.id))
 	n.boot()
 	return n
 }
@@ -151,7 +151,7 @@
 	n.asking = false
 	n.probing = false
 	n.origin = n.w.now - time.Duration(n.w.random.Int64N(int64(time.Hour)))
-	n.home = quota.NewHome(n.w.random.Uint32()|1, n.w.bounds, n.clock())
+	n.home = quota.NewCoordinator(n.w.random.Uint32()|1, n.w.bounds, n.clock())
 	n.home.SetLimits(n.limits, n.clock())
 	n.limiter = quota.NewLimiter(quota.NewClient(n.start, n.clock()))
 	n.wake(0)
@@ -198,10 +198,10 @@
 		return
 	}
 	n.limiter.SetNodes(n.w.census)
-	home, probe := n.limiter.Next(n.homes(), n.clock())
+	home, probe := n.limiter.ChooseCoordinator(n.homes(), n.clock())
 	if probe != "" && !n.probing {
 		n.probing = true
-		n.exchange(probe, n.limiter.Probe(probe, n.clock()), func() { n.probing = false })
+		n.exchange(probe, n.limiter.ProbeRequest(probe, n.clock()), func() { n.probing = false })
 	}
 	n.asking = true
 	end := func() {
@@ -209,14 +209,14 @@
 		if n.limiter.Waiting() > 0 {
 			n.wake(askGap)
 		} else {
-			n.wake(max(askGap, n.limiter.Due(n.clock())))
+			n.wake(max(askGap, n.limiter.NextRenewal(n.clock())))
 		}
 	}
-	if held := n.limiter.Leaves(n.clock()); held != "" {
-		n.exchange(held, n.limiter.Probe(held, n.clock()), end)
+	if held := n.limiter.PreviousHolder(n.clock()); held != "" {
+		n.exchange(held, n.limiter.ProbeRequest(held, n.clock()), end)
 		return
 	}
-	n.exchange(home, n.limiter.Ask(home, n.clock()), end)
+	n.exchange(home, n.limiter.NextRequest(home, n.clock()), end)
 }
 
 // homes returns the homes that the node chooses from: the first two of those that it knows
@@ -241,26 +241,26 @@
 }
 
 // exchange sends an Ask and takes its answer in.
-func (n *simNode) exchange(home string, a *quota.Ask, ended func()) {
+func (n *simNode) exchange(home string, a *quota.Request, ended func()) {
 	start, sent := n.start, n.clock()
 	n.w.exchanges++
 	done := false
-	end := func(answer *quota.Answer) {
+	end := func(answer *quota.Response) {
 		if done || n.start != start || !n.up {
 			return
 		}
 		done = true
 		if answer == nil {
-			n.limiter.Unanswered(home, a, n.clock())
+			n.limiter.HandleFailure(home, a, n.clock())
 		} else {
-			n.limiter.Answered(home, a, answer, sent, n.clock())
+			n.limiter.HandleResponse(home, a, answer, sent, n.clock())
 		}
 		ended()
 	}
 	n.w.after(exchangeTimeout, func() { end(nil) })
 	h := n.w.byID(home)
 	n.w.send(n, h, func() {
-		answer := h.home.Answer(n.id, a, h.clock())
+		answer := h.home.HandleRequest(n.id, a, h.clock())
 		if answer != nil {
 			n.w.send(h, n, func() { end(answer) })
 		}
@@ -326,9 +326,9 @@
 	switch {
 	case d.Granted && w.random.Float64() < unrun:
 		start := n.start
-		w.after(time.Duration(w.random.Int64N(int64(2*quota.Life))), func() {
+		w.after(time.Duration(w.random.Int64N(int64(2*quota.TokenLifetime))), func() {
 			if n.up && n.start == start {
-				n.limiter.GiveBack(d.Token, n.clock())
+				n.limiter.ReturnToken(d.Token, n.clock())
 			}
 		})
 	case d.Granted:
@@ -337,7 +337,7 @@
 		w.unknown++
 	default:
 		w.refused++
-		w.waits = append(w.waits, d.Wait)
+		w.waits = append(w.waits, d.RetryAfter)
 	}
 }
 
@@ -377,7 +377,7 @@
 	best := w.nodes[0]
 	var most float64
 	for _, n := range w.nodes {
-		if _, share := n.home.Rights(n.clock()); n.up && share >= most {
+		if _, share := n.home.HeldShares(n.clock()); n.up && share >= most {
 			best = n
 			most = share
 		}
--- a/ratelimit/exchange.go
+++ b/ratelimit/exchange.go
@@ -69,7 +69,7 @@
 	if l.limiter.Waiting() > 0 {
 		return 0
 	}
-	return l.limiter.Due(l.now())
+	return l.limiter.NextRenewal(l.now())
 }
 
 // step makes one exchange with a home.
@@ -78,16 +78,16 @@
 	homes := l.chooseFrom()
 	l.mu.Lock()
 	now := l.now()
-	l.census.Count(members, now)
+	l.census.Observe(members, now)
 	l.limiter.SetNodes(l.census.Nodes(now))
 	ids := make([]string, 0, len(homes)+1)
 	for _, h := range homes {
 		ids = append(ids, h.ID)
 	}
-	home, probe := l.limiter.Next(append(ids, l.Hello.Node), now)
+	home, probe := l.limiter.ChooseCoordinator(append(ids, l.Hello.Node), now)
 	if probe != "" && !l.probing {
 		l.probing = true
-		a := l.limiter.Probe(probe, now)
+		a := l.limiter.ProbeRequest(probe, now)
 		go func() {
 			l.exchange(ctx, probe, a, now)
 			l.mu.Lock()
@@ -95,12 +95,12 @@
 			l.mu.Unlock()
 		}()
 	}
-	var a *quota.Ask
-	if leaves := l.limiter.Leaves(now); leaves != "" {
+	var a *quota.Request
+	if leaves := l.limiter.PreviousHolder(now); leaves != "" {
 		home = leaves
-		a = l.limiter.Probe(home, now)
+		a = l.limiter.ProbeRequest(home, now)
 	} else {
-		a = l.limiter.Ask(home, now)
+		a = l.limiter.NextRequest(home, now)
 		l.told(home)
 	}
 	l.mu.Unlock()
@@ -123,7 +123,7 @@
 		every = homesYoung
 	}
 	if l.homes == nil || now-l.homesAt >= every {
-		l.homes = l.Homes()
+		l.homes = l.Coordinators()
 		l.homesAt = now
 		l.connect(l.homes)
 		ids := make([]string, 0, len(l.homes))
@@ -148,7 +148,7 @@
 }
 
 // exchange sends an Ask and takes its answer in.
-func (l *Limiter) exchange(ctx context.Context, home string, a *quota.Ask, sent time.Duration) {
+func (l *Limiter) exchange(ctx context.Context, home string, a *quota.Request, sent time.Duration) {
 	answer, err := l.send(ctx, home, a)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -158,12 +158,12 @@
 			l.Log.Debug().Err(err).Str("home", home).Msg("home of rate limits not asked")
 		}
 		l.unanswered++
-		l.limiter.Unanswered(home, a, now)
+		l.limiter.HandleFailure(home, a, now)
 		return
 	}
 	l.answered++
-	l.census.Heard(answer.Nodes)
-	l.limiter.Answered(home, a, answer, sent, now)
+	l.census.ObserveReported(answer.Nodes)
+	l.limiter.HandleResponse(home, a, answer, sent, now)
 	l.unsure = false
 	for _, g := range answer.Grants {
 		l.unsure = l.unsure || g.Unknown
@@ -171,7 +171,7 @@
 }
 
 // send sends an Ask to a home, which may be this node.
-func (l *Limiter) send(ctx context.Context, home string, a *quota.Ask) (*quota.Answer, error) {
+func (l *Limiter) send(ctx context.Context, home string, a *quota.Request) (*quota.Response, error) {
 	if home == l.Hello.Node {
 		return l.answer(home, a)
 	}
@@ -181,7 +181,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	answer, err := peer.Ask[*quota.Ask, quota.Answer](ctx, c, Topic, a)
+	answer, err := peer.Ask[*quota.Request, quota.Response](ctx, c, Topic, a)
 	return &answer, err
 }
 
@@ -196,7 +196,7 @@
 // Handle answers an Ask of another node.
 func (l *Limiter) Handle(from peer.Hello, payload []byte) ([]byte, error) {
 	l.init()
-	a, err := peer.Unpack[quota.Ask](payload)
+	a, err := peer.Unpack[quota.Request](payload)
 	if err != nil {
 		return nil, err
 	}
@@ -208,10 +208,10 @@
 }
 
 // answer answers an Ask as a home.
-func (l *Limiter) answer(from string, a *quota.Ask) (*quota.Answer, error) {
+func (l *Limiter) answer(from string, a *quota.Request) (*quota.Response, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	answer := l.home.Answer(from, a, l.now())
+	answer := l.home.HandleRequest(from, a, l.now())
 	l.answers++
 	if answer == nil {
 		return nil, eris.New("another has overtaken it")
--- a/ratelimit/limiter.go
+++ b/ratelimit/limiter.go
@@ -55,7 +55,7 @@
 	Counters *peer.Counters
 	// Homes returns the nodes that are to be home, in order: the same at all nodes that
 	// know the same others. This node may be among them.
-	Homes func() []Peer
+	Coordinators func() []Peer
 	// Members returns the number of live nodes that are known.
 	Members func() int
 	// Clock goes on while the instance is suspended: a lease or a token ends then as well.
@@ -73,9 +73,9 @@
 	mu       sync.Mutex
 	set      *organisation.Set
 	limits   map[string]quota.Limit
-	home     *quota.Home
+	home     *quota.Coordinator
 	limiter  *quota.Limiter
-	census   *quota.Census
+	census   *quota.NodeEstimate
 	tallies  map[string]*tally
 	lateness quota.Lateness
 	asked    string // the home that was asked last
@@ -97,9 +97,9 @@
 		}
 		l.began = l.Clock()
 		l.wake = make(chan struct{}, 1)
-		l.home = quota.NewHome(rand.Uint32()|1, l.Bounds, 0)
+		l.home = quota.NewCoordinator(rand.Uint32()|1, l.Bounds, 0)
 		l.limiter = quota.NewLimiter(quota.NewClient(uint64(time.Now().UnixMilli()), 0))
-		l.census = quota.NewCensus(0)
+		l.census = quota.NewNodeEstimate(0)
 		l.tallies = make(map[string]*tally)
 		limits := l.Limits
 		limits.Idle = clientsIdle
@@ -136,7 +136,7 @@
 	}
 	l.limits = limits
 	l.home.SetLimits(limits, l.now())
-	l.limiter.Limits(limits)
+	l.limiter.SetLimits(limits)
 	for name := range l.tallies {
 		if _, ok := limits[name]; !ok {
 			delete(l.tallies, name)
@@ -157,11 +157,11 @@
 }
 
 // Told takes in the number of nodes that others have left on the platform.
-func (l *Limiter) Told(nodes int) {
+func (l *Limiter) SetStoredNodes(nodes int) {
 	l.init()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.census.Told(nodes, l.now())
+	l.census.ObserveStored(nodes, l.now())
 }
 
 // Nodes returns the number of nodes among which the rights are divided, or 0 if it isn't
@@ -177,19 +177,19 @@
 }
 
 // Pass is the right of one request to run. A nil Pass is one that needs none.
-type Pass struct {
+type Permit struct {
 	limiter *Limiter
 	token   quota.Token
 }
 
 // NotRun takes in that the request is known not to have run: another one may.
-func (p *Pass) NotRun() {
+func (p *Permit) Refund() {
 	if p == nil {
 		return
 	}
 	p.limiter.mu.Lock()
 	defer p.limiter.mu.Unlock()
-	p.limiter.limiter.GiveBack(p.token, p.limiter.now())
+	p.limiter.limiter.ReturnToken(p.token, p.limiter.now())
 }
 
 // Request is what is known of a request that is to be let in.
@@ -198,11 +198,11 @@
 	Organisation, Class string
 	// Left is how long its caller waits, and Objective the latency within which the answer
 	// is of full value, or 0.
-	Left, Objective time.Duration
+	Remaining, Objective time.Duration
 }
 
 // Admit lets a request in, or returns why it must not run. It may wait for a short time.
-func (l *Limiter) Admit(ctx context.Context, r Request) (*Pass, *verdict.Error) {
+func (l *Limiter) Admit(ctx context.Context, r Request) (*Permit, *verdict.Error) {
 	name := r.Organisation
 	l.init()
 	if !l.active.Load() {
@@ -216,7 +216,7 @@
 		return nil, nil
 	}
 	now := l.now()
-	p := l.limiter.Admit(name, l.lateness.Late(r.Class, r.Left, r.Objective, now), now, func(d quota.Decision) { decided <- d })
+	p := l.limiter.Admit(name, l.lateness.Late(r.Class, r.Remaining, r.Objective, now), now, func(d quota.Decision) { decided <- d })
 	l.mu.Unlock()
 	if p != nil {
 		l.rouse()
@@ -242,15 +242,15 @@
 	l.mu.Unlock()
 	if cancelled {
 		return quota.Decision{
-			Unknown: true,
-			Wait:    quota.Lease / 2,
+			Unknown:    true,
+			RetryAfter: quota.LeaseDuration / 2,
 		}
 	}
 	return <-decided
 }
 
 // taken counts a decision and says what becomes of the request.
-func (l *Limiter) taken(name string, limit quota.Limit, d quota.Decision) (*Pass, *verdict.Error) {
+func (l *Limiter) taken(name string, limit quota.Limit, d quota.Decision) (*Permit, *verdict.Error) {
 	l.mu.Lock()
 	t := l.tally(name)
 	t.count(d, l.now())
@@ -258,13 +258,13 @@
 	l.mu.Unlock()
 	switch {
 	case d.Granted:
-		return &Pass{
+		return &Permit{
 			limiter: l,
 			token:   d.Token,
 		}, nil
 	case d.Unknown:
-		return nil, verdict.New(verdict.LimitUnknown, eris.Errorf("home %s can't say yet how much of the limit of organisation %q is left", asked, name)).WithRetryAfter(d.Wait)
+		return nil, verdict.New(verdict.LimitUnknown, eris.Errorf("home %s can't say yet how much of the limit of organisation %q is left", asked, name)).WithRetryAfter(d.RetryAfter)
 	default:
-		return nil, verdict.New(verdict.RateLimited, eris.Errorf("organisation %q is beyond %v requests a second and a burst of %v, as home %s says", name, limit.Rate, limit.Burst, asked)).WithRetryAfter(max(d.Wait, time.Millisecond))
+		return nil, verdict.New(verdict.RateLimited, eris.Errorf("organisation %q is beyond %v requests a second and a burst of %v, as home %s says", name, limit.Rate, limit.Burst, asked)).WithRetryAfter(max(d.RetryAfter, time.Millisecond))
 	}
 }
--- a/ratelimit/limiter_test.go
+++ b/ratelimit/limiter_test.go
@@ -24,11 +24,11 @@
 func alone(t *testing.T, f func(t *testing.T, l *ratelimit.Limiter)) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &ratelimit.Limiter{
-			Bounds:  quota.Bounds{Window: 5 * time.Second},
-			Hello:   peer.Hello{Node: "n1", Control: true},
-			Homes:   func() []ratelimit.Peer { return []ratelimit.Peer{} },
-			Members: func() int { return 1 },
-			Log:     zerolog.Nop(),
+			Bounds:       quota.Bounds{Window: 5 * time.Second},
+			Hello:        peer.Hello{Node: "n1", Control: true},
+			Coordinators: func() []ratelimit.Peer { return []ratelimit.Peer{} },
+			Members:      func() int { return 1 },
+			Log:          zerolog.Nop(),
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
@@ -50,8 +50,8 @@
 }
 
 var (
-	request = ratelimit.Request{Organisation: "o", Left: time.Second}
-	free    = ratelimit.Request{Organisation: "free", Left: time.Second}
+	request = ratelimit.Request{Organisation: "o", Remaining: time.Second}
+	free    = ratelimit.Request{Organisation: "free", Remaining: time.Second}
 )
 
 // TestAdmit lets in what the limit allows, and says why not.
@@ -62,7 +62,7 @@
 			_, failure := l.Admit(ctx, request)
 			qt.Assert(t, failure == nil, qt.IsTrue, qt.Commentf("nothing is limited yet"))
 		}
-		l.Told(1)
+		l.SetStoredNodes(1)
 		l.Set(set(t))
 		_, failure := l.Admit(ctx, request)
 		qt.Assert(t, failure, qt.IsNotNil)
@@ -73,7 +73,7 @@
 
 		time.Sleep(3 * time.Second)
 		var granted int
-		var passes []*ratelimit.Pass
+		var passes []*ratelimit.Permit
 		for granted = 0; ; granted++ {
 			pass, refused := l.Admit(ctx, request)
 			if failure = refused; refused != nil {
@@ -84,7 +84,7 @@
 		qt.Check(t, granted >= 5 && granted < 30, qt.IsTrue, qt.Commentf("%d", granted))
 		qt.Check(t, failure.Cause, qt.Equals, verdict.RateLimited)
 		qt.Check(t, failure.Status(), qt.Equals, 429)
-		passes[len(passes)-1].NotRun()
+		passes[len(passes)-1].Refund()
 		time.Sleep(failure.RetryAfter)
 		_, failure = l.Admit(ctx, request)
 		qt.Check(t, failure == nil, qt.IsTrue, qt.Commentf("it comes back when it was told to"))
@@ -92,7 +92,7 @@
 		u := l.Usages(ctx, 10)
 		qt.Assert(t, u, qt.HasLen, 1)
 		qt.Check(t, u[0].Limited, qt.Equals, uint64(1))
-		qt.Check(t, u[0].Here > 0 && u[0].All > 0, qt.IsTrue)
+		qt.Check(t, u[0].LocalRate > 0 && u[0].TotalRate > 0, qt.IsTrue)
 		l.Set(nil)
 		for range 100 {
 			_, failure := l.Admit(ctx, request)
--- a/ratelimit/tally.go
+++ b/ratelimit/tally.go
@@ -19,7 +19,7 @@
 
 // tally counts an organisation's requests at this node.
 type tally struct {
-	admitted                  quota.Recent
+	admitted                  quota.RateMeter
 	granted, limited, unknown uint64
 }
 
@@ -54,7 +54,7 @@
 	Limit        quota.Limit
 	// Here and All are the requests a second that this node and all nodes have let in
 	// lately. All is 0 if the home does not say.
-	Here, All float64
+	LocalRate, TotalRate float64
 	// Limited and Unknown are the requests that this node has refused: beyond the limit,
 	// or as no home has answered.
 	Limited, Unknown uint64
@@ -66,7 +66,7 @@
 	l.init()
 	list := l.usages()
 	slices.SortStableFunc(list, func(a, b Usage) int {
-		return cmp.Or(cmp.Compare(b.Limited+b.Unknown, a.Limited+a.Unknown), cmp.Compare(b.Here, a.Here))
+		return cmp.Or(cmp.Compare(b.Limited+b.Unknown, a.Limited+a.Unknown), cmp.Compare(b.LocalRate, a.LocalRate))
 	})
 	list = list[:min(len(list), most, maxRates)]
 	names := make([]string, 0, len(list))
@@ -78,7 +78,7 @@
 		l.Log.Debug().Err(err).Msg("rates of organisations not told")
 	}
 	for i := range min(len(rates), len(list)) {
-		list[i].All = rates[i]
+		list[i].TotalRate = rates[i]
 	}
 	return list
 }
@@ -96,7 +96,7 @@
 			Limit:        l.limits[name],
 		}
 		if t := l.tallies[name]; t != nil {
-			u.Here = t.admitted.Rate(now)
+			u.LocalRate = t.admitted.Rate(now)
 			u.Limited = t.limited
 			u.Unknown = t.unknown
 		}
@@ -152,17 +152,17 @@
 // State is what a node knows of rate limits as a whole.
 type State struct {
 	// Home is the home that the node asks.
-	Home string
+	Coordinator string
 	// Nodes is the number of nodes among which the rights are divided.
 	Nodes int
 	// Rights and Share are the rights that this node holds as a home, and their part of all.
-	Rights int
-	Share  float64
+	HeldShares   int
+	HeldFraction float64
 	// Waiting is the number of requests that wait for a home.
 	Waiting int
 	// Answered and Unanswered are the exchanges with homes, and Taken those that this node
 	// has answered as one, since the start.
-	Answered, Unanswered, Taken uint64
+	Answered, Unanswered, Served uint64
 }
 
 // State returns the present one.
@@ -172,13 +172,13 @@
 	defer l.mu.Unlock()
 	now := l.now()
 	s := State{
-		Home:       l.asked,
-		Nodes:      l.census.Nodes(now),
-		Waiting:    l.limiter.Waiting(),
-		Answered:   l.answered,
-		Unanswered: l.unanswered,
-		Taken:      l.answers,
+		Coordinator: l.asked,
+		Nodes:       l.census.Nodes(now),
+		Waiting:     l.limiter.Waiting(),
+		Answered:    l.answered,
+		Unanswered:  l.unanswered,
+		Served:      l.answers,
 	}
-	s.Rights, s.Share = l.home.Rights(now)
+	s.HeldShares, s.HeldFraction = l.home.HeldShares(now)
 	return s
 }
--- a/reconcile/digest.go
+++ b/reconcile/digest.go
@@ -32,7 +32,7 @@
 // validGroups returns whether groups are some of a set's, each once.
 func validGroups(groups []int) bool {
 	for i, g := range groups {
-		if g < 0 || g >= gossip.Groups || i > 0 && g <= groups[i-1] {
+		if g < 0 || g >= gossip.GroupCount || i > 0 && g <= groups[i-1] {
 			return false
 		}
 	}
@@ -41,7 +41,7 @@
 
 // beyond answers a digestQuery.
 func (e *Exchange[R]) beyond(q digestQuery) digestReply[R] {
-	list, unknown := e.Set.Beyond(q.Groups, q.Digests)
+	list, unknown := e.Set.DiffDigests(q.Groups, q.Digests)
 	n := min(len(list), bulkRecords)
 	return digestReply[R]{
 		Records: list[:n],
@@ -68,7 +68,7 @@
 			before = e.Set.Len()
 			e.PutAll(reply.Records)
 			after = e.Set.Len()
-			wanted = e.Set.Of(groups, reply.Unknown) // unless newer ones have come just now
+			wanted = e.Set.WithDigests(groups, reply.Unknown) // unless newer ones have come just now
 		})
 		more = reply.More && after > before
 		if len(wanted) > 0 {
--- a/reconcile/exchange.go
+++ b/reconcile/exchange.go
@@ -28,7 +28,7 @@
 	// the records in the groups that differ: they are then fewer than the leaves, so that a
 	// digest of each record costs less than the hashes of all leaves, and one exchange
 	// finds all that differs.
-	mostByDigest = gossip.Leaves
+	mostByDigest = gossip.LeafCount
 )
 
 // Exchange is a set of records with what is needed to keep it the same as other nodes'. The
@@ -117,7 +117,7 @@
 	askBulk     = ".bulk"
 	askDigests  = ".digests"
 	// TellRecords is that of Records.
-	TellRecords = ".records"
+	RecordsSuffix = ".records"
 )
 
 // Handle answers a request of a peer's comparison. The second result is false
@@ -125,13 +125,13 @@
 func (e *Exchange[R]) Handle(topic string, payload []byte) (reply any, ok bool, err error) {
 	switch topic {
 	case e.Topic + askGroups:
-		return hashes{Hashes: e.Set.Group()}, true, nil
+		return hashes{Hashes: e.Set.GroupHashes()}, true, nil
 	case e.Topic + askLeaves:
 		q, err := peer.Unpack[leafQuery](payload)
-		if err != nil || q.Group < 0 || q.Group >= gossip.Groups {
+		if err != nil || q.Group < 0 || q.Group >= gossip.GroupCount {
 			return nil, true, eris.Errorf("bad group: %v", err)
 		}
-		return hashes{Hashes: e.Set.Leaf(q.Group)}, true, nil
+		return hashes{Hashes: e.Set.LeafHashes(q.Group)}, true, nil
 	case e.Topic + askVersions:
 		q, err := peer.Unpack[versionsQuery](payload)
 		if err != nil {
@@ -149,9 +149,9 @@
 		if err != nil || q.From < 0 {
 			return nil, true, eris.Errorf("bad leaf: %v", err)
 		}
-		list, next := e.Set.From(q.From, bulkRecords)
+		list, next := e.Set.Scan(q.From, bulkRecords)
 		return bulkReply[R]{Records: list, Next: next}, true, nil
-	case e.Topic + TellRecords:
+	case e.Topic + RecordsSuffix:
 		m, err := peer.Unpack[Records[R]](payload)
 		if err != nil {
 			return nil, true, err
@@ -166,7 +166,7 @@
 func (e *Exchange[R]) versions(q versionsQuery) versionsReply[R] {
 	var reply versionsReply[R]
 	for leaf, theirs := range q.Leaves {
-		if leaf < 0 || leaf >= gossip.Leaves {
+		if leaf < 0 || leaf >= gossip.LeafCount {
 			continue
 		}
 		reply.Newer = append(reply.Newer, e.Set.Newer(leaf, theirs)...)
@@ -193,11 +193,11 @@
 
 // With makes the set and a peer's the same, as far as one round goes. It is called by a
 // goroutine that does not own the state.
-func (e *Exchange[R]) With(ctx context.Context, p *peer.Client) error {
+func (e *Exchange[R]) Reconcile(ctx context.Context, p *peer.Client) error {
 	var own []uint64
 	var held int
 	e.Do(func() {
-		own = e.Set.Group()
+		own = e.Set.GroupHashes()
 		held = e.Set.Len()
 	})
 	theirs, err := peer.Ask[struct{}, hashes](ctx, p, e.Topic+askGroups, struct{}{})
@@ -247,9 +247,9 @@
 			return nil, err
 		}
 		var own []uint64
-		e.Do(func() { own = e.Set.Leaf(g) })
+		e.Do(func() { own = e.Set.LeafHashes(g) })
 		for _, l := range gossip.Differing(own, theirs.Hashes) {
-			leaves = append(leaves, g*gossip.Groups+l)
+			leaves = append(leaves, g*gossip.GroupCount+l)
 		}
 	}
 	return leaves[:min(len(leaves), maxLeaves)], nil
@@ -261,10 +261,10 @@
 	var own []R
 	e.Do(func() {
 		if e.Set.Len() <= bulkRecords {
-			own, _ = e.Set.From(0, bulkRecords)
+			own, _ = e.Set.Scan(0, bulkRecords)
 		}
 	})
-	for from := 0; from < gossip.Leaves; {
+	for from := 0; from < gossip.LeafCount; {
 		reply, err := peer.Ask[bulkQuery, bulkReply[R]](ctx, p, e.Topic+askBulk, bulkQuery{From: from})
 		if err != nil {
 			return err
@@ -287,6 +287,6 @@
 	if err != nil {
 		return eris.Wrap(err, "encode records")
 	}
-	_, err = p.Request(ctx, topic+TellRecords, payload, true)
+	_, err = p.Request(ctx, topic+RecordsSuffix, payload, true)
 	return err
 }
--- a/rejoin/searches.go
+++ b/rejoin/searches.go
@@ -49,12 +49,12 @@
 
 // Gone begins to search for a node that all others take for gone, since the given time, unless this
 // node does so already. Some of them search.
-func (s *Searches) Gone(id string, since time.Duration, now time.Time) {
+func (s *Searches) StartRemoved(id string, since time.Duration, now time.Time) {
 	s.begin(id, true, time.Duration(ageShare*float64(since)), now)
 }
 
 // Silent begins to search for a node that has not answered this one, unless it does so already.
-func (s *Searches) Silent(id string, now time.Time) { s.begin(id, false, 0, now) }
+func (s *Searches) StartUnresponsive(id string, now time.Time) { s.begin(id, false, 0, now) }
 
 func (s *Searches) begin(id string, drawn bool, pause time.Duration, now time.Time) {
 	if id == s.Self || s.list[id] != nil {
@@ -81,7 +81,7 @@
 }
 
 // End ends the search for a node: it has been found, or its record is dropped.
-func (s *Searches) End(id string) { delete(s.list, id) }
+func (s *Searches) Stop(id string) { delete(s.list, id) }
 
 // Len returns the number of nodes that are searched for.
 func (s *Searches) Len() int { return len(s.list) }
--- a/rejoin/searches_test.go
+++ b/rejoin/searches_test.go
@@ -42,9 +42,9 @@
 					continue // only one has asked it in vain
 				}
 				if test.silent {
-					nodes[i].Silent("gone", begin)
+					nodes[i].StartUnresponsive("gone", begin)
 				} else {
-					nodes[i].Gone("gone", 0, begin)
+					nodes[i].StartRemoved("gone", 0, begin)
 				}
 			}
 			asked := 0
@@ -101,10 +101,10 @@
 	now := time.Unix(1e9, 0)
 	qt.Check(t, s.Due(now, 1, 4), qt.HasLen, 0)
 	for i := range 10 {
-		s.Gone(fmt.Sprint(i), 0, now)
+		s.StartRemoved(fmt.Sprint(i), 0, now)
 	}
-	s.Gone("self", 0, now)
-	s.Gone("late", time.Hour, now)
+	s.StartRemoved("self", 0, now)
+	s.StartRemoved("late", time.Hour, now)
 	qt.Check(t, s.Len(), qt.Equals, 11)
 	now = now.Add(2 * firstPause)
 	seen := make(map[string]bool)
@@ -118,7 +118,7 @@
 	qt.Check(t, seen, qt.HasLen, 10)
 	qt.Check(t, seen["late"], qt.IsFalse)
 	for i := range 10 {
-		s.End(fmt.Sprint(i))
+		s.Stop(fmt.Sprint(i))
 	}
 	qt.Check(t, s.Due(now.Add(2*longestPause), 1, 4), qt.DeepEquals, []string{"late"})
 }
--- a/representative/acceptor.go
+++ b/representative/acceptor.go
@@ -51,7 +51,7 @@
 // listed takes in a list of all Service objects. Services in force that are not
 // on it have been deleted.
 func (a *acceptor) listed(l *objectapi.List) {
-	gone := a.Node.InForce()
+	gone := a.Node.ActiveServices()
 	for _, o := range l.Items {
 		a.consider(acceptance.IntentOf(o))
 		delete(gone, o.Metadata.Name)
@@ -82,7 +82,7 @@
 	}
 	name := o.Metadata.Name
 	a.done(name, spec.Source)
-	a.Node.PutInForce(acceptance.FromAccepted(name, spec))
+	a.Node.ApplyConfig(acceptance.FromAccepted(name, spec))
 	a.reporter.accepted(name, &spec)
 	return nil
 }
@@ -131,7 +131,7 @@
 		a.zonesAt = time.Now()
 		a.mu.Unlock()
 	}
-	return time.Duration(member.RankOf(name, a.Zone, zones)) * a.Takeover
+	return time.Duration(member.RendezvousRank(name, a.Zone, zones)) * a.TakeoverDelay
 }
 
 // acceptTick is how often the acceptor looks for what is due.
--- a/representative/reporter.go
+++ b/representative/reporter.go
@@ -142,13 +142,13 @@
 // pending for a while after all that were asked have the configuration: a
 // representative that has just started may not know all members yet.
 func (r *reporter) write(ctx context.Context, p *report) {
-	if p.members > 0 && p.members == r.Node.Nodes() {
+	if p.members > 0 && p.members == r.Node.ZoneSize() {
 		r.settle(p, nil, reportLook)
 		return
 	}
 	next := p.status
 	wait := reportLook
-	p.members = r.Node.Nodes()
+	p.members = r.Node.ZoneSize()
 	if p.accepted != nil {
 		zone := r.ask(ctx, p.name, p.accepted.Sequence)
 		next = statusOf(p.accepted, r.Zone, zone)
@@ -258,7 +258,7 @@
 
 // ask returns how far this zone has a configuration.
 func (r *reporter) ask(ctx context.Context, name string, sequence uint64) operator.ZoneStatus {
-	near := r.Node.Others()
+	near := r.Node.ZonePeers()
 	z := operator.ZoneStatus{
 		Sequence:  sequence,
 		At:        time.Now().UTC(),
--- a/representative/representative.go
+++ b/representative/representative.go
@@ -39,8 +39,8 @@
 	// Addresses returns the peer addresses of this node and of others in its zone, n at most.
 	Addresses(n int) []string
 	// Others returns the other live nodes of the zone, and Nodes their number and this one.
-	Others() []member.Record
-	Nodes() int
+	ZonePeers() []member.Record
+	ZoneSize() int
 	// OtherZones returns the names of the other zones with live nodes.
 	OtherZones() []string
 	// Sweep removes silent nodes of the zone until ctx ends.
@@ -48,10 +48,10 @@
 
 	// InForce returns the names of the services in force, and HostOwner that of the one that
 	// has a host, or "".
-	InForce() map[string]bool
+	ActiveServices() map[string]bool
 	HostOwner(host string) string
 	// PutInForce takes in a configuration that has been accepted.
-	PutInForce(c acceptance.Config)
+	ApplyConfig(c acceptance.Config)
 	// Sequence returns the sequence in force of a service, and SequenceAt that at another node.
 	Sequence(service string) uint64
 	SequenceAt(ctx context.Context, r member.Record, service string) (uint64, error)
@@ -70,9 +70,9 @@
 	// Lease is the duration of the lease.
 	Lease time.Duration
 	// Bridge is the time after which other zones are looked for that have been lost.
-	Bridge time.Duration
+	ZoneDiscovery time.Duration
 	// Takeover is the wait for each of those that come before in accepting a change.
-	Takeover time.Duration
+	TakeoverDelay time.Duration
 	// Log takes the events.
 	Log zerolog.Logger
 
@@ -80,7 +80,7 @@
 }
 
 // Holds returns whether the node holds its zone's lease, as far as it knows.
-func (r *Representative) Holds() bool { return r.holds.Load() }
+func (r *Representative) HoldsLease() bool { return r.holds.Load() }
 
 // Run holds the lease whenever it can be had, and does the work meanwhile, until ctx ends.
 func (r *Representative) Run(ctx context.Context) {
--- a/representative/work.go
+++ b/representative/work.go
@@ -102,7 +102,7 @@
 func (w *work) bridge(ctx context.Context) {
 	for ctx.Err() == nil {
 		known := w.bridgeOnce(ctx)
-		pause := w.Bridge
+		pause := w.ZoneDiscovery
 		if known == 0 {
 			pause = min(pause, minBridge)
 		}
--- a/retry/account_test.go
+++ b/retry/account_test.go
@@ -34,18 +34,18 @@
 			return organisation
 		}
 		again := func(organisation string) bool {
-			plan := retry.Plan{MaxTries: 2, Budget: budget, Organisation: organisation}
-			return plan.Again(failure, true, 1, time.Second)
+			plan := retry.Policy{MaxAttempts: 2, Budget: budget, Organisation: organisation}
+			return plan.ShouldRetry(failure, true, 1, time.Second)
 		}
 		var good, all float64
 		for range 60 * 40 {
 			time.Sleep(25 * time.Millisecond)
 			for range perSecond / 40 {
-				budget.EarnFor(nameOf("big"))
+				budget.RecordRequestFor(nameOf("big"))
 				again(nameOf("big"))
 			}
 			small := nameOf(fmt.Sprintf("small%d", random.IntN(20)))
-			budget.EarnFor(small)
+			budget.RecordRequestFor(small)
 			all++
 			if random.Float64() >= 0.1 || again(small) {
 				good++
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -58,10 +58,10 @@
 }
 
 // Earn records one ordinary request.
-func (b *Budget) Earn() { b.EarnFor("") }
+func (b *Budget) RecordRequest() { b.RecordRequestFor("") }
 
 // EarnFor records one ordinary request of an organisation. The empty name stands for none.
-func (b *Budget) EarnFor(organisation string) {
+func (b *Budget) RecordRequestFor(organisation string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.advance(time.Now())
@@ -71,12 +71,12 @@
 
 // Take takes one extra request out of the budget, and returns whether there
 // was one.
-func (b *Budget) Take() bool { return b.TakePart(1) }
+func (b *Budget) Take() bool { return b.TakeWithin(1) }
 
 // TakePart takes one extra request as Take does, if no more than the given part of
 // the budget is spent, in (0, 1]. The rest is left to those who may spend a larger
 // part.
-func (b *Budget) TakePart(share float64) bool { return b.TakeFor("", share) }
+func (b *Budget) TakeWithin(share float64) bool { return b.TakeFor("", share) }
 
 // TakeFor takes one extra request of an organisation as TakePart does. One that has spent
 // what its own requests have earned leaves a part of the rest to the others.
--- a/retry/calls_test.go
+++ b/retry/calls_test.go
@@ -36,13 +36,13 @@
 		budget := &retry.Budget{Share: 0.12, Burst: 60.0 / nodes}
 		// answered sends a request of which the given part of the budget may be spent.
 		answered := func(part float64) bool {
-			plan := retry.Plan{MaxTries: tries, Budget: budget, Part: part}
-			budget.Earn()
+			plan := retry.Policy{MaxAttempts: tries, Budget: budget, BudgetFraction: part}
+			budget.RecordRequest()
 			for n := 1; ; n++ {
 				if random.Float64() >= refused {
 					return true
 				}
-				if !plan.Again(failure, false, n, time.Second) {
+				if !plan.ShouldRetry(failure, false, n, time.Second) {
 					return false
 				}
 			}
@@ -89,7 +89,7 @@
 			return calling, others
 		}
 		evenCalling, evenOthers := mean(1)
-		calling, others := mean(retry.PartOf(0, 2, 0.5))
+		calling, others := mean(retry.BudgetFraction(0, 2, 0.5))
 		t.Logf("calling %.3f, others %.3f; of an even budget %.3f, %.3f", calling, others, evenCalling, evenOthers)
 		all := callingShare*calling + (1-callingShare)*others
 		even := callingShare*evenCalling + (1-callingShare)*evenOthers
--- a/retry/latency.go
+++ b/retry/latency.go
@@ -59,7 +59,7 @@
 // the usual time, and the latency objective, or 0 if there is none. Where many
 // requests are slow, the quantile comes too late: a copy that is sent when no more
 // than the usual time is left may still meet the objective.
-func HedgeAfter(slow, usual, objective time.Duration) time.Duration {
+func HedgeDelay(slow, usual, objective time.Duration) time.Duration {
 	last := objective - usual
 	if float64(last) < patience*float64(usual) {
 		return slow
--- a/retry/load_test.go
+++ b/retry/load_test.go
@@ -44,11 +44,11 @@
 					x -= shares[rank]
 					rank++
 				}
-				plan := retry.Plan{MaxTries: 2, Budget: budget, Part: retry.PartOf(rank, len(shares), reserve)}
-				budget.Earn()
+				plan := retry.Policy{MaxAttempts: 2, Budget: budget, BudgetFraction: retry.BudgetFraction(rank, len(shares), reserve)}
+				budget.RecordRequest()
 				all[rank]++
 				served := random.Float64() >= refused
-				if !served && plan.Again(failure, false, 1, time.Second) {
+				if !served && plan.ShouldRetry(failure, false, 1, time.Second) {
 					served = random.Float64() >= refused
 				}
 				if served {
--- a/retry/plan.go
+++ b/retry/plan.go
@@ -13,18 +13,18 @@
 
 // Plan says which failures are tried again. The exported fields are set before
 // the first call.
-type Plan struct {
+type Policy struct {
 	// MaxTries is the largest number of sendings of one request, the first
 	// included.
-	MaxTries int
+	MaxAttempts int
 	// Budget bounds the tries after failures that cost an upstream work.
 	Budget *Budget
 	// Part is the part of the budget that may be spent, in (0, 1]. Zero means all.
-	Part float64
+	BudgetFraction float64
 	// Organisation is the one on whose behalf the request is sent, or empty.
 	Organisation string
 	// Least is the remaining time below which a try is of no use.
-	Least time.Duration
+	MinRemaining time.Duration
 }
 
 // Again returns whether a request that failed with e is sent again, given that
@@ -33,19 +33,21 @@
 //
 // A request that provably has not reached the upstream's application costs
 // nothing there, so it is bounded by MaxTries alone. All others need budget.
-func (p Plan) Again(e *verdict.Error, idempotent bool, tries int, remaining time.Duration) bool {
-	if !e.MayRepeat(idempotent) || tries >= p.MaxTries || remaining < p.Least {
+func (p Policy) ShouldRetry(e *verdict.Error, idempotent bool, tries int, remaining time.Duration) bool {
+	if !e.MayRepeat(idempotent) || tries >= p.MaxAttempts || remaining < p.MinRemaining {
 		return false
 	}
-	if !Reached(e) {
+	if !MayHaveReached(e) {
 		return true
 	}
-	return p.Take()
+	return p.TakeFromBudget()
 }
 
 // Take takes one try out of the plan's part of the budget, and returns whether there
 // was one.
-func (p Plan) Take() bool { return p.Budget.TakeFor(p.Organisation, cmp.Or(p.Part, 1)) }
+func (p Policy) TakeFromBudget() bool {
+	return p.Budget.TakeFor(p.Organisation, cmp.Or(p.BudgetFraction, 1))
+}
 
 // PartOf returns the part of the budget that a class may spend, given the rank of its
 // priority among the different ones, from 0 for the least urgent, and the part that is
@@ -55,7 +57,7 @@
 //
 // Where upstreams refuse half of all, at random, the budget is not enough to send each
 // refused request once more; the reserve has it spent on the most urgent ones first.
-func PartOf(rank, ranks int, reserve float64) float64 {
+func BudgetFraction(rank, ranks int, reserve float64) float64 {
 	if ranks < 2 {
 		return 1
 	}
@@ -64,6 +66,6 @@
 
 // Reached returns whether a try that failed with e may have reached the
 // upstream's application and so cost it something, be it a refusal.
-func Reached(e *verdict.Error) bool {
+func MayHaveReached(e *verdict.Error) bool {
 	return e.Verdict() != verdict.NotRun || e.Cause == verdict.UpstreamRefused || e.Cause == verdict.WrongUpstream
 }
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -20,7 +20,7 @@
 	b := &retry.Budget{Share: 0.1, Burst: 5}
 	var taken int
 	for range 1000 {
-		b.Earn()
+		b.RecordRequest()
 		for b.Take() {
 			taken++
 		}
@@ -50,7 +50,7 @@
 		"shed by the upstream":         {err: verdict.New(verdict.UpstreamRefused, nil), tries: 1, remaining: second, want: true},
 		"shed by the upstream, budget": {err: verdict.New(verdict.UpstreamRefused, nil), tries: 1, remaining: second, noBudget: true},
 		"given up by a deeper hop":     {err: verdict.New(verdict.UpstreamRefused, nil).WithGivenUp(), idempotent: true, tries: 1, remaining: second},
-		"cut answer":                   {err: verdict.New(verdict.AnswerCut, nil), idempotent: true, tries: 1, remaining: second},
+		"cut answer":                   {err: verdict.New(verdict.AnswerTruncated, nil), idempotent: true, tries: 1, remaining: second},
 		"timed out":                    {err: verdict.New(verdict.TimedOut, nil), idempotent: true, tries: 1, remaining: second},
 	}
 	for name, test := range tests {
@@ -59,8 +59,8 @@
 			if test.noBudget {
 				budget.Take()
 			}
-			p := retry.Plan{MaxTries: 3, Budget: budget, Least: time.Millisecond}
-			qt.Check(t, p.Again(test.err, test.idempotent, test.tries, test.remaining), qt.Equals, test.want)
+			p := retry.Policy{MaxAttempts: 3, Budget: budget, MinRemaining: time.Millisecond}
+			qt.Check(t, p.ShouldRetry(test.err, test.idempotent, test.tries, test.remaining), qt.Equals, test.want)
 		})
 	}
 }
@@ -77,11 +77,11 @@
 	qt.Check(t, got >= 90*time.Millisecond && got <= 99*time.Millisecond, qt.IsTrue, qt.Commentf("%v", got))
 }
 
-func ExamplePlan_Again() {
-	p := retry.Plan{MaxTries: 3, Budget: &retry.Budget{Share: 0.1, Burst: 10}}
+func ExamplePolicy_ShouldRetry() {
+	p := retry.Policy{MaxAttempts: 3, Budget: &retry.Budget{Share: 0.1, Burst: 10}}
 	lost := verdict.New(verdict.PeerLost, nil)
-	fmt.Println(p.Again(lost, false, 1, time.Second))
-	fmt.Println(p.Again(lost, true, 1, time.Second))
+	fmt.Println(p.ShouldRetry(lost, false, 1, time.Second))
+	fmt.Println(p.ShouldRetry(lost, true, 1, time.Second))
 	// Output:
 	// false
 	// true
@@ -108,7 +108,7 @@
 			for range processes {
 				b := &retry.Budget{Share: test.share, Burst: test.burst}
 				for range test.requests {
-					b.Earn()
+					b.RecordRequest()
 				}
 				for range 100 {
 					if b.Take() {
@@ -132,7 +132,7 @@
 			return n
 		}
 		for range 100 {
-			b.Earn()
+			b.RecordRequest()
 		}
 		first := spend()
 		qt.Check(t, first >= 15 && first <= 16, qt.IsTrue, qt.Commentf("%d", first))
@@ -157,7 +157,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			qt.Check(t, retry.HedgeAfter(test.slow, test.usual, test.objective), qt.Equals, test.want)
+			qt.Check(t, retry.HedgeDelay(test.slow, test.usual, test.objective), qt.Equals, test.want)
 		})
 	}
 }
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -101,8 +101,8 @@
 	r.failed = reportsKept*r.failed + float64(t.Failed)
 	for i := range r.took {
 		r.took[i] *= reportsKept
-		if i < len(t.Took) {
-			r.took[i] += float64(t.Took[i])
+		if i < len(t.DurationCounts) {
+			r.took[i] += float64(t.DurationCounts[i])
 		}
 	}
 }
--- a/rollout/exposure.go
+++ b/rollout/exposure.go
@@ -45,7 +45,7 @@
 // InUse returns how many of n upstreams of the version get requests in a phase: as many as
 // make each of them carry what one of the former version does. A fault that shows under load
 // only then shows in time.
-func (e Exposure) InUse(p Phase, n int) int {
+func (e Exposure) UpstreamCount(p Phase, n int) int {
 	share := e.Share(p)
 	if share == 0 {
 		return 0
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -41,7 +41,7 @@
 	// Order is what is decided on.
 	Order Order
 	// Began is when this node heard of it.
-	Began time.Time
+	StartedAt time.Time
 
 	upstreams map[string]*upstream  // by node
 	former    map[string]*reference // by class
@@ -84,7 +84,7 @@
 		j.slow = make(sums)
 	}
 	u := j.upstreams[node]
-	if u == nil || u.report.Start != r.Start || u.report.Version != r.Version {
+	if u == nil || u.report.StartID != r.StartID || u.report.Version != r.Version {
 		u = &upstream{
 			judged: make(map[string]Tally),
 			failed: make(sums),
@@ -119,7 +119,7 @@
 
 // advance returns the next phase of a version that is not found faulty.
 func (j *Judge) advance(present State, room, calm bool, now time.Time) (Phase, string) {
-	part := float64(now.Sub(j.Began)) / float64(j.Order.Duration)
+	part := float64(now.Sub(j.StartedAt)) / float64(j.Order.Duration)
 	inPhase := now.Sub(j.since)
 	step := func(share float64) time.Duration {
 		return max(leastStep, time.Duration(share*float64(j.Order.Duration)))
@@ -275,21 +275,21 @@
 // plus returns the sum of two tallies.
 func (t Tally) plus(o Tally) Tally {
 	sum := Tally{
-		Requests: t.Requests + o.Requests,
-		Failed:   t.Failed + o.Failed,
-		Took:     make([]uint64, max(len(t.Took), len(o.Took))),
+		Requests:       t.Requests + o.Requests,
+		Failed:         t.Failed + o.Failed,
+		DurationCounts: make([]uint64, max(len(t.DurationCounts), len(o.DurationCounts))),
 	}
-	copy(sum.Took, t.Took)
-	for i, n := range o.Took {
-		sum.Took[i] += n
+	copy(sum.DurationCounts, t.DurationCounts)
+	for i, n := range o.DurationCounts {
+		sum.DurationCounts[i] += n
 	}
 	return sum
 }
 
 // above returns the number of requests in a range of run times or a later one.
 func (t Tally) above(bucket int) (n uint64) {
-	for i := bucket; i < len(t.Took); i++ {
-		n += t.Took[i]
+	for i := bucket; i < len(t.DurationCounts); i++ {
+		n += t.DurationCounts[i]
 	}
 	return n
 }
--- a/rollout/judge_test.go
+++ b/rollout/judge_test.go
@@ -53,12 +53,12 @@
 	random := rand.New(rand.NewPCG(seed, 1))
 	start := time.Unix(1e9, 0)
 	order := rollout.Order{Service: "s", Version: "v2", Duration: l.duration}
-	judge := rollout.Judge{Order: order, Began: start}
+	judge := rollout.Judge{Order: order, StartedAt: start}
 	state := rollout.State{Order: order}
 	reports := make(map[int]*rollout.Report) // below 0: former
 	var o outcome
 	for at := time.Duration(0); at < l.duration && state.Phase < rollout.Stopped; at += step {
-		share, inUse := exposure.Share(state.Phase), exposure.InUse(state.Phase, l.next)
+		share, inUse := exposure.Share(state.Phase), exposure.UpstreamCount(state.Phase, l.next)
 		busy := make(map[int]int)
 		for range int(l.perSecond * step.Seconds()) {
 			o.sent++
@@ -87,13 +87,13 @@
 			}
 			r := reports[i]
 			if r == nil {
-				r = &rollout.Report{Service: "s", Version: "v1", Start: 1, Classes: make(map[string]rollout.Tally)}
+				r = &rollout.Report{Service: "s", Version: "v1", StartID: 1, Classes: make(map[string]rollout.Tally)}
 				if next {
 					r.Version = "v2"
 				}
 				reports[i] = r
 			}
-			r.Classes[class] = r.Classes[class].With(failed, took)
+			r.Classes[class] = r.Classes[class].WithRequest(failed, took)
 		}
 		now := start.Add(at + step)
 		for i, r := range reports {
@@ -105,7 +105,7 @@
 			judge.Observe(strconv.Itoa(i), copied, now)
 		}
 		phase, reason := judge.Step(state, l.next >= l.former, now)
-		state = state.With(phase, reason, "n", now)
+		state = state.WithPhase(phase, reason, "n", now)
 	}
 	o.phase = state.Phase
 	return o
--- a/rollout/state.go
+++ b/rollout/state.go
@@ -60,7 +60,7 @@
 }
 
 // With returns s in another phase.
-func (s State) With(p Phase, reason, node string, when time.Time) State {
+func (s State) WithPhase(p Phase, reason, node string, when time.Time) State {
 	s.Phase = p
 	s.Reason = reason
 	s.Node = node
@@ -83,11 +83,11 @@
 }
 
 // Standing is what an upstream of a version may get.
-type Standing uint8
+type Eligibility uint8
 
 const (
 	// Ordinary upstreams get requests by their room alone.
-	Ordinary Standing = iota
+	Unrestricted Eligibility = iota
 	// OnTrial upstreams get the share of the requests that the phase says.
 	OnTrial
 	// Withheld upstreams get none.
@@ -95,13 +95,13 @@
 )
 
 // Standing returns what upstreams of a version may get.
-func (s State) Standing(version string) Standing {
+func (s State) Eligibility(version string) Eligibility {
 	if version != s.Order.Version {
-		return Ordinary
+		return Unrestricted
 	}
 	switch s.Phase {
 	case Completed:
-		return Ordinary
+		return Unrestricted
 	case Stopped, RolledBack:
 		return Withheld
 	}
@@ -109,7 +109,7 @@
 }
 
 // Known is a State as one node knows it. It is an immutable value.
-type Known struct {
+type LocalState struct {
 	State
 	// Received is when the node received the order first, and Changed the present phase.
 	Received, Changed time.Time
@@ -118,7 +118,7 @@
 }
 
 // Size is how many upstreams there are of a version.
-type Size struct {
+type VersionCapacity struct {
 	// Upstreams take requests, Trial of them by an order, and Slots is how many requests they
 	// run at once.
 	Upstreams, Trial, Slots int
--- a/rollout/take.go
+++ b/rollout/take.go
@@ -7,7 +7,7 @@
 import "time"
 
 // Found is an order as it was read from the platform.
-type Found struct {
+type StoredOrder struct {
 	// Order is the order; its Point is that of the object's last change.
 	Order Order
 	// Outcome is what the platform has recorded: Completed, RolledBack, or Trial if nothing.
@@ -20,7 +20,7 @@
 // The platform may come back from a copy in a later era, without what was recorded: an outcome
 // that nodes know is then to be recorded again, and the version is not tried once more. An
 // order that is read later than its outcome and bears none was written anew.
-func Take(known State, ok bool, f Found, now time.Time) (next State, changed bool) {
+func Merge(known State, ok bool, f StoredOrder, now time.Time) (next State, changed bool) {
 	fresh := State{
 		Order:  f.Order,
 		When:   now,
@@ -50,7 +50,7 @@
 }
 
 // inLaterEra returns what is known of an order as of a later era of the platform.
-func inLaterEra(known State, f Found, fresh State, now time.Time) State {
+func inLaterEra(known State, f StoredOrder, fresh State, now time.Time) State {
 	if f.Outcome.Settled() {
 		return fresh
 	}
@@ -58,9 +58,9 @@
 	next.Order = f.Order
 	switch known.Phase {
 	case Completed:
-		return next.With(Emptied, "the platform has lost that it was completed", known.Node, now)
+		return next.WithPhase(Emptied, "the platform has lost that it was completed", known.Node, now)
 	case RolledBack:
-		return next.With(Stopped, "the platform has lost that it was rolled back", known.Node, now)
+		return next.WithPhase(Stopped, "the platform has lost that it was rolled back", known.Node, now)
 	}
 	return next
 }
--- a/rollout/take_test.go
+++ b/rollout/take_test.go
@@ -15,8 +15,8 @@
 )
 
 // found returns an order for a version as it is read at a point.
-func found(version string, era, revision uint64, outcome rollout.Phase) rollout.Found {
-	return rollout.Found{
+func found(version string, era, revision uint64, outcome rollout.Phase) rollout.StoredOrder {
+	return rollout.StoredOrder{
 		Order: rollout.Order{
 			Service:  "s",
 			Version:  version,
@@ -30,8 +30,8 @@
 // TestTake reads an order where a state is known, or none.
 func TestTake(t *testing.T) {
 	now := time.Unix(1e9, 0)
-	in := func(f rollout.Found, p rollout.Phase, recorded uint64) *rollout.State {
-		s := rollout.State{Order: f.Order}.With(p, "", "n", now)
+	in := func(f rollout.StoredOrder, p rollout.Phase, recorded uint64) *rollout.State {
+		s := rollout.State{Order: f.Order}.WithPhase(p, "", "n", now)
 		if recorded > 0 {
 			s = s.WithRecorded(objectapi.Point{Era: f.Order.At.Era, Revision: recorded})
 		}
@@ -39,7 +39,7 @@
 	}
 	tests := map[string]struct {
 		known   *rollout.State
-		found   rollout.Found
+		found   rollout.StoredOrder
 		want    rollout.Phase
 		changed bool
 	}{
@@ -63,7 +63,7 @@
 			if test.known != nil {
 				known = *test.known
 			}
-			next, changed := rollout.Take(known, test.known != nil, test.found, now)
+			next, changed := rollout.Merge(known, test.known != nil, test.found, now)
 			qt.Check(t, changed, qt.Equals, test.changed)
 			if !changed {
 				qt.Check(t, next, qt.DeepEquals, known)
@@ -90,12 +90,12 @@
 		for _, n := range []int{0, 1, 2, 10, 68, 739} {
 			last := 0
 			for p := rollout.Trial; p <= rollout.Emptied; p++ {
-				in := e.InUse(p, n)
+				in := e.UpstreamCount(p, n)
 				qt.Check(t, in >= last && in <= n, qt.IsTrue)
 				last = in
 			}
 			qt.Check(t, last, qt.Equals, n)
-			qt.Check(t, e.InUse(rollout.Stopped, n)+e.InUse(rollout.RolledBack, n), qt.Equals, 0)
+			qt.Check(t, e.UpstreamCount(rollout.Stopped, n)+e.UpstreamCount(rollout.RolledBack, n), qt.Equals, 0)
 		}
 	}
 }
--- a/rollout/tally.go
+++ b/rollout/tally.go
@@ -24,7 +24,7 @@
 	Requests uint64 `msgpack:"requests"`
 	Failed   uint64 `msgpack:"failed,omitempty"`
 	// Took are the numbers of requests by run time, up to the last that is not 0.
-	Took []uint64 `msgpack:"took,omitempty"`
+	DurationCounts []uint64 `msgpack:"took,omitempty"`
 }
 
 // bucketOf returns the range that a run time is in.
@@ -37,35 +37,35 @@
 }
 
 // With returns t with one more request.
-func (t Tally) With(failed bool, took time.Duration) Tally {
+func (t Tally) WithRequest(failed bool, took time.Duration) Tally {
 	t.Requests++
 	if failed {
 		t.Failed++
 	}
 	b := bucketOf(took)
-	t.Took = append(make([]uint64, 0, max(len(t.Took), b+1)), t.Took...)
-	for len(t.Took) <= b {
-		t.Took = append(t.Took, 0)
+	t.DurationCounts = append(make([]uint64, 0, max(len(t.DurationCounts), b+1)), t.DurationCounts...)
+	for len(t.DurationCounts) <= b {
+		t.DurationCounts = append(t.DurationCounts, 0)
 	}
-	t.Took[b]++
+	t.DurationCounts[b]++
 	return t
 }
 
 // since returns what t counts beyond an earlier tally of the same requests.
 func (t Tally) since(before Tally) Tally {
-	if t.Requests < before.Requests || t.Failed < before.Failed || len(t.Took) < len(before.Took) {
+	if t.Requests < before.Requests || t.Failed < before.Failed || len(t.DurationCounts) < len(before.DurationCounts) {
 		return t // the counts began anew
 	}
 	d := Tally{
-		Requests: t.Requests - before.Requests,
-		Failed:   t.Failed - before.Failed,
-		Took:     make([]uint64, len(t.Took)),
+		Requests:       t.Requests - before.Requests,
+		Failed:         t.Failed - before.Failed,
+		DurationCounts: make([]uint64, len(t.DurationCounts)),
 	}
-	for i, n := range t.Took {
-		if i < len(before.Took) {
-			n -= min(n, before.Took[i])
+	for i, n := range t.DurationCounts {
+		if i < len(before.DurationCounts) {
+			n -= min(n, before.DurationCounts[i])
 		}
-		d.Took[i] = n
+		d.DurationCounts[i] = n
 	}
 	return d
 }
@@ -76,7 +76,7 @@
 	Service string `msgpack:"service"`
 	Version string `msgpack:"version"`
 	// Start tells the counts of one start of the upstream or the node from another's.
-	Start uint64 `msgpack:"start"`
+	StartID uint64 `msgpack:"start"`
 	// Running is the number of requests at the upstream now.
 	Running int `msgpack:"running"`
 	// Classes are the counts since Start, by class of request.
--- a/rollout/world_test.go
+++ b/rollout/world_test.go
@@ -80,7 +80,7 @@
 		}
 		order := rollout.Order{Service: "s", Version: "v2", Duration: lasts}
 		start := time.Unix(1e9, 0)
-		judge := rollout.Judge{Order: order, Began: start}
+		judge := rollout.Judge{Order: order, StartedAt: start}
 		state := rollout.State{Order: order}
 		former, next := make(map[int]rollout.Tally), make(map[int]rollout.Tally)
 		sent, given, bad, fiftieth, last := 0, 0, 0, 0, 0
@@ -94,21 +94,21 @@
 					continue
 				}
 				u.lease = n
-				judge.Observe(fmt.Sprint("new", i), rollout.Report{Version: "v2", Start: 1, Classes: map[string]rollout.Tally{"c": next[i]}}, start.Add(time.Duration(n)*step))
+				judge.Observe(fmt.Sprint("new", i), rollout.Report{Version: "v2", StartID: 1, Classes: map[string]rollout.Tally{"c": next[i]}}, start.Add(time.Duration(n)*step))
 			}
 			for i, r := range former {
-				judge.Observe(fmt.Sprint("old", i), rollout.Report{Version: "v1", Start: 1, Classes: map[string]rollout.Tally{"c": r}}, start.Add(time.Duration(n)*step))
+				judge.Observe(fmt.Sprint("old", i), rollout.Report{Version: "v1", StartID: 1, Classes: map[string]rollout.Tally{"c": r}}, start.Add(time.Duration(n)*step))
 			}
 			for _, e := range d.entries {
 				for range perEntry {
 					sent++
 					took := usualRun/2 + time.Duration(random.Int64N(int64(usualRun)))
-					inUse := exposure.InUse(e.heard, len(d.upstreams))
+					inUse := exposure.UpstreamCount(e.heard, len(d.upstreams))
 					if inUse > 0 && random.Float64() < exposure.Share(e.heard) {
 						i := random.IntN(inUse)
 						if u := d.upstreams[i]; u.heard < rollout.Stopped && n-u.lease <= leases {
 							failed := n >= begins && random.Float64() < fails
-							next[i] = next[i].With(failed, took)
+							next[i] = next[i].WithRequest(failed, took)
 							given++
 							last = n
 							if failed {
@@ -120,11 +120,11 @@
 						}
 					}
 					i := random.IntN(60)
-					former[i] = former[i].With(random.Float64() < 0.005, took)
+					former[i] = former[i].WithRequest(random.Float64() < 0.005, took)
 				}
 			}
 			phase, reason := judge.Step(state, true, start.Add(time.Duration(n+1)*step))
-			state = state.With(phase, reason, "n", start)
+			state = state.WithPhase(phase, reason, "n", start)
 		}
 		if given > int(float64(exposure)*float64(sent))+slack {
 			t.Fatalf("%d of %d, %d bad, ends %v: %s", given, sent, bad, state.Phase, state.Reason)
--- a/route/antiphase_test.go
+++ b/route/antiphase_test.go
@@ -55,10 +55,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return route.Load{
-		Running: min(p.here, phaseSlots),
-		Waiting: max(0, p.here-phaseSlots),
-		Allowed: phaseSlots,
-		Service: phaseRun,
+		Running:     min(p.here, phaseSlots),
+		Waiting:     max(0, p.here-phaseSlots),
+		Slots:       phaseSlots,
+		ServiceTime: phaseRun,
 	}
 }
 
@@ -91,8 +91,8 @@
 	for entry := range len(zones) * phaseEntries {
 		zone := entry / phaseEntries
 		random := rand.New(rand.NewPCG(7, uint64(entry)))
-		p := &route.Pool[int]{Policy: route.Fastest{}, Expected: phaseRun}
-		p.Set(phaseTargets(zone, random, upstreams))
+		p := &route.Pool[int]{Policy: route.Fastest{}, ExpectedServiceTime: phaseRun}
+		p.SetTargets(phaseTargets(zone, random, upstreams))
 		reports := rand.New(rand.NewPCG(8, uint64(entry)))
 		all.Go(func() {
 			for going() {
@@ -171,7 +171,7 @@
 		left := &near
 		if upstreams[i].zone != zone {
 			t.Distance = 12 * time.Millisecond
-			t.Crossing = 0.5
+			t.ZoneCrossingCost = 0.5
 			left = &far
 		}
 		t.Spare = *left == 0
--- a/route/fastest.go
+++ b/route/fastest.go
@@ -69,15 +69,15 @@
 
 // Enough implements Demanding. It judges the upstream, and not the body's way there, which
 // other upstreams have as well.
-func (Fastest) Enough(c Candidate) bool {
-	return fastestCost(c)-c.Transfer.Seconds() <= enough*c.Usual.Seconds()
+func (Fastest) Acceptable(c Candidate) bool {
+	return fastestCost(c)-c.TransferTime.Seconds() <= enough*c.MeanServiceTime.Seconds()
 }
 
 // fastestCost is the expected time until a request sent to c ends, in seconds.
 func fastestCost(c Candidate) float64 {
 	u := c.share()
-	times := c.Slowdown*(1+crowding(u)) + failureCost*c.Failing
-	return times*c.Service.Seconds() + c.Crossing*c.Usual.Seconds() + (c.Distance + c.Transfer + c.Wait).Seconds()
+	times := c.Slowdown*(1+crowding(u)) + failureCost*c.FailureRatio
+	return times*c.ServiceTime.Seconds() + c.ZoneCrossingCost*c.MeanServiceTime.Seconds() + (c.Distance + c.TransferTime + c.LimitWait).Seconds()
 }
 
 // crowding is the part by which the load u prolongs a request.
--- a/route/fastest_test.go
+++ b/route/fastest_test.go
@@ -16,10 +16,10 @@
 // TestFastest has one row for each reason to prefer an upstream.
 func TestFastest(t *testing.T) {
 	load := func(running int, slowdown float64) route.Load {
-		return route.Load{Running: running, Allowed: 8, Service: 60 * time.Millisecond, Slowdown: slowdown}
+		return route.Load{Running: running, Slots: 8, ServiceTime: 60 * time.Millisecond, Slowdown: slowdown}
 	}
 	failing := func(l route.Load, share float64) route.Load {
-		l.Failing = share
+		l.FailureRatio = share
 		return l
 	}
 	tests := map[string]struct {
@@ -36,7 +36,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			p := &route.Pool[string]{Policy: route.Fastest{}}
-			p.Set(map[string]route.Target{"a": {Slots: 8}, "b": {Slots: 8}})
+			p.SetTargets(map[string]route.Target{"a": {Slots: 8}, "b": {Slots: 8}})
 			p.Observe("a", test.a)
 			p.Observe("b", test.b)
 			use, ok := p.Pick(nil)
--- a/route/health.go
+++ b/route/health.go
@@ -58,7 +58,7 @@
 		if h.failures >= failuresToEject {
 			h.eject(now)
 		}
-	case Down:
+	case Unreachable:
 		h.eject(now)
 	}
 }
--- a/route/limited_test.go
+++ b/route/limited_test.go
@@ -18,19 +18,19 @@
 // row it is sent, by each policy that goes by loads.
 func TestLimitedUpstream(t *testing.T) {
 	const work = 100 * time.Millisecond
-	other := route.Load{Running: 4, Allowed: 8, Service: work, Slowdown: 1}
+	other := route.Load{Running: 4, Slots: 8, ServiceTime: work, Slowdown: 1}
 	tests := map[string]struct {
 		limited     route.Load
 		after       time.Duration
 		least, most int
 	}{
-		"unused":               {limited: route.Load{Allowed: 8, Service: work, Slowdown: 1, Limited: true, Limit: 10}, least: 1, most: 4},
-		"its turn is far":      {limited: route.Load{Allowed: 8, Service: work, Slowdown: 1, Limited: true, Limit: 10, Free: time.Second}},
-		"its turn has come":    {limited: route.Load{Allowed: 8, Service: work, Slowdown: 1, Limited: true, Limit: 10, Free: time.Second}, after: time.Second, least: 1, most: 4},
-		"used up":              {limited: route.Load{Allowed: 8, Service: work, Slowdown: 1, Limited: true, Limit: 10, Used: 1}, most: 3},
-		"takes none":           {limited: route.Load{Allowed: 8, Service: work, Slowdown: 1, Limited: true, Free: 4 * time.Second}},
-		"limit does not bind":  {limited: route.Load{Allowed: 8, Service: work, Slowdown: 1, Limited: true, Limit: 1e6}, least: 3, most: 10},
-		"no limit, for a look": {limited: route.Load{Allowed: 8, Service: work, Slowdown: 1}, least: 3, most: 10},
+		"unused":               {limited: route.Load{Slots: 8, ServiceTime: work, Slowdown: 1, Limited: true, Limit: 10}, least: 1, most: 4},
+		"its turn is far":      {limited: route.Load{Slots: 8, ServiceTime: work, Slowdown: 1, Limited: true, Limit: 10, LimitWait: time.Second}},
+		"its turn has come":    {limited: route.Load{Slots: 8, ServiceTime: work, Slowdown: 1, Limited: true, Limit: 10, LimitWait: time.Second}, after: time.Second, least: 1, most: 4},
+		"used up":              {limited: route.Load{Slots: 8, ServiceTime: work, Slowdown: 1, Limited: true, Limit: 10, LimitUsed: 1}, most: 3},
+		"takes none":           {limited: route.Load{Slots: 8, ServiceTime: work, Slowdown: 1, Limited: true, LimitWait: 4 * time.Second}},
+		"limit does not bind":  {limited: route.Load{Slots: 8, ServiceTime: work, Slowdown: 1, Limited: true, Limit: 1e6}, least: 3, most: 10},
+		"no limit, for a look": {limited: route.Load{Slots: 8, ServiceTime: work, Slowdown: 1}, least: 3, most: 10},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -38,7 +38,7 @@
 				synctest.Test(t, func(t *testing.T) {
 					policy, _ := route.ByName(policy)
 					p := &route.Pool[int]{Policy: policy}
-					p.Set(map[int]route.Target{0: {Slots: 8}, 1: {Slots: 8}})
+					p.SetTargets(map[int]route.Target{0: {Slots: 8}, 1: {Slots: 8}})
 					p.Observe(0, test.limited)
 					time.Sleep(test.after)
 					p.Observe(1, other)
@@ -61,9 +61,9 @@
 func TestPickWithin(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &route.Pool[int]{Policy: route.Fastest{}}
-		p.Set(map[int]route.Target{0: {Slots: 8}, 1: {Slots: 8}})
+		p.SetTargets(map[int]route.Target{0: {Slots: 8}, 1: {Slots: 8}})
 		for i, free := range []time.Duration{time.Second, 3 * time.Second} {
-			p.Observe(i, route.Load{Allowed: 8, Limited: true, Limit: 1, Free: free})
+			p.Observe(i, route.Load{Slots: 8, Limited: true, Limit: 1, LimitWait: free})
 		}
 		for name, test := range map[string]struct {
 			most time.Duration
@@ -73,12 +73,12 @@
 			"long enough":  {most: 2 * time.Second, ok: true},
 			"not for both": {most: 500 * time.Millisecond},
 		} {
-			use, ok := p.PickWithin(test.most, 0, nil)
+			use, ok := p.PickWithMaxWait(test.most, 0, nil)
 			qt.Check(t, ok, qt.Equals, test.ok, qt.Commentf("%s", name))
 			if ok {
 				qt.Check(t, use.Key(), qt.Equals, 0, qt.Commentf("%s", name))
 				use.Done(route.Refused)
-				p.Observe(0, route.Load{Allowed: 8, Limited: true, Limit: 1, Free: time.Second})
+				p.Observe(0, route.Load{Slots: 8, Limited: true, Limit: 1, LimitWait: time.Second})
 			}
 		}
 	})
--- a/route/load_test.go
+++ b/route/load_test.go
@@ -41,16 +41,16 @@
 				if i < members {
 					slow = nearSlow
 				} else {
-					target.Crossing = crossing
+					target.ZoneCrossingCost = crossing
 					target.Distance = 12 * time.Millisecond
 				}
-				load := route.Load{Running: 2 + random.IntN(6), Allowed: allowed, Service: usual, Slowdown: 1}
+				load := route.Load{Running: 2 + random.IntN(6), Slots: allowed, ServiceTime: usual, Slowdown: 1}
 				if random.Float64() < slow {
 					load.Slowdown = 4
 				}
 				targets[key], loads[key] = target, load
 			}
-			p.Set(targets)
+			p.SetTargets(targets)
 			for key, load := range loads {
 				p.Observe(key, load)
 			}
@@ -62,7 +62,7 @@
 			} else if load.Running >= allowed-1 {
 				took *= 1.7
 			}
-			if targets[use.Key()].Crossing > 0 || targets[use.Key()].Distance > 0 {
+			if targets[use.Key()].ZoneCrossingCost > 0 || targets[use.Key()].Distance > 0 {
 				f.crossed += 1.0 / requests
 			}
 			if took <= onTime {
@@ -102,10 +102,10 @@
 		requests = 2000
 		usual    = 480 * time.Millisecond
 	)
-	full := route.Load{Running: allowed, Waiting: 3, Allowed: allowed, Service: usual, Slowdown: 1}
-	slow := route.Load{Running: 2, Allowed: allowed, Service: usual, Slowdown: 4}
-	good := route.Load{Running: 3, Allowed: allowed, Service: usual, Slowdown: 1}
-	busy := route.Load{Running: 6, Allowed: allowed, Service: usual, Slowdown: 1}
+	full := route.Load{Running: allowed, Waiting: 3, Slots: allowed, ServiceTime: usual, Slowdown: 1}
+	slow := route.Load{Running: 2, Slots: allowed, ServiceTime: usual, Slowdown: 4}
+	good := route.Load{Running: 3, Slots: allowed, ServiceTime: usual, Slowdown: 1}
+	busy := route.Load{Running: 6, Slots: allowed, ServiceTime: usual, Slowdown: 1}
 	tests := map[string]struct {
 		own, others route.Load
 		least, most float64 // the part of the requests that others get
@@ -120,12 +120,12 @@
 		t.Run(name, func(t *testing.T) {
 			var others float64
 			for range requests {
-				p := &route.Pool[int]{Policy: route.Fastest{}, Expected: usual}
+				p := &route.Pool[int]{Policy: route.Fastest{}, ExpectedServiceTime: usual}
 				targets := make(map[int]route.Target)
 				for i := range members {
 					targets[i] = route.Target{Slots: allowed, Spare: i >= subset}
 				}
-				p.Set(targets)
+				p.SetTargets(targets)
 				for i := range members {
 					load := test.own
 					if i >= subset {
--- a/route/policy.go
+++ b/route/policy.go
@@ -12,37 +12,37 @@
 // Candidate is what a policy may know of one upstream.
 type Candidate struct {
 	// Own is the number of requests in flight there from this pool.
-	Own int
+	InFlight int
 	// Load is the estimated number of requests there, from all callers.
 	Load float64
 	// Allowed is the number of requests that it runs at once.
-	Allowed int
+	Slots int
 	// Service is its expected service time.
-	Service time.Duration
+	ServiceTime time.Duration
 	// Distance is the cost of reaching it.
 	Distance time.Duration
 	// Crossing is what sending there costs besides, in usual service times.
-	Crossing float64
+	ZoneCrossingCost float64
 	// Usual is the usual service time of all upstreams.
-	Usual time.Duration
+	MeanServiceTime time.Duration
 	// Slowdown is how many times longer than usual work takes there now, 1 if that
 	// is not known.
 	Slowdown float64
 	// Failing is the share of the latest requests there that failed.
-	Failing float64
+	FailureRatio float64
 	// Transfer is how long the body of the request takes there, if it is a large one.
-	Transfer time.Duration
+	TransferTime time.Duration
 	// Used is the part that is used of the limit that the upstream names, 0 if it names none.
-	Used float64
+	LimitUsed float64
 	// Wait is how long a request waits there for its turn under the limit that the upstream names.
-	Wait time.Duration
+	LimitWait time.Duration
 	// Local is whether it is the upstream beside this process, whose load is
 	// known exactly.
 	Local bool
 }
 
 // share returns the part of what the upstream takes that is in use with one request more.
-func (c Candidate) share() float64 { return max((c.Load+1)/float64(c.Allowed), c.Used) }
+func (c Candidate) share() float64 { return max((c.Load+1)/float64(c.Slots), c.LimitUsed) }
 
 // View gives a policy the candidates one by one, so that a policy that looks
 // at two of them does not pay for all.
@@ -62,10 +62,10 @@
 
 // Demanding is a Policy that says which choices are good enough. Where the best one is
 // not, a few spare upstreams are considered as well.
-type Demanding interface {
+type ThresholdPolicy interface {
 	Policy
 	// Enough returns whether there is no need to look further than c.
-	Enough(c Candidate) bool
+	Acceptable(c Candidate) bool
 }
 
 // Random chooses any candidate with the same probability.
@@ -91,7 +91,7 @@
 
 // Choose implements Policy.
 func (LeastOutstanding) Choose(v View, random *rand.Rand) int {
-	return argmin(v, random, func(c Candidate) float64 { return float64(c.Own) })
+	return argmin(v, random, func(c Candidate) float64 { return float64(c.InFlight) })
 }
 
 // HotCold calls a candidate hot if its load is above Hot times its allowed
@@ -102,23 +102,23 @@
 type HotCold struct {
 	// Hot is the share of the allowed requests from which a candidate is hot.
 	// Zero means 0.8.
-	Hot float64
+	HotThreshold float64
 }
 
 const defaultHot = 0.8
 
 // Choose implements Policy.
 func (p HotCold) Choose(v View, random *rand.Rand) int {
-	hot := p.Hot
+	hot := p.HotThreshold
 	if hot == 0 {
 		hot = defaultHot
 	}
 	return argmin(v, random, func(c Candidate) float64 {
-		share := c.Load / float64(c.Allowed)
-		if share >= hot || c.Wait > 0 {
+		share := c.Load / float64(c.Slots)
+		if share >= hot || c.LimitWait > 0 {
 			return 1e6 * (1 + share)
 		}
-		return c.Service.Seconds()
+		return c.ServiceTime.Seconds()
 	})
 }
 
@@ -173,8 +173,8 @@
 		if !c.Local {
 			continue
 		}
-		free := c.Load < float64(c.Allowed) && c.Wait == 0
-		if free && c.Service.Seconds() <= slack*other.Service.Seconds() {
+		free := c.Load < float64(c.Slots) && c.LimitWait == 0
+		if free && c.ServiceTime.Seconds() <= slack*other.ServiceTime.Seconds() {
 			return i
 		}
 		return -1
@@ -184,7 +184,7 @@
 
 // score is the expected cost of sending a request to c, in seconds.
 func score(c Candidate) float64 {
-	return c.share()*c.Service.Seconds() + (c.Distance + c.Transfer + c.Wait).Seconds()
+	return c.share()*c.ServiceTime.Seconds() + (c.Distance + c.TransferTime + c.LimitWait).Seconds()
 }
 
 // argmin returns the index of the candidate with the least value, and any of
--- a/route/pool.go
+++ b/route/pool.go
@@ -43,27 +43,27 @@
 	// Running and Waiting count its requests, from all callers.
 	Running, Waiting int
 	// Allowed is the number of requests that it runs at once.
-	Allowed int
+	Slots int
 	// Service is its expected service time. Zero means that it is not known.
-	Service time.Duration
+	ServiceTime time.Duration
 	// Draining is whether it refuses new requests.
 	Draining bool
 	// Slowdown is how many times longer than usual work takes there now. Zero
 	// means that it is not known.
 	Slowdown float64
 	// Failing is the share of the latest requests that it failed.
-	Failing float64
+	FailureRatio float64
 	// Rate is how many body bytes a second the link to its node carries, or 0 if that is
 	// not known, and Backlog how many are on their way there or wait for their turn.
-	Rate    float64
-	Backlog int
+	LinkBandwidth float64
+	BacklogBytes  int
 	// Limited is whether the upstream names a limit, Limit its requests a second from all
 	// callers, Used the part of it that was used of late, and Free after how long one more may
 	// start.
-	Limited bool
-	Limit   float64
-	Used    float64
-	Free    time.Duration
+	Limited   bool
+	Limit     float64
+	LimitUsed float64
+	LimitWait time.Duration
 }
 
 // Target describes an upstream of the service.
@@ -75,7 +75,7 @@
 	Distance time.Duration
 	// Crossing is what sending there costs besides, in usual service times: bytes
 	// between availability zones are paid for.
-	Crossing float64
+	ZoneCrossingCost float64
 	// Local is whether it is beside this process.
 	Local bool
 	// Spare is whether it is picked only if no other upstream can be, or if the policy
@@ -91,13 +91,13 @@
 	Policy Policy
 	// MaxEjected is the largest part of the upstreams that may be ejected; if
 	// more look bad, none is. Zero means one half.
-	MaxEjected float64
+	MaxEjectedFraction float64
 	// Expected is the service time to assume until one is reported. Zero means
 	// 10 ms.
-	Expected time.Duration
+	ExpectedServiceTime time.Duration
 	// Rate is how many bytes a second the link of this node carries, or 0 if that is not
 	// known.
-	Rate float64
+	LinkBandwidth float64
 
 	mu      sync.Mutex
 	random  *rand.Rand
@@ -126,7 +126,7 @@
 var base = time.Now()
 
 // Set replaces the upstreams. What is known of those that stay is kept.
-func (p *Pool[K]) Set(targets map[K]Target) {
+func (p *Pool[K]) SetTargets(targets map[K]Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	old := p.byKey
@@ -155,15 +155,15 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	e := p.byKey[key]
-	if e == nil || l.Allowed <= 0 {
+	if e == nil || l.Slots <= 0 {
 		return
 	}
 	p.load += meanGain * (float64(l.Running+l.Waiting) - p.load)
 	if p.service == 0 {
-		p.service = l.Service.Seconds()
+		p.service = l.ServiceTime.Seconds()
 	}
-	if l.Service > 0 {
-		p.service += meanGain * (l.Service.Seconds() - p.service)
+	if l.ServiceTime > 0 {
+		p.service += meanGain * (l.ServiceTime.Seconds() - p.service)
 	}
 	e.reported = l
 	e.at = time.Now()
@@ -175,16 +175,16 @@
 // Pick chooses an upstream for one request, passing over those for which
 // exclude returns true. A nil exclude passes over none. The second result is
 // false if there is none left. The caller owes the Use a Done.
-func (p *Pool[K]) Pick(exclude func(K) bool) (*Use[K], bool) { return p.PickFor(0, exclude) }
+func (p *Pool[K]) Pick(exclude func(K) bool) (*Assignment[K], bool) { return p.PickForBody(0, exclude) }
 
 // PickFor is Pick for a request with a large body, of the given number of bytes.
-func (p *Pool[K]) PickFor(body int64, exclude func(K) bool) (*Use[K], bool) {
-	return p.PickWithin(0, body, exclude)
+func (p *Pool[K]) PickForBody(body int64, exclude func(K) bool) (*Assignment[K], bool) {
+	return p.PickWithMaxWait(0, body, exclude)
 }
 
 // PickWithin is PickFor for a request that is of no use at an upstream where it waits for longer
 // than the given time for its turn under a limit. Zero means no bound.
-func (p *Pool[K]) PickWithin(most time.Duration, body int64, exclude func(K) bool) (*Use[K], bool) {
+func (p *Pool[K]) PickWithMaxWait(most time.Duration, body int64, exclude func(K) bool) (*Assignment[K], bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
@@ -212,7 +212,7 @@
 	}
 	chosen := policy.Choose(v, p.random)
 	candidate := v.At(chosen)
-	if d, ok := policy.(Demanding); ok && !d.Enough(candidate) && p.addSpare(now, exclude) {
+	if d, ok := policy.(ThresholdPolicy); ok && !d.Acceptable(candidate) && p.addSpare(now, exclude) {
 		chosen = policy.Choose(v, p.random)
 		candidate = v.At(chosen)
 	}
@@ -222,7 +222,7 @@
 	e.bodies += body
 	e.startSum += now.Sub(base)
 	e.health.begin(now)
-	return &Use[K]{
+	return &Assignment[K]{
 		pool:  p,
 		entry: e,
 		began: now,
@@ -243,7 +243,7 @@
 // gather fills p.usable with the upstreams that may be picked. If too many are
 // ejected, the ejections are not believed.
 func (p *Pool[K]) gather(now time.Time, exclude func(K) bool) {
-	limit := p.MaxEjected
+	limit := p.MaxEjectedFraction
 	if limit == 0 {
 		limit = 0.5
 	}
@@ -315,7 +315,7 @@
 
 // StandsOut returns whether an upstream fails far more of its requests than the
 // others of the pool do.
-func (p *Pool[K]) StandsOut(key K) bool {
+func (p *Pool[K]) IsOutlier(key K) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	e := p.byKey[key]
@@ -341,7 +341,7 @@
 // meanService returns the mean service time over the reports.
 func (p *Pool[K]) meanService() time.Duration {
 	if p.service == 0 {
-		return cmp.Or(p.Expected, defaultService)
+		return cmp.Or(p.ExpectedServiceTime, defaultService)
 	}
 	return time.Duration(p.service * float64(time.Second))
 }
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -45,7 +45,7 @@
 			policy, ok := route.ByName(name)
 			qt.Assert(t, ok, qt.IsTrue)
 			p := &route.Pool[string]{Policy: policy}
-			p.Set(targets(4))
+			p.SetTargets(targets(4))
 			for i := range 4 {
 				got := share(p, 4000, fmt.Sprint(i))
 				qt.Check(t, got > 0.15 && got < 0.35, qt.IsTrue, qt.Commentf("share %v", got))
@@ -57,18 +57,18 @@
 }
 
 func TestTwoChoiceAvoids(t *testing.T) {
-	normal := route.Load{Running: 5, Allowed: 10, Service: 20 * time.Millisecond}
+	normal := route.Load{Running: 5, Slots: 10, ServiceTime: 20 * time.Millisecond}
 	tests := map[string]struct {
 		load   route.Load
 		target route.Target
 		after  time.Duration
 		most   float64
 	}{
-		"slow":              {load: route.Load{Running: 5, Allowed: 10, Service: 200 * time.Millisecond}, most: 0.001},
-		"full":              {load: route.Load{Running: 10, Waiting: 8, Allowed: 10, Service: 20 * time.Millisecond}, most: 0.001},
-		"draining":          {load: route.Load{Running: 5, Allowed: 10, Service: 20 * time.Millisecond, Draining: true}},
+		"slow":              {load: route.Load{Running: 5, Slots: 10, ServiceTime: 200 * time.Millisecond}, most: 0.001},
+		"full":              {load: route.Load{Running: 10, Waiting: 8, Slots: 10, ServiceTime: 20 * time.Millisecond}, most: 0.001},
+		"draining":          {load: route.Load{Running: 5, Slots: 10, ServiceTime: 20 * time.Millisecond, Draining: true}},
 		"far away":          {load: normal, target: route.Target{Slots: 10, Distance: 40 * time.Millisecond}, most: 0.001},
-		"slow, an hour ago": {load: route.Load{Running: 5, Allowed: 10, Service: 200 * time.Millisecond}, after: time.Hour, most: 0.4},
+		"slow, an hour ago": {load: route.Load{Running: 5, Slots: 10, ServiceTime: 200 * time.Millisecond}, after: time.Hour, most: 0.4},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -78,7 +78,7 @@
 				if test.target.Slots > 0 {
 					all["0"] = test.target
 				}
-				p.Set(all)
+				p.SetTargets(all)
 				p.Observe("0", test.load)
 				for i := 1; i < 4; i++ {
 					p.Observe(fmt.Sprint(i), normal)
@@ -98,7 +98,7 @@
 // spread, although no report says so.
 func TestOwnSendsCountAtOnce(t *testing.T) {
 	var p route.Pool[string]
-	p.Set(targets(5))
+	p.SetTargets(targets(5))
 	counts := make(map[string]int)
 	for range 50 {
 		u, _ := p.Pick(nil)
@@ -113,7 +113,7 @@
 	p := &route.Pool[string]{}
 	all := targets(5)
 	all["0"] = route.Target{Slots: 10, Local: true}
-	p.Set(all)
+	p.SetTargets(all)
 	for i := range 10 {
 		u, _ := p.Pick(nil)
 		qt.Check(t, u.Key(), qt.Equals, "0", qt.Commentf("pick %d", i))
@@ -132,15 +132,15 @@
 		"three failures":              {outcomes: []route.Outcome{route.Failed, route.Failed, route.Failed}, bad: 1, ejected: true},
 		"a success between":           {outcomes: []route.Outcome{route.Failed, route.Failed, route.Succeeded, route.Failed}, bad: 1},
 		"refusals":                    {outcomes: []route.Outcome{route.Refused, route.Refused, route.Refused}, bad: 1},
-		"unreachable":                 {outcomes: []route.Outcome{route.Down}, bad: 1, ejected: true},
-		"half of them unreachable":    {outcomes: []route.Outcome{route.Down}, bad: 2, ejected: true},
-		"most unreachable: none gone": {outcomes: []route.Outcome{route.Down}, bad: 3},
+		"unreachable":                 {outcomes: []route.Outcome{route.Unreachable}, bad: 1, ejected: true},
+		"half of them unreachable":    {outcomes: []route.Outcome{route.Unreachable}, bad: 2, ejected: true},
+		"most unreachable: none gone": {outcomes: []route.Outcome{route.Unreachable}, bad: 3},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				p := &route.Pool[string]{Policy: route.Random{}}
-				p.Set(targets(4))
+				p.SetTargets(targets(4))
 				for i := range test.bad {
 					for _, o := range test.outcomes {
 						u, ok := p.Pick(func(k string) bool { return k != fmt.Sprint(i) })
@@ -159,10 +159,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		var p route.Pool[string]
-		p.Set(targets(4))
+		p.SetTargets(targets(4))
 		only := func(k string) bool { return k != "0" }
 		u, _ := p.Pick(only)
-		u.Done(route.Down)
+		u.Done(route.Unreachable)
 		time.Sleep(2 * time.Second)
 		probe, ok := p.Pick(only)
 		c.Assert(ok, qt.IsTrue)
@@ -178,7 +178,7 @@
 	for _, n := range []int{3, 10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			var p route.Pool[string]
-			p.Set(targets(n))
+			p.SetTargets(targets(n))
 			for b.Loop() {
 				u, _ := p.Pick(nil)
 				u.Done(route.Succeeded)
--- a/route/shares_test.go
+++ b/route/shares_test.go
@@ -56,9 +56,9 @@
 		pools := make([]route.Pool[int], c.upstreams)
 		report := func(i int) route.Load {
 			u := &list[i]
-			l := route.Load{Running: u.running, Allowed: allowed, Service: time.Duration(u.mean * float64(work)), Slowdown: u.speed}
+			l := route.Load{Running: u.running, Slots: allowed, ServiceTime: time.Duration(u.mean * float64(work)), Slowdown: u.speed}
 			if c.even {
-				l.Service = work
+				l.ServiceTime = work
 			}
 			return l
 		}
@@ -68,8 +68,8 @@
 			targets[i] = route.Target{Slots: allowed}
 		}
 		for i := range pools {
-			pools[i] = route.Pool[int]{Policy: route.Fastest{}, Expected: work}
-			pools[i].Set(targets)
+			pools[i] = route.Pool[int]{Policy: route.Fastest{}, ExpectedServiceTime: work}
+			pools[i].SetTargets(targets)
 		}
 		for i := range list {
 			random := rand.New(rand.NewPCG(5, uint64(i)))
--- a/route/transfer_test.go
+++ b/route/transfer_test.go
@@ -62,13 +62,13 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := route.Load{
-		Running: l.running,
-		Allowed: 14,
-		Service: 280 * time.Millisecond,
+		Running:     l.running,
+		Slots:       14,
+		ServiceTime: 280 * time.Millisecond,
 	}
 	if !blind {
-		r.Rate = l.rate
-		r.Backlog = l.backlog
+		r.LinkBandwidth = l.rate
+		r.BacklogBytes = l.backlog
 	}
 	return r
 }
@@ -87,8 +87,8 @@
 	var mu sync.Mutex
 	began := time.Now()
 	for entry := range 3 {
-		p := &route.Pool[int]{Policy: route.Fastest{}, Expected: 280 * time.Millisecond}
-		p.Set(targets)
+		p := &route.Pool[int]{Policy: route.Fastest{}, ExpectedServiceTime: 280 * time.Millisecond}
+		p.SetTargets(targets)
 		all.Go(func() {
 			for time.Since(began) < 20*time.Second {
 				for i, u := range upstreams {
@@ -101,7 +101,7 @@
 		all.Go(func() {
 			for time.Since(began) < 20*time.Second {
 				time.Sleep(time.Duration(3 * random.ExpFloat64() / perSecond * float64(time.Second)))
-				use, ok := p.PickFor(uploadSize, nil)
+				use, ok := p.PickForBody(uploadSize, nil)
 				if !ok {
 					panic("no upstream")
 				}
@@ -136,12 +136,12 @@
 
 // TestTransfer has one row for what decides where a large body goes.
 func TestTransfer(t *testing.T) {
-	slow := route.Load{Allowed: 14, Service: 280 * time.Millisecond, Rate: slowLink}
+	slow := route.Load{Slots: 14, ServiceTime: 280 * time.Millisecond, LinkBandwidth: slowLink}
 	busy, quick, unknown, loaded := slow, slow, slow, slow
-	busy.Backlog = 100_000
-	quick.Rate = quickLink
-	unknown.Rate = 0
-	loaded.Rate = quickLink
+	busy.BacklogBytes = 100_000
+	quick.LinkBandwidth = quickLink
+	unknown.LinkBandwidth = 0
+	loaded.LinkBandwidth = quickLink
 	loaded.Running = 14
 	tests := map[string]struct {
 		first, second route.Load
@@ -162,13 +162,13 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			p := &route.Pool[int]{Policy: route.Fastest{}, Expected: 280 * time.Millisecond, Rate: test.own}
-			p.Set(map[int]route.Target{0: {Slots: 14, Local: test.local}, 1: {Slots: 14}})
+			p := &route.Pool[int]{Policy: route.Fastest{}, ExpectedServiceTime: 280 * time.Millisecond, LinkBandwidth: test.own}
+			p.SetTargets(map[int]route.Target{0: {Slots: 14, Local: test.local}, 1: {Slots: 14}})
 			got := make(map[int]int)
 			for range 100 {
 				p.Observe(0, test.first)
 				p.Observe(1, test.second)
-				use, ok := p.PickFor(test.body, nil)
+				use, ok := p.PickForBody(test.body, nil)
 				qt.Assert(t, ok, qt.IsTrue)
 				got[use.Key()]++
 				use.Done(route.Unknown)
--- a/route/use.go
+++ b/route/use.go
@@ -19,11 +19,11 @@
 	// Failed means that the upstream or its node failed the request.
 	Failed
 	// Down means that the upstream or its node can't be reached at all.
-	Down
+	Unreachable
 )
 
 // Use is one request at an upstream of a Pool.
-type Use[K comparable] struct {
+type Assignment[K comparable] struct {
 	pool  *Pool[K]
 	entry *entry[K]
 	began time.Time
@@ -36,13 +36,13 @@
 // Candidate returns what the choice was made by: the upstream as the pool saw it,
 // and the age of the report that this rests on. The age is negative if there was
 // none.
-func (u *Use[K]) Candidate() (Candidate, time.Duration) { return u.candidate, u.age }
+func (u *Assignment[K]) Candidate() (Candidate, time.Duration) { return u.candidate, u.age }
 
 // Key returns the key of the upstream.
-func (u *Use[K]) Key() K { return u.entry.key }
+func (u *Assignment[K]) Key() K { return u.entry.key }
 
 // Done records that the request has ended. Calls after the first do nothing.
-func (u *Use[K]) Done(o Outcome) {
+func (u *Assignment[K]) Done(o Outcome) {
 	u.pool.mu.Lock()
 	defer u.pool.mu.Unlock()
 	if u.done {
--- a/route/view.go
+++ b/route/view.go
@@ -20,42 +20,42 @@
 func (v view[K]) At(i int) Candidate {
 	p, e := v.pool, v.pool.usable[i]
 	c := Candidate{
-		Own:      e.own,
-		Load:     max(p.load, float64(e.own)),
-		Allowed:  max(1, e.target.Slots),
-		Service:  p.meanService(),
-		Distance: e.target.Distance,
-		Crossing: e.target.Crossing,
-		Usual:    p.meanService(),
-		Local:    e.target.Local,
-		Slowdown: 1,
+		InFlight:         e.own,
+		Load:             max(p.load, float64(e.own)),
+		Slots:            max(1, e.target.Slots),
+		ServiceTime:      p.meanService(),
+		Distance:         e.target.Distance,
+		ZoneCrossingCost: e.target.ZoneCrossingCost,
+		MeanServiceTime:  p.meanService(),
+		Local:            e.target.Local,
+		Slowdown:         1,
 	}
 	if !e.at.IsZero() {
 		age := v.now.Sub(e.at)
 		fresh := fade(age, loadFade)
 		known := float64(e.reported.Running + e.reported.Waiting + e.sent - e.ended)
 		c.Load = max(float64(e.own), fresh*known+(1-fresh)*c.Load)
-		c.Allowed = e.reported.Allowed
-		if e.reported.Service > 0 {
+		c.Slots = e.reported.Slots
+		if e.reported.ServiceTime > 0 {
 			fresh = fade(age, serviceFade)
-			c.Service = time.Duration(fresh*float64(e.reported.Service) + (1-fresh)*float64(c.Service))
+			c.ServiceTime = time.Duration(fresh*float64(e.reported.ServiceTime) + (1-fresh)*float64(c.ServiceTime))
 		}
 		if e.reported.Slowdown > 0 {
 			fresh = fade(age, slowdownFade)
 			c.Slowdown = fresh*e.reported.Slowdown + (1-fresh)*c.Slowdown
 		}
-		c.Failing = e.failing(v.now)
-		c.Used, c.Wait = e.limited(age)
+		c.FailureRatio = e.failing(v.now)
+		c.LimitUsed, c.LimitWait = e.limited(age)
 	}
 	if v.body > 0 && !e.target.Local {
-		c.Transfer = p.transfer(e, v.body, v.now)
+		c.TransferTime = p.transfer(e, v.body, v.now)
 	}
 	if e.own > 0 {
 		age := v.now.Sub(base) - e.startSum/time.Duration(e.own)
 		if e.reported.Slowdown > 0 {
 			age /= agePatience
 		}
-		c.Service = max(c.Service, age)
+		c.ServiceTime = max(c.ServiceTime, age)
 	}
 	return c
 }
@@ -76,19 +76,19 @@
 		return 0, 0
 	}
 	sent := float64(e.sent) / max(leastLimit, e.reported.Limit) // in seconds of the limit
-	used = min(1, fade(age, limitWindow)*e.reported.Used+sent/limitWindow.Seconds())
-	return used, max(0, e.reported.Free+time.Duration(sent*float64(time.Second))-age)
+	used = min(1, fade(age, limitWindow)*e.reported.LimitUsed+sent/limitWindow.Seconds())
+	return used, max(0, e.reported.LimitWait+time.Duration(sent*float64(time.Second))-age)
 }
 
 // transfer returns how long a body takes to a node: over the slower one of the two links,
 // and behind what waits at the other's already.
 func (p *Pool[K]) transfer(e *entry[K], body int64, now time.Time) time.Duration {
 	var seconds float64
-	if p.Rate > 0 {
-		seconds = float64(body) / p.Rate
+	if p.LinkBandwidth > 0 {
+		seconds = float64(body) / p.LinkBandwidth
 	}
-	if rate := e.reported.Rate; rate > 0 {
-		backlog := fade(now.Sub(e.at), loadFade) * float64(int64(e.reported.Backlog)+e.bodies)
+	if rate := e.reported.LinkBandwidth; rate > 0 {
+		backlog := fade(now.Sub(e.at), loadFade) * float64(int64(e.reported.BacklogBytes)+e.bodies)
 		seconds = max(seconds, (backlog+float64(body))/rate)
 	}
 	return time.Duration(seconds * float64(time.Second))
@@ -99,5 +99,5 @@
 	if e.at.IsZero() {
 		return 0
 	}
-	return fade(now.Sub(e.at), failingFade) * e.reported.Failing
+	return fade(now.Sub(e.at), failingFade) * e.reported.FailureRatio
 }
--- a/throttle/limit.go
+++ b/throttle/limit.go
@@ -33,7 +33,7 @@
 
 // Limit bounds the requests to one upstream while it names a limit. The zero value bounds
 // nothing. Its methods may be called from any goroutine.
-type Limit struct {
+type Limiter struct {
 	mu    sync.Mutex
 	named bool
 	// own is whether the upstream itself has been heard, and not only other nodes.
@@ -56,7 +56,7 @@
 // about to be written that it answers. A higher limit than the one that holds counts if the
 // request was written after that had been named last; of the answers to simultaneous requests
 // the lowest counts.
-func (l *Limit) Name(rate float64, asked time.Time) {
+func (l *Limiter) ObserveLimit(rate float64, asked time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.own = true
@@ -65,7 +65,7 @@
 
 // Adopt takes in that another node has heard of a limit. It counts until the upstream itself
 // has been heard, as after a start of this process.
-func (l *Limit) Adopt(rate float64) {
+func (l *Limiter) AdoptLimit(rate float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.own && (!l.named || rate < l.rate) {
@@ -73,7 +73,7 @@
 	}
 }
 
-func (l *Limit) name(rate float64, asked, now time.Time) {
+func (l *Limiter) name(rate float64, asked, now time.Time) {
 	if l.named && rate > l.rate && asked.Before(l.heard) {
 		return
 	}
@@ -92,7 +92,7 @@
 
 // begin has a limit count from now on. What the upstream was sent before it named one does not
 // count, but for a limit that was over for less than a window.
-func (l *Limit) begin(now time.Time) {
+func (l *Limiter) begin(now time.Time) {
 	if l.ended.IsZero() || now.Sub(l.ended) >= Window {
 		l.written.clear()
 	}
@@ -103,7 +103,7 @@
 }
 
 // End takes in that an answer names no limit, as Name does.
-func (l *Limit) End(asked time.Time) {
+func (l *Limiter) ObserveNoLimit(asked time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.own = true
@@ -118,7 +118,7 @@
 }
 
 // Restart says that the upstream has started anew. It has named no limit yet.
-func (l *Limit) Restart() {
+func (l *Limiter) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.named, l.own, l.rate = false, false, 0
@@ -127,16 +127,16 @@
 }
 
 // pace returns the rate at which requests are admitted, in 1/s. The lock is held.
-func (l *Limit) pace() float64 { return max(l.rate, leastRate) }
+func (l *Limiter) pace() float64 { return max(l.rate, leastRate) }
 
 // depth returns the most tokens that are saved up. The lock is held.
-func (l *Limit) depth() float64 { return 1 + late.Seconds()*l.pace() }
+func (l *Limiter) depth() float64 { return 1 + late.Seconds()*l.pace() }
 
 // most returns how many requests may be written in a window. The lock is held.
-func (l *Limit) most() int { return int(writtenShare*l.pace()*Window.Seconds()) + writtenSlack }
+func (l *Limiter) most() int { return int(writtenShare*l.pace()*Window.Seconds()) + writtenSlack }
 
 // fill adds the tokens since the last call. The lock is held.
-func (l *Limit) fill(now time.Time) {
+func (l *Limiter) fill(now time.Time) {
 	if l.named {
 		l.tokens = min(l.depth(), l.tokens+now.Sub(l.filled).Seconds()*l.pace())
 	}
@@ -144,7 +144,7 @@
 }
 
 // Wait returns after how long a request may be admitted if the given number goes before it.
-func (l *Limit) Wait(ahead int) time.Duration {
+func (l *Limiter) Wait(ahead int) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.named {
@@ -161,7 +161,7 @@
 }
 
 // Admit takes the token of a request that is admitted, after a Wait of 0.
-func (l *Limit) Admit() {
+func (l *Limiter) Admit() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.named {
@@ -172,7 +172,7 @@
 
 // Take counts a request that is about to be written if it may be, and otherwise returns after
 // how long one may. After 0 the caller owes a Done or an Undo.
-func (l *Limit) Take() time.Duration {
+func (l *Limiter) TryAcquire() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.named {
@@ -186,7 +186,7 @@
 
 // Done records that a request has been written, be it in part. Until then it counts at each
 // moment.
-func (l *Limit) Done() {
+func (l *Limiter) MarkWritten() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.written.open--
@@ -194,7 +194,7 @@
 }
 
 // Undo records that a request is not written after all.
-func (l *Limit) Undo() {
+func (l *Limiter) Cancel() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.written.open--
@@ -202,7 +202,7 @@
 
 // Ask returns 0 if the health check may be asked now, which counts, and otherwise after how
 // long it may.
-func (l *Limit) Ask() time.Duration {
+func (l *Limiter) TryHealthCheck() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.named {
@@ -220,7 +220,7 @@
 // Refuse returns when a request that could be admitted after the given time had better come
 // back: after those that were refused before it, each with the time of a request to itself. The
 // limit is not known to hold for longer than a window, over which later ones are spread.
-func (l *Limit) Refuse(after time.Duration) time.Duration {
+func (l *Limiter) RetryAfter(after time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.named {
@@ -240,7 +240,7 @@
 }
 
 // Rate returns the limit, in requests a second, and whether one is named.
-func (l *Limit) Rate() (rate float64, named bool) {
+func (l *Limiter) Rate() (rate float64, named bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.rate, l.named
@@ -249,8 +249,8 @@
 // State is how a Limit stands at one instant.
 type State struct {
 	// Named is whether a limit holds, and Rate the requests a second.
-	Named bool
-	Rate  float64
+	Limited bool
+	Rate    float64
 	// Since is when the upstream named it, or named none any more. It is zero if it never named
 	// one.
 	Since time.Time
@@ -265,11 +265,11 @@
 }
 
 // State returns the present state.
-func (l *Limit) State() State {
+func (l *Limiter) State() State {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := State{
-		Named:   l.named,
+		Limited: l.named,
 		Rate:    l.rate,
 		Since:   l.since,
 		Adopted: l.named && !l.own,
--- a/throttle/limit_test.go
+++ b/throttle/limit_test.go
@@ -16,13 +16,13 @@
 
 // write has as many requests of the given number be admitted and written at once as may be, and
 // returns how many these are.
-func write(l *throttle.Limit, count int) (written int) {
+func write(l *throttle.Limiter, count int) (written int) {
 	for range count {
-		if l.Wait(0) > 0 || l.Take() > 0 {
+		if l.Wait(0) > 0 || l.TryAcquire() > 0 {
 			return written
 		}
 		l.Admit()
-		l.Done()
+		l.MarkWritten()
 		written++
 	}
 	return written
@@ -31,36 +31,40 @@
 // TestNamed has words of a limit come in many ways, and tells what holds after them.
 func TestNamed(t *testing.T) {
 	tests := map[string]struct {
-		play  func(l *throttle.Limit)
+		play  func(l *throttle.Limiter)
 		named bool
 		rate  float64
 	}{
-		"nothing":              {play: func(*throttle.Limit) {}},
-		"named":                {play: func(l *throttle.Limit) { l.Name(5, time.Now()) }, named: true, rate: 5},
-		"lower":                {play: func(l *throttle.Limit) { l.Name(5, time.Now()); l.Name(0.5, time.Now()) }, named: true, rate: 0.5},
-		"higher":               {play: func(l *throttle.Limit) { l.Name(5, time.Now()); l.Name(9, time.Now()) }, named: true, rate: 9},
-		"zero":                 {play: func(l *throttle.Limit) { l.Name(0, time.Now()) }, named: true},
-		"over":                 {play: func(l *throttle.Limit) { l.Name(5, time.Now()); l.End(time.Now()) }},
-		"again":                {play: func(l *throttle.Limit) { l.Name(5, time.Now()); l.End(time.Now()); l.Name(6, time.Now()) }, named: true, rate: 6},
-		"a late end":           {play: func(l *throttle.Limit) { asked := before(l); l.End(asked) }, named: true, rate: 5},
-		"a late higher one":    {play: func(l *throttle.Limit) { asked := before(l); l.Name(9, asked) }, named: true, rate: 5},
-		"a late lower one":     {play: func(l *throttle.Limit) { asked := before(l); l.Name(3, asked) }, named: true, rate: 3},
-		"a new start":          {play: func(l *throttle.Limit) { l.Name(5, time.Now()); l.Restart() }},
-		"from others":          {play: func(l *throttle.Limit) { l.Adopt(5) }, named: true, rate: 5},
-		"from others, lowest":  {play: func(l *throttle.Limit) { l.Adopt(5); l.Adopt(3); l.Adopt(7) }, named: true, rate: 3},
-		"others know less":     {play: func(l *throttle.Limit) { l.Name(5, time.Now()); l.Adopt(2) }, named: true, rate: 5},
-		"others' is over":      {play: func(l *throttle.Limit) { l.Adopt(5); l.End(time.Now()) }},
-		"over, others go on":   {play: func(l *throttle.Limit) { l.Adopt(5); l.End(time.Now()); l.Adopt(5) }},
-		"others, a new start":  {play: func(l *throttle.Limit) { l.Name(5, time.Now()); l.Restart(); l.Adopt(4) }, named: true, rate: 4},
+		"nothing": {play: func(*throttle.Limiter) {}},
+		"named":   {play: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()) }, named: true, rate: 5},
+		"lower":   {play: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()); l.ObserveLimit(0.5, time.Now()) }, named: true, rate: 0.5},
+		"higher":  {play: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()); l.ObserveLimit(9, time.Now()) }, named: true, rate: 9},
+		"zero":    {play: func(l *throttle.Limiter) { l.ObserveLimit(0, time.Now()) }, named: true},
+		"over":    {play: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()); l.ObserveNoLimit(time.Now()) }},
+		"again": {play: func(l *throttle.Limiter) {
+			l.ObserveLimit(5, time.Now())
+			l.ObserveNoLimit(time.Now())
+			l.ObserveLimit(6, time.Now())
+		}, named: true, rate: 6},
+		"a late end":           {play: func(l *throttle.Limiter) { asked := before(l); l.ObserveNoLimit(asked) }, named: true, rate: 5},
+		"a late higher one":    {play: func(l *throttle.Limiter) { asked := before(l); l.ObserveLimit(9, asked) }, named: true, rate: 5},
+		"a late lower one":     {play: func(l *throttle.Limiter) { asked := before(l); l.ObserveLimit(3, asked) }, named: true, rate: 3},
+		"a new start":          {play: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()); l.Reset() }},
+		"from others":          {play: func(l *throttle.Limiter) { l.AdoptLimit(5) }, named: true, rate: 5},
+		"from others, lowest":  {play: func(l *throttle.Limiter) { l.AdoptLimit(5); l.AdoptLimit(3); l.AdoptLimit(7) }, named: true, rate: 3},
+		"others know less":     {play: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()); l.AdoptLimit(2) }, named: true, rate: 5},
+		"others' is over":      {play: func(l *throttle.Limiter) { l.AdoptLimit(5); l.ObserveNoLimit(time.Now()) }},
+		"over, others go on":   {play: func(l *throttle.Limiter) { l.AdoptLimit(5); l.ObserveNoLimit(time.Now()); l.AdoptLimit(5) }},
+		"others, a new start":  {play: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()); l.Reset(); l.AdoptLimit(4) }, named: true, rate: 4},
 		"rises under requests": {play: risesUnderRequests, named: true, rate: 9},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				l := new(throttle.Limit)
+				l := new(throttle.Limiter)
 				test.play(l)
 				s := l.State()
-				qt.Check(t, s.Named, qt.Equals, test.named)
+				qt.Check(t, s.Limited, qt.Equals, test.named)
 				qt.Check(t, s.Rate, qt.Equals, test.rate)
 				if !test.named {
 					qt.Check(t, write(l, 100), qt.Equals, 100)
@@ -71,22 +75,22 @@
 }
 
 // before returns a time before a limit is named.
-func before(l *throttle.Limit) time.Time {
+func before(l *throttle.Limiter) time.Time {
 	asked := time.Now()
 	time.Sleep(time.Millisecond)
-	l.Name(5, time.Now())
+	l.ObserveLimit(5, time.Now())
 	time.Sleep(time.Millisecond)
 	return asked
 }
 
 // risesUnderRequests has answers that name a higher limit come one after another, each to a request
 // that was written while others were under way.
-func risesUnderRequests(l *throttle.Limit) {
-	l.Name(5, time.Now())
+func risesUnderRequests(l *throttle.Limiter) {
+	l.ObserveLimit(5, time.Now())
 	for range 10 {
 		asked := time.Now()
 		time.Sleep(10 * time.Millisecond)
-		l.Name(9, asked.Add(-5*time.Millisecond))
+		l.ObserveLimit(9, asked.Add(-5*time.Millisecond))
 	}
 }
 
@@ -109,8 +113,8 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				l := new(throttle.Limit)
-				l.Name(test.rate, time.Now())
+				l := new(throttle.Limiter)
+				l.ObserveLimit(test.rate, time.Now())
 				var written int
 				for began := time.Now(); time.Since(began) < 10*time.Second; time.Sleep(test.every) {
 					written += write(l, 100)
@@ -125,16 +129,16 @@
 // window old.
 func TestFalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := new(throttle.Limit)
-		l.Name(50, time.Now())
+		l := new(throttle.Limiter)
+		l.ObserveLimit(50, time.Now())
 		for range 500 {
 			time.Sleep(10 * time.Millisecond)
 			write(l, 10)
 		}
-		l.Name(5, time.Now())
+		l.ObserveLimit(5, time.Now())
 		wait := l.Wait(0)
 		qt.Check(t, wait > 3*time.Second && wait < throttle.Window, qt.IsTrue, qt.Commentf("%v", wait))
-		qt.Check(t, l.Take() > 0, qt.IsTrue)
+		qt.Check(t, l.TryAcquire() > 0, qt.IsTrue)
 		time.Sleep(wait)
 		qt.Check(t, l.Wait(0), qt.Equals, time.Duration(0))
 		qt.Check(t, write(l, 100), qt.Equals, 1)
@@ -153,12 +157,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				l := new(throttle.Limit)
-				l.Name(5, time.Now())
-				l.End(time.Now())
+				l := new(throttle.Limiter)
+				l.ObserveLimit(5, time.Now())
+				l.ObserveNoLimit(time.Now())
 				time.Sleep(test.over)
 				write(l, 200)
-				l.Name(5, time.Now())
+				l.ObserveLimit(5, time.Now())
 				time.Sleep(300 * time.Millisecond) // a token has come
 				qt.Check(t, l.Wait(0) > 0, qt.Equals, test.waits)
 			})
@@ -180,13 +184,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				l := new(throttle.Limit)
+				l := new(throttle.Limiter)
 				if test.rate >= 0 {
-					l.Name(test.rate, time.Now())
+					l.ObserveLimit(test.rate, time.Now())
 				}
 				var asked int
 				for range 4000 {
-					if l.Ask() == 0 {
+					if l.TryHealthCheck() == 0 {
 						asked++
 					}
 					time.Sleep(time.Millisecond)
@@ -201,21 +205,21 @@
 // within the limit.
 func TestRefuse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := new(throttle.Limit)
-		qt.Check(t, l.Refuse(time.Second), qt.Equals, time.Second, qt.Commentf("no limit"))
-		l.Name(10, time.Now())
+		l := new(throttle.Limiter)
+		qt.Check(t, l.RetryAfter(time.Second), qt.Equals, time.Second, qt.Commentf("no limit"))
+		l.ObserveLimit(10, time.Now())
 		last := time.Duration(0)
 		for i := range 20 {
-			wait := l.Refuse(200 * time.Millisecond)
+			wait := l.RetryAfter(200 * time.Millisecond)
 			qt.Check(t, wait, qt.Equals, 200*time.Millisecond+time.Duration(i)*100*time.Millisecond)
 			last = wait
 		}
 		time.Sleep(last)
-		qt.Check(t, l.Refuse(0), qt.Equals, 100*time.Millisecond, qt.Commentf("after the last one"))
+		qt.Check(t, l.RetryAfter(0), qt.Equals, 100*time.Millisecond, qt.Commentf("after the last one"))
 		time.Sleep(time.Second)
-		qt.Check(t, l.Refuse(0), qt.Equals, time.Duration(0))
+		qt.Check(t, l.RetryAfter(0), qt.Equals, time.Duration(0))
 		for range 200 {
-			wait := l.Refuse(50 * time.Millisecond)
+			wait := l.RetryAfter(50 * time.Millisecond)
 			qt.Check(t, wait <= 50*time.Millisecond+throttle.Window, qt.IsTrue)
 		}
 		qt.Check(t, l.State().Refused, qt.Equals, uint64(222))
@@ -224,11 +228,11 @@
 
 // TestUndo has requests that are let through not be written after all.
 func TestUndo(t *testing.T) {
-	l := new(throttle.Limit)
-	l.Name(1, time.Now())
+	l := new(throttle.Limiter)
+	l.ObserveLimit(1, time.Now())
 	for range 100 {
-		qt.Assert(t, l.Take(), qt.Equals, time.Duration(0))
-		l.Undo()
+		qt.Assert(t, l.TryAcquire(), qt.Equals, time.Duration(0))
+		l.Cancel()
 	}
 	qt.Check(t, l.State().Written, qt.Equals, 0)
 }
@@ -238,16 +242,16 @@
 func BenchmarkTake(b *testing.B) {
 	for name, rate := range map[string]float64{"none": -1, "named": 1e6} {
 		b.Run(name, func(b *testing.B) {
-			l := new(throttle.Limit)
+			l := new(throttle.Limiter)
 			if rate >= 0 {
-				l.Name(rate, time.Now())
+				l.ObserveLimit(rate, time.Now())
 			}
 			b.ReportAllocs()
 			for b.Loop() {
 				_ = l.Wait(0)
 				l.Admit()
-				if l.Take() == 0 {
-					l.Done()
+				if l.TryAcquire() == 0 {
+					l.MarkWritten()
 				}
 			}
 		})
--- a/throttle/load_test.go
+++ b/throttle/load_test.go
@@ -43,8 +43,8 @@
 	objective time.Duration
 	deadline  time.Duration
 }{
-	urgent:   {class: admit.Class{Name: urgent, Weight: 4, Share: 1, Priority: 2, Objective: 500 * time.Millisecond}, share: 0.3, objective: 500 * time.Millisecond, deadline: 1500 * time.Millisecond},
-	ordinary: {class: admit.Class{Name: ordinary, Weight: 1, Share: 1, Priority: 1, Objective: 500 * time.Millisecond}, share: 0.7, objective: 500 * time.Millisecond, deadline: 1200 * time.Millisecond},
+	urgent:   {class: admit.Class{Name: urgent, Weight: 4, MaxShare: 1, Priority: 2, Objective: 500 * time.Millisecond}, share: 0.3, objective: 500 * time.Millisecond, deadline: 1500 * time.Millisecond},
+	ordinary: {class: admit.Class{Name: ordinary, Weight: 1, MaxShare: 1, Priority: 1, Objective: 500 * time.Millisecond}, share: 0.7, objective: 500 * time.Millisecond, deadline: 1200 * time.Millisecond},
 }
 
 // service is one whose upstreams name limits: six gates, and nine nodes that choose among them by
@@ -77,13 +77,13 @@
 	targets := make(map[int]route.Target)
 	for i := range gates {
 		g := new(admit.Gate)
-		g.Set(admit.Limits{Slots: slots, QueueLength: 16, Hold: true}.WithClasses(classes[urgent].class, classes[ordinary].class))
+		g.SetLimits(admit.Limits{Slots: slots, QueueLength: 16, HoldWhileSlow: true}.WithClasses(classes[urgent].class, classes[ordinary].class))
 		s.gates = append(s.gates, g)
 		targets[i] = route.Target{Slots: slots}
 	}
 	for range senders {
-		p := &route.Pool[int]{Policy: route.Fastest{}, Expected: work}
-		p.Set(targets)
+		p := &route.Pool[int]{Policy: route.Fastest{}, ExpectedServiceTime: work}
+		p.SetTargets(targets)
 		s.pools = append(s.pools, p)
 	}
 	return s
@@ -100,15 +100,15 @@
 func (s *service) report(from, gate int) {
 	r := s.gates[gate].Report()
 	s.pools[from].Observe(gate, route.Load{
-		Running:  r.Running,
-		Waiting:  r.Waiting,
-		Allowed:  r.Allowed,
-		Service:  r.Service,
-		Slowdown: r.Slowdown,
-		Limited:  r.Limited,
-		Limit:    r.Limit,
-		Used:     r.Used,
-		Free:     r.Free,
+		Running:     r.Running,
+		Waiting:     r.Waiting,
+		Slots:       r.Allowed,
+		ServiceTime: r.ServiceTime,
+		Slowdown:    r.Slowdown,
+		Limited:     r.Limited,
+		Limit:       r.Limit,
+		LimitUsed:   r.LimitUsed,
+		LimitWait:   r.LimitWait,
 	})
 }
 
@@ -123,7 +123,7 @@
 		if len(tried) > 0 {
 			most = classes[class].objective / 2
 		}
-		use, ok := s.pools[from].PickWithin(most, 0, func(i int) bool { return slices.Contains(tried, i) })
+		use, ok := s.pools[from].PickWithMaxWait(most, 0, func(i int) bool { return slices.Contains(tried, i) })
 		if !ok {
 			break
 		}
@@ -132,7 +132,7 @@
 		time.Sleep(time.Millisecond)
 		k := s.gates[i].Enter(class, until)
 		err := k.Wait(context.Background())
-		if err == nil && s.gates[i].Named.Take() > 0 {
+		if err == nil && s.gates[i].AdvertisedLimiter.TryAcquire() > 0 {
 			k.Release(false)
 			err = verdict.New(verdict.Refused, nil)
 		}
@@ -162,14 +162,14 @@
 			break
 		}
 	}
-	return false, comeback.Full(classes[class].objective, least)
+	return false, comeback.WhenFull(classes[class].objective, least)
 }
 
 // free returns which gates would let a request start.
 func (s *service) free() (list [gates]bool) {
 	for i, g := range s.gates {
 		r := g.Report()
-		list[i] = r.Free == 0 && r.Waiting == 0 && r.Running < slots
+		list[i] = r.LimitWait == 0 && r.Waiting == 0 && r.Running < slots
 	}
 	return list
 }
@@ -181,16 +181,16 @@
 	s.written[gate] = append(s.written[gate], asked)
 	s.mu.Unlock()
 	g := s.gates[gate]
-	g.Named.Done()
+	g.AdvertisedLimiter.MarkWritten()
 	time.Sleep(work/2 + time.Duration(s.draw(int(work))))
-	before := g.Named.State().Rate
+	before := g.AdvertisedLimiter.State().Rate
 	if l := s.limit(gate, time.Since(s.began)); l >= 0 {
-		g.Named.Name(l, asked)
+		g.AdvertisedLimiter.ObserveLimit(l, asked)
 	} else {
-		g.Named.End(asked)
+		g.AdvertisedLimiter.ObserveNoLimit(asked)
 	}
-	g.Rebound()
-	if g.Named.State().Rate == before {
+	g.LimitChanged()
+	if g.AdvertisedLimiter.State().Rate == before {
 		return
 	}
 	for from := range senders { // all are told of a change at once
--- a/throttle/world_test.go
+++ b/throttle/world_test.go
@@ -35,7 +35,7 @@
 	limit    *float64 // that the upstream names now, or nil
 	first    time.Time
 	changes  []change // of the limit
-	gate     *throttle.Limit
+	gate     *throttle.Limiter
 	started  int       // of the gate's process
 	told     time.Time // when it passed on a limit first
 	nodes    []node
@@ -79,7 +79,7 @@
 func (w *world) restart() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.gate = new(throttle.Limit)
+	w.gate = new(throttle.Limiter)
 	w.started++
 	w.told = time.Time{}
 }
@@ -102,7 +102,7 @@
 	gate, started := w.gate, w.started
 	w.mu.Unlock()
 	if sender.knows {
-		gate.Adopt(sender.limit)
+		gate.AdoptLimit(sender.limit)
 	}
 	if gate.Wait(0) > 0 {
 		return
@@ -112,7 +112,7 @@
 		time.Sleep(w.draw(200 * time.Millisecond))
 	}
 	asked := time.Now()
-	if gate.Take() > 0 {
+	if gate.TryAcquire() > 0 {
 		return
 	}
 	time.Sleep(w.draw(20 * time.Millisecond))
@@ -123,7 +123,7 @@
 	}
 	w.arrivals = append(w.arrivals, arrival{at: time.Now(), told: w.nodes[i].told})
 	w.mu.Unlock()
-	gate.Done()
+	gate.MarkWritten()
 	time.Sleep(w.draw(300 * time.Millisecond))
 	w.mu.Lock()
 	limit := w.limit
@@ -134,9 +134,9 @@
 	}
 	time.Sleep(w.draw(2 * time.Millisecond)) // answers overtake each other
 	if limit != nil {
-		gate.Name(*limit, asked)
+		gate.ObserveLimit(*limit, asked)
 	} else {
-		gate.End(asked)
+		gate.ObserveNoLimit(asked)
 	}
 	s := gate.State()
 	time.Sleep(w.draw(5 * time.Millisecond))
@@ -145,7 +145,7 @@
 	n := &w.nodes[i]
 	switch {
 	case w.started != started: // the answer is lost with the connection
-	case s.Named:
+	case s.Limited:
 		n.knows, n.limit = true, s.Rate
 		if n.told.IsZero() {
 			n.told = time.Now()
@@ -162,7 +162,7 @@
 func (w *world) question() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.gate.Ask() == 0 {
+	if w.gate.TryHealthCheck() == 0 {
 		w.arrivals = append(w.arrivals, arrival{at: time.Now(), told: w.told})
 	}
 }
@@ -239,7 +239,7 @@
 func play(seed uint64, move func(random *rand.Rand) float64) *world {
 	w := &world{
 		random: rand.New(rand.NewPCG(1, seed)),
-		gate:   new(throttle.Limit),
+		gate:   new(throttle.Limiter),
 		nodes:  make([]node, 200),
 	}
 	drawn := rand.New(rand.NewPCG(2, seed))
--- a/upstream/announcement.go
+++ b/upstream/announcement.go
@@ -33,14 +33,14 @@
 	Draining bool `json:"draining"`
 	// Start tells one start of the upstream from another, together with Born. When
 	// either changes, the upstream is taken to be cold.
-	Start string `json:"start"`
+	StartID string `json:"start"`
 	// Born is when the start began by the upstream's clock, in milliseconds since
 	// 1970, where an upstream may start again under the Start that it had. Zero
 	// means that it does not say.
-	Born int64 `json:"born,omitempty"`
+	StartMillis int64 `json:"born,omitempty"`
 	// Cold is how much longer the upstream stays slow after its start. Zero
 	// means that it does not say.
-	Cold time.Duration `json:"cold,omitempty"`
+	ColdRemaining time.Duration `json:"cold,omitempty"`
 	// Sequence grows with each announcement of a start, so that a late one can
 	// be told. Zero means that there is no order.
 	Sequence uint64 `json:"sequence,omitempty"`
@@ -71,14 +71,14 @@
 	add(err == nil && net.ParseIP(host) != nil, "address", "%q is not an IP number and port", a.Address)
 	add(a.Slots >= 1 && a.Slots <= maxSlots, "slots", "%d is not within 1 and %d", a.Slots, maxSlots)
 	add(a.Connections >= 0 && a.Connections <= maxConnections, "connections", "%d is not within 0 and %d", a.Connections, maxConnections)
-	add(a.Born >= 0, "born", "%d is below 0", a.Born)
+	add(a.StartMillis >= 0, "born", "%d is below 0", a.StartMillis)
 	return f
 }
 
 // SameStart returns whether a and b are of one start of an upstream, as far as they
 // say. Where only one of them tells when it began, the name alone decides.
 func (a *Announcement) SameStart(b *Announcement) bool {
-	return a.Start == b.Start && (a.Born == b.Born || a.Born == 0 || b.Born == 0)
+	return a.StartID == b.StartID && (a.StartMillis == b.StartMillis || a.StartMillis == 0 || b.StartMillis == 0)
 }
 
 // Announcements is the http.Handler through which the upstream announces
@@ -90,13 +90,13 @@
 	// Patience is after how long without an announcement the start that holds may
 	// be over, so that one whose Born is earlier may be the present one: the
 	// upstream's clock may have been set back between the two. Zero means never.
-	Patience time.Duration
+	StaleAfter time.Duration
 	// Known, if not nil, returns whether there is such a service, as far as this
 	// node can tell.
-	Known func(service string) bool
+	IsKnownService func(service string) bool
 	// Cold, if not nil, is called with how much longer the upstream is cold, with each
 	// announcement that says so.
-	Cold func(remaining time.Duration)
+	ColdReported func(remaining time.Duration)
 	// Refused, if not nil, is called with why an announcement names no upstream
 	// that can be used.
 	Refused func(reason error)
@@ -114,7 +114,7 @@
 // not known.
 func (h *Announcements) Check(a *Announcement) operator.Faults {
 	f := a.Check()
-	if h.Known != nil && !h.Known(a.Service) {
+	if h.IsKnownService != nil && !h.IsKnownService(a.Service) {
 		f = append(f, operator.Fault{
 			Field:   "service",
 			Message: fmt.Sprintf("%q is not known", a.Service),
@@ -181,16 +181,16 @@
 		return
 	}
 	old := h.current
-	if old != nil && a != nil && !old.SameStart(a) && (old.Sequence != 0 || old.Born != 0) {
-		h.past.add(old.Start, old.Born)
+	if old != nil && a != nil && !old.SameStart(a) && (old.Sequence != 0 || old.StartMillis != 0) {
+		h.past.add(old.StartID, old.StartMillis)
 		if h.replaced == nil {
 			h.replaced = make(map[string]*Announcement)
 		}
-		h.replaced[old.Start] = old
+		h.replaced[old.StartID] = old
 	}
-	if a != nil && a.Born == 0 && old != nil && old.SameStart(a) {
+	if a != nil && a.StartMillis == 0 && old != nil && old.SameStart(a) {
 		b := *a
-		b.Born = old.Born
+		b.StartMillis = old.StartMillis
 		a = &b
 	}
 	h.current = a
@@ -198,8 +198,8 @@
 	if old == nil || a == nil || !old.same(a) {
 		h.Changed(a)
 	}
-	if a != nil && a.Cold > 0 && h.Cold != nil {
-		h.Cold(a.Cold)
+	if a != nil && a.ColdRemaining > 0 && h.ColdReported != nil {
+		h.ColdReported(a.ColdRemaining)
 	}
 }
 
@@ -207,15 +207,15 @@
 // no order yet.
 func (a *Announcement) WithStart(start string, born int64) *Announcement {
 	b := *a
-	b.Start = start
-	b.Born = born
+	b.StartID = start
+	b.StartMillis = born
 	b.Sequence = 0
-	b.Cold = 0
+	b.ColdRemaining = 0
 	return &b
 }
 
 // Offer sets the announcement unless one holds already.
-func (h *Announcements) Offer(a *Announcement) {
+func (h *Announcements) SetIfAbsent(a *Announcement) {
 	h.mu.Lock()
 	known := h.current != nil
 	h.mu.Unlock()
@@ -236,8 +236,8 @@
 		return false
 	}
 	delete(h.replaced, start)
-	h.past.remove(a.Start, a.Born)
-	h.past.add(c.Start, c.Born)
+	h.past.remove(a.StartID, a.StartMillis)
+	h.past.add(c.StartID, c.StartMillis)
 	h.current = a
 	h.heard = time.Now()
 	h.Changed(a)
@@ -246,7 +246,7 @@
 
 // late returns whether the announcement comes too late to count.
 func (h *Announcements) late(a *Announcement) bool {
-	if h.past.has(a.Start, a.Born) {
+	if h.past.has(a.StartID, a.StartMillis) {
 		return true
 	}
 	c := h.current
@@ -255,20 +255,20 @@
 		return false
 	case c.SameStart(a):
 		return a.Sequence != 0 && a.Sequence < c.Sequence
-	case a.Born == 0 || c.Born == 0 || a.Born > c.Born:
+	case a.StartMillis == 0 || c.StartMillis == 0 || a.StartMillis > c.StartMillis:
 		return false
 	case c.Draining:
 		// Another start may follow one that goes; of this one a late word is likely.
-		return c.Start == a.Start
+		return c.StartID == a.StartID
 	}
-	return h.Patience == 0 || time.Since(h.heard) < h.Patience
+	return h.StaleAfter == 0 || time.Since(h.heard) < h.StaleAfter
 }
 
 // same returns whether b says the same as a, but for what changes with time.
 func (a *Announcement) same(b *Announcement) bool {
 	x, y := *a, *b
 	x.Sequence, y.Sequence = 0, 0
-	x.Cold, y.Cold = 0, 0
+	x.ColdRemaining, y.ColdRemaining = 0, 0
 	return x == y
 }
 
@@ -279,15 +279,15 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	c := h.current
-	present := c != nil && c.Start == start
+	present := c != nil && c.StartID == start
 	if present && born == 0 {
-		born = c.Born
+		born = c.StartMillis
 	}
 	if start != "" {
 		h.past.add(start, born)
 		delete(h.replaced, start)
 	}
-	if !present || c.Draining || born < c.Born {
+	if !present || c.Draining || born < c.StartMillis {
 		return
 	}
 	a := *c
--- a/upstream/answer.go
+++ b/upstream/answer.go
@@ -55,12 +55,12 @@
 
 // observe hands on the load that an answer tells.
 func (t *Transport) observe(r *http.Response) {
-	if t.Names.Load == "" || t.Observed == nil {
+	if t.Names.Load == "" || t.LoadReported == nil {
 		return
 	}
 	if text := r.Header.Get(t.Names.Load); text != "" {
 		if l, err := ParseLoad(text); err == nil {
-			t.Observed(l)
+			t.LoadReported(l)
 		}
 	}
 }
@@ -69,15 +69,15 @@
 // that it stands for, if any. That of another upstream at the same address is left out, and so is
 // one that may not be the upstream's and says nothing: it ends no limit.
 func (t *Transport) notice(r *http.Response, asked time.Time, failure *verdict.Error) {
-	if t.Noticed == nil || failure != nil && failure.Cause == verdict.WrongUpstream {
+	if t.NoticeReceived == nil || failure != nil && failure.Cause == verdict.WrongUpstream {
 		return
 	}
 	n := noticeOf(r.Header, t.Names)
-	if failure != nil && failure.Cause == verdict.AnswerSpoilt && !n.Limited && !n.Leaving {
+	if failure != nil && failure.Cause == verdict.AnswerMalformed && !n.Limited && !n.Leaving {
 		return
 	}
-	n.Asked = asked
-	t.Noticed(n)
+	n.SentAt = asked
+	t.NoticeReceived(n)
 }
 
 // namedRefusal returns the failure that an answer stands for by the fields of
@@ -86,16 +86,16 @@
 func (t *Transport) namedRefusal(r *http.Response) *verdict.Error {
 	names := t.Names
 	switch {
-	case names.Expected != "" && r.StatusCode == http.StatusMisdirectedRequest:
+	case names.ExpectedInstance != "" && r.StatusCode == http.StatusMisdirectedRequest:
 		return verdict.New(verdict.WrongUpstream, nil)
 	case names.NotRun != "" && r.Header.Get(names.NotRun) != "":
 		return verdict.New(verdict.UpstreamRefused, nil).WithRetryAfter(retryAfter(r))
 	case names.NotRun != "" && promises(r.StatusCode):
 		// The status says to a caller that the request has not run, and the
 		// upstream does not say so.
-		return verdict.New(verdict.AnswerSpoilt, eris.Errorf("status %d without word that the request has not run", r.StatusCode))
+		return verdict.New(verdict.AnswerMalformed, eris.Errorf("status %d without word that the request has not run", r.StatusCode))
 	case names.Signature != "" && r.StatusCode/100 == 2 && r.Header.Get(names.Signature) == "":
-		return verdict.New(verdict.AnswerSpoilt, eris.New("success without a signature"))
+		return verdict.New(verdict.AnswerMalformed, eris.New("success without a signature"))
 	}
 	return nil
 }
--- a/upstream/answer_test.go
+++ b/upstream/answer_test.go
@@ -20,14 +20,14 @@
 	"sassafrasfront.example/verdict"
 )
 
-var testNames = upstream.Names{
-	RequestID: "Test-Id",
-	Timeout:   "Test-Timeout",
-	Expected:  "Test-Expected",
-	Instance:  "Test-Instance",
-	NotRun:    "Test-Not-Run",
-	Signature: "Test-Signature",
-	Load:      "Test-Load",
+var testNames = upstream.FieldNames{
+	RequestID:        "Test-Id",
+	Timeout:          "Test-Timeout",
+	ExpectedInstance: "Test-Expected",
+	Instance:         "Test-Instance",
+	NotRun:           "Test-Not-Run",
+	Signature:        "Test-Signature",
+	Load:             "Test-Load",
 }
 
 // TestNamedAnswers has one row for each thing that an answer's fields say.
@@ -44,13 +44,13 @@
 		"late answer in front":       {answer: "HTTP/1.1 200 OK\r\nTest-Id: 0\r\nTest-Signature: s\r\nContent-Length: 5\r\n\r\nother" + ok, body: "mine", status: 200},
 		"late chunked one in front":  {answer: "HTTP/1.1 200 OK\r\nTest-Id: 0\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nother\r\n0\r\n\r\n" + ok, body: "mine", status: 200},
 		"late large one in front":    {answer: "HTTP/1.1 200 OK\r\nTest-Id: 0\r\nContent-Length: 2000000\r\n\r\n" + strings.Repeat("x", 2000000) + ok, body: "mine", status: 200},
-		"late one without an end":    {answer: "HTTP/1.1 200 OK\r\nTest-Id: 0\r\n\r\n" + ok, want: verdict.AnswerSpoilt},
+		"late one without an end":    {answer: "HTTP/1.1 200 OK\r\nTest-Id: 0\r\n\r\n" + ok, want: verdict.AnswerMalformed},
 		"second answer behind":       {answer: ok + ok, body: "mine", status: 200},
-		"success without signature":  {answer: "HTTP/1.1 200 OK\r\nTest-Id: 1\r\nContent-Length: 4\r\n\r\nmine", want: verdict.AnswerSpoilt},
+		"success without signature":  {answer: "HTTP/1.1 200 OK\r\nTest-Id: 1\r\nContent-Length: 4\r\n\r\nmine", want: verdict.AnswerMalformed},
 		"failure without signature":  {answer: "HTTP/1.1 500 No\r\nTest-Id: 1\r\nContent-Length: 0\r\n\r\n", status: 500, reused: true},
 		"full":                       {answer: "HTTP/1.1 503 No\r\nTest-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", want: verdict.UpstreamRefused},
 		"too many":                   {answer: "HTTP/1.1 429 No\r\nTest-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", want: verdict.UpstreamRefused},
-		"503 that may have run":      {answer: "HTTP/1.1 503 No\r\nTest-Id: 1\r\nContent-Length: 0\r\n\r\n", want: verdict.AnswerSpoilt},
+		"503 that may have run":      {answer: "HTTP/1.1 503 No\r\nTest-Id: 1\r\nContent-Length: 0\r\n\r\n", want: verdict.AnswerMalformed},
 		"another upstream's address": {answer: "HTTP/1.1 421 No\r\nTest-Instance: x\r\nContent-Length: 0\r\n\r\n", want: verdict.WrongUpstream},
 	}
 	for name, test := range tests {
@@ -68,7 +68,7 @@
 					_, _ = io.WriteString(c, test.answer)
 				}
 			})
-			transport := &upstream.Transport{Addr: addr, Warm: 1, Names: testNames}
+			transport := &upstream.Transport{Addr: addr, MaxIdleConns: 1, Names: testNames}
 			response, failed := transport.Send(request(context.Background(), "GET", "", "Test-Id", "1"), nil)
 			if test.want != "" {
 				qt.Assert(t, failed != nil, qt.IsTrue)
--- a/upstream/conn.go
+++ b/upstream/conn.go
@@ -163,7 +163,7 @@
 	if errors.Is(err, errHeadTooLarge) || errors.Is(err, errUnusable) {
 		return verdict.New(verdict.AnswerInvalid, err)
 	}
-	return verdict.New(verdict.AnswerSpoilt, err)
+	return verdict.New(verdict.AnswerMalformed, err)
 }
 
 // isBodyError returns whether writing failed because the body of the request
--- a/upstream/health.go
+++ b/upstream/health.go
@@ -19,22 +19,22 @@
 )
 
 // Healthy is what an upstream's health check says.
-type Healthy struct {
+type HealthStatus struct {
 	// Start is the start of the upstream that answers, if it says.
-	Start string
+	StartID string
 	// Born is when that start began, as in Announcement, if it says.
-	Born int64
+	StartMillis int64
 	// Load is what it tells of its load.
 	Load Load
 	// Cold is how much longer it is cold, or unknownCold.
-	Cold time.Duration
+	ColdRemaining time.Duration
 	// Notice is what it says of the requests that it wants.
 	Notice Notice
 }
 
 // Health asks the health check of the upstream at addr once. An error means that
 // the upstream is not there, or does not call itself healthy.
-func Health(ctx context.Context, addr, path string, names Names, timeout time.Duration) (Healthy, error) {
+func Health(ctx context.Context, addr, path string, names FieldNames, timeout time.Duration) (HealthStatus, error) {
 	p := &Poller{
 		Names:   names,
 		Timeout: timeout,
@@ -48,17 +48,17 @@
 // goroutine.
 type Poller struct {
 	// Names are the header fields that the upstream uses.
-	Names Names
+	Names FieldNames
 	// Timeout bounds one question.
 	Timeout time.Duration
 	// Observed is called with the load that an answer tells.
-	Observed func(Load)
+	LoadReported func(Load)
 	// Cold, if not nil, is called with how much longer the upstream is cold, as an answer
 	// tells.
-	Cold func(remaining time.Duration)
+	ColdReported func(remaining time.Duration)
 	// Noticed, if not nil, is called with what an answer says of the requests that a start of
 	// the upstream wants.
-	Noticed func(start string, n Notice)
+	NoticeReceived func(start string, n Notice)
 
 	conn   net.Conn // kept between questions, nil if there is none
 	addr   string   // where it leads
@@ -69,41 +69,41 @@
 // that it is sent say more than its health check.
 func (p *Poller) Poll(ctx context.Context, addr, path string) {
 	h, err := p.ask(ctx, addr, path)
-	if err != nil && h.Start == "" {
+	if err != nil && h.StartID == "" {
 		return
 	}
-	if p.Noticed != nil {
-		p.Noticed(h.Start, h.Notice)
+	if p.NoticeReceived != nil {
+		p.NoticeReceived(h.StartID, h.Notice)
 	}
 	if h.Load.Slots > 0 {
-		p.Observed(h.Load)
+		p.LoadReported(h.Load)
 	}
-	if p.Cold != nil && h.Cold != unknownCold {
-		p.Cold(h.Cold)
+	if p.ColdReported != nil && h.ColdRemaining != unknownCold {
+		p.ColdReported(h.ColdRemaining)
 	}
 }
 
 // ask makes one call.
-func (p *Poller) ask(ctx context.Context, addr, path string) (Healthy, error) {
+func (p *Poller) ask(ctx context.Context, addr, path string) (HealthStatus, error) {
 	if p.conn == nil || p.addr != addr {
 		if err := p.dial(ctx, addr); err != nil {
-			return Healthy{}, eris.Wrap(err, "health check")
+			return HealthStatus{}, eris.Wrap(err, "health check")
 		}
 	}
 	asked := time.Now()
 	response, body, err := p.exchange(addr, path)
 	if err != nil {
 		p.Close()
-		return Healthy{}, eris.Wrap(err, "health check")
+		return HealthStatus{}, eris.Wrap(err, "health check")
 	}
-	h := Healthy{
-		Start: response.Header.Get(p.Names.Instance),
-		Born:  bornOf(body, p.Names.Born),
+	h := HealthStatus{
+		StartID:     response.Header.Get(p.Names.Instance),
+		StartMillis: bornOf(body, p.Names.StartMillis),
 	}
-	h.Cold = coldOf(response, p.Names.Cold)
+	h.ColdRemaining = coldOf(response, p.Names.Cold)
 	h.Notice = noticeOf(response.Header, p.Names)
-	h.Notice.Health = true
-	h.Notice.Asked = asked
+	h.Notice.FromHealthCheck = true
+	h.Notice.SentAt = asked
 	if text := response.Header.Get(p.Names.Load); text != "" {
 		if h.Load, err = ParseLoad(text); err != nil {
 			return h, err
--- a/upstream/health_test.go
+++ b/upstream/health_test.go
@@ -19,7 +19,7 @@
 	"sassafrasfront.example/upstream"
 )
 
-var healthNames = upstream.Names{
+var healthNames = upstream.FieldNames{
 	Instance: "Instance-Id",
 	Load:     "Load",
 }
@@ -82,7 +82,7 @@
 			p := &upstream.Poller{
 				Names:   healthNames,
 				Timeout: time.Second,
-				Observed: func(l upstream.Load) {
+				LoadReported: func(l upstream.Load) {
 					told++
 					qt.Check(t, l.Slots, qt.Equals, 8)
 				},
@@ -131,10 +131,10 @@
 			names.Cold = "Cold-Ms"
 			var told []time.Duration
 			p := &upstream.Poller{
-				Names:    names,
-				Timeout:  time.Second,
-				Observed: func(upstream.Load) {},
-				Cold:     func(d time.Duration) { told = append(told, d) },
+				Names:        names,
+				Timeout:      time.Second,
+				LoadReported: func(upstream.Load) {},
+				ColdReported: func(d time.Duration) { told = append(told, d) },
 			}
 			defer p.Close()
 			p.Poll(context.Background(), s.Listener.Addr().String(), "/healthz")
@@ -163,9 +163,9 @@
 		}
 	}()
 	p := &upstream.Poller{
-		Names:    healthNames,
-		Timeout:  time.Second,
-		Observed: func(upstream.Load) {},
+		Names:        healthNames,
+		Timeout:      time.Second,
+		LoadReported: func(upstream.Load) {},
 	}
 	defer p.Close()
 	b.ReportAllocs()
@@ -199,11 +199,11 @@
 			}))
 			defer server.Close()
 			names := healthNames
-			names.Born = "born"
+			names.StartMillis = "born"
 			got, err := upstream.Health(context.Background(), server.Listener.Addr().String(), "/", names, time.Second)
 			qt.Assert(t, err, qt.IsNil)
-			qt.Check(t, got.Start, qt.Equals, "i-1")
-			qt.Check(t, got.Born, qt.Equals, test.want)
+			qt.Check(t, got.StartID, qt.Equals, "i-1")
+			qt.Check(t, got.StartMillis, qt.Equals, test.want)
 		})
 	}
 }
--- a/upstream/names.go
+++ b/upstream/names.go
@@ -7,7 +7,7 @@
 // Names are the header fields that callers, nodes and upstreams use. An empty
 // name means that there is no such field. It is an immutable value; the zero
 // value stands for DefaultNames.
-type Names struct {
+type FieldNames struct {
 	// RequestID names a request. An answer echoes it.
 	RequestID string
 	// Timeout bears the remaining time of a request, in milliseconds.
@@ -18,7 +18,7 @@
 	Organisation string
 	// Expected bears the start of the upstream that a request is meant for. An
 	// upstream of another start does not run it and answers 421.
-	Expected string
+	ExpectedInstance string
 	// Instance bears the start of the upstream that answers.
 	Instance string
 	// NotRun on an answer says that the request has not been run.
@@ -34,7 +34,7 @@
 	Leaving string
 	// Born is the field of the health check's body, a JSON object, that says when the
 	// upstream's start began; see Announcement.
-	Born string
+	StartMillis string
 	// Cold is the field of the health check's answer that says how much longer the upstream
 	// is cold, in milliseconds. Without it the upstream is warm.
 	Cold string
@@ -43,7 +43,7 @@
 }
 
 // DefaultNames are the product's own.
-var DefaultNames = Names{
+var DefaultFieldNames = FieldNames{
 	RequestID: "X-Request-Id",
 	Timeout:   "Sassafras-Timeout-Ms",
 	Limit:     "Sassafras-Limit",
@@ -51,13 +51,13 @@
 }
 
 // OrDefault returns the names, or DefaultNames if they are the zero value.
-func (n Names) OrDefault() Names {
-	if n == (Names{}) {
-		return DefaultNames
+func (n FieldNames) OrDefault() FieldNames {
+	if n == (FieldNames{}) {
+		return DefaultFieldNames
 	}
 	return n
 }
 
 // MakesIDs returns whether a request without an id is given one. Where
 // upstreams know only ids that callers have sent, it is not.
-func (n Names) MakesIDs() bool { return n.RequestID == DefaultNames.RequestID }
+func (n FieldNames) GeneratesRequestIDs() bool { return n.RequestID == DefaultFieldNames.RequestID }
--- a/upstream/notice.go
+++ b/upstream/notice.go
@@ -25,13 +25,13 @@
 	Leaving bool
 	// Health is whether it is an answer of the health check, which may leave out what other
 	// answers say.
-	Health bool
+	FromHealthCheck bool
 	// Asked is when the request was about to be written. Of two answers, the one whose request
 	// was written after the other had been read is the later word; the order in which the
 	// answers to simultaneous requests are read says nothing.
-	Asked time.Time
+	SentAt time.Time
 	// Fault is why a part of it can't be read, or nil. What was known before then holds.
-	Fault error
+	Err error
 }
 
 // maxLimit is the largest limit that is told from none, in requests a second.
@@ -50,11 +50,11 @@
 }
 
 // noticeOf returns what an answer says, by the names of its fields.
-func noticeOf(h http.Header, names Names) (n Notice) {
+func noticeOf(h http.Header, names FieldNames) (n Notice) {
 	if names.Limit != "" {
 		if values := h.Values(names.Limit); len(values) > 0 {
-			n.Limit, n.Fault = ParseLimit(values[0])
-			n.Limited = n.Fault == nil
+			n.Limit, n.Err = ParseLimit(values[0])
+			n.Limited = n.Err == nil
 		}
 	}
 	if names.Leaving == "" {
@@ -65,7 +65,7 @@
 	case "1":
 		n.Leaving = true
 	default:
-		n.Fault = eris.Errorf("leaving %q is neither 0 nor 1", text)
+		n.Err = eris.Errorf("leaving %q is neither 0 nor 1", text)
 	}
 	return n
 }
--- a/upstream/notice_test.go
+++ b/upstream/notice_test.go
@@ -28,13 +28,13 @@
 
 // TestNoticesOfAnswers tells which answers are words of the upstream on the requests that it wants.
 func TestNoticesOfAnswers(t *testing.T) {
-	names := Names{
-		RequestID: "Request-Id",
-		Expected:  "Expected",
-		NotRun:    "Not-Run",
-		Signature: "Signature",
-		Limit:     "Limit",
-		Leaving:   "Leaving",
+	names := FieldNames{
+		RequestID:        "Request-Id",
+		ExpectedInstance: "Expected",
+		NotRun:           "Not-Run",
+		Signature:        "Signature",
+		Limit:            "Limit",
+		Leaving:          "Leaving",
 	}
 	tests := map[string]struct {
 		status int
@@ -64,9 +64,9 @@
 			tr := &Transport{
 				Addr:  s.Listener.Addr().String(),
 				Names: names,
-				Noticed: func(n Notice) {
-					qt.Check(t, n.Asked.IsZero(), qt.IsFalse)
-					n.Asked = time.Time{}
+				NoticeReceived: func(n Notice) {
+					qt.Check(t, n.SentAt.IsZero(), qt.IsFalse)
+					n.SentAt = time.Time{}
 					got = append(got, n)
 				},
 			}
@@ -82,7 +82,7 @@
 
 // TestNoticeOf reads what an answer may say of the requests that the upstream wants.
 func TestNoticeOf(t *testing.T) {
-	names := Names{
+	names := FieldNames{
 		Limit:   "Server-Limit",
 		Leaving: "Server-Leaving",
 	}
@@ -120,11 +120,11 @@
 			}
 			got := noticeOf(h, names)
 			if test.fault == "" {
-				qt.Check(t, got.Fault, qt.IsNil)
+				qt.Check(t, got.Err, qt.IsNil)
 			} else {
-				qt.Check(t, got.Fault, qt.ErrorMatches, test.fault)
+				qt.Check(t, got.Err, qt.ErrorMatches, test.fault)
 			}
-			got.Fault = nil
+			got.Err = nil
 			qt.Check(t, got, qt.Equals, test.want)
 		})
 	}
--- a/upstream/prober.go
+++ b/upstream/prober.go
@@ -22,14 +22,14 @@
 	// Transport dials the upstream.
 	Transport *Transport
 	// Every is the time between probes. Zero means 1 s.
-	Every time.Duration
+	Interval time.Duration
 	// Changed is called when the upstream goes down or comes up again.
 	Changed func(up bool)
 }
 
 // Run probes until ctx ends.
 func (p *Prober) Run(ctx context.Context) {
-	every := p.Every
+	every := p.Interval
 	if every == 0 {
 		every = defaultEvery
 	}
--- a/upstream/slowread_test.go
+++ b/upstream/slowread_test.go
@@ -57,9 +57,9 @@
 				}
 			})
 			tr := &upstream.Transport{
-				Addr:        addr,
-				Connections: 1,
-				Warm:        1,
+				Addr:         addr,
+				MaxConns:     1,
+				MaxIdleConns: 1,
 			}
 			send := func(r *http.Request) {
 				t.Helper()
@@ -204,7 +204,7 @@
 		ended <- failure
 	}()
 	<-began
-	tr.Probe()
+	tr.ProbeBusyConns()
 	s, err := opened.(*net.TCPConn).SyscallConn()
 	qt.Assert(t, err, qt.IsNil)
 	got := make(map[int]int)
--- a/upstream/transport.go
+++ b/upstream/transport.go
@@ -65,18 +65,18 @@
 	Addr string
 	// Connections is the largest number of open connections. Zero means no
 	// bound.
-	Connections int
+	MaxConns int
 	// Warm is the largest number of idle connections that are kept.
-	Warm int
+	MaxIdleConns int
 	// Idle is how long an idle connection is kept. Zero means 4 s.
-	Idle time.Duration
+	IdleTimeout time.Duration
 	// Names are the header fields that the upstream uses.
-	Names Names
+	Names FieldNames
 	// Observed, if not nil, is called with the load that an answer tells.
-	Observed func(Load)
+	LoadReported func(Load)
 	// Noticed, if not nil, is called with what an answer says of the requests that the
 	// upstream wants, before the answer is passed on.
-	Noticed func(Notice)
+	NoticeReceived func(Notice)
 	// Permit, if not nil, is called when a request is about to be written, and says why
 	// it must not be. Otherwise it returns what to call when the request has been written.
 	Permit func() (written func(), refused *verdict.Error)
@@ -179,7 +179,7 @@
 			t.busy[c] = struct{}{}
 			t.mu.Unlock()
 			return c, nil
-		case t.Connections <= 0 || t.open < t.Connections:
+		case t.MaxConns <= 0 || t.open < t.MaxConns:
 			t.open++
 			t.mu.Unlock()
 			return t.dial(ctx)
@@ -223,7 +223,7 @@
 
 // maxIdle returns how long a connection may be idle.
 func (t *Transport) maxIdle(c *conn) time.Duration {
-	most := cmp.Or(t.Idle, defaultIdle)
+	most := cmp.Or(t.IdleTimeout, defaultIdle)
 	if c.mostIdle > 0 {
 		most = min(most, time.Duration(idleShare*float64(c.mostIdle)))
 	}
@@ -257,7 +257,7 @@
 }
 
 // Reach opens a connection and closes it again. An error says why there is none.
-func (t *Transport) Reach(ctx context.Context) error {
+func (t *Transport) CheckReachable(ctx context.Context) error {
 	dial := t.Dial
 	if dial == nil {
 		dial = dialTCP
@@ -277,7 +277,7 @@
 func (t *Transport) put(c *conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.idle) >= t.Warm || t.surplus() || c.reader.Buffered() > 0 {
+	if len(t.idle) >= t.MaxIdleConns || t.surplus() || c.reader.Buffered() > 0 {
 		t.closeLocked(c)
 		return
 	}
@@ -309,15 +309,15 @@
 }
 
 // surplus returns whether more connections are open than may be. The lock is held.
-func (t *Transport) surplus() bool { return t.Connections > 0 && t.open > t.Connections }
+func (t *Transport) surplus() bool { return t.MaxConns > 0 && t.open > t.MaxConns }
 
 // Resize changes the largest numbers of open and of idle connections. A connection with a
 // request on it stays open until that has ended.
 func (t *Transport) Resize(connections, warm int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.Connections = connections
-	t.Warm = warm
+	t.MaxConns = connections
+	t.MaxIdleConns = warm
 	for len(t.idle) > 0 && (len(t.idle) > warm || t.surplus()) {
 		c := t.idle[0]
 		t.idle = t.idle[1:]
@@ -335,7 +335,7 @@
 
 // Probe has the kernel find out whether the other end of each connection with a request on it
 // is still there. Those of an upstream that is gone end.
-func (t *Transport) Probe() {
+func (t *Transport) ProbeBusyConns() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for c := range t.busy {
@@ -354,7 +354,7 @@
 }
 
 // Open returns the number of open connections.
-func (t *Transport) Open() int {
+func (t *Transport) OpenConns() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.open
@@ -382,7 +382,7 @@
 	if err == io.EOF {
 		return n, io.EOF
 	}
-	return n, verdict.New(verdict.AnswerCut, err)
+	return n, verdict.New(verdict.AnswerTruncated, err)
 }
 
 // Close implements io.Closer.
--- a/upstream/transport_test.go
+++ b/upstream/transport_test.go
@@ -146,7 +146,7 @@
 					_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 				}
 			})
-			transport := &upstream.Transport{Addr: addr, Warm: 1}
+			transport := &upstream.Transport{Addr: addr, MaxIdleConns: 1}
 			first, failed := transport.Send(request(context.Background(), "GET", ""), nil)
 			qt.Assert(t, failed == nil, qt.IsTrue)
 			_, err := io.Copy(io.Discard, first.Body)
@@ -183,7 +183,7 @@
 		"cut chunk":              {answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nok", status: 200, body: "ok", cut: true},
 		"no answer":              {want: verdict.UpstreamLost},
 		"cut head":               {answer: "HTTP/1.1 200 OK\r\nCont", want: verdict.UpstreamLost},
-		"garbage":                {answer: "220 mail.example ESMTP\r\n\r\n", want: verdict.AnswerSpoilt},
+		"garbage":                {answer: "220 mail.example ESMTP\r\n\r\n", want: verdict.AnswerMalformed},
 		"huge head":              {answer: "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 1<<17) + "\r\n\r\n", want: verdict.AnswerInvalid},
 		"switches protocols":     {answer: "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n", want: verdict.AnswerInvalid},
 		"says that it did not":   {answer: "HTTP/1.1 503 No\r\nSassafras-Verdict: notRun\r\nRetry-After: 2\r\nContent-Length: 0\r\n\r\n", want: verdict.UpstreamRefused},
@@ -200,12 +200,12 @@
 					_, _ = io.Copy(io.Discard, c)
 				}
 			})
-			transport := &upstream.Transport{Addr: addr, Warm: 1}
+			transport := &upstream.Transport{Addr: addr, MaxIdleConns: 1}
 			r, failed := transport.Send(request(context.Background(), "GET", ""), nil)
 			if test.want != "" {
 				qt.Assert(t, failed != nil, qt.IsTrue)
 				qt.Check(t, failed.Cause, qt.Equals, test.want)
-				qt.Check(t, transport.Open(), qt.Equals, 0)
+				qt.Check(t, transport.OpenConns(), qt.Equals, 0)
 				return
 			}
 			qt.Assert(t, failed == nil, qt.IsTrue, qt.Commentf("%v", failed))
@@ -215,9 +215,9 @@
 			qt.Check(t, string(data), qt.Equals, test.body)
 			qt.Check(t, err != nil, qt.Equals, test.cut)
 			if test.cut {
-				qt.Check(t, verdict.As(err, "").Cause, qt.Equals, verdict.AnswerCut)
+				qt.Check(t, verdict.As(err, "").Cause, qt.Equals, verdict.AnswerTruncated)
 			}
-			qt.Check(t, transport.Open() == 1, qt.Equals, test.reused)
+			qt.Check(t, transport.OpenConns() == 1, qt.Equals, test.reused)
 		})
 	}
 }
@@ -238,7 +238,7 @@
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	defer s.Close()
-	transport := &upstream.Transport{Addr: s.Listener.Addr().String(), Warm: 4}
+	transport := &upstream.Transport{Addr: s.Listener.Addr().String(), MaxIdleConns: 4}
 	for range 20 {
 		r, failed := transport.Send(request(context.Background(), "POST", ""), nil)
 		qt.Assert(t, failed == nil, qt.IsTrue, qt.Commentf("%v", failed))
@@ -281,7 +281,7 @@
 			}
 			s.Start()
 			defer s.Close()
-			tr := &upstream.Transport{Addr: s.Listener.Addr().String(), Warm: 1}
+			tr := &upstream.Transport{Addr: s.Listener.Addr().String(), MaxIdleConns: 1}
 			for range 2 {
 				response, failure := tr.Send(request(context.Background(), "GET", ""), nil)
 				qt.Assert(t, failure == nil, qt.IsTrue)
@@ -308,7 +308,7 @@
 		fmt.Fprint(w, strings.Repeat("x", 1<<20))
 	}))
 	defer s.Close()
-	transport := &upstream.Transport{Addr: s.Listener.Addr().String(), Warm: 4}
+	transport := &upstream.Transport{Addr: s.Listener.Addr().String(), MaxIdleConns: 4}
 	ctx, cancel := context.WithCancel(context.Background())
 	time.AfterFunc(20*time.Millisecond, cancel)
 	_, failed := transport.Send(request(ctx, "HANG", ""), nil)
@@ -322,7 +322,7 @@
 	mu.Lock()
 	defer mu.Unlock()
 	qt.Check(t, len(used), qt.Equals, 4)
-	qt.Check(t, transport.Open(), qt.Equals, 0)
+	qt.Check(t, transport.OpenConns(), qt.Equals, 0)
 }
 
 // TestConnectionsStayWithinTheAnnouncedNumber sends more requests at once than
@@ -337,7 +337,7 @@
 		now.Add(-1)
 	}))
 	defer s.Close()
-	transport := &upstream.Transport{Addr: s.Listener.Addr().String(), Connections: 3, Warm: 2}
+	transport := &upstream.Transport{Addr: s.Listener.Addr().String(), MaxConns: 3, MaxIdleConns: 2}
 	var all sync.WaitGroup
 	for range 40 {
 		all.Go(func() {
@@ -352,7 +352,7 @@
 	}
 	all.Wait()
 	qt.Check(t, most.Load() <= 3, qt.IsTrue)
-	qt.Check(t, transport.Open() <= 2, qt.IsTrue)
+	qt.Check(t, transport.OpenConns() <= 2, qt.IsTrue)
 }
 
 func TestAnnouncements(t *testing.T) {
@@ -413,8 +413,8 @@
 	defer server.Close()
 	var silent atomic.Bool
 	transport := &upstream.Transport{
-		Addr: server.Listener.Addr().String(),
-		Warm: 2,
+		Addr:         server.Listener.Addr().String(),
+		MaxIdleConns: 2,
 		Dial: func(_ context.Context, addr string) (net.Conn, error) {
 			c, err := net.Dial("tcp", addr)
 			return silenced{Conn: c, silent: &silent}, err
@@ -433,10 +433,10 @@
 		all.Go(func() { qt.Check(t, send("X-Wait", "1") == nil, qt.IsTrue) })
 	}
 	all.Wait()
-	qt.Assert(t, transport.Open(), qt.Equals, 2)
+	qt.Assert(t, transport.OpenConns(), qt.Equals, 2)
 	silent.Store(true)
 	qt.Check(t, send().Cause, qt.Equals, verdict.UpstreamLost)
-	qt.Check(t, transport.Open(), qt.Equals, 0)
+	qt.Check(t, transport.OpenConns(), qt.Equals, 0)
 	silent.Store(false)
 	qt.Check(t, send() == nil, qt.IsTrue)
 }
--- a/upstream/unanswered.go
+++ b/upstream/unanswered.go
@@ -16,14 +16,14 @@
 // that carries nothing.
 type UnansweredError struct {
 	// Took is the time since a connection was there for the request.
-	Took time.Duration
+	Elapsed time.Duration
 	// Written is how many bytes of the request the kernel took.
 	Written int64
 	// Unacknowledged is how many bytes the upstream's kernel had not acknowledged, or -1 if that
 	// is not known.
 	Unacknowledged int
 	// Before is the number of requests that the connection had carried before.
-	Before int
+	PriorRequests int
 	// Err is why the request was given up on, or nil.
 	Err error
 }
@@ -31,7 +31,7 @@
 // Error implements error.
 func (e *UnansweredError) Error() string {
 	s := fmt.Sprintf("no answer for %v, with %d bytes written, %d of them unacknowledged, after %d requests on the connection",
-		e.Took.Round(time.Millisecond), e.Written, e.Unacknowledged, e.Before)
+		e.Elapsed.Round(time.Millisecond), e.Written, e.Unacknowledged, e.PriorRequests)
 	if e.Err != nil {
 		s = e.Err.Error() + ": " + s
 	}
@@ -54,10 +54,10 @@
 // unanswered returns how far the request had come that was given up on for a reason.
 func (c *conn) unanswered(reason error) error {
 	return &UnansweredError{
-		Took:           time.Since(c.taken),
+		Elapsed:        time.Since(c.taken),
 		Written:        c.sent.Load(),
 		Unacknowledged: c.unacked,
-		Before:         c.requests - 1,
+		PriorRequests:  c.requests - 1,
 		Err:            reason,
 	}
 }
--- a/upstream/unanswered_test.go
+++ b/upstream/unanswered_test.go
@@ -40,7 +40,7 @@
 				close(read)
 				_, _ = io.Copy(io.Discard, c)
 			})
-			tr := &upstream.Transport{Addr: addr, Warm: 1}
+			tr := &upstream.Transport{Addr: addr, MaxIdleConns: 1}
 			for range test.before {
 				response, failure := tr.Send(request(context.Background(), "GET", ""), nil)
 				qt.Assert(t, failure == nil, qt.IsTrue)
@@ -60,7 +60,7 @@
 			qt.Assert(t, ok, qt.IsTrue)
 			qt.Check(t, got.Written > 0, qt.IsTrue)
 			qt.Check(t, got.Unacknowledged >= 0, qt.IsTrue)
-			qt.Check(t, got.Before, qt.Equals, test.before)
+			qt.Check(t, got.PriorRequests, qt.Equals, test.before)
 		})
 	}
 }
--- a/verdict/cause.go
+++ b/verdict/cause.go
@@ -27,7 +27,7 @@
 	// Unauthorized: the request shows no key of an organisation where one is needed.
 	Unauthorized Cause = "unauthorized"
 	// NotFresh: the node has not heard for too long which keys are valid.
-	NotFresh Cause = "notFresh"
+	KeysStale Cause = "notFresh"
 	// RateLimited: the organisation is beyond its rate limit.
 	RateLimited Cause = "rateLimited"
 	// LimitUnknown: no node has said in time whether the organisation is beyond its rate
@@ -91,27 +91,27 @@
 	// least one byte, and before it answered.
 	UpstreamLost Cause = "upstreamLost"
 	// AnswerCut: the upstream's answer ended before it was whole.
-	AnswerCut Cause = "answerCut"
+	AnswerTruncated Cause = "answerCut"
 	// WrongUpstream: another upstream has taken the address; it said that it has
 	// not run the request.
 	WrongUpstream Cause = "wrongUpstream"
 	// AnswerSpoilt: the upstream sent what is no whole answer to the request, and
 	// nothing of it has been passed on.
-	AnswerSpoilt Cause = "answerSpoilt"
+	AnswerMalformed Cause = "answerSpoilt"
 	// AnswerInvalid: the upstream's answer can't be passed on.
 	AnswerInvalid Cause = "answerInvalid"
 )
 
 // Entry is what the table says of a cause.
-type Entry struct {
+type CauseInfo struct {
 	// Verdict is whether a request that failed so may have run.
 	Verdict Verdict
 	// Status is the HTTP status told to the caller.
 	Status int
 	// Elsewhere is whether another upstream may do better.
-	Elsewhere bool
+	RetryElsewhere bool
 	// By is who ended the request.
-	By Party
+	EndedBy Party
 }
 
 // Party is who ends a request without an answer of an upstream.
@@ -134,60 +134,60 @@
 )
 
 // table is the one place that says what each cause means.
-var table = map[Cause]Entry{
-	UnknownHost:        {Verdict: NotRun, Status: http.StatusNotFound, By: ByCaller},
-	BadRequest:         {Verdict: NotRun, Status: http.StatusBadRequest, By: ByCaller},
-	NotSupported:       {Verdict: NotRun, Status: http.StatusNotImplemented, By: ByCaller},
-	TooLarge:           {Verdict: NotRun, Status: http.StatusRequestEntityTooLarge, By: ByCaller},
-	HeadTooLarge:       {Verdict: NotRun, Status: http.StatusRequestHeaderFieldsTooLarge, By: ByCaller},
-	NotReady:           {Verdict: NotRun, Status: http.StatusServiceUnavailable, By: ByEntry},
-	Unauthorized:       {Verdict: NotRun, Status: http.StatusUnauthorized, By: ByCaller},
-	NotFresh:           {Verdict: NotRun, Status: http.StatusServiceUnavailable, By: ByEntry},
-	RateLimited:        {Verdict: NotRun, Status: http.StatusTooManyRequests, By: ByCaller},
-	LimitUnknown:       {Verdict: NotRun, Status: http.StatusServiceUnavailable, By: ByEntry},
-	NoUpstream:         {Verdict: NotRun, Status: http.StatusServiceUnavailable, By: ByEntry},
-	DeadlinePassed:     {Verdict: NotRun, Status: http.StatusServiceUnavailable, By: ByEntry},
-	DialFailed:         {Verdict: NotRun, Status: http.StatusServiceUnavailable, Elsewhere: true, By: ByLink},
-	NotWritten:         {Verdict: NotRun, Status: http.StatusServiceUnavailable, Elsewhere: true, By: ByLink},
-	Refused:            {Verdict: NotRun, Status: http.StatusServiceUnavailable, Elsewhere: true, By: ByGate},
-	Slowed:             {Verdict: NotRun, Status: http.StatusServiceUnavailable, Elsewhere: true, By: ByGate},
-	Draining:           {Verdict: NotRun, Status: http.StatusServiceUnavailable, Elsewhere: true, By: ByGate},
-	Misrouted:          {Verdict: NotRun, Status: http.StatusServiceUnavailable, Elsewhere: true, By: ByGate},
-	Quarantined:        {Verdict: NotRun, Status: http.StatusServiceUnavailable, By: ByEntry},
-	NotSent:            {Verdict: NotRun, Status: http.StatusServiceUnavailable, By: ByStop},
-	Revoked:            {Verdict: NotRun, Status: http.StatusServiceUnavailable, Elsewhere: true, By: ByGate},
-	UpstreamDialFailed: {Verdict: NotRun, Status: http.StatusServiceUnavailable, Elsewhere: true, By: ByUpstream},
-	UpstreamRefused:    {Verdict: NotRun, Status: http.StatusServiceUnavailable, Elsewhere: true, By: ByUpstream},
-	ClaimFailed:        {Verdict: NotRun, Status: http.StatusServiceUnavailable, By: ByEntry},
-	ResendMismatch:     {Verdict: NotRun, Status: http.StatusUnprocessableEntity, By: ByCaller},
-	ResendUnderway:     {Verdict: MayHaveRun, Status: http.StatusBadGateway, By: ByEntry},
-	ResendNotKept:      {Verdict: Ran, Status: http.StatusConflict, By: ByEntry},
-	PeerLost:           {Verdict: MayHaveRun, Status: http.StatusBadGateway, Elsewhere: true, By: ByLink},
-	Stopped:            {Verdict: MayHaveRun, Status: http.StatusBadGateway, By: ByStop},
-	TimedOut:           {Verdict: MayHaveRun, Status: http.StatusGatewayTimeout, By: ByEntry},
-	CallerGone:         {Verdict: MayHaveRun, Status: http.StatusBadGateway, By: ByCaller},
-	BodyLost:           {Verdict: MayHaveRun, Status: http.StatusBadGateway, By: ByCaller},
-	GateFailed:         {Verdict: MayHaveRun, Status: http.StatusBadGateway, By: ByGate},
-	UpstreamLost:       {Verdict: MayHaveRun, Status: http.StatusBadGateway, Elsewhere: true, By: ByUpstream},
-	WrongUpstream:      {Verdict: NotRun, Status: http.StatusServiceUnavailable, Elsewhere: true, By: ByUpstream},
-	AnswerSpoilt:       {Verdict: MayHaveRun, Status: http.StatusBadGateway, Elsewhere: true, By: ByUpstream},
-	AnswerCut:          {Verdict: Ran, Status: http.StatusBadGateway, By: ByUpstream},
-	AnswerInvalid:      {Verdict: Ran, Status: http.StatusBadGateway, By: ByUpstream},
+var table = map[Cause]CauseInfo{
+	UnknownHost:        {Verdict: NotRun, Status: http.StatusNotFound, EndedBy: ByCaller},
+	BadRequest:         {Verdict: NotRun, Status: http.StatusBadRequest, EndedBy: ByCaller},
+	NotSupported:       {Verdict: NotRun, Status: http.StatusNotImplemented, EndedBy: ByCaller},
+	TooLarge:           {Verdict: NotRun, Status: http.StatusRequestEntityTooLarge, EndedBy: ByCaller},
+	HeadTooLarge:       {Verdict: NotRun, Status: http.StatusRequestHeaderFieldsTooLarge, EndedBy: ByCaller},
+	NotReady:           {Verdict: NotRun, Status: http.StatusServiceUnavailable, EndedBy: ByEntry},
+	Unauthorized:       {Verdict: NotRun, Status: http.StatusUnauthorized, EndedBy: ByCaller},
+	KeysStale:          {Verdict: NotRun, Status: http.StatusServiceUnavailable, EndedBy: ByEntry},
+	RateLimited:        {Verdict: NotRun, Status: http.StatusTooManyRequests, EndedBy: ByCaller},
+	LimitUnknown:       {Verdict: NotRun, Status: http.StatusServiceUnavailable, EndedBy: ByEntry},
+	NoUpstream:         {Verdict: NotRun, Status: http.StatusServiceUnavailable, EndedBy: ByEntry},
+	DeadlinePassed:     {Verdict: NotRun, Status: http.StatusServiceUnavailable, EndedBy: ByEntry},
+	DialFailed:         {Verdict: NotRun, Status: http.StatusServiceUnavailable, RetryElsewhere: true, EndedBy: ByLink},
+	NotWritten:         {Verdict: NotRun, Status: http.StatusServiceUnavailable, RetryElsewhere: true, EndedBy: ByLink},
+	Refused:            {Verdict: NotRun, Status: http.StatusServiceUnavailable, RetryElsewhere: true, EndedBy: ByGate},
+	Slowed:             {Verdict: NotRun, Status: http.StatusServiceUnavailable, RetryElsewhere: true, EndedBy: ByGate},
+	Draining:           {Verdict: NotRun, Status: http.StatusServiceUnavailable, RetryElsewhere: true, EndedBy: ByGate},
+	Misrouted:          {Verdict: NotRun, Status: http.StatusServiceUnavailable, RetryElsewhere: true, EndedBy: ByGate},
+	Quarantined:        {Verdict: NotRun, Status: http.StatusServiceUnavailable, EndedBy: ByEntry},
+	NotSent:            {Verdict: NotRun, Status: http.StatusServiceUnavailable, EndedBy: ByStop},
+	Revoked:            {Verdict: NotRun, Status: http.StatusServiceUnavailable, RetryElsewhere: true, EndedBy: ByGate},
+	UpstreamDialFailed: {Verdict: NotRun, Status: http.StatusServiceUnavailable, RetryElsewhere: true, EndedBy: ByUpstream},
+	UpstreamRefused:    {Verdict: NotRun, Status: http.StatusServiceUnavailable, RetryElsewhere: true, EndedBy: ByUpstream},
+	ClaimFailed:        {Verdict: NotRun, Status: http.StatusServiceUnavailable, EndedBy: ByEntry},
+	ResendMismatch:     {Verdict: NotRun, Status: http.StatusUnprocessableEntity, EndedBy: ByCaller},
+	ResendUnderway:     {Verdict: MayHaveRun, Status: http.StatusBadGateway, EndedBy: ByEntry},
+	ResendNotKept:      {Verdict: Ran, Status: http.StatusConflict, EndedBy: ByEntry},
+	PeerLost:           {Verdict: MayHaveRun, Status: http.StatusBadGateway, RetryElsewhere: true, EndedBy: ByLink},
+	Stopped:            {Verdict: MayHaveRun, Status: http.StatusBadGateway, EndedBy: ByStop},
+	TimedOut:           {Verdict: MayHaveRun, Status: http.StatusGatewayTimeout, EndedBy: ByEntry},
+	CallerGone:         {Verdict: MayHaveRun, Status: http.StatusBadGateway, EndedBy: ByCaller},
+	BodyLost:           {Verdict: MayHaveRun, Status: http.StatusBadGateway, EndedBy: ByCaller},
+	GateFailed:         {Verdict: MayHaveRun, Status: http.StatusBadGateway, EndedBy: ByGate},
+	UpstreamLost:       {Verdict: MayHaveRun, Status: http.StatusBadGateway, RetryElsewhere: true, EndedBy: ByUpstream},
+	WrongUpstream:      {Verdict: NotRun, Status: http.StatusServiceUnavailable, RetryElsewhere: true, EndedBy: ByUpstream},
+	AnswerMalformed:    {Verdict: MayHaveRun, Status: http.StatusBadGateway, RetryElsewhere: true, EndedBy: ByUpstream},
+	AnswerTruncated:    {Verdict: Ran, Status: http.StatusBadGateway, EndedBy: ByUpstream},
+	AnswerInvalid:      {Verdict: Ran, Status: http.StatusBadGateway, EndedBy: ByUpstream},
 }
 
 // Lookup returns what the table says of c. A cause that is not in the table
 // may have run and is told to the caller as 502.
-func Lookup(c Cause) Entry {
+func Lookup(c Cause) CauseInfo {
 	e, ok := table[c]
 	if !ok {
-		return Entry{Verdict: MayHaveRun, Status: http.StatusBadGateway, By: ByEntry}
+		return CauseInfo{Verdict: MayHaveRun, Status: http.StatusBadGateway, EndedBy: ByEntry}
 	}
 	return e
 }
 
 // Causes calls yield with each cause of the table and its entry, in no
 // particular order, until yield returns false.
-func Causes(yield func(Cause, Entry) bool) {
+func Causes(yield func(Cause, CauseInfo) bool) {
 	for c, e := range table {
 		if !yield(c, e) {
 			return
--- a/verdict/error.go
+++ b/verdict/error.go
@@ -70,7 +70,7 @@
 // deadlines are the business of package retry.
 func (e *Error) MayRepeat(idempotent bool) bool {
 	entry := Lookup(e.Cause)
-	if e.GivenUp || !entry.Elsewhere {
+	if e.GivenUp || !entry.RetryElsewhere {
 		return false
 	}
 	switch entry.Verdict {
--- a/verdict/verdict_test.go
+++ b/verdict/verdict_test.go
@@ -23,7 +23,7 @@
 			c.Check(e.Verdict(), qt.Equals, entry.Verdict)
 			switch entry.Verdict {
 			case verdict.NotRun:
-				c.Check(e.MayRepeat(false), qt.Equals, entry.Elsewhere)
+				c.Check(e.MayRepeat(false), qt.Equals, entry.RetryElsewhere)
 				c.Check(entry.Status, qt.Not(qt.Equals), http.StatusBadGateway)
 				c.Check(entry.Status, qt.Not(qt.Equals), http.StatusGatewayTimeout)
 			case verdict.MayHaveRun:
--- a/watch/budget.go
+++ b/watch/budget.go
@@ -43,9 +43,9 @@
 	// Budget is what the messages cost.
 	Budget *Budget
 	// Every is the least time between two messages to one receiver.
-	Every time.Duration
+	MinInterval time.Duration
 	// Size is what one message costs, in bytes.
-	Size int
+	MessageBytes int
 
 	mu   sync.Mutex
 	last map[K]time.Time
@@ -55,14 +55,14 @@
 const maxReceivers = 4096
 
 // Due returns whether a message may go to the receiver now, and spends it.
-func (p *Pacer[K]) Due(receiver K) bool {
+func (p *Pacer[K]) Allow(receiver K) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	if now.Sub(p.last[receiver]) < p.Every {
+	if now.Sub(p.last[receiver]) < p.MinInterval {
 		return false
 	}
-	if !p.Budget.Take(p.Size) {
+	if !p.Budget.Take(p.MessageBytes) {
 		return false
 	}
 	if p.last == nil || len(p.last) >= maxReceivers {
--- a/watch/budget_test.go
+++ b/watch/budget_test.go
@@ -21,9 +21,9 @@
 	for _, perSecond := range []int{1000, 10000} {
 		synctest.Test(t, func(t *testing.T) {
 			b := watch.NewBudget(6000, 1)
-			p := &watch.Pacer[int]{Budget: b, Every: 20 * time.Millisecond, Size: 60}
+			p := &watch.Pacer[int]{Budget: b, MinInterval: 20 * time.Millisecond, MessageBytes: 60}
 			for i := range 10 * perSecond {
-				p.Due(i % 50)
+				p.Allow(i % 50)
 				time.Sleep(time.Second / time.Duration(perSecond))
 			}
 			spent[perSecond] = b.Bytes.Load()
@@ -35,11 +35,11 @@
 
 func TestPacerSpacesEachReceiver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := &watch.Pacer[string]{Budget: watch.NewBudget(1000, 1), Every: time.Second, Size: 1}
-		qt.Check(t, p.Due("a"), qt.IsTrue)
-		qt.Check(t, p.Due("a"), qt.IsFalse)
-		qt.Check(t, p.Due("b"), qt.IsTrue)
+		p := &watch.Pacer[string]{Budget: watch.NewBudget(1000, 1), MinInterval: time.Second, MessageBytes: 1}
+		qt.Check(t, p.Allow("a"), qt.IsTrue)
+		qt.Check(t, p.Allow("a"), qt.IsFalse)
+		qt.Check(t, p.Allow("b"), qt.IsTrue)
 		time.Sleep(time.Second)
-		qt.Check(t, p.Due("a"), qt.IsTrue)
+		qt.Check(t, p.Allow("a"), qt.IsTrue)
 	})
 }
