--- a/admit/gate.go
+++ b/admit/gate.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"sassafrasfront.example/cold"
+	"sassafrasfront.example/coldstart"
 	"sassafrasfront.example/throttle"
 	"sassafrasfront.example/verdict"
 )
@@ -17,7 +17,7 @@
 // until Set is called. Its methods may be called from any goroutine.
 type Gate struct {
 	// Pace bounds the requests that start while the upstream is cold.
-	ColdLimiter cold.Limiter
+	ColdLimiter coldstart.Limiter
 	// Named bounds those that start while the upstream names a limit.
 	AdvertisedLimiter throttle.Limiter
 
--- a/cold/doc.go
+++ b/coldstart/doc.go
@@ -2,7 +2,7 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Package cold bounds the requests that an upstream is sent while it is cold.
+// Package coldstart bounds the requests that an upstream is sent while it is cold.
 //
 // An upstream that has just started, or has lost its caches, bears so many requests a
 // second and ends at a rate well above that. All its requests pass through the gate beside
@@ -12,4 +12,4 @@
 // requests of the last second behind it, so these are counted at all times.
 //
 // The package does no input or output and starts no goroutine.
-package cold
+package coldstart
--- a/cold/limit_test.go
+++ b/coldstart/limit_test.go
@@ -2,7 +2,7 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-package cold_test
+package coldstart_test
 
 import (
 	"math/rand/v2"
@@ -14,15 +14,15 @@
 	qt "github.com/frankban/quicktest"
 	"pgregory.net/rapid"
 
-	"sassafrasfront.example/cold"
+	"sassafrasfront.example/coldstart"
 )
 
 // most is what the tests allow in any second.
 const most = 5
 
 // newLimit returns a Limit whose upstream has not been sent anything yet.
-func newLimit() *cold.Limiter {
-	l := new(cold.Limiter)
+func newLimit() *coldstart.Limiter {
+	l := new(coldstart.Limiter)
 	l.SetLimit(most)
 	l.Reset()
 	return l
@@ -31,26 +31,26 @@
 // TestTake counts what is let through of many requests at once.
 func TestTake(t *testing.T) {
 	tests := map[string]struct {
-		play func(l *cold.Limiter)
+		play func(l *coldstart.Limiter)
 		want int
 	}{
-		"warm":                   {play: func(*cold.Limiter) {}, want: 100},
-		"cold":                   {play: func(l *cold.Limiter) { l.SetRemaining(time.Minute) }, want: most},
-		"cold no more":           {play: func(l *cold.Limiter) { l.SetRemaining(time.Minute); l.SetRemaining(0) }, want: 100},
-		"its time is over":       {play: func(l *cold.Limiter) { l.SetRemaining(time.Second); time.Sleep(time.Second) }, want: 100},
-		"late word":              {play: func(l *cold.Limiter) { l.SetRemaining(time.Minute); l.ExtendRemaining(0) }, want: most},
-		"turns cold after three": {play: func(l *cold.Limiter) { takeAll(l, 3); l.SetRemaining(time.Minute) }, want: most - 3},
-		"turns cold after many":  {play: func(l *cold.Limiter) { takeAll(l, 50); l.SetRemaining(time.Minute) }, want: 0},
-		"after many, long ago":   {play: func(l *cold.Limiter) { takeAll(l, 50); time.Sleep(2 * time.Second); l.SetRemaining(time.Minute) }, want: most},
-		"a new start":            {play: func(l *cold.Limiter) { takeAll(l, 50); l.SetRemaining(time.Minute); l.Reset() }, want: most},
-		"a new process":          {play: func(l *cold.Limiter) { l.SetLimit(0); l.SetLimit(most); l.SetRemaining(time.Minute) }, want: 0},
-		"a new process, a second": {play: func(l *cold.Limiter) {
+		"warm":                   {play: func(*coldstart.Limiter) {}, want: 100},
+		"cold":                   {play: func(l *coldstart.Limiter) { l.SetRemaining(time.Minute) }, want: most},
+		"cold no more":           {play: func(l *coldstart.Limiter) { l.SetRemaining(time.Minute); l.SetRemaining(0) }, want: 100},
+		"its time is over":       {play: func(l *coldstart.Limiter) { l.SetRemaining(time.Second); time.Sleep(time.Second) }, want: 100},
+		"late word":              {play: func(l *coldstart.Limiter) { l.SetRemaining(time.Minute); l.ExtendRemaining(0) }, want: most},
+		"turns cold after three": {play: func(l *coldstart.Limiter) { takeAll(l, 3); l.SetRemaining(time.Minute) }, want: most - 3},
+		"turns cold after many":  {play: func(l *coldstart.Limiter) { takeAll(l, 50); l.SetRemaining(time.Minute) }, want: 0},
+		"after many, long ago":   {play: func(l *coldstart.Limiter) { takeAll(l, 50); time.Sleep(2 * time.Second); l.SetRemaining(time.Minute) }, want: most},
+		"a new start":            {play: func(l *coldstart.Limiter) { takeAll(l, 50); l.SetRemaining(time.Minute); l.Reset() }, want: most},
+		"a new process":          {play: func(l *coldstart.Limiter) { l.SetLimit(0); l.SetLimit(most); l.SetRemaining(time.Minute) }, want: 0},
+		"a new process, a second": {play: func(l *coldstart.Limiter) {
 			l.SetLimit(0)
 			l.SetLimit(most)
 			l.SetRemaining(time.Minute)
 			time.Sleep(2 * time.Second)
 		}, want: most},
-		"no bound": {play: func(l *cold.Limiter) { l.SetLimit(0); l.SetRemaining(time.Minute) }, want: 100},
+		"no bound": {play: func(l *coldstart.Limiter) { l.SetLimit(0); l.SetRemaining(time.Minute) }, want: 100},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -64,7 +64,7 @@
 }
 
 // takeAll takes so many at once, and returns how many were let through.
-func takeAll(l *cold.Limiter, count int) (taken int) {
+func takeAll(l *coldstart.Limiter, count int) (taken int) {
 	for range count {
 		if s, _ := l.TryAcquire(); s != nil {
 			s.MarkWritten()
@@ -182,7 +182,7 @@
 
 // BenchmarkTake lets requests through to a warm upstream, as nearly all are.
 func BenchmarkTake(b *testing.B) {
-	l := new(cold.Limiter)
+	l := new(coldstart.Limiter)
 	l.SetLimit(most)
 	for b.Loop() {
 		s, _ := l.TryAcquire()
--- a/follow/doc.go
+++ b/configsync/doc.go
@@ -2,7 +2,7 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Package follow decides when a node reads the configuration from the platform, so
+// Package configsync decides when a node reads the configuration from the platform, so
 // that every node has each change in time and the reads do not grow with the number
 // of nodes.
 //
@@ -20,4 +20,4 @@
 //
 // A State is one node's part of this. It does no input or output, starts no goroutine
 // and reads no clock.
-package follow
+package configsync
--- a/control/control.go
+++ b/control/control.go
@@ -16,9 +16,9 @@
 	"github.com/rs/zerolog"
 
 	"sassafrasfront.example/acceptance"
+	"sassafrasfront.example/configsync"
 	"sassafrasfront.example/entry"
 	"sassafrasfront.example/evacuation"
-	"sassafrasfront.example/follow"
 	"sassafrasfront.example/freshness"
 	"sassafrasfront.example/internal/boottime"
 	"sassafrasfront.example/member"
@@ -149,11 +149,11 @@
 	dirty      map[string]bool
 	neighbours neighbour.Set
 	clients    map[string]*peer.Client
-	reads      *follow.State // of the table, if there is a Template
+	reads      *configsync.State // of the table, if there is a Template
 	heard      chan struct{}
 	fresh      *tableFreshness // of the table, if there is a Clock
 	placed     time.Time       // when lastPlace was found
-	lastPlace  follow.Role
+	lastPlace  configsync.Role
 	pace       publishPace
 	fetching   bool // whether a table is being fetched
 	comparing  bool
@@ -207,7 +207,7 @@
 		})
 		c.heard = make(chan struct{}, 1)
 		if c.ServiceConfig != nil {
-			c.reads = follow.New(cmp.Or(c.MaxPropagationDelay, defaultWithin), time.Now(), c.random)
+			c.reads = configsync.New(cmp.Or(c.MaxPropagationDelay, defaultWithin), time.Now(), c.random)
 		}
 		c.initFresh()
 		c.self = c.Self.NextIncarnation(member.Record{}, time.Now())
--- a/control/evacuation_test.go
+++ b/control/evacuation_test.go
@@ -11,8 +11,8 @@
 
 	qt "github.com/frankban/quicktest"
 
+	"sassafrasfront.example/configsync"
 	"sassafrasfront.example/evacuation"
-	"sassafrasfront.example/follow"
 	"sassafrasfront.example/member"
 	"sassafrasfront.example/objectapi"
 	"sassafrasfront.example/routes"
@@ -86,7 +86,7 @@
 	}
 	go func() { // as fakePlatform.follow does, with a zone
 		for ctx.Err() == nil {
-			if action, after, _ := list[5].NextAction(); action == follow.Wait {
+			if action, after, _ := list[5].NextAction(); action == configsync.Wait {
 				time.Sleep(min(after, 20*time.Millisecond))
 				continue
 			}
--- a/control/freshness.go
+++ b/control/freshness.go
@@ -9,7 +9,7 @@
 	"sassafrasfront.example/peer"
 	"time"
 
-	"sassafrasfront.example/follow"
+	"sassafrasfront.example/configsync"
 	"sassafrasfront.example/freshness"
 	"sassafrasfront.example/routes"
 )
@@ -17,7 +17,7 @@
 // newsAndProof is the news of a read with the teller's proof of how fresh its table is. The proof
 // stands by itself: it may be that of another read.
 type newsAndProof struct {
-	follow.ReadStatus
+	configsync.ReadStatus
 	Proof freshness.Message `msgpack:"proof"`
 }
 
@@ -111,7 +111,7 @@
 }
 
 // tell returns news together with this node's proof.
-func (c *Control) tell(news follow.ReadStatus) newsAndProof {
+func (c *Control) tell(news configsync.ReadStatus) newsAndProof {
 	if c.fresh == nil {
 		return newsAndProof{ReadStatus: news}
 	}
@@ -161,8 +161,8 @@
 
 // freshen returns what to do in place of waiting if the proof gets old. A node that has not
 // heard of a read reads when it is its turn, as where the proof is young.
-func (c *Control) freshen(action follow.Action, now time.Time) follow.Action {
-	if c.fresh == nil || action != follow.Wait {
+func (c *Control) freshen(action configsync.Action, now time.Time) configsync.Action {
+	if c.fresh == nil || action != configsync.Wait {
 		return action
 	}
 	reading := c.Clock()
@@ -175,9 +175,9 @@
 	}
 	c.fresh.tried = reading
 	if age.Time > c.freshPart(freshReadPart) && c.reads.HasRecentRead(now) {
-		return follow.Read
+		return configsync.Read
 	}
-	return follow.Ask
+	return configsync.Ask
 }
 
 // freshWatchPart is the longest watch of the platform, as a part of the time within which a
--- a/control/freshness_test.go
+++ b/control/freshness_test.go
@@ -15,7 +15,7 @@
 	qt "github.com/frankban/quicktest"
 	"github.com/vmihailenco/msgpack/v5"
 
-	"sassafrasfront.example/follow"
+	"sassafrasfront.example/configsync"
 	"sassafrasfront.example/freshness"
 	"sassafrasfront.example/internal/boottime"
 	"sassafrasfront.example/member"
@@ -93,9 +93,9 @@
 // TestNewsAndProof has news with and without a proof: nodes of a version that has none read
 // the news in it, and the other way round.
 func TestNewsAndProof(t *testing.T) {
-	news := follow.ReadStatus{Round: 3, Version: 5, Age: time.Second}
+	news := configsync.ReadStatus{Round: 3, Version: 5, Age: time.Second}
 	payload := mustPack(newsAndProof{ReadStatus: news, Proof: freshness.Message{Clock: 1, Now: 4, Version: 5, At: 2}})
-	var plain follow.ReadStatus
+	var plain configsync.ReadStatus
 	qt.Assert(t, msgpack.Unmarshal(payload, &plain), qt.IsNil)
 	qt.Check(t, plain, qt.Equals, news)
 	back, err := peer.Unpack[newsAndProof](payload)
@@ -121,18 +121,18 @@
 	steps := []struct {
 		at      time.Duration
 		confirm bool
-		want    follow.Action
+		want    configsync.Action
 	}{
-		{at: 50 * time.Millisecond, want: follow.Wait},
-		{at: 200 * time.Millisecond, want: follow.Ask},
-		{at: 250 * time.Millisecond, want: follow.Wait},
-		{at: 700 * time.Millisecond, want: follow.Read},
-		{at: 800 * time.Millisecond, confirm: true, want: follow.Wait},
-		{at: 1200 * time.Millisecond, want: follow.Wait},
-		{at: 1300 * time.Millisecond, want: follow.Ask},
-		{at: 1350 * time.Millisecond, want: follow.Wait},
-		{at: 1450 * time.Millisecond, want: follow.Read},
-		{at: 1500 * time.Millisecond, want: follow.Wait},
+		{at: 50 * time.Millisecond, want: configsync.Wait},
+		{at: 200 * time.Millisecond, want: configsync.Ask},
+		{at: 250 * time.Millisecond, want: configsync.Wait},
+		{at: 700 * time.Millisecond, want: configsync.Read},
+		{at: 800 * time.Millisecond, confirm: true, want: configsync.Wait},
+		{at: 1200 * time.Millisecond, want: configsync.Wait},
+		{at: 1300 * time.Millisecond, want: configsync.Ask},
+		{at: 1350 * time.Millisecond, want: configsync.Wait},
+		{at: 1450 * time.Millisecond, want: configsync.Read},
+		{at: 1500 * time.Millisecond, want: configsync.Wait},
 	}
 	c.snapshot.Store(&Snapshot{Table: &routes.Table{Version: 1}})
 	c.fresh.SetVersion(1)
@@ -141,12 +141,12 @@
 		if step.confirm {
 			c.fresh.ObserveRead(now)
 		}
-		qt.Check(t, c.freshen(follow.Wait, time.Now()), qt.Equals, step.want, qt.Commentf("at %v", step.at))
-		qt.Check(t, c.freshen(follow.Watch, time.Now()), qt.Equals, follow.Watch)
+		qt.Check(t, c.freshen(configsync.Wait, time.Now()), qt.Equals, step.want, qt.Commentf("at %v", step.at))
+		qt.Check(t, c.freshen(configsync.Watch, time.Now()), qt.Equals, configsync.Watch)
 	}
 	now = time.Minute
 	later := time.Now().Add(2 * time.Hour)
-	qt.Check(t, c.freshen(follow.Wait, later), qt.Equals, follow.Ask, qt.Commentf("it hears of no read: that is not its turn"))
+	qt.Check(t, c.freshen(configsync.Wait, later), qt.Equals, configsync.Ask, qt.Commentf("it hears of no read: that is not its turn"))
 }
 
 // TestAloneStaysFresh has a node that hears nobody and is answered by the platform all the
--- a/control/reads.go
+++ b/control/reads.go
@@ -11,7 +11,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 
 	"sassafrasfront.example/acceptance"
-	"sassafrasfront.example/follow"
+	"sassafrasfront.example/configsync"
 	"sassafrasfront.example/member"
 	"sassafrasfront.example/neighbour"
 	"sassafrasfront.example/peer"
@@ -41,7 +41,7 @@
 
 // Next returns what the node is to do next about the platform, and after how long. A
 // Watch is to stay open for the third result.
-func (c *Control) NextAction() (action follow.Action, after, watchFor time.Duration) {
+func (c *Control) NextAction() (action configsync.Action, after, watchFor time.Duration) {
 	c.init()
 	c.do(func() {
 		now := time.Now()
@@ -103,7 +103,7 @@
 // live nodes that are not suspected and that the platform answers. Its order is that
 // of representatives in the first zone, so that where there is one zone, the leader is
 // its first node.
-func (c *Control) place(now time.Time) follow.Role {
+func (c *Control) place(now time.Time) configsync.Role {
 	if now.Sub(c.placed) < placeEvery {
 		return c.lastPlace
 	}
@@ -125,7 +125,7 @@
 	}
 	first := member.RendezvousRank(zone, c.self.ID, seeing) == 0
 	c.placed = now
-	c.lastPlace = follow.Role{
+	c.lastPlace = configsync.Role{
 		IsLeader:  first && (!c.self.PlatformUnreachable || noneSees),
 		WouldLead: first && c.self.PlatformUnreachable && !noneSees,
 		Nodes:     c.live,
--- a/control/table_test.go
+++ b/control/table_test.go
@@ -13,7 +13,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"sassafrasfront.example/follow"
+	"sassafrasfront.example/configsync"
 	"sassafrasfront.example/internal/sleep"
 	"sassafrasfront.example/operator"
 	"sassafrasfront.example/routes"
@@ -236,17 +236,17 @@
 		action, after, watchFor := n.NextAction()
 		sent := n.reading()
 		switch action {
-		case follow.Wait:
+		case configsync.Wait:
 			select {
 			case <-ctx.Done():
 			case <-n.NextChanged():
 			case <-time.After(min(after, 50*time.Millisecond)):
 			}
 			continue
-		case follow.Ask:
+		case configsync.Ask:
 			n.QueryNeighbours(ctx)
 			continue
-		case follow.Watch:
+		case configsync.Watch:
 			sleep.For(ctx, watchFor)
 		}
 		version, ok := p.read(n.Self.ID)
--- a/entry/comeback.go
+++ b/entry/comeback.go
@@ -7,7 +7,7 @@
 import (
 	"time"
 
-	"sassafrasfront.example/comeback"
+	"sassafrasfront.example/retryafter"
 	"sassafrasfront.example/verdict"
 )
 
@@ -27,9 +27,9 @@
 func (f *flight) final(e *verdict.Error) *verdict.Error {
 	switch {
 	case e.Cause == verdict.UpstreamRefused:
-		e = e.WithRetryAfter(comeback.WhenShed(f.request.Objective, e.RetryAfter))
+		e = e.WithRetryAfter(retryafter.WhenShed(f.request.Objective, e.RetryAfter))
 	case f.full(e):
-		e = e.WithRetryAfter(comeback.WhenFull(f.request.Objective, f.expected))
+		e = e.WithRetryAfter(retryafter.WhenFull(f.request.Objective, f.expected))
 	}
 	return final(e)
 }
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -16,7 +16,7 @@
 	"go.opentelemetry.io/otel/trace"
 
 	"sassafrasfront.example/admit"
-	"sassafrasfront.example/cold"
+	"sassafrasfront.example/coldstart"
 	"sassafrasfront.example/internal/tracing"
 	"sassafrasfront.example/operator"
 	"sassafrasfront.example/peer"
@@ -81,7 +81,7 @@
 	CallEnded func(service, class string, failure *verdict.Error, waited, took time.Duration)
 
 	admit    admit.Gate
-	sending  cold.Limiter
+	sending  coldstart.Limiter
 	current  atomic.Pointer[binding]
 	isolated sync.Mutex // held by the isolated request that runs
 	answers  quarantine.AnswerCounter
--- a/node/build.go
+++ b/node/build.go
@@ -19,9 +19,9 @@
 	"sassafrasfront.example/objectapi"
 	"sassafrasfront.example/operator"
 	"sassafrasfront.example/peer"
-	"sassafrasfront.example/policy"
 	"sassafrasfront.example/quarantine"
 	"sassafrasfront.example/routes"
+	"sassafrasfront.example/serviceconfig"
 	"sassafrasfront.example/upstream"
 	"sassafrasfront.example/watch"
 )
@@ -154,7 +154,7 @@
 	n.limits = n.rateLimits()
 	n.control.Topics = n.limits.Topics()
 	n.control.ServiceConfig = func(t *routes.Table, service string, nodes int) operator.Service {
-		return policy.FromTable(t, service, nodes, n.live())
+		return serviceconfig.FromTable(t, service, nodes, n.live())
 	}
 	n.control.MaxPropagationDelay = n.configWithin()
 	n.keepFresh()
--- a/node/follow.go
+++ b/node/follow.go
@@ -8,8 +8,8 @@
 	"context"
 	"time"
 
+	"sassafrasfront.example/configsync"
 	"sassafrasfront.example/evacuation"
-	"sassafrasfront.example/follow"
 	"sassafrasfront.example/internal/boottime"
 	"sassafrasfront.example/objectapi"
 )
@@ -147,13 +147,13 @@
 	for ctx.Err() == nil {
 		action, after, watchFor := n.control.NextAction()
 		switch action {
-		case follow.Wait:
+		case configsync.Wait:
 			n.rest(ctx, after)
-		case follow.Ask:
+		case configsync.Ask:
 			n.control.QueryNeighbours(ctx)
-		case follow.Read:
+		case configsync.Read:
 			n.read(ctx, r, 0)
-		case follow.Watch:
+		case configsync.Watch:
 			n.read(ctx, r, watchFor)
 		}
 	}
--- a/comeback/load_test.go
+++ b/retryafter/load_test.go
@@ -2,7 +2,7 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-package comeback_test
+package retryafter_test
 
 import (
 	"context"
@@ -15,8 +15,8 @@
 	qt "github.com/frankban/quicktest"
 
 	"sassafrasfront.example/admit"
-	"sassafrasfront.example/comeback"
 	"sassafrasfront.example/retry"
+	"sassafrasfront.example/retryafter"
 )
 
 const (
@@ -61,8 +61,8 @@
 
 // advised is what the package says.
 var advised = advice{
-	full: func(least time.Duration) time.Duration { return comeback.WhenFull(objective, least) },
-	shed: func() time.Duration { return comeback.WhenShed(objective, 0) },
+	full: func(least time.Duration) time.Duration { return retryafter.WhenFull(objective, least) },
+	shed: func() time.Duration { return retryafter.WhenShed(objective, 0) },
 }
 
 // mean returns the mean of some plays.
@@ -243,12 +243,12 @@
 		wait        func() time.Duration
 		least, most time.Duration
 	}{
-		"full":                    {wait: func() time.Duration { return comeback.WhenFull(time.Second, 0) }, least: 112 * ms, most: 188 * ms},
-		"full, no objective":      {wait: func() time.Duration { return comeback.WhenFull(0, 0) }, least: 75 * ms, most: 125 * ms},
-		"full for long":           {wait: func() time.Duration { return comeback.WhenFull(time.Second, 800*ms) }, least: 800 * ms, most: 800 * ms},
-		"shed":                    {wait: func() time.Duration { return comeback.WhenShed(time.Second, 0) }, least: 37 * ms, most: 63 * ms},
-		"shed, with a time":       {wait: func() time.Duration { return comeback.WhenShed(time.Second, 2*time.Second) }, least: 2 * time.Second, most: 2 * time.Second},
-		"shed, without objective": {wait: func() time.Duration { return comeback.WhenShed(0, 0) }, least: 75 * ms, most: 125 * ms},
+		"full":                    {wait: func() time.Duration { return retryafter.WhenFull(time.Second, 0) }, least: 112 * ms, most: 188 * ms},
+		"full, no objective":      {wait: func() time.Duration { return retryafter.WhenFull(0, 0) }, least: 75 * ms, most: 125 * ms},
+		"full for long":           {wait: func() time.Duration { return retryafter.WhenFull(time.Second, 800*ms) }, least: 800 * ms, most: 800 * ms},
+		"shed":                    {wait: func() time.Duration { return retryafter.WhenShed(time.Second, 0) }, least: 37 * ms, most: 63 * ms},
+		"shed, with a time":       {wait: func() time.Duration { return retryafter.WhenShed(time.Second, 2*time.Second) }, least: 2 * time.Second, most: 2 * time.Second},
+		"shed, without objective": {wait: func() time.Duration { return retryafter.WhenShed(0, 0) }, least: 75 * ms, most: 125 * ms},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/throttle/load_test.go
+++ b/throttle/load_test.go
@@ -16,7 +16,7 @@
 	qt "github.com/frankban/quicktest"
 
 	"sassafrasfront.example/admit"
-	"sassafrasfront.example/comeback"
+	"sassafrasfront.example/retryafter"
 	"sassafrasfront.example/route"
 	"sassafrasfront.example/throttle"
 	"sassafrasfront.example/verdict"
@@ -162,7 +162,7 @@
 			break
 		}
 	}
-	return false, comeback.WhenFull(classes[class].objective, least)
+	return false, retryafter.WhenFull(classes[class].objective, least)
 }
 
 // free returns which gates would let a request start.
