--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -17,15 +17,15 @@
 
 // attempt is one sending of a request.
 type attempt struct {
-	use      *route.Assignment[string]
-	member   Member
-	exchange *peer.Exchange
-	began    time.Time
-	silent   bool // whether the member's node has been silent for long
+	assignment *route.Assignment[string]
+	member     Member
+	exchange   *peer.Exchange
+	startedAt  time.Time
+	silent     bool // whether the member's node has been silent for long
 }
 
 // silence returns the channel that tells that the node is silent, or nil once it has told.
-func (a *attempt) silence() <-chan struct{} {
+func (a *attempt) silentChan() <-chan struct{} {
 	if a.silent {
 		return nil
 	}
@@ -33,8 +33,8 @@
 }
 
 // end closes the attempt and tells the routing how it went.
-func (a *attempt) end(failure *verdict.Error) {
-	a.use.Done(outcome(failure))
+func (a *attempt) finish(failure *verdict.Error) {
+	a.assignment.Done(outcome(failure))
 	if a.exchange != nil {
 		a.exchange.Close()
 	}
@@ -58,14 +58,14 @@
 
 // start picks an upstream that the request has not been sent to yet, or any that
 // has not refused it if it has been sent to all, and sends the request there.
-func (d *Dispatcher) start(ctx context.Context, s *service, r *Request, tried, refused []string) (*attempt, *verdict.Error) {
+func (d *Dispatcher) startAttempt(ctx context.Context, s *service, r *Request, tried, refused []string) (*attempt, *verdict.Error) {
 	if !time.Now().Before(r.Deadline) {
 		return nil, verdict.New(verdict.DeadlinePassed, nil)
 	}
-	if failure := d.stopped(); failure != nil {
+	if failure := d.stopError(); failure != nil {
 		return nil, failure
 	}
-	s, use, m, ok := d.choose(s, r, tried, refused)
+	s, use, m, ok := d.pickCurrent(s, r, tried, refused)
 	if !ok && len(refused) > 0 {
 		return nil, verdict.New(verdict.Refused, nil).WithGivenUp() // all are full
 	}
@@ -73,15 +73,15 @@
 		return nil, d.noUpstream()
 	}
 	a := &attempt{
-		use:    use,
-		member: m,
-		began:  time.Now(),
+		assignment: use,
+		member:     m,
+		startedAt:  time.Now(),
 	}
 	c := r.call(len(tried) + 1)
-	c.Notice = d.notices.of(a.member.ID)
-	x, failure := d.client(s, a.member).Start(ctx, c, r.stream())
+	c.Notice = d.notices.get(a.member.ID)
+	x, failure := d.client(s, a.member).Start(ctx, c, r.bodyReader())
 	if failure != nil {
-		a.end(failure)
+		a.finish(failure)
 		return a, failure
 	}
 	a.exchange = x
@@ -90,18 +90,18 @@
 
 const (
 	// learning is how long after its start a node may not have heard of the others yet.
-	learning = 2 * time.Second
+	discoveryPeriod = 2 * time.Second
 	// comeBackLearnt is what a caller is told to wait for meanwhile. After a start of all
 	// nodes at once most know the others within that time, and callers that came back
 	// after longer would all come at the same later moment.
-	comeBackLearnt = 250 * time.Millisecond
+	retryAfterDiscovery = 250 * time.Millisecond
 )
 
 // noUpstream returns the failure of a request to a service without a known upstream.
 func (d *Dispatcher) noUpstream() *verdict.Error {
 	e := verdict.New(verdict.NoUpstream, nil)
-	if time.Since(d.Started) < learning || d.learns() {
-		e = e.WithRetryAfter(comeBackLearnt)
+	if time.Since(d.Started) < discoveryPeriod || d.discovering() {
+		e = e.WithRetryAfter(retryAfterDiscovery)
 	}
 	return e
 }
@@ -109,9 +109,9 @@
 // choose picks an upstream, as start says, among the members that the service has now, and returns
 // them too. The pool is the same for a service and those that come after it, so that a pick may be
 // of a member that has come meanwhile.
-func (d *Dispatcher) choose(s *service, r *Request, tried, refused []string) (*service, *route.Assignment[string], Member, bool) {
+func (d *Dispatcher) pickCurrent(s *service, r *Request, tried, refused []string) (*service, *route.Assignment[string], Member, bool) {
 	for {
-		if now := d.load()[s.Name]; now != nil {
+		if now := d.currentServices()[s.Name]; now != nil {
 			s = now
 		}
 		use, ok := d.pick(s, r, tried, refused)
@@ -123,23 +123,23 @@
 			return s, use, m, true
 		}
 		use.Done(route.Unknown)
-		d.awaitSet()
-		if d.load()[s.Name] == s {
+		d.awaitUpdate()
+		if d.currentServices()[s.Name] == s {
 			return s, nil, Member{}, false
 		}
 	}
 }
 
 // awaitSet waits until the services are not being replaced: their pools are before they are.
-func (d *Dispatcher) awaitSet() {
+func (d *Dispatcher) awaitUpdate() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 }
 
 // pick picks an upstream, as start says.
 func (d *Dispatcher) pick(s *service, r *Request, tried, refused []string) (*route.Assignment[string], bool) {
-	for _, kind := range s.kinds(len(tried) > 0) {
-		if use, ok := d.pickOf(s, r, tried, refused, kind); ok {
+	for _, excluded := range s.exclusions(len(tried) > 0) {
+		if use, ok := d.pickAmong(s, r, tried, refused, excluded); ok {
 			return use, true
 		}
 	}
@@ -147,60 +147,60 @@
 }
 
 // pickOf picks an upstream of those that other does not pass over, as start says.
-func (d *Dispatcher) pickOf(s *service, r *Request, tried, refused []string, other func(id string) bool) (*route.Assignment[string], bool) {
-	out := func(id string) bool { return other(id) || !s.within(id, r.Regions) }
-	barred := func(id string) bool { return slices.Contains(tried, id) || out(id) }
+func (d *Dispatcher) pickAmong(s *service, r *Request, tried, refused []string, excluded func(id string) bool) (*route.Assignment[string], bool) {
+	ineligible := func(id string) bool { return excluded(id) || !s.inRegions(id, r.Regions) }
+	unavailable := func(id string) bool { return slices.Contains(tried, id) || ineligible(id) }
 	if d.Quarantine.Assess(r.Fingerprint).State == quarantine.Isolated {
-		return s.pickIsolated(r.Fingerprint, barred)
+		return s.pickIsolated(r.Fingerprint, unavailable)
 	}
 	// What answers is found out first: Pick holds the pool's lock, and Set takes
 	// that while it holds the Dispatcher's.
-	answering := d.answering(s)
-	most := r.mostWait(refused)
-	use, ok := s.pool.PickWithMaxWait(most, r.crosses(), func(id string) bool { return barred(id) || !answering[id] })
+	responsive := d.responsive(s)
+	maxWait := r.maxLimitWait(refused)
+	use, ok := s.pool.PickWithMaxWait(maxWait, r.bodyFrameBytes(), func(id string) bool { return unavailable(id) || !responsive[id] })
 	if !ok {
-		use, ok = s.pool.PickWithMaxWait(most, r.crosses(), barred)
+		use, ok = s.pool.PickWithMaxWait(maxWait, r.bodyFrameBytes(), unavailable)
 	}
 	if !ok && len(tried) > 0 {
-		use, ok = s.pool.PickWithMaxWait(most, r.crosses(), func(id string) bool { return slices.Contains(refused, id) || out(id) })
+		use, ok = s.pool.PickWithMaxWait(maxWait, r.bodyFrameBytes(), func(id string) bool { return slices.Contains(refused, id) || ineligible(id) })
 	}
 	return use, ok
 }
 
 // waitShare is the part of its objective that a request waits for its turn under a limit that an
 // upstream names. The rest is left for its run.
-const waitShare = 0.5
+const maxWaitFraction = 0.5
 
 // mostWait returns how long the request waits at most for its turn under a limit. The first gate
 // decides for itself, as it knows whose turn it is; one that it has refused is not sent to others
 // that are known to have no room for it either.
-func (r *Request) mostWait(refused []string) time.Duration {
+func (r *Request) maxLimitWait(refused []string) time.Duration {
 	if len(refused) == 0 {
 		return 0
 	}
-	return time.Duration(waitShare * float64(r.Objective))
+	return time.Duration(maxWaitFraction * float64(r.Objective))
 }
 
 // answering returns the members of the node's subset whose nodes answer on an
 // open connection. To the others one is opened meanwhile: a request need not wait
 // for a node that may be dead while others answer.
-func (d *Dispatcher) answering(s *service) map[string]bool {
-	list := make(map[string]bool, len(s.chosen))
-	for _, m := range s.chosen {
+func (d *Dispatcher) responsive(s *service) map[string]bool {
+	responsive := make(map[string]bool, len(s.subset))
+	for _, m := range s.subset {
 		c := d.client(s, m)
-		list[m.ID] = c.Responsive()
-		if !list[m.ID] && c.dialing.CompareAndSwap(false, true) {
+		responsive[m.ID] = c.Responsive()
+		if !responsive[m.ID] && c.dialing.CompareAndSwap(false, true) {
 			go func() {
 				defer c.dialing.Store(false)
 				_ = c.Warm(context.Background()) // a request that has no other choice tells the failure
 			}()
 		}
 	}
-	return list
+	return responsive
 }
 
 // within returns whether a member is in one of the given regions, or there are none given.
-func (s *service) within(id string, regions []string) bool {
+func (s *service) inRegions(id string, regions []string) bool {
 	if len(regions) == 0 {
 		return true
 	}
@@ -210,7 +210,7 @@
 
 // member returns the member with the given id.
 func (s *service) member(id string) (Member, bool) {
-	i, ok := s.index[id]
+	i, ok := s.memberIndex[id]
 	if !ok {
 		return Member{}, false
 	}
--- a/entry/bodylink_test.go
+++ b/entry/bodylink_test.go
@@ -22,7 +22,7 @@
 )
 
 // takeBody plays a gate that waits before it admits a call, and runs it once it may.
-func (w *distant) takeBody(node string, in *peer.Inbound, queue time.Duration) {
+func (w *simCluster) takeBody(node string, in *peer.Inbound, queue time.Duration) {
 	if in.Call.Ahead {
 		if _, err := in.Receive(in.Context()); err != nil {
 			in.Fail(verdict.New(verdict.Revoked, err), nil)
@@ -55,38 +55,38 @@
 func TestBodyNotHandedOver(t *testing.T) {
 	const silence = 2 * time.Second
 	for name, test := range map[string]struct {
-		size    int
-		stream  bool          // whether the body can be read once only
-		queue   time.Duration // how long the call waits to be admitted
-		after   time.Duration // when the link falls silent, from the arrival of the call
-		trouble func(h *playnet.Host)
+		size       int
+		stream     bool          // whether the body can be read once only
+		queue      time.Duration // how long the call waits to be admitted
+		faultAfter time.Duration // when the link falls silent, from the arrival of the call
+		fault      func(h *playnet.Host)
 	}{
-		"ahead, nothing asked for":           {size: 120 << 10, trouble: func(h *playnet.Host) { h.Silence(silence) }},
-		"ahead, asked for over a lost path":  {size: 120 << 10, trouble: func(h *playnet.Host) { h.SilenceUp(silence) }},
-		"ahead, partly sent":                 {size: 240 << 10, after: 50 * time.Millisecond, trouble: func(h *playnet.Host) { h.Silence(silence) }},
-		"ahead, partly sent, one way silent": {size: 240 << 10, after: 50 * time.Millisecond, trouble: func(h *playnet.Host) { h.SilenceUp(silence) }},
-		"stream, waits to be admitted":       {size: 300 << 10, stream: true, queue: time.Second, after: 50 * time.Millisecond, trouble: func(h *playnet.Host) { h.Silence(silence) }},
-		"stream, admitted over a lost path":  {size: 300 << 10, stream: true, queue: 60 * time.Millisecond, after: 50 * time.Millisecond, trouble: func(h *playnet.Host) { h.SilenceUp(silence) }},
-		"large, waits to be admitted":        {size: 300 << 10, queue: time.Second, after: 50 * time.Millisecond, trouble: func(h *playnet.Host) { h.Silence(silence) }},
-		"ahead, process suspended":           {size: 120 << 10, trouble: func(h *playnet.Host) { h.Suspend(silence) }},
+		"ahead, nothing asked for":           {size: 120 << 10, fault: func(h *playnet.Host) { h.Silence(silence) }},
+		"ahead, asked for over a lost path":  {size: 120 << 10, fault: func(h *playnet.Host) { h.SilenceUp(silence) }},
+		"ahead, partly sent":                 {size: 240 << 10, faultAfter: 50 * time.Millisecond, fault: func(h *playnet.Host) { h.Silence(silence) }},
+		"ahead, partly sent, one way silent": {size: 240 << 10, faultAfter: 50 * time.Millisecond, fault: func(h *playnet.Host) { h.SilenceUp(silence) }},
+		"stream, waits to be admitted":       {size: 300 << 10, stream: true, queue: time.Second, faultAfter: 50 * time.Millisecond, fault: func(h *playnet.Host) { h.Silence(silence) }},
+		"stream, admitted over a lost path":  {size: 300 << 10, stream: true, queue: 60 * time.Millisecond, faultAfter: 50 * time.Millisecond, fault: func(h *playnet.Host) { h.SilenceUp(silence) }},
+		"large, waits to be admitted":        {size: 300 << 10, queue: time.Second, faultAfter: 50 * time.Millisecond, fault: func(h *playnet.Host) { h.Silence(silence) }},
+		"ahead, process suspended":           {size: 120 << 10, fault: func(h *playnet.Host) { h.Suspend(silence) }},
 	} {
 		for kind, idempotent := range map[string]bool{"idempotent": true, "not idempotent": false} {
 			t.Run(name+", "+kind, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					network := quick()
+					network := fastNetwork()
 					network.Rate = linkRate
-					w := newDistant(2, network, again(), 0)
+					w := newSimCluster(2, network, retryConfig(), 0)
 					defer w.stop()
 					var silent string
-					var fell time.Time
-					w.play = func(node string, in *peer.Inbound) {
+					var silentAt time.Time
+					w.handle = func(node string, in *peer.Inbound) {
 						if silent == "" {
 							silent = node
-							time.AfterFunc(test.after, func() {
-								test.trouble(w.Host(node))
-								fell = time.Now()
+							time.AfterFunc(test.faultAfter, func() {
+								test.fault(w.Host(node))
+								silentAt = time.Now()
 							})
-							if test.after == 0 {
+							if test.faultAfter == 0 {
 								time.Sleep(time.Millisecond)
 							}
 						}
@@ -104,9 +104,9 @@
 					qt.Assert(t, calls, qt.HasLen, 2)
 					qt.Check(t, calls[1].node != silent, qt.IsTrue)
 					qt.Check(t, got, qt.Equals, fmt.Sprint(calls[1].node, " ", test.size))
-					withdrawn := failedAfter(r, verdict.NotWritten)
-					qt.Check(t, withdrawn >= 0, qt.IsTrue, qt.Commentf("steps %v", r.Steps))
-					qt.Check(t, calls[1].at.Sub(fell) <= linkSilence+linkLook+50*time.Millisecond, qt.IsTrue, qt.Commentf("sent again after %v", calls[1].at.Sub(fell)))
+					notWritten := failedAfter(r, verdict.NotWritten)
+					qt.Check(t, notWritten >= 0, qt.IsTrue, qt.Commentf("steps %v", r.Steps))
+					qt.Check(t, calls[1].at.Sub(silentAt) <= linkSilence+linkCheckInterval+50*time.Millisecond, qt.IsTrue, qt.Commentf("sent again after %v", calls[1].at.Sub(silentAt)))
 					time.Sleep(20 * time.Second)
 					w.mu.Lock()
 					defer w.mu.Unlock()
@@ -146,13 +146,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				network := quick()
+				network := fastNetwork()
 				network.Window = 16 << 10
 				network.Buffer = 16 << 10
-				w := newDistant(1, network, again(), 0)
+				w := newSimCluster(1, network, retryConfig(), 0)
 				defer w.stop()
 				ran := make(map[string]bool)
-				w.play = func(node string, in *peer.Inbound) {
+				w.handle = func(node string, in *peer.Inbound) {
 					w.mu.Lock()
 					ran[in.Call.Target] = true
 					w.mu.Unlock()
@@ -160,7 +160,7 @@
 				}
 				time.Sleep(time.Second)
 				w.gates[0].Suspend(suspended)
-				told := make(map[string]verdict.Cause)
+				reported := make(map[string]verdict.Cause)
 				var all sync.WaitGroup
 				for i := range 20 {
 					all.Go(func() {
@@ -172,7 +172,7 @@
 						qt.Check(t, time.Since(began) <= deadline(i), qt.IsTrue, qt.Commentf("%s: %v after %v", r.Target, err, time.Since(began)))
 						w.mu.Lock()
 						defer w.mu.Unlock()
-						told[r.Target] = causeOf(err)
+						reported[r.Target] = causeOf(err)
 					})
 					synctest.Wait()
 				}
@@ -181,17 +181,17 @@
 				notRun := 0
 				w.mu.Lock()
 				defer w.mu.Unlock()
-				for target, c := range told {
+				for target, c := range reported {
 					if c != "" && verdict.New(c, nil).Verdict() == verdict.NotRun {
 						notRun++
 						qt.Check(t, ran[target], qt.IsFalse, qt.Commentf("%s: %s", target, c))
 					}
 				}
 				if suspended > time.Second {
-					qt.Check(t, notRun > 0, qt.IsTrue, qt.Commentf("%v", told))
+					qt.Check(t, notRun > 0, qt.IsTrue, qt.Commentf("%v", reported))
 				}
 				if suspended < linkSilence {
-					for target, c := range told {
+					for target, c := range reported {
 						qt.Check(t, c, qt.Equals, verdict.Cause(""), qt.Commentf("%s", target))
 					}
 				}
--- a/entry/trial_test.go
+++ b/entry/canary_test.go
@@ -16,35 +16,35 @@
 
 // TestTrialShare has a service with members on trial, and draws for many requests where they may
 // go: at first, and again after a sending that was not served.
-func TestTrialShare(t *testing.T) {
+func TestCanaryShare(t *testing.T) {
 	const requests = 20000
 	tests := map[string]struct {
 		share float64
-		again bool
+		retry bool
 		first float64 // share of the requests that go to those on trial first
 		both  float64 // share of those that may go to either
 	}{
 		"none":                {share: 0},
 		"on trial":            {share: 0.03, first: 0.03, both: 0.03},
-		"on trial, again":     {share: 0.03, again: true},
+		"on trial, again":     {share: 0.03, retry: true},
 		"most":                {share: 0.8, first: 0.8, both: 1},
-		"most, again":         {share: 0.8, again: true, first: 0.8, both: 1},
+		"most, again":         {share: 0.8, retry: true, first: 0.8, both: 1},
 		"all":                 {share: 1, first: 1, both: 1},
-		"all, sent once more": {share: 1, again: true, first: 1, both: 1},
+		"all, sent once more": {share: 1, retry: true, first: 1, both: 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			s := &service{
-				Service: &Service{CanaryShare: test.share},
-				trial:   map[string]bool{"new": true},
+				Service:  &Service{CanaryShare: test.share},
+				canaries: map[string]bool{"new": true},
 			}
 			var first, both float64
 			for range requests {
-				kinds := s.kinds(test.again)
-				if kinds[0]("old") && !kinds[0]("new") {
+				exclusions := s.exclusions(test.retry)
+				if exclusions[0]("old") && !exclusions[0]("new") {
 					first++
 				}
-				if len(kinds) == 2 {
+				if len(exclusions) == 2 {
 					both++
 				}
 			}
@@ -57,16 +57,16 @@
 
 // TestTrialSubset has some of many members on trial: each node sends to its subset of these, and
 // to as many of the others as without them.
-func TestTrialSubset(t *testing.T) {
+func TestCanarySubset(t *testing.T) {
 	list := members(200)
 	for i := range 20 {
 		list[10*i].Canary = true
 	}
 	d := &Dispatcher{Hello: peer.Hello{Node: "n", Zone: "z0"}}
-	s := d.build(nil, &Service{Name: "s", Members: list})
+	s := d.buildService(nil, &Service{Name: "s", Members: list})
 	count := make(map[bool]int)
-	for _, m := range s.chosen {
+	for _, m := range s.subset {
 		count[m.Canary]++
 	}
-	qt.Check(t, count, qt.DeepEquals, map[bool]int{true: subsetNear + subsetFar, false: subsetNear + subsetFar}, qt.Commentf(fmt.Sprint(s.chosen)))
+	qt.Check(t, count, qt.DeepEquals, map[bool]int{true: subsetInZone + subsetOutOfZone, false: subsetInZone + subsetOutOfZone}, qt.Commentf(fmt.Sprint(s.subset)))
 }
--- a/entry/deadnode_test.go
+++ b/entry/deadnode_test.go
@@ -22,33 +22,33 @@
 
 const (
 	// linkLook is how often a connection with open calls is looked at.
-	linkLook = linkSilence / 4
+	linkCheckInterval = linkSilence / 4
 	// linkDelay is what a packet takes.
 	linkDelay = time.Millisecond
 	// linkLoss is the longest time from the last byte of an instance without power until the
 	// requests at it end.
-	linkLoss = linkSilence + linkTimeout + linkLook
+	linkLossTime = linkSilence + linkTimeout + linkCheckInterval
 )
 
 // quick is a network without a bound on the rate.
-func quick() *playnet.Network {
+func fastNetwork() *playnet.Network {
 	return &playnet.Network{Delay: linkDelay, Window: linkWindow, Timeout: linkTimeout}
 }
 
 // again is the configuration of a service whose requests may be sent once more.
-func again() operator.Service {
+func retryConfig() operator.Service {
 	return operator.Service{Retry: operator.Retry{MaxTries: 3, Share: 0.1, Burst: 20}}
 }
 
 // requestTo returns a request with a target of its own.
-func (w *distant) requestTo(target string, idempotent bool) *entry.Request {
+func (w *simCluster) requestTo(target string, idempotent bool) *entry.Request {
 	r := w.request(idempotent, 0)
 	r.Target = target
 	return r
 }
 
 // sendTo sends such a request, as send does.
-func (w *distant) sendTo(target string, idempotent bool) (string, error) {
+func (w *simCluster) sendTo(target string, idempotent bool) (string, error) {
 	return w.send(w.requestTo(target, idempotent))
 }
 
@@ -83,35 +83,35 @@
 // an instance that has lost its power, and against its requests being run twice.
 func TestRequestAtDeadNode(t *testing.T) {
 	for name, test := range map[string]struct {
-		gates      int
-		idempotent bool
-		before     time.Duration // how long the node is silent for before, while it has the call
-		off        time.Duration // when it loses its power, from the arrival of the call
-		answered   bool
+		gates         int
+		idempotent    bool
+		silentFor     time.Duration // how long the node is silent for before, while it has the call
+		powerOffAfter time.Duration // when it loses its power, from the arrival of the call
+		answered      bool
 	}{
 		"not idempotent":                           {gates: 2},
-		"not idempotent, off in the run":           {gates: 2, off: time.Second},
-		"not idempotent, off after a silence":      {gates: 2, before: time.Second, off: 5 * time.Second},
-		"not idempotent, off after two silences":   {gates: 2, before: 2 * time.Second, off: 8 * time.Second},
+		"not idempotent, off in the run":           {gates: 2, powerOffAfter: time.Second},
+		"not idempotent, off after a silence":      {gates: 2, silentFor: time.Second, powerOffAfter: 5 * time.Second},
+		"not idempotent, off after two silences":   {gates: 2, silentFor: 2 * time.Second, powerOffAfter: 8 * time.Second},
 		"idempotent":                               {gates: 2, idempotent: true, answered: true},
-		"idempotent, off in the run":               {gates: 2, idempotent: true, off: time.Second, answered: true},
-		"idempotent, off after a silence":          {gates: 2, idempotent: true, before: linkSilence / 2, off: 2 * time.Second, answered: true},
+		"idempotent, off in the run":               {gates: 2, idempotent: true, powerOffAfter: time.Second, answered: true},
+		"idempotent, off after a silence":          {gates: 2, idempotent: true, silentFor: linkSilence / 2, powerOffAfter: 2 * time.Second, answered: true},
 		"idempotent, and no other upstream":        {gates: 1, idempotent: true},
-		"idempotent, and no other, off in the run": {gates: 1, idempotent: true, off: time.Second},
+		"idempotent, and no other, off in the run": {gates: 1, idempotent: true, powerOffAfter: time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newDistant(test.gates, quick(), again(), 0)
+				w := newSimCluster(test.gates, fastNetwork(), retryConfig(), 0)
 				defer w.stop()
 				var dead string
-				var off time.Time
-				w.play = func(node string, in *peer.Inbound) {
+				var offAt time.Time
+				w.handle = func(node string, in *peer.Inbound) {
 					if in.Call.Try == 1 && in.Call.Target == "/" {
 						dead = node
-						w.Host(node).Silence(test.before)
-						time.Sleep(test.off)
+						w.Host(node).Silence(test.silentFor)
+						time.Sleep(test.powerOffAfter)
 						w.Host(node).PowerOff()
-						off = time.Now()
+						offAt = time.Now()
 						time.Sleep(time.Minute) // its process is gone, and answers nothing
 						return
 					}
@@ -130,17 +130,17 @@
 					qt.Check(t, got, qt.Equals, calls[1].node)
 					qt.Check(t, calls[1].node != dead, qt.IsTrue)
 					sent := calls[1].at.Add(-linkDelay)
-					qt.Check(t, !sent.After(off.Add(linkDelay+linkSilence)), qt.IsTrue, qt.Commentf("sent %v after the last byte", sent.Sub(off)))
+					qt.Check(t, !sent.After(offAt.Add(linkDelay+linkSilence)), qt.IsTrue, qt.Commentf("sent %v after the last byte", sent.Sub(offAt)))
 				} else {
 					qt.Check(t, causeOf(err), qt.Equals, verdict.PeerLost, qt.Commentf("%v", err))
-					lost := began.Add(failedAfter(r, verdict.PeerLost)).Sub(off)
-					qt.Check(t, lost > linkSilence && lost <= linkLoss, qt.IsTrue, qt.Commentf("lost %v after the last byte", lost))
+					lost := began.Add(failedAfter(r, verdict.PeerLost)).Sub(offAt)
+					qt.Check(t, lost > linkSilence && lost <= linkLossTime, qt.IsTrue, qt.Commentf("lost %v after the last byte", lost))
 					// What may be repeated is repeated at a node that can't be dialled.
 					repeated := time.Duration(0)
 					if test.idempotent {
 						repeated = 2 * linkHandshake
 					}
-					qt.Check(t, ended.Sub(off) <= linkLoss+repeated, qt.IsTrue, qt.Commentf("ended %v after the last byte", ended.Sub(off)))
+					qt.Check(t, ended.Sub(offAt) <= linkLossTime+repeated, qt.IsTrue, qt.Commentf("ended %v after the last byte", ended.Sub(offAt)))
 					qt.Check(t, calls, qt.HasLen, 1)
 				}
 				time.Sleep(time.Minute)
@@ -156,10 +156,10 @@
 	for name, idempotent := range map[string]bool{"idempotent": true, "not idempotent": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newDistant(3, quick(), again(), 0)
+				w := newSimCluster(3, fastNetwork(), retryConfig(), 0)
 				defer w.stop()
 				var dead string
-				w.play = func(node string, in *peer.Inbound) {
+				w.handle = func(node string, in *peer.Inbound) {
 					if in.Call.Target == "/dead" && dead == "" {
 						dead = node
 						w.Host(node).PowerOff()
@@ -173,7 +173,7 @@
 				time.Sleep(time.Second)
 				var all sync.WaitGroup
 				all.Go(func() { _, _ = w.sendTo("/dead", false) })
-				time.Sleep(linkSilence + linkLook)
+				time.Sleep(linkSilence + linkCheckInterval)
 				for i := range 200 { // for four seconds, beyond the end of the connection
 					all.Go(func() {
 						target := fmt.Sprint("/", i)
@@ -197,18 +197,18 @@
 
 // TestStopTellsItsCause guards against requests that end with their entry's stop and are told
 // as if the other node had been lost.
-func TestStopTellsItsCause(t *testing.T) {
-	for name, trouble := range map[string]func(w *distant){
-		"over a sound link":  func(*distant) {},
-		"over a silent link": func(w *distant) { w.gates[0].Silence(2 * time.Second) },
+func TestStopReportsItsCause(t *testing.T) {
+	for name, fault := range map[string]func(w *simCluster){
+		"over a sound link":  func(*simCluster) {},
+		"over a silent link": func(w *simCluster) { w.gates[0].Silence(2 * time.Second) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newDistant(1, quick(), once(), 0)
+				w := newSimCluster(1, fastNetwork(), noRetryConfig(), 0)
 				defer w.stop()
 				time.Sleep(time.Second)
 				began := time.Now()
-				time.AfterFunc(100*time.Millisecond, func() { trouble(w) })
+				time.AfterFunc(100*time.Millisecond, func() { fault(w) })
 				time.AfterFunc(time.Second, w.dispatcher.Close)
 				_, err := w.sendTo("/", true)
 				qt.Check(t, causeOf(err), qt.Equals, verdict.Stopped, qt.Commentf("%v", err))
@@ -220,14 +220,14 @@
 
 // TestNothingBegunAfterStop guards against calls that are begun after their entry has closed its
 // connections, and are cut by the end of its process without an answer.
-func TestNothingBegunAfterStop(t *testing.T) {
+func TestNoCallAfterClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		network := quick()
+		network := fastNetwork()
 		network.Rate = linkRate
-		w := newDistant(2, network, again(), 0)
+		w := newSimCluster(2, network, retryConfig(), 0)
 		defer w.stop()
 		var began, stopped time.Time
-		w.play = func(node string, in *peer.Inbound) {
+		w.handle = func(node string, in *peer.Inbound) {
 			if in.Call.Try == 1 {
 				time.AfterFunc(50*time.Millisecond, func() { // the body is partly there
 					stopped = time.Now()
@@ -248,8 +248,8 @@
 		}
 		qt.Check(t, ended.Sub(began), qt.Equals, stopped.Sub(began))
 		qt.Check(t, w.callsOf("/"), qt.HasLen, 1)
-		again, _ := w.dials.counts()
-		qt.Check(t, again, qt.Equals, opened)
+		reopened, _ := w.dials.counts()
+		qt.Check(t, reopened, qt.Equals, opened)
 		time.Sleep(20 * time.Second)
 	})
 }
--- a/entry/dialing_test.go
+++ b/entry/dialing_test.go
@@ -46,10 +46,10 @@
 				if test.alone {
 					gates = 1
 				}
-				w := newDistant(gates, quick(), again(), 0)
+				w := newSimCluster(gates, fastNetwork(), retryConfig(), 0)
 				defer w.stop()
 				answers := "gate0"
-				w.play = func(node string, in *peer.Inbound) {
+				w.handle = func(node string, in *peer.Inbound) {
 					if in.Call.Target == "/find" {
 						answers = node
 						answerAfter(0)(node, in)
--- a/entry/learning.go
+++ b/entry/discovery.go
@@ -12,33 +12,33 @@
 )
 
 // updates tells of each change of the services. The zero value is ready to use.
-type updates struct {
+type changeNotifier struct {
 	mu   sync.Mutex
 	next chan struct{}
 }
 
 // wait returns a channel that is closed at the next change.
-func (u *updates) wait() <-chan struct{} {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.next == nil {
-		u.next = make(chan struct{})
+func (n *changeNotifier) changed() <-chan struct{} {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.next == nil {
+		n.next = make(chan struct{})
 	}
-	return u.next
+	return n.next
 }
 
 // tell ends the waiting.
-func (u *updates) tell() {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.next != nil {
-		close(u.next)
-		u.next = nil
+func (n *changeNotifier) notify() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.next != nil {
+		close(n.next)
+		n.next = nil
 	}
 }
 
 // learns returns whether this node may not have heard of the others yet.
-func (d *Dispatcher) learns() bool {
+func (d *Dispatcher) discovering() bool {
 	if d.DiscoveryDone == nil {
 		return false
 	}
@@ -53,21 +53,21 @@
 // known returns the service of a request, or nil. While this node learns of others, it waits until
 // one is known to which the request may be sent, as long as the request has time for that: that
 // there is none is not known before.
-func (d *Dispatcher) known(ctx context.Context, r *Request) *service {
-	if !d.learns() {
-		return d.load()[r.Service]
+func (d *Dispatcher) awaitService(ctx context.Context, r *Request) *service {
+	if !d.discovering() {
+		return d.currentServices()[r.Service]
 	}
-	var enough <-chan time.Time
+	var timeout <-chan time.Time
 	for {
-		changed := d.updates.wait() // before the look, so that no change is missed
-		s := d.load()[r.Service]
-		if s.mayTake(r) || !d.learns() || ctx.Err() != nil {
+		changed := d.changes.changed() // before the look, so that no change is missed
+		s := d.currentServices()[r.Service]
+		if s.hasMemberFor(r) || !d.discovering() || ctx.Err() != nil {
 			return s
 		}
-		if enough == nil {
-			t := time.NewTimer(r.spare())
+		if timeout == nil {
+			t := time.NewTimer(r.maxDiscoveryWait())
 			defer t.Stop()
-			enough = t.C
+			timeout = t.C
 		}
 		if d.TriggerDiscovery != nil {
 			d.TriggerDiscovery()
@@ -77,7 +77,7 @@
 		case <-d.DiscoveryDone:
 		case <-d.stopping.done():
 			return s
-		case <-enough:
+		case <-timeout:
 			return s
 		case <-ctx.Done():
 		}
@@ -85,13 +85,13 @@
 }
 
 // mayTake returns whether a member is known to which the request may be sent.
-func (s *service) mayTake(r *Request) bool {
-	return s != nil && slices.ContainsFunc(s.Members, func(m Member) bool { return s.within(m.ID, r.Regions) })
+func (s *service) hasMemberFor(r *Request) bool {
+	return s != nil && slices.ContainsFunc(s.Members, func(m Member) bool { return s.inRegions(m.ID, r.Regions) })
 }
 
 // spare returns for how long the request may wait: for all of its time but its objective, within
 // which it is expected to be answered, and for half of it at least.
-func (r *Request) spare() time.Duration {
+func (r *Request) maxDiscoveryWait() time.Duration {
 	left := time.Until(r.Deadline)
 	if r.Objective == 0 {
 		return left / 2
--- a/entry/dispatcher.go
+++ b/entry/dispatcher.go
@@ -80,10 +80,10 @@
 	TriggerDiscovery func()
 
 	services atomic.Pointer[map[string]*service]
-	updates  updates
+	changes  changeNotifier
 
 	notices  notices
-	stopping stopping
+	stopping stopSignal
 
 	mu      sync.Mutex
 	clients map[string]*client // by node
@@ -103,15 +103,15 @@
 // service is the state kept for one service.
 type service struct {
 	*Service
-	pool    *route.Pool[string]
-	budget  *retry.Budget
-	hedges  *retry.Budget
-	latency *retry.Latency
-	parts   map[string]float64 // of the budget, by class
-	index   map[string]int     // of the members, by their ids
-	chosen  []Member           // the members in the node's subset
-	trial   map[string]bool    // the members on trial
-	policy  string             // the name of the pool's
+	pool        *route.Pool[string]
+	retryBudget *retry.Budget
+	hedgeBudget *retry.Budget
+	latency     *retry.Latency
+	retryShares map[string]float64 // of the budget, by class
+	memberIndex map[string]int     // of the members, by their ids
+	subset      []Member           // the members in the node's subset
+	canaries    map[string]bool    // the members on trial
+	policy      string             // the name of the pool's
 }
 
 // Set replaces the services. What is known of those that stay is kept. A service
@@ -120,21 +120,21 @@
 func (d *Dispatcher) SetServices(services map[string]*Service) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	old := d.load()
+	old := d.currentServices()
 	next := make(map[string]*service, len(services))
 	for name, s := range services {
 		if o := old[name]; o != nil && o.Service == s {
 			next[name] = o
 			continue
 		}
-		next[name] = d.build(old[name], s)
+		next[name] = d.buildService(old[name], s)
 	}
 	d.services.Store(&next)
-	d.updates.tell()
+	d.changes.notify()
 	d.closeUnused(next)
 }
 
-func (d *Dispatcher) load() map[string]*service {
+func (d *Dispatcher) currentServices() map[string]*service {
 	if p := d.services.Load(); p != nil {
 		return *p
 	}
@@ -142,22 +142,22 @@
 }
 
 // build makes the state of a service, taking over what old has.
-func (d *Dispatcher) build(old *service, s *Service) *service {
+func (d *Dispatcher) buildService(old *service, s *Service) *service {
 	n := &service{
-		Service: s,
-		parts:   retryParts(s.Config),
-		policy:  cmp.Or(d.Policy, s.Config.Policy),
+		Service:     s,
+		retryShares: retryShares(s.Config),
+		policy:      cmp.Or(d.Policy, s.Config.Policy),
 	}
 	if old != nil {
-		n.pool, n.budget, n.hedges, n.latency = old.pool, old.budget, old.hedges, old.latency
+		n.pool, n.retryBudget, n.hedgeBudget, n.latency = old.pool, old.retryBudget, old.hedgeBudget, old.latency
 	} else {
 		window := s.Config.Retry.Window.Std()
-		n.budget = &retry.Budget{Window: window}
-		n.hedges = &retry.Budget{Window: window}
+		n.retryBudget = &retry.Budget{Window: window}
+		n.hedgeBudget = &retry.Budget{Window: window}
 		n.latency = new(retry.Latency)
 	}
-	n.budget.Adjust(s.Config.Retry.Share, s.Config.Retry.Burst)
-	n.hedges.Adjust(s.Config.Hedge.Share, s.Config.Hedge.Burst)
+	n.retryBudget.Adjust(s.Config.Retry.Share, s.Config.Retry.Burst)
+	n.hedgeBudget.Adjust(s.Config.Hedge.Share, s.Config.Hedge.Burst)
 	if old == nil || old.policy != n.policy {
 		policy, _ := route.ByName(n.policy)
 		n.pool = &route.Pool[string]{
@@ -166,37 +166,37 @@
 			LinkBandwidth:       d.LinkRate,
 		}
 	}
-	ordinary, onTrial := byTrial(s.Members)
-	chosen := subset(d.Hello.Node, d.Hello.Zone, ordinary)
-	maps.Copy(chosen, subset(d.Hello.Node, d.Hello.Zone, onTrial))
-	n.trial = make(map[string]bool, len(onTrial))
-	for _, m := range onTrial {
-		n.trial[m.ID] = true
+	ordinary, canaries := splitCanaries(s.Members)
+	inSubset := subset(d.Hello.Node, d.Hello.Zone, ordinary)
+	maps.Copy(inSubset, subset(d.Hello.Node, d.Hello.Zone, canaries))
+	n.canaries = make(map[string]bool, len(canaries))
+	for _, m := range canaries {
+		n.canaries[m.ID] = true
 	}
-	n.index = make(map[string]int, len(s.Members))
+	n.memberIndex = make(map[string]int, len(s.Members))
 	targets := make(map[string]route.Target, len(s.Members))
 	for i, m := range s.Members {
-		n.index[m.ID] = i
-		if chosen[m.ID] {
-			n.chosen = append(n.chosen, m)
+		n.memberIndex[m.ID] = i
+		if inSubset[m.ID] {
+			n.subset = append(n.subset, m)
 		}
 		targets[m.ID] = route.Target{
 			Slots:            max(1, m.Slots),
 			Distance:         d.distance(s, m),
 			ZoneCrossingCost: d.crossing(s, m),
 			Local:            m.ID == d.Hello.Node,
-			Spare:            !chosen[m.ID],
+			Spare:            !inSubset[m.ID],
 		}
 	}
 	n.pool.SetTargets(targets)
-	d.warm(n)
+	d.preconnect(n)
 	return n
 }
 
 // warm opens the connections to the chosen members of a service ahead of the
 // first call. The lock is held.
-func (d *Dispatcher) warm(s *service) {
-	for _, m := range s.chosen {
+func (d *Dispatcher) preconnect(s *service) {
+	for _, m := range s.subset {
 		c := d.clientLocked(s, m)
 		go func() { _ = c.Warm(context.Background()) }() // a call tells the failure
 	}
@@ -231,13 +231,13 @@
 			}
 		}
 		// Who has just taken the client may still begin a call.
-		time.AfterFunc(closeDelay, c.Retire)
+		time.AfterFunc(retireDelay, c.Retire)
 		return true
 	})
 }
 
 // closeDelay is how long the client of a node that is gone takes calls.
-const closeDelay = time.Minute
+const retireDelay = time.Minute
 
 // client is the connection to a member of a service.
 type client struct {
@@ -282,7 +282,7 @@
 // observe takes in a load report. The service is looked up anew, as its state
 // may have been made anew since the client was.
 func (d *Dispatcher) observe(name, id string, r peer.Report) {
-	if s := d.load()[name]; s != nil {
+	if s := d.currentServices()[name]; s != nil {
 		s.pool.Observe(id, loadOf(r))
 	}
 }
@@ -317,7 +317,7 @@
 	d.closed = true
 }
 
-func (d *Dispatcher) event(service string, e Event) {
+func (d *Dispatcher) emit(service string, e Event) {
 	if d.OnEvent != nil {
 		d.OnEvent(service, e)
 	}
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -32,13 +32,13 @@
 }
 
 // play answers one call.
-type play func(in *peer.Inbound)
+type gateFunc func(in *peer.Inbound)
 
 func answer(in *peer.Inbound) {
 	_ = in.Reply(&peer.Answer{Status: 200, Body: []byte("done")})
 }
 
-func fail(c verdict.Cause) play {
+func fail(c verdict.Cause) gateFunc {
 	return func(in *peer.Inbound) { in.Fail(verdict.New(c, nil), nil) }
 }
 
@@ -65,12 +65,12 @@
 
 // dispatcher returns a dispatcher for a service whose gates are played in the
 // order in which they are called, the last one for all further calls.
-func dispatcher(t *testing.T, config operator.Service, n int, plays ...play) (*entry.Dispatcher, *gates) {
+func newDispatcher(t *testing.T, config operator.Service, n int, handlers ...gateFunc) (*entry.Dispatcher, *gates) {
 	t.Helper()
 	g := new(gates)
 	s := &entry.Service{Name: "service", Config: config.WithDefaults()}
 	for i := range n {
-		s.Members = append(s.Members, g.member(t, fmt.Sprint("gate", i), plays...))
+		s.Members = append(s.Members, g.member(t, fmt.Sprint("gate", i), handlers...))
 	}
 	d := &entry.Dispatcher{Hello: peer.Hello{Node: "entry"}}
 	d.SetServices(map[string]*entry.Service{"service": s})
@@ -79,7 +79,7 @@
 }
 
 // playedDispatcher is dispatcher on a played network, for the runtime's clock. The caller calls stop.
-func playedDispatcher(config operator.Service, n int, plays ...play) (d *entry.Dispatcher, g *gates, stop func()) {
+func newSimDispatcher(config operator.Service, n int, handlers ...gateFunc) (d *entry.Dispatcher, g *gates, stop func()) {
 	g = new(gates)
 	network := &playnet.Network{Delay: 100 * time.Microsecond, Window: linkWindow}
 	from := network.Host("entry")
@@ -88,12 +88,12 @@
 	s := &entry.Service{Name: "service", Config: config.WithDefaults()}
 	for i := range n {
 		id := fmt.Sprint("gate", i)
-		server := g.server(id, plays...)
-		play := server.Call
+		server := g.server(id, handlers...)
+		call := server.Call
 		server.Call = func(in *peer.Inbound) {
 			calls.Add(1)
 			defer calls.Done()
-			play(in)
+			call(in)
 		}
 		listener := network.Host(id).Listen()
 		servers.Go(func() { _ = server.Run(ctx, listener) })
@@ -113,24 +113,24 @@
 }
 
 // member starts a gate and returns it as a member of the service.
-func (g *gates) member(t *testing.T, id string, plays ...play) entry.Member {
+func (g *gates) member(t *testing.T, id string, handlers ...gateFunc) entry.Member {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
-	go g.server(id, plays...).Run(ctx, listener)
+	go g.server(id, handlers...).Run(ctx, listener)
 	return entry.Member{ID: id, Addr: listener.Addr().String(), Slots: 10}
 }
 
 // server returns the server of a gate.
-func (g *gates) server(id string, plays ...play) *peer.Server {
+func (g *gates) server(id string, handlers ...gateFunc) *peer.Server {
 	return &peer.Server{Call: func(in *peer.Inbound) {
 		g.mu.Lock()
 		g.calls = append(g.calls, id)
-		p := plays[min(len(g.calls), len(plays))-1]
+		handle := handlers[min(len(g.calls), len(handlers))-1]
 		g.mu.Unlock()
-		p(in)
+		handle(in)
 		if in.Context().Err() != nil {
 			g.mu.Lock()
 			g.ended = append(g.ended, id)
@@ -153,7 +153,7 @@
 func TestDo(t *testing.T) {
 	budget := operator.Service{Retry: operator.Retry{MaxTries: 3, Share: 0.1, Burst: 5}}
 	tests := map[string]struct {
-		plays      []play
+		handlers   []gateFunc
 		idempotent bool
 		timeout    time.Duration
 		stream     bool
@@ -161,19 +161,19 @@
 		calls      int
 		gates      int // 3 if 0
 	}{
-		"answered":                               {plays: []play{answer}, calls: 1},
-		"refused once, POST":                     {plays: []play{fail(verdict.Refused), answer}, calls: 2},
-		"refused by all":                         {plays: []play{fail(verdict.Refused)}, want: verdict.Refused, calls: 3},
-		"refused by the only one":                {plays: []play{fail(verdict.Refused)}, gates: 1, want: verdict.Refused, calls: 1},
-		"draining, streamed":                     {plays: []play{fail(verdict.Draining), answer}, stream: true, calls: 2},
-		"upstream lost, POST":                    {plays: []play{fail(verdict.UpstreamLost), answer}, want: verdict.UpstreamLost, calls: 1},
-		"upstream lost, GET":                     {plays: []play{fail(verdict.UpstreamLost), answer}, idempotent: true, calls: 2},
-		"answer invalid, GET":                    {plays: []play{fail(verdict.AnswerInvalid), answer}, idempotent: true, want: verdict.AnswerInvalid, calls: 1},
-		"lost and then refused":                  {plays: []play{fail(verdict.UpstreamLost), fail(verdict.Refused)}, idempotent: true, want: verdict.UpstreamLost, calls: 3},
-		"no answer in time":                      {plays: []play{hang}, timeout: 50 * time.Millisecond, want: verdict.TimedOut, calls: 1},
-		"no time at all":                         {plays: []play{answer}, timeout: -1, want: verdict.DeadlinePassed},
-		"refused, and no time for another":       {plays: []play{func(in *peer.Inbound) { time.Sleep(60 * time.Millisecond); fail(verdict.Refused)(in) }}, timeout: 50 * time.Millisecond, want: verdict.TimedOut, calls: 1},
-		"upstream says not run, within a budget": {plays: []play{fail(verdict.UpstreamRefused), answer}, calls: 2},
+		"answered":                               {handlers: []gateFunc{answer}, calls: 1},
+		"refused once, POST":                     {handlers: []gateFunc{fail(verdict.Refused), answer}, calls: 2},
+		"refused by all":                         {handlers: []gateFunc{fail(verdict.Refused)}, want: verdict.Refused, calls: 3},
+		"refused by the only one":                {handlers: []gateFunc{fail(verdict.Refused)}, gates: 1, want: verdict.Refused, calls: 1},
+		"draining, streamed":                     {handlers: []gateFunc{fail(verdict.Draining), answer}, stream: true, calls: 2},
+		"upstream lost, POST":                    {handlers: []gateFunc{fail(verdict.UpstreamLost), answer}, want: verdict.UpstreamLost, calls: 1},
+		"upstream lost, GET":                     {handlers: []gateFunc{fail(verdict.UpstreamLost), answer}, idempotent: true, calls: 2},
+		"answer invalid, GET":                    {handlers: []gateFunc{fail(verdict.AnswerInvalid), answer}, idempotent: true, want: verdict.AnswerInvalid, calls: 1},
+		"lost and then refused":                  {handlers: []gateFunc{fail(verdict.UpstreamLost), fail(verdict.Refused)}, idempotent: true, want: verdict.UpstreamLost, calls: 3},
+		"no answer in time":                      {handlers: []gateFunc{hang}, timeout: 50 * time.Millisecond, want: verdict.TimedOut, calls: 1},
+		"no time at all":                         {handlers: []gateFunc{answer}, timeout: -1, want: verdict.DeadlinePassed},
+		"refused, and no time for another":       {handlers: []gateFunc{func(in *peer.Inbound) { time.Sleep(60 * time.Millisecond); fail(verdict.Refused)(in) }}, timeout: 50 * time.Millisecond, want: verdict.TimedOut, calls: 1},
+		"upstream says not run, within a budget": {handlers: []gateFunc{fail(verdict.UpstreamRefused), answer}, calls: 2},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -182,7 +182,7 @@
 				if gates == 0 {
 					gates = 3
 				}
-				d, g, stop := playedDispatcher(budget, gates, test.plays...)
+				d, g, stop := newSimDispatcher(budget, gates, test.handlers...)
 				defer stop()
 				timeout := test.timeout
 				if timeout == 0 {
@@ -219,29 +219,29 @@
 
 // TestErrors has upstreams that answer with status 500 and tell how many of their
 // requests they fail.
-func TestErrors(t *testing.T) {
-	failing := func(share float64) play {
+func TestRetryOnError(t *testing.T) {
+	failing := func(share float64) gateFunc {
 		return func(in *peer.Inbound) {
 			_ = in.Reply(&peer.Answer{Status: 500, Body: []byte("error"), Report: &peer.Report{Allowed: 10, Failing: share}})
 		}
 	}
 	config := operator.Retry{MaxTries: 3, Share: 0.1, Burst: 5, OnError: true}
 	tests := map[string]struct {
-		plays   []play
-		retry   operator.Retry
-		once    bool // whether the request must not repeat
-		attempt int  // the most upstreams, if not 0
-		want    int
-		calls   int
+		handlers      []gateFunc
+		retry         operator.Retry
+		notIdempotent bool // whether the request must not repeat
+		maxAttempts   int  // the most upstreams, if not 0
+		want          int
+		calls         int
 	}{
-		"of one that stands out": {plays: []play{failing(0.5), answer}, want: 200, calls: 2},
-		"of one that does not":   {plays: []play{failing(0.1), answer}, want: 500, calls: 1},
-		"not idempotent":         {plays: []play{failing(0.5), answer}, once: true, want: 500, calls: 1},
-		"twice":                  {plays: []play{failing(0.5), failing(0.5), answer}, want: 500, calls: 2},
-		"and the second is lost": {plays: []play{failing(0.5), fail(verdict.UpstreamLost), fail(verdict.UpstreamLost)}, want: 500, calls: 3},
-		"one upstream allowed":   {plays: []play{failing(0.5), answer}, attempt: 1, want: 500, calls: 1},
-		"not configured":         {plays: []play{failing(0.5), answer}, retry: operator.Retry{MaxTries: 3, Share: 0.1, Burst: 5}, want: 500, calls: 1},
-		"no budget":              {plays: []play{failing(0.5), answer}, retry: operator.Retry{MaxTries: 3, Share: 1e-9, Burst: 1e-9, OnError: true}, want: 500, calls: 1},
+		"of one that stands out": {handlers: []gateFunc{failing(0.5), answer}, want: 200, calls: 2},
+		"of one that does not":   {handlers: []gateFunc{failing(0.1), answer}, want: 500, calls: 1},
+		"not idempotent":         {handlers: []gateFunc{failing(0.5), answer}, notIdempotent: true, want: 500, calls: 1},
+		"twice":                  {handlers: []gateFunc{failing(0.5), failing(0.5), answer}, want: 500, calls: 2},
+		"and the second is lost": {handlers: []gateFunc{failing(0.5), fail(verdict.UpstreamLost), fail(verdict.UpstreamLost)}, want: 500, calls: 3},
+		"one upstream allowed":   {handlers: []gateFunc{failing(0.5), answer}, maxAttempts: 1, want: 500, calls: 1},
+		"not configured":         {handlers: []gateFunc{failing(0.5), answer}, retry: operator.Retry{MaxTries: 3, Share: 0.1, Burst: 5}, want: 500, calls: 1},
+		"no budget":              {handlers: []gateFunc{failing(0.5), answer}, retry: operator.Retry{MaxTries: 3, Share: 1e-9, Burst: 1e-9, OnError: true}, want: 500, calls: 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -249,8 +249,8 @@
 			if retry.MaxTries == 0 {
 				retry = config
 			}
-			d, g := dispatcher(t, operator.Service{Retry: retry}, 4, test.plays...)
-			result, failed := d.Do(context.Background(), &entry.Request{Service: "service", Method: "X", Target: "/", Idempotent: !test.once, MaxAttempts: test.attempt, Deadline: time.Now().Add(10 * time.Second)})
+			d, g := newDispatcher(t, operator.Service{Retry: retry}, 4, test.handlers...)
+			result, failed := d.Do(context.Background(), &entry.Request{Service: "service", Method: "X", Target: "/", Idempotent: !test.notIdempotent, MaxAttempts: test.maxAttempts, Deadline: time.Now().Add(10 * time.Second)})
 			qt.Assert(t, failed == nil, qt.IsTrue, qt.Commentf("%v", failed))
 			defer result.Close()
 			qt.Check(t, result.Status, qt.Equals, test.want)
@@ -270,7 +270,7 @@
 func TestSlowRequests(t *testing.T) {
 	config := operator.Service{Hedge: operator.Hedge{Share: 0.2, MinDelay: operator.Duration(20 * time.Millisecond)}}
 	tests := map[string]struct {
-		slow       play
+		slow       gateFunc
 		idempotent bool
 		want       verdict.Cause
 		calls      int
@@ -282,12 +282,12 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			const warm = 64
-			plays := make([]play, warm, warm+2)
-			for i := range plays {
-				plays[i] = answer
+			const warmUp = 64
+			handlers := make([]gateFunc, warmUp, warmUp+2)
+			for i := range handlers {
+				handlers[i] = answer
 			}
-			d, g := dispatcher(t, config, 2, append(plays, test.slow, answer)...)
+			d, g := newDispatcher(t, config, 2, append(handlers, test.slow, answer)...)
 			send := func() *verdict.Error {
 				result, failed := d.Do(context.Background(), &entry.Request{
 					Service: "service", Method: "X", Target: "/",
@@ -299,7 +299,7 @@
 				}
 				return failed
 			}
-			for range warm {
+			for range warmUp {
 				qt.Assert(t, send() == nil, qt.IsTrue)
 			}
 			failed := send()
@@ -316,7 +316,7 @@
 				time.Sleep(10 * time.Millisecond)
 			}
 			calls, _, ended := g.count()
-			qt.Check(t, calls, qt.Equals, warm+test.calls)
+			qt.Check(t, calls, qt.Equals, warmUp+test.calls)
 			qt.Check(t, ended, qt.Equals, test.ended)
 		})
 	}
@@ -324,8 +324,8 @@
 
 // TestNowhereToSend has a service without upstreams, and one that the Dispatcher
 // has not been told of yet: neither is a reason to say that it does not exist.
-func TestNowhereToSend(t *testing.T) {
-	d, _ := dispatcher(t, operator.Service{}, 0)
+func TestNoUpstream(t *testing.T) {
+	d, _ := newDispatcher(t, operator.Service{}, 0)
 	for service, want := range map[string]verdict.Cause{"service": verdict.NoUpstream, "other": verdict.NoUpstream} {
 		_, failed := d.Do(context.Background(), &entry.Request{Service: service, Deadline: time.Now().Add(time.Second)})
 		qt.Assert(t, failed != nil, qt.IsTrue)
@@ -336,7 +336,7 @@
 // TestStartOfAllNodesAtOnce has requests come to a node that has its configuration and has
 // not heard of any upstream yet. Its callers come back soon, and those of a node that has
 // had time to hear of one later.
-func TestStartOfAllNodesAtOnce(t *testing.T) {
+func TestRetryAfterStart(t *testing.T) {
 	for name, test := range map[string]struct {
 		age  time.Duration
 		want time.Duration
@@ -366,7 +366,7 @@
 }
 
 // BenchmarkSet times the taking in of one changed service of many.
-func BenchmarkSet(b *testing.B) {
+func BenchmarkSetServices(b *testing.B) {
 	for _, n := range []int{160, 1000, 3000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			d := new(entry.Dispatcher)
--- a/entry/isolate.go
+++ b/entry/isolate.go
@@ -15,16 +15,16 @@
 // is the same at all nodes, so that all copies of the request meet at one gate, which
 // runs one of them. Three copies that come at once end one upstream in place of three
 // then, and no node has to agree with another.
-func (s *service) pickIsolated(p quarantine.Fingerprint, barred func(id string) bool) (*route.Assignment[string], bool) {
+func (s *service) pickIsolated(p quarantine.Fingerprint, unavailable func(id string) bool) (*route.Assignment[string], bool) {
 	ids := make([]string, len(s.Members))
 	for i, m := range s.Members {
 		ids[i] = m.ID
 	}
-	for _, chosen := range member.RendezvousOrder(p.String(), ids) {
-		if barred(chosen) {
+	for _, picked := range member.RendezvousOrder(p.String(), ids) {
+		if unavailable(picked) {
 			continue
 		}
-		if use, ok := s.pool.Pick(func(id string) bool { return id != chosen }); ok {
+		if use, ok := s.pool.Pick(func(id string) bool { return id != picked }); ok {
 			return use, true
 		}
 	}
@@ -34,8 +34,8 @@
 // mayGoOn returns whether a request may be sent again after a failure, by what is thought
 // of it. An isolated one has its place at one upstream, and goes to the next only if that
 // one is not there.
-func (f *flight) mayGoOn(failure *verdict.Error) bool {
-	switch f.dispatcher.Quarantine.Assess(f.request.Fingerprint).State {
+func (o *operation) mayRetry(failure *verdict.Error) bool {
+	switch o.dispatcher.Quarantine.Assess(o.request.Fingerprint).State {
 	case quarantine.Blocked:
 		return false
 	case quarantine.Isolated:
--- a/entry/isolate_test.go
+++ b/entry/isolate_test.go
@@ -21,15 +21,15 @@
 
 // suspected returns an index by which the given number of upstreams have ended with a
 // request at hand, and the request.
-func suspected(ends int) (*quarantine.Index, quarantine.Fingerprint) {
+func suspected(crashes int) (*quarantine.Index, quarantine.Fingerprint) {
 	p := quarantine.NewFingerprint("caller", "GET", "h.example", "/fatal").WithBody(nil)
 	x := new(quarantine.Index)
-	for i := range ends {
-		var alone quarantine.Fingerprint
+	for i := range crashes {
+		var isolated quarantine.Fingerprint
 		if x.Assess(p).State == quarantine.Isolated {
-			alone = p
+			isolated = p
 		}
-		x.Add(quarantine.NewCrashReport(fmt.Sprint(i), []quarantine.Fingerprint{p}, alone))
+		x.Add(quarantine.NewCrashReport(fmt.Sprint(i), []quarantine.Fingerprint{p}, isolated))
 	}
 	return x, p
 }
@@ -38,26 +38,26 @@
 func TestSuspectedRequests(t *testing.T) {
 	const gates = 4
 	tests := map[string]struct {
-		ends  int
-		plays []play
-		want  verdict.Cause
-		calls int
+		crashes  int
+		handlers []gateFunc
+		want     verdict.Cause
+		calls    int
 	}{
-		"seen, lost and sent again":                {ends: 1, plays: []play{fail(verdict.UpstreamLost), answer}, calls: 2},
-		"seen, refused and sent again":             {ends: 1, plays: []play{fail(verdict.Refused), answer}, calls: 2},
-		"isolated, answered":                       {ends: 2, plays: []play{answer}, calls: 1},
-		"isolated, lost":                           {ends: 2, plays: []play{fail(verdict.UpstreamLost), answer}, want: verdict.UpstreamLost, calls: 1},
-		"isolated, another runs there":             {ends: 2, plays: []play{fail(verdict.Refused), answer}, want: verdict.Refused, calls: 1},
-		"isolated, its upstream is not there":      {ends: 2, plays: []play{fail(verdict.Misrouted), answer}, calls: 2},
-		"blocked":                                  {ends: 3, plays: []play{answer}, want: verdict.Quarantined},
-		"isolated, blocked by the gate's own word": {ends: 2, plays: []play{fail(verdict.Quarantined), answer}, want: verdict.Quarantined, calls: 1},
+		"seen, lost and sent again":                {crashes: 1, handlers: []gateFunc{fail(verdict.UpstreamLost), answer}, calls: 2},
+		"seen, refused and sent again":             {crashes: 1, handlers: []gateFunc{fail(verdict.Refused), answer}, calls: 2},
+		"isolated, answered":                       {crashes: 2, handlers: []gateFunc{answer}, calls: 1},
+		"isolated, lost":                           {crashes: 2, handlers: []gateFunc{fail(verdict.UpstreamLost), answer}, want: verdict.UpstreamLost, calls: 1},
+		"isolated, another runs there":             {crashes: 2, handlers: []gateFunc{fail(verdict.Refused), answer}, want: verdict.Refused, calls: 1},
+		"isolated, its upstream is not there":      {crashes: 2, handlers: []gateFunc{fail(verdict.Misrouted), answer}, calls: 2},
+		"blocked":                                  {crashes: 3, handlers: []gateFunc{answer}, want: verdict.Quarantined},
+		"isolated, blocked by the gate's own word": {crashes: 2, handlers: []gateFunc{fail(verdict.Quarantined), answer}, want: verdict.Quarantined, calls: 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			config := operator.Service{Retry: operator.Retry{MaxTries: 3, Share: 0.1, Burst: 5}}
-			d, g := dispatcher(t, config, gates, test.plays...)
+			d, g := newDispatcher(t, config, gates, test.handlers...)
 			var p quarantine.Fingerprint
-			d.Quarantine, p = suspected(test.ends)
+			d.Quarantine, p = suspected(test.crashes)
 			r := &entry.Request{Service: "service", Method: "GET", Target: "/fatal", Fingerprint: p, Idempotent: true, Deadline: time.Now().Add(5 * time.Second)}
 			result, failure := d.Do(context.Background(), r)
 			if test.want == "" {
@@ -78,7 +78,7 @@
 // them go to the same upstream, and different requests to different ones.
 func TestIsolatedRequestsMeet(t *testing.T) {
 	const nodes, requests = 5, 40
-	d, g := dispatcher(t, operator.Service{}, 6, answer)
+	d, g := newDispatcher(t, operator.Service{}, 6, answer)
 	members := make(map[string]bool)
 	for i := range requests {
 		target := fmt.Sprint("/", i)
--- a/entry/lostpacket_test.go
+++ b/entry/lostpacket_test.go
@@ -17,10 +17,10 @@
 
 // TestLostPacketIsNoSilence guards against a second sending of a request, or its end, because
 // one packet between two nodes was lost: it is sent again before the node counts as silent.
-func TestLostPacketIsNoSilence(t *testing.T) {
-	for name, lose := range map[string]func(w *distant){
-		"of the entry's": func(w *distant) { w.entry.Lose(1) },
-		"of the gates'": func(w *distant) {
+func TestLostPacketIsNotSilence(t *testing.T) {
+	for name, lose := range map[string]func(w *simCluster){
+		"of the entry's": func(w *simCluster) { w.entry.Lose(1) },
+		"of the gates'": func(w *simCluster) {
 			for _, g := range w.gates {
 				g.Lose(1)
 			}
@@ -30,7 +30,7 @@
 			for after := time.Duration(0); after < linkWork; after += 25 * time.Millisecond {
 				synctest.Test(t, func(t *testing.T) {
 					config := operator.Service{Retry: operator.Retry{MaxTries: 3, Share: 1, Burst: 10}}
-					w := newDistant(2, &playnet.Network{Delay: time.Millisecond, Window: linkWindow, Timeout: linkTimeout}, config, 0)
+					w := newSimCluster(2, &playnet.Network{Delay: time.Millisecond, Window: linkWindow, Timeout: linkTimeout}, config, 0)
 					defer w.stop()
 					time.Sleep(time.Second)
 					time.AfterFunc(after, func() { lose(w) })
--- a/entry/changed_test.go
+++ b/entry/memberchange_test.go
@@ -22,7 +22,7 @@
 
 // TestMembersChangeMeanwhile guards against a request that ends as misrouted, as the members of its
 // service have changed since it came: it is sent once more to those that are there now.
-func TestMembersChangeMeanwhile(t *testing.T) {
+func TestMembersChangeDuringRequest(t *testing.T) {
 	config := operator.Service{Retry: operator.Retry{MaxTries: 3, Share: 0.1, Burst: 5}}.WithDefaults()
 	tests := map[string]struct {
 		before, after int           // the members, by their numbers, from 0 up to before, and from there up to after
@@ -55,7 +55,7 @@
 				}
 				var g *gates
 				var stop func()
-				d, g, stop = playedDispatcher(config, test.after, refuseAndChange, answer)
+				d, g, stop = newSimDispatcher(config, test.after, refuseAndChange, answer)
 				defer stop()
 				defer time.Sleep(2 * time.Minute) // connections to former members end
 				d.SetServices(service(0, test.before))
--- a/entry/notice.go
+++ b/entry/notice.go
@@ -16,7 +16,7 @@
 
 // noticeLife is how long after it was told last a notice is kept. An upstream that leaves goes on
 // answering for many seconds, and one that names a limit tells it with each answer.
-const noticeLife = 10 * time.Minute
+const noticeLifetime = 10 * time.Minute
 
 // notices is what the upstreams beside other nodes have said of the requests that they want. They
 // outlast the connection to a node and its process: the next process there learns from calls what
@@ -47,7 +47,7 @@
 	}
 	now := time.Now()
 	if _, known := n.byNode[node]; !known {
-		maps.DeleteFunc(n.byNode, func(_ string, h ReceivedNotice) bool { return now.Sub(h.ReceivedAt) > noticeLife })
+		maps.DeleteFunc(n.byNode, func(_ string, h ReceivedNotice) bool { return now.Sub(h.ReceivedAt) > noticeLifetime })
 	}
 	if n.byNode == nil {
 		n.byNode = make(map[string]ReceivedNotice)
@@ -69,7 +69,7 @@
 }
 
 // of returns what the upstream beside a node has said, or nil.
-func (n *notices) of(node string) *peer.Notice {
+func (n *notices) get(node string) *peer.Notice {
 	if n.count.Load() == 0 {
 		return nil
 	}
--- a/entry/notice_test.go
+++ b/entry/notice_test.go
@@ -21,23 +21,23 @@
 	synctest.Test(t, func(t *testing.T) {
 		var d Dispatcher
 		n := &d.notices
-		qt.Check(t, n.of("a"), qt.IsNil)
+		qt.Check(t, n.get("a"), qt.IsNil)
 		limit := &peer.Notice{Start: "i-1", Limited: true, Limit: 5}
 		lower := &peer.Notice{Start: "i-1", Limited: true, Limit: 3}
 		n.set("a", limit)
 		n.set("b", limit)
 		n.set("a", lower)
-		qt.Check(t, n.of("a"), qt.Equals, lower)
-		qt.Check(t, n.of("b"), qt.Equals, limit)
+		qt.Check(t, n.get("a"), qt.Equals, lower)
+		qt.Check(t, n.get("b"), qt.Equals, limit)
 		n.set("b", nil)
-		qt.Check(t, n.of("b"), qt.IsNil)
+		qt.Check(t, n.get("b"), qt.IsNil)
 		qt.Check(t, d.Notices(), qt.HasLen, 1)
-		time.Sleep(noticeLife / 2)
+		time.Sleep(noticeLifetime / 2)
 		n.set("a", lower)
-		time.Sleep(noticeLife/2 + time.Second)
+		time.Sleep(noticeLifetime/2 + time.Second)
 		n.set("c", limit)
-		qt.Check(t, n.of("a"), qt.Equals, lower, qt.Commentf("it was told again"))
-		time.Sleep(2 * noticeLife)
+		qt.Check(t, n.get("a"), qt.Equals, lower, qt.Commentf("it was told again"))
+		time.Sleep(2 * noticeLifetime)
 		for i := range 3 {
 			n.set(fmt.Sprint(i), limit)
 		}
--- a/entry/second_test.go
+++ b/entry/parallel_test.go
@@ -17,7 +17,7 @@
 
 // TestSecondSendingsWithinAttempts guards against more upstreams for a request than its route
 // allows, and against a second run of what may not run twice, where nodes fall silent in turn.
-func TestSecondSendingsWithinAttempts(t *testing.T) {
+func TestParallelAttemptsWithinLimit(t *testing.T) {
 	for name, test := range map[string]struct {
 		attempts   int
 		idempotent bool
@@ -29,13 +29,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := hedged()
-				c.Retry = again().Retry
+				c := hedgeConfig()
+				c.Retry = retryConfig().Retry
 				c.Retry.MaxTries = 6
-				w := newDistant(6, quick(), c, 0)
+				w := newSimCluster(6, fastNetwork(), c, 0)
 				defer w.stop()
 				fail := false
-				w.play = func(node string, in *peer.Inbound) {
+				w.handle = func(node string, in *peer.Inbound) {
 					if !fail {
 						_ = in.Reply(&peer.Answer{Status: 200})
 						return
--- a/entry/regions_test.go
+++ b/entry/regions_test.go
@@ -24,30 +24,30 @@
 // alone. Where none is left that answers, the request is refused at once.
 func TestRegions(t *testing.T) {
 	tests := map[string]struct {
-		allowed   []string
-		plays     []play
-		suspected int // upstreams that have ended with the request at hand
-		want      verdict.Cause
-		calls     int
+		allowed  []string
+		handlers []gateFunc
+		crashes  int // upstreams that have ended with the request at hand
+		want     verdict.Cause
+		calls    int
 	}{
-		"all":                      {plays: []play{answer}, calls: 1},
-		"one":                      {allowed: []string{"r1"}, plays: []play{answer}, calls: 1},
-		"two":                      {allowed: []string{"r1", "r2"}, plays: []play{answer}, calls: 1},
-		"one, sent again":          {allowed: []string{"r1"}, plays: []play{fail(verdict.UpstreamLost), answer}, calls: 2},
-		"one, refused":             {allowed: []string{"r1"}, plays: []play{fail(verdict.Refused)}, want: verdict.Refused, calls: 2},
-		"one, cut off":             {allowed: []string{"r1"}, plays: []play{fail(verdict.NotWritten)}, want: verdict.NotWritten, calls: 6},
-		"one, isolated":            {allowed: []string{"r1"}, suspected: 2, plays: []play{answer}, calls: 1},
-		"one, isolated, cut off":   {allowed: []string{"r1"}, suspected: 2, plays: []play{fail(verdict.NotWritten)}, want: verdict.NoUpstream, calls: 2},
-		"where the service is not": {allowed: []string{"r9"}, plays: []play{answer}, want: verdict.NoUpstream},
+		"all":                      {handlers: []gateFunc{answer}, calls: 1},
+		"one":                      {allowed: []string{"r1"}, handlers: []gateFunc{answer}, calls: 1},
+		"two":                      {allowed: []string{"r1", "r2"}, handlers: []gateFunc{answer}, calls: 1},
+		"one, sent again":          {allowed: []string{"r1"}, handlers: []gateFunc{fail(verdict.UpstreamLost), answer}, calls: 2},
+		"one, refused":             {allowed: []string{"r1"}, handlers: []gateFunc{fail(verdict.Refused)}, want: verdict.Refused, calls: 2},
+		"one, cut off":             {allowed: []string{"r1"}, handlers: []gateFunc{fail(verdict.NotWritten)}, want: verdict.NotWritten, calls: 6},
+		"one, isolated":            {allowed: []string{"r1"}, crashes: 2, handlers: []gateFunc{answer}, calls: 1},
+		"one, isolated, cut off":   {allowed: []string{"r1"}, crashes: 2, handlers: []gateFunc{fail(verdict.NotWritten)}, want: verdict.NoUpstream, calls: 2},
+		"where the service is not": {allowed: []string{"r9"}, handlers: []gateFunc{answer}, want: verdict.NoUpstream},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			for round := range 10 {
 				config := operator.Service{Retry: operator.Retry{MaxTries: 6, Share: 1, Burst: 10}}
-				d, g := dispatcher(t, config, 0, test.plays...)
+				d, g := newDispatcher(t, config, 0, test.handlers...)
 				var members []entry.Member
 				for i := range 6 {
-					m := g.member(t, fmt.Sprint("gate", i), test.plays...)
+					m := g.member(t, fmt.Sprint("gate", i), test.handlers...)
 					m.Region = fmt.Sprint("r", i/2)
 					members = append(members, m)
 				}
@@ -55,7 +55,7 @@
 				d.Hello = peer.Hello{Node: fmt.Sprint("node", round)}
 				d.SetServices(map[string]*entry.Service{"service": {Name: "service", Config: config.WithDefaults(), Members: members}})
 				q := &entry.Request{Service: "service", Target: "/", Idempotent: true, Regions: test.allowed, Deadline: time.Now().Add(5 * time.Second)}
-				d.Quarantine, q.Fingerprint = suspected(test.suspected)
+				d.Quarantine, q.Fingerprint = suspected(test.crashes)
 				result, failure := d.Do(context.Background(), q)
 				if test.want == "" {
 					qt.Assert(t, failure == nil, qt.IsTrue, qt.Commentf("%v", failure))
--- a/entry/oldlink_test.go
+++ b/entry/replacedlink_test.go
@@ -25,20 +25,20 @@
 )
 
 // dials counts the connections that an entry opens and closes.
-type dials struct {
+type connCounter struct {
 	mu             sync.Mutex
 	opened, closed int
 }
 
 // counts returns how many connections have been opened and closed.
-func (d *dials) counts() (opened, closed int) {
+func (d *connCounter) counts() (opened, closed int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.opened, d.closed
 }
 
 // dial opens a connection as h does.
-func (d *dials) dial(h *playnet.Host) func(ctx context.Context, addr string) (net.Conn, error) {
+func (d *connCounter) dial(h *playnet.Host) func(ctx context.Context, addr string) (net.Conn, error) {
 	return func(ctx context.Context, addr string) (net.Conn, error) {
 		c, err := h.Dial(ctx, addr)
 		if err != nil {
@@ -47,19 +47,19 @@
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		d.opened++
-		return &counted{Conn: c, dials: d}, nil
+		return &countedConn{Conn: c, dials: d}, nil
 	}
 }
 
 // counted is a connection that dials has opened.
-type counted struct {
+type countedConn struct {
 	net.Conn
-	dials *dials
+	dials *connCounter
 	once  sync.Once
 }
 
 // Close implements net.Conn.
-func (c *counted) Close() error {
+func (c *countedConn) Close() error {
 	c.once.Do(func() {
 		c.dials.mu.Lock()
 		defer c.dials.mu.Unlock()
@@ -74,9 +74,9 @@
 	for name, idempotent := range map[string]bool{"idempotent": true, "not idempotent": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newDistant(1, quick(), once(), 0)
+				w := newSimCluster(1, fastNetwork(), noRetryConfig(), 0)
 				defer w.stop()
-				w.play = func(node string, in *peer.Inbound) {
+				w.handle = func(node string, in *peer.Inbound) {
 					work := 20 * time.Millisecond
 					if in.Call.Target == "/old" {
 						work = 400 * time.Millisecond
@@ -130,9 +130,9 @@
 	t.Run("idle", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			limits := peer.Limits{Silence: linkSilence, Handshake: linkHandshake, Idle: idle}
-			w := newDistantWithin(limits, 1, quick(), once(), 0)
+			w := newSimClusterWithin(limits, 1, fastNetwork(), noRetryConfig(), 0)
 			defer w.stop()
-			w.play = answerAfter(10 * time.Millisecond)
+			w.handle = answerAfter(10 * time.Millisecond)
 			for i := -40; i <= 40; i++ {
 				var all sync.WaitGroup
 				for j := range 4 { // they are begun at the moment of the closing and beside it
@@ -152,9 +152,9 @@
 	})
 	t.Run("replaced", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			w := newDistant(1, quick(), once(), 0)
+			w := newSimCluster(1, fastNetwork(), noRetryConfig(), 0)
 			defer w.stop()
-			w.play = answerAfter(10 * time.Millisecond)
+			w.handle = answerAfter(10 * time.Millisecond)
 			for i := range 20 {
 				time.Sleep(time.Second)
 				var all sync.WaitGroup
@@ -177,9 +177,9 @@
 	})
 	t.Run("member leaves", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			w := newDistant(1, quick(), once(), 0)
+			w := newSimCluster(1, fastNetwork(), noRetryConfig(), 0)
 			defer w.stop()
-			w.play = answerAfter(2 * time.Minute)
+			w.handle = answerAfter(2 * time.Minute)
 			r := w.request(false, 0)
 			r.Deadline = time.Now().Add(5 * time.Minute)
 			time.AfterFunc(time.Second, func() { w.dispatcher.SetServices(nil) })
@@ -191,21 +191,21 @@
 }
 
 // hedged is the configuration of a service whose slow requests are sent a second time.
-func hedged() operator.Service {
-	c := again()
+func hedgeConfig() operator.Service {
+	c := retryConfig()
 	c.Hedge = operator.Hedge{Share: 1, Burst: 100, Quantile: 0.5, MinDelay: operator.Duration(50 * time.Millisecond)}
 	return c
 }
 
 // learn has the entry learn how long requests take.
-func (w *distant) learn() {
+func (w *simCluster) recordLatency() {
 	for i := range 100 {
 		_, _ = w.sendTo(fmt.Sprint("/learn/", i), true)
 	}
 }
 
 // TestLoserEnds guards against an answer that ends with the other sending of its request.
-func TestLoserEnds(t *testing.T) {
+func TestWinnerOutlivesLoser(t *testing.T) {
 	const size = 360 << 10
 	whole := func(in *peer.Inbound) {
 		_ = in.Begin(&peer.Answer{Status: 200, Length: size})
@@ -213,49 +213,49 @@
 		_ = in.Finish(nil)
 	}
 	for name, test := range map[string]struct {
-		first  func(w *distant, node string, in *peer.Inbound)
-		second func(w *distant, node string, in *peer.Inbound)
+		first  func(w *simCluster, node string, in *peer.Inbound)
+		second func(w *simCluster, node string, in *peer.Inbound)
 		winner int
 	}{
 		"the first, with an answer later": {
-			first:  func(_ *distant, _ string, in *peer.Inbound) { time.Sleep(time.Second); whole(in) },
-			second: func(_ *distant, _ string, in *peer.Inbound) { whole(in) },
+			first:  func(_ *simCluster, _ string, in *peer.Inbound) { time.Sleep(time.Second); whole(in) },
+			second: func(_ *simCluster, _ string, in *peer.Inbound) { whole(in) },
 			winner: 1,
 		},
 		"the first, whose node loses its power": {
-			first:  func(w *distant, node string, _ *peer.Inbound) { w.Host(node).PowerOff(); time.Sleep(time.Minute) },
-			second: func(_ *distant, _ string, in *peer.Inbound) { time.Sleep(10 * time.Second); whole(in) },
+			first:  func(w *simCluster, node string, _ *peer.Inbound) { w.Host(node).PowerOff(); time.Sleep(time.Minute) },
+			second: func(_ *simCluster, _ string, in *peer.Inbound) { time.Sleep(10 * time.Second); whole(in) },
 			winner: 1,
 		},
 		"the first, whose connection is reset": {
-			first: func(w *distant, node string, _ *peer.Inbound) {
+			first: func(w *simCluster, node string, _ *peer.Inbound) {
 				time.Sleep(time.Second)
 				w.Host(node).Reset()
 			},
-			second: func(_ *distant, _ string, in *peer.Inbound) { time.Sleep(2 * time.Second); whole(in) },
+			second: func(_ *simCluster, _ string, in *peer.Inbound) { time.Sleep(2 * time.Second); whole(in) },
 			winner: 1,
 		},
 		"the second, whose connection is reset": {
-			first:  func(_ *distant, _ string, in *peer.Inbound) { time.Sleep(2 * time.Second); whole(in) },
-			second: func(w *distant, node string, _ *peer.Inbound) { w.Host(node).Reset() },
+			first:  func(_ *simCluster, _ string, in *peer.Inbound) { time.Sleep(2 * time.Second); whole(in) },
+			second: func(w *simCluster, node string, _ *peer.Inbound) { w.Host(node).Reset() },
 		},
 		"the second, whose node loses its power": {
-			first:  func(_ *distant, _ string, in *peer.Inbound) { time.Sleep(10 * time.Second); whole(in) },
-			second: func(w *distant, node string, _ *peer.Inbound) { w.Host(node).PowerOff(); time.Sleep(time.Minute) },
+			first:  func(_ *simCluster, _ string, in *peer.Inbound) { time.Sleep(10 * time.Second); whole(in) },
+			second: func(w *simCluster, node string, _ *peer.Inbound) { w.Host(node).PowerOff(); time.Sleep(time.Minute) },
 		},
 		"the second, which is refused": {
-			first: func(_ *distant, _ string, in *peer.Inbound) { time.Sleep(2 * time.Second); whole(in) },
-			second: func(_ *distant, _ string, in *peer.Inbound) {
+			first: func(_ *simCluster, _ string, in *peer.Inbound) { time.Sleep(2 * time.Second); whole(in) },
+			second: func(_ *simCluster, _ string, in *peer.Inbound) {
 				in.Fail(verdict.New(verdict.Refused, nil), nil)
 			},
 		},
 		"both silent, the first answers": {
-			first: func(w *distant, node string, in *peer.Inbound) {
+			first: func(w *simCluster, node string, in *peer.Inbound) {
 				w.Host(node).Silence(1500 * time.Millisecond)
 				time.Sleep(time.Second)
 				whole(in)
 			},
-			second: func(w *distant, node string, _ *peer.Inbound) {
+			second: func(w *simCluster, node string, _ *peer.Inbound) {
 				w.Host(node).Silence(2500 * time.Millisecond)
 				time.Sleep(time.Minute)
 			},
@@ -263,9 +263,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newDistant(2, quick(), hedged(), 0)
+				w := newSimCluster(2, fastNetwork(), hedgeConfig(), 0)
 				defer w.stop()
-				w.play = func(node string, in *peer.Inbound) {
+				w.handle = func(node string, in *peer.Inbound) {
 					switch {
 					case in.Call.Target != "/":
 						answerAfter(20*time.Millisecond)(node, in)
@@ -278,7 +278,7 @@
 					}
 				}
 				time.Sleep(time.Second)
-				w.learn()
+				w.recordLatency()
 				r := w.request(true, 0)
 				result, failed := w.dispatcher.Do(context.Background(), r)
 				qt.Assert(t, failed == nil, qt.IsTrue, qt.Commentf("%v", failed))
@@ -300,7 +300,7 @@
 		silence = 1500 * time.Millisecond
 	)
 	// slowly sends a body in two halves, and has the node be silent between them.
-	slowly := func(w *distant, node string, in *peer.Inbound) {
+	slowly := func(w *simCluster, node string, in *peer.Inbound) {
 		_ = in.Begin(&peer.Answer{Status: 200, Length: size})
 		_ = in.CopyBody(bytes.NewReader(make([]byte, size/2)))
 		time.Sleep(20 * time.Millisecond)
@@ -310,13 +310,13 @@
 		_ = in.Finish(nil)
 	}
 	for name, test := range map[string]struct {
-		play    func(w *distant, node string, in *peer.Inbound)
-		sends   int
-		informs int
+		handle        func(w *simCluster, node string, in *peer.Inbound)
+		attempts      int
+		informational int
 	}{
-		"an answer has begun": {play: slowly, sends: 1},
+		"an answer has begun": {handle: slowly, attempts: 1},
 		"an informational answer has come": {
-			play: func(w *distant, node string, in *peer.Inbound) {
+			handle: func(w *simCluster, node string, in *peer.Inbound) {
 				_ = in.Inform(103, nil)
 				time.Sleep(10 * time.Millisecond)
 				w.Host(node).Silence(silence)
@@ -324,11 +324,11 @@
 				time.Sleep(silence / 2)
 				slowly(w, node, in)
 			},
-			sends:   1,
-			informs: 2,
+			attempts:      1,
+			informational: 2,
 		},
 		"on the second sending": {
-			play: func(w *distant, node string, in *peer.Inbound) {
+			handle: func(w *simCluster, node string, in *peer.Inbound) {
 				if in.Call.Try == 1 {
 					in.Fail(verdict.New(verdict.UpstreamLost, nil), nil)
 					return
@@ -337,25 +337,25 @@
 				time.Sleep(2 * silence)
 				slowly(w, node, in)
 			},
-			sends: 2,
+			attempts: 2,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				config := again()
-				config.Retry.MaxTries = test.sends
-				w := newDistant(2, quick(), config, 0)
+				config := retryConfig()
+				config.Retry.MaxTries = test.attempts
+				w := newSimCluster(2, fastNetwork(), config, 0)
 				defer w.stop()
-				w.play = func(node string, in *peer.Inbound) { test.play(w, node, in) }
+				w.handle = func(node string, in *peer.Inbound) { test.handle(w, node, in) }
 				time.Sleep(time.Second)
 				r := w.request(true, 0)
-				informs := 0
-				r.OnInformational = func(*peer.Inform) { informs++ }
+				informational := 0
+				r.OnInformational = func(*peer.Inform) { informational++ }
 				got, err := w.send(r)
 				qt.Check(t, err, qt.IsNil)
 				qt.Check(t, len(got), qt.Equals, size)
-				qt.Check(t, entry.CountAttempts(r.Steps), qt.Equals, test.sends)
-				qt.Check(t, informs, qt.Equals, test.informs)
+				qt.Check(t, entry.CountAttempts(r.Steps), qt.Equals, test.attempts)
+				qt.Check(t, informational, qt.Equals, test.informational)
 			})
 		})
 	}
--- a/entry/request.go
+++ b/entry/request.go
@@ -57,7 +57,7 @@
 }
 
 // call returns the message that sends r for the given time.
-func (r *Request) call(try int) *peer.Call {
+func (r *Request) call(attempt int) *peer.Call {
 	c := &peer.Call{
 		Service:      r.Service,
 		Class:        r.Class,
@@ -68,9 +68,9 @@
 		Header:       r.Header,
 		Remaining:    time.Until(r.Deadline),
 		Streams:      r.Spooled != nil || r.Stream != nil || len(r.Body) > MaxInlineBodyBytes,
-		Ahead:        r.ahead(),
+		Ahead:        r.sendsBodyAhead(),
 		Length:       r.Length,
-		Try:          try,
+		Try:          attempt,
 		Print:        r.Fingerprint,
 	}
 	if !c.Streams {
@@ -87,13 +87,13 @@
 
 // ahead returns whether the body may be sent before the call is admitted: if it can be sent
 // again from its start where the call is refused after all.
-func (r *Request) ahead() bool {
+func (r *Request) sendsBodyAhead() bool {
 	return r.Length > MaxInlineBodyBytes && r.Length <= peer.MaxAhead && r.Stream == nil
 }
 
 // crosses returns how many bytes of the body cross the link in their own frames, as far as
 // is known.
-func (r *Request) crosses() int64 {
+func (r *Request) bodyFrameBytes() int64 {
 	if r.Length <= MaxInlineBodyBytes {
 		return 0
 	}
@@ -101,12 +101,12 @@
 }
 
 // stream returns the body of a sending that follows the call.
-func (r *Request) stream() io.Reader {
+func (r *Request) bodyReader() io.Reader {
 	switch {
 	case r.Spooled != nil:
 		return r.Spooled.Open()
 	case r.Stream != nil:
-		return streamOf(r.Stream)
+		return nextView(r.Stream)
 	}
 	return bytes.NewReader(r.Body)
 }
@@ -128,6 +128,6 @@
 // read.
 func (r *Result) Close() {
 	if r.attempt != nil { // it is nil where another than a Dispatcher answers
-		r.attempt.end(nil)
+		r.attempt.finish(nil)
 	}
 }
--- a/entry/comeback.go
+++ b/entry/retryafter.go
@@ -12,42 +12,42 @@
 )
 
 // comeBack is what a caller is told to wait for where there is no estimate.
-const comeBack = time.Second
+const defaultRetryAfter = time.Second
 
 // final returns the failure as it goes to the caller: given up, and with a
 // time to come back.
-func final(e *verdict.Error) *verdict.Error {
+func finalError(e *verdict.Error) *verdict.Error {
 	if e.RetryAfter == 0 && e.Status() == 503 {
-		e = e.WithRetryAfter(comeBack)
+		e = e.WithRetryAfter(defaultRetryAfter)
 	}
 	return e.WithGivenUp()
 }
 
 // final returns the failure of the request as it goes to the caller.
-func (f *flight) final(e *verdict.Error) *verdict.Error {
+func (o *operation) finalError(e *verdict.Error) *verdict.Error {
 	switch {
 	case e.Cause == verdict.UpstreamRefused:
-		e = e.WithRetryAfter(retryafter.WhenShed(f.request.Objective, e.RetryAfter))
-	case f.full(e):
-		e = e.WithRetryAfter(retryafter.WhenFull(f.request.Objective, f.expected))
+		e = e.WithRetryAfter(retryafter.WhenShed(o.request.Objective, e.RetryAfter))
+	case o.lackedCapacity(e):
+		e = e.WithRetryAfter(retryafter.WhenFull(o.request.Objective, o.expectedWait))
 	}
-	return final(e)
+	return finalError(e)
 }
 
 // full returns whether the request failed as there was no room for it: the last gate said
 // so, or one before it did and the last upstream could not be reached.
-func (f *flight) full(e *verdict.Error) bool {
+func (o *operation) lackedCapacity(e *verdict.Error) bool {
 	switch e.Cause {
 	case verdict.Refused, verdict.Slowed, verdict.Draining:
 		return true
 	}
-	entry := verdict.Lookup(e.Cause)
-	return len(f.refused) > 0 && entry.Verdict == verdict.NotRun && entry.RetryElsewhere
+	info := verdict.Lookup(e.Cause)
+	return len(o.refused) > 0 && info.Verdict == verdict.NotRun && info.RetryElsewhere
 }
 
 // expect takes in the wait that a gate expects which refused the request.
-func (f *flight) expect(e *verdict.Error) {
-	if e.Cause == verdict.Refused && e.RetryAfter > 0 && (f.expected == 0 || e.RetryAfter < f.expected) {
-		f.expected = e.RetryAfter
+func (o *operation) recordExpectedWait(e *verdict.Error) {
+	if e.Cause == verdict.Refused && e.RetryAfter > 0 && (o.expectedWait == 0 || e.RetryAfter < o.expectedWait) {
+		o.expectedWait = e.RetryAfter
 	}
 }
--- a/entry/parts.go
+++ b/entry/retryshare.go
@@ -41,7 +41,7 @@
 
 // retryParts returns the part of the budget for retries that each class may spend, by
 // the rank of its urgency among the others'.
-func retryParts(config operator.Service) map[string]float64 {
+func retryShares(config operator.Service) map[string]float64 {
 	var ranks []urgency
 	for _, c := range config.Classes {
 		ranks = append(ranks, urgencyOf(c))
--- a/entry/parts_test.go
+++ b/entry/retryshare_test.go
@@ -13,7 +13,7 @@
 	"sassafrasfront.example/operator"
 )
 
-func TestRetryParts(t *testing.T) {
+func TestRetryShares(t *testing.T) {
 	class := func(name string, priority int, objective time.Duration) operator.Class {
 		return operator.Class{
 			Name:      name,
@@ -35,7 +35,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			qt.Check(t, retryParts(operator.Service{Classes: test.classes, Retry: operator.Retry{Reserve: 0.5}}), qt.DeepEquals, test.want)
+			qt.Check(t, retryShares(operator.Service{Classes: test.classes, Retry: operator.Retry{Reserve: 0.5}}), qt.DeepEquals, test.want)
 		})
 	}
 }
--- a/entry/schedule_test.go
+++ b/entry/schedule_test.go
@@ -32,30 +32,30 @@
 
 // schedule is a drawn course of requests and troubles, and what came of it.
 type schedule struct {
-	*distant
+	*simCluster
 	random   *rand.Rand
 	began    time.Time
-	requests []*drawn
-	troubles []string
+	requests []*scheduledRequest
+	faults   []string
 
-	mu       sync.Mutex
-	refuses  map[string]bool      // gates that are stopping
-	cutAt    map[string]time.Time // when a gate closed its connections
-	offAt    map[string]time.Time // when a gate lost its power
-	stops    []time.Time          // when the entry stopped
-	wakes    []time.Time          // the ends of the entry's suspensions
-	breaches []string             // of what holds for answers and runs
-	held     []string             // requests that were held beyond a bound
+	mu         sync.Mutex
+	refuses    map[string]bool      // gates that are stopping
+	cutAt      map[string]time.Time // when a gate closed its connections
+	offAt      map[string]time.Time // when a gate lost its power
+	stops      []time.Time          // when the entry stopped
+	resumes    []time.Time          // the ends of the entry's suspensions
+	violations []string             // of what holds for answers and runs
+	held       []string             // requests that were held beyond a bound
 }
 
 // drawn is a request and what came of it.
-type drawn struct {
+type scheduledRequest struct {
 	*entry.Request
 	index    int
 	start    time.Duration
 	size     int
 	slow     time.Duration // how long the body takes to come from the caller, or 0
-	allowed  time.Duration // until the deadline
+	timeout  time.Duration // until the deadline
 	queue    time.Duration // how long gates have it wait
 	work     time.Duration // how long upstreams work on it
 	answer   int           // bytes of the answer
@@ -69,31 +69,31 @@
 }
 
 // draw draws a schedule for a seed.
-func draw(seed uint64) *schedule {
+func newSchedule(seed uint64) *schedule {
 	r := rand.New(rand.NewPCG(seed, 0))
-	network := quick()
+	network := fastNetwork()
 	if r.IntN(2) == 0 {
 		network.Rate = linkRate
 	}
 	if r.IntN(3) == 0 {
 		network.Buffer = 64 << 10
 	}
-	config := hedged()
+	config := hedgeConfig()
 	config.Retry.Share = 0.5
 	s := &schedule{
-		random:  r,
-		distant: newDistant(1+r.IntN(4), network, config, 0),
-		began:   time.Now(),
-		refuses: make(map[string]bool),
-		cutAt:   make(map[string]time.Time),
-		offAt:   make(map[string]time.Time),
-	}
-	s.play = s.gate
+		random:     r,
+		simCluster: newSimCluster(1+r.IntN(4), network, config, 0),
+		began:      time.Now(),
+		refuses:    make(map[string]bool),
+		cutAt:      make(map[string]time.Time),
+		offAt:      make(map[string]time.Time),
+	}
+	s.handle = s.gate
 	for i := range 15 + r.IntN(25) {
-		s.requests = append(s.requests, s.drawRequest(i))
+		s.requests = append(s.requests, s.newRequest(i))
 	}
 	for range r.IntN(6) {
-		s.drawTrouble()
+		s.addFault()
 	}
 	return s
 }
@@ -103,11 +103,11 @@
 	return least + time.Duration(s.random.Int64N(int64(most-least)))
 }
 
-func (s *schedule) drawRequest(i int) *drawn {
-	d := &drawn{
+func (s *schedule) newRequest(i int) *scheduledRequest {
+	d := &scheduledRequest{
 		index:   i,
 		start:   s.between(time.Second, 7*time.Second),
-		allowed: s.between(time.Second, 12*time.Second),
+		timeout: s.between(time.Second, 12*time.Second),
 		work:    s.between(50*time.Millisecond, 3*time.Second),
 	}
 	switch s.random.IntN(6) {
@@ -133,7 +133,7 @@
 }
 
 // drawTrouble draws something that happens in the schedule's course.
-func (s *schedule) drawTrouble() {
+func (s *schedule) addFault() {
 	at := s.between(time.Second, 8*time.Second)
 	i := s.random.IntN(len(s.gates))
 	host, name := s.gates[i], fmt.Sprint("gate", i)
@@ -144,55 +144,55 @@
 	silence := s.between(100*time.Millisecond, 5*time.Second)
 	suspension := s.between(100*time.Millisecond, 2*time.Second)
 	times := 1 + s.random.IntN(4)
-	var what string
-	var do func()
+	var description string
+	var inject func()
 	switch s.random.IntN(10) {
 	case 0, 1, 2:
-		what, do = fmt.Sprintf("%s is silent for %v", name, silence), func() { host.Silence(silence) }
+		description, inject = fmt.Sprintf("%s is silent for %v", name, silence), func() { host.Silence(silence) }
 	case 3:
-		what, do = fmt.Sprintf("%s sends nothing for %v", name, silence), func() { host.SilenceUp(silence) }
+		description, inject = fmt.Sprintf("%s sends nothing for %v", name, silence), func() { host.SilenceUp(silence) }
 	case 4:
-		what, do = fmt.Sprintf("%s loses packets, %d times each", name, times), func() { host.Lose(times) }
+		description, inject = fmt.Sprintf("%s loses packets, %d times each", name, times), func() { host.Lose(times) }
 	case 5:
-		what, do = fmt.Sprintf("%s is suspended for %v", name, suspension), func() {
+		description, inject = fmt.Sprintf("%s is suspended for %v", name, suspension), func() {
 			host.Suspend(suspension)
 			if name == "entry" {
-				s.note(func() { s.wakes = append(s.wakes, time.Now().Add(suspension)) })
+				s.locked(func() { s.resumes = append(s.resumes, time.Now().Add(suspension)) })
 			}
 		}
 	case 6:
-		what, do = name+" resets its connections", host.Reset
+		description, inject = name+" resets its connections", host.Reset
 	case 7:
-		what, do = gate+" loses its power", func() {
+		description, inject = gate+" loses its power", func() {
 			s.Host(gate).PowerOff()
-			s.note(func() { first(s.offAt, gate) })
+			s.locked(func() { recordFirst(s.offAt, gate) })
 		}
 	case 8:
-		what, do = gate+" stops", func() {
-			s.note(func() { s.refuses[gate] = true })
+		description, inject = gate+" stops", func() {
+			s.locked(func() { s.refuses[gate] = true })
 			time.Sleep(2500 * time.Millisecond)
-			s.note(func() { first(s.cutAt, gate) })
+			s.locked(func() { recordFirst(s.cutAt, gate) })
 			s.cutGate[i]()
 		}
 	case 9:
-		what, do = "the entry stops", func() {
-			s.note(func() { s.stops = append(s.stops, time.Now()) })
+		description, inject = "the entry stops", func() {
+			s.locked(func() { s.stops = append(s.stops, time.Now()) })
 			s.dispatcher.Close()
 		}
 	}
-	s.troubles = append(s.troubles, fmt.Sprint(at, " ", what))
-	time.AfterFunc(at, do)
+	s.faults = append(s.faults, fmt.Sprint(at, " ", description))
+	time.AfterFunc(at, inject)
 }
 
 // first keeps when something first happens to a node.
-func first(times map[string]time.Time, node string) {
+func recordFirst(times map[string]time.Time, node string) {
 	if times[node].IsZero() {
 		times[node] = time.Now()
 	}
 }
 
 // note calls f with the lock held.
-func (s *schedule) note(f func()) {
+func (s *schedule) locked(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f()
@@ -253,7 +253,7 @@
 		in.Fail(verdict.New(verdict.Revoked, err), nil)
 		return
 	}
-	s.note(func() {
+	s.locked(func() {
 		if s.offAt[node].IsZero() {
 			d.runs = append(d.runs, node)
 		}
@@ -293,7 +293,7 @@
 }
 
 // send sends a drawn request and keeps what came of it.
-func (s *schedule) send(d *drawn) {
+func (s *schedule) send(d *scheduledRequest) {
 	time.Sleep(d.start)
 	s.mu.Lock()
 	stopped := len(s.stops) > 0
@@ -307,7 +307,7 @@
 		d.Body = nil
 	}
 	d.sent = time.Now()
-	d.Deadline = d.sent.Add(d.allowed)
+	d.Deadline = d.sent.Add(d.timeout)
 	result, failed := s.dispatcher.Do(context.Background(), d.Request)
 	if failed != nil {
 		d.ended = time.Now()
@@ -331,17 +331,17 @@
 }
 
 // fail keeps a breach of what holds for answers and runs.
-func (s *schedule) fail(d *drawn, format string, args ...any) {
-	s.note(func() { s.breaches = append(s.breaches, d.Target+" "+fmt.Sprintf(format, args...)) })
+func (s *schedule) fail(d *scheduledRequest, format string, args ...any) {
+	s.locked(func() { s.violations = append(s.violations, d.Target+" "+fmt.Sprintf(format, args...)) })
 }
 
 // hold keeps that a request was held beyond a bound.
-func (s *schedule) hold(d *drawn, format string, args ...any) {
-	s.note(func() { s.held = append(s.held, d.Target+" "+fmt.Sprintf(format, args...)) })
+func (s *schedule) hold(d *scheduledRequest, format string, args ...any) {
+	s.locked(func() { s.held = append(s.held, d.Target+" "+fmt.Sprintf(format, args...)) })
 }
 
 // check looks for breaches once all is over.
-func (s *schedule) check(d *drawn) {
+func (s *schedule) check(d *scheduledRequest) {
 	if d.sent.IsZero() {
 		return
 	}
@@ -378,7 +378,7 @@
 }
 
 // proven returns whether a node that had the request was known to be lost when it ended.
-func (s *schedule) proven(d *drawn) bool {
+func (s *schedule) proven(d *scheduledRequest) bool {
 	if slices.ContainsFunc(s.stops, d.ended.Equal) {
 		return true
 	}
@@ -399,7 +399,7 @@
 }
 
 // checkHeld looks for a request that was held too long once all is over.
-func (s *schedule) checkHeld(d *drawn) {
+func (s *schedule) checkHeld(d *scheduledRequest) {
 	if d.sent.IsZero() {
 		return
 	}
@@ -421,12 +421,12 @@
 			continue
 		}
 		bound := d.sent.Add(step.After)
-		for _, at := range append(s.wakes, s.offAt[step.Node], s.entry.Heard(s.Host(step.Node))) {
+		for _, at := range append(s.resumes, s.offAt[step.Node], s.entry.Heard(s.Host(step.Node))) {
 			if at.After(bound) {
 				bound = at
 			}
 		}
-		bound = bound.Add(linkLoss)
+		bound = bound.Add(linkLossTime)
 		ended := d.ended
 		if d.answered && d.by != step.Node {
 			ended = d.began
@@ -444,7 +444,7 @@
 }
 
 // begun returns whether a step is a sending for which there was a connection.
-func (d *drawn) begun(i int) bool {
+func (d *scheduledRequest) begun(i int) bool {
 	if d.Steps[i].Event != entry.EventSent {
 		return false
 	}
@@ -460,15 +460,15 @@
 func (s *schedule) String() string {
 	b := new(strings.Builder)
 	fmt.Fprintf(b, "%d gates, rate %v, buffer %d\n", len(s.gates), s.Rate, s.Buffer)
-	for _, trouble := range s.troubles {
-		fmt.Fprintln(b, trouble)
+	for _, fault := range s.faults {
+		fmt.Fprintln(b, fault)
 	}
 	for _, d := range s.requests {
 		if d.sent.IsZero() {
 			continue
 		}
 		fmt.Fprintf(b, "%s at %v for %v until %v, idempotent %v, %d bytes in %v, queue %v, work %v, answer %d: ended %v, answered %v, %v, runs %v\n",
-			d.Target, d.sent.Sub(s.began), d.allowed, d.Deadline.Sub(s.began), d.Idempotent, d.size, d.slow, d.queue, d.work, d.answer, d.ended.Sub(s.began), d.answered, d.failure, d.runs)
+			d.Target, d.sent.Sub(s.began), d.timeout, d.Deadline.Sub(s.began), d.Idempotent, d.size, d.slow, d.queue, d.work, d.answer, d.ended.Sub(s.began), d.answered, d.failure, d.runs)
 		for _, step := range d.Steps {
 			fmt.Fprintf(b, "    %v %s %s %s %v\n", d.sent.Sub(s.began)+step.After, step.Event, step.Node, step.Cause, step.Err)
 		}
@@ -483,11 +483,11 @@
 // "held" guards against callers that are held beyond their deadline or the entry's stop, or by
 // an instance without power.
 func TestSchedules(t *testing.T) {
-	var breaches, held []string
+	var violations, held []string
 	for i := range *schedules {
 		seed := *firstSeed + uint64(i)
 		synctest.Test(t, func(t *testing.T) {
-			s := draw(seed)
+			s := newSchedule(seed)
 			defer s.stop()
 			var all sync.WaitGroup
 			for _, d := range s.requests {
@@ -500,8 +500,8 @@
 				s.check(d)
 				s.checkHeld(d)
 			}
-			for _, b := range s.breaches {
-				breaches = append(breaches, fmt.Sprintf("seed %d: %s", seed, b))
+			for _, b := range s.violations {
+				violations = append(violations, fmt.Sprintf("seed %d: %s", seed, b))
 			}
 			for _, h := range s.held {
 				held = append(held, fmt.Sprintf("seed %d: %s", seed, h))
@@ -511,7 +511,7 @@
 			}
 		})
 	}
-	for name, list := range map[string][]string{"answers": breaches, "held": held} {
+	for name, list := range map[string][]string{"answers": violations, "held": held} {
 		t.Run(name, func(t *testing.T) {
 			for _, what := range list {
 				t.Error(what)
--- a/entry/silentlink_test.go
+++ b/entry/silentlink_test.go
@@ -40,19 +40,19 @@
 )
 
 // distant is an entry and gates on a played network, which run on the clock of the bubble.
-type distant struct {
+type simCluster struct {
 	*playnet.Network
 	dispatcher *entry.Dispatcher
 	entry      *playnet.Host
 	gates      []*playnet.Host
-	dials      dials
+	dials      connCounter
 	stop       func()
 	// cutGate has a gate close its listener and its connections.
 	cutGate []func()
 
 	// play, if not nil, plays the gates and their upstreams in place of run. It is set before
 	// the first request.
-	play func(node string, in *peer.Inbound)
+	handle func(node string, in *peer.Inbound)
 
 	mu    sync.Mutex
 	runs  map[string]int // calls that upstreams have begun to run, by node
@@ -68,14 +68,14 @@
 
 // newDistant starts an entry and n gates on a network, whose upstreams take linkWork for each
 // call and answer with the given number of bytes.
-func newDistant(n int, network *playnet.Network, config operator.Service, answer int) *distant {
+func newSimCluster(n int, network *playnet.Network, config operator.Service, answer int) *simCluster {
 	limits := peer.Limits{Silence: linkSilence, Handshake: linkHandshake}
-	return newDistantWithin(limits, n, network, config, answer)
+	return newSimClusterWithin(limits, n, network, config, answer)
 }
 
 // newDistantWithin is newDistant with bounds on the entry's connections.
-func newDistantWithin(limits peer.Limits, n int, network *playnet.Network, config operator.Service, answer int) *distant {
-	w := &distant{
+func newSimClusterWithin(limits peer.Limits, n int, network *playnet.Network, config operator.Service, answer int) *simCluster {
+	w := &simCluster{
 		Network: network,
 		entry:   network.Host("entry"),
 		runs:    make(map[string]int),
@@ -95,9 +95,9 @@
 			Hello:  peer.Hello{Node: addr},
 			Limits: peer.Limits{Silence: linkSilence, Handshake: linkHandshake, UnderWay: linkUnderWay},
 			Call: func(in *peer.Inbound) {
-				w.arrived(addr, in)
-				if w.play != nil {
-					w.play(addr, in)
+				w.recordArrival(addr, in)
+				if w.handle != nil {
+					w.handle(addr, in)
 					return
 				}
 				w.run(addr, in, answer)
@@ -124,7 +124,7 @@
 }
 
 // addStop has f called by stop, before what was added earlier.
-func (w *distant) addStop(f func()) {
+func (w *simCluster) addStop(f func()) {
 	earlier := w.stop
 	w.stop = func() {
 		f()
@@ -135,7 +135,7 @@
 }
 
 // arrived notes a call that has come to a gate.
-func (w *distant) arrived(node string, in *peer.Inbound) {
+func (w *simCluster) recordArrival(node string, in *peer.Inbound) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.calls = append(w.calls, arrival{
@@ -146,7 +146,7 @@
 }
 
 // callsOf returns the calls that have come for a target, in order.
-func (w *distant) callsOf(target string) (list []arrival) {
+func (w *simCluster) callsOf(target string) (list []arrival) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, a := range w.calls {
@@ -158,7 +158,7 @@
 }
 
 // run plays a gate and its upstream, which works on to its end whatever becomes of the call.
-func (w *distant) run(node string, in *peer.Inbound, answer int) {
+func (w *simCluster) run(node string, in *peer.Inbound, answer int) {
 	if in.Call.Ahead {
 		if _, err := in.Receive(in.Context()); err != nil {
 			return
@@ -189,7 +189,7 @@
 }
 
 // ran returns how many runs there have been, and how many calls ended before their answer.
-func (w *distant) ran() (runs, cut int) {
+func (w *simCluster) ran() (runs, cut int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, n := range w.runs {
@@ -199,7 +199,7 @@
 }
 
 // request returns a request with a body of the given size.
-func (w *distant) request(idempotent bool, size int) *entry.Request {
+func (w *simCluster) request(idempotent bool, size int) *entry.Request {
 	return &entry.Request{
 		Service:    "service",
 		Method:     "X",
@@ -212,7 +212,7 @@
 }
 
 // send sends a request and reads its answer to the end.
-func (w *distant) send(r *entry.Request) (string, error) {
+func (w *simCluster) send(r *entry.Request) (string, error) {
 	result, failed := w.dispatcher.Do(context.Background(), r)
 	if failed != nil {
 		return "", failed
@@ -223,20 +223,20 @@
 }
 
 // once is the configuration of a service whose requests are sent to one upstream only.
-func once() operator.Service {
+func noRetryConfig() operator.Service {
 	return operator.Service{Retry: operator.Retry{MaxTries: 1, Share: 1e-9, Burst: 1e-9}}
 }
 
 // overLink sends one request that can't be sent elsewhere, idempotent or not, has trouble come
 // while its upstream works, and checks that it ends with the upstream's answer.
-func overLink(t *testing.T, trouble func(w *distant)) {
+func testFaultDuringRequest(t *testing.T, fault func(w *simCluster)) {
 	for name, idempotent := range map[string]bool{"idempotent": true, "not idempotent": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newDistant(1, &playnet.Network{Delay: time.Millisecond, Window: linkWindow, Timeout: linkTimeout}, once(), 0)
+				w := newSimCluster(1, &playnet.Network{Delay: time.Millisecond, Window: linkWindow, Timeout: linkTimeout}, noRetryConfig(), 0)
 				defer w.stop()
 				time.Sleep(time.Second)
-				time.AfterFunc(100*time.Millisecond, func() { trouble(w) })
+				time.AfterFunc(100*time.Millisecond, func() { fault(w) })
 				got, err := w.send(w.request(idempotent, 0))
 				qt.Check(t, err, qt.IsNil)
 				qt.Check(t, got, qt.Equals, "gate0")
@@ -253,32 +253,32 @@
 // upstreams work on them, because a link or a process was silent for longer than
 // Limits.Silence.
 func TestAnswerOverSilentLink(t *testing.T) {
-	for name, trouble := range map[string]func(w *distant){
-		"both ways for 0.7 s":            func(w *distant) { w.gates[0].Silence(700 * time.Millisecond) },
-		"both ways for 1 s":              func(w *distant) { w.gates[0].Silence(time.Second) },
-		"both ways for 2 s":              func(w *distant) { w.gates[0].Silence(2 * time.Second) },
-		"from the gate for 0.7 s":        func(w *distant) { w.gates[0].SilenceUp(700 * time.Millisecond) },
-		"from the gate for 1 s":          func(w *distant) { w.gates[0].SilenceUp(time.Second) },
-		"from the gate for 2 s":          func(w *distant) { w.gates[0].SilenceUp(2 * time.Second) },
-		"at the entry for 2 s":           func(w *distant) { w.entry.Silence(2 * time.Second) },
-		"a packet is lost three times":   func(w *distant) { w.gates[0].Lose(3) },
-		"gate's process suspended":       func(w *distant) { w.gates[0].Suspend(time.Second) },
-		"entry late by 0.8 s":            func(w *distant) { w.entry.Suspend(800 * time.Millisecond) },
-		"entry late by 1 s":              func(w *distant) { w.entry.Suspend(time.Second) },
-		"bytes due with the second look": func(w *distant) { w.entry.Suspend(linkSilence*5/4 - 100*time.Millisecond) },
+	for name, fault := range map[string]func(w *simCluster){
+		"both ways for 0.7 s":            func(w *simCluster) { w.gates[0].Silence(700 * time.Millisecond) },
+		"both ways for 1 s":              func(w *simCluster) { w.gates[0].Silence(time.Second) },
+		"both ways for 2 s":              func(w *simCluster) { w.gates[0].Silence(2 * time.Second) },
+		"from the gate for 0.7 s":        func(w *simCluster) { w.gates[0].SilenceUp(700 * time.Millisecond) },
+		"from the gate for 1 s":          func(w *simCluster) { w.gates[0].SilenceUp(time.Second) },
+		"from the gate for 2 s":          func(w *simCluster) { w.gates[0].SilenceUp(2 * time.Second) },
+		"at the entry for 2 s":           func(w *simCluster) { w.entry.Silence(2 * time.Second) },
+		"a packet is lost three times":   func(w *simCluster) { w.gates[0].Lose(3) },
+		"gate's process suspended":       func(w *simCluster) { w.gates[0].Suspend(time.Second) },
+		"entry late by 0.8 s":            func(w *simCluster) { w.entry.Suspend(800 * time.Millisecond) },
+		"entry late by 1 s":              func(w *simCluster) { w.entry.Suspend(time.Second) },
+		"bytes due with the second look": func(w *simCluster) { w.entry.Suspend(linkSilence*5/4 - 100*time.Millisecond) },
 	} {
-		t.Run(name, func(t *testing.T) { overLink(t, trouble) })
+		t.Run(name, func(t *testing.T) { testFaultDuringRequest(t, fault) })
 	}
 }
 
 // TestAnswerOverShortSilence guards against requests that are answered with 502 while their
 // upstreams work on them, because of a silence that is no longer than Limits.Silence.
 func TestAnswerOverShortSilence(t *testing.T) {
-	for name, trouble := range map[string]func(w *distant){
-		"a packet is lost":              func(w *distant) { w.gates[0].Lose(1) },
-		"bytes due with the first look": func(w *distant) { w.entry.Suspend(linkSilence - 100*time.Millisecond) },
+	for name, fault := range map[string]func(w *simCluster){
+		"a packet is lost":              func(w *simCluster) { w.gates[0].Lose(1) },
+		"bytes due with the first look": func(w *simCluster) { w.entry.Suspend(linkSilence - 100*time.Millisecond) },
 	} {
-		t.Run(name, func(t *testing.T) { overLink(t, trouble) })
+		t.Run(name, func(t *testing.T) { testFaultDuringRequest(t, fault) })
 	}
 }
 
@@ -301,19 +301,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newDistant(test.gates, &playnet.Network{Rate: linkRate, Delay: time.Millisecond, Window: linkWindow, Timeout: linkTimeout}, once(), test.answer)
+				w := newSimCluster(test.gates, &playnet.Network{Rate: linkRate, Delay: time.Millisecond, Window: linkWindow, Timeout: linkTimeout}, noRetryConfig(), test.answer)
 				defer w.stop()
 				time.Sleep(time.Second)
 				var requests sync.WaitGroup
-				one := func(size int, idempotent bool) {
+				sendOne := func(size int, idempotent bool) {
 					_, err := w.send(w.request(idempotent, size))
 					qt.Check(t, err, qt.IsNil)
 				}
 				for range test.bodies {
-					requests.Go(func() { one(size, false) })
+					requests.Go(func() { sendOne(size, false) })
 				}
 				for i := range 16 {
-					requests.Go(func() { one(0, i%2 == 0) })
+					requests.Go(func() { sendOne(0, i%2 == 0) })
 				}
 				requests.Wait()
 				runs, cut := w.ran()
--- a/entry/deadagain_test.go
+++ b/entry/silentnode_test.go
@@ -22,12 +22,12 @@
 	for _, gates := range []int{2, 6} {
 		t.Run(fmt.Sprint(gates, " gates"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newDistant(gates, quick(), again(), 0)
+				w := newSimCluster(gates, fastNetwork(), retryConfig(), 0)
 				defer w.stop()
-				off := ""
-				w.play = func(node string, in *peer.Inbound) {
-					if off == "" && in.Call.Target == "/first" {
-						off = node
+				dead := ""
+				w.handle = func(node string, in *peer.Inbound) {
+					if dead == "" && in.Call.Target == "/first" {
+						dead = node
 						w.Host(node).PowerOff()
 						return
 					}
--- a/entry/kept_test.go
+++ b/entry/spooled_test.go
@@ -21,13 +21,13 @@
 )
 
 // receiving plays a gate that receives the body, and then does what play does.
-func receiving(p play) play {
+func receiving(f gateFunc) gateFunc {
 	return func(in *peer.Inbound) {
 		if _, err := in.Receive(in.Context()); err != nil {
 			in.Fail(verdict.New(verdict.Revoked, err), nil)
 			return
 		}
-		p(in)
+		f(in)
 	}
 }
 
@@ -42,23 +42,23 @@
 // TestKeptBody sends a body that comes in bit by bit to gates that refuse it before its end
 // or with all of it there. It is sent elsewhere from its start, whole, and only as long as
 // it is certain that it has not run.
-func TestKeptBody(t *testing.T) {
+func TestSpooledBody(t *testing.T) {
 	tests := map[string]struct {
-		plays []play
-		want  verdict.Cause
-		calls int
+		handlers []gateFunc
+		want     verdict.Cause
+		calls    int
 	}{
-		"answered":                      {plays: []play{receiving(echo)}, calls: 1},
-		"refused at once":               {plays: []play{fail(verdict.Refused), receiving(echo)}, calls: 2},
-		"refused with the body there":   {plays: []play{receiving(fail(verdict.Refused)), receiving(echo)}, calls: 2},
-		"refused while the body comes":  {plays: []play{func(in *peer.Inbound) { time.Sleep(5 * time.Millisecond); fail(verdict.Refused)(in) }, receiving(echo)}, calls: 2},
-		"lost with the body there":      {plays: []play{receiving(fail(verdict.UpstreamLost)), receiving(echo)}, want: verdict.UpstreamLost, calls: 1},
-		"drained with the body there":   {plays: []play{receiving(fail(verdict.Draining)), receiving(fail(verdict.Refused)), receiving(echo)}, calls: 3},
-		"all refuse with it half there": {plays: []play{fail(verdict.Refused)}, want: verdict.Refused, calls: 3},
+		"answered":                      {handlers: []gateFunc{receiving(echo)}, calls: 1},
+		"refused at once":               {handlers: []gateFunc{fail(verdict.Refused), receiving(echo)}, calls: 2},
+		"refused with the body there":   {handlers: []gateFunc{receiving(fail(verdict.Refused)), receiving(echo)}, calls: 2},
+		"refused while the body comes":  {handlers: []gateFunc{func(in *peer.Inbound) { time.Sleep(5 * time.Millisecond); fail(verdict.Refused)(in) }, receiving(echo)}, calls: 2},
+		"lost with the body there":      {handlers: []gateFunc{receiving(fail(verdict.UpstreamLost)), receiving(echo)}, want: verdict.UpstreamLost, calls: 1},
+		"drained with the body there":   {handlers: []gateFunc{receiving(fail(verdict.Draining)), receiving(fail(verdict.Refused)), receiving(echo)}, calls: 3},
+		"all refuse with it half there": {handlers: []gateFunc{fail(verdict.Refused)}, want: verdict.Refused, calls: 3},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			d, g := dispatcher(t, operator.Service{Retry: operator.Retry{MaxTries: 3, Share: 0.1, Burst: 5}}, 3, test.plays...)
+			d, g := newDispatcher(t, operator.Service{Retry: operator.Retry{MaxTries: 3, Share: 0.1, Burst: 5}}, 3, test.handlers...)
 			data := bytes.Repeat([]byte("0123456789abcdef"), 5000)
 			reader, writer := io.Pipe()
 			go func() {
--- a/entry/stalled_test.go
+++ b/entry/stalled_test.go
@@ -20,20 +20,20 @@
 
 // TestSecondSendingRefused guards against callers that wait for the proof that an instance is
 // lost, because the one gate that their requests were sent to meanwhile had no room.
-func TestSecondSendingRefused(t *testing.T) {
-	for name, trouble := range map[string]func(h *playnet.Host){
+func TestRetryAfterRefusedRetry(t *testing.T) {
+	for name, fault := range map[string]func(h *playnet.Host){
 		"instance without power": func(h *playnet.Host) { h.PowerOff() },
 		"silent for 2 s":         func(h *playnet.Host) { h.Silence(2 * time.Second) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newDistant(4, quick(), again(), 0)
+				w := newSimCluster(4, fastNetwork(), retryConfig(), 0)
 				defer w.stop()
 				var calls atomic.Int32
-				w.play = func(node string, in *peer.Inbound) {
+				w.handle = func(node string, in *peer.Inbound) {
 					switch calls.Add(1) {
 					case 1:
-						trouble(w.Host(node))
+						fault(w.Host(node))
 						<-in.Context().Done()
 					case 2:
 						in.Fail(verdict.New(verdict.Refused, nil), nil)
@@ -48,7 +48,7 @@
 				_, err := w.send(r)
 				qt.Check(t, err, qt.IsNil)
 				took := time.Since(began)
-				qt.Check(t, took <= linkSilence+linkLook+50*time.Millisecond, qt.IsTrue, qt.Commentf("answered after %v", took))
+				qt.Check(t, took <= linkSilence+linkCheckInterval+50*time.Millisecond, qt.IsTrue, qt.Commentf("answered after %v", took))
 				time.Sleep(time.Minute)
 			})
 		})
@@ -57,12 +57,12 @@
 
 // TestAnswerWhileSecondSendingIsOpened guards against answers that are held back while the
 // connection for a second sending is being opened.
-func TestAnswerWhileSecondSendingIsOpened(t *testing.T) {
+func TestAnswerDuringRetryDial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newDistant(2, quick(), again(), 0)
+		w := newSimCluster(2, fastNetwork(), retryConfig(), 0)
 		defer w.stop()
 		at := make(map[string]string)
-		w.play = func(node string, in *peer.Inbound) {
+		w.handle = func(node string, in *peer.Inbound) {
 			w.mu.Lock()
 			if at[in.Call.Target] == "" {
 				at[in.Call.Target] = node
@@ -99,9 +99,9 @@
 // drain is over, and whose runs are cut soon after.
 func TestNothingSentAfterClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newDistant(2, quick(), again(), 0)
+		w := newSimCluster(2, fastNetwork(), retryConfig(), 0)
 		defer w.stop()
-		w.play = func(node string, in *peer.Inbound) { <-in.Context().Done() }
+		w.handle = func(node string, in *peer.Inbound) { <-in.Context().Done() }
 		time.Sleep(time.Second)
 		var all sync.WaitGroup
 		all.Go(func() {
--- a/entry/step.go
+++ b/entry/step.go
@@ -57,26 +57,26 @@
 const maxSteps = 24
 
 // note keeps a step.
-func (f *flight) note(s Step) {
-	if len(f.request.Steps) < maxSteps {
-		s.After = time.Since(f.began)
-		f.request.Steps = append(f.request.Steps, s)
+func (o *operation) recordStep(s Step) {
+	if len(o.request.Steps) < maxSteps {
+		s.After = time.Since(o.startedAt)
+		o.request.Steps = append(o.request.Steps, s)
 	}
 }
 
 // unanswered returns what is known of the sending that was begun first, when the request's time is
 // over.
-func (f *flight) unanswered() error {
-	if len(f.open) == 0 {
+func (o *operation) openAttemptsError() error {
+	if len(o.open) == 0 {
 		return nil
 	}
-	a := f.open[0]
+	a := o.open[0]
 	return fmt.Errorf("%d sendings open, the first for %v, its node heard %v ago",
-		len(f.open), time.Since(a.began).Round(time.Millisecond), a.exchange.Heard().Round(time.Millisecond))
+		len(o.open), time.Since(a.startedAt).Round(time.Millisecond), a.exchange.Heard().Round(time.Millisecond))
 }
 
 // did keeps a step that the Dispatcher's owner is told of as well.
-func (f *flight) did(e Event) {
-	f.dispatcher.event(f.service.Name, e)
-	f.note(Step{Event: e})
+func (o *operation) recordEvent(e Event) {
+	o.dispatcher.emit(o.service.Name, e)
+	o.recordStep(Step{Event: e})
 }
--- a/entry/stop.go
+++ b/entry/stop.go
@@ -13,14 +13,14 @@
 )
 
 // stopping says whether a Dispatcher has been stopped. The zero value says that it has not.
-type stopping struct {
+type stopSignal struct {
 	mu      sync.Mutex
 	stopped chan struct{}
 	once    sync.Once
 }
 
 // done returns a channel that is closed once the Dispatcher has been stopped.
-func (s *stopping) done() chan struct{} {
+func (s *stopSignal) done() chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.stopped == nil {
@@ -38,7 +38,7 @@
 
 // stopped returns the failure of a sending that a stopped Dispatcher is to make, or nil if
 // it is not stopped.
-func (d *Dispatcher) stopped() *verdict.Error {
+func (d *Dispatcher) stopError() *verdict.Error {
 	select {
 	case <-d.stopping.done():
 		return verdict.New(verdict.NotSent, errStopped)
@@ -48,9 +48,9 @@
 }
 
 // withdraw takes the open sendings back as far as they wait at their gates.
-func (f *flight) withdraw() {
-	f.stopping = nil // once
-	for _, a := range f.open {
+func (o *operation) revokeOpen() {
+	o.stopping = nil // once
+	for _, a := range o.open {
 		a.exchange.Revoke()
 	}
 }
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -14,7 +14,7 @@
 )
 
 // errTakenBack is the failure of a sending that has lost its right to the body.
-var errTakenBack = eris.New("the body belongs to a later sending")
+var errBodyReassigned = eris.New("the body belongs to a later sending")
 
 // onceReader is a body that one sending only may read. Each sending gets a view
 // of it. Until one of them has begun to read, the right can be taken from it and
@@ -22,9 +22,9 @@
 type onceReader struct {
 	body io.Reader
 
-	mu      sync.Mutex
-	sending int // the one that has the right
-	begun   bool
+	mu          sync.Mutex
+	owner       int // the one that has the right
+	readStarted bool
 }
 
 // Once returns a reader for Request.Stream. It lets the Dispatcher know whether
@@ -40,36 +40,36 @@
 	defer r.mu.Unlock()
 	return &bodyView{
 		once:    r,
-		sending: r.sending,
+		attempt: r.owner,
 	}
 }
 
 // takeBack takes the right from the present sending, and returns whether that
 // has not begun to read.
-func (r *onceReader) takeBack() bool {
+func (r *onceReader) reassign() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.begun {
+	if r.readStarted {
 		return false
 	}
-	r.sending++
+	r.owner++
 	return true
 }
 
 // bodyView is the body as one sending has it. It implements peer.Trailered.
 type bodyView struct {
 	once    *onceReader
-	sending int
+	attempt int
 }
 
 // Read implements io.Reader.
 func (v *bodyView) Read(p []byte) (int, error) {
 	v.once.mu.Lock()
-	mine := v.sending == v.once.sending
-	v.once.begun = v.once.begun || mine
+	owned := v.attempt == v.once.owner
+	v.once.readStarted = v.once.readStarted || owned
 	v.once.mu.Unlock()
-	if !mine {
-		return 0, errTakenBack
+	if !owned {
+		return 0, errBodyReassigned
 	}
 	return v.once.body.Read(p)
 }
@@ -83,7 +83,7 @@
 }
 
 // streamOf returns the body for the next sending of a request.
-func streamOf(body io.Reader) io.Reader {
+func nextView(body io.Reader) io.Reader {
 	if r, ok := body.(*onceReader); ok {
 		return r.view()
 	}
--- a/entry/stream_test.go
+++ b/entry/stream_test.go
@@ -14,17 +14,17 @@
 
 // TestBodyBelongsToOneSending has a first sending come late to the body, after
 // the request has been found fit to be sent again.
-func TestBodyBelongsToOneSending(t *testing.T) {
+func TestBodyBelongsToOneAttempt(t *testing.T) {
 	body := ReadOnce(strings.NewReader("whole"))
-	f := &flight{request: &Request{Stream: body}}
-	first := streamOf(body)
-	qt.Assert(t, f.repeatable(), qt.IsTrue)
-	second := streamOf(body)
+	o := &operation{request: &Request{Stream: body}}
+	first := nextView(body)
+	qt.Assert(t, o.canResendBody(), qt.IsTrue)
+	second := nextView(body)
 	n, err := first.Read(make([]byte, 2))
 	qt.Check(t, n, qt.Equals, 0)
 	qt.Check(t, err, qt.IsNotNil)
 	data, err := io.ReadAll(second)
 	qt.Check(t, err, qt.IsNil)
 	qt.Check(t, string(data), qt.Equals, "whole")
-	qt.Check(t, f.repeatable(), qt.IsFalse)
+	qt.Check(t, o.canResendBody(), qt.IsFalse)
 }
--- a/entry/subset_test.go
+++ b/entry/subset_test.go
@@ -28,7 +28,7 @@
 		want    int
 	}{
 		"few":  {8, 8},
-		"many": {60, subsetNear + subsetFar},
+		"many": {60, subsetInZone + subsetOutOfZone},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -50,7 +50,7 @@
 			count[id]++
 		}
 	}
-	const mean = subsetNear + subsetFar
+	const mean = subsetInZone + subsetOutOfZone
 	for _, m := range list {
 		qt.Check(t, 3*count[m.ID] >= mean && count[m.ID] <= 2*mean, qt.IsTrue, qt.Commentf("%s is in %d", m.ID, count[m.ID]))
 	}
@@ -61,19 +61,19 @@
 	list := members(60)
 	before := subset("m0", "z0", list)
 	after := subset("m0", "z0", list[:59])
-	var gone int
+	var lost int
 	for id := range before {
 		if !after[id] {
-			gone++
+			lost++
 		}
 	}
-	qt.Check(t, gone <= 1, qt.IsTrue)
+	qt.Check(t, lost <= 1, qt.IsTrue)
 }
 
 // TestSubsetOfASmallZone has a zone with few members of its own: a node there sends to
 // more of the others.
-func TestSubsetOfASmallZone(t *testing.T) {
-	for name, near := range map[string]int{"none": 0, "two": 2, "as many as are needed": subsetNear} {
+func TestSubsetOfSmallZone(t *testing.T) {
+	for name, near := range map[string]int{"none": 0, "two": 2, "as many as are needed": subsetInZone} {
 		t.Run(name, func(t *testing.T) {
 			list := members(60)
 			for i := range list {
@@ -83,7 +83,7 @@
 				}
 			}
 			got := subset("n", "near", list)
-			qt.Check(t, len(got), qt.Equals, subsetNear+subsetFar)
+			qt.Check(t, len(got), qt.Equals, subsetInZone+subsetOutOfZone)
 			for _, m := range list[:near] {
 				qt.Check(t, got[m.ID], qt.IsTrue)
 			}
@@ -92,14 +92,14 @@
 }
 
 // BenchmarkBuild times the taking in of a change of one member of a service.
-func BenchmarkBuild(b *testing.B) {
+func BenchmarkBuildService(b *testing.B) {
 	for _, n := range []int{12, 100, 1000, 6000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			d := &Dispatcher{Hello: peer.Hello{Node: "m0", Zone: "z0"}}
 			list := members(n)
 			for b.Loop() {
 				s := &Service{Name: "s", Members: slices.Clone(list)}
-				d.services.Store(&map[string]*service{"s": d.build(d.load()["s"], s)})
+				d.services.Store(&map[string]*service{"s": d.buildService(d.currentServices()["s"], s)})
 			}
 		})
 	}
