--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -15,16 +15,17 @@
 	"sassafrasfront.example/verdict"
 )
 
-// attempt is one sending of a request.
+// attempt is one attempt to have a request served by an upstream.
 type attempt struct {
 	assignment *route.Assignment[string]
 	member     Member
 	exchange   *peer.Exchange
 	startedAt  time.Time
-	silent     bool // whether the member's node has been silent for long
+	silent     bool // whether the node has been reported silent
 }
 
-// silence returns the channel that tells that the node is silent, or nil once it has told.
+// silentChan returns the channel that reports that the node is silent, or nil once it has
+// been reported.
 func (a *attempt) silentChan() <-chan struct{} {
 	if a.silent {
 		return nil
@@ -32,7 +33,7 @@
 	return a.exchange.Silent()
 }
 
-// end closes the attempt and tells the routing how it went.
+// finish closes the attempt and reports its outcome to the routing pool.
 func (a *attempt) finish(failure *verdict.Error) {
 	a.assignment.Done(outcome(failure))
 	if a.exchange != nil {
@@ -40,7 +41,7 @@
 	}
 }
 
-// outcome returns what a failure says of the upstream.
+// outcome returns what a failure indicates about the upstream.
 func outcome(failure *verdict.Error) route.Outcome {
 	if failure == nil {
 		return route.Succeeded
@@ -56,8 +57,8 @@
 	return route.Unknown
 }
 
-// start picks an upstream that the request has not been sent to yet, or any that
-// has not refused it if it has been sent to all, and sends the request there.
+// startAttempt picks an upstream to which the request has not been sent yet and starts a call
+// there. If the request has been sent to all of them, it picks any that has not refused it.
 func (d *Dispatcher) startAttempt(ctx context.Context, s *service, r *Request, tried, refused []string) (*attempt, *verdict.Error) {
 	if !time.Now().Before(r.Deadline) {
 		return nil, verdict.New(verdict.DeadlinePassed, nil)
@@ -65,15 +66,15 @@
 	if failure := d.stopError(); failure != nil {
 		return nil, failure
 	}
-	s, use, m, ok := d.pickCurrent(s, r, tried, refused)
+	s, assignment, m, ok := d.pickCurrent(s, r, tried, refused)
 	if !ok && len(refused) > 0 {
-		return nil, verdict.New(verdict.Refused, nil).WithGivenUp() // all are full
+		return nil, verdict.New(verdict.Refused, nil).WithGivenUp() // all are at capacity
 	}
 	if !ok {
 		return nil, d.noUpstream()
 	}
 	a := &attempt{
-		assignment: use,
+		assignment: assignment,
 		member:     m,
 		startedAt:  time.Now(),
 	}
@@ -89,15 +90,15 @@
 }
 
 const (
-	// learning is how long after its start a node may not have heard of the others yet.
+	// discoveryPeriod is how long after its start a node may still be unaware of the other nodes.
 	discoveryPeriod = 2 * time.Second
-	// comeBackLearnt is what a caller is told to wait for meanwhile. After a start of all
-	// nodes at once most know the others within that time, and callers that came back
-	// after longer would all come at the same later moment.
+	// retryAfterDiscovery is the Retry-After during that period. After a simultaneous start
+	// of all nodes, most of them know the others within this time. A longer value would make
+	// the callers that were refused come back all at the same later moment.
 	retryAfterDiscovery = 250 * time.Millisecond
 )
 
-// noUpstream returns the failure of a request to a service without a known upstream.
+// noUpstream returns the failure of a request to a service that has no known upstream.
 func (d *Dispatcher) noUpstream() *verdict.Error {
 	e := verdict.New(verdict.NoUpstream, nil)
 	if time.Since(d.Started) < discoveryPeriod || d.discovering() {
@@ -106,23 +107,23 @@
 	return e
 }
 
-// choose picks an upstream, as start says, among the members that the service has now, and returns
-// them too. The pool is the same for a service and those that come after it, so that a pick may be
-// of a member that has come meanwhile.
+// pickCurrent picks an upstream, as described at startAttempt, among the current members of the
+// service, and returns them too. A service and its later versions share one pool, so a pick may
+// name a member that was added in the meantime.
 func (d *Dispatcher) pickCurrent(s *service, r *Request, tried, refused []string) (*service, *route.Assignment[string], Member, bool) {
 	for {
 		if now := d.currentServices()[s.Name]; now != nil {
 			s = now
 		}
-		use, ok := d.pick(s, r, tried, refused)
+		assignment, ok := d.pick(s, r, tried, refused)
 		if !ok {
 			return s, nil, Member{}, false
 		}
-		m, ok := s.member(use.Key())
+		m, ok := s.member(assignment.Key())
 		if ok {
-			return s, use, m, true
+			return s, assignment, m, true
 		}
-		use.Done(route.Unknown)
+		assignment.Done(route.Unknown)
 		d.awaitUpdate()
 		if d.currentServices()[s.Name] == s {
 			return s, nil, Member{}, false
@@ -130,49 +131,50 @@
 	}
 }
 
-// awaitSet waits until the services are not being replaced: their pools are before they are.
+// awaitUpdate waits until no update of the services is in progress. An update changes the pools
+// before it stores the services.
 func (d *Dispatcher) awaitUpdate() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 }
 
-// pick picks an upstream, as start says.
+// pick picks an upstream, as described at startAttempt.
 func (d *Dispatcher) pick(s *service, r *Request, tried, refused []string) (*route.Assignment[string], bool) {
 	for _, excluded := range s.exclusions(len(tried) > 0) {
-		if use, ok := d.pickAmong(s, r, tried, refused, excluded); ok {
-			return use, true
+		if assignment, ok := d.pickAmong(s, r, tried, refused, excluded); ok {
+			return assignment, true
 		}
 	}
 	return nil, false
 }
 
-// pickOf picks an upstream of those that other does not pass over, as start says.
+// pickAmong picks an upstream that excluded does not rule out, as described at startAttempt.
 func (d *Dispatcher) pickAmong(s *service, r *Request, tried, refused []string, excluded func(id string) bool) (*route.Assignment[string], bool) {
 	ineligible := func(id string) bool { return excluded(id) || !s.inRegions(id, r.Regions) }
 	unavailable := func(id string) bool { return slices.Contains(tried, id) || ineligible(id) }
 	if d.Quarantine.Assess(r.Fingerprint).State == quarantine.Isolated {
 		return s.pickIsolated(r.Fingerprint, unavailable)
 	}
-	// What answers is found out first: Pick holds the pool's lock, and Set takes
-	// that while it holds the Dispatcher's.
+	// The responsive members are determined first: PickWithin holds the pool's lock, and
+	// SetServices takes that lock while it holds the Dispatcher's.
 	responsive := d.responsive(s)
 	maxWait := r.maxLimitWait(refused)
-	use, ok := s.pool.PickWithMaxWait(maxWait, r.bodyFrameBytes(), func(id string) bool { return unavailable(id) || !responsive[id] })
+	assignment, ok := s.pool.PickWithMaxWait(maxWait, r.bodyFrameBytes(), func(id string) bool { return unavailable(id) || !responsive[id] })
 	if !ok {
-		use, ok = s.pool.PickWithMaxWait(maxWait, r.bodyFrameBytes(), unavailable)
+		assignment, ok = s.pool.PickWithMaxWait(maxWait, r.bodyFrameBytes(), unavailable)
 	}
 	if !ok && len(tried) > 0 {
-		use, ok = s.pool.PickWithMaxWait(maxWait, r.bodyFrameBytes(), func(id string) bool { return slices.Contains(refused, id) || ineligible(id) })
+		assignment, ok = s.pool.PickWithMaxWait(maxWait, r.bodyFrameBytes(), func(id string) bool { return slices.Contains(refused, id) || ineligible(id) })
 	}
-	return use, ok
+	return assignment, ok
 }
 
-// waitShare is the part of its objective that a request waits for its turn under a limit that an
-// upstream names. The rest is left for its run.
+// maxWaitFraction is the fraction of its objective that a request may wait under a limit
+// announced by an upstream. The rest is left for the request to run.
 const maxWaitFraction = 0.5
 
-// mostWait returns how long the request waits at most for its turn under a limit. The first gate
-// decides for itself, as it knows whose turn it is; one that it has refused is not sent to others
+// maxLimitWait returns how long the request may wait under a limit. The first gate decides on its
+// own, because it knows the order of its queue. A request that it has refused is not sent to others
 // that are known to have no room for it either.
 func (r *Request) maxLimitWait(refused []string) time.Duration {
 	if len(refused) == 0 {
@@ -181,9 +183,9 @@
 	return time.Duration(maxWaitFraction * float64(r.Objective))
 }
 
-// answering returns the members of the node's subset whose nodes answer on an
-// open connection. To the others one is opened meanwhile: a request need not wait
-// for a node that may be dead while others answer.
+// responsive returns the members of the node's subset whose nodes respond on an open connection. It
+// starts to connect to the others, so that a request need not wait for a node that may be down
+// while others respond.
 func (d *Dispatcher) responsive(s *service) map[string]bool {
 	responsive := make(map[string]bool, len(s.subset))
 	for _, m := range s.subset {
@@ -192,14 +194,14 @@
 		if !responsive[m.ID] && c.dialing.CompareAndSwap(false, true) {
 			go func() {
 				defer c.dialing.Store(false)
-				_ = c.Warm(context.Background()) // a request that has no other choice tells the failure
+				_ = c.Warm(context.Background()) // a request without an alternative will report the failure
 			}()
 		}
 	}
 	return responsive
 }
 
-// within returns whether a member is in one of the given regions, or there are none given.
+// inRegions returns whether a member is in one of the given regions. No regions means any.
 func (s *service) inRegions(id string, regions []string) bool {
 	if len(regions) == 0 {
 		return true
--- a/entry/bodylink_test.go
+++ b/entry/bodylink_test.go
@@ -21,7 +21,7 @@
 	"sassafrasfront.example/verdict"
 )
 
-// takeBody plays a gate that waits before it admits a call, and runs it once it may.
+// takeBody acts as a gate that queues a call for the given time before it admits and runs it.
 func (w *simCluster) takeBody(node string, in *peer.Inbound, queue time.Duration) {
 	if in.Call.Ahead {
 		if _, err := in.Receive(in.Context()); err != nil {
@@ -49,20 +49,20 @@
 	_ = in.Reply(&peer.Answer{Status: 200, Body: []byte(fmt.Sprint(node, " ", n))})
 }
 
-// TestBodyNotHandedOver guards against calls that can't have run, as their bodies had not been
-// handed over when the link fell silent, and are told as lost, kept until the end of the
-// silence, or run after they were sent elsewhere.
+// TestBodyNotHandedOver guards against the mishandling of calls that can't have run because their
+// bodies had not been handed over when the link fell silent: they must not be reported as lost,
+// held until the end of the silence, or run after they were sent elsewhere.
 func TestBodyNotHandedOver(t *testing.T) {
 	const silence = 2 * time.Second
 	for name, test := range map[string]struct {
 		size       int
 		stream     bool          // whether the body can be read once only
 		queue      time.Duration // how long the call waits to be admitted
-		faultAfter time.Duration // when the link falls silent, from the arrival of the call
+		faultAfter time.Duration // from the arrival of the call until the link falls silent
 		fault      func(h *playnet.Host)
 	}{
 		"ahead, nothing asked for":           {size: 120 << 10, fault: func(h *playnet.Host) { h.Silence(silence) }},
-		"ahead, asked for over a lost path":  {size: 120 << 10, fault: func(h *playnet.Host) { h.SilenceUp(silence) }},
+		"ahead, requested over a lost path":  {size: 120 << 10, fault: func(h *playnet.Host) { h.SilenceUp(silence) }},
 		"ahead, partly sent":                 {size: 240 << 10, faultAfter: 50 * time.Millisecond, fault: func(h *playnet.Host) { h.Silence(silence) }},
 		"ahead, partly sent, one way silent": {size: 240 << 10, faultAfter: 50 * time.Millisecond, fault: func(h *playnet.Host) { h.SilenceUp(silence) }},
 		"stream, waits to be admitted":       {size: 300 << 10, stream: true, queue: time.Second, faultAfter: 50 * time.Millisecond, fault: func(h *playnet.Host) { h.Silence(silence) }},
@@ -106,7 +106,7 @@
 					qt.Check(t, got, qt.Equals, fmt.Sprint(calls[1].node, " ", test.size))
 					notWritten := failedAfter(r, verdict.NotWritten)
 					qt.Check(t, notWritten >= 0, qt.IsTrue, qt.Commentf("steps %v", r.Steps))
-					qt.Check(t, calls[1].at.Sub(silentAt) <= linkSilence+linkCheckInterval+50*time.Millisecond, qt.IsTrue, qt.Commentf("sent again after %v", calls[1].at.Sub(silentAt)))
+					qt.Check(t, calls[1].at.Sub(silentAt) <= linkSilence+linkCheckInterval+50*time.Millisecond, qt.IsTrue, qt.Commentf("retried after %v", calls[1].at.Sub(silentAt)))
 					time.Sleep(20 * time.Second)
 					w.mu.Lock()
 					defer w.mu.Unlock()
@@ -118,9 +118,9 @@
 }
 
 // TestFullSendBuffer guards against calls that wait to be written to a peer that does not read,
-// and outlast their deadlines, or run after they were told as not run.
+// and outlast their deadlines or run after they were reported as not run.
 func TestFullSendBuffer(t *testing.T) {
-	const fillers = 6 // fill the buffer, one of them in part
+	const fillers = 6 // calls that fill the buffer, the last of them in part
 	fullBuffer(t, func(i int) time.Duration {
 		if i < fillers {
 			return time.Minute
@@ -129,14 +129,14 @@
 	})
 }
 
-// TestPartlyWrittenCall guards against a caller that is held beyond the deadline because a part
+// TestPartlyWrittenCall guards against a caller that is held beyond its deadline because a part
 // of its call is in the kernel's buffer and there is no room for the rest.
 func TestPartlyWrittenCall(t *testing.T) {
 	fullBuffer(t, func(int) time.Duration { return time.Second })
 }
 
-// fullBuffer sends calls, with the given times until their deadlines, that the buffer of a
-// connection can't hold, to a peer that does not read for some time.
+// fullBuffer sends calls, with the given times until their deadlines, that exceed the send buffer of
+// a connection, to a peer that does not read for some time.
 func fullBuffer(t *testing.T, deadline func(i int) time.Duration) {
 	for name, suspended := range map[string]time.Duration{
 		"reads again in time":            linkSilence / 2,
--- a/entry/canary.go
+++ b/entry/canary.go
@@ -6,7 +6,7 @@
 
 import "math/rand/v2"
 
-// byTrial returns the members of a service by whether they are on trial.
+// splitCanaries splits the members of a service into ordinary ones and canaries.
 func splitCanaries(members []Member) (ordinary, canaries []Member) {
 	for _, m := range members {
 		if m.Canary {
@@ -18,16 +18,16 @@
 	return ordinary, canaries
 }
 
-// anyMember passes over none.
+// excludeNone excludes no member.
 var excludeNone = []func(id string) bool{func(string) bool { return false }}
 
-// trustedShare is the share from which members on trial take what the others can't.
+// trustedCanaryShare is the share from which canaries also serve requests that others could not.
 const trustedCanaryShare = 0.5
 
-// kinds returns which members a request may be sent to, in the order of preference, each as a
-// function that tells those to pass over. The members on trial get their share of the first
-// sendings. A request that one of them did not serve goes to the others, unless most requests
-// go to those on trial.
+// exclusions returns the groups of members to which a request may be sent, in the order of
+// preference, each as a function that reports the members outside of the group. The canaries
+// receive their share of the first attempts. A request that a canary did not serve is sent to
+// ordinary members, unless most requests go to canaries.
 func (s *service) exclusions(retrying bool) []func(id string) bool {
 	if len(s.canaries) == 0 {
 		return excludeNone
--- a/entry/canary_test.go
+++ b/entry/canary_test.go
@@ -14,23 +14,23 @@
 	"sassafrasfront.example/peer"
 )
 
-// TestTrialShare has a service with members on trial, and draws for many requests where they may
-// go: at first, and again after a sending that was not served.
+// TestCanaryShare checks the share of the requests that may be sent to canaries, in a first attempt
+// and in a retry.
 func TestCanaryShare(t *testing.T) {
 	const requests = 20000
 	tests := map[string]struct {
 		share float64
 		retry bool
-		first float64 // share of the requests that go to those on trial first
-		both  float64 // share of those that may go to either
+		first float64 // share of the requests that go to canaries first
+		both  float64 // share of the requests that may go to both groups
 	}{
-		"none":                {share: 0},
-		"on trial":            {share: 0.03, first: 0.03, both: 0.03},
-		"on trial, again":     {share: 0.03, retry: true},
-		"most":                {share: 0.8, first: 0.8, both: 1},
-		"most, again":         {share: 0.8, retry: true, first: 0.8, both: 1},
-		"all":                 {share: 1, first: 1, both: 1},
-		"all, sent once more": {share: 1, retry: true, first: 1, both: 1},
+		"none":               {share: 0},
+		"small share":        {share: 0.03, first: 0.03, both: 0.03},
+		"small share, retry": {share: 0.03, retry: true},
+		"most":               {share: 0.8, first: 0.8, both: 1},
+		"most, retry":        {share: 0.8, retry: true, first: 0.8, both: 1},
+		"all":                {share: 1, first: 1, both: 1},
+		"all, retry":         {share: 1, retry: true, first: 1, both: 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestTrialSubset has some of many members on trial: each node sends to its subset of these, and
-// to as many of the others as without them.
+// TestCanarySubset checks that each node sends to a subset of the canaries, and to as many of the
+// other members as without them.
 func TestCanarySubset(t *testing.T) {
 	list := members(200)
 	for i := range 20 {
--- a/entry/deadnode_test.go
+++ b/entry/deadnode_test.go
@@ -21,39 +21,39 @@
 )
 
 const (
-	// linkLook is how often a connection with open calls is looked at.
+	// linkCheckInterval is how often a connection with open calls is checked for silence.
 	linkCheckInterval = linkSilence / 4
-	// linkDelay is what a packet takes.
+	// linkDelay is the one-way delay of a packet.
 	linkDelay = time.Millisecond
-	// linkLoss is the longest time from the last byte of an instance without power until the
-	// requests at it end.
+	// linkLossTime is the longest time from the last byte sent by an instance that loses power until
+	// the requests at it fail.
 	linkLossTime = linkSilence + linkTimeout + linkCheckInterval
 )
 
-// quick is a network without a bound on the rate.
+// fastNetwork returns a network without a rate limit.
 func fastNetwork() *playnet.Network {
 	return &playnet.Network{Delay: linkDelay, Window: linkWindow, Timeout: linkTimeout}
 }
 
-// again is the configuration of a service whose requests may be sent once more.
+// retryConfig returns the configuration of a service whose requests may be retried.
 func retryConfig() operator.Service {
 	return operator.Service{Retry: operator.Retry{MaxTries: 3, Share: 0.1, Burst: 20}}
 }
 
-// requestTo returns a request with a target of its own.
+// requestTo returns a request with the given target.
 func (w *simCluster) requestTo(target string, idempotent bool) *entry.Request {
 	r := w.request(idempotent, 0)
 	r.Target = target
 	return r
 }
 
-// sendTo sends such a request, as send does.
+// sendTo sends a request with the given target, as send does.
 func (w *simCluster) sendTo(target string, idempotent bool) (string, error) {
 	return w.send(w.requestTo(target, idempotent))
 }
 
-// failedAfter returns when the first sending that failed for a cause ended, from the beginning
-// of the request, or -1 if there is none.
+// failedAfter returns the time from the beginning of the request to the first attempt that failed
+// with the given cause, or -1 if there is none.
 func failedAfter(r *entry.Request, c verdict.Cause) time.Duration {
 	for _, s := range r.Steps {
 		if s.Event == entry.EventFailed && s.Cause == c {
@@ -63,7 +63,7 @@
 	return -1
 }
 
-// causeOf returns the cause of a failed request, or the empty one.
+// causeOf returns the cause of a failed request, or the empty cause.
 func causeOf(err error) verdict.Cause {
 	if e, ok := err.(*verdict.Error); ok && e != nil {
 		return e.Cause
@@ -71,7 +71,7 @@
 	return ""
 }
 
-// answerAfter answers each call with the name of its node after the given time.
+// answerAfter returns a handler that answers each call with the id of its node after the given time.
 func answerAfter(d time.Duration) func(node string, in *peer.Inbound) {
 	return func(node string, in *peer.Inbound) {
 		time.Sleep(d)
@@ -79,14 +79,14 @@
 	}
 }
 
-// TestRequestAtDeadNode guards against callers that are held for as long as their deadlines by
-// an instance that has lost its power, and against its requests being run twice.
+// TestRequestAtDeadNode guards against callers that are held until their deadlines by an instance
+// that has lost power, and against their requests being run twice.
 func TestRequestAtDeadNode(t *testing.T) {
 	for name, test := range map[string]struct {
 		gates         int
 		idempotent    bool
-		silentFor     time.Duration // how long the node is silent for before, while it has the call
-		powerOffAfter time.Duration // when it loses its power, from the arrival of the call
+		silentFor     time.Duration // how long the node is silent before it loses power, while it has the call
+		powerOffAfter time.Duration // from the arrival of the call until the node loses power
 		answered      bool
 	}{
 		"not idempotent":                           {gates: 2},
@@ -112,7 +112,7 @@
 						time.Sleep(test.powerOffAfter)
 						w.Host(node).PowerOff()
 						offAt = time.Now()
-						time.Sleep(time.Minute) // its process is gone, and answers nothing
+						time.Sleep(time.Minute) // its process is gone and does not answer
 						return
 					}
 					answerAfter(100*time.Millisecond)(node, in)
@@ -130,12 +130,12 @@
 					qt.Check(t, got, qt.Equals, calls[1].node)
 					qt.Check(t, calls[1].node != dead, qt.IsTrue)
 					sent := calls[1].at.Add(-linkDelay)
-					qt.Check(t, !sent.After(offAt.Add(linkDelay+linkSilence)), qt.IsTrue, qt.Commentf("sent %v after the last byte", sent.Sub(offAt)))
+					qt.Check(t, !sent.After(offAt.Add(linkDelay+linkSilence)), qt.IsTrue, qt.Commentf("retried %v after the last byte", sent.Sub(offAt)))
 				} else {
 					qt.Check(t, causeOf(err), qt.Equals, verdict.PeerLost, qt.Commentf("%v", err))
 					lost := began.Add(failedAfter(r, verdict.PeerLost)).Sub(offAt)
 					qt.Check(t, lost > linkSilence && lost <= linkLossTime, qt.IsTrue, qt.Commentf("lost %v after the last byte", lost))
-					// What may be repeated is repeated at a node that can't be dialled.
+					// A request that may be retried is retried at a node that can't be dialled.
 					repeated := time.Duration(0)
 					if test.idempotent {
 						repeated = 2 * linkHandshake
@@ -151,7 +151,7 @@
 }
 
 // TestRequestsBesideDeadNode guards against new requests that are sent to an instance without
-// power while its connection has not ended, or wait for it to be dialled anew.
+// power before its connection has ended, or that wait until it has been dialled again.
 func TestRequestsBesideDeadNode(t *testing.T) {
 	for name, idempotent := range map[string]bool{"idempotent": true, "not idempotent": false} {
 		t.Run(name, func(t *testing.T) {
@@ -174,7 +174,7 @@
 				var all sync.WaitGroup
 				all.Go(func() { _, _ = w.sendTo("/dead", false) })
 				time.Sleep(linkSilence + linkCheckInterval)
-				for i := range 200 { // for four seconds, beyond the end of the connection
+				for i := range 200 { // for four seconds, until after the connection has ended
 					all.Go(func() {
 						target := fmt.Sprint("/", i)
 						began := time.Now()
@@ -195,12 +195,12 @@
 	}
 }
 
-// TestStopTellsItsCause guards against requests that end with their entry's stop and are told
-// as if the other node had been lost.
+// TestStopReportsItsCause guards against requests that end because their entry node stops and
+// are reported as if the other node had been lost.
 func TestStopReportsItsCause(t *testing.T) {
 	for name, fault := range map[string]func(w *simCluster){
-		"over a sound link":  func(*simCluster) {},
-		"over a silent link": func(w *simCluster) { w.gates[0].Silence(2 * time.Second) },
+		"over a working link": func(*simCluster) {},
+		"over a silent link":  func(w *simCluster) { w.gates[0].Silence(2 * time.Second) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -218,8 +218,8 @@
 	}
 }
 
-// TestNothingBegunAfterStop guards against calls that are begun after their entry has closed its
-// connections, and are cut by the end of its process without an answer.
+// TestNoCallAfterClose guards against calls that are started after their entry node has closed its
+// connections, and are cut off without a response when its process ends.
 func TestNoCallAfterClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := fastNetwork()
@@ -229,7 +229,7 @@
 		var began, stopped time.Time
 		w.handle = func(node string, in *peer.Inbound) {
 			if in.Call.Try == 1 {
-				time.AfterFunc(50*time.Millisecond, func() { // the body is partly there
+				time.AfterFunc(50*time.Millisecond, func() { // a part of the body has arrived
 					stopped = time.Now()
 					w.dispatcher.Close()
 				})
--- a/entry/dialing_test.go
+++ b/entry/dialing_test.go
@@ -17,9 +17,9 @@
 	"sassafrasfront.example/verdict"
 )
 
-// TestRequestWhileDialling guards against requests that are held, beyond their answer, their
-// deadline, their caller's leaving or the entry's stop, because a node to which they are to be
-// sent as well is being dialled and does not answer.
+// TestRequestWhileDialling guards against requests that are held beyond their response, their deadline,
+// their caller's departure or the stop of the entry node, because another node to which they are to
+// be sent is being dialled and does not respond.
 func TestRequestWhileDialling(t *testing.T) {
 	const (
 		event  = linkSilence + 100*time.Millisecond // while the other node is dialled
@@ -27,18 +27,18 @@
 	)
 	for name, test := range map[string]struct {
 		alone    bool          // whether the only gate is the one that does not answer
-		work     time.Duration // at the gate that answers
+		work     time.Duration // how long the gate that answers takes
 		deadline time.Duration
 		leaves   bool // whether the caller leaves at the event
-		stops    bool // whether the entry stops at the event
+		stops    bool // whether the entry node stops at the event
 		want     verdict.Cause
 		after    time.Duration
 	}{
-		"the first sending is answered":          {work: event, deadline: time.Minute, after: event + 2*linkDelay},
+		"the first attempt is answered":          {work: event, deadline: time.Minute, after: event + 2*linkDelay},
 		"its deadline passes":                    {work: time.Minute, deadline: event, want: verdict.TimedOut, after: event},
 		"the caller leaves":                      {work: time.Minute, deadline: time.Minute, leaves: true, want: verdict.CallerGone, after: event},
-		"the entry stops":                        {work: time.Minute, deadline: time.Minute, stops: true, want: verdict.Stopped, after: event},
-		"its deadline passes before any sending": {alone: true, deadline: linkHandshake / 2, want: notRun, after: linkHandshake / 2},
+		"the entry node stops":                   {work: time.Minute, deadline: time.Minute, stops: true, want: verdict.Stopped, after: event},
+		"its deadline passes before any attempt": {alone: true, deadline: linkHandshake / 2, want: notRun, after: linkHandshake / 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -61,7 +61,7 @@
 				time.Sleep(time.Second)
 				_, err := w.sendTo("/find", false)
 				qt.Assert(t, err, qt.IsNil)
-				for _, h := range w.gates { // the other's connections end, and it can't be dialled
+				for _, h := range w.gates { // the other gate's connections end, and it can't be dialled
 					if test.alone || h != w.Host(answers) {
 						h.Reset()
 						time.Sleep(2 * linkDelay)
--- a/entry/discovery.go
+++ b/entry/discovery.go
@@ -11,13 +11,13 @@
 	"time"
 )
 
-// updates tells of each change of the services. The zero value is ready to use.
+// changeNotifier announces changes of the services. The zero value is ready to use.
 type changeNotifier struct {
 	mu   sync.Mutex
 	next chan struct{}
 }
 
-// wait returns a channel that is closed at the next change.
+// changed returns a channel that is closed at the next change.
 func (n *changeNotifier) changed() <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -27,7 +27,7 @@
 	return n.next
 }
 
-// tell ends the waiting.
+// notify announces a change.
 func (n *changeNotifier) notify() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -37,7 +37,7 @@
 	}
 }
 
-// learns returns whether this node may not have heard of the others yet.
+// discovering returns whether this node may still be unaware of other nodes.
 func (d *Dispatcher) discovering() bool {
 	if d.DiscoveryDone == nil {
 		return false
@@ -50,16 +50,16 @@
 	}
 }
 
-// known returns the service of a request, or nil. While this node learns of others, it waits until
-// one is known to which the request may be sent, as long as the request has time for that: that
-// there is none is not known before.
+// awaitService returns the service of a request, or nil. While this node discovers the others, it
+// waits until the service has a member to which the request may be sent, as long as the request has
+// time for that: only after the discovery is the absence of an upstream certain.
 func (d *Dispatcher) awaitService(ctx context.Context, r *Request) *service {
 	if !d.discovering() {
 		return d.currentServices()[r.Service]
 	}
 	var timeout <-chan time.Time
 	for {
-		changed := d.changes.changed() // before the look, so that no change is missed
+		changed := d.changes.changed() // before the services are read, so that no change is missed
 		s := d.currentServices()[r.Service]
 		if s.hasMemberFor(r) || !d.discovering() || ctx.Err() != nil {
 			return s
@@ -84,13 +84,13 @@
 	}
 }
 
-// mayTake returns whether a member is known to which the request may be sent.
+// hasMemberFor returns whether the service has a member to which the request may be sent.
 func (s *service) hasMemberFor(r *Request) bool {
 	return s != nil && slices.ContainsFunc(s.Members, func(m Member) bool { return s.inRegions(m.ID, r.Regions) })
 }
 
-// spare returns for how long the request may wait: for all of its time but its objective, within
-// which it is expected to be answered, and for half of it at least.
+// maxDiscoveryWait returns how long the request may wait for a discovery: its remaining time less its
+// objective, within which it is expected to be answered, and at least half of its remaining time.
 func (r *Request) maxDiscoveryWait() time.Duration {
 	left := time.Until(r.Deadline)
 	if r.Objective == 0 {
--- a/entry/discovery_test.go
+++ b/entry/discovery_test.go
@@ -17,8 +17,8 @@
 	"sassafrasfront.example/verdict"
 )
 
-// TestUpstreamKnownLate guards against callers that are refused for the reason alone that this node
-// has not heard of an upstream yet: their requests wait while it learns, and no longer.
+// TestDiscoveryWait guards against callers that are refused only because this node has not
+// discovered an upstream yet. Their requests have to wait during the discovery, and no longer.
 func TestDiscoveryWait(t *testing.T) {
 	const never = time.Hour
 	service := func(regions ...string) *entry.Service {
@@ -29,29 +29,29 @@
 		return s
 	}
 	tests := map[string]struct {
-		known     map[time.Duration]*entry.Service // by when it is known
-		done      time.Duration                    // when the node has learnt
+		known     map[time.Duration]*entry.Service // the service, by the time at which it becomes known
+		done      time.Duration                    // when the discovery is done
 		stop      time.Duration
 		leave     time.Duration
 		regions   []string
-		objective time.Duration // the objective, of a second
-		sent      bool          // whether it is sent to an upstream, where nobody answers
-		want      verdict.Cause // if it is not
+		objective time.Duration // the objective; the deadline is one second
+		sent      bool          // whether the request is sent to an upstream, which does not answer
+		want      verdict.Cause // if it is not sent
 		after     time.Duration
 	}{
-		"known before":                {known: map[time.Duration]*entry.Service{0: service("r")}, done: never, sent: true},
-		"known later":                 {known: map[time.Duration]*entry.Service{0: service(), 400 * time.Millisecond: service("r")}, done: never, sent: true, after: 400 * time.Millisecond},
-		"the service later":           {known: map[time.Duration]*entry.Service{400 * time.Millisecond: service("r")}, done: never, sent: true, after: 400 * time.Millisecond},
-		"another region's first":      {known: map[time.Duration]*entry.Service{100 * time.Millisecond: service("q"), 400 * time.Millisecond: service("q", "r")}, regions: []string{"r"}, done: never, sent: true, after: 400 * time.Millisecond},
-		"not in time":                 {known: map[time.Duration]*entry.Service{800 * time.Millisecond: service("r")}, done: never, objective: 300 * time.Millisecond, want: verdict.NoUpstream, after: 700 * time.Millisecond},
-		"half of the time":            {done: never, want: verdict.NoUpstream, after: 500 * time.Millisecond},
-		"an objective of all of it":   {done: never, objective: time.Second, want: verdict.NoUpstream, after: 500 * time.Millisecond},
-		"learnt meanwhile":            {done: 200 * time.Millisecond, want: verdict.NoUpstream, after: 200 * time.Millisecond},
-		"learnt before":               {want: verdict.NoUpstream},
-		"the node stops":              {done: never, stop: 100 * time.Millisecond, want: verdict.NotSent, after: 100 * time.Millisecond},
-		"the caller leaves":           {done: never, leave: 100 * time.Millisecond, want: verdict.NoUpstream, after: 100 * time.Millisecond},
-		"known in vain, then learnt":  {known: map[time.Duration]*entry.Service{100 * time.Millisecond: service()}, done: 300 * time.Millisecond, want: verdict.NoUpstream, after: 300 * time.Millisecond},
-		"learnt and known, in a race": {known: map[time.Duration]*entry.Service{300 * time.Millisecond: service("r")}, done: 300*time.Millisecond + 1, sent: true, after: 300 * time.Millisecond},
+		"known before":                                 {known: map[time.Duration]*entry.Service{0: service("r")}, done: never, sent: true},
+		"known later":                                  {known: map[time.Duration]*entry.Service{0: service(), 400 * time.Millisecond: service("r")}, done: never, sent: true, after: 400 * time.Millisecond},
+		"service known later":                          {known: map[time.Duration]*entry.Service{400 * time.Millisecond: service("r")}, done: never, sent: true, after: 400 * time.Millisecond},
+		"another region's upstream known first":        {known: map[time.Duration]*entry.Service{100 * time.Millisecond: service("q"), 400 * time.Millisecond: service("q", "r")}, regions: []string{"r"}, done: never, sent: true, after: 400 * time.Millisecond},
+		"not known in time":                            {known: map[time.Duration]*entry.Service{800 * time.Millisecond: service("r")}, done: never, objective: 300 * time.Millisecond, want: verdict.NoUpstream, after: 700 * time.Millisecond},
+		"waits for half of the time":                   {done: never, want: verdict.NoUpstream, after: 500 * time.Millisecond},
+		"objective as long as the deadline":            {done: never, objective: time.Second, want: verdict.NoUpstream, after: 500 * time.Millisecond},
+		"discovery done while waiting":                 {done: 200 * time.Millisecond, want: verdict.NoUpstream, after: 200 * time.Millisecond},
+		"discovery done before":                        {want: verdict.NoUpstream},
+		"the node stops":                               {done: never, stop: 100 * time.Millisecond, want: verdict.NotSent, after: 100 * time.Millisecond},
+		"the caller leaves":                            {done: never, leave: 100 * time.Millisecond, want: verdict.NoUpstream, after: 100 * time.Millisecond},
+		"known without upstreams, then discovery done": {known: map[time.Duration]*entry.Service{100 * time.Millisecond: service()}, done: 300 * time.Millisecond, want: verdict.NoUpstream, after: 300 * time.Millisecond},
+		"upstream known as the discovery ends":         {known: map[time.Duration]*entry.Service{300 * time.Millisecond: service("r")}, done: 300*time.Millisecond + 1, sent: true, after: 300 * time.Millisecond},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/entry/dispatcher.go
+++ b/entry/dispatcher.go
@@ -20,63 +20,63 @@
 	"sassafrasfront.example/route"
 )
 
-// Member is a node with its upstream, as a Dispatcher needs to know it.
+// Member is a node and its upstream, as a Dispatcher sees them.
 type Member struct {
-	// ID is the node's.
+	// ID is the id of the node.
 	ID string
-	// Addr is where the node takes peer connections.
+	// Addr is the address at which the node accepts connections from peers.
 	Addr string
-	// Zone and Region are where it is.
+	// Zone and Region are the availability zone and the region of the node.
 	Zone, Region string
-	// Slots is the number of requests that its upstream runs at once.
+	// Slots is the number of requests that the upstream runs concurrently.
 	Slots int
-	// Trial is whether it is of a version that gets a share of the requests of its own.
+	// Canary is whether the upstream runs a version that receives its own share of the requests.
 	Canary bool
 }
 
-// Service is a service in force with its members. It is an immutable value.
+// Service is a configured service and its members. It is an immutable value.
 type Service struct {
 	// Name is the name of the service.
 	Name string
 	// Config is its configuration.
 	Config operator.Service
-	// Members are the nodes whose upstreams take requests.
+	// Members are the nodes whose upstreams accept requests.
 	Members []Member
-	// TrialShare is the share of the requests, within 0 and 1, that is sent to the members
-	// on trial first. What they don't serve goes to the others. Nothing else goes to them,
-	// unless the share is that of a version which has proved itself.
+	// CanaryShare is the share of the requests, from 0 to 1, that is sent to the canaries first.
+	// Requests that these do not serve go to the other members. Canaries receive no other
+	// requests, unless the share is high enough for their version to be trusted.
 	CanaryShare float64
 }
 
 // Dispatcher sends requests. The exported fields are set before the first
 // call. Its methods may be called from any goroutine.
 type Dispatcher struct {
-	// Hello introduces this node to its peers.
+	// Hello is what this node sends to its peers when it connects.
 	Hello peer.Hello
-	// Region is the region of this node; its zone is in Hello.
+	// Region is the region of this node. Its availability zone is in Hello.
 	Region string
-	// Started is when the process started.
+	// Started is the time at which the process started.
 	Started time.Time
 	// Limits bounds the connections to peers.
 	Limits peer.Limits
 	// Counters, if not nil, counts the traffic to peers.
 	Counters *peer.Counters
-	// Dial opens the connections to peers, as in peer.Client. Nil means TCP.
+	// Dial opens connections to peers, as in peer.Client. Nil means TCP.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
-	// Quarantine, if not nil, knows the requests that end upstreams.
+	// Quarantine, if not nil, identifies the requests that crash upstreams.
 	Quarantine *quarantine.Index
 	// Policy, if not empty, overrides the routing policy of all services.
 	Policy string
-	// Rate is how many bytes a second this node's link carries, or 0 if that is not known.
+	// LinkRate is the capacity of this node's link in bytes per second, or 0 if unknown.
 	LinkRate float64
-	// Event, if not nil, is called with each event of the kinds below.
+	// OnEvent, if not nil, is called for each of the events below.
 	OnEvent func(service string, e Event)
 
-	// Learnt, if not nil, is closed once this node has had the time to learn of the others. Before
-	// that, requests to a service without a known upstream wait for one.
+	// DiscoveryDone, if not nil, is closed once this node has had time to discover the other nodes.
+	// Until then, requests to a service without a known upstream wait for one.
 	DiscoveryDone <-chan struct{}
-	// Seek, if not nil, is called when a request waits so, to have the others looked for now. It
-	// must not block.
+	// TriggerDiscovery, if not nil, is called when a request waits in this way, to start a
+	// discovery at once. It must not block.
 	TriggerDiscovery func()
 
 	services atomic.Pointer[map[string]*service]
@@ -86,11 +86,11 @@
 	stopping stopSignal
 
 	mu      sync.Mutex
-	clients map[string]*client // by node
+	clients map[string]*client // by node id
 	closed  bool
 }
 
-// Event is something that a Dispatcher did beyond the first sending.
+// Event is an action that a Dispatcher took beyond the first attempt.
 type Event string
 
 // The events.
@@ -107,16 +107,16 @@
 	retryBudget *retry.Budget
 	hedgeBudget *retry.Budget
 	latency     *retry.Latency
-	retryShares map[string]float64 // of the budget, by class
-	memberIndex map[string]int     // of the members, by their ids
+	retryShares map[string]float64 // of the retry budget, by class
+	memberIndex map[string]int     // of the members, by id
 	subset      []Member           // the members in the node's subset
-	canaries    map[string]bool    // the members on trial
-	policy      string             // the name of the pool's
+	canaries    map[string]bool    // the ids of the canaries
+	policy      string             // the name of the pool's routing policy
 }
 
-// Set replaces the services. What is known of those that stay is kept. A service
-// that has not changed is best given as the same pointer: nothing is done for it
-// then.
+// SetServices replaces the services and keeps the state of those that remain. A
+// service that has not changed should be passed as the same pointer, as it then
+// costs nothing.
 func (d *Dispatcher) SetServices(services map[string]*Service) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -141,7 +141,7 @@
 	return nil
 }
 
-// build makes the state of a service, taking over what old has.
+// buildService builds the state of a service and takes over the state of old, if not nil.
 func (d *Dispatcher) buildService(old *service, s *Service) *service {
 	n := &service{
 		Service:     s,
@@ -193,16 +193,16 @@
 	return n
 }
 
-// warm opens the connections to the chosen members of a service ahead of the
-// first call. The lock is held.
+// preconnect opens the connections to the members in the subset of a service ahead of the
+// first call. The caller holds the lock.
 func (d *Dispatcher) preconnect(s *service) {
 	for _, m := range s.subset {
 		c := d.clientLocked(s, m)
-		go func() { _ = c.Warm(context.Background()) }() // a call tells the failure
+		go func() { _ = c.Warm(context.Background()) }() // a call will report the failure
 	}
 }
 
-// distance returns the cost of sending to m.
+// distance returns the routing cost of sending a request to m.
 func (d *Dispatcher) distance(s *Service, m Member) time.Duration {
 	switch {
 	case m.Region != d.Region:
@@ -213,7 +213,8 @@
 	return 0
 }
 
-// crossing returns what sending to m costs beside the distance.
+// crossing returns the additional routing cost of sending to m if it is in another zone or
+// region.
 func (d *Dispatcher) crossing(s *Service, m Member) float64 {
 	if m.Region == d.Region && m.Zone == d.Hello.Zone {
 		return 0
@@ -221,8 +222,8 @@
 	return s.Config.Crossing
 }
 
-// closeUnused closes the clients of nodes that are not in their service any
-// more.
+// closeUnused closes the clients of nodes that are no longer members of their
+// service.
 func (d *Dispatcher) closeUnused(services map[string]*service) {
 	maps.DeleteFunc(d.clients, func(id string, c *client) bool {
 		if s := services[c.service]; s != nil {
@@ -230,20 +231,20 @@
 				return false
 			}
 		}
-		// Who has just taken the client may still begin a call.
+		// A request that has just looked the client up may still start a call.
 		time.AfterFunc(retireDelay, c.Retire)
 		return true
 	})
 }
 
-// closeDelay is how long the client of a node that is gone takes calls.
+// retireDelay is how long the client of a removed node continues to accept calls.
 const retireDelay = time.Minute
 
 // client is the connection to a member of a service.
 type client struct {
 	*peer.Client
 	service string
-	dialing atomic.Bool // whether it is dialled ahead of need
+	dialing atomic.Bool // whether a connection is being opened in the background
 }
 
 // client returns the client of a member.
@@ -270,7 +271,7 @@
 		},
 	}
 	if d.closed {
-		c.Close() // what is sent from now on would be cut
+		c.Close() // calls sent from now on would be cut off
 	}
 	if d.clients == nil {
 		d.clients = make(map[string]*client)
@@ -279,15 +280,15 @@
 	return c
 }
 
-// observe takes in a load report. The service is looked up anew, as its state
-// may have been made anew since the client was.
+// observe records a load report. It looks the service up by name, because its state
+// may have been rebuilt since the client was created.
 func (d *Dispatcher) observe(name, id string, r peer.Report) {
 	if s := d.currentServices()[name]; s != nil {
 		s.pool.Observe(id, loadOf(r))
 	}
 }
 
-// loadOf returns a report as package route knows it.
+// loadOf converts a report to the form that package route uses.
 func loadOf(r peer.Report) route.Load {
 	return route.Load{
 		Running:       r.Running,
--- a/entry/do.go
+++ b/entry/do.go
@@ -15,11 +15,11 @@
 	"sassafrasfront.example/verdict"
 )
 
-// least is the remaining time below which another sending is of no use.
+// minRemaining is the remaining time below which another attempt is useless.
 const minRemaining = time.Millisecond
 
 // Do sends the request until it is answered or given up on. The caller closes
-// the result. The failure bears the verdict on all sendings together: it is
+// the result. The verdict of the failure covers all attempts together: it is
 // NotRun only if none of them can have run.
 func (d *Dispatcher) Do(ctx context.Context, r *Request) (*Result, *verdict.Error) {
 	s := d.awaitService(ctx, r)
@@ -27,7 +27,7 @@
 		return nil, finalError(failure)
 	}
 	if s == nil {
-		// Whoever resolved the request knows the service already, so it exists.
+		// The caller has resolved the service already, so it exists.
 		return nil, finalError(d.noUpstream())
 	}
 	if blocked := d.Quarantine.Assess(r.Fingerprint).Failure(); blocked != nil {
@@ -52,7 +52,7 @@
 	return result, nil
 }
 
-// flight is the handling of one request.
+// operation is the state of one request while it is being dispatched.
 type operation struct {
 	dispatcher *Dispatcher
 	service    *service
@@ -60,20 +60,20 @@
 	ctx        context.Context
 	deadline   *time.Timer
 	startedAt  time.Time
-	stopping   <-chan struct{} // nil once the stop has been taken in
+	stopping   <-chan struct{} // nil once the stop has been handled
 
 	tried           []string
-	expectedWait    time.Duration   // the least wait that a gate which refused it expects, or 0
+	expectedWait    time.Duration   // the shortest wait expected by a gate that refused it, or 0
 	refused         []string        // the nodes whose gates have refused the request
-	open            []*attempt      // the one sent first comes first
-	pending         *pendingAttempt // the sending that is being begun, or nil
-	maybeReached    int             // failed sendings that may have reached an upstream
+	open            []*attempt      // in the order of sending
+	pending         *pendingAttempt // the attempt that is being started, or nil
+	maybeReached    int             // failed attempts that may have reached an upstream
 	firstMayHaveRun *verdict.Error  // the first failure after which the request may have run
 	slowHandled     bool
-	heldResponse    *attempt // answered with an error, while another upstream is asked
+	heldResponse    *attempt // answered with an error that is held back
 }
 
-// fly sends the request as often as it may, and returns the first answer.
+// run sends the request as often as it may be sent, and returns the first response.
 func (o *operation) run() (*Result, *verdict.Error) {
 	defer o.cancelOpen()
 	policy := retry.Policy{
@@ -100,7 +100,7 @@
 			}
 			if failure != nil && o.othersOpen(nil) {
 				o.retryBesideSilent(failure, policy)
-				failure = nil // the other sending goes on
+				failure = nil // the other attempt continues
 			}
 		}
 		remaining := time.Until(o.request.Deadline)
@@ -114,16 +114,16 @@
 	}
 }
 
-// failed returns whether an answer says that the upstream failed an idempotent
-// request, and another upstream may be asked.
+// isRetryableError returns whether a response reports that the upstream failed an
+// idempotent request that may be sent to another upstream.
 func (o *operation) isRetryableError(a *attempt) bool {
 	response, _ := a.exchange.Result()
 	return response.Status == http.StatusInternalServerError && o.service.Config.Retry.OnError && o.request.Idempotent && o.request.Stream == nil && o.heldResponse == nil
 }
 
-// another returns whether an answer is set aside and the request sent once more:
-// if the upstream stands out by its failures. Where all fail alike, their faults lie
-// elsewhere, and more requests would make them worse.
+// retryOnError returns whether an error response is held back and the request sent again. This is
+// done only if the error rate of the upstream stands out. Where all upstreams fail alike, the
+// cause lies elsewhere, and more requests would make it worse.
 func (o *operation) retryOnError(a *attempt, policy retry.Policy) bool {
 	if !o.isRetryableError(a) || o.othersOpen(nil) || !o.service.pool.IsOutlier(a.member.ID) {
 		return false
@@ -137,8 +137,8 @@
 	return true
 }
 
-// others returns whether another sending goes on. An error answer, if there is one, is then
-// set aside.
+// othersOpen returns whether another attempt is still open. If so, it holds back the given error
+// response, if there is one.
 func (o *operation) othersOpen(a *attempt) bool {
 	if len(o.open) == 0 && o.pending == nil || a != nil && !o.isRetryableError(a) {
 		return false
@@ -150,20 +150,20 @@
 	return true
 }
 
-// setAside keeps an answer for the case that no better one comes.
+// holdResponse holds an error response back, to be returned if no better one arrives.
 func (o *operation) holdResponse(a *attempt) {
 	o.heldResponse = a
 	o.recordStep(Step{Event: EventAnswerHeld, Node: a.member.ID})
 }
 
-// attemptsLeft returns whether one more upstream may get the request. Sendings
-// that are known to have reached none don't count.
+// attemptsLeft returns whether the request may be sent to one more upstream.
+// Attempts that are known to have reached no upstream do not count.
 func (o *operation) attemptsLeft() bool {
 	limit := o.request.MaxAttempts
 	return limit == 0 || o.maybeReached+len(o.open)+o.pendingCount() < limit
 }
 
-// beginning returns the number of sendings that are being begun.
+// pendingCount returns the number of attempts that are being started.
 func (o *operation) pendingCount() int {
 	if o.pending != nil {
 		return 1
@@ -171,8 +171,8 @@
 	return 0
 }
 
-// verdict returns the failure to report: the last one, unless an earlier one
-// left it open whether the request ran and the last one does not.
+// failure returns the failure to report. This is the last one, unless an earlier
+// one left open whether the request ran and the last one does not.
 func (o *operation) failure(last *verdict.Error) *verdict.Error {
 	if last.Verdict() == verdict.NotRun && o.firstMayHaveRun != nil {
 		return o.firstMayHaveRun
@@ -180,18 +180,18 @@
 	return last
 }
 
-// repeatable returns whether the body can be sent again. The body of a stream
-// is read only once the peer has granted credit, and from then on it is gone. If
-// it has not been read, the sending that failed can't read it any more.
+// canResendBody returns whether the body can be sent again. A stream is read only
+// once the peer has granted credit, and cannot be sent again after that. If it
+// has not been read yet, canResendBody revokes the failed attempt's access to it.
 func (o *operation) canResendBody() bool {
 	s, ok := o.request.Stream.(*onceReader)
 	return !ok || s.reassign()
 }
 
-// launch is a sending that is being begun: its node may have to be dialled, or may read
-// nothing, while another sending is answered or the request's time is over.
+// pendingAttempt is an attempt that is being started. Its node may have to be dialled, or may not
+// be reading, while another attempt is answered or the request's deadline passes.
 type pendingAttempt struct {
-	event Event // told once the request has been sent, if not empty
+	event Event // reported once the request has been sent, if not empty
 	done  chan struct{}
 
 	// attempt, which may be nil, and failure are set before done is closed.
@@ -199,7 +199,7 @@
 	failure *verdict.Error
 }
 
-// launch has the request sent once more. What becomes of that is awaited.
+// beginAttempt starts another attempt in the background.
 func (o *operation) beginAttempt(event Event) {
 	p := &pendingAttempt{
 		event: event,
@@ -213,7 +213,7 @@
 	}()
 }
 
-// launched takes in the sending that has been begun.
+// recordStarted records the attempt that was being started.
 func (o *operation) recordStarted() *verdict.Error {
 	p := o.pending
 	o.pending = nil
@@ -241,8 +241,8 @@
 	return nil
 }
 
-// await waits for the next thing to happen. It returns an attempt that has its
-// answer, or a failure, or neither if there is more to wait for.
+// awaitEvent waits for the next event. It returns an attempt that has been
+// answered, or a failure, or neither if it has to be called again.
 func (o *operation) awaitEvent(policy retry.Policy) (*attempt, *verdict.Error) {
 	var ready, silent [2]<-chan struct{}
 	var informs <-chan *peer.Inform
@@ -285,7 +285,7 @@
 	return nil, nil
 }
 
-// settle takes in the result of an open attempt.
+// recordResult records the result of an open attempt.
 func (o *operation) recordResult(i int) (*attempt, *verdict.Error) {
 	a := o.open[i]
 	_, failure := a.exchange.Result()
@@ -308,7 +308,7 @@
 	return nil, failure
 }
 
-// failedAt notes that a sending has failed.
+// recordFailure records the step that an attempt has failed.
 func (o *operation) recordFailure(a *attempt, failure *verdict.Error) {
 	o.recordStep(Step{
 		Event: EventFailed,
@@ -318,11 +318,11 @@
 	})
 }
 
-// abandon ends all open attempts with e, without waiting for their peers. A request that has
-// not been sent at all has not run.
+// abandon ends all open attempts with e, without waiting for their peers. If no attempt has been
+// sent, it returns the failure to start one, by which the request has not run.
 func (o *operation) abandon(e *verdict.Error) *verdict.Error {
 	if o.pending != nil {
-		<-o.pending.done // which ends with the request's time, and with its caller
+		<-o.pending.done // returns at the latest when the deadline passes or the caller leaves
 		if failure := o.recordStarted(); failure != nil && len(o.open) == 0 {
 			return failure
 		}
@@ -335,12 +335,12 @@
 	return e
 }
 
-// abandonAll cancels the attempts that are not needed any more.
+// cancelOpen cancels the attempts that are no longer needed.
 func (o *operation) cancelOpen() {
 	for _, a := range o.open {
 		cause := verdict.CallerGone
 		if a.silent {
-			cause = verdict.PeerLost // by all that is known of its node
+			cause = verdict.PeerLost // as far as is known of its node
 		}
 		a.finish(verdict.New(cause, nil))
 	}
@@ -356,7 +356,7 @@
 	}
 }
 
-// land makes the result of an answered attempt.
+// result returns the result of an answered attempt.
 func (o *operation) result(a *attempt) *Result {
 	if o.heldResponse != nil && o.heldResponse != a {
 		o.heldResponse.finish(nil)
--- a/entry/doc.go
+++ b/entry/doc.go
@@ -2,13 +2,13 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Package entry sends a caller's request to an upstream of its service: it
-// picks one, sends a call to the node beside it, and decides on every further
-// sending.
+// Package entry dispatches callers' requests to the upstreams of their services.
+// It picks an upstream, sends a call to the node beside it, and decides whether
+// to retry or hedge.
 //
-// A Dispatcher joins the pure decisions of packages route and retry with
-// package peer. It never sends a request again that may have run, unless the
-// request is idempotent and the service's budget has room. What it gives up on
-// it returns at once, marked as given up, so that no hop nearer the caller
-// tries again.
+// A Dispatcher combines the decisions of packages route and retry with the
+// connections of package peer. A request that may already have run is sent again
+// only if it is idempotent and the service's retry budget has room. A request
+// that the Dispatcher gives up on is returned at once and marked as given up, so
+// that no hop nearer the caller retries it.
 package entry
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -24,14 +24,14 @@
 	"sassafrasfront.example/verdict"
 )
 
-// gates are peers that are played by functions.
+// gates records the calls that a set of simulated gates receives.
 type gates struct {
 	mu    sync.Mutex
-	calls []string // the nodes that got a call, in order
-	ended []string // the nodes whose call was cancelled
+	calls []string // the gates that received a call, in order
+	ended []string // the gates whose call was cancelled
 }
 
-// play answers one call.
+// gateFunc handles one call at a simulated gate.
 type gateFunc func(in *peer.Inbound)
 
 func answer(in *peer.Inbound) {
@@ -42,13 +42,13 @@
 	return func(in *peer.Inbound) { in.Fail(verdict.New(c, nil), nil) }
 }
 
-// hang gives no answer, and ends as a gate does when the call's time is over.
+// hang does not answer, and fails as a gate does when the call's deadline passes.
 func hang(in *peer.Inbound) {
 	<-in.Context().Done()
 	in.Fail(verdict.As(context.Cause(in.Context()), verdict.TimedOut), nil)
 }
 
-// queued waits until it is revoked.
+// queued waits in a queue until it is revoked.
 func queued(in *peer.Inbound) {
 	revoked := make(chan struct{})
 	var once sync.Once
@@ -58,13 +58,13 @@
 	})
 	select {
 	case <-revoked:
-		in.Fail(verdict.New(verdict.Revoked, nil), nil) // as a gate ends such a call
+		in.Fail(verdict.New(verdict.Revoked, nil), nil) // as a gate does
 	case <-in.Context().Done():
 	}
 }
 
-// dispatcher returns a dispatcher for a service whose gates are played in the
-// order in which they are called, the last one for all further calls.
+// newDispatcher returns a dispatcher for a service whose gates handle the successive calls with
+// the given functions, and all further calls with the last one.
 func newDispatcher(t *testing.T, config operator.Service, n int, handlers ...gateFunc) (*entry.Dispatcher, *gates) {
 	t.Helper()
 	g := new(gates)
@@ -78,7 +78,8 @@
 	return d, g
 }
 
-// playedDispatcher is dispatcher on a played network, for the runtime's clock. The caller calls stop.
+// newSimDispatcher is like newDispatcher on a simulated network, for use with a fake clock. The
+// caller calls stop.
 func newSimDispatcher(config operator.Service, n int, handlers ...gateFunc) (d *entry.Dispatcher, g *gates, stop func()) {
 	g = new(gates)
 	network := &playnet.Network{Delay: 100 * time.Microsecond, Window: linkWindow}
@@ -149,7 +150,7 @@
 	return len(g.calls), len(seen), len(g.ended)
 }
 
-// TestDo has one row for each course that a request may take.
+// TestDo has one case for each way in which a request can proceed.
 func TestDo(t *testing.T) {
 	budget := operator.Service{Retry: operator.Retry{MaxTries: 3, Share: 0.1, Burst: 5}}
 	tests := map[string]struct {
@@ -171,8 +172,8 @@
 		"answer invalid, GET":                    {handlers: []gateFunc{fail(verdict.AnswerInvalid), answer}, idempotent: true, want: verdict.AnswerInvalid, calls: 1},
 		"lost and then refused":                  {handlers: []gateFunc{fail(verdict.UpstreamLost), fail(verdict.Refused)}, idempotent: true, want: verdict.UpstreamLost, calls: 3},
 		"no answer in time":                      {handlers: []gateFunc{hang}, timeout: 50 * time.Millisecond, want: verdict.TimedOut, calls: 1},
-		"no time at all":                         {handlers: []gateFunc{answer}, timeout: -1, want: verdict.DeadlinePassed},
-		"refused, and no time for another":       {handlers: []gateFunc{func(in *peer.Inbound) { time.Sleep(60 * time.Millisecond); fail(verdict.Refused)(in) }}, timeout: 50 * time.Millisecond, want: verdict.TimedOut, calls: 1},
+		"deadline already passed":                {handlers: []gateFunc{answer}, timeout: -1, want: verdict.DeadlinePassed},
+		"refused, no time for another attempt":   {handlers: []gateFunc{func(in *peer.Inbound) { time.Sleep(60 * time.Millisecond); fail(verdict.Refused)(in) }}, timeout: 50 * time.Millisecond, want: verdict.TimedOut, calls: 1},
 		"upstream says not run, within a budget": {handlers: []gateFunc{fail(verdict.UpstreamRefused), answer}, calls: 2},
 	}
 	for name, test := range tests {
@@ -196,7 +197,7 @@
 				result, failed := d.Do(context.Background(), r)
 				calls, distinct, _ := g.count()
 				qt.Check(t, calls, qt.Equals, test.calls)
-				qt.Check(t, distinct, qt.Equals, test.calls, qt.Commentf("each try goes to another gate"))
+				qt.Check(t, distinct, qt.Equals, test.calls, qt.Commentf("each attempt goes to a different gate"))
 				if test.want != "" {
 					qt.Assert(t, failed != nil, qt.IsTrue)
 					qt.Check(t, failed.Cause, qt.Equals, test.want)
@@ -217,8 +218,8 @@
 	}
 }
 
-// TestErrors has upstreams that answer with status 500 and tell how many of their
-// requests they fail.
+// TestRetryOnError has upstreams that answer with status 500 and report the share of their
+// requests that fail.
 func TestRetryOnError(t *testing.T) {
 	failing := func(share float64) gateFunc {
 		return func(in *peer.Inbound) {
@@ -229,19 +230,19 @@
 	tests := map[string]struct {
 		handlers      []gateFunc
 		retry         operator.Retry
-		notIdempotent bool // whether the request must not repeat
-		maxAttempts   int  // the most upstreams, if not 0
+		notIdempotent bool // whether the request is not idempotent
+		maxAttempts   int  // value of MaxAttempts
 		want          int
 		calls         int
 	}{
-		"of one that stands out": {handlers: []gateFunc{failing(0.5), answer}, want: 200, calls: 2},
-		"of one that does not":   {handlers: []gateFunc{failing(0.1), answer}, want: 500, calls: 1},
-		"not idempotent":         {handlers: []gateFunc{failing(0.5), answer}, notIdempotent: true, want: 500, calls: 1},
-		"twice":                  {handlers: []gateFunc{failing(0.5), failing(0.5), answer}, want: 500, calls: 2},
-		"and the second is lost": {handlers: []gateFunc{failing(0.5), fail(verdict.UpstreamLost), fail(verdict.UpstreamLost)}, want: 500, calls: 3},
-		"one upstream allowed":   {handlers: []gateFunc{failing(0.5), answer}, maxAttempts: 1, want: 500, calls: 1},
-		"not configured":         {handlers: []gateFunc{failing(0.5), answer}, retry: operator.Retry{MaxTries: 3, Share: 0.1, Burst: 5}, want: 500, calls: 1},
-		"no budget":              {handlers: []gateFunc{failing(0.5), answer}, retry: operator.Retry{MaxTries: 3, Share: 1e-9, Burst: 1e-9, OnError: true}, want: 500, calls: 1},
+		"error rate stands out":         {handlers: []gateFunc{failing(0.5), answer}, want: 200, calls: 2},
+		"error rate does not stand out": {handlers: []gateFunc{failing(0.1), answer}, want: 500, calls: 1},
+		"not idempotent":                {handlers: []gateFunc{failing(0.5), answer}, notIdempotent: true, want: 500, calls: 1},
+		"two errors":                    {handlers: []gateFunc{failing(0.5), failing(0.5), answer}, want: 500, calls: 2},
+		"second attempt is lost":        {handlers: []gateFunc{failing(0.5), fail(verdict.UpstreamLost), fail(verdict.UpstreamLost)}, want: 500, calls: 3},
+		"one upstream allowed":          {handlers: []gateFunc{failing(0.5), answer}, maxAttempts: 1, want: 500, calls: 1},
+		"not configured":                {handlers: []gateFunc{failing(0.5), answer}, retry: operator.Retry{MaxTries: 3, Share: 0.1, Burst: 5}, want: 500, calls: 1},
+		"no budget":                     {handlers: []gateFunc{failing(0.5), answer}, retry: operator.Retry{MaxTries: 3, Share: 1e-9, Burst: 1e-9, OnError: true}, want: 500, calls: 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -264,9 +265,9 @@
 	}
 }
 
-// TestSlowRequests warms the latency up and then has a request hang. An
-// idempotent one is sent a second time and the loser cancelled; any other is
-// taken back if it waits, and left alone if it runs.
+// TestSlowRequests records the latency of fast requests and then has a request hang. An
+// idempotent request is hedged and its slower attempt cancelled. Any other is revoked
+// if it is queued, and left alone if it runs.
 func TestSlowRequests(t *testing.T) {
 	config := operator.Service{Hedge: operator.Hedge{Share: 0.2, MinDelay: operator.Duration(20 * time.Millisecond)}}
 	tests := map[string]struct {
@@ -322,8 +323,8 @@
 	}
 }
 
-// TestNowhereToSend has a service without upstreams, and one that the Dispatcher
-// has not been told of yet: neither is a reason to say that it does not exist.
+// TestNoUpstream sends requests to a service without upstreams, and to one that the Dispatcher
+// does not know yet. Neither may be reported as a service that does not exist.
 func TestNoUpstream(t *testing.T) {
 	d, _ := newDispatcher(t, operator.Service{}, 0)
 	for service, want := range map[string]verdict.Cause{"service": verdict.NoUpstream, "other": verdict.NoUpstream} {
@@ -333,19 +334,19 @@
 	}
 }
 
-// TestStartOfAllNodesAtOnce has requests come to a node that has its configuration and has
-// not heard of any upstream yet. Its callers come back soon, and those of a node that has
-// had time to hear of one later.
+// TestRetryAfterStart sends requests to a node that has its configuration and does not know any
+// upstream yet. Its callers are told to retry soon while the node has just started, and later
+// otherwise.
 func TestRetryAfterStart(t *testing.T) {
 	for name, test := range map[string]struct {
 		age  time.Duration
 		want time.Duration
 	}{
-		"just started":    {age: 0, want: 250 * time.Millisecond},
-		"a second ago":    {age: time.Second, want: 250 * time.Millisecond},
-		"three ago":       {age: 3 * time.Second, want: time.Second},
-		"an hour ago":     {age: time.Hour, want: time.Second},
-		"clock not known": {age: 1 << 62, want: time.Second},
+		"just started":       {age: 0, want: 250 * time.Millisecond},
+		"a second ago":       {age: time.Second, want: 250 * time.Millisecond},
+		"three seconds ago":  {age: 3 * time.Second, want: time.Second},
+		"an hour ago":        {age: time.Hour, want: time.Second},
+		"start time unknown": {age: 1 << 62, want: time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -365,7 +366,7 @@
 	}
 }
 
-// BenchmarkSet times the taking in of one changed service of many.
+// BenchmarkSetServices measures an update that changes one service of many.
 func BenchmarkSetServices(b *testing.B) {
 	for _, n := range []int{160, 1000, 3000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/entry/hedge.go
+++ b/entry/hedge.go
@@ -13,8 +13,8 @@
 	"sassafrasfront.example/verdict"
 )
 
-// slow returns a channel that yields once the request counts as slow and
-// something can be done about it, and a function that releases it.
+// hedgeTimer returns a channel that fires when the request counts as slow and
+// may be hedged or revoked, and a function that stops the timer.
 func (o *operation) hedgeTimer() (<-chan time.Time, func()) {
 	hedge := o.service.Config.Hedge
 	if hedge.Share == 0 && hedge.Part == 0 || len(o.open) != 1 || o.pending != nil || o.slowHandled || o.service.pool.Len() < 2 {
@@ -32,8 +32,8 @@
 	return t.C, func() { t.Stop() }
 }
 
-// takeHedge takes one second sending of an organisation out of its budget, and returns
-// whether there was one.
+// takeHedge takes one hedged attempt for an organisation from its budget, and
+// returns whether the budget had room for it.
 func (s *service) takeHedge(organisation string) bool {
 	if part := s.Config.Hedge.Part; part > 0 {
 		return s.retryBudget.TakeFor(organisation, part)
@@ -41,9 +41,9 @@
 	return s.hedgeBudget.Take()
 }
 
-// peerSilent acts on the silence of the node that has an open attempt. It may be slow, as its
-// upstream may be at work on the request, so the attempt goes on; an idempotent request is
-// sent a second time, within the budget.
+// handleSilence handles the silence of the node of an open attempt. The node may only be slow and
+// its upstream may be working on the request, so the attempt continues. An idempotent request is
+// also sent to another upstream, within the retry budget.
 func (o *operation) handleSilence(i int, policy retry.Policy) {
 	a := o.open[i]
 	a.silent = true
@@ -56,8 +56,8 @@
 	}
 }
 
-// sendElsewhere sends a request once more that is open at silent nodes only, after a second sending
-// that has reached no upstream.
+// retryBesideSilent retries a request whose open attempts are all at silent nodes, after another
+// attempt has failed without reaching an upstream.
 func (o *operation) retryBesideSilent(failure *verdict.Error, policy retry.Policy) {
 	notSilent := func(a *attempt) bool { return !a.silent }
 	if failure.Verdict() == verdict.NotRun && !slices.ContainsFunc(o.open, notSilent) {
@@ -65,8 +65,8 @@
 	}
 }
 
-// sendBesides sends an idempotent request once more after a failure, while what is open goes on,
-// if nothing is being sent, its body can be sent again, and the plan has it so.
+// retryInParallel retries an idempotent request after a failure while its open attempts continue, if
+// no attempt is being started, the body can be sent again and the retry policy allows it.
 func (o *operation) retryInParallel(failure *verdict.Error, policy retry.Policy) {
 	if o.pending != nil || !o.request.Idempotent || o.request.Stream != nil || !o.mayRetry(failure) || !o.attemptsLeft() ||
 		!policy.ShouldRetry(failure, true, len(o.tried), time.Until(o.request.Deadline)) {
@@ -75,9 +75,9 @@
 	o.beginAttempt(EventRetry)
 }
 
-// hurry acts on a slow request. An idempotent one is sent a second time, within
-// the budget. Any other is taken back if it still waits in a queue, and is then
-// sent elsewhere as a request that has not run.
+// handleSlow handles a slow request. An idempotent request is hedged, within the
+// budget. Any other request is revoked if it still waits in a queue, and is then
+// retried elsewhere as a request that has not run.
 func (o *operation) handleSlow() {
 	o.slowHandled = true // at most once for each request
 	if !o.request.Idempotent || o.request.Stream != nil {
--- a/entry/isolate.go
+++ b/entry/isolate.go
@@ -11,10 +11,10 @@
 	"sassafrasfront.example/verdict"
 )
 
-// pickIsolated picks the upstream for an isolated request: the first one of an order that
-// is the same at all nodes, so that all copies of the request meet at one gate, which
-// runs one of them. Three copies that come at once end one upstream in place of three
-// then, and no node has to agree with another.
+// pickIsolated picks the upstream for an isolated request. All nodes try the members in the same
+// order, so that all copies of the request arrive at one gate, which runs one of them at a time.
+// Three simultaneous copies thus crash one upstream instead of three, without any coordination
+// between nodes.
 func (s *service) pickIsolated(p quarantine.Fingerprint, unavailable func(id string) bool) (*route.Assignment[string], bool) {
 	ids := make([]string, len(s.Members))
 	for i, m := range s.Members {
@@ -24,16 +24,16 @@
 		if unavailable(picked) {
 			continue
 		}
-		if use, ok := s.pool.Pick(func(id string) bool { return id != picked }); ok {
-			return use, true
+		if assignment, ok := s.pool.Pick(func(id string) bool { return id != picked }); ok {
+			return assignment, true
 		}
 	}
 	return nil, false
 }
 
-// mayGoOn returns whether a request may be sent again after a failure, by what is thought
-// of it. An isolated one has its place at one upstream, and goes to the next only if that
-// one is not there.
+// mayRetry returns whether the quarantine allows a request to be sent again after a failure. An
+// isolated request is bound to one upstream, and is sent to the next only if that one can't be
+// reached or no longer accepts requests.
 func (o *operation) mayRetry(failure *verdict.Error) bool {
 	switch o.dispatcher.Quarantine.Assess(o.request.Fingerprint).State {
 	case quarantine.Blocked:
--- a/entry/isolate_test.go
+++ b/entry/isolate_test.go
@@ -19,8 +19,8 @@
 	"sassafrasfront.example/verdict"
 )
 
-// suspected returns an index by which the given number of upstreams have ended with a
-// request at hand, and the request.
+// suspected returns a request, and an index according to which the given number of upstreams have
+// crashed with it in flight.
 func suspected(crashes int) (*quarantine.Index, quarantine.Fingerprint) {
 	p := quarantine.NewFingerprint("caller", "GET", "h.example", "/fatal").WithBody(nil)
 	x := new(quarantine.Index)
@@ -34,7 +34,7 @@
 	return x, p
 }
 
-// TestSuspectedRequests tells how often and where a suspected request is sent.
+// TestSuspectedRequests checks how often and where a suspected request is sent.
 func TestSuspectedRequests(t *testing.T) {
 	const gates = 4
 	tests := map[string]struct {
@@ -43,14 +43,14 @@
 		want     verdict.Cause
 		calls    int
 	}{
-		"seen, lost and sent again":                {crashes: 1, handlers: []gateFunc{fail(verdict.UpstreamLost), answer}, calls: 2},
-		"seen, refused and sent again":             {crashes: 1, handlers: []gateFunc{fail(verdict.Refused), answer}, calls: 2},
-		"isolated, answered":                       {crashes: 2, handlers: []gateFunc{answer}, calls: 1},
-		"isolated, lost":                           {crashes: 2, handlers: []gateFunc{fail(verdict.UpstreamLost), answer}, want: verdict.UpstreamLost, calls: 1},
-		"isolated, another runs there":             {crashes: 2, handlers: []gateFunc{fail(verdict.Refused), answer}, want: verdict.Refused, calls: 1},
-		"isolated, its upstream is not there":      {crashes: 2, handlers: []gateFunc{fail(verdict.Misrouted), answer}, calls: 2},
-		"blocked":                                  {crashes: 3, handlers: []gateFunc{answer}, want: verdict.Quarantined},
-		"isolated, blocked by the gate's own word": {crashes: 2, handlers: []gateFunc{fail(verdict.Quarantined), answer}, want: verdict.Quarantined, calls: 1},
+		"seen, lost and sent again":         {crashes: 1, handlers: []gateFunc{fail(verdict.UpstreamLost), answer}, calls: 2},
+		"seen, refused and sent again":      {crashes: 1, handlers: []gateFunc{fail(verdict.Refused), answer}, calls: 2},
+		"isolated, answered":                {crashes: 2, handlers: []gateFunc{answer}, calls: 1},
+		"isolated, lost":                    {crashes: 2, handlers: []gateFunc{fail(verdict.UpstreamLost), answer}, want: verdict.UpstreamLost, calls: 1},
+		"isolated, another runs there":      {crashes: 2, handlers: []gateFunc{fail(verdict.Refused), answer}, want: verdict.Refused, calls: 1},
+		"isolated, its upstream is gone":    {crashes: 2, handlers: []gateFunc{fail(verdict.Misrouted), answer}, calls: 2},
+		"blocked":                           {crashes: 3, handlers: []gateFunc{answer}, want: verdict.Quarantined},
+		"isolated, quarantined by the gate": {crashes: 2, handlers: []gateFunc{fail(verdict.Quarantined), answer}, want: verdict.Quarantined, calls: 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestIsolatedRequestsMeet has several nodes send copies of an isolated request: all of
-// them go to the same upstream, and different requests to different ones.
+// TestIsolatedRequestsMeet checks that copies of an isolated request from several nodes are all
+// sent to the same upstream, and different requests to different ones.
 func TestIsolatedRequestsMeet(t *testing.T) {
 	const nodes, requests = 5, 40
 	d, g := newDispatcher(t, operator.Service{}, 6, answer)
--- a/entry/lostpacket_test.go
+++ b/entry/lostpacket_test.go
@@ -15,12 +15,12 @@
 	"sassafrasfront.example/operator"
 )
 
-// TestLostPacketIsNoSilence guards against a second sending of a request, or its end, because
-// one packet between two nodes was lost: it is sent again before the node counts as silent.
+// TestLostPacketIsNotSilence guards against a request that is retried or fails because a single
+// packet between two nodes was lost. It has to be retransmitted before the node counts as silent.
 func TestLostPacketIsNotSilence(t *testing.T) {
 	for name, lose := range map[string]func(w *simCluster){
-		"of the entry's": func(w *simCluster) { w.entry.Lose(1) },
-		"of the gates'": func(w *simCluster) {
+		"sent by the entry node": func(w *simCluster) { w.entry.Lose(1) },
+		"sent by the gates": func(w *simCluster) {
 			for _, g := range w.gates {
 				g.Lose(1)
 			}
--- a/entry/memberchange_test.go
+++ b/entry/memberchange_test.go
@@ -20,20 +20,20 @@
 	"sassafrasfront.example/verdict"
 )
 
-// TestMembersChangeMeanwhile guards against a request that ends as misrouted, as the members of its
-// service have changed since it came: it is sent once more to those that are there now.
+// TestMembersChangeDuringRequest guards against a request that fails as misrouted because the members
+// of its service were replaced while it was in flight. It has to be sent to the new members.
 func TestMembersChangeDuringRequest(t *testing.T) {
 	config := operator.Service{Retry: operator.Retry{MaxTries: 3, Share: 0.1, Burst: 5}}.WithDefaults()
 	tests := map[string]struct {
-		before, after int           // the members, by their numbers, from 0 up to before, and from there up to after
-		first         verdict.Cause // of the first sending
+		before, after int           // members 0 to before-1 are replaced by members before to after-1
+		first         verdict.Cause // failure of the first attempt
 		idempotent    bool
 	}{
 		"the only one is replaced":    {before: 1, after: 2, first: verdict.Draining},
 		"all are replaced":            {before: 3, after: 6, first: verdict.Draining},
 		"one is replaced by many":     {before: 1, after: 8, first: verdict.Draining},
 		"many are replaced by others": {before: 8, after: 9, first: verdict.Draining},
-		"the first sending is lost":   {before: 3, after: 6, first: verdict.PeerLost, idempotent: true},
+		"the first attempt is lost":   {before: 3, after: 6, first: verdict.PeerLost, idempotent: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -57,7 +57,7 @@
 				var stop func()
 				d, g, stop = newSimDispatcher(config, test.after, refuseAndChange, answer)
 				defer stop()
-				defer time.Sleep(2 * time.Minute) // connections to former members end
+				defer time.Sleep(2 * time.Minute) // until the connections to former members are closed
 				d.SetServices(service(0, test.before))
 				r := &entry.Request{Service: "service", Method: "X", Target: "/", Idempotent: test.idempotent, Deadline: time.Now().Add(10 * time.Second)}
 				result, failed := d.Do(context.Background(), r)
--- a/entry/notice.go
+++ b/entry/notice.go
@@ -14,29 +14,29 @@
 	"sassafrasfront.example/peer"
 )
 
-// noticeLife is how long after it was told last a notice is kept. An upstream that leaves goes on
-// answering for many seconds, and one that names a limit tells it with each answer.
+// noticeLifetime is how long a notice is kept after it was last received. An upstream that is leaving
+// keeps responding for many seconds, and one with a limit repeats it with each response.
 const noticeLifetime = 10 * time.Minute
 
-// notices is what the upstreams beside other nodes have said of the requests that they want. They
-// outlast the connection to a node and its process: the next process there learns from calls what
-// was said to the one before. The zero value is empty.
+// notices holds the latest notice of each node's upstream about the requests that it accepts. They
+// outlive the connection to the node and its process: a process that is started there anew learns
+// from calls which notice its predecessor received. The zero value is empty.
 type notices struct {
-	count atomic.Int64 // so that nothing is locked while there are none
+	count atomic.Int64 // lets get skip the lock while there are none
 
 	mu     sync.Mutex
 	byNode map[string]ReceivedNotice
 }
 
-// Heard is what the upstream beside a node has said of the requests that it wants, and when that
-// was told last.
+// ReceivedNotice is a notice of a node's upstream about the requests that it accepts, and when it was
+// last received.
 type ReceivedNotice struct {
 	Node       string
 	Notice     *peer.Notice
 	ReceivedAt time.Time
 }
 
-// set replaces what the upstream beside a node has said. Nil stands for nothing.
+// set replaces the notice of a node's upstream. Nil removes it.
 func (n *notices) set(node string, notice *peer.Notice) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -60,7 +60,7 @@
 	n.count.Store(int64(len(n.byNode)))
 }
 
-// Notices returns what the upstreams beside other nodes have said.
+// Notices returns the latest notices of the other nodes' upstreams.
 func (d *Dispatcher) Notices() []ReceivedNotice {
 	n := &d.notices
 	n.mu.Lock()
@@ -68,7 +68,7 @@
 	return slices.Collect(maps.Values(n.byNode))
 }
 
-// of returns what the upstream beside a node has said, or nil.
+// get returns the notice of a node's upstream, or nil.
 func (n *notices) get(node string) *peer.Notice {
 	if n.count.Load() == 0 {
 		return nil
--- a/entry/notice_test.go
+++ b/entry/notice_test.go
@@ -15,8 +15,8 @@
 	"sassafrasfront.example/peer"
 )
 
-// TestNotices keeps what the upstreams beside other nodes have said, until they say otherwise or for
-// some minutes.
+// TestNotices checks that the notices of other nodes' upstreams are kept until they are replaced or
+// have not been repeated for noticeLifetime.
 func TestNotices(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var d Dispatcher
@@ -36,11 +36,11 @@
 		n.set("a", lower)
 		time.Sleep(noticeLifetime/2 + time.Second)
 		n.set("c", limit)
-		qt.Check(t, n.get("a"), qt.Equals, lower, qt.Commentf("it was told again"))
+		qt.Check(t, n.get("a"), qt.Equals, lower, qt.Commentf("the notice was repeated"))
 		time.Sleep(2 * noticeLifetime)
 		for i := range 3 {
 			n.set(fmt.Sprint(i), limit)
 		}
-		qt.Check(t, d.Notices(), qt.HasLen, 3, qt.Commentf("what nobody tells any more is forgotten"))
+		qt.Check(t, d.Notices(), qt.HasLen, 3, qt.Commentf("notices that are no longer repeated are dropped"))
 	})
 }
--- a/entry/parallel_test.go
+++ b/entry/parallel_test.go
@@ -15,8 +15,8 @@
 	"sassafrasfront.example/verdict"
 )
 
-// TestSecondSendingsWithinAttempts guards against more upstreams for a request than its route
-// allows, and against a second run of what may not run twice, where nodes fall silent in turn.
+// TestParallelAttemptsWithinLimit guards against a request that is sent to more upstreams than its
+// route allows, or run twice though it is not idempotent, when one node after the other falls silent.
 func TestParallelAttemptsWithinLimit(t *testing.T) {
 	for name, test := range map[string]struct {
 		attempts   int
--- a/entry/regions_test.go
+++ b/entry/regions_test.go
@@ -19,26 +19,26 @@
 	"sassafrasfront.example/verdict"
 )
 
-// TestRegions has a service of three regions, two members each, and requests that may not be
-// sent to all of them: not at first, nor once more after a failure, nor as a hedge, nor
-// alone. Where none is left that answers, the request is refused at once.
+// TestRegions checks that a request which is restricted to some regions is sent to no others, be it
+// in its first attempt, a retry, a hedged attempt or in isolation. If no upstream in them is left,
+// the request fails at once.
 func TestRegions(t *testing.T) {
 	tests := map[string]struct {
 		allowed  []string
 		handlers []gateFunc
-		crashes  int // upstreams that have ended with the request at hand
+		crashes  int // upstreams that crashed with the request in flight
 		want     verdict.Cause
 		calls    int
 	}{
-		"all":                      {handlers: []gateFunc{answer}, calls: 1},
-		"one":                      {allowed: []string{"r1"}, handlers: []gateFunc{answer}, calls: 1},
-		"two":                      {allowed: []string{"r1", "r2"}, handlers: []gateFunc{answer}, calls: 1},
-		"one, sent again":          {allowed: []string{"r1"}, handlers: []gateFunc{fail(verdict.UpstreamLost), answer}, calls: 2},
-		"one, refused":             {allowed: []string{"r1"}, handlers: []gateFunc{fail(verdict.Refused)}, want: verdict.Refused, calls: 2},
-		"one, cut off":             {allowed: []string{"r1"}, handlers: []gateFunc{fail(verdict.NotWritten)}, want: verdict.NotWritten, calls: 6},
-		"one, isolated":            {allowed: []string{"r1"}, crashes: 2, handlers: []gateFunc{answer}, calls: 1},
-		"one, isolated, cut off":   {allowed: []string{"r1"}, crashes: 2, handlers: []gateFunc{fail(verdict.NotWritten)}, want: verdict.NoUpstream, calls: 2},
-		"where the service is not": {allowed: []string{"r9"}, handlers: []gateFunc{answer}, want: verdict.NoUpstream},
+		"all":                    {handlers: []gateFunc{answer}, calls: 1},
+		"one":                    {allowed: []string{"r1"}, handlers: []gateFunc{answer}, calls: 1},
+		"two":                    {allowed: []string{"r1", "r2"}, handlers: []gateFunc{answer}, calls: 1},
+		"one, sent again":        {allowed: []string{"r1"}, handlers: []gateFunc{fail(verdict.UpstreamLost), answer}, calls: 2},
+		"one, refused":           {allowed: []string{"r1"}, handlers: []gateFunc{fail(verdict.Refused)}, want: verdict.Refused, calls: 2},
+		"one, cut off":           {allowed: []string{"r1"}, handlers: []gateFunc{fail(verdict.NotWritten)}, want: verdict.NotWritten, calls: 6},
+		"one, isolated":          {allowed: []string{"r1"}, crashes: 2, handlers: []gateFunc{answer}, calls: 1},
+		"one, isolated, cut off": {allowed: []string{"r1"}, crashes: 2, handlers: []gateFunc{fail(verdict.NotWritten)}, want: verdict.NoUpstream, calls: 2},
+		"region without members": {allowed: []string{"r9"}, handlers: []gateFunc{answer}, want: verdict.NoUpstream},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/entry/replacedlink_test.go
+++ b/entry/replacedlink_test.go
@@ -24,7 +24,7 @@
 	"sassafrasfront.example/verdict"
 )
 
-// dials counts the connections that an entry opens and closes.
+// connCounter counts the connections that an entry node opens and closes.
 type connCounter struct {
 	mu             sync.Mutex
 	opened, closed int
@@ -37,7 +37,7 @@
 	return d.opened, d.closed
 }
 
-// dial opens a connection as h does.
+// dial returns a function that dials from h and counts the connections.
 func (d *connCounter) dial(h *playnet.Host) func(ctx context.Context, addr string) (net.Conn, error) {
 	return func(ctx context.Context, addr string) (net.Conn, error) {
 		c, err := h.Dial(ctx, addr)
@@ -51,7 +51,7 @@
 	}
 }
 
-// counted is a connection that dials has opened.
+// countedConn is a connection that a connCounter has opened.
 type countedConn struct {
 	net.Conn
 	dials *connCounter
@@ -68,8 +68,8 @@
 	return c.Conn.Close()
 }
 
-// TestSilentConnection guards against new calls over a connection that is silent, against calls
-// that end when another takes its place, and against silent connections that are never closed.
+// TestSilentConnection guards against new calls over a silent connection, against calls that fail
+// when another connection replaces it, and against silent connections that are never closed.
 func TestSilentConnection(t *testing.T) {
 	for name, idempotent := range map[string]bool{"idempotent": true, "not idempotent": false} {
 		t.Run(name, func(t *testing.T) {
@@ -96,7 +96,7 @@
 					qt.Check(t, took > 1400*time.Millisecond && took < 2*time.Second, qt.IsTrue, qt.Commentf("%v", took))
 				})
 				time.Sleep(100 * time.Millisecond)
-				w.gates[0].Lose(3) // 1.4 s; other connections carry on
+				w.gates[0].Lose(3) // 1.4 s; other connections are not affected
 				time.Sleep(linkSilence)
 				for i := range 30 {
 					all.Go(func() {
@@ -113,7 +113,7 @@
 				time.Sleep(100 * time.Millisecond)
 				opened, closed := w.dials.counts()
 				qt.Check(t, opened, qt.Equals, 2)
-				qt.Check(t, closed, qt.Equals, 1, qt.Commentf("connections closed once nothing is open on the old one"))
+				qt.Check(t, closed, qt.Equals, 1, qt.Commentf("the old connection is closed once it has no open calls"))
 				_, err := w.sendTo("/new", idempotent)
 				qt.Check(t, err, qt.IsNil)
 				opened, _ = w.dials.counts()
@@ -123,8 +123,8 @@
 	}
 }
 
-// TestCallAtClosing guards against calls that end because their connection is closed for
-// idleness, or replaced, at the moment at which they are begun.
+// TestCallAtClosing guards against calls that fail because their connection is closed as idle, or
+// replaced, at the moment at which they start.
 func TestCallAtClosing(t *testing.T) {
 	const idle = 2 * time.Second
 	t.Run("idle", func(t *testing.T) {
@@ -135,7 +135,7 @@
 			w.handle = answerAfter(10 * time.Millisecond)
 			for i := -40; i <= 40; i++ {
 				var all sync.WaitGroup
-				for j := range 4 { // they are begun at the moment of the closing and beside it
+				for j := range 4 { // start at the moment of closing and around it
 					all.Go(func() {
 						time.Sleep(idle + time.Millisecond + time.Duration(i)*50*time.Microsecond + time.Duration(j)*time.Microsecond)
 						_, err := w.sendTo(fmt.Sprint("/", i, "/", j), false)
@@ -161,7 +161,7 @@
 				all.Go(func() { _, _ = w.sendTo(fmt.Sprint("/", i), false) })
 				time.Sleep(5 * time.Millisecond)
 				w.gates[0].Lose(3)
-				for j := range 40 { // the connection is replaced among them
+				for j := range 40 { // the connection is replaced while they start
 					all.Go(func() {
 						time.Sleep(linkSilence - 15*time.Millisecond + time.Duration(j)*time.Millisecond)
 						_, err := w.sendTo(fmt.Sprint("/", i, "/", j), false)
@@ -190,21 +190,22 @@
 	})
 }
 
-// hedged is the configuration of a service whose slow requests are sent a second time.
+// hedgeConfig returns the configuration of a service whose slow requests are hedged.
 func hedgeConfig() operator.Service {
 	c := retryConfig()
 	c.Hedge = operator.Hedge{Share: 1, Burst: 100, Quantile: 0.5, MinDelay: operator.Duration(50 * time.Millisecond)}
 	return c
 }
 
-// learn has the entry learn how long requests take.
+// recordLatency sends requests until the entry node has an estimate of their latency.
 func (w *simCluster) recordLatency() {
 	for i := range 100 {
 		_, _ = w.sendTo(fmt.Sprint("/learn/", i), true)
 	}
 }
 
-// TestLoserEnds guards against an answer that ends with the other sending of its request.
+// TestWinnerOutlivesLoser guards against a response that is cut off when the other attempt of its
+// request ends.
 func TestWinnerOutlivesLoser(t *testing.T) {
 	const size = 360 << 10
 	whole := func(in *peer.Inbound) {
@@ -217,17 +218,17 @@
 		second func(w *simCluster, node string, in *peer.Inbound)
 		winner int
 	}{
-		"the first, with an answer later": {
+		"first attempt answers later": {
 			first:  func(_ *simCluster, _ string, in *peer.Inbound) { time.Sleep(time.Second); whole(in) },
 			second: func(_ *simCluster, _ string, in *peer.Inbound) { whole(in) },
 			winner: 1,
 		},
-		"the first, whose node loses its power": {
+		"first attempt's node loses power": {
 			first:  func(w *simCluster, node string, _ *peer.Inbound) { w.Host(node).PowerOff(); time.Sleep(time.Minute) },
 			second: func(_ *simCluster, _ string, in *peer.Inbound) { time.Sleep(10 * time.Second); whole(in) },
 			winner: 1,
 		},
-		"the first, whose connection is reset": {
+		"first attempt's connection is reset": {
 			first: func(w *simCluster, node string, _ *peer.Inbound) {
 				time.Sleep(time.Second)
 				w.Host(node).Reset()
@@ -235,21 +236,21 @@
 			second: func(_ *simCluster, _ string, in *peer.Inbound) { time.Sleep(2 * time.Second); whole(in) },
 			winner: 1,
 		},
-		"the second, whose connection is reset": {
+		"second attempt's connection is reset": {
 			first:  func(_ *simCluster, _ string, in *peer.Inbound) { time.Sleep(2 * time.Second); whole(in) },
 			second: func(w *simCluster, node string, _ *peer.Inbound) { w.Host(node).Reset() },
 		},
-		"the second, whose node loses its power": {
+		"second attempt's node loses power": {
 			first:  func(_ *simCluster, _ string, in *peer.Inbound) { time.Sleep(10 * time.Second); whole(in) },
 			second: func(w *simCluster, node string, _ *peer.Inbound) { w.Host(node).PowerOff(); time.Sleep(time.Minute) },
 		},
-		"the second, which is refused": {
+		"second attempt is refused": {
 			first: func(_ *simCluster, _ string, in *peer.Inbound) { time.Sleep(2 * time.Second); whole(in) },
 			second: func(_ *simCluster, _ string, in *peer.Inbound) {
 				in.Fail(verdict.New(verdict.Refused, nil), nil)
 			},
 		},
-		"both silent, the first answers": {
+		"both nodes silent, first attempt answers": {
 			first: func(w *simCluster, node string, in *peer.Inbound) {
 				w.Host(node).Silence(1500 * time.Millisecond)
 				time.Sleep(time.Second)
@@ -292,14 +293,14 @@
 	}
 }
 
-// TestSilenceWithinAnswer guards against answers that are cut, or given up, because the link
-// falls silent once they have begun, or once informational answers have come.
+// TestSilenceWithinAnswer guards against responses that are cut off or given up because the link
+// falls silent after they, or informational responses, have begun to arrive.
 func TestSilenceWithinAnswer(t *testing.T) {
 	const (
 		size    = 200 << 10
 		silence = 1500 * time.Millisecond
 	)
-	// slowly sends a body in two halves, and has the node be silent between them.
+	// slowly sends a body in two halves, and makes the node silent between them.
 	slowly := func(w *simCluster, node string, in *peer.Inbound) {
 		_ = in.Begin(&peer.Answer{Status: 200, Length: size})
 		_ = in.CopyBody(bytes.NewReader(make([]byte, size/2)))
@@ -327,7 +328,7 @@
 			attempts:      1,
 			informational: 2,
 		},
-		"on the second sending": {
+		"on the second attempt": {
 			handle: func(w *simCluster, node string, in *peer.Inbound) {
 				if in.Call.Try == 1 {
 					in.Fail(verdict.New(verdict.UpstreamLost, nil), nil)
--- a/entry/request.go
+++ b/entry/request.go
@@ -16,47 +16,47 @@
 
 // Request is a caller's request.
 type Request struct {
-	// Service is the name of its service.
+	// Service is the name of the service.
 	Service string
-	// Class is its class.
+	// Class is the name of the request's class.
 	Class string
-	// Organisation is the name of the organisation on whose behalf it is sent, or empty.
+	// Organisation is the name of the organisation on whose behalf the request is sent, or empty.
 	Organisation string
 	// Method, Target and Host are as in HTTP, the target in origin form.
 	Method, Target, Host string
 	// Header are the header fields to send.
 	Header []peer.Field
-	// Body is the whole body, unless Kept or Stream is set.
+	// Body is the complete body, unless Spooled or Stream is set.
 	Body []byte
-	// Kept is the body if it is sent on as it comes in, and kept so that it can be sent
-	// again.
+	// Spooled is a body that is forwarded while it is received, and spooled so that it
+	// can be sent again.
 	Spooled *spool.Body
-	// Stream yields the body if it is very large. It is read at most once.
+	// Stream is a body too large to be spooled. It is read at most once.
 	Stream io.Reader
-	// Length is the length of the body, or -1 if it is not known.
+	// Length is the length of the body in bytes, or -1 if unknown.
 	Length int64
 	// Idempotent is whether running the request twice does no harm.
 	Idempotent bool
-	// Print tells the request from others.
+	// Fingerprint identifies the request for the quarantine.
 	Fingerprint quarantine.Fingerprint
-	// Attempts bounds the upstreams that the request is sent to. Zero means that
-	// the service's configuration says so.
+	// MaxAttempts bounds the number of upstreams that the request is sent to. Zero
+	// means the bound of the service's configuration.
 	MaxAttempts int
-	// Regions are those to whose nodes and upstreams the request may be sent, be it once
-	// more or alone. None means all.
+	// Regions are the regions to whose nodes and upstreams the request may be sent, including
+	// retries, hedged attempts and isolated requests. None means all.
 	Regions []string
-	// Objective is the latency within which the answer is of full value, or 0.
+	// Objective is the latency within which the caller expects the response, or 0.
 	Objective time.Duration
-	// Deadline is when the answer must have begun.
+	// Deadline is the time by which the response must have begun.
 	Deadline time.Time
-	// Inform, if not nil, is called with informational answers.
+	// OnInformational, if not nil, is called for each informational response.
 	OnInformational func(*peer.Inform)
-	// Steps are what was decided on the request. The Dispatcher adds to them until
+	// Steps are the decisions taken on the request. The Dispatcher appends to them until
 	// Do returns.
 	Steps []Step
 }
 
-// call returns the message that sends r for the given time.
+// call returns the message of the given attempt.
 func (r *Request) call(attempt int) *peer.Call {
 	c := &peer.Call{
 		Service:      r.Service,
@@ -79,20 +79,20 @@
 	return c
 }
 
-// InlineBody is the largest body, in bytes, that goes with the call. A larger one
-// follows once the gate asks for it, which costs an exchange between
-// nodes, so that a call that is refused does not carry it in vain: a request of 60
-// KB that three gates refuse takes 150 ms of a link of 10 Mbit/s otherwise.
+// MaxInlineBodyBytes is the size of the largest body that is sent together with the call. A larger
+// one is sent once the gate asks for it. That costs a round trip between nodes, but a refused call
+// then does not carry its body in vain: a request of 60 KB that three gates refuse would otherwise
+// occupy a link of 10 Mbit/s for 150 ms.
 const MaxInlineBodyBytes = 8 << 10
 
-// ahead returns whether the body may be sent before the call is admitted: if it can be sent
-// again from its start where the call is refused after all.
+// sendsBodyAhead returns whether the body may be sent before the call is admitted. It must be
+// possible to send it again from its start if the call is refused.
 func (r *Request) sendsBodyAhead() bool {
 	return r.Length > MaxInlineBodyBytes && r.Length <= peer.MaxAhead && r.Stream == nil
 }
 
-// crosses returns how many bytes of the body cross the link in their own frames, as far as
-// is known.
+// bodyFrameBytes returns how many bytes of the body are sent over the link in frames of their own, as
+// far as is known.
 func (r *Request) bodyFrameBytes() int64 {
 	if r.Length <= MaxInlineBodyBytes {
 		return 0
@@ -100,7 +100,7 @@
 	return r.Length
 }
 
-// stream returns the body of a sending that follows the call.
+// bodyReader returns a reader of the part of the body that follows the call of an attempt.
 func (r *Request) bodyReader() io.Reader {
 	switch {
 	case r.Spooled != nil:
@@ -116,18 +116,18 @@
 	*peer.Response
 	// Node is the node that answered.
 	Node string
-	// Zone is where it is.
+	// Zone is the availability zone of the node.
 	Zone string
-	// Tries is the number of sendings, the first included.
+	// Attempts is the number of attempts, including the first.
 	Attempts int
 
 	attempt *attempt
 }
 
-// Close ends the exchange. It must be called, whether or not the body has been
+// Close ends the exchange. It must be called whether or not the body has been
 // read.
 func (r *Result) Close() {
-	if r.attempt != nil { // it is nil where another than a Dispatcher answers
+	if r.attempt != nil { // nil if the result does not come from a Dispatcher
 		r.attempt.finish(nil)
 	}
 }
--- a/entry/retryafter.go
+++ b/entry/retryafter.go
@@ -11,11 +11,11 @@
 	"sassafrasfront.example/verdict"
 )
 
-// comeBack is what a caller is told to wait for where there is no estimate.
+// defaultRetryAfter is the Retry-After of a failure for which there is no estimate.
 const defaultRetryAfter = time.Second
 
-// final returns the failure as it goes to the caller: given up, and with a
-// time to come back.
+// finalError returns the failure as it is returned to the caller: given up, and
+// with a Retry-After if its status is 503.
 func finalError(e *verdict.Error) *verdict.Error {
 	if e.RetryAfter == 0 && e.Status() == 503 {
 		e = e.WithRetryAfter(defaultRetryAfter)
@@ -23,7 +23,7 @@
 	return e.WithGivenUp()
 }
 
-// final returns the failure of the request as it goes to the caller.
+// finalError returns the failure of the request as it is returned to the caller.
 func (o *operation) finalError(e *verdict.Error) *verdict.Error {
 	switch {
 	case e.Cause == verdict.UpstreamRefused:
@@ -34,8 +34,8 @@
 	return finalError(e)
 }
 
-// full returns whether the request failed as there was no room for it: the last gate said
-// so, or one before it did and the last upstream could not be reached.
+// lackedCapacity returns whether the request failed for lack of capacity: either the last gate
+// refused it, or an earlier one did and the last upstream could not be reached.
 func (o *operation) lackedCapacity(e *verdict.Error) bool {
 	switch e.Cause {
 	case verdict.Refused, verdict.Slowed, verdict.Draining:
@@ -45,7 +45,7 @@
 	return len(o.refused) > 0 && info.Verdict == verdict.NotRun && info.RetryElsewhere
 }
 
-// expect takes in the wait that a gate expects which refused the request.
+// recordExpectedWait records the wait that a gate expects which refused the request.
 func (o *operation) recordExpectedWait(e *verdict.Error) {
 	if e.Cause == verdict.Refused && e.RetryAfter > 0 && (o.expectedWait == 0 || e.RetryAfter < o.expectedWait) {
 		o.expectedWait = e.RetryAfter
--- a/entry/retryafter_test.go
+++ b/entry/retryafter_test.go
@@ -16,13 +16,13 @@
 	"sassafrasfront.example/verdict"
 )
 
-// refuse fails a call with the given cause and time to come back.
+// refuse fails a call with the given cause and Retry-After.
 func refuse(c verdict.Cause, after time.Duration) gateFunc {
 	return func(in *peer.Inbound) { in.Fail(verdict.New(c, nil).WithRetryAfter(after), nil) }
 }
 
-// TestComeBack has callers told to come back within their objective, unless a gate or an
-// upstream says that it takes longer.
+// TestRetryAfter checks that callers are told to retry within their objective, unless a gate or
+// an upstream expects a longer wait.
 func TestRetryAfter(t *testing.T) {
 	ms := time.Millisecond
 	tests := map[string]struct {
--- a/entry/retryshare.go
+++ b/entry/retryshare.go
@@ -14,20 +14,21 @@
 	"sassafrasfront.example/retry"
 )
 
-// urgency is what orders classes for the budget for retries.
+// urgency is the order of classes for the retry budget.
 type urgency struct {
 	priority  int
 	objective time.Duration
 }
 
-// compare orders by the priority and then by the objective, the least urgent first. Of one
-// priority, those with a short objective can't be refused and come back within it, as the
-// calls inside a run, whose callers don't come back at all.
+// compare orders by priority and then by objective, the least urgent first. Within a priority,
+// requests with a short objective are more urgent: a caller cannot retry them within it after a
+// refusal, and the callers of requests made within a run, which have such objectives, do not retry
+// at all.
 func (u urgency) compare(o urgency) int {
 	return cmp.Or(cmp.Compare(u.priority, o.priority), cmp.Compare(o.objective, u.objective))
 }
 
-// urgencyOf returns the urgency of a class. One without an objective can wait.
+// urgencyOf returns the urgency of a class. A class without an objective is the least urgent.
 func urgencyOf(c operator.Class) urgency {
 	objective := c.Objective.Std()
 	if objective == 0 {
@@ -39,8 +40,8 @@
 	}
 }
 
-// retryParts returns the part of the budget for retries that each class may spend, by
-// the rank of its urgency among the others'.
+// retryShares returns the share of the retry budget that each class may spend, by
+// the rank of its urgency among the classes.
 func retryShares(config operator.Service) map[string]float64 {
 	var ranks []urgency
 	for _, c := range config.Classes {
--- a/entry/schedule_test.go
+++ b/entry/schedule_test.go
@@ -26,11 +26,11 @@
 )
 
 var (
-	schedules = flag.Int("schedules", 100, "number of schedules that TestSchedules plays")
-	firstSeed = flag.Uint64("scheduleSeed", 1, "seed of the first of them")
+	schedules = flag.Int("schedules", 100, "number of schedules that TestSchedules runs")
+	firstSeed = flag.Uint64("scheduleSeed", 1, "seed of the first schedule")
 )
 
-// schedule is a drawn course of requests and troubles, and what came of it.
+// schedule is a random sequence of requests and faults, and its results.
 type schedule struct {
 	*simCluster
 	random   *rand.Rand
@@ -42,21 +42,21 @@
 	refuses    map[string]bool      // gates that are stopping
 	cutAt      map[string]time.Time // when a gate closed its connections
 	offAt      map[string]time.Time // when a gate lost its power
-	stops      []time.Time          // when the entry stopped
-	resumes    []time.Time          // the ends of the entry's suspensions
-	violations []string             // of what holds for answers and runs
+	stops      []time.Time          // when the entry node stopped
+	resumes    []time.Time          // when the entry node's suspensions ended
+	violations []string             // violated invariants of responses and runs
 	held       []string             // requests that were held beyond a bound
 }
 
-// drawn is a request and what came of it.
+// scheduledRequest is a random request and its result.
 type scheduledRequest struct {
 	*entry.Request
 	index    int
 	start    time.Duration
 	size     int
-	slow     time.Duration // how long the body takes to come from the caller, or 0
+	slow     time.Duration // how long the caller takes to send the body, or 0
 	timeout  time.Duration // until the deadline
-	queue    time.Duration // how long gates have it wait
+	queue    time.Duration // how long gates queue it
 	work     time.Duration // how long upstreams work on it
 	answer   int           // bytes of the answer
 	sent     time.Time
@@ -68,7 +68,7 @@
 	failure  *verdict.Error
 }
 
-// draw draws a schedule for a seed.
+// newSchedule returns the random schedule of a seed.
 func newSchedule(seed uint64) *schedule {
 	r := rand.New(rand.NewPCG(seed, 0))
 	network := fastNetwork()
@@ -98,7 +98,7 @@
 	return s
 }
 
-// between draws a time.
+// between returns a random duration.
 func (s *schedule) between(least, most time.Duration) time.Duration {
 	return least + time.Duration(s.random.Int64N(int64(most-least)))
 }
@@ -132,7 +132,7 @@
 	return d
 }
 
-// drawTrouble draws something that happens in the schedule's course.
+// addFault schedules a random fault.
 func (s *schedule) addFault() {
 	at := s.between(time.Second, 8*time.Second)
 	i := s.random.IntN(len(s.gates))
@@ -175,7 +175,7 @@
 			s.cutGate[i]()
 		}
 	case 9:
-		description, inject = "the entry stops", func() {
+		description, inject = "the entry node stops", func() {
 			s.locked(func() { s.stops = append(s.stops, time.Now()) })
 			s.dispatcher.Close()
 		}
@@ -184,21 +184,21 @@
 	time.AfterFunc(at, inject)
 }
 
-// first keeps when something first happens to a node.
+// recordFirst records when something first happens to a node.
 func recordFirst(times map[string]time.Time, node string) {
 	if times[node].IsZero() {
 		times[node] = time.Now()
 	}
 }
 
-// note calls f with the lock held.
+// locked calls f with the lock held.
 func (s *schedule) locked(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f()
 }
 
-// gate plays a gate and its upstream, which works on to its end whatever becomes of the call.
+// gate simulates a gate and its upstream, which completes its work even if the call has ended.
 func (s *schedule) gate(node string, in *peer.Inbound) {
 	index, _ := strconv.Atoi(strings.TrimPrefix(in.Call.Target, "/"))
 	d := s.requests[index]
@@ -262,7 +262,7 @@
 		in.Fail(verdict.As(err, verdict.BodyLost), nil)
 		return
 	} else if int(n) != d.size {
-		s.fail(d, "%d bytes of the body have come to %s", n, node)
+		s.fail(d, "%d bytes of the body have arrived at %s", n, node)
 	}
 	time.Sleep(d.work)
 	if d.answer == 0 {
@@ -275,7 +275,7 @@
 	}
 }
 
-// slowBody comes in pieces, a time apart.
+// slowBody yields its bytes in pieces, with a pause before each.
 type slowBody struct {
 	left, piece int
 	pause       time.Duration
@@ -292,7 +292,7 @@
 	return n, nil
 }
 
-// send sends a drawn request and keeps what came of it.
+// send sends a request and records its result.
 func (s *schedule) send(d *scheduledRequest) {
 	time.Sleep(d.start)
 	s.mu.Lock()
@@ -330,17 +330,17 @@
 	}
 }
 
-// fail keeps a breach of what holds for answers and runs.
+// fail records a violation of an invariant.
 func (s *schedule) fail(d *scheduledRequest, format string, args ...any) {
 	s.locked(func() { s.violations = append(s.violations, d.Target+" "+fmt.Sprintf(format, args...)) })
 }
 
-// hold keeps that a request was held beyond a bound.
+// hold records that a request was held beyond a bound.
 func (s *schedule) hold(d *scheduledRequest, format string, args ...any) {
 	s.locked(func() { s.held = append(s.held, d.Target+" "+fmt.Sprintf(format, args...)) })
 }
 
-// check looks for breaches once all is over.
+// check checks the invariants of a request once the schedule is over.
 func (s *schedule) check(d *scheduledRequest) {
 	if d.sent.IsZero() {
 		return
@@ -373,11 +373,11 @@
 		}
 	}
 	if d.failure.Verdict() == verdict.NotRun && len(d.runs) > 0 {
-		s.fail(d, "is told as not run, %v, and has run at %v", d.failure, d.runs)
+		s.fail(d, "is reported as not run, %v, and has run at %v", d.failure, d.runs)
 	}
 }
 
-// proven returns whether a node that had the request was known to be lost when it ended.
+// proven returns whether a node that had the request was known to be lost when the request ended.
 func (s *schedule) proven(d *scheduledRequest) bool {
 	if slices.ContainsFunc(s.stops, d.ended.Equal) {
 		return true
@@ -398,7 +398,7 @@
 	return false
 }
 
-// checkHeld looks for a request that was held too long once all is over.
+// checkHeld checks, once the schedule is over, that a request was not held for too long.
 func (s *schedule) checkHeld(d *scheduledRequest) {
 	if d.sent.IsZero() {
 		return
@@ -414,7 +414,7 @@
 		s.hold(d, "is held after the stop")
 	}
 	if d.answered && d.failure == nil {
-		return // by another instance, or before the end of power
+		return // by another instance, or before the power failure
 	}
 	for i, step := range d.Steps {
 		if s.offAt[step.Node].IsZero() || !d.begun(i) {
@@ -438,12 +438,12 @@
 			}
 		}
 		if over := ended.Sub(bound); over > 0 {
-			s.hold(d, "is held by %s, which has no power, for %v beyond the bound", step.Node, over)
+			s.hold(d, "is held by %s, which has lost power, for %v beyond the bound", step.Node, over)
 		}
 	}
 }
 
-// begun returns whether a step is a sending for which there was a connection.
+// begun returns whether a step is an attempt for which there was a connection.
 func (d *scheduledRequest) begun(i int) bool {
 	if d.Steps[i].Event != entry.EventSent {
 		return false
@@ -451,12 +451,12 @@
 	last := i+1 == len(d.Steps)
 	again := !last && d.Steps[i+1].Event == entry.EventRetry
 	if i > 0 && d.Steps[i-1].Event == entry.EventSilent {
-		return again // it is noted once a second sending has begun
+		return again // the retry is recorded once its attempt has begun
 	}
 	return !again && !(last && d.failure != nil && d.failure.Verdict() == verdict.NotRun)
 }
 
-// String describes the schedule.
+// String describes the schedule and the results of its requests.
 func (s *schedule) String() string {
 	b := new(strings.Builder)
 	fmt.Fprintf(b, "%d gates, rate %v, buffer %d\n", len(s.gates), s.Rate, s.Buffer)
@@ -476,12 +476,12 @@
 	return b.String()
 }
 
-// TestSchedules plays drawn schedules of requests, bodies and answers, of silent links, losses,
-// suspensions, resets, ends of power and stops. The part "answers" guards against requests that
-// end without their upstream's answer before their deadline though nothing proves their node
-// lost, and against those that run twice, or run though they are told as not run. The part
-// "held" guards against callers that are held beyond their deadline or the entry's stop, or by
-// an instance without power.
+// TestSchedules runs random schedules of requests, bodies and responses, with silent links, packet
+// losses, suspensions, resets, power failures and stops. The subtest "answers" guards against
+// requests that fail without their upstream's response before their deadline though nothing proves
+// that their node is lost, and against requests that run twice, or run though they are reported as
+// not run. The subtest "held" guards against callers that are held beyond their deadline or the stop
+// of the entry node, or by an instance without power.
 func TestSchedules(t *testing.T) {
 	var violations, held []string
 	for i := range *schedules {
@@ -494,7 +494,7 @@
 				all.Go(func() { s.send(d) })
 			}
 			all.Wait()
-			time.Sleep(30 * time.Second) // what has been told as not run does not run later
+			time.Sleep(30 * time.Second) // requests reported as not run must not run later either
 			synctest.Wait()
 			for _, d := range s.requests {
 				s.check(d)
--- a/entry/silentlink_test.go
+++ b/entry/silentlink_test.go
@@ -23,23 +23,23 @@
 )
 
 const (
-	// linkSilence and linkHandshake are the bounds of a node on its peers.
+	// linkSilence and linkHandshake are the timeouts that a node applies to its peers.
 	linkSilence   = 600 * time.Millisecond
 	linkHandshake = 400 * time.Millisecond
-	// linkTimeout is how long a kernel waits for an acknowledgement.
+	// linkTimeout is how long a kernel waits for an acknowledgement before it resets a connection.
 	linkTimeout = 3 * time.Second
-	// linkRate is that of a link of 10 Mbit/s, in bytes per second.
+	// linkRate is the rate of a link of 10 Mbit/s in bytes per second.
 	linkRate = 10e6 / 8
-	// linkWindow is what a connection's receiver holds, in bytes.
+	// linkWindow is the receive window of a connection in bytes.
 	linkWindow = 256 << 10
-	// linkUnderWay is how many body bytes a node on such a link lets its peers have under
-	// way to it.
+	// linkUnderWay is how many bytes of request bodies a node on such a link allows its peers to have
+	// in transit to it.
 	linkUnderWay = 50 << 10
-	// linkWork is how long an upstream takes.
+	// linkWork is how long an upstream works on a request.
 	linkWork = 1500 * time.Millisecond
 )
 
-// distant is an entry and gates on a played network, which run on the clock of the bubble.
+// simCluster is an entry node and gates on a simulated network with a fake clock.
 type simCluster struct {
 	*playnet.Network
 	dispatcher *entry.Dispatcher
@@ -47,33 +47,33 @@
 	gates      []*playnet.Host
 	dials      connCounter
 	stop       func()
-	// cutGate has a gate close its listener and its connections.
+	// cutGate closes the listener and the connections of a gate.
 	cutGate []func()
 
-	// play, if not nil, plays the gates and their upstreams in place of run. It is set before
+	// handle, if not nil, simulates the gates and their upstreams instead of run. It is set before
 	// the first request.
 	handle func(node string, in *peer.Inbound)
 
 	mu    sync.Mutex
 	runs  map[string]int // calls that upstreams have begun to run, by node
 	cut   int            // runs whose call ended before their answer
-	calls []arrival      // what has come to the gates
+	calls []arrival      // the calls that have arrived at the gates
 }
 
-// arrival is a call that has come to a gate.
+// arrival is a call that has arrived at a gate.
 type arrival struct {
 	node, target string
 	at           time.Time
 }
 
-// newDistant starts an entry and n gates on a network, whose upstreams take linkWork for each
-// call and answer with the given number of bytes.
+// newSimCluster starts an entry node and n gates on a network. Their upstreams take linkWork for
+// each call and answer with the given number of bytes.
 func newSimCluster(n int, network *playnet.Network, config operator.Service, answer int) *simCluster {
 	limits := peer.Limits{Silence: linkSilence, Handshake: linkHandshake}
 	return newSimClusterWithin(limits, n, network, config, answer)
 }
 
-// newDistantWithin is newDistant with bounds on the entry's connections.
+// newSimClusterWithin is like newSimCluster, with limits on the entry node's connections.
 func newSimClusterWithin(limits peer.Limits, n int, network *playnet.Network, config operator.Service, answer int) *simCluster {
 	w := &simCluster{
 		Network: network,
@@ -123,7 +123,7 @@
 	return w
 }
 
-// addStop has f called by stop, before what was added earlier.
+// addStop makes stop call f before the functions that were added earlier.
 func (w *simCluster) addStop(f func()) {
 	earlier := w.stop
 	w.stop = func() {
@@ -134,7 +134,7 @@
 	}
 }
 
-// arrived notes a call that has come to a gate.
+// recordArrival records a call that has arrived at a gate.
 func (w *simCluster) recordArrival(node string, in *peer.Inbound) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -145,7 +145,7 @@
 	})
 }
 
-// callsOf returns the calls that have come for a target, in order.
+// callsOf returns the calls that have arrived for a target, in order.
 func (w *simCluster) callsOf(target string) (list []arrival) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -157,7 +157,7 @@
 	return list
 }
 
-// run plays a gate and its upstream, which works on to its end whatever becomes of the call.
+// run simulates a gate and its upstream, which completes its work even if the call has ended.
 func (w *simCluster) run(node string, in *peer.Inbound, answer int) {
 	if in.Call.Ahead {
 		if _, err := in.Receive(in.Context()); err != nil {
@@ -188,7 +188,7 @@
 	_ = in.Finish(nil)
 }
 
-// ran returns how many runs there have been, and how many calls ended before their answer.
+// ran returns the number of runs, and the number of calls that ended before their response.
 func (w *simCluster) ran() (runs, cut int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -211,7 +211,7 @@
 	}
 }
 
-// send sends a request and reads its answer to the end.
+// send sends a request and reads its response to the end.
 func (w *simCluster) send(r *entry.Request) (string, error) {
 	result, failed := w.dispatcher.Do(context.Background(), r)
 	if failed != nil {
@@ -222,13 +222,13 @@
 	return string(data), err
 }
 
-// once is the configuration of a service whose requests are sent to one upstream only.
+// noRetryConfig returns the configuration of a service whose requests are sent to one upstream only.
 func noRetryConfig() operator.Service {
 	return operator.Service{Retry: operator.Retry{MaxTries: 1, Share: 1e-9, Burst: 1e-9}}
 }
 
-// overLink sends one request that can't be sent elsewhere, idempotent or not, has trouble come
-// while its upstream works, and checks that it ends with the upstream's answer.
+// testFaultDuringRequest sends one request that can't be sent elsewhere, idempotent or not, injects a
+// fault while its upstream works, and checks that it is answered by the upstream.
 func testFaultDuringRequest(t *testing.T, fault func(w *simCluster)) {
 	for name, idempotent := range map[string]bool{"idempotent": true, "not idempotent": false} {
 		t.Run(name, func(t *testing.T) {
@@ -254,37 +254,37 @@
 // Limits.Silence.
 func TestAnswerOverSilentLink(t *testing.T) {
 	for name, fault := range map[string]func(w *simCluster){
-		"both ways for 0.7 s":            func(w *simCluster) { w.gates[0].Silence(700 * time.Millisecond) },
-		"both ways for 1 s":              func(w *simCluster) { w.gates[0].Silence(time.Second) },
-		"both ways for 2 s":              func(w *simCluster) { w.gates[0].Silence(2 * time.Second) },
-		"from the gate for 0.7 s":        func(w *simCluster) { w.gates[0].SilenceUp(700 * time.Millisecond) },
-		"from the gate for 1 s":          func(w *simCluster) { w.gates[0].SilenceUp(time.Second) },
-		"from the gate for 2 s":          func(w *simCluster) { w.gates[0].SilenceUp(2 * time.Second) },
-		"at the entry for 2 s":           func(w *simCluster) { w.entry.Silence(2 * time.Second) },
-		"a packet is lost three times":   func(w *simCluster) { w.gates[0].Lose(3) },
-		"gate's process suspended":       func(w *simCluster) { w.gates[0].Suspend(time.Second) },
-		"entry late by 0.8 s":            func(w *simCluster) { w.entry.Suspend(800 * time.Millisecond) },
-		"entry late by 1 s":              func(w *simCluster) { w.entry.Suspend(time.Second) },
-		"bytes due with the second look": func(w *simCluster) { w.entry.Suspend(linkSilence*5/4 - 100*time.Millisecond) },
+		"both ways for 0.7 s":                func(w *simCluster) { w.gates[0].Silence(700 * time.Millisecond) },
+		"both ways for 1 s":                  func(w *simCluster) { w.gates[0].Silence(time.Second) },
+		"both ways for 2 s":                  func(w *simCluster) { w.gates[0].Silence(2 * time.Second) },
+		"from the gate for 0.7 s":            func(w *simCluster) { w.gates[0].SilenceUp(700 * time.Millisecond) },
+		"from the gate for 1 s":              func(w *simCluster) { w.gates[0].SilenceUp(time.Second) },
+		"from the gate for 2 s":              func(w *simCluster) { w.gates[0].SilenceUp(2 * time.Second) },
+		"at the entry node for 2 s":          func(w *simCluster) { w.entry.Silence(2 * time.Second) },
+		"a packet is lost three times":       func(w *simCluster) { w.gates[0].Lose(3) },
+		"gate suspended for 1 s":             func(w *simCluster) { w.gates[0].Suspend(time.Second) },
+		"entry node suspended for 0.8 s":     func(w *simCluster) { w.entry.Suspend(800 * time.Millisecond) },
+		"entry node suspended for 1 s":       func(w *simCluster) { w.entry.Suspend(time.Second) },
+		"bytes arrive with the second check": func(w *simCluster) { w.entry.Suspend(linkSilence*5/4 - 100*time.Millisecond) },
 	} {
 		t.Run(name, func(t *testing.T) { testFaultDuringRequest(t, fault) })
 	}
 }
 
 // TestAnswerOverShortSilence guards against requests that are answered with 502 while their
-// upstreams work on them, because of a silence that is no longer than Limits.Silence.
+// upstreams work on them, because of a silence no longer than Limits.Silence.
 func TestAnswerOverShortSilence(t *testing.T) {
 	for name, fault := range map[string]func(w *simCluster){
-		"a packet is lost":              func(w *simCluster) { w.gates[0].Lose(1) },
-		"bytes due with the first look": func(w *simCluster) { w.entry.Suspend(linkSilence - 100*time.Millisecond) },
+		"a packet is lost":                  func(w *simCluster) { w.gates[0].Lose(1) },
+		"bytes arrive with the first check": func(w *simCluster) { w.entry.Suspend(linkSilence - 100*time.Millisecond) },
 	} {
 		t.Run(name, func(t *testing.T) { testFaultDuringRequest(t, fault) })
 	}
 }
 
 // TestAnswerOverFullLink guards against requests that are answered with 502 while their
-// upstreams work on them, because the links between nodes were full of bodies for longer than
-// Limits.Silence.
+// upstreams work on them, because the links between nodes were saturated with bodies for longer
+// than Limits.Silence.
 func TestAnswerOverFullLink(t *testing.T) {
 	const size = 360 << 10
 	for name, test := range map[string]struct {
--- a/entry/silentnode_test.go
+++ b/entry/silentnode_test.go
@@ -15,9 +15,9 @@
 	"sassafrasfront.example/peer"
 )
 
-// TestSilentNodeIsRemembered guards against requests that wait one after the other for the silence
-// of a node that has lost its power, because it owes nothing once the request before has been
-// answered elsewhere.
+// TestSilentNodeIsRemembered guards against successive requests that each wait for a node that has
+// lost power to be found silent. This happens if the node counts as responsive again as soon as the
+// previous request has been answered elsewhere and none is open there.
 func TestSilentNodeIsRemembered(t *testing.T) {
 	for _, gates := range []int{2, 6} {
 		t.Run(fmt.Sprint(gates, " gates"), func(t *testing.T) {
@@ -34,7 +34,7 @@
 					_ = in.Reply(&peer.Answer{Status: 200, Body: []byte(node)})
 				}
 				time.Sleep(time.Second)
-				for i := range 30 { // earns budget
+				for i := range 30 { // earns retry budget
 					_, err := w.sendTo(fmt.Sprint("/before/", i), true)
 					qt.Assert(t, err, qt.IsNil)
 				}
--- a/entry/spooled_test.go
+++ b/entry/spooled_test.go
@@ -20,7 +20,7 @@
 	"sassafrasfront.example/verdict"
 )
 
-// receiving plays a gate that receives the body, and then does what play does.
+// receiving returns a handler that receives the body and then calls f.
 func receiving(f gateFunc) gateFunc {
 	return func(in *peer.Inbound) {
 		if _, err := in.Receive(in.Context()); err != nil {
@@ -39,9 +39,9 @@
 	_ = in.Finish(nil)
 }
 
-// TestKeptBody sends a body that comes in bit by bit to gates that refuse it before its end
-// or with all of it there. It is sent elsewhere from its start, whole, and only as long as
-// it is certain that it has not run.
+// TestSpooledBody sends a body that arrives in pieces to gates that refuse it either before its
+// end or after receiving all of it. The whole body has to be sent elsewhere, and only as long as
+// it is certain that the request has not run.
 func TestSpooledBody(t *testing.T) {
 	tests := map[string]struct {
 		handlers []gateFunc
--- a/entry/stalled_test.go
+++ b/entry/stalled_test.go
@@ -18,8 +18,8 @@
 	"sassafrasfront.example/verdict"
 )
 
-// TestSecondSendingRefused guards against callers that wait for the proof that an instance is
-// lost, because the one gate that their requests were sent to meanwhile had no room.
+// TestRetryAfterRefusedRetry guards against callers that wait until an instance is proven to be lost,
+// because the one gate to which their requests were sent in the meantime had no room.
 func TestRetryAfterRefusedRetry(t *testing.T) {
 	for name, fault := range map[string]func(h *playnet.Host){
 		"instance without power": func(h *playnet.Host) { h.PowerOff() },
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestAnswerWhileSecondSendingIsOpened guards against answers that are held back while the
-// connection for a second sending is being opened.
+// TestAnswerDuringRetryDial guards against responses that are held back while the connection for a
+// retry is being opened.
 func TestAnswerDuringRetryDial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimCluster(2, fastNetwork(), retryConfig(), 0)
@@ -95,8 +95,8 @@
 	})
 }
 
-// TestNothingSentAfterClose guards against requests that are sent on once more by a node whose
-// drain is over, and whose runs are cut soon after.
+// TestNothingSentAfterClose guards against requests that are retried by a node after its drain
+// has ended, and whose runs are cut off soon afterwards.
 func TestNothingSentAfterClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimCluster(2, fastNetwork(), retryConfig(), 0)
--- a/entry/step.go
+++ b/entry/step.go
@@ -12,38 +12,38 @@
 	"sassafrasfront.example/verdict"
 )
 
-// Step is one decision on a request, or what came of one.
+// Step is a decision on a request, or the result of one.
 type Step struct {
-	// After is the time since the request was taken up.
+	// After is the time since the Dispatcher received the request.
 	After time.Duration
-	// Event says what it was.
+	// Event is the kind of step.
 	Event Event
-	// Node is the node that it concerns, or empty.
+	// Node is the id of the node concerned, or empty.
 	Node string
-	// Candidate is what the node was chosen by, and Age the age of the report that
-	// it rests on, negative if there was none. They are set for EventSent.
+	// Candidate is the load by which the node was picked, and Age is the age of the load report
+	// that it is based on, or negative if there was none. They are set for EventSent.
 	Candidate route.Candidate
 	Age       time.Duration
-	// Trial is whether that node's upstream is of a version on trial. It is set for EventSent.
+	// Canary is whether the node's upstream is a canary. It is set for EventSent.
 	Canary bool
-	// Cause is why a sending failed, and Reason what stands behind that, or nil. They are
-	// set for EventFailed.
+	// Cause is the cause of a failed attempt, and Err is the underlying error, or nil. They
+	// are set for EventFailed.
 	Cause verdict.Cause
 	Err   error
 }
 
-// The events that are steps of a request only.
+// The events that occur only as steps of a request.
 const (
 	EventSent   Event = "sent"
 	EventFailed Event = "failed"
-	// EventSilent is that nothing has been heard for long from a node that has the request.
+	// EventSilent means that a node with an open attempt has not been heard for a long time.
 	EventSilent Event = "silent"
-	// EventAside is an error answer that is kept back while another upstream is
-	// asked.
+	// EventAnswerHeld means that an error response is held back while the request is sent to another
+	// upstream.
 	EventAnswerHeld Event = "answer set aside"
 )
 
-// Sendings returns how many of some steps are sendings of the request.
+// CountAttempts returns the number of attempts among some steps.
 func CountAttempts(steps []Step) (n int) {
 	for _, s := range steps {
 		if s.Event == EventSent {
@@ -53,10 +53,10 @@
 	return n
 }
 
-// maxSteps bounds the steps that are kept of a request.
+// maxSteps bounds the number of steps that are recorded for a request.
 const maxSteps = 24
 
-// note keeps a step.
+// recordStep records a step.
 func (o *operation) recordStep(s Step) {
 	if len(o.request.Steps) < maxSteps {
 		s.After = time.Since(o.startedAt)
@@ -64,18 +64,18 @@
 	}
 }
 
-// unanswered returns what is known of the sending that was begun first, when the request's time is
-// over.
+// openAttemptsError returns an error that describes the attempts that are open when the request's
+// deadline passes, or nil if there are none.
 func (o *operation) openAttemptsError() error {
 	if len(o.open) == 0 {
 		return nil
 	}
 	a := o.open[0]
-	return fmt.Errorf("%d sendings open, the first for %v, its node heard %v ago",
+	return fmt.Errorf("%d attempts open, the first for %v, its node last heard %v ago",
 		len(o.open), time.Since(a.startedAt).Round(time.Millisecond), a.exchange.Heard().Round(time.Millisecond))
 }
 
-// did keeps a step that the Dispatcher's owner is told of as well.
+// recordEvent records a step and reports it through OnEvent.
 func (o *operation) recordEvent(e Event) {
 	o.dispatcher.emit(o.service.Name, e)
 	o.recordStep(Step{Event: e})
--- a/entry/stop.go
+++ b/entry/stop.go
@@ -12,7 +12,7 @@
 	"sassafrasfront.example/verdict"
 )
 
-// stopping says whether a Dispatcher has been stopped. The zero value says that it has not.
+// stopSignal signals that a Dispatcher has been stopped. The zero value is ready to use.
 type stopSignal struct {
 	mu      sync.Mutex
 	stopped chan struct{}
@@ -29,14 +29,14 @@
 	return s.stopped
 }
 
-// Stop has nothing sent any more. Requests that wait at a gate are taken back, and end as
-// not run. Those that may run go on until Close.
+// Stop makes the Dispatcher start no more attempts. Requests that wait at a gate are revoked and
+// end as not run. Those that may be running continue until Close.
 func (d *Dispatcher) Stop() { d.stopping.once.Do(func() { close(d.stopping.done()) }) }
 
-// errStopped is why a stopped Dispatcher sends nothing.
-var errStopped = eris.New("this node had to stop")
+// errStopped is the reason for which a stopped Dispatcher sends nothing.
+var errStopped = eris.New("this node is stopping")
 
-// stopped returns the failure of a sending that a stopped Dispatcher is to make, or nil if
+// stopError returns the failure of an attempt that a stopped Dispatcher is asked for, or nil if
 // it is not stopped.
 func (d *Dispatcher) stopError() *verdict.Error {
 	select {
@@ -47,9 +47,9 @@
 	}
 }
 
-// withdraw takes the open sendings back as far as they wait at their gates.
+// revokeOpen revokes the open attempts that still wait at their gates.
 func (o *operation) revokeOpen() {
-	o.stopping = nil // once
+	o.stopping = nil // only once
 	for _, a := range o.open {
 		a.exchange.Revoke()
 	}
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -13,28 +13,28 @@
 	"sassafrasfront.example/peer"
 )
 
-// errTakenBack is the failure of a sending that has lost its right to the body.
-var errBodyReassigned = eris.New("the body belongs to a later sending")
+// errBodyReassigned is returned to an attempt that reads a body which has been reassigned.
+var errBodyReassigned = eris.New("the request body belongs to a later attempt")
 
-// onceReader is a body that one sending only may read. Each sending gets a view
-// of it. Until one of them has begun to read, the right can be taken from it and
-// given to a later one; the two exclude each other.
+// onceReader is a body that a single attempt may read. Each attempt has its own view
+// of it. As long as the current owner has not begun to read, the body can be reassigned
+// to a later attempt. Reading and reassigning exclude each other.
 type onceReader struct {
 	body io.Reader
 
 	mu          sync.Mutex
-	owner       int // the one that has the right
+	owner       int // the number of the attempt that owns the body
 	readStarted bool
 }
 
-// Once returns a reader for Request.Stream. It lets the Dispatcher know whether
-// the body has been begun, after which the request can't be sent again.
+// ReadOnce returns a reader for Request.Stream. It lets the Dispatcher know whether
+// reading of the body has begun, after which the request can't be sent again.
 func ReadOnce(r io.Reader) io.Reader { return &onceReader{body: r} }
 
 // Read implements io.Reader, for a single reader.
 func (r *onceReader) Read(p []byte) (int, error) { return r.view().Read(p) }
 
-// view returns the body for the sending that has the right now.
+// view returns the body for the attempt that owns it now.
 func (r *onceReader) view() *bodyView {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -44,8 +44,8 @@
 	}
 }
 
-// takeBack takes the right from the present sending, and returns whether that
-// has not begun to read.
+// reassign takes the body away from its present owner, and returns whether that
+// had not begun to read.
 func (r *onceReader) reassign() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -56,7 +56,7 @@
 	return true
 }
 
-// bodyView is the body as one sending has it. It implements peer.Trailered.
+// bodyView is the body as seen by one attempt. It implements peer.Trailered.
 type bodyView struct {
 	once    *onceReader
 	attempt int
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// streamOf returns the body for the next sending of a request.
+// nextView returns the body for the next attempt of a request.
 func nextView(body io.Reader) io.Reader {
 	if r, ok := body.(*onceReader); ok {
 		return r.view()
--- a/entry/stream_test.go
+++ b/entry/stream_test.go
@@ -12,8 +12,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestBodyBelongsToOneSending has a first sending come late to the body, after
-// the request has been found fit to be sent again.
+// TestBodyBelongsToOneAttempt has the first attempt read the body only after it has been
+// reassigned to a second one.
 func TestBodyBelongsToOneAttempt(t *testing.T) {
 	body := ReadOnce(strings.NewReader("whole"))
 	o := &operation{request: &Request{Stream: body}}
--- a/entry/subset.go
+++ b/entry/subset.go
@@ -12,21 +12,20 @@
 )
 
 const (
-	// subsetNear and subsetFar are the numbers of a service's members, in the node's own
-	// availability zone and elsewhere, that a node sends to as long as one of them is
-	// good enough for the request; where the zone has fewer, there are more of the
-	// others. Among so many there is nearly always one that is neither slow nor full:
-	// with a quarter of the upstreams slow, all of eight are once in 65,000 times. The
-	// connections, and the messages by which upstreams tell of their speed, then grow
-	// with the number of nodes and not with its square, and few cross zones.
+	// subsetInZone and subsetOutOfZone are the numbers of a service's members, in the node's own
+	// availability zone and outside of it, that a node sends to as long as one of them suits the
+	// request. If the zone has fewer members, the subset has more of the others. A subset of this
+	// size nearly always has a member that is neither slow nor full: if a quarter of the upstreams
+	// are slow, all eight are slow once in 65,000 times. The numbers of connections and of load
+	// reports then grow with the number of nodes and not with its square, and few cross zones.
 	subsetInZone    = 6
 	subsetOutOfZone = 2
 )
 
-// subset returns the ids of the members that a node sends to. Each node has a
-// subset of its own, drawn by rendezvous hashing, so that all members are in
-// about the same number of subsets and few change when a member comes or goes.
-// The member beside the node is always in it.
+// subset returns the ids of the members that a node sends to. Each node draws its
+// own subset by rendezvous hashing, so that all members are in about the same
+// number of subsets and few subsets change when a member joins or leaves. The
+// member beside the node is always included.
 func subset(node, zone string, members []Member) map[string]bool {
 	in := make(map[string]bool, subsetInZone+subsetOutOfZone+1)
 	if len(members) <= subsetInZone+subsetOutOfZone {
@@ -65,19 +64,19 @@
 	return in
 }
 
-// weighed is a member by its place in a list, with its weight for a node.
+// weightedMember is a member, by its index in a list, and its weight for a node.
 type weightedMember struct {
 	weight uint64
 	index  int
 }
 
-// ranked keeps the heaviest of the members that are added, the heaviest first.
+// heaviest keeps the heaviest of the members that are added, in descending order.
 type heaviest struct {
 	limit int
 	list  []weightedMember
 }
 
-// add adds a member. Nearly all are lighter than those that are kept, and cost one comparison.
+// add adds a member. Nearly all are lighter than the ones that are kept, and cost one comparison.
 func (h *heaviest) add(w weightedMember) {
 	if len(h.list) == h.limit && w.weight <= h.list[h.limit-1].weight {
 		return
@@ -87,7 +86,7 @@
 	h.list = h.list[:min(len(h.list), h.limit)]
 }
 
-// mixed returns a hash of x, so that the order of the members differs from node to node. See
+// mix64 returns a hash of x, so that the order of the members differs from node to node. See
 // G. Steele, D. Lea and C. Flood, Fast splittable pseudorandom number generators, 2014.
 // doi:10.1145/2660193.2660195.
 func mix64(x uint64) uint64 {
--- a/entry/subset_test.go
+++ b/entry/subset_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestSubsetsAreEven has each member in some, and none in too many, of the
-// subsets of all nodes: in a third to twice as many as the mean.
+// TestSubsetsAreEven checks that each member is in a third to twice as many of all nodes' subsets
+// as the mean.
 func TestSubsetsAreEven(t *testing.T) {
 	list := members(60)
 	count := make(map[string]int)
@@ -56,7 +56,7 @@
 	}
 }
 
-// TestSubsetChangesLittle has a member go.
+// TestSubsetChangesLittle checks that a subset loses at most one member when a member leaves.
 func TestSubsetChangesLittle(t *testing.T) {
 	list := members(60)
 	before := subset("m0", "z0", list)
@@ -70,8 +70,8 @@
 	qt.Check(t, lost <= 1, qt.IsTrue)
 }
 
-// TestSubsetOfASmallZone has a zone with few members of its own: a node there sends to
-// more of the others.
+// TestSubsetOfSmallZone checks that a node in a zone with few members sends to more members of
+// other zones.
 func TestSubsetOfSmallZone(t *testing.T) {
 	for name, near := range map[string]int{"none": 0, "two": 2, "as many as are needed": subsetInZone} {
 		t.Run(name, func(t *testing.T) {
@@ -91,7 +91,7 @@
 	}
 }
 
-// BenchmarkBuild times the taking in of a change of one member of a service.
+// BenchmarkBuildService measures an update that changes one member of a service.
 func BenchmarkBuildService(b *testing.B) {
 	for _, n := range []int{12, 100, 1000, 6000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
