--- a/retryafter/load_test.go
+++ b/retryafter/load_test.go
@@ -20,15 +20,15 @@
 )
 
 const (
-	nodes     = 40
-	gateCount = 8
-	slots     = 14
-	objective = time.Second
-	short     = 240 * time.Millisecond // runs, and such as leave less of the objective
-	long      = 400 * time.Millisecond
-	deadline  = 6 * time.Second
-	returns   = 2 // a caller comes back that often, and then gives up
-	length    = 20 * time.Second
+	nodes      = 40
+	gateCount  = 8
+	slots      = 14
+	objective  = time.Second
+	shortRun   = 240 * time.Millisecond // runs, and such as leave less of the objective
+	longRun    = 400 * time.Millisecond
+	deadline   = 6 * time.Second
+	maxRetries = 2 // a caller comes back that often, and then gives up
+	duration   = 20 * time.Second
 )
 
 // shortage is a service of which some of the room is missing, or more is asked, for a time.
@@ -36,7 +36,7 @@
 	work        time.Duration // mean; a third of it more or less
 	usual, rush float64       // requests a second, as a part of what the gates can run
 	from, until time.Duration // of the rush
-	away        int           // gates that are away meanwhile
+	absent      int           // gates that are away meanwhile
 	shed        float64       // share of the requests that an upstream refuses in the rush, with room for them
 	slow        float64       // share of the time in which a gate is slowed down fourfold, 300 ms at a time
 }
@@ -67,25 +67,25 @@
 
 // mean returns the mean of some plays.
 func (s shortage) mean(t *testing.T, advise advice) (o outcome) {
-	const plays = 4
-	for seed := range uint64(plays) {
-		one := s.play(t, advise, seed)
-		o.inTime += one.inTime / plays
-		o.served += one.served / plays
-		o.refusals += one.refusals / plays
+	const runs = 4
+	for seed := range uint64(runs) {
+		run := s.simulate(t, advise, seed)
+		o.inTime += run.inTime / runs
+		o.served += run.served / runs
+		o.refusals += run.refusals / runs
 	}
 	return o
 }
 
 // play returns what becomes of the requests if callers come back as advised.
-func (s shortage) play(t *testing.T, advise advice, seed uint64) (o outcome) {
+func (s shortage) simulate(t *testing.T, advise advice, seed uint64) (o outcome) {
 	synctest.Test(t, func(*testing.T) {
 		gates := make([]*admit.Gate, gateCount)
 		for i := range gates {
 			gates[i] = new(admit.Gate)
 			gates[i].SetLimits(admit.Limits{Slots: slots, QueueLength: 16, HoldWhileSlow: true}.WithClasses(admit.Class{Name: "check", Weight: 1, MaxShare: 1, Objective: objective}))
 		}
-		speeds := make([]float64, gateCount)
+		slowdowns := make([]float64, gateCount)
 		budgets := make([]retry.Budget, nodes)
 		for i := range budgets {
 			budgets[i].Adjust(0.12, 114/float64(nodes))
@@ -94,18 +94,18 @@
 		var all sync.WaitGroup
 		began := time.Now()
 		for i := range gates {
-			speeds[i] = 1
+			slowdowns[i] = 1
 			random := rand.New(rand.NewPCG(seed, uint64(i)))
 			all.Go(func() {
-				for s.slow > 0 && time.Since(began) < length+deadline {
-					k := 1.0
+				for s.slow > 0 && time.Since(began) < duration+deadline {
+					slowdown := 1.0
 					if random.Float64() < s.slow {
-						k = 4
+						slowdown = 4
 					}
 					mu.Lock()
-					speeds[i] = k
+					slowdowns[i] = slowdown
 					mu.Unlock()
-					gates[i].ObserveSlowdown(k)
+					gates[i].ObserveSlowdown(slowdown)
 					time.Sleep(300 * time.Millisecond)
 				}
 			})
@@ -114,52 +114,52 @@
 		// attempt sends a request to some gates in turn until one has it run. It returns
 		// when the caller may come back otherwise.
 		attempt := func(random *rand.Rand, budget *retry.Budget, until time.Time, work time.Duration) (ran bool, after time.Duration) {
-			there := gateCount
+			present := gateCount
 			if rushing() {
-				there -= s.away
+				present -= s.absent
 			}
 			budget.RecordRequest()
-			var least time.Duration
-			for _, g := range random.Perm(there)[:min(3, there)] {
-				k := gates[g].Enter("check", until)
-				if err := k.Wait(context.Background()); err != nil {
-					if least == 0 || err.RetryAfter < least {
-						least = err.RetryAfter
+			var shortest time.Duration
+			for _, g := range random.Perm(present)[:min(3, present)] {
+				ticket := gates[g].Enter("check", until)
+				if err := ticket.Wait(context.Background()); err != nil {
+					if shortest == 0 || err.RetryAfter < shortest {
+						shortest = err.RetryAfter
 					}
 					continue
 				}
 				if rushing() && random.Float64() < s.shed {
-					k.Release(false)
+					ticket.Release(false)
 					if !budget.Take() {
 						return false, advise.shed()
 					}
 					continue
 				}
 				mu.Lock()
-				speed := speeds[g]
+				slowdown := slowdowns[g]
 				mu.Unlock()
-				time.Sleep(time.Duration(speed * float64(work)))
-				k.Release(true)
+				time.Sleep(time.Duration(slowdown * float64(work)))
+				ticket.Release(true)
 				return true, 0
 			}
-			return false, advise.full(least)
+			return false, advise.full(shortest)
 		}
 		var offered float64
 		request := func(random *rand.Rand) {
-			came := time.Now()
+			arrived := time.Now()
 			work := time.Duration((2 + 2*random.Float64()) / 3 * float64(s.work))
 			budget := &budgets[random.IntN(nodes)]
 			var refusals float64
 			var served, inTime bool
-			for range returns + 1 {
-				ran, after := attempt(random, budget, came.Add(deadline), work)
+			for range maxRetries + 1 {
+				ran, after := attempt(random, budget, arrived.Add(deadline), work)
 				if ran {
 					served = true
-					inTime = time.Since(came) <= objective
+					inTime = time.Since(arrived) <= objective
 					break
 				}
 				refusals++
-				left := deadline - time.Since(came)
+				left := deadline - time.Since(arrived)
 				time.Sleep(min(left/3, after))
 			}
 			mu.Lock()
@@ -176,7 +176,7 @@
 		all.Go(func() {
 			random := rand.New(rand.NewPCG(seed, 3))
 			full := float64(gateCount*slots) / s.work.Seconds()
-			for time.Since(began) < length {
+			for time.Since(began) < duration {
 				rate := s.usual * full
 				if rushing() {
 					rate = s.rush * full
@@ -204,23 +204,23 @@
 func TestShortages(t *testing.T) {
 	tests := map[string]struct {
 		shortage
-		more, loss float64 // least gain of requests in time, and the most that may be served less
-		again      float64 // how many more refusals there may be for a request
+		minGain, maxLoss float64 // least gain of requests in time, and the most that may be served less
+		maxRefusals      float64 // how many more refusals there may be for a request
 	}{
-		"a rush of five seconds":          {shortage: shortage{work: short, usual: 0.7, rush: 1.5, from: seconds(5), until: seconds(10)}},
-		"a rush of two seconds":           {shortage: shortage{work: short, usual: 0.7, rush: 1.6, from: seconds(5), until: seconds(7)}},
-		"half are away for a second":      {shortage: shortage{work: short, usual: 0.7, rush: 0.7, from: seconds(5), until: seconds(6), away: 4}},
-		"half are away for three":         {shortage: shortage{work: short, usual: 0.7, rush: 0.7, from: seconds(5), until: seconds(8), away: 4}},
-		"slow spells and a rush":          {shortage: shortage{work: short, usual: 0.45, rush: 0.9, from: seconds(5), until: seconds(9), slow: 0.25}},
-		"too much all the time":           {shortage: shortage{work: short, usual: 1.3}},
-		"half are refused at random":      {shortage: shortage{work: short, usual: 0.7, rush: 0.7, from: seconds(5), until: seconds(13.5), shed: 0.55}, more: 0.1, loss: 0.01},
-		"half are refused, and a rush":    {shortage: shortage{work: short, usual: 0.7, rush: 1.1, from: seconds(5), until: seconds(13.5), shed: 0.55}, more: 0.1, loss: 0.01},
-		"long runs, a rush":               {shortage: shortage{work: long, usual: 0.45, rush: 1.2, from: seconds(5), until: seconds(10), slow: 0.25}, more: -0.005},
-		"long runs, a great rush":         {shortage: shortage{work: long, usual: 0.45, rush: 1.8, from: seconds(5), until: seconds(9), slow: 0.25}},
-		"long runs, half are away":        {shortage: shortage{work: long, usual: 0.45, rush: 0.5, from: seconds(5), until: seconds(7), slow: 0.25, away: 4}},
-		"long runs, half are refused":     {shortage: shortage{work: long, usual: 0.45, rush: 0.45, from: seconds(5), until: seconds(13.5), slow: 0.25, shed: 0.55}, more: 0.08, loss: 0.025, again: 0.03},
-		"slow spells":                     {shortage: shortage{work: short, usual: 0.5, slow: 0.25}},
-		"half are refused near the brink": {shortage: shortage{work: short, usual: 0.95, rush: 0.95, from: seconds(5), until: seconds(13.5), shed: 0.55}, more: 0.1, loss: 0.01},
+		"a rush of five seconds":          {shortage: shortage{work: shortRun, usual: 0.7, rush: 1.5, from: seconds(5), until: seconds(10)}},
+		"a rush of two seconds":           {shortage: shortage{work: shortRun, usual: 0.7, rush: 1.6, from: seconds(5), until: seconds(7)}},
+		"half are away for a second":      {shortage: shortage{work: shortRun, usual: 0.7, rush: 0.7, from: seconds(5), until: seconds(6), absent: 4}},
+		"half are away for three":         {shortage: shortage{work: shortRun, usual: 0.7, rush: 0.7, from: seconds(5), until: seconds(8), absent: 4}},
+		"slow spells and a rush":          {shortage: shortage{work: shortRun, usual: 0.45, rush: 0.9, from: seconds(5), until: seconds(9), slow: 0.25}},
+		"too much all the time":           {shortage: shortage{work: shortRun, usual: 1.3}},
+		"half are refused at random":      {shortage: shortage{work: shortRun, usual: 0.7, rush: 0.7, from: seconds(5), until: seconds(13.5), shed: 0.55}, minGain: 0.1, maxLoss: 0.01},
+		"half are refused, and a rush":    {shortage: shortage{work: shortRun, usual: 0.7, rush: 1.1, from: seconds(5), until: seconds(13.5), shed: 0.55}, minGain: 0.1, maxLoss: 0.01},
+		"long runs, a rush":               {shortage: shortage{work: longRun, usual: 0.45, rush: 1.2, from: seconds(5), until: seconds(10), slow: 0.25}, minGain: -0.005},
+		"long runs, a great rush":         {shortage: shortage{work: longRun, usual: 0.45, rush: 1.8, from: seconds(5), until: seconds(9), slow: 0.25}},
+		"long runs, half are away":        {shortage: shortage{work: longRun, usual: 0.45, rush: 0.5, from: seconds(5), until: seconds(7), slow: 0.25, absent: 4}},
+		"long runs, half are refused":     {shortage: shortage{work: longRun, usual: 0.45, rush: 0.45, from: seconds(5), until: seconds(13.5), slow: 0.25, shed: 0.55}, minGain: 0.08, maxLoss: 0.025, maxRefusals: 0.03},
+		"slow spells":                     {shortage: shortage{work: shortRun, usual: 0.5, slow: 0.25}},
+		"half are refused near the brink": {shortage: shortage{work: shortRun, usual: 0.95, rush: 0.95, from: seconds(5), until: seconds(13.5), shed: 0.55}, minGain: 0.1, maxLoss: 0.01},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -228,9 +228,9 @@
 			before := test.mean(t, fixed(100*time.Millisecond, time.Second))
 			after := test.mean(t, advised)
 			t.Logf("fixed %+.3v, advised %+.3v", before, after)
-			qt.Check(t, after.inTime >= before.inTime+test.more-0.005, qt.IsTrue)
-			qt.Check(t, after.served >= before.served-test.loss-0.005, qt.IsTrue)
-			qt.Check(t, after.refusals <= before.refusals+test.again+0.02, qt.IsTrue)
+			qt.Check(t, after.inTime >= before.inTime+test.minGain-0.005, qt.IsTrue)
+			qt.Check(t, after.served >= before.served-test.maxLoss-0.005, qt.IsTrue)
+			qt.Check(t, after.refusals <= before.refusals+test.maxRefusals+0.02, qt.IsTrue)
 		})
 	}
 }
