--- a/retryafter/doc.go
+++ b/retryafter/doc.go
@@ -2,9 +2,9 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Package retryafter says when callers whose requests are refused had better come back.
+// Package retryafter computes how long callers whose requests were refused wait before they retry.
 //
-// Upstreams that refuse a part of all requests, full or not, refuse one that comes back
-// later as often as one that comes back at once. Upstreams that are full have room when
-// the shortage ends, and what comes back before only takes the place of others.
+// An upstream that sheds a share of all requests, whether it is full or not, refuses a late retry
+// as often as an immediate one. An upstream that is full has room once the overload ends, and
+// earlier retries only take the place of other requests.
 package retryafter
--- a/retryafter/load_test.go
+++ b/retryafter/load_test.go
@@ -24,34 +24,34 @@
 	gateCount  = 8
 	slots      = 14
 	objective  = time.Second
-	shortRun   = 240 * time.Millisecond // runs, and such as leave less of the objective
+	shortRun   = 240 * time.Millisecond // run times, of which the longer one leaves less of the objective
 	longRun    = 400 * time.Millisecond
 	deadline   = 6 * time.Second
-	maxRetries = 2 // a caller comes back that often, and then gives up
+	maxRetries = 2 // retries of a caller before it gives up
 	duration   = 20 * time.Second
 )
 
-// shortage is a service of which some of the room is missing, or more is asked, for a time.
+// shortage is a service that lacks capacity, or receives more requests, for a time.
 type shortage struct {
-	work        time.Duration // mean; a third of it more or less
-	usual, rush float64       // requests a second, as a part of what the gates can run
+	work        time.Duration // mean run time, with a spread of a third
+	usual, rush float64       // requests per second, as a fraction of the capacity
 	from, until time.Duration // of the rush
-	absent      int           // gates that are away meanwhile
-	shed        float64       // share of the requests that an upstream refuses in the rush, with room for them
+	absent      int           // gates that are absent during the rush
+	shed        float64       // share of the requests that an upstream refuses during the rush though it has room
 	slow        float64       // share of the time in which a gate is slowed down fourfold, 300 ms at a time
 }
 
-// outcome is what became of all requests, as parts of them.
+// outcome is the result of all requests, as fractions of them.
 type outcome struct{ inTime, served, refusals float64 }
 
-// advice says when callers come back, given what the gate with the least wait expects if
-// all were full, and given nothing if an upstream refused that had room.
+// advice determines how long callers wait before they retry: full if all gates were full, given
+// the shortest wait expected by one of them, and shed if an upstream refused with room.
 type advice struct {
 	full func(least time.Duration) time.Duration
 	shed func() time.Duration
 }
 
-// fixed has all that are refused wait for the same time.
+// fixed returns an advice with constant waits.
 func fixed(full, shed time.Duration) advice {
 	return advice{
 		full: func(time.Duration) time.Duration { return full },
@@ -59,13 +59,13 @@
 	}
 }
 
-// advised is what the package says.
+// advised is the advice of the package under test.
 var advised = advice{
 	full: func(least time.Duration) time.Duration { return retryafter.WhenFull(objective, least) },
 	shed: func() time.Duration { return retryafter.WhenShed(objective, 0) },
 }
 
-// mean returns the mean of some plays.
+// mean returns the mean outcome of several simulations.
 func (s shortage) mean(t *testing.T, advise advice) (o outcome) {
 	const runs = 4
 	for seed := range uint64(runs) {
@@ -77,7 +77,7 @@
 	return o
 }
 
-// play returns what becomes of the requests if callers come back as advised.
+// simulate returns the outcome if callers retry as advised.
 func (s shortage) simulate(t *testing.T, advise advice, seed uint64) (o outcome) {
 	synctest.Test(t, func(*testing.T) {
 		gates := make([]*admit.Gate, gateCount)
@@ -111,8 +111,8 @@
 			})
 		}
 		rushing := func() bool { return time.Since(began) >= s.from && time.Since(began) < s.until }
-		// attempt sends a request to some gates in turn until one has it run. It returns
-		// when the caller may come back otherwise.
+		// attempt sends a request to some gates in turn until one runs it. If none does, it
+		// returns how long the caller waits before it retries.
 		attempt := func(random *rand.Rand, budget *retry.Budget, until time.Time, work time.Duration) (ran bool, after time.Duration) {
 			present := gateCount
 			if rushing() {
@@ -197,30 +197,30 @@
 // seconds returns d seconds.
 func seconds(d float64) time.Duration { return time.Duration(d * float64(time.Second)) }
 
-// TestShortages has callers come back as advised, and in place of that after 100 ms where all
-// are full and after a second where one refused that had room. Where upstreams refuse with
-// room, those that come back late enough for the fault to be over are all served, late; some
-// of them are refused for good now, and many more are in time.
+// TestShortages compares callers that retry as advised with callers that retry after 100 ms if all
+// gates are full and after a second if an upstream refused with room. With the fixed waits, callers
+// that an upstream refused with room retry late enough for the fault to be over, and are all served,
+// but late. As advised, some of them are refused for good, and many more are served in time.
 func TestShortages(t *testing.T) {
 	tests := map[string]struct {
 		shortage
-		minGain, maxLoss float64 // least gain of requests in time, and the most that may be served less
-		maxRefusals      float64 // how many more refusals there may be for a request
+		minGain, maxLoss float64 // minimum gain of requests in time, and maximum loss of served requests
+		maxExtraRefusals float64 // maximum number of additional refusals per request
 	}{
-		"a rush of five seconds":          {shortage: shortage{work: shortRun, usual: 0.7, rush: 1.5, from: seconds(5), until: seconds(10)}},
-		"a rush of two seconds":           {shortage: shortage{work: shortRun, usual: 0.7, rush: 1.6, from: seconds(5), until: seconds(7)}},
-		"half are away for a second":      {shortage: shortage{work: shortRun, usual: 0.7, rush: 0.7, from: seconds(5), until: seconds(6), absent: 4}},
-		"half are away for three":         {shortage: shortage{work: shortRun, usual: 0.7, rush: 0.7, from: seconds(5), until: seconds(8), absent: 4}},
-		"slow spells and a rush":          {shortage: shortage{work: shortRun, usual: 0.45, rush: 0.9, from: seconds(5), until: seconds(9), slow: 0.25}},
-		"too much all the time":           {shortage: shortage{work: shortRun, usual: 1.3}},
-		"half are refused at random":      {shortage: shortage{work: shortRun, usual: 0.7, rush: 0.7, from: seconds(5), until: seconds(13.5), shed: 0.55}, minGain: 0.1, maxLoss: 0.01},
-		"half are refused, and a rush":    {shortage: shortage{work: shortRun, usual: 0.7, rush: 1.1, from: seconds(5), until: seconds(13.5), shed: 0.55}, minGain: 0.1, maxLoss: 0.01},
-		"long runs, a rush":               {shortage: shortage{work: longRun, usual: 0.45, rush: 1.2, from: seconds(5), until: seconds(10), slow: 0.25}, minGain: -0.005},
-		"long runs, a great rush":         {shortage: shortage{work: longRun, usual: 0.45, rush: 1.8, from: seconds(5), until: seconds(9), slow: 0.25}},
-		"long runs, half are away":        {shortage: shortage{work: longRun, usual: 0.45, rush: 0.5, from: seconds(5), until: seconds(7), slow: 0.25, absent: 4}},
-		"long runs, half are refused":     {shortage: shortage{work: longRun, usual: 0.45, rush: 0.45, from: seconds(5), until: seconds(13.5), slow: 0.25, shed: 0.55}, minGain: 0.08, maxLoss: 0.025, maxRefusals: 0.03},
-		"slow spells":                     {shortage: shortage{work: shortRun, usual: 0.5, slow: 0.25}},
-		"half are refused near the brink": {shortage: shortage{work: shortRun, usual: 0.95, rush: 0.95, from: seconds(5), until: seconds(13.5), shed: 0.55}, minGain: 0.1, maxLoss: 0.01},
+		"a rush of five seconds":         {shortage: shortage{work: shortRun, usual: 0.7, rush: 1.5, from: seconds(5), until: seconds(10)}},
+		"a rush of two seconds":          {shortage: shortage{work: shortRun, usual: 0.7, rush: 1.6, from: seconds(5), until: seconds(7)}},
+		"half are absent for a second":   {shortage: shortage{work: shortRun, usual: 0.7, rush: 0.7, from: seconds(5), until: seconds(6), absent: 4}},
+		"half are absent for three":      {shortage: shortage{work: shortRun, usual: 0.7, rush: 0.7, from: seconds(5), until: seconds(8), absent: 4}},
+		"slow periods and a rush":        {shortage: shortage{work: shortRun, usual: 0.45, rush: 0.9, from: seconds(5), until: seconds(9), slow: 0.25}},
+		"constant overload":              {shortage: shortage{work: shortRun, usual: 1.3}},
+		"half are refused at random":     {shortage: shortage{work: shortRun, usual: 0.7, rush: 0.7, from: seconds(5), until: seconds(13.5), shed: 0.55}, minGain: 0.1, maxLoss: 0.01},
+		"half are refused, and a rush":   {shortage: shortage{work: shortRun, usual: 0.7, rush: 1.1, from: seconds(5), until: seconds(13.5), shed: 0.55}, minGain: 0.1, maxLoss: 0.01},
+		"long runs, a rush":              {shortage: shortage{work: longRun, usual: 0.45, rush: 1.2, from: seconds(5), until: seconds(10), slow: 0.25}, minGain: -0.005},
+		"long runs, a great rush":        {shortage: shortage{work: longRun, usual: 0.45, rush: 1.8, from: seconds(5), until: seconds(9), slow: 0.25}},
+		"long runs, half are absent":     {shortage: shortage{work: longRun, usual: 0.45, rush: 0.5, from: seconds(5), until: seconds(7), slow: 0.25, absent: 4}},
+		"long runs, half are refused":    {shortage: shortage{work: longRun, usual: 0.45, rush: 0.45, from: seconds(5), until: seconds(13.5), slow: 0.25, shed: 0.55}, minGain: 0.08, maxLoss: 0.025, maxExtraRefusals: 0.03},
+		"slow periods":                   {shortage: shortage{work: shortRun, usual: 0.5, slow: 0.25}},
+		"half are refused near capacity": {shortage: shortage{work: shortRun, usual: 0.95, rush: 0.95, from: seconds(5), until: seconds(13.5), shed: 0.55}, minGain: 0.1, maxLoss: 0.01},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -230,13 +230,13 @@
 			t.Logf("fixed %+.3v, advised %+.3v", before, after)
 			qt.Check(t, after.inTime >= before.inTime+test.minGain-0.005, qt.IsTrue)
 			qt.Check(t, after.served >= before.served-test.maxLoss-0.005, qt.IsTrue)
-			qt.Check(t, after.refusals <= before.refusals+test.maxRefusals+0.02, qt.IsTrue)
+			qt.Check(t, after.refusals <= before.refusals+test.maxExtraRefusals+0.02, qt.IsTrue)
 		})
 	}
 }
 
-// TestWaits has waits follow the objective, differ from one caller to the next, and not be
-// shorter than what a gate expects or an upstream asks for.
+// TestWaits checks that waits follow the objective, differ between callers, and are not shorter
+// than what a gate expects or an upstream asks for.
 func TestWaits(t *testing.T) {
 	ms := time.Millisecond
 	tests := map[string]struct {
--- a/retryafter/retryafter.go
+++ b/retryafter/retryafter.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// soon is the mean wait of a caller without an objective where upstreams are full. They
+	// noObjectiveWait is the mean wait of callers without an objective. Upstreams that are full
 	// slow down for some hundred milliseconds at a time.
 	noObjectiveWait = 100 * time.Millisecond
-	// fullPart is the mean wait of a caller where upstreams are full, as a part of its
-	// objective. Two such waits leave the time of a run that takes most of the objective.
+	// fullFraction is the mean wait where upstreams are full, as a fraction of the caller's
+	// objective. Two such waits leave time for a run that takes most of the objective.
 	fullFraction = 0.15
-	// shedPart is the same where an upstream refused that had room. A longer wait gains
-	// nothing there.
+	// shedFraction is the same where an upstream refused a request though it had room. A longer
+	// wait gains nothing there.
 	shedFraction = 0.05
-	// width is how far a wait is drawn below and above its mean, as a part of it, so that
-	// those who are refused together don't come back together.
+	// jitter is how far a wait is drawn below and above its mean, as a fraction of it, so that
+	// callers that are refused together do not retry together.
 	jitter = 0.25
 )
 
-// Full returns when a caller comes back that all upstreams were too full for, given its
-// objective, or 0 for none, and the least wait that one of them expects, or 0.
+// WhenFull returns how long a caller waits before it retries when all upstreams were full, given
+// its objective, or 0 for none, and the shortest wait expected by one of them, or 0.
 func WhenFull(objective, expected time.Duration) time.Duration {
 	mean := noObjectiveWait
 	if objective > 0 {
@@ -34,8 +34,9 @@
 	return max(expected, withJitter(mean))
 }
 
-// Shed returns when a caller comes back that an upstream refused though it had room, given
-// its objective, or 0 for none, and the wait that the upstream asks for, or 0.
+// WhenShed returns how long a caller waits before it retries when an upstream refused its request
+// though it had room, given its objective, or 0 for none, and the wait that the upstream asks for,
+// or 0.
 func WhenShed(objective, asked time.Duration) time.Duration {
 	mean := noObjectiveWait
 	if objective > 0 {
@@ -44,7 +45,7 @@
 	return max(asked, withJitter(mean))
 }
 
-// spread draws a wait with the given mean.
+// withJitter returns a random wait with the given mean.
 func withJitter(mean time.Duration) time.Duration {
 	return time.Duration((1 - jitter + 2*jitter*rand.Float64()) * float64(mean))
 }
