--- a/quarantine/answers.go
+++ b/quarantine/answers.go
@@ -15,47 +15,47 @@
 	// at hand at every end, with hundreds of answers for each; a request that ends
 	// upstreams has none, or few. One that ends less than one run in 20 is not told from
 	// what is merely popular, and goes on.
-	answersPerEnd = 20
+	responsesPerCrash = 20
 	// answersSpan is how long an answer counts, at least, and at most twice as long. A
 	// request that was harmless until then is suspected again after as long.
-	answersSpan = 10 * time.Second
+	responseWindow = 10 * time.Second
 	// maxAnswered bounds the requests whose answers are counted in a span: 0.3 MB. Most
 	// of the requests may be of a kind of their own; of one that comes often enough to
 	// count, one comes before the room is taken.
-	maxAnswered = 8192
+	maxCountedRequests = 8192
 )
 
 // Answers counts the answered runs of each request at one gate, so that an end of its
 // upstream is not put down to requests that run there all the time. The zero value is
 // ready. Its methods may be called from any goroutine.
 type AnswerCounter struct {
-	mu          sync.Mutex
-	began       time.Time // of the present span
-	now, before map[Fingerprint]int
+	mu                sync.Mutex
+	windowStart       time.Time // of the present span
+	current, previous map[Fingerprint]int
 }
 
 // Add counts a run that was answered.
 func (a *AnswerCounter) Add(p Fingerprint) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.turn(time.Now())
-	if _, ok := a.now[p]; ok || len(a.now) < maxAnswered {
-		a.now[p]++
+	a.rotate(time.Now())
+	if _, ok := a.current[p]; ok || len(a.current) < maxCountedRequests {
+		a.current[p]++
 	}
 }
 
 // turn begins a new span if the present one is over. The lock is held.
-func (a *AnswerCounter) turn(now time.Time) {
-	switch age := now.Sub(a.began); {
-	case a.now == nil || age >= 2*answersSpan:
-		a.before = nil
-	case age >= answersSpan:
-		a.before = a.now
+func (a *AnswerCounter) rotate(now time.Time) {
+	switch age := now.Sub(a.windowStart); {
+	case a.current == nil || age >= 2*responseWindow:
+		a.previous = nil
+	case age >= responseWindow:
+		a.previous = a.current
 	default:
 		return
 	}
-	a.now = make(map[Fingerprint]int)
-	a.began = now
+	a.current = make(map[Fingerprint]int)
+	a.windowStart = now
 }
 
 // Ended returns those of the requests at hand at an end of the upstream that may have
@@ -66,20 +66,20 @@
 // An isolated request that was answered here lately is not blocked: what ends upstreams is
 // never answered. Without that, frequent harmless requests would be blocked where upstreams
 // end for other reasons.
-func (a *AnswerCounter) Suspects(atHand []Fingerprint, isolated Fingerprint) (suspects []Fingerprint, blamed Fingerprint) {
+func (a *AnswerCounter) Suspects(inFlight []Fingerprint, isolated Fingerprint) (suspects []Fingerprint, toBlock Fingerprint) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.turn(time.Now())
-	for _, p := range atHand {
-		answered := a.now[p] + a.before[p]
-		if answered >= answersPerEnd {
-			a.now[p] -= answersPerEnd
+	a.rotate(time.Now())
+	for _, p := range inFlight {
+		answered := a.current[p] + a.previous[p]
+		if answered >= responsesPerCrash {
+			a.current[p] -= responsesPerCrash
 			continue
 		}
 		suspects = append(suspects, p)
 		if p == isolated && answered == 0 {
-			blamed = p
+			toBlock = p
 		}
 	}
-	return suspects, blamed
+	return suspects, toBlock
 }
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -39,14 +39,14 @@
 // Head returns the fingerprint of a request without its body, given the service that it
 // comes from, its method, host and target.
 func NewFingerprint(caller, method, host, target string) Fingerprint {
-	const ofCaller = 1<<callerBits - 1
+	const callerMask = 1<<callerHashBits - 1
 	return Fingerprint{
-		Head: max(1, sumOf(method, host, target)&^ofCaller|sumOf(caller)&ofCaller),
+		Head: max(1, hashStrings(method, host, target)&^callerMask|hashStrings(caller)&callerMask),
 	}
 }
 
 // callerBits is the number of bits of a Head that stand for the caller.
-const callerBits = 16
+const callerHashBits = 16
 
 // request is what an upstream is given to run, whoever the caller is.
 type request struct {
@@ -56,26 +56,26 @@
 // request returns what f says of the request but for its caller.
 func (f Fingerprint) request() request {
 	return request{
-		head: f.Head >> callerBits,
+		head: f.Head >> callerHashBits,
 		body: f.Body,
 	}
 }
 
 // sumOf returns the sum of some texts.
-func sumOf(parts ...string) uint64 {
+func hashStrings(parts ...string) uint64 {
 	h := sha256.New()
 	for _, part := range parts {
 		_, _ = h.Write(binary.BigEndian.AppendUint32(nil, uint32(len(part))))
 		_, _ = io.WriteString(h, part)
 	}
-	return sum(h)
+	return hash64(h)
 }
 
 // WithBody returns f with the given body, of which the first MaxBody bytes count.
 func (f Fingerprint) WithBody(body []byte) Fingerprint {
 	h := sha256.New()
 	_, _ = h.Write(body[:min(len(body), MaxBodyBytes)])
-	f.Body = sum(h)
+	f.Body = hash64(h)
 	return f
 }
 
@@ -98,7 +98,7 @@
 }
 
 // sum returns 64 bits of a hash that are not all 0.
-func sum(h hash.Hash) uint64 {
+func hash64(h hash.Hash) uint64 {
 	return max(1, binary.BigEndian.Uint64(h.Sum(nil)))
 }
 
@@ -108,9 +108,9 @@
 	// Reader yields the body.
 	Reader io.Reader
 
-	mu   sync.Mutex
-	hash hash.Hash
-	left int // bytes that still count
+	mu        sync.Mutex
+	hash      hash.Hash
+	remaining int // bytes that still count
 }
 
 // Read implements io.Reader.
@@ -119,9 +119,9 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.init()
-	counted := min(n, b.left)
+	counted := min(n, b.remaining)
 	_, _ = b.hash.Write(p[:counted])
-	b.left -= counted
+	b.remaining -= counted
 	return n, err
 }
 
@@ -131,13 +131,13 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.init()
-	f.Body = sum(b.hash)
+	f.Body = hash64(b.hash)
 	return f
 }
 
 func (b *BodyHasher) init() {
 	if b.hash == nil {
 		b.hash = sha256.New()
-		b.left = MaxBodyBytes
+		b.remaining = MaxBodyBytes
 	}
 }
--- a/quarantine/fingerprint_test.go
+++ b/quarantine/fingerprint_test.go
@@ -48,7 +48,7 @@
 
 // TestFingerprintOfStream has a body pass in pieces: it has the fingerprint of the same
 // body in one.
-func TestFingerprintOfStream(t *testing.T) {
+func TestBodyHasher(t *testing.T) {
 	for name, size := range map[string]int{"empty": 0, "small": 100, "at the bound": quarantine.MaxBodyBytes, "over the bound": quarantine.MaxBodyBytes + 1000} {
 		t.Run(name, func(t *testing.T) {
 			data := bytes.Repeat([]byte("x"), size)
--- a/quarantine/bystanders_test.go
+++ b/quarantine/harmless_test.go
@@ -20,39 +20,39 @@
 // The load of TestBystanders: a service of six upstreams that reads of 160 ms keep
 // 0.6 busy, as the services have it on which the figures rest.
 const (
-	simUpstreams = 6
-	simSlots     = 14
-	simRun       = 160 * time.Millisecond
-	simRate      = 300 // reads a second
-	simBack      = 3500 * time.Millisecond
-	simStep      = 5 * time.Millisecond
-	simNews      = 100 * time.Millisecond // until a report has reached all nodes
-	simFatalRun  = 50 * time.Millisecond
-	simLasts     = 12 * time.Second
+	simUpstreams    = 6
+	simSlots        = 14
+	simRunTime      = 160 * time.Millisecond
+	simRate         = 300 // reads a second
+	simRestartTime  = 3500 * time.Millisecond
+	simStep         = 5 * time.Millisecond
+	simReportDelay  = 100 * time.Millisecond // until a report has reached all nodes
+	simFatalRunTime = 50 * time.Millisecond
+	simDuration     = 12 * time.Second
 )
 
 // simUpstream is one upstream of the load.
 type simUpstream struct {
-	start    int
-	back     time.Time
+	starts   int
+	backAt   time.Time
 	running  []*simRequest
 	isolated *simRequest
 }
 
 // simRequest is a read, or the fatal request.
 type simRequest struct {
-	print quarantine.Fingerprint
-	fatal bool
-	ends  time.Time
-	tries int
+	fingerprint quarantine.Fingerprint
+	fatal       bool
+	endsAt      time.Time
+	attempts    int
 }
 
 // simLoad says what is played.
 type simLoad struct {
-	every  time.Duration // between sendings of the fatal request
-	copies int           // that are sent at once
-	all    bool          // whether all upstreams end at that time, for another reason
-	hot    float64       // the part of the reads that are one and the same
+	interval time.Duration // between sendings of the fatal request
+	copies   int           // that are sent at once
+	crashAll bool          // whether all upstreams end at that time, for another reason
+	hot      float64       // the part of the reads that are one and the same
 }
 
 // sim plays the load.
@@ -62,63 +62,63 @@
 	index     quarantine.Index
 	random    *rand.Rand
 	upstreams [simUpstreams]simUpstream
-	number    int
+	lastRead  int
 
 	reads, isolated, blocked int // reads, and those that were ever so
 	refused                  int // reads that found no upstream to run alone at
-	fatalEnds                int
+	fatalCrashes             int
 }
 
 // send sends a request to an upstream that is there, as nodes do.
 func (s *sim) send(r *simRequest) {
-	r.tries++
-	standing := s.index.Assess(r.print).State
-	if !r.fatal && standing == quarantine.Isolated {
+	r.attempts++
+	state := s.index.Assess(r.fingerprint).State
+	if !r.fatal && state == quarantine.Isolated {
 		s.isolated++
 	}
-	if standing == quarantine.Blocked {
+	if state == quarantine.Blocked {
 		if !r.fatal {
 			s.blocked++
 		}
 		return
 	}
 	order := s.random.Perm(simUpstreams)
-	if standing == quarantine.Isolated {
-		order = rand.New(rand.NewPCG(r.print.Head, 0)).Perm(simUpstreams)
+	if state == quarantine.Isolated {
+		order = rand.New(rand.NewPCG(r.fingerprint.Head, 0)).Perm(simUpstreams)
 	}
 	for _, i := range order {
 		u := &s.upstreams[i]
-		if time.Now().Before(u.back) {
-			if standing == quarantine.Isolated && time.Until(u.back) > simBack-simNews {
+		if time.Now().Before(u.backAt) {
+			if state == quarantine.Isolated && time.Until(u.backAt) > simRestartTime-simReportDelay {
 				break // the node beside it knows already, and the others not yet
 			}
 			continue
 		}
-		if standing == quarantine.Isolated && (u.isolated != nil || len(u.running) >= simSlots) {
+		if state == quarantine.Isolated && (u.isolated != nil || len(u.running) >= simSlots) {
 			break
 		}
 		if len(u.running) >= simSlots {
 			continue
 		}
-		if standing == quarantine.Isolated {
+		if state == quarantine.Isolated {
 			u.isolated = r
 		}
-		r.ends = time.Now().Add(simRun/2 + time.Duration(s.random.Int64N(int64(simRun))))
+		r.endsAt = time.Now().Add(simRunTime/2 + time.Duration(s.random.Int64N(int64(simRunTime))))
 		if r.fatal {
-			r.ends = time.Now().Add(simFatalRun)
+			r.endsAt = time.Now().Add(simFatalRunTime)
 		}
 		u.running = append(u.running, r)
 		return
 	}
-	if !r.fatal && standing == quarantine.Isolated && s.room() {
+	if !r.fatal && state == quarantine.Isolated && s.hasCapacity() {
 		s.refused++
 	}
 }
 
 // room returns whether an upstream would run a request that is not suspected.
-func (s *sim) room() bool {
+func (s *sim) hasCapacity() bool {
 	return slices.ContainsFunc(s.upstreams[:], func(u simUpstream) bool {
-		return !time.Now().Before(u.back) && len(u.running) < simSlots
+		return !time.Now().Before(u.backAt) && len(u.running) < simSlots
 	})
 }
 
@@ -128,7 +128,7 @@
 	var going []*simRequest
 	fatal := false
 	for _, r := range u.running {
-		if time.Now().Before(r.ends) {
+		if time.Now().Before(r.endsAt) {
 			going = append(going, r)
 			continue
 		}
@@ -139,39 +139,39 @@
 		if r == u.isolated {
 			u.isolated = nil
 		}
-		if s.index.Assess(r.print).Crashes > 0 {
-			s.index.Add(quarantine.NewCompletionReport(r.print))
+		if s.index.Assess(r.fingerprint).Crashes > 0 {
+			s.index.Add(quarantine.NewCompletionReport(r.fingerprint))
 		}
 	}
 	if !fatal {
 		u.running = going
 		return
 	}
-	s.fatalEnds++
-	s.lose(i)
+	s.fatalCrashes++
+	s.crash(i)
 }
 
 // lose ends an upstream, which comes back as a new start. What it has lost is sent once
 // more.
-func (s *sim) lose(i int) {
+func (s *sim) crash(i int) {
 	u := &s.upstreams[i]
 	lost := u.running
-	u.start++
-	u.back = time.Now().Add(simBack)
+	u.starts++
+	u.backAt = time.Now().Add(simRestartTime)
 	isolated := u.isolated
 	u.running, u.isolated = nil, nil
-	var prints []quarantine.Fingerprint
+	var fingerprints []quarantine.Fingerprint
 	for _, r := range lost {
-		prints = append(prints, r.print)
+		fingerprints = append(fingerprints, r.fingerprint)
 	}
-	var alone quarantine.Fingerprint
+	var isolatedFingerprint quarantine.Fingerprint
 	if isolated != nil {
-		alone = isolated.print
+		isolatedFingerprint = isolated.fingerprint
 	}
-	report := quarantine.NewCrashReport(fmt.Sprintf("%d/%d", i, u.start), prints, alone)
-	time.AfterFunc(simNews, func() { s.index.Add(report) })
+	report := quarantine.NewCrashReport(fmt.Sprintf("%d/%d", i, u.starts), fingerprints, isolatedFingerprint)
+	time.AfterFunc(simReportDelay, func() { s.index.Add(report) })
 	for _, r := range lost {
-		if r.tries < 3 && s.index.Assess(r.print).State < quarantine.Isolated {
+		if r.attempts < 3 && s.index.Assess(r.fingerprint).State < quarantine.Isolated {
 			s.send(r)
 		}
 	}
@@ -180,19 +180,19 @@
 // read sends a read: one of many, or the one that many callers send.
 func (s *sim) read() {
 	s.reads++
-	s.number++
-	p := printOf(s.number)
+	s.lastRead++
+	p := fingerprintOf(s.lastRead)
 	if s.random.Float64() < s.hot {
-		p = printOf(0)
+		p = fingerprintOf(0)
 	}
-	s.send(&simRequest{print: p})
+	s.send(&simRequest{fingerprint: p})
 }
 
 // play plays the load once, with the fatal request coming every so often.
-func (s *sim) play() {
+func (s *sim) run() {
 	fatal := quarantine.NewFingerprint("caller", "GET", "h.example", "/fatal").WithBody(nil)
 	began := time.Now()
-	for next := s.every; time.Since(began) < simLasts; time.Sleep(simStep) {
+	for next := s.interval; time.Since(began) < simDuration; time.Sleep(simStep) {
 		for range simRate * int(simStep/time.Millisecond) / 1000 {
 			s.read()
 		}
@@ -200,14 +200,14 @@
 			s.read()
 		}
 		if time.Since(began) >= next {
-			next += s.every
-			if s.all {
+			next += s.interval
+			if s.crashAll {
 				for i := range s.upstreams {
-					s.lose(i)
+					s.crash(i)
 				}
 			}
 			for range s.copies {
-				s.send(&simRequest{print: fatal, fatal: true})
+				s.send(&simRequest{fingerprint: fatal, fatal: true})
 			}
 		}
 		for i := range s.upstreams {
@@ -224,40 +224,40 @@
 // away while another of its kind runs alone, for the time of one run: one in a thousand
 // of all, and more only where all upstreams end at once and many reads are one and the
 // same.
-func TestBystanders(t *testing.T) {
+func TestHarmlessRequests(t *testing.T) {
 	tests := map[string]struct {
-		load simLoad
-		most int // upstreams that end under it
-		away int // one read in how many is sent away, at most
+		load         simLoad
+		maxCrashes   int // upstreams that end under it
+		refusedOneIn int // one read in how many is sent away, at most
 	}{
-		"one in 150 ms":                 {load: simLoad{every: 150 * time.Millisecond, copies: 1}, most: 6, away: 1000},
-		"one in 50 ms":                  {load: simLoad{every: 50 * time.Millisecond, copies: 1}, most: 9, away: 1000},
-		"three at once":                 {load: simLoad{every: 700 * time.Millisecond, copies: 3}, most: 7, away: 1000},
-		"ten at once":                   {load: simLoad{every: 700 * time.Millisecond, copies: 10}, most: 9, away: 1000},
-		"one in 150 ms, a hot read":     {load: simLoad{every: 150 * time.Millisecond, copies: 1, hot: 0.1}, most: 6, away: 1000},
-		"one in 50 ms, a hot read":      {load: simLoad{every: 50 * time.Millisecond, copies: 1, hot: 0.1}, most: 9, away: 1000},
-		"all end at once":               {load: simLoad{every: 4 * time.Second, all: true}, away: 1000},
-		"all end at once, a hot read":   {load: simLoad{every: 4 * time.Second, all: true, hot: 0.1}, away: 300},
-		"all end at once, one hot read": {load: simLoad{every: 4 * time.Second, all: true, hot: 1}, away: 20},
+		"one in 150 ms":                 {load: simLoad{interval: 150 * time.Millisecond, copies: 1}, maxCrashes: 6, refusedOneIn: 1000},
+		"one in 50 ms":                  {load: simLoad{interval: 50 * time.Millisecond, copies: 1}, maxCrashes: 9, refusedOneIn: 1000},
+		"three at once":                 {load: simLoad{interval: 700 * time.Millisecond, copies: 3}, maxCrashes: 7, refusedOneIn: 1000},
+		"ten at once":                   {load: simLoad{interval: 700 * time.Millisecond, copies: 10}, maxCrashes: 9, refusedOneIn: 1000},
+		"one in 150 ms, a hot read":     {load: simLoad{interval: 150 * time.Millisecond, copies: 1, hot: 0.1}, maxCrashes: 6, refusedOneIn: 1000},
+		"one in 50 ms, a hot read":      {load: simLoad{interval: 50 * time.Millisecond, copies: 1, hot: 0.1}, maxCrashes: 9, refusedOneIn: 1000},
+		"all end at once":               {load: simLoad{interval: 4 * time.Second, crashAll: true}, refusedOneIn: 1000},
+		"all end at once, a hot read":   {load: simLoad{interval: 4 * time.Second, crashAll: true, hot: 0.1}, refusedOneIn: 300},
+		"all end at once, one hot read": {load: simLoad{interval: 4 * time.Second, crashAll: true, hot: 1}, refusedOneIn: 20},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			var reads, isolated, blocked, refused, most int
+			var reads, isolated, blocked, refused, crashes int
 			for seed := range uint64(20) {
 				synctest.Test(t, func(t *testing.T) {
 					s := &sim{simLoad: test.load, random: rand.New(rand.NewPCG(seed, seed))}
-					s.play()
+					s.run()
 					reads += s.reads
 					isolated += s.isolated
 					blocked += s.blocked
 					refused += s.refused
-					most = max(most, s.fatalEnds)
+					crashes = max(crashes, s.fatalCrashes)
 				})
 			}
-			t.Logf("%d reads, %d isolated, %d refused for it, %d blocked; at most %d upstreams ended", reads, isolated, refused, blocked, most)
-			qt.Check(t, most <= test.most, qt.IsTrue, qt.Commentf("%d", most))
+			t.Logf("%d reads, %d isolated, %d refused for it, %d blocked; at most %d upstreams ended", reads, isolated, refused, blocked, crashes)
+			qt.Check(t, crashes <= test.maxCrashes, qt.IsTrue, qt.Commentf("%d", crashes))
 			qt.Check(t, blocked, qt.Equals, 0)
-			qt.Check(t, refused*test.away < reads, qt.IsTrue, qt.Commentf("%d of %d", refused, reads))
+			qt.Check(t, refused*test.refusedOneIn < reads, qt.IsTrue, qt.Commentf("%d of %d", refused, reads))
 		})
 	}
 }
--- a/quarantine/index.go
+++ b/quarantine/index.go
@@ -20,10 +20,10 @@
 	// endsToIsolate is the number of upstreams under whose ends a request is isolated.
 	// One may end for any reason with it at hand. Two may as well, where all end at once
 	// and it is a request that many callers send: it then runs alone once, and is cleared.
-	endsToIsolate = 2
+	crashesToIsolate = 2
 	// firstBlock is how long a request is blocked. After it one more upstream may end for
 	// it: two in the first hour, in place of one or two a second.
-	firstBlock = 10 * time.Minute
+	initialBlock = 10 * time.Minute
 )
 
 // Standing is what is thought of a request.
@@ -67,21 +67,21 @@
 // Index knows the standing of requests, by the reports given to it. The zero value is
 // ready. Its methods may be called from any goroutine.
 type Index struct {
-	known atomic.Int64 // prints with a history: most of the time none
+	historyCount atomic.Int64 // prints with a history: most of the time none
 
-	mu      sync.RWMutex
-	reports map[string]Report
-	prints  map[Fingerprint]*history
-	heads   map[uint64]int            // prints by their heads, without the caller
-	others  map[request][]Fingerprint // prints of the same request by different callers
+	mu        sync.RWMutex
+	reports   map[string]Report
+	histories map[Fingerprint]*history
+	heads     map[uint64]int            // prints by their heads, without the caller
+	byRequest map[request][]Fingerprint // prints of the same request by different callers
 }
 
 // history is what is known of one request.
 type history struct {
-	ends    map[string]int64 // when, by the upstream's start
-	alone   map[string]int64 // those of the ends with it isolated
-	reports int              // that name the request
-	ran     int64            // when it ran to its end last
+	crashes         map[string]int64 // when, by the upstream's start
+	isolatedCrashes map[string]int64 // those of the ends with it isolated
+	reports         int              // that name the request
+	completedAt     int64            // when it ran to its end last
 }
 
 // Add takes in a report. One that replaces another of its name takes its place.
@@ -92,38 +92,38 @@
 		if old.At >= r.At {
 			return
 		}
-		x.drop(old)
+		x.removeReport(old)
 	}
 	if x.reports == nil {
 		x.reports = make(map[string]Report)
-		x.prints = make(map[Fingerprint]*history)
+		x.histories = make(map[Fingerprint]*history)
 		x.heads = make(map[uint64]int)
-		x.others = make(map[request][]Fingerprint)
+		x.byRequest = make(map[request][]Fingerprint)
 	}
 	x.reports[r.Name] = r
 	for _, p := range r.Fingerprints {
-		h := x.prints[p]
+		h := x.histories[p]
 		if h == nil {
 			h = &history{
-				ends:  make(map[string]int64),
-				alone: make(map[string]int64),
+				crashes:         make(map[string]int64),
+				isolatedCrashes: make(map[string]int64),
 			}
-			x.prints[p] = h
+			x.histories[p] = h
 			x.heads[p.request().head]++
-			x.others[p.request()] = append(x.others[p.request()], p)
+			x.byRequest[p.request()] = append(x.byRequest[p.request()], p)
 		}
 		h.reports++
 		for _, u := range r.Upstreams {
-			h.ends[u] = max(h.ends[u], r.At)
+			h.crashes[u] = max(h.crashes[u], r.At)
 			if p == r.Isolated {
-				h.alone[u] = h.ends[u]
+				h.isolatedCrashes[u] = h.crashes[u]
 			}
 		}
 		if len(r.Upstreams) == 0 {
-			h.ran = max(h.ran, r.At)
+			h.completedAt = max(h.completedAt, r.At)
 		}
 	}
-	x.known.Store(int64(len(x.prints)))
+	x.historyCount.Store(int64(len(x.histories)))
 }
 
 // Remove forgets a report.
@@ -131,49 +131,49 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if r, ok := x.reports[name]; ok {
-		x.drop(r)
-		x.known.Store(int64(len(x.prints)))
+		x.removeReport(r)
+		x.historyCount.Store(int64(len(x.histories)))
 	}
 }
 
 // drop takes a report out of the histories. The lock is held.
-func (x *Index) drop(r Report) {
+func (x *Index) removeReport(r Report) {
 	delete(x.reports, r.Name)
 	for _, p := range r.Fingerprints {
-		h := x.prints[p]
+		h := x.histories[p]
 		for _, u := range r.Upstreams {
-			if h.ends[u] == r.At {
-				delete(h.ends, u)
-				delete(h.alone, u)
+			if h.crashes[u] == r.At {
+				delete(h.crashes, u)
+				delete(h.isolatedCrashes, u)
 			}
 		}
 		h.reports--
 		if h.reports > 0 {
 			continue
 		}
-		delete(x.prints, p)
-		x.forget(p)
+		delete(x.histories, p)
+		x.removeFingerprint(p)
 	}
 }
 
 // forget takes a print without a history out of the lists. The lock is held.
-func (x *Index) forget(p Fingerprint) {
+func (x *Index) removeFingerprint(p Fingerprint) {
 	r := p.request()
 	if x.heads[r.head]--; x.heads[r.head] == 0 {
 		delete(x.heads, r.head)
 	}
-	rest := slices.DeleteFunc(x.others[r], func(o Fingerprint) bool { return o == p })
+	rest := slices.DeleteFunc(x.byRequest[r], func(o Fingerprint) bool { return o == p })
 	if len(rest) == 0 {
-		delete(x.others, r)
+		delete(x.byRequest, r)
 		return
 	}
-	x.others[r] = rest
+	x.byRequest[r] = rest
 }
 
 // Suspects returns whether a request with the head of p may be suspected, so that its
 // body has to be known.
 func (x *Index) MaySuspect(p Fingerprint) bool {
-	if x.known.Load() == 0 {
+	if x.historyCount.Load() == 0 {
 		return false
 	}
 	x.mu.RLock()
@@ -184,21 +184,21 @@
 // Judge returns the standing of a request. Of a request whose body is not known nothing
 // is thought, and a nil Index suspects none.
 func (x *Index) Assess(p Fingerprint) Assessment {
-	if x == nil || x.known.Load() == 0 {
+	if x == nil || x.historyCount.Load() == 0 {
 		return Assessment{
 			Fingerprint: p,
 		}
 	}
 	x.mu.RLock()
 	defer x.mu.RUnlock()
-	return x.judge(p, time.Now())
+	return x.assess(p, time.Now())
 }
 
 // judge returns the standing of a request. One that is blocked for another caller is
 // isolated at least, unless it has run to its end since. The lock is held.
-func (x *Index) judge(p Fingerprint, now time.Time) Assessment {
-	j := x.judgeAlone(p, now)
-	if j.State < Isolated && x.blockedForOthers(p, now) {
+func (x *Index) assess(p Fingerprint, now time.Time) Assessment {
+	j := x.assessForCaller(p, now)
+	if j.State < Isolated && x.blockedForOtherCaller(p, now) {
 		j.State = Isolated
 	}
 	return j
@@ -206,37 +206,37 @@
 
 // blockedForOthers returns whether the same request is blocked for another caller and has
 // not run to its end for this one since. The lock is held.
-func (x *Index) blockedForOthers(p Fingerprint, now time.Time) bool {
-	var ran int64
-	if h := x.prints[p]; h != nil {
-		ran = h.ran
+func (x *Index) blockedForOtherCaller(p Fingerprint, now time.Time) bool {
+	var completedAt int64
+	if h := x.histories[p]; h != nil {
+		completedAt = h.completedAt
 	}
-	return slices.ContainsFunc(x.others[p.request()], func(o Fingerprint) bool {
-		j := x.judgeAlone(o, now)
-		return o != p && j.State == Blocked && j.LastCrash.UnixMilli() > ran
+	return slices.ContainsFunc(x.byRequest[p.request()], func(o Fingerprint) bool {
+		j := x.assessForCaller(o, now)
+		return o != p && j.State == Blocked && j.LastCrash.UnixMilli() > completedAt
 	})
 }
 
 // judgeAlone returns the standing of a request by what has been seen of it with its own
 // caller. The lock is held.
-func (x *Index) judgeAlone(p Fingerprint, now time.Time) Assessment {
+func (x *Index) assessForCaller(p Fingerprint, now time.Time) Assessment {
 	j := Assessment{
 		Fingerprint: p,
 	}
-	h := x.prints[p]
+	h := x.histories[p]
 	if h == nil {
 		return j
 	}
-	var last, lastAlone int64
-	for u, at := range h.ends {
-		if at <= h.ran {
+	var last, lastIsolated int64
+	for u, at := range h.crashes {
+		if at <= h.completedAt {
 			continue
 		}
 		j.Upstreams = append(j.Upstreams, u)
 		last = max(last, at)
-		if h.alone[u] > 0 {
+		if h.isolatedCrashes[u] > 0 {
 			j.IsolatedUpstreams = append(j.IsolatedUpstreams, u)
-			lastAlone = max(lastAlone, at)
+			lastIsolated = max(lastIsolated, at)
 		}
 	}
 	j.Crashes = len(j.Upstreams)
@@ -247,11 +247,11 @@
 	slices.Sort(j.IsolatedUpstreams)
 	j.LastCrash = time.UnixMilli(last)
 	j.State = SeenAtCrash
-	if j.Crashes >= endsToIsolate {
+	if j.Crashes >= crashesToIsolate {
 		j.State = Isolated
 	}
 	if len(j.IsolatedUpstreams) > 0 {
-		j.BlockedUntil = time.UnixMilli(lastAlone).Add(blockFor(len(j.IsolatedUpstreams)))
+		j.BlockedUntil = time.UnixMilli(lastIsolated).Add(blockDuration(len(j.IsolatedUpstreams)))
 	}
 	if now.Before(j.BlockedUntil) {
 		j.State = Blocked
@@ -265,9 +265,9 @@
 //	firstBlock * 2^(ends - 1),
 //
 // and at most Keep.
-func blockFor(ends int) time.Duration {
-	block := firstBlock
-	for range ends - 1 {
+func blockDuration(crashes int) time.Duration {
+	block := initialBlock
+	for range crashes - 1 {
 		block = min(2*block, ReportLifetime)
 	}
 	return block
@@ -289,8 +289,8 @@
 	defer x.mu.RUnlock()
 	now := time.Now()
 	var list []Assessment
-	for p := range x.prints {
-		if j := x.judge(p, now); j.State != Unsuspected {
+	for p := range x.histories {
+		if j := x.assess(p, now); j.State != Unsuspected {
 			list = append(list, j)
 		}
 	}
@@ -315,7 +315,7 @@
 	var oldest Report
 	found := false
 	for _, r := range x.reports {
-		if !found || r.older(oldest) {
+		if !found || r.olderThan(oldest) {
 			oldest, found = r, true
 		}
 	}
@@ -332,7 +332,7 @@
 		return false
 	}
 	oldest, _ := x.Oldest()
-	return r.older(oldest)
+	return r.olderThan(oldest)
 }
 
 // Excess returns the number of reports beyond MaxReports.
--- a/quarantine/index_test.go
+++ b/quarantine/index_test.go
@@ -17,140 +17,140 @@
 
 // end adds the report that an upstream has ended with some requests at hand, of which
 // the first is isolated if it is to be.
-func end(x *quarantine.Index, start string, requests ...int) {
-	var alone quarantine.Fingerprint
-	if x.Assess(printOf(requests[0])).State == quarantine.Isolated {
-		alone = printOf(requests[0])
+func crash(x *quarantine.Index, start string, requests ...int) {
+	var isolated quarantine.Fingerprint
+	if x.Assess(fingerprintOf(requests[0])).State == quarantine.Isolated {
+		isolated = fingerprintOf(requests[0])
 	}
-	endTogether(x, start, alone, requests...)
+	crashWith(x, start, isolated, requests...)
 }
 
 // endTogether adds the report that an upstream has ended with some requests at hand.
-func endTogether(x *quarantine.Index, start string, alone quarantine.Fingerprint, requests ...int) {
-	var prints []quarantine.Fingerprint
+func crashWith(x *quarantine.Index, start string, isolated quarantine.Fingerprint, requests ...int) {
+	var fingerprints []quarantine.Fingerprint
 	for _, i := range requests {
-		prints = append(prints, printOf(i))
+		fingerprints = append(fingerprints, fingerprintOf(i))
 	}
-	x.Add(quarantine.NewCrashReport(start, prints, alone))
+	x.Add(quarantine.NewCrashReport(start, fingerprints, isolated))
 	time.Sleep(10 * time.Millisecond)
 }
 
 // ran adds the report that a request has run to its end.
-func ran(x *quarantine.Index, request int) {
-	x.Add(quarantine.NewCompletionReport(printOf(request)))
+func complete(x *quarantine.Index, request int) {
+	x.Add(quarantine.NewCompletionReport(fingerprintOf(request)))
 	time.Sleep(10 * time.Millisecond)
 }
 
 // TestStandings tells the standing of request 1 after what was seen of it.
-func TestStandings(t *testing.T) {
+func TestStates(t *testing.T) {
 	tests := map[string]struct {
-		play func(x *quarantine.Index)
-		want quarantine.State
-		ends int
+		simulate func(x *quarantine.Index)
+		want     quarantine.State
+		crashes  int
 	}{
-		"nothing":             {play: func(*quarantine.Index) {}},
-		"another was at hand": {play: func(x *quarantine.Index) { end(x, "a", 2); end(x, "b", 2); end(x, "c", 2) }},
-		"one end":             {play: func(x *quarantine.Index) { end(x, "a", 1, 2) }, want: quarantine.SeenAtCrash, ends: 1},
-		"two ends":            {play: func(x *quarantine.Index) { end(x, "a", 1, 2); end(x, "b", 1, 3) }, want: quarantine.Isolated, ends: 2},
-		"three ends":          {play: func(x *quarantine.Index) { end(x, "a", 1); end(x, "b", 1); end(x, "c", 1) }, want: quarantine.Blocked, ends: 3},
+		"nothing":             {simulate: func(*quarantine.Index) {}},
+		"another was at hand": {simulate: func(x *quarantine.Index) { crash(x, "a", 2); crash(x, "b", 2); crash(x, "c", 2) }},
+		"one end":             {simulate: func(x *quarantine.Index) { crash(x, "a", 1, 2) }, want: quarantine.SeenAtCrash, crashes: 1},
+		"two ends":            {simulate: func(x *quarantine.Index) { crash(x, "a", 1, 2); crash(x, "b", 1, 3) }, want: quarantine.Isolated, crashes: 2},
+		"three ends":          {simulate: func(x *quarantine.Index) { crash(x, "a", 1); crash(x, "b", 1); crash(x, "c", 1) }, want: quarantine.Blocked, crashes: 3},
 		"many end at once": {
-			play: func(x *quarantine.Index) {
+			simulate: func(x *quarantine.Index) {
 				for i := range 6 {
-					endTogether(x, fmt.Sprint(i), quarantine.Fingerprint{}, 1)
+					crashWith(x, fmt.Sprint(i), quarantine.Fingerprint{}, 1)
 				}
 			},
-			want: quarantine.Isolated, ends: 6,
+			want: quarantine.Isolated, crashes: 6,
 		},
 		"another was isolated": {
-			play: func(x *quarantine.Index) { end(x, "a", 1, 2); end(x, "b", 1, 2); end(x, "c", 2, 1) },
-			want: quarantine.Isolated, ends: 3,
+			simulate: func(x *quarantine.Index) { crash(x, "a", 1, 2); crash(x, "b", 1, 2); crash(x, "c", 2, 1) },
+			want:     quarantine.Isolated, crashes: 3,
 		},
 		"the same start, told twice": {
-			play: func(x *quarantine.Index) { end(x, "a", 1); end(x, "a", 1); end(x, "a", 1) },
-			want: quarantine.SeenAtCrash, ends: 1,
+			simulate: func(x *quarantine.Index) { crash(x, "a", 1); crash(x, "a", 1); crash(x, "a", 1) },
+			want:     quarantine.SeenAtCrash, crashes: 1,
 		},
 		"ran between": {
-			play: func(x *quarantine.Index) { end(x, "a", 1); end(x, "b", 1); ran(x, 1); end(x, "c", 1) },
-			want: quarantine.SeenAtCrash, ends: 1,
+			simulate: func(x *quarantine.Index) { crash(x, "a", 1); crash(x, "b", 1); complete(x, 1); crash(x, "c", 1) },
+			want:     quarantine.SeenAtCrash, crashes: 1,
 		},
-		"ran since": {play: func(x *quarantine.Index) { end(x, "a", 1); end(x, "b", 1); end(x, "c", 1); ran(x, 1) }},
+		"ran since": {simulate: func(x *quarantine.Index) { crash(x, "a", 1); crash(x, "b", 1); crash(x, "c", 1); complete(x, 1) }},
 		"ran before": {
-			play: func(x *quarantine.Index) { ran(x, 1); end(x, "a", 1); end(x, "b", 1); end(x, "c", 1) },
-			want: quarantine.Blocked, ends: 3,
+			simulate: func(x *quarantine.Index) { complete(x, 1); crash(x, "a", 1); crash(x, "b", 1); crash(x, "c", 1) },
+			want:     quarantine.Blocked, crashes: 3,
 		},
 		"another ran": {
-			play: func(x *quarantine.Index) { end(x, "a", 1); end(x, "b", 1); ran(x, 2); end(x, "c", 1) },
-			want: quarantine.Blocked, ends: 3,
+			simulate: func(x *quarantine.Index) { crash(x, "a", 1); crash(x, "b", 1); complete(x, 2); crash(x, "c", 1) },
+			want:     quarantine.Blocked, crashes: 3,
 		},
 		"the block is over": {
-			play: func(x *quarantine.Index) {
-				end(x, "a", 1)
-				end(x, "b", 1)
-				end(x, "c", 1)
+			simulate: func(x *quarantine.Index) {
+				crash(x, "a", 1)
+				crash(x, "b", 1)
+				crash(x, "c", 1)
 				time.Sleep(10 * time.Minute)
 			},
-			want: quarantine.Isolated, ends: 3,
+			want: quarantine.Isolated, crashes: 3,
 		},
 		"ended one more after the block, twice as long": {
-			play: func(x *quarantine.Index) {
-				end(x, "a", 1)
-				end(x, "b", 1)
-				end(x, "c", 1)
+			simulate: func(x *quarantine.Index) {
+				crash(x, "a", 1)
+				crash(x, "b", 1)
+				crash(x, "c", 1)
 				time.Sleep(10 * time.Minute)
-				end(x, "d", 1)
+				crash(x, "d", 1)
 				time.Sleep(19 * time.Minute)
 			},
-			want: quarantine.Blocked, ends: 4,
+			want: quarantine.Blocked, crashes: 4,
 		},
 		"nothing lasts": {
-			play: func(x *quarantine.Index) {
+			simulate: func(x *quarantine.Index) {
 				for i := range 20 {
-					end(x, fmt.Sprint(i), 1)
+					crash(x, fmt.Sprint(i), 1)
 				}
 				time.Sleep(quarantine.ReportLifetime)
 			},
-			want: quarantine.Isolated, ends: 20,
+			want: quarantine.Isolated, crashes: 20,
 		},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var x quarantine.Index
-				test.play(&x)
-				j := x.Assess(printOf(1))
+				test.simulate(&x)
+				j := x.Assess(fingerprintOf(1))
 				qt.Check(t, j.State, qt.Equals, test.want, qt.Commentf("%+v", j))
-				qt.Check(t, j.Crashes, qt.Equals, test.ends)
+				qt.Check(t, j.Crashes, qt.Equals, test.crashes)
 				qt.Check(t, j.Failure() != nil, qt.Equals, test.want == quarantine.Blocked)
-				qt.Check(t, x.MaySuspect(printOf(1)), qt.Equals, len(x.Assess(printOf(1)).Upstreams) > 0 || name == "ran since")
+				qt.Check(t, x.MaySuspect(fingerprintOf(1)), qt.Equals, len(x.Assess(fingerprintOf(1)).Upstreams) > 0 || name == "ran since")
 			})
 		})
 	}
 }
 
 // TestForgetting has reports go: what they said goes with them.
-func TestForgetting(t *testing.T) {
+func TestRemove(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var x quarantine.Index
 		for i := range 5 {
-			end(&x, fmt.Sprint(i), 1, 2)
+			crash(&x, fmt.Sprint(i), 1, 2)
 		}
 		qt.Check(t, x.All(), qt.HasLen, 2)
 		for want := 4; want >= 0; want-- {
 			r, ok := x.Oldest()
 			qt.Assert(t, ok, qt.IsTrue)
 			x.Remove(r.Name)
-			qt.Check(t, x.Assess(printOf(1)).Crashes, qt.Equals, want)
+			qt.Check(t, x.Assess(fingerprintOf(1)).Crashes, qt.Equals, want)
 		}
 		_, ok := x.Oldest()
 		qt.Check(t, ok, qt.IsFalse)
-		qt.Check(t, x.MaySuspect(printOf(1)), qt.IsFalse)
+		qt.Check(t, x.MaySuspect(fingerprintOf(1)), qt.IsFalse)
 		qt.Check(t, x.All(), qt.HasLen, 0)
 	})
 }
 
 // TestReportCheck tells which reports of others are used.
 func TestReportCheck(t *testing.T) {
-	good := quarantine.NewCrashReport("a", []quarantine.Fingerprint{printOf(1)}, quarantine.Fingerprint{})
+	good := quarantine.NewCrashReport("a", []quarantine.Fingerprint{fingerprintOf(1)}, quarantine.Fingerprint{})
 	with := func(f func(r *quarantine.Report)) quarantine.Report {
 		r := good
 		f(&r)
@@ -161,13 +161,13 @@
 		good   bool
 	}{
 		"an end":             {report: good, good: true},
-		"a run":              {report: quarantine.NewCompletionReport(printOf(1)), good: true},
+		"a run":              {report: quarantine.NewCompletionReport(fingerprintOf(1)), good: true},
 		"nothing":            {},
 		"no request":         {report: with(func(r *quarantine.Report) { r.Fingerprints = nil })},
 		"too many requests":  {report: with(func(r *quarantine.Report) { r.Fingerprints = make([]quarantine.Fingerprint, 65) })},
 		"no body":            {report: with(func(r *quarantine.Report) { r.Fingerprints = []quarantine.Fingerprint{{Head: 1}} })},
 		"from the future":    {report: with(func(r *quarantine.Report) { r.At += time.Hour.Milliseconds() })},
-		"alone, not at hand": {report: with(func(r *quarantine.Report) { r.Isolated = printOf(2) })},
+		"alone, not at hand": {report: with(func(r *quarantine.Report) { r.Isolated = fingerprintOf(2) })},
 		"an empty upstream":  {report: with(func(r *quarantine.Report) { r.Upstreams = []string{""} })},
 		"too many upstreams": {report: with(func(r *quarantine.Report) { r.Upstreams = make([]string, 17) })},
 	}
@@ -184,21 +184,21 @@
 func TestSameRequestOfOtherCallers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var x quarantine.Index
-		var ends int
+		var crashes int
 		for _, caller := range []string{"a", "b", "c"} {
 			p := quarantine.NewFingerprint(caller, "GET", "h.example", "/b/fatal").WithBody(nil)
 			for x.Assess(p).State != quarantine.Blocked {
-				var alone quarantine.Fingerprint
+				var isolated quarantine.Fingerprint
 				if x.Assess(p).State == quarantine.Isolated {
-					alone = p
+					isolated = p
 				}
-				ends++
-				qt.Assert(t, ends <= 10, qt.IsTrue)
-				x.Add(quarantine.NewCrashReport(fmt.Sprint("n", ends), []quarantine.Fingerprint{p}, alone))
+				crashes++
+				qt.Assert(t, crashes <= 10, qt.IsTrue)
+				x.Add(quarantine.NewCrashReport(fmt.Sprint("n", crashes), []quarantine.Fingerprint{p}, isolated))
 				time.Sleep(time.Second)
 			}
 		}
-		qt.Check(t, ends <= 5, qt.IsTrue, qt.Commentf("%d upstreams ended: three for the first service, one for each other", ends))
+		qt.Check(t, crashes <= 5, qt.IsTrue, qt.Commentf("%d upstreams ended: three for the first service, one for each other", crashes))
 	})
 }
 
@@ -210,8 +210,8 @@
 		one := quarantine.NewFingerprint("a", "GET", "h.example", "/b/x").WithBody(nil)
 		other := quarantine.NewFingerprint("b", "GET", "h.example", "/b/x").WithBody(nil)
 		different := quarantine.NewFingerprint("b", "GET", "h.example", "/b/y").WithBody(nil)
-		for i, alone := range []quarantine.Fingerprint{{}, {}, one} {
-			x.Add(quarantine.NewCrashReport(fmt.Sprint("n", i), []quarantine.Fingerprint{one}, alone))
+		for i, isolated := range []quarantine.Fingerprint{{}, {}, one} {
+			x.Add(quarantine.NewCrashReport(fmt.Sprint("n", i), []quarantine.Fingerprint{one}, isolated))
 			time.Sleep(time.Second)
 		}
 		qt.Check(t, x.Assess(one).State, qt.Equals, quarantine.Blocked)
--- a/quarantine/running_test.go
+++ b/quarantine/inflight_test.go
@@ -16,26 +16,26 @@
 )
 
 // print returns the fingerprint of a request with the given number.
-func printOf(i int) quarantine.Fingerprint {
+func fingerprintOf(i int) quarantine.Fingerprint {
 	return quarantine.NewFingerprint("caller", "GET", "h.example", fmt.Sprint("/", i)).WithBody(nil)
 }
 
 // TestRunning tells which requests an upstream may have ended under.
-func TestRunning(t *testing.T) {
+func TestInFlight(t *testing.T) {
 	tests := map[string]struct {
-		play func(r *quarantine.InFlight, begin func(i int) *quarantine.Run)
-		want []int
+		simulate func(r *quarantine.InFlight, begin func(i int) *quarantine.Run)
+		want     []int
 	}{
 		"in flight, the last begun first": {
-			play: func(_ *quarantine.InFlight, begin func(i int) *quarantine.Run) { begin(1); begin(2) },
-			want: []int{2, 1},
+			simulate: func(_ *quarantine.InFlight, begin func(i int) *quarantine.Run) { begin(1); begin(2) },
+			want:     []int{2, 1},
 		},
 		"one that was answered is none": {
-			play: func(_ *quarantine.InFlight, begin func(i int) *quarantine.Run) { begin(1).End(); begin(2) },
-			want: []int{2},
+			simulate: func(_ *quarantine.InFlight, begin func(i int) *quarantine.Run) { begin(1).End(); begin(2) },
+			want:     []int{2},
 		},
 		"one whose connection was lost a moment ago": {
-			play: func(_ *quarantine.InFlight, begin func(i int) *quarantine.Run) {
+			simulate: func(_ *quarantine.InFlight, begin func(i int) *quarantine.Run) {
 				u := begin(1)
 				u.Abandon()
 				u.End()
@@ -44,25 +44,25 @@
 			want: []int{1},
 		},
 		"one that was given up long before the last sign of life is none": {
-			play: func(_ *quarantine.InFlight, begin func(i int) *quarantine.Run) {
+			simulate: func(_ *quarantine.InFlight, begin func(i int) *quarantine.Run) {
 				begin(1).Abandon()
 				time.Sleep(3 * time.Second)
 				begin(2).End()
 			},
 		},
 		"one that was lost long ago, and no sign of life since": {
-			play: func(_ *quarantine.InFlight, begin func(i int) *quarantine.Run) {
+			simulate: func(_ *quarantine.InFlight, begin func(i int) *quarantine.Run) {
 				begin(1).Abandon()
 				time.Sleep(time.Minute)
 			},
 			want: []int{1},
 		},
 		"the same twice": {
-			play: func(_ *quarantine.InFlight, begin func(i int) *quarantine.Run) { begin(1); begin(1) },
-			want: []int{1},
+			simulate: func(_ *quarantine.InFlight, begin func(i int) *quarantine.Run) { begin(1); begin(1) },
+			want:     []int{1},
 		},
 		"each end has its own": {
-			play: func(r *quarantine.InFlight, begin func(i int) *quarantine.Run) {
+			simulate: func(r *quarantine.InFlight, begin func(i int) *quarantine.Run) {
 				u := begin(1)
 				r.Take()
 				u.Abandon()
@@ -75,13 +75,13 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var r quarantine.InFlight
-				test.play(&r, func(i int) *quarantine.Run {
+				test.simulate(&r, func(i int) *quarantine.Run {
 					time.Sleep(time.Millisecond)
-					return r.Begin(func() quarantine.Fingerprint { return printOf(i) }, false)
+					return r.Begin(func() quarantine.Fingerprint { return fingerprintOf(i) }, false)
 				})
 				var want []quarantine.Fingerprint
 				for _, i := range test.want {
-					want = append(want, printOf(i))
+					want = append(want, fingerprintOf(i))
 				}
 				got, _ := r.Take()
 				qt.Check(t, got, qt.DeepEquals, want)
@@ -92,10 +92,10 @@
 	}
 }
 
-func TestRunningIsBounded(t *testing.T) {
+func TestInFlightIsBounded(t *testing.T) {
 	var r quarantine.InFlight
 	for i := range 1000 {
-		u := r.Begin(func() quarantine.Fingerprint { return printOf(i) }, false)
+		u := r.Begin(func() quarantine.Fingerprint { return fingerprintOf(i) }, false)
 		if i%2 == 0 {
 			u.Abandon()
 		}
@@ -105,34 +105,34 @@
 }
 
 // TestAlone tells which request was isolated when an upstream ended.
-func TestAlone(t *testing.T) {
+func TestIsolatedInFlight(t *testing.T) {
 	tests := map[string]struct {
-		isolated []int // of three requests
-		givenUp  int   // how many of those before they ended
-		want     int
+		isolated  []int // of three requests
+		abandoned int   // how many of those before they ended
+		want      int
 	}{
 		"none":                        {},
 		"one":                         {isolated: []int{2}, want: 2},
-		"one that was given up":       {isolated: []int{2}, givenUp: 1, want: 2},
-		"one given up, and another":   {isolated: []int{1, 2}, givenUp: 1},
-		"the same, given up and anew": {isolated: []int{2, 2}, givenUp: 1},
+		"one that was given up":       {isolated: []int{2}, abandoned: 1, want: 2},
+		"one given up, and another":   {isolated: []int{1, 2}, abandoned: 1},
+		"the same, given up and anew": {isolated: []int{2, 2}, abandoned: 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			var r quarantine.InFlight
-			r.Begin(func() quarantine.Fingerprint { return printOf(0) }, false)
+			r.Begin(func() quarantine.Fingerprint { return fingerprintOf(0) }, false)
 			for i, n := range test.isolated {
-				u := r.Begin(func() quarantine.Fingerprint { return printOf(n) }, true)
-				if i < test.givenUp {
+				u := r.Begin(func() quarantine.Fingerprint { return fingerprintOf(n) }, true)
+				if i < test.abandoned {
 					u.Abandon()
 				}
 			}
-			_, alone := r.Take()
+			_, isolated := r.Take()
 			var want quarantine.Fingerprint
 			if test.want > 0 {
-				want = printOf(test.want)
+				want = fingerprintOf(test.want)
 			}
-			qt.Check(t, alone, qt.Equals, want)
+			qt.Check(t, isolated, qt.Equals, want)
 		})
 	}
 }
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -42,21 +42,21 @@
 	// MaxUpstreams and maxName bound what one report may name. Blocks reach Keep, and
 	// grow no more, after five.
 	MaxUpstreams = 16
-	maxName      = 300
+	maxNameBytes = 300
 	// ahead is how far the clock of another node may be ahead.
-	ahead = time.Minute
+	maxClockSkew = time.Minute
 )
 
 // Ended returns the report that an upstream has ended with some requests at hand, of
 // which one, or none, was isolated. Start tells its start from all others.
-func NewCrashReport(start string, prints []Fingerprint, alone Fingerprint) Report {
+func NewCrashReport(startID string, fingerprints []Fingerprint, isolated Fingerprint) Report {
 	now := time.Now()
 	return Report{
-		Name:         "end/" + start + "/" + now.UTC().Format(time.RFC3339Nano),
+		Name:         "end/" + startID + "/" + now.UTC().Format(time.RFC3339Nano),
 		At:           now.UnixMilli(),
-		Upstreams:    []string{start},
-		Fingerprints: prints,
-		Isolated:     alone,
+		Upstreams:    []string{startID},
+		Fingerprints: fingerprints,
+		Isolated:     isolated,
 	}
 }
 
@@ -87,15 +87,15 @@
 // Check returns why a report of another node can't be used, or nil.
 func (r Report) Check(now time.Time) error {
 	switch {
-	case r.Name == "" || len(r.Name) > maxName:
+	case r.Name == "" || len(r.Name) > maxNameBytes:
 		return eris.Errorf("a name of %d bytes", len(r.Name))
-	case time.UnixMilli(r.At).Sub(now) > ahead:
+	case time.UnixMilli(r.At).Sub(now) > maxClockSkew:
 		return eris.Errorf("written %v ahead of this node's clock", time.UnixMilli(r.At).Sub(now))
 	case len(r.Fingerprints) == 0 || len(r.Fingerprints) > MaxSuspects:
 		return eris.Errorf("%d requests are not within 1 and %d", len(r.Fingerprints), MaxSuspects)
 	case len(r.Upstreams) > MaxUpstreams:
 		return eris.Errorf("%d upstreams are over %d", len(r.Upstreams), MaxUpstreams)
-	case slices.ContainsFunc(r.Upstreams, func(s string) bool { return s == "" || len(s) > maxName }):
+	case slices.ContainsFunc(r.Upstreams, func(s string) bool { return s == "" || len(s) > maxNameBytes }):
 		return eris.New("an upstream without a name, or with too long a one")
 	case slices.ContainsFunc(r.Fingerprints, func(p Fingerprint) bool { return !p.Complete() }):
 		return eris.New("a request that is not known whole")
@@ -106,6 +106,6 @@
 }
 
 // older returns whether r comes before o in the order in which reports are dropped.
-func (r Report) older(o Report) bool {
+func (r Report) olderThan(o Report) bool {
 	return r.At < o.At || r.At == o.At && r.Name < o.Name
 }
