--- a/quarantine/answers.go
+++ b/quarantine/answers.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	// answersPerEnd is how many runs of a request have been answered for each end at
-	// which it was at hand, where the end is not put down to it. What many callers send is
-	// at hand at every end, with hundreds of answers for each; a request that ends
-	// upstreams has none, or few. One that ends less than one run in 20 is not told from
-	// what is merely popular, and goes on.
+	// responsesPerCrash is the number of answered runs of a request for each crash with it in
+	// flight from which on it is not suspected. A request that many callers send is in flight at
+	// every crash, with hundreds of responses for each; a request that crashes upstreams has no
+	// responses, or few. One that crashes less than one run in 20 can't be told from a popular
+	// harmless request, and is not stopped.
 	responsesPerCrash = 20
-	// answersSpan is how long an answer counts, at least, and at most twice as long. A
-	// request that was harmless until then is suspected again after as long.
+	// responseWindow is the minimum time for which a response counts; the maximum is twice as long.
+	// A request that was harmless until then is suspected again after that time.
 	responseWindow = 10 * time.Second
-	// maxAnswered bounds the requests whose answers are counted in a span: 0.3 MB. Most
-	// of the requests may be of a kind of their own; of one that comes often enough to
-	// count, one comes before the room is taken.
+	// maxCountedRequests bounds the number of requests whose responses are counted in a window,
+	// which take 0.3 MB. Most requests may be unique. A request that is frequent enough to matter
+	// is likely to be counted before the limit is reached.
 	maxCountedRequests = 8192
 )
 
-// Answers counts the answered runs of each request at one gate, so that an end of its
-// upstream is not put down to requests that run there all the time. The zero value is
-// ready. Its methods may be called from any goroutine.
+// AnswerCounter counts the answered runs of each request at one gate, so that a crash of the
+// upstream is not attributed to requests that it answers all the time. The zero value is ready to
+// use. Its methods may be called from any goroutine.
 type AnswerCounter struct {
 	mu                sync.Mutex
-	windowStart       time.Time // of the present span
+	windowStart       time.Time // of the current window
 	current, previous map[Fingerprint]int
 }
 
@@ -44,7 +44,7 @@
 	}
 }
 
-// turn begins a new span if the present one is over. The lock is held.
+// rotate begins a new window if the present one is over. The caller holds the lock.
 func (a *AnswerCounter) rotate(now time.Time) {
 	switch age := now.Sub(a.windowStart); {
 	case a.current == nil || age >= 2*responseWindow:
@@ -58,14 +58,14 @@
 	a.windowStart = now
 }
 
-// Ended returns those of the requests at hand at an end of the upstream that may have
-// caused it, and the isolated one if it is to be blocked for that. For the others it takes
-// answersPerEnd off what was counted, so that one that is at hand at too many ends for its
-// answers is suspected as well.
+// Suspects returns those of the requests in flight at a crash of the upstream that may have caused
+// it, and the isolated one if it is to be blocked for the crash. For each of the others it subtracts
+// responsesPerCrash from the counted responses, so that a request that is in flight at too many crashes
+// for its number of responses is suspected as well.
 //
-// An isolated request that was answered here lately is not blocked: what ends upstreams is
-// never answered. Without that, frequent harmless requests would be blocked where upstreams
-// end for other reasons.
+// An isolated request that was recently answered here is not blocked, because a request that
+// crashes upstreams is never answered. Otherwise frequent harmless requests would be blocked when
+// upstreams crash for other reasons.
 func (a *AnswerCounter) Suspects(inFlight []Fingerprint, isolated Fingerprint) (suspects []Fingerprint, toBlock Fingerprint) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -2,20 +2,22 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Package quarantine keeps requests that end upstreams away from them.
+// Package quarantine keeps requests that crash upstreams away from them.
 //
-// A request may end each upstream that begins to run it, and may come again at any
-// node. What is at an upstream when it ends is suspected, by its Fingerprint, and an
-// Index counts the upstreams that have ended with it at hand. One with which two have is
-// isolated: it runs only where no other isolated request does. If it comes back answered
-// it is cleared, as a request that ends upstreams never does; if a third upstream ends,
-// it is blocked, for ten minutes at first, and twice as long each time that this happens
-// again. So the request in question stops, and those that were at hand go on, be it that
-// all upstreams have ended at once.
+// A request may crash every upstream that begins to run it, and may arrive again at any
+// node. The requests that are in flight at an upstream when it crashes are suspected. They
+// are identified by their Fingerprint, and an Index counts the upstreams that have crashed
+// with each of them in flight. A request with two such crashes is isolated: it runs only
+// where no other isolated request does. If it is answered, it is cleared, because a request
+// that crashes upstreams is never answered. If a third upstream crashes, the request is
+// blocked, for ten minutes at first, and for twice as long each time that this happens
+// again. So the request that causes the crashes is stopped, and those that were merely in
+// flight with it continue to run, even if all upstreams have crashed at once.
 //
-// What many callers send is at hand whenever an upstream ends. A gate therefore counts
-// Answers, and does not suspect what it answers all the time.
+// A request that many callers send is in flight whenever an upstream crashes. A gate
+// therefore counts responses with an AnswerCounter, and does not suspect requests that its
+// upstream answers all the time.
 //
-// Nodes tell each other Reports of what they saw. The package does no input or output
-// and starts no goroutine.
+// Nodes send each other Reports of crashes and of completed suspects. The package does
+// no input or output and starts no goroutine.
 package quarantine
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -15,29 +15,28 @@
 	"github.com/rotisserie/eris"
 )
 
-// Fingerprint tells requests apart by what an upstream is given to run. Two sendings of
-// the same request have the same one, and requests that differ in caller, method, host,
-// target or body have different ones. What differs from one attempt of a caller to the
-// next, such as the request id and the deadline, is no part of it. It is an immutable
-// value.
+// Fingerprint identifies a request by what an upstream is given to run. Two attempts of the
+// same request have the same fingerprint, and requests that differ in caller, method, host,
+// target or body have different ones. What differs between the retries of a caller, such as
+// the request id and the deadline, is not part of it. It is an immutable value.
 //
-// It is made with SHA-256, of which 64 bits are kept of the body, 48 of what else is to be
-// run and 16 of the caller: to make a request that is taken for a given other one takes
-// some 2^48 tries for the head alone.
+// It is computed with SHA-256, of which 64 bits are kept for the body, 48 for the rest of
+// what is run and 16 for the caller. To forge a request with the fingerprint of a given one
+// takes some 2^48 tries for the head alone.
 type Fingerprint struct {
-	// Head stands for all but the body, with its last callerBits for the caller alone.
+	// Head is the hash of all but the body. Its last callerHashBits are the hash of the caller.
 	Head uint64 `msgpack:"h"`
-	// Body stands for the first MaxBody bytes of the body, or is 0 if they are not
+	// Body is the hash of the first MaxBodyBytes bytes of the body, or 0 if they are not
 	// known.
 	Body uint64 `msgpack:"b"`
 }
 
-// MaxBody is how much of a body is part of a fingerprint, in bytes: as much as is waited for
-// where a request with the same head is suspected.
+// MaxBodyBytes is the length of the prefix of a body that is part of a fingerprint. A node waits
+// for this much of the body if a request with the same head is suspected.
 const MaxBodyBytes = 64 << 10
 
-// Head returns the fingerprint of a request without its body, given the service that it
-// comes from, its method, host and target.
+// NewFingerprint returns the fingerprint of a request without its body, given the service that
+// sent it, its method, host and target.
 func NewFingerprint(caller, method, host, target string) Fingerprint {
 	const callerMask = 1<<callerHashBits - 1
 	return Fingerprint{
@@ -45,15 +44,15 @@
 	}
 }
 
-// callerBits is the number of bits of a Head that stand for the caller.
+// callerHashBits is the number of bits of a Head that are the hash of the caller.
 const callerHashBits = 16
 
-// request is what an upstream is given to run, whoever the caller is.
+// request identifies what an upstream is given to run, regardless of the caller.
 type request struct {
 	head, body uint64
 }
 
-// request returns what f says of the request but for its caller.
+// request returns the part of f that does not depend on the caller.
 func (f Fingerprint) request() request {
 	return request{
 		head: f.Head >> callerHashBits,
@@ -61,7 +60,7 @@
 	}
 }
 
-// sumOf returns the sum of some texts.
+// hashStrings returns a 64-bit hash of some strings.
 func hashStrings(parts ...string) uint64 {
 	h := sha256.New()
 	for _, part := range parts {
@@ -71,7 +70,7 @@
 	return hash64(h)
 }
 
-// WithBody returns f with the given body, of which the first MaxBody bytes count.
+// WithBody returns f with the given body, of which only the first MaxBodyBytes bytes count.
 func (f Fingerprint) WithBody(body []byte) Fingerprint {
 	h := sha256.New()
 	_, _ = h.Write(body[:min(len(body), MaxBodyBytes)])
@@ -79,30 +78,30 @@
 	return f
 }
 
-// Known returns whether f stands for a whole request, body included.
+// Complete returns whether f covers a whole request, including its body.
 func (f Fingerprint) Complete() bool { return f.Head != 0 && f.Body != 0 }
 
-// String returns f as it stands in logs.
+// String returns f in the format that is used in logs.
 func (f Fingerprint) String() string { return fmt.Sprintf(format, f.Head, f.Body) }
 
-// format is the format of a fingerprint in text.
+// format is the text format of a fingerprint.
 const format = "%016x.%016x"
 
-// Parse returns the fingerprint that String has written.
+// Parse parses a fingerprint that was formatted by String.
 func Parse(s string) (Fingerprint, error) {
 	var f Fingerprint
 	if _, err := fmt.Sscanf(s, format, &f.Head, &f.Body); err != nil || f.String() != s {
-		return Fingerprint{}, eris.Errorf("%q is no fingerprint", s)
+		return Fingerprint{}, eris.Errorf("%q is not a fingerprint", s)
 	}
 	return f, nil
 }
 
-// sum returns 64 bits of a hash that are not all 0.
+// hash64 returns 64 bits of a hash, or 1 if they are all 0.
 func hash64(h hash.Hash) uint64 {
 	return max(1, binary.BigEndian.Uint64(h.Sum(nil)))
 }
 
-// Body is an io.Reader that takes the fingerprint of what passes through it. The
+// BodyHasher is an io.Reader that hashes the body that is read through it. The
 // exported fields are set before the first Read.
 type BodyHasher struct {
 	// Reader yields the body.
@@ -110,7 +109,7 @@
 
 	mu        sync.Mutex
 	hash      hash.Hash
-	remaining int // bytes that still count
+	remaining int // bytes that are still to be hashed
 }
 
 // Read implements io.Reader.
@@ -125,7 +124,7 @@
 	return n, err
 }
 
-// Fingerprint returns f with the body that has passed so far. It may be called from
+// Fingerprint returns f with the body that has been read so far. It may be called from
 // any goroutine.
 func (b *BodyHasher) Fingerprint(f Fingerprint) Fingerprint {
 	b.mu.Lock()
--- a/quarantine/fingerprint_test.go
+++ b/quarantine/fingerprint_test.go
@@ -46,8 +46,8 @@
 	qt.Check(t, quarantine.NewFingerprint("a", "b", "c", "d").Complete(), qt.IsFalse)
 }
 
-// TestFingerprintOfStream has a body pass in pieces: it has the fingerprint of the same
-// body in one.
+// TestBodyHasher checks that a body that is read in pieces has the same fingerprint as the
+// whole body.
 func TestBodyHasher(t *testing.T) {
 	for name, size := range map[string]int{"empty": 0, "small": 100, "at the bound": quarantine.MaxBodyBytes, "over the bound": quarantine.MaxBodyBytes + 1000} {
 		t.Run(name, func(t *testing.T) {
--- a/quarantine/harmless_test.go
+++ b/quarantine/harmless_test.go
@@ -17,13 +17,13 @@
 	"sassafrasfront.example/quarantine"
 )
 
-// The load of TestBystanders: a service of six upstreams that reads of 160 ms keep
-// 0.6 busy, as the services have it on which the figures rest.
+// The load of TestHarmlessRequests is a service of six upstreams, 60% of whose slots are busy with
+// reads that take 160 ms, like the services on which the limits are based.
 const (
 	simUpstreams    = 6
 	simSlots        = 14
 	simRunTime      = 160 * time.Millisecond
-	simRate         = 300 // reads a second
+	simRate         = 300 // reads per second
 	simRestartTime  = 3500 * time.Millisecond
 	simStep         = 5 * time.Millisecond
 	simReportDelay  = 100 * time.Millisecond // until a report has reached all nodes
@@ -31,7 +31,7 @@
 	simDuration     = 12 * time.Second
 )
 
-// simUpstream is one upstream of the load.
+// simUpstream is a simulated upstream.
 type simUpstream struct {
 	starts   int
 	backAt   time.Time
@@ -47,15 +47,15 @@
 	attempts    int
 }
 
-// simLoad says what is played.
+// simLoad holds the parameters of a simulation.
 type simLoad struct {
-	interval time.Duration // between sendings of the fatal request
-	copies   int           // that are sent at once
-	crashAll bool          // whether all upstreams end at that time, for another reason
-	hot      float64       // the part of the reads that are one and the same
+	interval time.Duration // between arrivals of the fatal request
+	copies   int           // of the fatal request that arrive at once
+	crashAll bool          // whether all upstreams crash then, for another reason
+	hot      float64       // fraction of the reads that are the same
 }
 
-// sim plays the load.
+// sim is a simulation.
 type sim struct {
 	simLoad
 
@@ -64,12 +64,12 @@
 	upstreams [simUpstreams]simUpstream
 	lastRead  int
 
-	reads, isolated, blocked int // reads, and those that were ever so
-	refused                  int // reads that found no upstream to run alone at
+	reads, isolated, blocked int // number of reads, and how often one was isolated or blocked
+	refused                  int // reads that could not run in isolation though there was capacity
 	fatalCrashes             int
 }
 
-// send sends a request to an upstream that is there, as nodes do.
+// send sends a request to an upstream that is available, as nodes do.
 func (s *sim) send(r *simRequest) {
 	r.attempts++
 	state := s.index.Assess(r.fingerprint).State
@@ -90,7 +90,7 @@
 		u := &s.upstreams[i]
 		if time.Now().Before(u.backAt) {
 			if state == quarantine.Isolated && time.Until(u.backAt) > simRestartTime-simReportDelay {
-				break // the node beside it knows already, and the others not yet
+				break // only the node beside it knows of the crash yet
 			}
 			continue
 		}
@@ -115,14 +115,14 @@
 	}
 }
 
-// room returns whether an upstream would run a request that is not suspected.
+// hasCapacity returns whether an upstream would run a request that is not suspected.
 func (s *sim) hasCapacity() bool {
 	return slices.ContainsFunc(s.upstreams[:], func(u simUpstream) bool {
 		return !time.Now().Before(u.backAt) && len(u.running) < simSlots
 	})
 }
 
-// step takes in what ends now.
+// step completes the requests of an upstream that end now.
 func (s *sim) step(i int) {
 	u := &s.upstreams[i]
 	var going []*simRequest
@@ -151,8 +151,8 @@
 	s.crash(i)
 }
 
-// lose ends an upstream, which comes back as a new start. What it has lost is sent once
-// more.
+// crash crashes an upstream, which comes back as a new start. The requests that it had are
+// retried.
 func (s *sim) crash(i int) {
 	u := &s.upstreams[i]
 	lost := u.running
@@ -177,7 +177,7 @@
 	}
 }
 
-// read sends a read: one of many, or the one that many callers send.
+// read sends a read: a unique one, or the one that many callers send.
 func (s *sim) read() {
 	s.reads++
 	s.lastRead++
@@ -188,7 +188,7 @@
 	s.send(&simRequest{fingerprint: p})
 }
 
-// play plays the load once, with the fatal request coming every so often.
+// run runs the simulation, in which the fatal request arrives periodically.
 func (s *sim) run() {
 	fatal := quarantine.NewFingerprint("caller", "GET", "h.example", "/fatal").WithBody(nil)
 	began := time.Now()
@@ -216,29 +216,28 @@
 	}
 }
 
-// TestBystanders has a request come again and again that ends each upstream which begins
-// to run it, among 300 reads a second that are lost with the upstreams and sent again; in
-// the last rows all upstreams end at once for another reason. A request that comes often
-// ends the six there are before anything is known of it, and three more. No read is blocked
-// for it, also where one in ten is the same. A read that was at hand at two ends is sent
-// away while another of its kind runs alone, for the time of one run: one in a thousand
-// of all, and more only where all upstreams end at once and many reads are one and the
-// same.
+// TestHarmlessRequests simulates a request that arrives again and again and crashes each upstream that
+// begins to run it, among 300 reads per second that are lost with the upstreams and retried. In the
+// last cases all upstreams crash at once for another reason. A frequent fatal request crashes all six
+// upstreams before any report has arrived, and three more. No read may be blocked for it, even if one
+// read in ten is the same. A read that was in flight at two crashes is refused while another copy of
+// it runs in isolation, for the duration of one run. This may affect one read in a thousand, and more
+// only if all upstreams crash at once and many reads are the same.
 func TestHarmlessRequests(t *testing.T) {
 	tests := map[string]struct {
 		load         simLoad
-		maxCrashes   int // upstreams that end under it
-		refusedOneIn int // one read in how many is sent away, at most
+		maxCrashes   int // maximum number of upstreams that it crashes
+		refusedOneIn int // at most one read in so many is refused
 	}{
-		"one in 150 ms":                 {load: simLoad{interval: 150 * time.Millisecond, copies: 1}, maxCrashes: 6, refusedOneIn: 1000},
-		"one in 50 ms":                  {load: simLoad{interval: 50 * time.Millisecond, copies: 1}, maxCrashes: 9, refusedOneIn: 1000},
-		"three at once":                 {load: simLoad{interval: 700 * time.Millisecond, copies: 3}, maxCrashes: 7, refusedOneIn: 1000},
-		"ten at once":                   {load: simLoad{interval: 700 * time.Millisecond, copies: 10}, maxCrashes: 9, refusedOneIn: 1000},
-		"one in 150 ms, a hot read":     {load: simLoad{interval: 150 * time.Millisecond, copies: 1, hot: 0.1}, maxCrashes: 6, refusedOneIn: 1000},
-		"one in 50 ms, a hot read":      {load: simLoad{interval: 50 * time.Millisecond, copies: 1, hot: 0.1}, maxCrashes: 9, refusedOneIn: 1000},
-		"all end at once":               {load: simLoad{interval: 4 * time.Second, crashAll: true}, refusedOneIn: 1000},
-		"all end at once, a hot read":   {load: simLoad{interval: 4 * time.Second, crashAll: true, hot: 0.1}, refusedOneIn: 300},
-		"all end at once, one hot read": {load: simLoad{interval: 4 * time.Second, crashAll: true, hot: 1}, refusedOneIn: 20},
+		"one in 150 ms":                   {load: simLoad{interval: 150 * time.Millisecond, copies: 1}, maxCrashes: 6, refusedOneIn: 1000},
+		"one in 50 ms":                    {load: simLoad{interval: 50 * time.Millisecond, copies: 1}, maxCrashes: 9, refusedOneIn: 1000},
+		"three at once":                   {load: simLoad{interval: 700 * time.Millisecond, copies: 3}, maxCrashes: 7, refusedOneIn: 1000},
+		"ten at once":                     {load: simLoad{interval: 700 * time.Millisecond, copies: 10}, maxCrashes: 9, refusedOneIn: 1000},
+		"one in 150 ms, a hot read":       {load: simLoad{interval: 150 * time.Millisecond, copies: 1, hot: 0.1}, maxCrashes: 6, refusedOneIn: 1000},
+		"one in 50 ms, a hot read":        {load: simLoad{interval: 50 * time.Millisecond, copies: 1, hot: 0.1}, maxCrashes: 9, refusedOneIn: 1000},
+		"all crash at once":               {load: simLoad{interval: 4 * time.Second, crashAll: true}, refusedOneIn: 1000},
+		"all crash at once, a hot read":   {load: simLoad{interval: 4 * time.Second, crashAll: true, hot: 0.1}, refusedOneIn: 300},
+		"all crash at once, one hot read": {load: simLoad{interval: 4 * time.Second, crashAll: true, hot: 1}, refusedOneIn: 20},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -254,7 +253,7 @@
 					crashes = max(crashes, s.fatalCrashes)
 				})
 			}
-			t.Logf("%d reads, %d isolated, %d refused for it, %d blocked; at most %d upstreams ended", reads, isolated, refused, blocked, crashes)
+			t.Logf("%d reads, %d isolated, %d refused for it, %d blocked; at most %d upstreams crashed", reads, isolated, refused, blocked, crashes)
 			qt.Check(t, crashes <= test.maxCrashes, qt.IsTrue, qt.Commentf("%d", crashes))
 			qt.Check(t, blocked, qt.Equals, 0)
 			qt.Check(t, refused*test.refusedOneIn < reads, qt.IsTrue, qt.Commentf("%d of %d", refused, reads))
--- a/quarantine/index.go
+++ b/quarantine/index.go
@@ -17,74 +17,74 @@
 )
 
 const (
-	// endsToIsolate is the number of upstreams under whose ends a request is isolated.
-	// One may end for any reason with it at hand. Two may as well, where all end at once
-	// and it is a request that many callers send: it then runs alone once, and is cleared.
+	// crashesToIsolate is the number of crashes with a request in flight after which it is
+	// isolated. One upstream may crash for any reason. Two may crash as well, if all crash at
+	// once and many callers send the request: it then runs in isolation once, and is cleared.
 	crashesToIsolate = 2
-	// firstBlock is how long a request is blocked. After it one more upstream may end for
-	// it: two in the first hour, in place of one or two a second.
+	// initialBlock is how long a request is blocked at first. After a block, the request may crash
+	// one more upstream: two in the first hour, instead of one or two a second.
 	initialBlock = 10 * time.Minute
 )
 
-// Standing is what is thought of a request.
+// State is the state of a request in the quarantine.
 type State uint8
 
-// The standings.
+// The states of a request.
 const (
-	// Unsuspected means that no upstream has ended under it, or that it has run since.
+	// Unsuspected means that no upstream has crashed with it in flight since it was last answered.
 	Unsuspected State = iota
-	// Seen means that it was at hand when an upstream ended.
+	// SeenAtCrash means that it was in flight when an upstream crashed.
 	SeenAtCrash
 	// Isolated means that it runs only where no other isolated request does.
 	Isolated
-	// Blocked means that it does not run: an upstream has ended while it was isolated.
+	// Blocked means that it does not run, because an upstream crashed while it was isolated.
 	Blocked
 )
 
-// String returns the name of s as it stands in logs and metrics.
+// String returns the name of s, as used in logs and metrics.
 func (s State) String() string {
 	return [...]string{"unsuspected", "seen", "isolated", "blocked"}[s]
 }
 
-// Judgment is a request's standing with the grounds for it. It is an immutable value.
+// Assessment is the state of a request and the grounds for it. It is an immutable value.
 type Assessment struct {
-	// Print is the request.
+	// Fingerprint identifies the request.
 	Fingerprint Fingerprint
-	// Standing is what is thought of it.
+	// State is the state of the request.
 	State State
-	// Ends is the number of upstreams that have ended with it at hand since it last ran
-	// to its end.
+	// Crashes is the number of upstreams that have crashed with it in flight since it was last
+	// answered.
 	Crashes int
-	// Since is when the last of them did.
+	// LastCrash is the time of the last of these crashes.
 	LastCrash time.Time
-	// Until is when a block ends.
+	// BlockedUntil is the time at which a block ends.
 	BlockedUntil time.Time
-	// Upstreams are the starts that have ended, and Isolated those of them that ended
-	// while it was isolated.
+	// Upstreams are the start IDs of the upstreams that have crashed, and IsolatedUpstreams
+	// those of them that crashed while the request was isolated.
 	Upstreams, IsolatedUpstreams []string
 }
 
-// Index knows the standing of requests, by the reports given to it. The zero value is
-// ready. Its methods may be called from any goroutine.
+// Index holds the states of requests according to the reports added to it. The zero value is
+// ready to use. Its methods may be called from any goroutine.
 type Index struct {
-	historyCount atomic.Int64 // prints with a history: most of the time none
+	historyCount atomic.Int64 // number of histories, usually 0
 
 	mu        sync.RWMutex
 	reports   map[string]Report
 	histories map[Fingerprint]*history
-	heads     map[uint64]int            // prints by their heads, without the caller
-	byRequest map[request][]Fingerprint // prints of the same request by different callers
+	heads     map[uint64]int            // number of fingerprints by their heads, without the caller
+	byRequest map[request][]Fingerprint // fingerprints of the same request by different callers
 }
 
-// history is what is known of one request.
+// history is the information about one request.
 type history struct {
-	crashes         map[string]int64 // when, by the upstream's start
-	isolatedCrashes map[string]int64 // those of the ends with it isolated
-	reports         int              // that name the request
-	completedAt     int64            // when it ran to its end last
+	crashes         map[string]int64 // times of crashes with it in flight, by the upstream's start ID
+	isolatedCrashes map[string]int64 // those of the crashes with it isolated
+	reports         int              // number of reports that list the request
+	completedAt     int64            // when it last completed
 }
 
-// Add takes in a report. One that replaces another of its name takes its place.
+// Add adds a report. It replaces an older report of the same name.
 func (x *Index) Add(r Report) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -126,7 +126,7 @@
 	x.historyCount.Store(int64(len(x.histories)))
 }
 
-// Remove forgets a report.
+// Remove removes a report.
 func (x *Index) Remove(name string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -136,7 +136,7 @@
 	}
 }
 
-// drop takes a report out of the histories. The lock is held.
+// removeReport removes a report from the histories. The caller holds the lock.
 func (x *Index) removeReport(r Report) {
 	delete(x.reports, r.Name)
 	for _, p := range r.Fingerprints {
@@ -156,7 +156,8 @@
 	}
 }
 
-// forget takes a print without a history out of the lists. The lock is held.
+// removeFingerprint removes a fingerprint without a history from the other maps. The caller
+// holds the lock.
 func (x *Index) removeFingerprint(p Fingerprint) {
 	r := p.request()
 	if x.heads[r.head]--; x.heads[r.head] == 0 {
@@ -170,8 +171,8 @@
 	x.byRequest[r] = rest
 }
 
-// Suspects returns whether a request with the head of p may be suspected, so that its
-// body has to be known.
+// MaySuspect returns whether a request with the head of p may be suspected, so that its
+// body is needed for an assessment.
 func (x *Index) MaySuspect(p Fingerprint) bool {
 	if x.historyCount.Load() == 0 {
 		return false
@@ -181,8 +182,8 @@
 	return x.heads[p.request().head] > 0
 }
 
-// Judge returns the standing of a request. Of a request whose body is not known nothing
-// is thought, and a nil Index suspects none.
+// Assess returns the assessment of a request. A request whose body is not known is not
+// suspected, and a nil Index suspects none.
 func (x *Index) Assess(p Fingerprint) Assessment {
 	if x == nil || x.historyCount.Load() == 0 {
 		return Assessment{
@@ -194,77 +195,77 @@
 	return x.assess(p, time.Now())
 }
 
-// judge returns the standing of a request. One that is blocked for another caller is
-// isolated at least, unless it has run to its end since. The lock is held.
+// assess returns the assessment of a request. A request that is blocked for another caller is
+// at least isolated, unless it has been answered since. The caller holds the lock.
 func (x *Index) assess(p Fingerprint, now time.Time) Assessment {
-	j := x.assessForCaller(p, now)
-	if j.State < Isolated && x.blockedForOtherCaller(p, now) {
-		j.State = Isolated
+	a := x.assessForCaller(p, now)
+	if a.State < Isolated && x.blockedForOtherCaller(p, now) {
+		a.State = Isolated
 	}
-	return j
+	return a
 }
 
-// blockedForOthers returns whether the same request is blocked for another caller and has
-// not run to its end for this one since. The lock is held.
+// blockedForOtherCaller returns whether the same request is blocked for another caller and has
+// not been answered for this caller since. The caller holds the lock.
 func (x *Index) blockedForOtherCaller(p Fingerprint, now time.Time) bool {
 	var completedAt int64
 	if h := x.histories[p]; h != nil {
 		completedAt = h.completedAt
 	}
 	return slices.ContainsFunc(x.byRequest[p.request()], func(o Fingerprint) bool {
-		j := x.assessForCaller(o, now)
-		return o != p && j.State == Blocked && j.LastCrash.UnixMilli() > completedAt
+		a := x.assessForCaller(o, now)
+		return o != p && a.State == Blocked && a.LastCrash.UnixMilli() > completedAt
 	})
 }
 
-// judgeAlone returns the standing of a request by what has been seen of it with its own
-// caller. The lock is held.
+// assessForCaller returns the assessment of a request by its history with its own caller
+// only. The caller holds the lock.
 func (x *Index) assessForCaller(p Fingerprint, now time.Time) Assessment {
-	j := Assessment{
+	a := Assessment{
 		Fingerprint: p,
 	}
 	h := x.histories[p]
 	if h == nil {
-		return j
+		return a
 	}
 	var last, lastIsolated int64
 	for u, at := range h.crashes {
 		if at <= h.completedAt {
 			continue
 		}
-		j.Upstreams = append(j.Upstreams, u)
+		a.Upstreams = append(a.Upstreams, u)
 		last = max(last, at)
 		if h.isolatedCrashes[u] > 0 {
-			j.IsolatedUpstreams = append(j.IsolatedUpstreams, u)
+			a.IsolatedUpstreams = append(a.IsolatedUpstreams, u)
 			lastIsolated = max(lastIsolated, at)
 		}
 	}
-	j.Crashes = len(j.Upstreams)
-	if j.Crashes == 0 {
-		return j
+	a.Crashes = len(a.Upstreams)
+	if a.Crashes == 0 {
+		return a
 	}
-	slices.Sort(j.Upstreams)
-	slices.Sort(j.IsolatedUpstreams)
-	j.LastCrash = time.UnixMilli(last)
-	j.State = SeenAtCrash
-	if j.Crashes >= crashesToIsolate {
-		j.State = Isolated
+	slices.Sort(a.Upstreams)
+	slices.Sort(a.IsolatedUpstreams)
+	a.LastCrash = time.UnixMilli(last)
+	a.State = SeenAtCrash
+	if a.Crashes >= crashesToIsolate {
+		a.State = Isolated
 	}
-	if len(j.IsolatedUpstreams) > 0 {
-		j.BlockedUntil = time.UnixMilli(lastIsolated).Add(blockDuration(len(j.IsolatedUpstreams)))
+	if len(a.IsolatedUpstreams) > 0 {
+		a.BlockedUntil = time.UnixMilli(lastIsolated).Add(blockDuration(len(a.IsolatedUpstreams)))
 	}
-	if now.Before(j.BlockedUntil) {
-		j.State = Blocked
+	if now.Before(a.BlockedUntil) {
+		a.State = Blocked
 	}
-	return j
+	return a
 }
 
-// blockFor returns how long a request is blocked after the given number of upstreams have
-// ended while it was isolated:
+// blockDuration returns how long a request is blocked after the given number of upstreams have
+// crashed while it was isolated:
 //
-//	firstBlock * 2^(ends - 1),
+//	initialBlock * 2^(crashes - 1),
 //
-// and at most Keep.
+// and at most ReportLifetime.
 func blockDuration(crashes int) time.Duration {
 	block := initialBlock
 	for range crashes - 1 {
@@ -273,7 +274,7 @@
 	return block
 }
 
-// All returns the judgments of all requests that are suspected, those with the most ends
+// All returns the assessments of all suspected requests, those with the most crashes
 // first.
 func (x *Index) All() []Assessment {
 	list := x.suspected()
@@ -283,32 +284,32 @@
 	return list
 }
 
-// suspected returns the judgments of all requests that are suspected, in no order.
+// suspected returns the assessments of all suspected requests, in no particular order.
 func (x *Index) suspected() []Assessment {
 	x.mu.RLock()
 	defer x.mu.RUnlock()
 	now := time.Now()
 	var list []Assessment
 	for p := range x.histories {
-		if j := x.assess(p, now); j.State != Unsuspected {
-			list = append(list, j)
+		if a := x.assess(p, now); a.State != Unsuspected {
+			list = append(list, a)
 		}
 	}
 	return list
 }
 
-// Count returns the number of requests with a standing other than Unsuspected.
+// Count returns the number of requests in a state other than Unsuspected.
 func (x *Index) Count(s State) (n int) {
-	for _, j := range x.suspected() {
-		if j.State == s {
+	for _, a := range x.suspected() {
+		if a.State == s {
 			n++
 		}
 	}
 	return n
 }
 
-// Oldest returns the report that is dropped first where there are too many, if there is
-// one.
+// Oldest returns the report that is removed first if there are too many. It returns false if
+// there is none.
 func (x *Index) Oldest() (Report, bool) {
 	x.mu.RLock()
 	defer x.mu.RUnlock()
@@ -322,7 +323,7 @@
 	return oldest, found
 }
 
-// Full returns whether there is no room for a report: as many newer ones are kept.
+// Full returns whether there is no room for a report, because MaxReports newer ones are kept.
 func (x *Index) Full(r Report) bool {
 	x.mu.RLock()
 	n := len(x.reports)
@@ -342,10 +343,10 @@
 	return max(0, len(x.reports)-MaxReports)
 }
 
-// Failure returns why a request with the judgment is not run, or nil if it may run.
-func (j Assessment) Failure() *verdict.Error {
-	if j.State != Blocked {
+// Failure returns the error for a request that is blocked, or nil if the request may run.
+func (a Assessment) Failure() *verdict.Error {
+	if a.State != Blocked {
 		return nil
 	}
-	return verdict.New(verdict.Quarantined, eris.Errorf("%d upstreams have ended under requests like this one", j.Crashes)).WithRetryAfter(time.Until(j.BlockedUntil))
+	return verdict.New(verdict.Quarantined, eris.Errorf("%d upstreams have crashed while running requests like this one", a.Crashes)).WithRetryAfter(time.Until(a.BlockedUntil))
 }
--- a/quarantine/index_test.go
+++ b/quarantine/index_test.go
@@ -15,8 +15,8 @@
 	"sassafrasfront.example/quarantine"
 )
 
-// end adds the report that an upstream has ended with some requests at hand, of which
-// the first is isolated if it is to be.
+// crash adds the report that an upstream has crashed with some requests in flight. The first
+// of them is marked as isolated if the index isolates it.
 func crash(x *quarantine.Index, start string, requests ...int) {
 	var isolated quarantine.Fingerprint
 	if x.Assess(fingerprintOf(requests[0])).State == quarantine.Isolated {
@@ -25,7 +25,7 @@
 	crashWith(x, start, isolated, requests...)
 }
 
-// endTogether adds the report that an upstream has ended with some requests at hand.
+// crashWith adds the report that an upstream has crashed with some requests in flight.
 func crashWith(x *quarantine.Index, start string, isolated quarantine.Fingerprint, requests ...int) {
 	var fingerprints []quarantine.Fingerprint
 	for _, i := range requests {
@@ -35,25 +35,25 @@
 	time.Sleep(10 * time.Millisecond)
 }
 
-// ran adds the report that a request has run to its end.
+// complete adds the report that a request has completed.
 func complete(x *quarantine.Index, request int) {
 	x.Add(quarantine.NewCompletionReport(fingerprintOf(request)))
 	time.Sleep(10 * time.Millisecond)
 }
 
-// TestStandings tells the standing of request 1 after what was seen of it.
+// TestStates checks the state of request 1 after some reports.
 func TestStates(t *testing.T) {
 	tests := map[string]struct {
 		simulate func(x *quarantine.Index)
 		want     quarantine.State
 		crashes  int
 	}{
-		"nothing":             {simulate: func(*quarantine.Index) {}},
-		"another was at hand": {simulate: func(x *quarantine.Index) { crash(x, "a", 2); crash(x, "b", 2); crash(x, "c", 2) }},
-		"one end":             {simulate: func(x *quarantine.Index) { crash(x, "a", 1, 2) }, want: quarantine.SeenAtCrash, crashes: 1},
-		"two ends":            {simulate: func(x *quarantine.Index) { crash(x, "a", 1, 2); crash(x, "b", 1, 3) }, want: quarantine.Isolated, crashes: 2},
-		"three ends":          {simulate: func(x *quarantine.Index) { crash(x, "a", 1); crash(x, "b", 1); crash(x, "c", 1) }, want: quarantine.Blocked, crashes: 3},
-		"many end at once": {
+		"nothing":               {simulate: func(*quarantine.Index) {}},
+		"another was in flight": {simulate: func(x *quarantine.Index) { crash(x, "a", 2); crash(x, "b", 2); crash(x, "c", 2) }},
+		"one crash":             {simulate: func(x *quarantine.Index) { crash(x, "a", 1, 2) }, want: quarantine.SeenAtCrash, crashes: 1},
+		"two crashes":           {simulate: func(x *quarantine.Index) { crash(x, "a", 1, 2); crash(x, "b", 1, 3) }, want: quarantine.Isolated, crashes: 2},
+		"three crashes":         {simulate: func(x *quarantine.Index) { crash(x, "a", 1); crash(x, "b", 1); crash(x, "c", 1) }, want: quarantine.Blocked, crashes: 3},
+		"many crash at once": {
 			simulate: func(x *quarantine.Index) {
 				for i := range 6 {
 					crashWith(x, fmt.Sprint(i), quarantine.Fingerprint{}, 1)
@@ -65,20 +65,20 @@
 			simulate: func(x *quarantine.Index) { crash(x, "a", 1, 2); crash(x, "b", 1, 2); crash(x, "c", 2, 1) },
 			want:     quarantine.Isolated, crashes: 3,
 		},
-		"the same start, told twice": {
+		"the same start, reported repeatedly": {
 			simulate: func(x *quarantine.Index) { crash(x, "a", 1); crash(x, "a", 1); crash(x, "a", 1) },
 			want:     quarantine.SeenAtCrash, crashes: 1,
 		},
-		"ran between": {
+		"completed between crashes": {
 			simulate: func(x *quarantine.Index) { crash(x, "a", 1); crash(x, "b", 1); complete(x, 1); crash(x, "c", 1) },
 			want:     quarantine.SeenAtCrash, crashes: 1,
 		},
-		"ran since": {simulate: func(x *quarantine.Index) { crash(x, "a", 1); crash(x, "b", 1); crash(x, "c", 1); complete(x, 1) }},
-		"ran before": {
+		"completed since": {simulate: func(x *quarantine.Index) { crash(x, "a", 1); crash(x, "b", 1); crash(x, "c", 1); complete(x, 1) }},
+		"completed before": {
 			simulate: func(x *quarantine.Index) { complete(x, 1); crash(x, "a", 1); crash(x, "b", 1); crash(x, "c", 1) },
 			want:     quarantine.Blocked, crashes: 3,
 		},
-		"another ran": {
+		"another completed": {
 			simulate: func(x *quarantine.Index) { crash(x, "a", 1); crash(x, "b", 1); complete(x, 2); crash(x, "c", 1) },
 			want:     quarantine.Blocked, crashes: 3,
 		},
@@ -91,7 +91,7 @@
 			},
 			want: quarantine.Isolated, crashes: 3,
 		},
-		"ended one more after the block, twice as long": {
+		"crash after the block, blocked twice as long": {
 			simulate: func(x *quarantine.Index) {
 				crash(x, "a", 1)
 				crash(x, "b", 1)
@@ -102,7 +102,7 @@
 			},
 			want: quarantine.Blocked, crashes: 4,
 		},
-		"nothing lasts": {
+		"the longest block is over": {
 			simulate: func(x *quarantine.Index) {
 				for i := range 20 {
 					crash(x, fmt.Sprint(i), 1)
@@ -117,17 +117,17 @@
 			synctest.Test(t, func(t *testing.T) {
 				var x quarantine.Index
 				test.simulate(&x)
-				j := x.Assess(fingerprintOf(1))
-				qt.Check(t, j.State, qt.Equals, test.want, qt.Commentf("%+v", j))
-				qt.Check(t, j.Crashes, qt.Equals, test.crashes)
-				qt.Check(t, j.Failure() != nil, qt.Equals, test.want == quarantine.Blocked)
-				qt.Check(t, x.MaySuspect(fingerprintOf(1)), qt.Equals, len(x.Assess(fingerprintOf(1)).Upstreams) > 0 || name == "ran since")
+				a := x.Assess(fingerprintOf(1))
+				qt.Check(t, a.State, qt.Equals, test.want, qt.Commentf("%+v", a))
+				qt.Check(t, a.Crashes, qt.Equals, test.crashes)
+				qt.Check(t, a.Failure() != nil, qt.Equals, test.want == quarantine.Blocked)
+				qt.Check(t, x.MaySuspect(fingerprintOf(1)), qt.Equals, len(x.Assess(fingerprintOf(1)).Upstreams) > 0 || name == "completed since")
 			})
 		})
 	}
 }
 
-// TestForgetting has reports go: what they said goes with them.
+// TestRemove checks that the effects of a report are removed together with it.
 func TestRemove(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var x quarantine.Index
@@ -148,7 +148,7 @@
 	})
 }
 
-// TestReportCheck tells which reports of others are used.
+// TestReportCheck checks which reports of other nodes are valid.
 func TestReportCheck(t *testing.T) {
 	good := quarantine.NewCrashReport("a", []quarantine.Fingerprint{fingerprintOf(1)}, quarantine.Fingerprint{})
 	with := func(f func(r *quarantine.Report)) quarantine.Report {
@@ -160,16 +160,16 @@
 		report quarantine.Report
 		good   bool
 	}{
-		"an end":             {report: good, good: true},
-		"a run":              {report: quarantine.NewCompletionReport(fingerprintOf(1)), good: true},
-		"nothing":            {},
-		"no request":         {report: with(func(r *quarantine.Report) { r.Fingerprints = nil })},
-		"too many requests":  {report: with(func(r *quarantine.Report) { r.Fingerprints = make([]quarantine.Fingerprint, 65) })},
-		"no body":            {report: with(func(r *quarantine.Report) { r.Fingerprints = []quarantine.Fingerprint{{Head: 1}} })},
-		"from the future":    {report: with(func(r *quarantine.Report) { r.At += time.Hour.Milliseconds() })},
-		"alone, not at hand": {report: with(func(r *quarantine.Report) { r.Isolated = fingerprintOf(2) })},
-		"an empty upstream":  {report: with(func(r *quarantine.Report) { r.Upstreams = []string{""} })},
-		"too many upstreams": {report: with(func(r *quarantine.Report) { r.Upstreams = make([]string, 17) })},
+		"crash report":            {report: good, good: true},
+		"completion report":       {report: quarantine.NewCompletionReport(fingerprintOf(1)), good: true},
+		"nothing":                 {},
+		"no request":              {report: with(func(r *quarantine.Report) { r.Fingerprints = nil })},
+		"too many requests":       {report: with(func(r *quarantine.Report) { r.Fingerprints = make([]quarantine.Fingerprint, 65) })},
+		"no body":                 {report: with(func(r *quarantine.Report) { r.Fingerprints = []quarantine.Fingerprint{{Head: 1}} })},
+		"from the future":         {report: with(func(r *quarantine.Report) { r.At += time.Hour.Milliseconds() })},
+		"isolated, not in flight": {report: with(func(r *quarantine.Report) { r.Isolated = fingerprintOf(2) })},
+		"an empty upstream":       {report: with(func(r *quarantine.Report) { r.Upstreams = []string{""} })},
+		"too many upstreams":      {report: with(func(r *quarantine.Report) { r.Upstreams = make([]string, 17) })},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -178,9 +178,9 @@
 	}
 }
 
-// TestSameRequestOfOtherCallers has a request end upstreams that three services' callers send,
-// each in turn. Once it is blocked for the first of them, the same one from another runs alone at
-// most: of upstreams that end under it, there is one for each further service.
+// TestSameRequestOfOtherCallers has callers of three services send the same fatal request, one after
+// the other. Once it is blocked for the first service, it has to be isolated at least for the others,
+// so that it crashes only one upstream for each of them.
 func TestSameRequestOfOtherCallers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var x quarantine.Index
@@ -198,12 +198,12 @@
 				time.Sleep(time.Second)
 			}
 		}
-		qt.Check(t, crashes <= 5, qt.IsTrue, qt.Commentf("%d upstreams ended: three for the first service, one for each other", crashes))
+		qt.Check(t, crashes <= 5, qt.IsTrue, qt.Commentf("%d upstreams crashed: three for the first service, one for each other", crashes))
 	})
 }
 
-// TestHarmlessForOtherCaller has a request that is blocked for one service's callers run to its end
-// for another's. It runs freely for these from then on, until it ends an upstream again.
+// TestHarmlessForOtherCaller has a request that is blocked for the callers of one service complete
+// for another's. It has to run without isolation for the latter until it crashes an upstream again.
 func TestHarmlessForOtherCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var x quarantine.Index
--- a/quarantine/inflight.go
+++ b/quarantine/inflight.go
@@ -11,36 +11,34 @@
 )
 
 const (
-	// MaxSuspects is the number of requests that are kept of those that were at an
-	// upstream when it ended, the ones begun last first. An upstream that runs more at
-	// once ends under one of the last: a request that ends upstreams does so within a
-	// fraction of its usual run.
+	// MaxSuspects is the maximum number of requests that are suspected for a crash, those that
+	// began last. An upstream that runs more requests at once crashes because of one of the last
+	// of them, as a request that crashes upstreams does so within a fraction of its usual run time.
 	MaxSuspects = 64
-	// linger is how long a request that was lost or given up counts as still at its
-	// upstream, which may go on with it and end under it: the callers' usual deadlines
-	// are about a second.
+	// abandonedRetention is how long an abandoned request counts as in flight. The upstream may
+	// continue to run it, and crash. The usual deadlines of callers are about a second.
 	abandonedRetention = 2 * time.Second
 )
 
-// Running knows the requests that are at one upstream. The zero value is ready. Its
-// methods may be called from any goroutine.
+// InFlight tracks the requests that are in flight at one upstream. The zero value is ready to
+// use. Its methods may be called from any goroutine.
 type InFlight struct {
 	mu        sync.Mutex
 	open      map[*Run]bool
-	abandoned []*Run // by the time of their loss
+	abandoned []*Run // in the order in which they were abandoned
 }
 
-// Run is a request at an upstream.
+// Run is a request that is in flight at an upstream.
 type Run struct {
 	inFlight    *InFlight
 	fingerprint func() Fingerprint
-	isolated    bool // whether it is isolated
+	isolated    bool
 	startedAt   time.Time
 	abandonedAt time.Time
 }
 
-// Begin records that a request is sent to the upstream, and whether it is isolated.
-// Print returns its fingerprint, as far as its body has been sent.
+// Begin records that a request is sent to the upstream, and whether it is isolated. The
+// given function returns its fingerprint, with as much of its body as has been sent.
 func (f *InFlight) Begin(fingerprint func() Fingerprint, isolated bool) *Run {
 	run := &Run{
 		inFlight:    f,
@@ -57,8 +55,8 @@
 	return run
 }
 
-// End records the end of a request that is over: answered, or known not to have run.
-// It does nothing for one that Abandon or Take has ended.
+// End records that a request was answered, or is known not to have run. It does nothing after
+// Abandon or Take.
 func (r *Run) End() {
 	f := r.inFlight
 	f.mu.Lock()
@@ -66,13 +64,13 @@
 	if !f.remove(r) {
 		return
 	}
-	// The upstream lives, so what it was sent long ago has done it no harm.
+	// The upstream is alive, so requests that were abandoned long ago have not crashed it.
 	oldest := time.Now().Add(-abandonedRetention)
 	f.abandoned = slices.DeleteFunc(f.abandoned, func(o *Run) bool { return o.abandonedAt.Before(oldest) })
 }
 
-// Abandon records that nobody waits for the answer any more, be it that the connection
-// was lost: the upstream may still run the request.
+// Abandon records that nobody waits for the response any more, or that the connection was
+// lost: the upstream may still run the request.
 func (r *Run) Abandon() {
 	f := r.inFlight
 	f.mu.Lock()
@@ -87,35 +85,35 @@
 	f.abandoned = append(f.abandoned, r)
 }
 
-// close takes a request out of those in flight, and returns whether it was one of them.
-// The lock is held.
-func (f *InFlight) remove(u *Run) bool {
-	removed := f.open[u]
-	delete(f.open, u)
+// remove removes a request from those in flight, and returns whether it was one of them.
+// The caller holds the lock.
+func (f *InFlight) remove(r *Run) bool {
+	removed := f.open[r]
+	delete(f.open, r)
 	return removed
 }
 
-// Take returns the fingerprints of the requests that are or may be at the upstream, at
-// most MaxSuspects, and the one of them that is isolated, and forgets them. It is for an
-// upstream that has ended. If one isolated request was given up and another has begun
-// since, nobody can say which of them it was, and none is returned.
+// Take removes the requests that are or may be in flight, and returns the fingerprints of at
+// most MaxSuspects of them, and that of the isolated one. It is called when the upstream has
+// crashed. If an isolated request was abandoned and another has begun since, either may have
+// caused the crash, and none is returned as isolated.
 func (f *InFlight) Take() (fingerprints []Fingerprint, isolated Fingerprint) {
 	f.mu.Lock()
 	runs := slices.Clone(f.abandoned)
-	for u := range f.open {
-		runs = append(runs, u)
+	for r := range f.open {
+		runs = append(runs, r)
 	}
 	clear(f.open)
 	f.abandoned = nil
 	f.mu.Unlock()
 	slices.SortFunc(runs, func(a, b *Run) int { return b.startedAt.Compare(a.startedAt) })
 	isolatedRuns := 0
-	for _, u := range runs {
-		p := u.fingerprint()
+	for _, r := range runs {
+		p := r.fingerprint()
 		if !p.Complete() || len(fingerprints) == MaxSuspects {
 			continue
 		}
-		if u.isolated {
+		if r.isolated {
 			isolatedRuns++
 			isolated = p
 		}
--- a/quarantine/inflight_test.go
+++ b/quarantine/inflight_test.go
@@ -15,12 +15,12 @@
 	"sassafrasfront.example/quarantine"
 )
 
-// print returns the fingerprint of a request with the given number.
+// fingerprintOf returns the fingerprint of the request with the given number.
 func fingerprintOf(i int) quarantine.Fingerprint {
 	return quarantine.NewFingerprint("caller", "GET", "h.example", fmt.Sprint("/", i)).WithBody(nil)
 }
 
-// TestRunning tells which requests an upstream may have ended under.
+// TestInFlight checks which requests are suspected when an upstream crashes.
 func TestInFlight(t *testing.T) {
 	tests := map[string]struct {
 		simulate func(r *quarantine.InFlight, begin func(i int) *quarantine.Run)
@@ -30,11 +30,11 @@
 			simulate: func(_ *quarantine.InFlight, begin func(i int) *quarantine.Run) { begin(1); begin(2) },
 			want:     []int{2, 1},
 		},
-		"one that was answered is none": {
+		"answered": {
 			simulate: func(_ *quarantine.InFlight, begin func(i int) *quarantine.Run) { begin(1).End(); begin(2) },
 			want:     []int{2},
 		},
-		"one whose connection was lost a moment ago": {
+		"connection lost a moment ago": {
 			simulate: func(_ *quarantine.InFlight, begin func(i int) *quarantine.Run) {
 				u := begin(1)
 				u.Abandon()
@@ -43,14 +43,14 @@
 			},
 			want: []int{1},
 		},
-		"one that was given up long before the last sign of life is none": {
+		"abandoned long before the last response": {
 			simulate: func(_ *quarantine.InFlight, begin func(i int) *quarantine.Run) {
 				begin(1).Abandon()
 				time.Sleep(3 * time.Second)
 				begin(2).End()
 			},
 		},
-		"one that was lost long ago, and no sign of life since": {
+		"abandoned long ago, no response since": {
 			simulate: func(_ *quarantine.InFlight, begin func(i int) *quarantine.Run) {
 				begin(1).Abandon()
 				time.Sleep(time.Minute)
@@ -61,7 +61,7 @@
 			simulate: func(_ *quarantine.InFlight, begin func(i int) *quarantine.Run) { begin(1); begin(1) },
 			want:     []int{1},
 		},
-		"each end has its own": {
+		"each crash has its own requests": {
 			simulate: func(r *quarantine.InFlight, begin func(i int) *quarantine.Run) {
 				u := begin(1)
 				r.Take()
@@ -104,18 +104,18 @@
 	qt.Check(t, got, qt.HasLen, quarantine.MaxSuspects)
 }
 
-// TestAlone tells which request was isolated when an upstream ended.
+// TestIsolatedInFlight checks which request is reported as isolated when an upstream crashes.
 func TestIsolatedInFlight(t *testing.T) {
 	tests := map[string]struct {
 		isolated  []int // of three requests
-		abandoned int   // how many of those before they ended
+		abandoned int   // how many of those are abandoned
 		want      int
 	}{
-		"none":                        {},
-		"one":                         {isolated: []int{2}, want: 2},
-		"one that was given up":       {isolated: []int{2}, abandoned: 1, want: 2},
-		"one given up, and another":   {isolated: []int{1, 2}, abandoned: 1},
-		"the same, given up and anew": {isolated: []int{2, 2}, abandoned: 1},
+		"none":                            {},
+		"one":                             {isolated: []int{2}, want: 2},
+		"one, abandoned":                  {isolated: []int{2}, abandoned: 1, want: 2},
+		"one, abandoned, and another":     {isolated: []int{1, 2}, abandoned: 1},
+		"the same, abandoned and retried": {isolated: []int{2, 2}, abandoned: 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/quarantine/popular_test.go
+++ b/quarantine/popular_test.go
@@ -16,9 +16,9 @@
 	"sassafrasfront.example/quarantine"
 )
 
-// crowd is a load of harmless requests of a few kinds, which keep most of the slots of
-// some upstreams busy while these end now and then, each under a request that nobody sent
-// before. News of an end or of a run is with all nodes after simNews.
+// popularLoad simulates harmless requests of a few kinds, which keep most of the slots of some
+// upstreams busy, while the upstreams crash now and then, each because of a request that was not sent
+// before. Reports reach all nodes after simReportDelay.
 type popularLoad struct {
 	upstreams, kinds int
 
@@ -31,7 +31,7 @@
 	isolated  int // sent while isolated
 }
 
-// crowdGate is what the gate of one upstream knows.
+// simGate is the state of the gate of one upstream.
 type simGate struct {
 	answers  quarantine.AnswerCounter
 	running  map[*simRequest]bool
@@ -44,7 +44,7 @@
 	popularSlots         = 4
 	popularRunTime       = 20 * time.Millisecond
 	popularRestartTime   = 200 * time.Millisecond
-	popularCrashInterval = 500 * time.Millisecond // between two ends
+	popularCrashInterval = 500 * time.Millisecond // between two crashes
 	popularDuration      = 12 * time.Second
 )
 
@@ -74,7 +74,7 @@
 	g.running[r] = true
 }
 
-// step answers what has run.
+// step completes the requests that have run.
 func (l *popularLoad) step(g *simGate) {
 	for r := range g.running {
 		if time.Now().Before(r.endsAt) {
@@ -92,7 +92,7 @@
 	}
 }
 
-// end ends an upstream under a request that is new.
+// crash crashes an upstream because of a new request.
 func (l *popularLoad) crash(i int) {
 	g := l.gates[i]
 	l.lastFatal++
@@ -113,7 +113,7 @@
 	time.AfterFunc(simReportDelay, func() { l.index.Add(report) })
 }
 
-// play plays the load once.
+// run runs the simulation.
 func (l *popularLoad) run() {
 	for range l.upstreams {
 		l.gates = append(l.gates, &simGate{running: make(map[*simRequest]bool)})
@@ -137,9 +137,9 @@
 	}
 }
 
-// TestPopularKinds has kinds of requests that upstreams answer all the time at hand when
-// these end, twice a second: none of the kinds is ever blocked, and few requests are sent
-// alone, at the beginning, before a gate has answered a kind often enough to know it.
+// TestPopularKinds has kinds of requests that upstreams answer all the time in flight when upstreams
+// crash, twice a second. No kind may be blocked, and only few requests may be isolated, at the
+// beginning, before a gate has counted enough responses of a kind.
 func TestPopularKinds(t *testing.T) {
 	tests := map[string]struct{ kinds, upstreams, isolatedOneIn int }{
 		"one kind, two upstreams":    {kinds: 1, upstreams: 2, isolatedOneIn: 1000},
@@ -164,14 +164,14 @@
 					isolated += l.isolated
 				})
 			}
-			t.Logf("%d sent, %d of them alone, %d blocked", sent, isolated, blocked)
+			t.Logf("%d sent, %d of them isolated, %d blocked", sent, isolated, blocked)
 			qt.Check(t, blocked, qt.Equals, 0)
 			qt.Check(t, isolated*test.isolatedOneIn <= sent, qt.IsTrue, qt.Commentf("%d of %d", isolated, sent))
 		})
 	}
 }
 
-// TestAnswers tells which requests at hand an end is put down to.
+// TestAnswerCounter checks which requests in flight are suspected for a crash.
 func TestAnswerCounter(t *testing.T) {
 	tests := map[string]struct {
 		simulate  func(a *quarantine.AnswerCounter)
@@ -183,7 +183,7 @@
 		"answered often":              {simulate: func(a *quarantine.AnswerCounter) { answer(a, 100) }},
 		"answered long ago":           {simulate: func(a *quarantine.AnswerCounter) { answer(a, 100); time.Sleep(20 * time.Second) }, suspected: true, blocked: true},
 		"answered in the span before": {simulate: func(a *quarantine.AnswerCounter) { answer(a, 100); time.Sleep(15 * time.Second); answer(a, 1) }},
-		"ends one run in ten": {
+		"crashes one run in ten": {
 			simulate: func(a *quarantine.AnswerCounter) {
 				for range 5 {
 					answer(a, 10)
@@ -192,7 +192,7 @@
 			},
 			suspected: true,
 		},
-		"at hand at one end for a hundred runs": {
+		"in flight at one crash per hundred runs": {
 			simulate: func(a *quarantine.AnswerCounter) {
 				for range 5 {
 					answer(a, 100)
@@ -221,7 +221,7 @@
 	}
 }
 
-// BenchmarkAnswers counts answered runs, one in two of them of a kind that comes often.
+// BenchmarkAnswerCounter counts answered runs, half of them of one frequent request.
 func BenchmarkAnswerCounter(b *testing.B) {
 	var a quarantine.AnswerCounter
 	i := 0
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -13,42 +13,42 @@
 	"sassafrasfront.example/gossip"
 )
 
-// Report is what a node says of some requests: that upstreams have ended under them, or
-// that a suspected one has run to its end. It is an immutable value.
+// Report is a node's message about some requests: either upstreams have crashed with them in
+// flight, or a suspected request has completed. It is an immutable value.
 type Report struct {
-	// Name tells reports apart.
+	// Name identifies the report.
 	Name string `msgpack:"n"`
-	// At is when it was written, in milliseconds since 1970. Clocks of nodes may differ
-	// by seconds, against the minutes that count here; the calendar clock goes on while an
-	// instance is suspended, and the steady one does not.
+	// At is the time at which it was written, in milliseconds since 1970. Clocks of nodes may
+	// differ by seconds, but the durations here are minutes. The wall clock is used because
+	// it continues while an instance is suspended, and the monotonic clock does not.
 	At int64 `msgpack:"at"`
-	// Upstreams are the starts of upstreams that have ended. None means that the
-	// requests have run to their end.
+	// Upstreams are the start IDs of upstreams that have crashed. None means that the
+	// requests have completed.
 	Upstreams []string `msgpack:"u,omitempty"`
-	// Prints are the requests.
+	// Fingerprints identify the requests.
 	Fingerprints []Fingerprint `msgpack:"p"`
-	// Alone is the one of them that was isolated, or zero if there was none.
+	// Isolated is the one of them that was isolated, or zero if there was none.
 	Isolated Fingerprint `msgpack:"a"`
 }
 
 const (
-	// Keep is how long a report counts. Blocks that have grown twice, to 40 minutes, end
-	// within it.
+	// ReportLifetime is how long a report counts. Blocks that have been doubled twice, to 40
+	// minutes, end within it.
 	ReportLifetime = 2 * time.Hour
-	// MaxReports bounds the reports that are kept, the newest ones: 850 upstreams of a
-	// zone that end at once have 18 requests each at hand, few of which come again. With
-	// MaxSuspects requests each they take 0.7 MB.
+	// MaxReports bounds the number of reports that are kept, the newest ones. If the 850 upstreams
+	// of a zone crash at once, each has 18 requests in flight, few of which arrive again. With
+	// MaxSuspects requests each, the reports take 0.7 MB.
 	MaxReports = 512
-	// MaxUpstreams and maxName bound what one report may name. Blocks reach Keep, and
-	// grow no more, after five.
+	// MaxUpstreams and maxNameBytes bound the number and the length of the names in one report.
+	// Blocks reach ReportLifetime, and are no longer doubled, after five crashes.
 	MaxUpstreams = 16
 	maxNameBytes = 300
-	// ahead is how far the clock of another node may be ahead.
+	// maxClockSkew is how far the clock of another node may be ahead.
 	maxClockSkew = time.Minute
 )
 
-// Ended returns the report that an upstream has ended with some requests at hand, of
-// which one, or none, was isolated. Start tells its start from all others.
+// NewCrashReport returns the report that an upstream has crashed with some requests in flight,
+// of which one, or none, was isolated. The start ID identifies the run of the upstream.
 func NewCrashReport(startID string, fingerprints []Fingerprint, isolated Fingerprint) Report {
 	now := time.Now()
 	return Report{
@@ -60,7 +60,7 @@
 	}
 }
 
-// Ran returns the report that a request has run to its end.
+// NewCompletionReport returns the report that a request has completed.
 func NewCompletionReport(p Fingerprint) Report {
 	return Report{
 		Name:         "ran/" + p.String(),
@@ -72,40 +72,40 @@
 // Key implements gossip.Record.
 func (r Report) Key() string { return r.Name }
 
-// Rank implements gossip.Record.
+// GossipVersion implements gossip.Record.
 func (r Report) GossipVersion() gossip.Version {
 	return gossip.Version{
 		Major: uint64(max(0, r.At)),
 	}
 }
 
-// Expired returns whether the report counts no more.
+// Expired returns whether the report no longer counts.
 func (r Report) Expired(now time.Time) bool {
 	return now.Sub(time.UnixMilli(r.At)) > ReportLifetime
 }
 
-// Check returns why a report of another node can't be used, or nil.
+// Check returns an error if a report of another node is not valid, or nil.
 func (r Report) Check(now time.Time) error {
 	switch {
 	case r.Name == "" || len(r.Name) > maxNameBytes:
-		return eris.Errorf("a name of %d bytes", len(r.Name))
+		return eris.Errorf("report name has an invalid length of %d bytes", len(r.Name))
 	case time.UnixMilli(r.At).Sub(now) > maxClockSkew:
-		return eris.Errorf("written %v ahead of this node's clock", time.UnixMilli(r.At).Sub(now))
+		return eris.Errorf("report time is %v ahead of this node's clock", time.UnixMilli(r.At).Sub(now))
 	case len(r.Fingerprints) == 0 || len(r.Fingerprints) > MaxSuspects:
-		return eris.Errorf("%d requests are not within 1 and %d", len(r.Fingerprints), MaxSuspects)
+		return eris.Errorf("report lists %d requests, must list 1 to %d", len(r.Fingerprints), MaxSuspects)
 	case len(r.Upstreams) > MaxUpstreams:
-		return eris.Errorf("%d upstreams are over %d", len(r.Upstreams), MaxUpstreams)
+		return eris.Errorf("report lists %d upstreams, the limit is %d", len(r.Upstreams), MaxUpstreams)
 	case slices.ContainsFunc(r.Upstreams, func(s string) bool { return s == "" || len(s) > maxNameBytes }):
-		return eris.New("an upstream without a name, or with too long a one")
+		return eris.New("report lists an upstream whose name is empty or too long")
 	case slices.ContainsFunc(r.Fingerprints, func(p Fingerprint) bool { return !p.Complete() }):
-		return eris.New("a request that is not known whole")
+		return eris.New("report lists an incomplete fingerprint")
 	case r.Isolated != Fingerprint{} && (len(r.Upstreams) == 0 || !slices.Contains(r.Fingerprints, r.Isolated)):
-		return eris.New("an isolated request that was not at hand")
+		return eris.New("isolated request is not among the requests in flight at a crash")
 	}
 	return nil
 }
 
-// older returns whether r comes before o in the order in which reports are dropped.
+// olderThan returns whether r is removed before o if there are too many reports.
 func (r Report) olderThan(o Report) bool {
 	return r.At < o.At || r.At == o.At && r.Name < o.Name
 }
