--- a/verdict/cause.go
+++ b/verdict/cause.go
@@ -9,131 +9,131 @@
 // Cause names what went wrong with a request.
 type Cause string
 
-// The causes of failure, in the order in which a request can meet them.
+// The causes of failure, in the order in which a request can encounter them.
 const (
-	// UnknownHost: no service in force has the host of the request.
+	// UnknownHost: no configured service has the host of the request.
 	UnknownHost Cause = "unknownHost"
-	// BadRequest: the request can't be carried, such as an Upgrade.
+	// BadRequest: the request can't be forwarded, such as an Upgrade.
 	BadRequest Cause = "badRequest"
-	// NotSupported: the request asks for what the system refuses on purpose.
+	// NotSupported: the request uses a feature that is deliberately not supported.
 	NotSupported Cause = "notSupported"
-	// TooLarge: a header or body is over its limit, found before any upstream
-	// was contacted.
+	// TooLarge: a header or body exceeds its limit, before any upstream was
+	// contacted.
 	TooLarge Cause = "tooLarge"
-	// HeadTooLarge: the head of the request is over its limit.
+	// HeadTooLarge: the head of the request exceeds its limit.
 	HeadTooLarge Cause = "headTooLarge"
-	// NotReady: the node holds no accepted configuration yet.
+	// NotReady: the node has no accepted configuration yet.
 	NotReady Cause = "notReady"
-	// Unauthorized: the request shows no key of an organisation where one is needed.
+	// Unauthorized: the request lacks a key of an organisation where one is required.
 	Unauthorized Cause = "unauthorized"
-	// NotFresh: the node has not heard for too long which keys are valid.
+	// KeysStale: the node has not received an update of the valid keys for too long.
 	KeysStale Cause = "notFresh"
-	// RateLimited: the organisation is beyond its rate limit.
+	// RateLimited: the organisation exceeds its rate limit.
 	RateLimited Cause = "rateLimited"
-	// LimitUnknown: no node has said in time whether the organisation is beyond its rate
+	// LimitUnknown: no node reported in time whether the organisation exceeds its rate
 	// limit.
 	LimitUnknown Cause = "limitUnknown"
-	// NoUpstream: the service has no upstream that takes requests.
+	// NoUpstream: the service has no upstream that accepts requests.
 	NoUpstream Cause = "noUpstream"
-	// DeadlinePassed: the deadline passed before the request was sent on.
+	// DeadlinePassed: the deadline passed before the request was sent to an upstream's node.
 	DeadlinePassed Cause = "deadlinePassed"
-	// DialFailed: no connection to the node beside the upstream.
+	// DialFailed: the node beside the upstream could not be connected to.
 	DialFailed Cause = "dialFailed"
-	// NotWritten: the request was not wholly handed to the connection.
+	// NotWritten: the request was not completely written to the connection.
 	NotWritten Cause = "notWritten"
-	// Refused: the node beside the upstream refused, being full.
+	// Refused: the node beside the upstream was at capacity.
 	Refused Cause = "refused"
-	// Slowed: the upstream has just slowed down, which the sender could not know.
+	// Slowed: the upstream slowed down so recently that the sender could not know.
 	Slowed Cause = "slowed"
 	// Draining: the upstream or the node beside it is leaving.
 	Draining Cause = "draining"
 	// Misrouted: the node is not, or no longer, beside an upstream of the
 	// service.
 	Misrouted Cause = "misrouted"
-	// Quarantined: upstreams have ended under requests like this one.
+	// Quarantined: upstreams have crashed while they ran requests like this one.
 	Quarantined Cause = "quarantined"
-	// NotSent: the node that had taken the request stopped before the request was sent on.
+	// NotSent: the node that received the request stopped before sending it on.
 	NotSent Cause = "notSent"
-	// Revoked: the request was taken back while it waited in a queue.
+	// Revoked: the request was revoked while it waited in a queue.
 	Revoked Cause = "revoked"
 	// UpstreamDialFailed: the node could not connect to its upstream, or
 	// wrote no byte of the request to it.
 	UpstreamDialFailed Cause = "upstreamDialFailed"
 	// UpstreamRefused: the upstream answered that it has not run the request.
 	UpstreamRefused Cause = "upstreamRefused"
-	// ClaimFailed: the record that keeps a resent request from running twice
-	// could not be made.
+	// ClaimFailed: the record that prevents a resent request from running twice
+	// could not be created.
 	ClaimFailed Cause = "claimFailed"
-	// ResendMismatch: another request was sent under the same idempotency key.
+	// ResendMismatch: a different request was sent with the same idempotency key.
 	ResendMismatch Cause = "resendMismatch"
 	// ResendUnderway: a request with the same idempotency key was sent before,
-	// and its outcome is not known yet, or will never be.
+	// and its outcome is not known yet, or will never be known.
 	ResendUnderway Cause = "resendUnderway"
 	// ResendNotKept: a request with the same idempotency key has run, and its
-	// answer has not been kept.
+	// response was not stored.
 	ResendNotKept Cause = "resendNotKept"
 	// PeerLost: the connection to the node beside the upstream was lost after
-	// the whole request had been handed to it.
+	// the whole request had been written to it.
 	PeerLost Cause = "peerLost"
-	// Stopped: the node that had taken the request stopped after the whole request had
-	// been handed to another, and before it was answered.
+	// Stopped: the node that received the request stopped after it had sent the whole
+	// request to another node, and before the response arrived.
 	Stopped Cause = "stopped"
 	// TimedOut: the deadline passed after the request had been sent on, and
 	// there is no proof that it did not run.
 	TimedOut Cause = "timedOut"
-	// CallerGone: the caller went away after the request had been sent on.
+	// CallerGone: the caller left after the request had been sent on.
 	CallerGone Cause = "callerGone"
-	// BodyLost: the caller's body ended early after part of it was sent on.
+	// BodyLost: the caller's body ended prematurely after part of it was sent on.
 	BodyLost Cause = "bodyLost"
-	// GateFailed: the node beside the upstream panicked over the request.
+	// GateFailed: the node beside the upstream panicked while handling the request.
 	GateFailed Cause = "gateFailed"
-	// UpstreamLost: the upstream closed or failed after it had been sent at
-	// least one byte, and before it answered.
+	// UpstreamLost: the upstream closed the connection or failed after at least one
+	// byte had been sent to it, and before it answered.
 	UpstreamLost Cause = "upstreamLost"
-	// AnswerCut: the upstream's answer ended before it was whole.
+	// AnswerTruncated: the upstream's response ended before it was complete.
 	AnswerTruncated Cause = "answerCut"
-	// WrongUpstream: another upstream has taken the address; it said that it has
-	// not run the request.
+	// WrongUpstream: the address now belongs to another upstream, which reported
+	// that it has not run the request.
 	WrongUpstream Cause = "wrongUpstream"
-	// AnswerSpoilt: the upstream sent what is no whole answer to the request, and
-	// nothing of it has been passed on.
+	// AnswerMalformed: the upstream did not send a complete response to the request, and
+	// no part of it has been forwarded.
 	AnswerMalformed Cause = "answerSpoilt"
-	// AnswerInvalid: the upstream's answer can't be passed on.
+	// AnswerInvalid: the upstream's response can't be forwarded.
 	AnswerInvalid Cause = "answerInvalid"
 )
 
-// Entry is what the table says of a cause.
+// CauseInfo holds the properties of a cause.
 type CauseInfo struct {
-	// Verdict is whether a request that failed so may have run.
+	// Verdict is whether a request that failed for this cause may have run.
 	Verdict Verdict
-	// Status is the HTTP status told to the caller.
+	// Status is the HTTP status that is sent to the caller.
 	Status int
-	// Elsewhere is whether another upstream may do better.
+	// RetryElsewhere is whether sending the request to another upstream may succeed.
 	RetryElsewhere bool
-	// By is who ended the request.
+	// EndedBy is the party that ended the request.
 	EndedBy Party
 }
 
-// Party is who ends a request without an answer of an upstream.
+// Party is a party that can end a request without a response of an upstream.
 type Party string
 
 // The parties.
 const (
-	// ByCaller: the caller left, or sent what can't be carried.
+	// ByCaller: the caller left, or sent a request that can't be forwarded.
 	ByCaller Party = "caller"
-	// ByEntry: the node that took the request decided so, or its time was over.
+	// ByEntry: the node that received the request ended it, or its deadline passed.
 	ByEntry Party = "entry"
-	// ByLink: the connection between two nodes ended, or could not be opened.
+	// ByLink: the connection between two nodes was lost, or could not be opened.
 	ByLink Party = "link"
-	// ByGate: the node beside the upstream decided so.
+	// ByGate: the node beside the upstream ended it.
 	ByGate Party = "gate"
-	// ByUpstream: the upstream broke off, refused, or could not be reached.
+	// ByUpstream: the upstream failed, refused the request, or could not be reached.
 	ByUpstream Party = "upstream"
-	// ByStop: the node that took the request had to stop.
+	// ByStop: the node that received the request stopped.
 	ByStop Party = "stop"
 )
 
-// table is the one place that says what each cause means.
+// table is the only place that defines the properties of the causes.
 var table = map[Cause]CauseInfo{
 	UnknownHost:        {Verdict: NotRun, Status: http.StatusNotFound, EndedBy: ByCaller},
 	BadRequest:         {Verdict: NotRun, Status: http.StatusBadRequest, EndedBy: ByCaller},
@@ -175,8 +175,8 @@
 	AnswerInvalid:      {Verdict: Ran, Status: http.StatusBadGateway, EndedBy: ByUpstream},
 }
 
-// Lookup returns what the table says of c. A cause that is not in the table
-// may have run and is told to the caller as 502.
+// Lookup returns the properties of c. A cause that is not in the table may have
+// run and has the status 502.
 func Lookup(c Cause) CauseInfo {
 	e, ok := table[c]
 	if !ok {
@@ -185,8 +185,8 @@
 	return e
 }
 
-// Causes calls yield with each cause of the table and its entry, in no
-// particular order, until yield returns false.
+// Causes calls yield with each cause and its properties, in no particular order,
+// until yield returns false.
 func Causes(yield func(Cause, CauseInfo) bool) {
 	for c, e := range table {
 		if !yield(c, e) {
--- a/verdict/doc.go
+++ b/verdict/doc.go
@@ -4,12 +4,11 @@
 
 // Package verdict says whether a request that failed may have run.
 //
-// Every failure that sassafrasfront reports carries one of three verdicts:
-// NotRun, MayHaveRun or Ran. The verdict alone decides whether the request may
-// be sent again: a request that has not run always may, a request that may
-// have run only if it is idempotent, and a request that ran never.
+// Every failure that sassafrasfront reports has one of three verdicts: NotRun,
+// MayHaveRun or Ran. The verdict alone decides whether sending the request
+// again is safe: always if it has not run, never if it ran, and otherwise only
+// if the request is idempotent.
 //
-// The package holds a single table, from the Cause of a failure to its
-// verdict and HTTP status. Every layer looks its failures up there, and the
-// tests of every layer read the same table.
+// A single table maps the Cause of a failure to its verdict and HTTP status.
+// All layers and their tests use this table.
 package verdict
--- a/verdict/error.go
+++ b/verdict/error.go
@@ -14,11 +14,11 @@
 type Error struct {
 	// Cause says what went wrong.
 	Cause Cause
-	// RetryAfter is when the caller may come back. Zero means that there is
-	// no estimate.
+	// RetryAfter is how long the caller should wait before it retries. Zero means
+	// that there is no estimate.
 	RetryAfter time.Duration
-	// GivenUp is whether a hop nearer the upstream has already spent its own
-	// tries. A request given up on is not tried again by any hop.
+	// GivenUp is whether a hop nearer the upstream has used up its attempts. No
+	// hop retries such a request.
 	GivenUp bool
 	// Err is the underlying error, or nil.
 	Err error
@@ -32,14 +32,14 @@
 	}
 }
 
-// WithRetryAfter returns a copy of e that tells the caller when to come back.
+// WithRetryAfter returns a copy of e with the given RetryAfter.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
 	return &c
 }
 
-// WithGivenUp returns a copy of e that no hop tries again.
+// WithGivenUp returns a copy of e that is marked as given up.
 func (e *Error) WithGivenUp() *Error {
 	c := *e
 	c.GivenUp = true
@@ -61,19 +61,19 @@
 // Verdict returns whether the request may have run.
 func (e *Error) Verdict() Verdict { return Lookup(e.Cause).Verdict }
 
-// Status returns the HTTP status told to the caller.
+// Status returns the HTTP status that is sent to the caller.
 func (e *Error) Status() int { return Lookup(e.Cause).Status }
 
 // MayRepeat returns whether sending the request to another upstream is both
-// safe and of use. A request that has not run is safe to repeat, one that may
-// have run only if it is idempotent, and one that ran never is. Budgets and
-// deadlines are the business of package retry.
+// safe and useful. A request that has not run is safe to repeat, one that may
+// have run only if it is idempotent, and one that ran never is. Package retry
+// accounts for budgets and deadlines.
 func (e *Error) MayRepeat(idempotent bool) bool {
-	entry := Lookup(e.Cause)
-	if e.GivenUp || !entry.RetryElsewhere {
+	info := Lookup(e.Cause)
+	if e.GivenUp || !info.RetryElsewhere {
 		return false
 	}
-	switch entry.Verdict {
+	switch info.Verdict {
 	case NotRun:
 		return true
 	case MayHaveRun:
@@ -83,8 +83,8 @@
 	}
 }
 
-// As returns the *Error in the chain of err. An error that carries no verdict
-// is taken to have the given cause. As returns nil if err is nil.
+// As returns the *Error in the chain of err. An error without one is wrapped
+// with the given cause. As returns nil if err is nil.
 func As(err error, otherwise Cause) *Error {
 	if err == nil {
 		return nil
--- a/verdict/verdict.go
+++ b/verdict/verdict.go
@@ -6,7 +6,7 @@
 
 // Verdict says whether a request has run at an upstream.
 //
-// The zero value is MayHaveRun, so that a forgotten verdict is the cautious
+// The zero value is MayHaveRun, so that a verdict that was not set is the safe
 // one.
 type Verdict uint8
 
@@ -20,7 +20,7 @@
 	Ran
 )
 
-// String returns the name of v as it stands in headers, logs and metrics.
+// String returns the name of v, as used in headers, logs and metrics.
 func (v Verdict) String() string {
 	switch v {
 	case NotRun:
--- a/verdict/verdict_test.go
+++ b/verdict/verdict_test.go
@@ -15,20 +15,20 @@
 	"sassafrasfront.example/verdict"
 )
 
-func TestTableKeepsThePromises(t *testing.T) {
-	for cause, entry := range verdict.Causes {
+func TestTableInvariants(t *testing.T) {
+	for cause, info := range verdict.Causes {
 		t.Run(string(cause), func(t *testing.T) {
 			c := qt.New(t)
 			e := verdict.New(cause, nil)
-			c.Check(e.Verdict(), qt.Equals, entry.Verdict)
-			switch entry.Verdict {
+			c.Check(e.Verdict(), qt.Equals, info.Verdict)
+			switch info.Verdict {
 			case verdict.NotRun:
-				c.Check(e.MayRepeat(false), qt.Equals, entry.RetryElsewhere)
-				c.Check(entry.Status, qt.Not(qt.Equals), http.StatusBadGateway)
-				c.Check(entry.Status, qt.Not(qt.Equals), http.StatusGatewayTimeout)
+				c.Check(e.MayRepeat(false), qt.Equals, info.RetryElsewhere)
+				c.Check(info.Status, qt.Not(qt.Equals), http.StatusBadGateway)
+				c.Check(info.Status, qt.Not(qt.Equals), http.StatusGatewayTimeout)
 			case verdict.MayHaveRun:
 				c.Check(e.MayRepeat(false), qt.IsFalse)
-				c.Check(entry.Status >= 502 && entry.Status != 503, qt.IsTrue)
+				c.Check(info.Status >= 502 && info.Status != 503, qt.IsTrue)
 			case verdict.Ran:
 				c.Check(e.MayRepeat(false), qt.IsFalse)
 				c.Check(e.MayRepeat(true), qt.IsFalse)
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestUnknownCauseIsCautious(t *testing.T) {
+func TestUnknownCauseIsNotRetried(t *testing.T) {
 	c := qt.New(t)
 	e := verdict.New("noSuchCause", nil)
 	c.Check(e.Verdict(), qt.Equals, verdict.MayHaveRun)
