--- a/entry/request.go
+++ b/entry/request.go
@@ -111,10 +111,10 @@
 	return bytes.NewReader(r.Body)
 }
 
-// Result is the answer to a request.
+// Result is the response to a request.
 type Result struct {
 	*peer.Response
-	// Node is the node that answered.
+	// Node is the id of the node that responded.
 	Node string
 	// Zone is the availability zone of the node.
 	Zone string
--- a/entry/schedule_test.go
+++ b/entry/schedule_test.go
@@ -58,13 +58,13 @@
 	timeout  time.Duration // until the deadline
 	queue    time.Duration // how long gates queue it
 	work     time.Duration // how long upstreams work on it
-	answer   int           // bytes of the answer
+	answer   int           // bytes of the response
 	sent     time.Time
 	runs     []string  // the nodes at which it has begun to run
-	began    time.Time // when its answer began
+	began    time.Time // when its response began
 	ended    time.Time // when it was answered or given up
-	answered bool      // whether an answer has begun
-	by       string    // the node that answered
+	answered bool      // whether a response has begun
+	by       string    // the node that responded
 	failure  *verdict.Error
 }
 
--- a/entry/silentlink_test.go
+++ b/entry/silentlink_test.go
@@ -56,7 +56,7 @@
 
 	mu    sync.Mutex
 	runs  map[string]int // calls that upstreams have begun to run, by node
-	cut   int            // runs whose call ended before their answer
+	cut   int            // runs whose call ended before the response
 	calls []arrival      // the calls that have arrived at the gates
 }
 
