--- a/quarantine/popular_test.go
+++ b/quarantine/popular_test.go
@@ -178,11 +178,11 @@
 		suspected bool
 		blocked   bool // whether it is blocked if it was isolated
 	}{
-		"never answered":              {simulate: func(*quarantine.AnswerCounter) {}, suspected: true, blocked: true},
-		"answered once":               {simulate: func(a *quarantine.AnswerCounter) { answer(a, 1) }, suspected: true},
-		"answered often":              {simulate: func(a *quarantine.AnswerCounter) { answer(a, 100) }},
-		"answered long ago":           {simulate: func(a *quarantine.AnswerCounter) { answer(a, 100); time.Sleep(20 * time.Second) }, suspected: true, blocked: true},
-		"answered in the span before": {simulate: func(a *quarantine.AnswerCounter) { answer(a, 100); time.Sleep(15 * time.Second); answer(a, 1) }},
+		"never answered":                  {simulate: func(*quarantine.AnswerCounter) {}, suspected: true, blocked: true},
+		"answered once":                   {simulate: func(a *quarantine.AnswerCounter) { answer(a, 1) }, suspected: true},
+		"answered often":                  {simulate: func(a *quarantine.AnswerCounter) { answer(a, 100) }},
+		"answered long ago":               {simulate: func(a *quarantine.AnswerCounter) { answer(a, 100); time.Sleep(20 * time.Second) }, suspected: true, blocked: true},
+		"answered in the previous window": {simulate: func(a *quarantine.AnswerCounter) { answer(a, 100); time.Sleep(15 * time.Second); answer(a, 1) }},
 		"crashes one run in ten": {
 			simulate: func(a *quarantine.AnswerCounter) {
 				for range 5 {
