--- a/entry/hedge.go
+++ b/entry/hedge.go
@@ -13,80 +13,80 @@
 	"sassafrasfront.example/verdict"
 )
 
-// slow returns a channel that yields once the request counts as slow and
-// something can be done about it, and a function that releases it.
-func (f *flight) slow() (<-chan time.Time, func()) {
-	hedge := f.service.Config.Hedge
-	if hedge.Share == 0 && hedge.Part == 0 || len(f.open) != 1 || f.pending != nil || f.revoked || f.service.pool.Len() < 2 {
+// hedgeTimer returns a channel that fires when the request counts as slow and
+// may be hedged or revoked, and a function that stops the timer.
+func (o *operation) hedgeTimer() (<-chan time.Time, func()) {
+	hedge := o.service.Config.Hedge
+	if hedge.Share == 0 && hedge.Part == 0 || len(o.open) != 1 || o.pending != nil || o.slowHandled || o.service.pool.Len() < 2 {
 		return nil, func() {}
 	}
-	after, ok := f.service.latency.Quantile(hedge.Quantile)
+	after, ok := o.service.latency.Quantile(hedge.Quantile)
 	if !ok {
 		return nil, func() {}
 	}
-	if usual, _ := f.service.latency.Quantile(0.5); f.request.Idempotent {
-		after = retry.HedgeDelay(after, usual, f.request.Objective)
+	if median, _ := o.service.latency.Quantile(0.5); o.request.Idempotent {
+		after = retry.HedgeDelay(after, median, o.request.Objective)
 	}
 	after = max(after, hedge.MinDelay.Std())
-	t := time.NewTimer(time.Until(f.open[0].began.Add(after)))
+	t := time.NewTimer(time.Until(o.open[0].startedAt.Add(after)))
 	return t.C, func() { t.Stop() }
 }
 
-// takeHedge takes one second sending of an organisation out of its budget, and returns
-// whether there was one.
+// takeHedge takes one hedged attempt for an organisation from its budget, and
+// returns whether the budget had room for it.
 func (s *service) takeHedge(organisation string) bool {
 	if part := s.Config.Hedge.Part; part > 0 {
-		return s.budget.TakeFor(organisation, part)
+		return s.retryBudget.TakeFor(organisation, part)
 	}
-	return s.hedges.Take()
+	return s.hedgeBudget.Take()
 }
 
-// peerSilent acts on the silence of the node that has an open attempt. It may be slow, as its
-// upstream may be at work on the request, so the attempt goes on; an idempotent request is
-// sent a second time, within the budget.
-func (f *flight) peerSilent(i int, plan retry.Policy) {
-	a := f.open[i]
+// handleSilence handles the silence of the node of an open attempt. The node may only be slow and
+// its upstream may be working on the request, so the attempt continues. An idempotent request is
+// also sent to another upstream, within the retry budget.
+func (o *operation) handleSilence(i int, policy retry.Policy) {
+	a := o.open[i]
 	a.silent = true
-	f.note(Step{
+	o.recordStep(Step{
 		Event: EventSilent,
 		Node:  a.member.ID,
 	})
-	if len(f.open) == 1 {
-		f.sendBesides(verdict.New(verdict.PeerLost, nil), plan)
+	if len(o.open) == 1 {
+		o.retryInParallel(verdict.New(verdict.PeerLost, nil), policy)
 	}
 }
 
-// sendElsewhere sends a request once more that is open at silent nodes only, after a second sending
-// that has reached no upstream.
-func (f *flight) sendElsewhere(failure *verdict.Error, plan retry.Policy) {
-	heard := func(a *attempt) bool { return !a.silent }
-	if failure.Verdict() == verdict.NotRun && !slices.ContainsFunc(f.open, heard) {
-		f.sendBesides(failure, plan)
+// retryBesideSilent retries a request whose open attempts are all at silent nodes, after another
+// attempt has failed without reaching an upstream.
+func (o *operation) retryBesideSilent(failure *verdict.Error, policy retry.Policy) {
+	notSilent := func(a *attempt) bool { return !a.silent }
+	if failure.Verdict() == verdict.NotRun && !slices.ContainsFunc(o.open, notSilent) {
+		o.retryInParallel(failure, policy)
 	}
 }
 
-// sendBesides sends an idempotent request once more after a failure, while what is open goes on,
-// if nothing is being sent, its body can be sent again, and the plan has it so.
-func (f *flight) sendBesides(failure *verdict.Error, plan retry.Policy) {
-	if f.pending != nil || !f.request.Idempotent || f.request.Stream != nil || !f.mayGoOn(failure) || !f.attemptsLeft() ||
-		!plan.ShouldRetry(failure, true, len(f.tried), time.Until(f.request.Deadline)) {
+// retryInParallel retries an idempotent request after a failure while its open attempts continue, if
+// no attempt is being started, the body can be sent again and the retry policy allows it.
+func (o *operation) retryInParallel(failure *verdict.Error, policy retry.Policy) {
+	if o.pending != nil || !o.request.Idempotent || o.request.Stream != nil || !o.mayRetry(failure) || !o.attemptsLeft() ||
+		!policy.ShouldRetry(failure, true, len(o.tried), time.Until(o.request.Deadline)) {
 		return
 	}
-	f.launch(EventRetry)
+	o.beginAttempt(EventRetry)
 }
 
-// hurry acts on a slow request. An idempotent one is sent a second time, within
-// the budget. Any other is taken back if it still waits in a queue, and is then
-// sent elsewhere as a request that has not run.
-func (f *flight) hurry() {
-	f.revoked = true // at most once for each request
-	if !f.request.Idempotent || f.request.Stream != nil {
-		f.open[0].exchange.Revoke()
-		f.did(EventRevoke)
+// handleSlow handles a slow request. An idempotent request is hedged, within the
+// budget. Any other request is revoked if it still waits in a queue, and is then
+// retried elsewhere as a request that has not run.
+func (o *operation) handleSlow() {
+	o.slowHandled = true // at most once for each request
+	if !o.request.Idempotent || o.request.Stream != nil {
+		o.open[0].exchange.Revoke()
+		o.recordEvent(EventRevoke)
 		return
 	}
-	if f.dispatcher.Quarantine.Assess(f.request.Fingerprint).State >= quarantine.Isolated || !f.attemptsLeft() || len(f.tried) >= f.service.Config.Retry.MaxTries || !f.service.takeHedge(f.request.Organisation) {
+	if o.dispatcher.Quarantine.Assess(o.request.Fingerprint).State >= quarantine.Isolated || !o.attemptsLeft() || len(o.tried) >= o.service.Config.Retry.MaxTries || !o.service.takeHedge(o.request.Organisation) {
 		return
 	}
-	f.launch(EventHedge)
+	o.beginAttempt(EventHedge)
 }
--- a/entry/oldlink_test.go
+++ b/entry/replacedlink_test.go
@@ -24,21 +24,21 @@
 	"sassafrasfront.example/verdict"
 )
 
-// dials counts the connections that an entry opens and closes.
-type dials struct {
+// connCounter counts the connections that an entry node opens and closes.
+type connCounter struct {
 	mu             sync.Mutex
 	opened, closed int
 }
 
 // counts returns how many connections have been opened and closed.
-func (d *dials) counts() (opened, closed int) {
+func (d *connCounter) counts() (opened, closed int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.opened, d.closed
 }
 
-// dial opens a connection as h does.
-func (d *dials) dial(h *playnet.Host) func(ctx context.Context, addr string) (net.Conn, error) {
+// dial returns a function that dials from h and counts the connections.
+func (d *connCounter) dial(h *playnet.Host) func(ctx context.Context, addr string) (net.Conn, error) {
 	return func(ctx context.Context, addr string) (net.Conn, error) {
 		c, err := h.Dial(ctx, addr)
 		if err != nil {
@@ -47,19 +47,19 @@
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		d.opened++
-		return &counted{Conn: c, dials: d}, nil
+		return &countedConn{Conn: c, dials: d}, nil
 	}
 }
 
-// counted is a connection that dials has opened.
-type counted struct {
+// countedConn is a connection that a connCounter has opened.
+type countedConn struct {
 	net.Conn
-	dials *dials
+	dials *connCounter
 	once  sync.Once
 }
 
 // Close implements net.Conn.
-func (c *counted) Close() error {
+func (c *countedConn) Close() error {
 	c.once.Do(func() {
 		c.dials.mu.Lock()
 		defer c.dials.mu.Unlock()
@@ -68,15 +68,15 @@
 	return c.Conn.Close()
 }
 
-// TestSilentConnection guards against new calls over a connection that is silent, against calls
-// that end when another takes its place, and against silent connections that are never closed.
+// TestSilentConnection guards against new calls over a silent connection, against calls that fail
+// when another connection replaces it, and against silent connections that are never closed.
 func TestSilentConnection(t *testing.T) {
 	for name, idempotent := range map[string]bool{"idempotent": true, "not idempotent": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newDistant(1, quick(), once(), 0)
+				w := newSimCluster(1, fastNetwork(), noRetryConfig(), 0)
 				defer w.stop()
-				w.play = func(node string, in *peer.Inbound) {
+				w.handle = func(node string, in *peer.Inbound) {
 					work := 20 * time.Millisecond
 					if in.Call.Target == "/old" {
 						work = 400 * time.Millisecond
@@ -96,7 +96,7 @@
 					qt.Check(t, took > 1400*time.Millisecond && took < 2*time.Second, qt.IsTrue, qt.Commentf("%v", took))
 				})
 				time.Sleep(100 * time.Millisecond)
-				w.gates[0].Lose(3) // 1.4 s; other connections carry on
+				w.gates[0].Lose(3) // 1.4 s; other connections are not affected
 				time.Sleep(linkSilence)
 				for i := range 30 {
 					all.Go(func() {
@@ -113,7 +113,7 @@
 				time.Sleep(100 * time.Millisecond)
 				opened, closed := w.dials.counts()
 				qt.Check(t, opened, qt.Equals, 2)
-				qt.Check(t, closed, qt.Equals, 1, qt.Commentf("connections closed once nothing is open on the old one"))
+				qt.Check(t, closed, qt.Equals, 1, qt.Commentf("the old connection is closed once it has no open calls"))
 				_, err := w.sendTo("/new", idempotent)
 				qt.Check(t, err, qt.IsNil)
 				opened, _ = w.dials.counts()
@@ -123,19 +123,19 @@
 	}
 }
 
-// TestCallAtClosing guards against calls that end because their connection is closed for
-// idleness, or replaced, at the moment at which they are begun.
+// TestCallAtClosing guards against calls that fail because their connection is closed as idle, or
+// replaced, at the moment at which they start.
 func TestCallAtClosing(t *testing.T) {
 	const idle = 2 * time.Second
 	t.Run("idle", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			limits := peer.Limits{Silence: linkSilence, Handshake: linkHandshake, Idle: idle}
-			w := newDistantWithin(limits, 1, quick(), once(), 0)
+			w := newSimClusterWithin(limits, 1, fastNetwork(), noRetryConfig(), 0)
 			defer w.stop()
-			w.play = answerAfter(10 * time.Millisecond)
+			w.handle = answerAfter(10 * time.Millisecond)
 			for i := -40; i <= 40; i++ {
 				var all sync.WaitGroup
-				for j := range 4 { // they are begun at the moment of the closing and beside it
+				for j := range 4 { // start at the moment of closing and around it
 					all.Go(func() {
 						time.Sleep(idle + time.Millisecond + time.Duration(i)*50*time.Microsecond + time.Duration(j)*time.Microsecond)
 						_, err := w.sendTo(fmt.Sprint("/", i, "/", j), false)
@@ -152,16 +152,16 @@
 	})
 	t.Run("replaced", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			w := newDistant(1, quick(), once(), 0)
+			w := newSimCluster(1, fastNetwork(), noRetryConfig(), 0)
 			defer w.stop()
-			w.play = answerAfter(10 * time.Millisecond)
+			w.handle = answerAfter(10 * time.Millisecond)
 			for i := range 20 {
 				time.Sleep(time.Second)
 				var all sync.WaitGroup
 				all.Go(func() { _, _ = w.sendTo(fmt.Sprint("/", i), false) })
 				time.Sleep(5 * time.Millisecond)
 				w.gates[0].Lose(3)
-				for j := range 40 { // the connection is replaced among them
+				for j := range 40 { // the connection is replaced while they start
 					all.Go(func() {
 						time.Sleep(linkSilence - 15*time.Millisecond + time.Duration(j)*time.Millisecond)
 						_, err := w.sendTo(fmt.Sprint("/", i, "/", j), false)
@@ -177,9 +177,9 @@
 	})
 	t.Run("member leaves", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			w := newDistant(1, quick(), once(), 0)
+			w := newSimCluster(1, fastNetwork(), noRetryConfig(), 0)
 			defer w.stop()
-			w.play = answerAfter(2 * time.Minute)
+			w.handle = answerAfter(2 * time.Minute)
 			r := w.request(false, 0)
 			r.Deadline = time.Now().Add(5 * time.Minute)
 			time.AfterFunc(time.Second, func() { w.dispatcher.SetServices(nil) })
@@ -190,22 +190,23 @@
 	})
 }
 
-// hedged is the configuration of a service whose slow requests are sent a second time.
-func hedged() operator.Service {
-	c := again()
+// hedgeConfig returns the configuration of a service whose slow requests are hedged.
+func hedgeConfig() operator.Service {
+	c := retryConfig()
 	c.Hedge = operator.Hedge{Share: 1, Burst: 100, Quantile: 0.5, MinDelay: operator.Duration(50 * time.Millisecond)}
 	return c
 }
 
-// learn has the entry learn how long requests take.
-func (w *distant) learn() {
+// recordLatency sends requests until the entry node has an estimate of their latency.
+func (w *simCluster) recordLatency() {
 	for i := range 100 {
 		_, _ = w.sendTo(fmt.Sprint("/learn/", i), true)
 	}
 }
 
-// TestLoserEnds guards against an answer that ends with the other sending of its request.
-func TestLoserEnds(t *testing.T) {
+// TestWinnerOutlivesLoser guards against a response that is cut off when the other attempt of its
+// request ends.
+func TestWinnerOutlivesLoser(t *testing.T) {
 	const size = 360 << 10
 	whole := func(in *peer.Inbound) {
 		_ = in.Begin(&peer.Answer{Status: 200, Length: size})
@@ -213,49 +214,49 @@
 		_ = in.Finish(nil)
 	}
 	for name, test := range map[string]struct {
-		first  func(w *distant, node string, in *peer.Inbound)
-		second func(w *distant, node string, in *peer.Inbound)
+		first  func(w *simCluster, node string, in *peer.Inbound)
+		second func(w *simCluster, node string, in *peer.Inbound)
 		winner int
 	}{
-		"the first, with an answer later": {
-			first:  func(_ *distant, _ string, in *peer.Inbound) { time.Sleep(time.Second); whole(in) },
-			second: func(_ *distant, _ string, in *peer.Inbound) { whole(in) },
+		"first attempt answers later": {
+			first:  func(_ *simCluster, _ string, in *peer.Inbound) { time.Sleep(time.Second); whole(in) },
+			second: func(_ *simCluster, _ string, in *peer.Inbound) { whole(in) },
 			winner: 1,
 		},
-		"the first, whose node loses its power": {
-			first:  func(w *distant, node string, _ *peer.Inbound) { w.Host(node).PowerOff(); time.Sleep(time.Minute) },
-			second: func(_ *distant, _ string, in *peer.Inbound) { time.Sleep(10 * time.Second); whole(in) },
+		"first attempt's node loses power": {
+			first:  func(w *simCluster, node string, _ *peer.Inbound) { w.Host(node).PowerOff(); time.Sleep(time.Minute) },
+			second: func(_ *simCluster, _ string, in *peer.Inbound) { time.Sleep(10 * time.Second); whole(in) },
 			winner: 1,
 		},
-		"the first, whose connection is reset": {
-			first: func(w *distant, node string, _ *peer.Inbound) {
+		"first attempt's connection is reset": {
+			first: func(w *simCluster, node string, _ *peer.Inbound) {
 				time.Sleep(time.Second)
 				w.Host(node).Reset()
 			},
-			second: func(_ *distant, _ string, in *peer.Inbound) { time.Sleep(2 * time.Second); whole(in) },
+			second: func(_ *simCluster, _ string, in *peer.Inbound) { time.Sleep(2 * time.Second); whole(in) },
 			winner: 1,
 		},
-		"the second, whose connection is reset": {
-			first:  func(_ *distant, _ string, in *peer.Inbound) { time.Sleep(2 * time.Second); whole(in) },
-			second: func(w *distant, node string, _ *peer.Inbound) { w.Host(node).Reset() },
+		"second attempt's connection is reset": {
+			first:  func(_ *simCluster, _ string, in *peer.Inbound) { time.Sleep(2 * time.Second); whole(in) },
+			second: func(w *simCluster, node string, _ *peer.Inbound) { w.Host(node).Reset() },
 		},
-		"the second, whose node loses its power": {
-			first:  func(_ *distant, _ string, in *peer.Inbound) { time.Sleep(10 * time.Second); whole(in) },
-			second: func(w *distant, node string, _ *peer.Inbound) { w.Host(node).PowerOff(); time.Sleep(time.Minute) },
+		"second attempt's node loses power": {
+			first:  func(_ *simCluster, _ string, in *peer.Inbound) { time.Sleep(10 * time.Second); whole(in) },
+			second: func(w *simCluster, node string, _ *peer.Inbound) { w.Host(node).PowerOff(); time.Sleep(time.Minute) },
 		},
-		"the second, which is refused": {
-			first: func(_ *distant, _ string, in *peer.Inbound) { time.Sleep(2 * time.Second); whole(in) },
-			second: func(_ *distant, _ string, in *peer.Inbound) {
+		"second attempt is refused": {
+			first: func(_ *simCluster, _ string, in *peer.Inbound) { time.Sleep(2 * time.Second); whole(in) },
+			second: func(_ *simCluster, _ string, in *peer.Inbound) {
 				in.Fail(verdict.New(verdict.Refused, nil), nil)
 			},
 		},
-		"both silent, the first answers": {
-			first: func(w *distant, node string, in *peer.Inbound) {
+		"both nodes silent, first attempt answers": {
+			first: func(w *simCluster, node string, in *peer.Inbound) {
 				w.Host(node).Silence(1500 * time.Millisecond)
 				time.Sleep(time.Second)
 				whole(in)
 			},
-			second: func(w *distant, node string, _ *peer.Inbound) {
+			second: func(w *simCluster, node string, _ *peer.Inbound) {
 				w.Host(node).Silence(2500 * time.Millisecond)
 				time.Sleep(time.Minute)
 			},
@@ -263,9 +264,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newDistant(2, quick(), hedged(), 0)
+				w := newSimCluster(2, fastNetwork(), hedgeConfig(), 0)
 				defer w.stop()
-				w.play = func(node string, in *peer.Inbound) {
+				w.handle = func(node string, in *peer.Inbound) {
 					switch {
 					case in.Call.Target != "/":
 						answerAfter(20*time.Millisecond)(node, in)
@@ -278,7 +279,7 @@
 					}
 				}
 				time.Sleep(time.Second)
-				w.learn()
+				w.recordLatency()
 				r := w.request(true, 0)
 				result, failed := w.dispatcher.Do(context.Background(), r)
 				qt.Assert(t, failed == nil, qt.IsTrue, qt.Commentf("%v", failed))
@@ -292,15 +293,15 @@
 	}
 }
 
-// TestSilenceWithinAnswer guards against answers that are cut, or given up, because the link
-// falls silent once they have begun, or once informational answers have come.
+// TestSilenceWithinAnswer guards against responses that are cut off or given up because the link
+// falls silent after they, or informational responses, have begun to arrive.
 func TestSilenceWithinAnswer(t *testing.T) {
 	const (
 		size    = 200 << 10
 		silence = 1500 * time.Millisecond
 	)
-	// slowly sends a body in two halves, and has the node be silent between them.
-	slowly := func(w *distant, node string, in *peer.Inbound) {
+	// slowly sends a body in two halves, and makes the node silent between them.
+	slowly := func(w *simCluster, node string, in *peer.Inbound) {
 		_ = in.Begin(&peer.Answer{Status: 200, Length: size})
 		_ = in.CopyBody(bytes.NewReader(make([]byte, size/2)))
 		time.Sleep(20 * time.Millisecond)
@@ -310,13 +311,13 @@
 		_ = in.Finish(nil)
 	}
 	for name, test := range map[string]struct {
-		play    func(w *distant, node string, in *peer.Inbound)
-		sends   int
-		informs int
+		handle        func(w *simCluster, node string, in *peer.Inbound)
+		attempts      int
+		informational int
 	}{
-		"an answer has begun": {play: slowly, sends: 1},
+		"an answer has begun": {handle: slowly, attempts: 1},
 		"an informational answer has come": {
-			play: func(w *distant, node string, in *peer.Inbound) {
+			handle: func(w *simCluster, node string, in *peer.Inbound) {
 				_ = in.Inform(103, nil)
 				time.Sleep(10 * time.Millisecond)
 				w.Host(node).Silence(silence)
@@ -324,11 +325,11 @@
 				time.Sleep(silence / 2)
 				slowly(w, node, in)
 			},
-			sends:   1,
-			informs: 2,
+			attempts:      1,
+			informational: 2,
 		},
-		"on the second sending": {
-			play: func(w *distant, node string, in *peer.Inbound) {
+		"on the second attempt": {
+			handle: func(w *simCluster, node string, in *peer.Inbound) {
 				if in.Call.Try == 1 {
 					in.Fail(verdict.New(verdict.UpstreamLost, nil), nil)
 					return
@@ -337,25 +338,25 @@
 				time.Sleep(2 * silence)
 				slowly(w, node, in)
 			},
-			sends: 2,
+			attempts: 2,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				config := again()
-				config.Retry.MaxTries = test.sends
-				w := newDistant(2, quick(), config, 0)
+				config := retryConfig()
+				config.Retry.MaxTries = test.attempts
+				w := newSimCluster(2, fastNetwork(), config, 0)
 				defer w.stop()
-				w.play = func(node string, in *peer.Inbound) { test.play(w, node, in) }
+				w.handle = func(node string, in *peer.Inbound) { test.handle(w, node, in) }
 				time.Sleep(time.Second)
 				r := w.request(true, 0)
-				informs := 0
-				r.OnInformational = func(*peer.Inform) { informs++ }
+				informational := 0
+				r.OnInformational = func(*peer.Inform) { informational++ }
 				got, err := w.send(r)
 				qt.Check(t, err, qt.IsNil)
 				qt.Check(t, len(got), qt.Equals, size)
-				qt.Check(t, entry.CountAttempts(r.Steps), qt.Equals, test.sends)
-				qt.Check(t, informs, qt.Equals, test.informs)
+				qt.Check(t, entry.CountAttempts(r.Steps), qt.Equals, test.attempts)
+				qt.Check(t, informational, qt.Equals, test.informational)
 			})
 		})
 	}
--- a/entry/schedule_test.go
+++ b/entry/schedule_test.go
@@ -26,88 +26,88 @@
 )
 
 var (
-	schedules = flag.Int("schedules", 100, "number of schedules that TestSchedules plays")
-	firstSeed = flag.Uint64("scheduleSeed", 1, "seed of the first of them")
+	schedules = flag.Int("schedules", 100, "number of schedules that TestSchedules runs")
+	firstSeed = flag.Uint64("scheduleSeed", 1, "seed of the first schedule")
 )
 
-// schedule is a drawn course of requests and troubles, and what came of it.
+// schedule is a random sequence of requests and faults, and its results.
 type schedule struct {
-	*distant
+	*simCluster
 	random   *rand.Rand
 	began    time.Time
-	requests []*drawn
-	troubles []string
+	requests []*scheduledRequest
+	faults   []string
 
-	mu       sync.Mutex
-	refuses  map[string]bool      // gates that are stopping
-	cutAt    map[string]time.Time // when a gate closed its connections
-	offAt    map[string]time.Time // when a gate lost its power
-	stops    []time.Time          // when the entry stopped
-	wakes    []time.Time          // the ends of the entry's suspensions
-	breaches []string             // of what holds for answers and runs
-	held     []string             // requests that were held beyond a bound
+	mu         sync.Mutex
+	refuses    map[string]bool      // gates that are stopping
+	cutAt      map[string]time.Time // when a gate closed its connections
+	offAt      map[string]time.Time // when a gate lost its power
+	stops      []time.Time          // when the entry node stopped
+	resumes    []time.Time          // when the entry node's suspensions ended
+	violations []string             // violated invariants of responses and runs
+	held       []string             // requests that were held beyond a bound
 }
 
-// drawn is a request and what came of it.
-type drawn struct {
+// scheduledRequest is a random request and its result.
+type scheduledRequest struct {
 	*entry.Request
 	index    int
 	start    time.Duration
 	size     int
-	slow     time.Duration // how long the body takes to come from the caller, or 0
-	allowed  time.Duration // until the deadline
-	queue    time.Duration // how long gates have it wait
+	slow     time.Duration // how long the caller takes to send the body, or 0
+	timeout  time.Duration // until the deadline
+	queue    time.Duration // how long gates queue it
 	work     time.Duration // how long upstreams work on it
-	answer   int           // bytes of the answer
+	answer   int           // bytes of the response
 	sent     time.Time
 	runs     []string  // the nodes at which it has begun to run
-	began    time.Time // when its answer began
+	began    time.Time // when its response began
 	ended    time.Time // when it was answered or given up
-	answered bool      // whether an answer has begun
-	by       string    // the node that answered
+	answered bool      // whether a response has begun
+	by       string    // the node that responded
 	failure  *verdict.Error
 }
 
-// draw draws a schedule for a seed.
-func draw(seed uint64) *schedule {
+// newSchedule returns the random schedule of a seed.
+func newSchedule(seed uint64) *schedule {
 	r := rand.New(rand.NewPCG(seed, 0))
-	network := quick()
+	network := fastNetwork()
 	if r.IntN(2) == 0 {
 		network.Rate = linkRate
 	}
 	if r.IntN(3) == 0 {
 		network.Buffer = 64 << 10
 	}
-	config := hedged()
+	config := hedgeConfig()
 	config.Retry.Share = 0.5
 	s := &schedule{
-		random:  r,
-		distant: newDistant(1+r.IntN(4), network, config, 0),
-		began:   time.Now(),
-		refuses: make(map[string]bool),
-		cutAt:   make(map[string]time.Time),
-		offAt:   make(map[string]time.Time),
-	}
-	s.play = s.gate
+		random:     r,
+		simCluster: newSimCluster(1+r.IntN(4), network, config, 0),
+		began:      time.Now(),
+		refuses:    make(map[string]bool),
+		cutAt:      make(map[string]time.Time),
+		offAt:      make(map[string]time.Time),
+	}
+	s.handle = s.gate
 	for i := range 15 + r.IntN(25) {
-		s.requests = append(s.requests, s.drawRequest(i))
+		s.requests = append(s.requests, s.newRequest(i))
 	}
 	for range r.IntN(6) {
-		s.drawTrouble()
+		s.addFault()
 	}
 	return s
 }
 
-// between draws a time.
+// between returns a random duration.
 func (s *schedule) between(least, most time.Duration) time.Duration {
 	return least + time.Duration(s.random.Int64N(int64(most-least)))
 }
 
-func (s *schedule) drawRequest(i int) *drawn {
-	d := &drawn{
+func (s *schedule) newRequest(i int) *scheduledRequest {
+	d := &scheduledRequest{
 		index:   i,
 		start:   s.between(time.Second, 7*time.Second),
-		allowed: s.between(time.Second, 12*time.Second),
+		timeout: s.between(time.Second, 12*time.Second),
 		work:    s.between(50*time.Millisecond, 3*time.Second),
 	}
 	switch s.random.IntN(6) {
@@ -132,8 +132,8 @@
 	return d
 }
 
-// drawTrouble draws something that happens in the schedule's course.
-func (s *schedule) drawTrouble() {
+// addFault schedules a random fault.
+func (s *schedule) addFault() {
 	at := s.between(time.Second, 8*time.Second)
 	i := s.random.IntN(len(s.gates))
 	host, name := s.gates[i], fmt.Sprint("gate", i)
@@ -144,61 +144,61 @@
 	silence := s.between(100*time.Millisecond, 5*time.Second)
 	suspension := s.between(100*time.Millisecond, 2*time.Second)
 	times := 1 + s.random.IntN(4)
-	var what string
-	var do func()
+	var description string
+	var inject func()
 	switch s.random.IntN(10) {
 	case 0, 1, 2:
-		what, do = fmt.Sprintf("%s is silent for %v", name, silence), func() { host.Silence(silence) }
+		description, inject = fmt.Sprintf("%s is silent for %v", name, silence), func() { host.Silence(silence) }
 	case 3:
-		what, do = fmt.Sprintf("%s sends nothing for %v", name, silence), func() { host.SilenceUp(silence) }
+		description, inject = fmt.Sprintf("%s sends nothing for %v", name, silence), func() { host.SilenceUp(silence) }
 	case 4:
-		what, do = fmt.Sprintf("%s loses packets, %d times each", name, times), func() { host.Lose(times) }
+		description, inject = fmt.Sprintf("%s loses packets, %d times each", name, times), func() { host.Lose(times) }
 	case 5:
-		what, do = fmt.Sprintf("%s is suspended for %v", name, suspension), func() {
+		description, inject = fmt.Sprintf("%s is suspended for %v", name, suspension), func() {
 			host.Suspend(suspension)
 			if name == "entry" {
-				s.note(func() { s.wakes = append(s.wakes, time.Now().Add(suspension)) })
+				s.locked(func() { s.resumes = append(s.resumes, time.Now().Add(suspension)) })
 			}
 		}
 	case 6:
-		what, do = name+" resets its connections", host.Reset
+		description, inject = name+" resets its connections", host.Reset
 	case 7:
-		what, do = gate+" loses its power", func() {
+		description, inject = gate+" loses its power", func() {
 			s.Host(gate).PowerOff()
-			s.note(func() { first(s.offAt, gate) })
+			s.locked(func() { recordFirst(s.offAt, gate) })
 		}
 	case 8:
-		what, do = gate+" stops", func() {
-			s.note(func() { s.refuses[gate] = true })
+		description, inject = gate+" stops", func() {
+			s.locked(func() { s.refuses[gate] = true })
 			time.Sleep(2500 * time.Millisecond)
-			s.note(func() { first(s.cutAt, gate) })
+			s.locked(func() { recordFirst(s.cutAt, gate) })
 			s.cutGate[i]()
 		}
 	case 9:
-		what, do = "the entry stops", func() {
-			s.note(func() { s.stops = append(s.stops, time.Now()) })
+		description, inject = "the entry node stops", func() {
+			s.locked(func() { s.stops = append(s.stops, time.Now()) })
 			s.dispatcher.Close()
 		}
 	}
-	s.troubles = append(s.troubles, fmt.Sprint(at, " ", what))
-	time.AfterFunc(at, do)
+	s.faults = append(s.faults, fmt.Sprint(at, " ", description))
+	time.AfterFunc(at, inject)
 }
 
-// first keeps when something first happens to a node.
-func first(times map[string]time.Time, node string) {
+// recordFirst records when something first happens to a node.
+func recordFirst(times map[string]time.Time, node string) {
 	if times[node].IsZero() {
 		times[node] = time.Now()
 	}
 }
 
-// note calls f with the lock held.
-func (s *schedule) note(f func()) {
+// locked calls f with the lock held.
+func (s *schedule) locked(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f()
 }
 
-// gate plays a gate and its upstream, which works on to its end whatever becomes of the call.
+// gate simulates a gate and its upstream, which completes its work even if the call has ended.
 func (s *schedule) gate(node string, in *peer.Inbound) {
 	index, _ := strconv.Atoi(strings.TrimPrefix(in.Call.Target, "/"))
 	d := s.requests[index]
@@ -253,7 +253,7 @@
 		in.Fail(verdict.New(verdict.Revoked, err), nil)
 		return
 	}
-	s.note(func() {
+	s.locked(func() {
 		if s.offAt[node].IsZero() {
 			d.runs = append(d.runs, node)
 		}
@@ -262,7 +262,7 @@
 		in.Fail(verdict.As(err, verdict.BodyLost), nil)
 		return
 	} else if int(n) != d.size {
-		s.fail(d, "%d bytes of the body have come to %s", n, node)
+		s.fail(d, "%d bytes of the body have arrived at %s", n, node)
 	}
 	time.Sleep(d.work)
 	if d.answer == 0 {
@@ -275,7 +275,7 @@
 	}
 }
 
-// slowBody comes in pieces, a time apart.
+// slowBody yields its bytes in pieces, with a pause before each.
 type slowBody struct {
 	left, piece int
 	pause       time.Duration
@@ -292,8 +292,8 @@
 	return n, nil
 }
 
-// send sends a drawn request and keeps what came of it.
-func (s *schedule) send(d *drawn) {
+// send sends a request and records its result.
+func (s *schedule) send(d *scheduledRequest) {
 	time.Sleep(d.start)
 	s.mu.Lock()
 	stopped := len(s.stops) > 0
@@ -307,7 +307,7 @@
 		d.Body = nil
 	}
 	d.sent = time.Now()
-	d.Deadline = d.sent.Add(d.allowed)
+	d.Deadline = d.sent.Add(d.timeout)
 	result, failed := s.dispatcher.Do(context.Background(), d.Request)
 	if failed != nil {
 		d.ended = time.Now()
@@ -330,18 +330,18 @@
 	}
 }
 
-// fail keeps a breach of what holds for answers and runs.
-func (s *schedule) fail(d *drawn, format string, args ...any) {
-	s.note(func() { s.breaches = append(s.breaches, d.Target+" "+fmt.Sprintf(format, args...)) })
+// fail records a violation of an invariant.
+func (s *schedule) fail(d *scheduledRequest, format string, args ...any) {
+	s.locked(func() { s.violations = append(s.violations, d.Target+" "+fmt.Sprintf(format, args...)) })
 }
 
-// hold keeps that a request was held beyond a bound.
-func (s *schedule) hold(d *drawn, format string, args ...any) {
-	s.note(func() { s.held = append(s.held, d.Target+" "+fmt.Sprintf(format, args...)) })
+// hold records that a request was held beyond a bound.
+func (s *schedule) hold(d *scheduledRequest, format string, args ...any) {
+	s.locked(func() { s.held = append(s.held, d.Target+" "+fmt.Sprintf(format, args...)) })
 }
 
-// check looks for breaches once all is over.
-func (s *schedule) check(d *drawn) {
+// check checks the invariants of a request once the schedule is over.
+func (s *schedule) check(d *scheduledRequest) {
 	if d.sent.IsZero() {
 		return
 	}
@@ -373,12 +373,12 @@
 		}
 	}
 	if d.failure.Verdict() == verdict.NotRun && len(d.runs) > 0 {
-		s.fail(d, "is told as not run, %v, and has run at %v", d.failure, d.runs)
+		s.fail(d, "is reported as not run, %v, and has run at %v", d.failure, d.runs)
 	}
 }
 
-// proven returns whether a node that had the request was known to be lost when it ended.
-func (s *schedule) proven(d *drawn) bool {
+// proven returns whether a node that had the request was known to be lost when the request ended.
+func (s *schedule) proven(d *scheduledRequest) bool {
 	if slices.ContainsFunc(s.stops, d.ended.Equal) {
 		return true
 	}
@@ -398,8 +398,8 @@
 	return false
 }
 
-// checkHeld looks for a request that was held too long once all is over.
-func (s *schedule) checkHeld(d *drawn) {
+// checkHeld checks, once the schedule is over, that a request was not held for too long.
+func (s *schedule) checkHeld(d *scheduledRequest) {
 	if d.sent.IsZero() {
 		return
 	}
@@ -414,19 +414,19 @@
 		s.hold(d, "is held after the stop")
 	}
 	if d.answered && d.failure == nil {
-		return // by another instance, or before the end of power
+		return // by another instance, or before the power failure
 	}
 	for i, step := range d.Steps {
 		if s.offAt[step.Node].IsZero() || !d.begun(i) {
 			continue
 		}
 		bound := d.sent.Add(step.After)
-		for _, at := range append(s.wakes, s.offAt[step.Node], s.entry.Heard(s.Host(step.Node))) {
+		for _, at := range append(s.resumes, s.offAt[step.Node], s.entry.Heard(s.Host(step.Node))) {
 			if at.After(bound) {
 				bound = at
 			}
 		}
-		bound = bound.Add(linkLoss)
+		bound = bound.Add(linkLossTime)
 		ended := d.ended
 		if d.answered && d.by != step.Node {
 			ended = d.began
@@ -438,37 +438,37 @@
 			}
 		}
 		if over := ended.Sub(bound); over > 0 {
-			s.hold(d, "is held by %s, which has no power, for %v beyond the bound", step.Node, over)
+			s.hold(d, "is held by %s, which has lost power, for %v beyond the bound", step.Node, over)
 		}
 	}
 }
 
-// begun returns whether a step is a sending for which there was a connection.
-func (d *drawn) begun(i int) bool {
+// begun returns whether a step is an attempt for which there was a connection.
+func (d *scheduledRequest) begun(i int) bool {
 	if d.Steps[i].Event != entry.EventSent {
 		return false
 	}
 	last := i+1 == len(d.Steps)
 	again := !last && d.Steps[i+1].Event == entry.EventRetry
 	if i > 0 && d.Steps[i-1].Event == entry.EventSilent {
-		return again // it is noted once a second sending has begun
+		return again // the retry is recorded once its attempt has begun
 	}
 	return !again && !(last && d.failure != nil && d.failure.Verdict() == verdict.NotRun)
 }
 
-// String describes the schedule.
+// String describes the schedule and the results of its requests.
 func (s *schedule) String() string {
 	b := new(strings.Builder)
 	fmt.Fprintf(b, "%d gates, rate %v, buffer %d\n", len(s.gates), s.Rate, s.Buffer)
-	for _, trouble := range s.troubles {
-		fmt.Fprintln(b, trouble)
+	for _, fault := range s.faults {
+		fmt.Fprintln(b, fault)
 	}
 	for _, d := range s.requests {
 		if d.sent.IsZero() {
 			continue
 		}
 		fmt.Fprintf(b, "%s at %v for %v until %v, idempotent %v, %d bytes in %v, queue %v, work %v, answer %d: ended %v, answered %v, %v, runs %v\n",
-			d.Target, d.sent.Sub(s.began), d.allowed, d.Deadline.Sub(s.began), d.Idempotent, d.size, d.slow, d.queue, d.work, d.answer, d.ended.Sub(s.began), d.answered, d.failure, d.runs)
+			d.Target, d.sent.Sub(s.began), d.timeout, d.Deadline.Sub(s.began), d.Idempotent, d.size, d.slow, d.queue, d.work, d.answer, d.ended.Sub(s.began), d.answered, d.failure, d.runs)
 		for _, step := range d.Steps {
 			fmt.Fprintf(b, "    %v %s %s %s %v\n", d.sent.Sub(s.began)+step.After, step.Event, step.Node, step.Cause, step.Err)
 		}
@@ -476,32 +476,32 @@
 	return b.String()
 }
 
-// TestSchedules plays drawn schedules of requests, bodies and answers, of silent links, losses,
-// suspensions, resets, ends of power and stops. The part "answers" guards against requests that
-// end without their upstream's answer before their deadline though nothing proves their node
-// lost, and against those that run twice, or run though they are told as not run. The part
-// "held" guards against callers that are held beyond their deadline or the entry's stop, or by
-// an instance without power.
+// TestSchedules runs random schedules of requests, bodies and responses, with silent links, packet
+// losses, suspensions, resets, power failures and stops. The subtest "answers" guards against
+// requests that fail without their upstream's response before their deadline though nothing proves
+// that their node is lost, and against requests that run twice, or run though they are reported as
+// not run. The subtest "held" guards against callers that are held beyond their deadline or the stop
+// of the entry node, or by an instance without power.
 func TestSchedules(t *testing.T) {
-	var breaches, held []string
+	var violations, held []string
 	for i := range *schedules {
 		seed := *firstSeed + uint64(i)
 		synctest.Test(t, func(t *testing.T) {
-			s := draw(seed)
+			s := newSchedule(seed)
 			defer s.stop()
 			var all sync.WaitGroup
 			for _, d := range s.requests {
 				all.Go(func() { s.send(d) })
 			}
 			all.Wait()
-			time.Sleep(30 * time.Second) // what has been told as not run does not run later
+			time.Sleep(30 * time.Second) // requests reported as not run must not run later either
 			synctest.Wait()
 			for _, d := range s.requests {
 				s.check(d)
 				s.checkHeld(d)
 			}
-			for _, b := range s.breaches {
-				breaches = append(breaches, fmt.Sprintf("seed %d: %s", seed, b))
+			for _, b := range s.violations {
+				violations = append(violations, fmt.Sprintf("seed %d: %s", seed, b))
 			}
 			for _, h := range s.held {
 				held = append(held, fmt.Sprintf("seed %d: %s", seed, h))
@@ -511,7 +511,7 @@
 			}
 		})
 	}
-	for name, list := range map[string][]string{"answers": breaches, "held": held} {
+	for name, list := range map[string][]string{"answers": violations, "held": held} {
 		t.Run(name, func(t *testing.T) {
 			for _, what := range list {
 				t.Error(what)
--- a/quarantine/index.go
+++ b/quarantine/index.go
@@ -17,74 +17,74 @@
 )
 
 const (
-	// endsToIsolate is the number of upstreams under whose ends a request is isolated.
-	// One may end for any reason with it at hand. Two may as well, where all end at once
-	// and it is a request that many callers send: it then runs alone once, and is cleared.
-	endsToIsolate = 2
-	// firstBlock is how long a request is blocked. After it one more upstream may end for
-	// it: two in the first hour, in place of one or two a second.
-	firstBlock = 10 * time.Minute
+	// crashesToIsolate is the number of crashes with a request in flight after which it is
+	// isolated. One upstream may crash for any reason. Two may crash as well, if all crash at
+	// once and many callers send the request: it then runs in isolation once, and is cleared.
+	crashesToIsolate = 2
+	// initialBlock is how long a request is blocked at first. After a block, the request may crash
+	// one more upstream: two in the first hour, instead of one or two a second.
+	initialBlock = 10 * time.Minute
 )
 
-// Standing is what is thought of a request.
+// State is the state of a request in the quarantine.
 type State uint8
 
-// The standings.
+// The states of a request.
 const (
-	// Unsuspected means that no upstream has ended under it, or that it has run since.
+	// Unsuspected means that no upstream has crashed with it in flight since it was last answered.
 	Unsuspected State = iota
-	// Seen means that it was at hand when an upstream ended.
+	// SeenAtCrash means that it was in flight when an upstream crashed.
 	SeenAtCrash
 	// Isolated means that it runs only where no other isolated request does.
 	Isolated
-	// Blocked means that it does not run: an upstream has ended while it was isolated.
+	// Blocked means that it does not run, because an upstream crashed while it was isolated.
 	Blocked
 )
 
-// String returns the name of s as it stands in logs and metrics.
+// String returns the name of s, as used in logs and metrics.
 func (s State) String() string {
 	return [...]string{"unsuspected", "seen", "isolated", "blocked"}[s]
 }
 
-// Judgment is a request's standing with the grounds for it. It is an immutable value.
+// Assessment is the state of a request and the grounds for it. It is an immutable value.
 type Assessment struct {
-	// Print is the request.
+	// Fingerprint identifies the request.
 	Fingerprint Fingerprint
-	// Standing is what is thought of it.
+	// State is the state of the request.
 	State State
-	// Ends is the number of upstreams that have ended with it at hand since it last ran
-	// to its end.
+	// Crashes is the number of upstreams that have crashed with it in flight since it was last
+	// answered.
 	Crashes int
-	// Since is when the last of them did.
+	// LastCrash is the time of the last of these crashes.
 	LastCrash time.Time
-	// Until is when a block ends.
+	// BlockedUntil is the time at which a block ends.
 	BlockedUntil time.Time
-	// Upstreams are the starts that have ended, and Isolated those of them that ended
-	// while it was isolated.
+	// Upstreams are the start IDs of the upstreams that have crashed, and IsolatedUpstreams
+	// those of them that crashed while the request was isolated.
 	Upstreams, IsolatedUpstreams []string
 }
 
-// Index knows the standing of requests, by the reports given to it. The zero value is
-// ready. Its methods may be called from any goroutine.
+// Index holds the states of requests according to the reports added to it. The zero value is
+// ready to use. Its methods may be called from any goroutine.
 type Index struct {
-	known atomic.Int64 // prints with a history: most of the time none
+	historyCount atomic.Int64 // number of histories, usually 0
 
-	mu      sync.RWMutex
-	reports map[string]Report
-	prints  map[Fingerprint]*history
-	heads   map[uint64]int            // prints by their heads, without the caller
-	others  map[request][]Fingerprint // prints of the same request by different callers
+	mu        sync.RWMutex
+	reports   map[string]Report
+	histories map[Fingerprint]*history
+	heads     map[uint64]int            // number of fingerprints by their heads, without the caller
+	byRequest map[request][]Fingerprint // fingerprints of the same request by different callers
 }
 
-// history is what is known of one request.
+// history is the information about one request.
 type history struct {
-	ends    map[string]int64 // when, by the upstream's start
-	alone   map[string]int64 // those of the ends with it isolated
-	reports int              // that name the request
-	ran     int64            // when it ran to its end last
+	crashes         map[string]int64 // times of crashes with it in flight, by the upstream's start ID
+	isolatedCrashes map[string]int64 // those of the crashes with it isolated
+	reports         int              // number of reports that list the request
+	completedAt     int64            // when it last completed
 }
 
-// Add takes in a report. One that replaces another of its name takes its place.
+// Add adds a report. It replaces an older report of the same name.
 func (x *Index) Add(r Report) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -92,88 +92,89 @@
 		if old.At >= r.At {
 			return
 		}
-		x.drop(old)
+		x.removeReport(old)
 	}
 	if x.reports == nil {
 		x.reports = make(map[string]Report)
-		x.prints = make(map[Fingerprint]*history)
+		x.histories = make(map[Fingerprint]*history)
 		x.heads = make(map[uint64]int)
-		x.others = make(map[request][]Fingerprint)
+		x.byRequest = make(map[request][]Fingerprint)
 	}
 	x.reports[r.Name] = r
 	for _, p := range r.Fingerprints {
-		h := x.prints[p]
+		h := x.histories[p]
 		if h == nil {
 			h = &history{
-				ends:  make(map[string]int64),
-				alone: make(map[string]int64),
+				crashes:         make(map[string]int64),
+				isolatedCrashes: make(map[string]int64),
 			}
-			x.prints[p] = h
+			x.histories[p] = h
 			x.heads[p.request().head]++
-			x.others[p.request()] = append(x.others[p.request()], p)
+			x.byRequest[p.request()] = append(x.byRequest[p.request()], p)
 		}
 		h.reports++
 		for _, u := range r.Upstreams {
-			h.ends[u] = max(h.ends[u], r.At)
+			h.crashes[u] = max(h.crashes[u], r.At)
 			if p == r.Isolated {
-				h.alone[u] = h.ends[u]
+				h.isolatedCrashes[u] = h.crashes[u]
 			}
 		}
 		if len(r.Upstreams) == 0 {
-			h.ran = max(h.ran, r.At)
+			h.completedAt = max(h.completedAt, r.At)
 		}
 	}
-	x.known.Store(int64(len(x.prints)))
+	x.historyCount.Store(int64(len(x.histories)))
 }
 
-// Remove forgets a report.
+// Remove removes a report.
 func (x *Index) Remove(name string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if r, ok := x.reports[name]; ok {
-		x.drop(r)
-		x.known.Store(int64(len(x.prints)))
+		x.removeReport(r)
+		x.historyCount.Store(int64(len(x.histories)))
 	}
 }
 
-// drop takes a report out of the histories. The lock is held.
-func (x *Index) drop(r Report) {
+// removeReport removes a report from the histories. The caller holds the lock.
+func (x *Index) removeReport(r Report) {
 	delete(x.reports, r.Name)
 	for _, p := range r.Fingerprints {
-		h := x.prints[p]
+		h := x.histories[p]
 		for _, u := range r.Upstreams {
-			if h.ends[u] == r.At {
-				delete(h.ends, u)
-				delete(h.alone, u)
+			if h.crashes[u] == r.At {
+				delete(h.crashes, u)
+				delete(h.isolatedCrashes, u)
 			}
 		}
 		h.reports--
 		if h.reports > 0 {
 			continue
 		}
-		delete(x.prints, p)
-		x.forget(p)
+		delete(x.histories, p)
+		x.removeFingerprint(p)
 	}
 }
 
-// forget takes a print without a history out of the lists. The lock is held.
-func (x *Index) forget(p Fingerprint) {
+// removeFingerprint removes a fingerprint without a history from the other maps. The caller
+// holds the lock.
+func (x *Index) removeFingerprint(p Fingerprint) {
 	r := p.request()
 	if x.heads[r.head]--; x.heads[r.head] == 0 {
 		delete(x.heads, r.head)
 	}
-	rest := slices.DeleteFunc(x.others[r], func(o Fingerprint) bool { return o == p })
+	rest := slices.DeleteFunc(x.byRequest[r], func(o Fingerprint) bool { return o == p })
 	if len(rest) == 0 {
-		delete(x.others, r)
+		delete(x.byRequest, r)
 		return
 	}
-	x.others[r] = rest
+	x.byRequest[r] = rest
 }
 
-// Suspects returns whether a request with the head of p may be suspected, so that its
-// body has to be known.
+// MaySuspect returns whether a request with the head of p may be suspected, so that its
+// body is needed for an assessment.
 func (x *Index) MaySuspect(p Fingerprint) bool {
-	if x.known.Load() == 0 {
+	if x.historyCount.Load() == 0 {
 		return false
 	}
 	x.mu.RLock()
@@ -181,99 +182,99 @@
 	return x.heads[p.request().head] > 0
 }
 
-// Judge returns the standing of a request. Of a request whose body is not known nothing
-// is thought, and a nil Index suspects none.
+// Assess returns the assessment of a request. A request whose body is not known is not
+// suspected, and a nil Index suspects none.
 func (x *Index) Assess(p Fingerprint) Assessment {
-	if x == nil || x.known.Load() == 0 {
+	if x == nil || x.historyCount.Load() == 0 {
 		return Assessment{
 			Fingerprint: p,
 		}
 	}
 	x.mu.RLock()
 	defer x.mu.RUnlock()
-	return x.judge(p, time.Now())
+	return x.assess(p, time.Now())
 }
 
-// judge returns the standing of a request. One that is blocked for another caller is
-// isolated at least, unless it has run to its end since. The lock is held.
-func (x *Index) judge(p Fingerprint, now time.Time) Assessment {
-	j := x.judgeAlone(p, now)
-	if j.State < Isolated && x.blockedForOthers(p, now) {
-		j.State = Isolated
+// assess returns the assessment of a request. A request that is blocked for another caller is
+// at least isolated, unless it has been answered since. The caller holds the lock.
+func (x *Index) assess(p Fingerprint, now time.Time) Assessment {
+	a := x.assessForCaller(p, now)
+	if a.State < Isolated && x.blockedForOtherCaller(p, now) {
+		a.State = Isolated
 	}
-	return j
+	return a
 }
 
-// blockedForOthers returns whether the same request is blocked for another caller and has
-// not run to its end for this one since. The lock is held.
-func (x *Index) blockedForOthers(p Fingerprint, now time.Time) bool {
-	var ran int64
-	if h := x.prints[p]; h != nil {
-		ran = h.ran
+// blockedForOtherCaller returns whether the same request is blocked for another caller and has
+// not been answered for this caller since. The caller holds the lock.
+func (x *Index) blockedForOtherCaller(p Fingerprint, now time.Time) bool {
+	var completedAt int64
+	if h := x.histories[p]; h != nil {
+		completedAt = h.completedAt
 	}
-	return slices.ContainsFunc(x.others[p.request()], func(o Fingerprint) bool {
-		j := x.judgeAlone(o, now)
-		return o != p && j.State == Blocked && j.LastCrash.UnixMilli() > ran
+	return slices.ContainsFunc(x.byRequest[p.request()], func(o Fingerprint) bool {
+		a := x.assessForCaller(o, now)
+		return o != p && a.State == Blocked && a.LastCrash.UnixMilli() > completedAt
 	})
 }
 
-// judgeAlone returns the standing of a request by what has been seen of it with its own
-// caller. The lock is held.
-func (x *Index) judgeAlone(p Fingerprint, now time.Time) Assessment {
-	j := Assessment{
+// assessForCaller returns the assessment of a request by its history with its own caller
+// only. The caller holds the lock.
+func (x *Index) assessForCaller(p Fingerprint, now time.Time) Assessment {
+	a := Assessment{
 		Fingerprint: p,
 	}
-	h := x.prints[p]
+	h := x.histories[p]
 	if h == nil {
-		return j
+		return a
 	}
-	var last, lastAlone int64
-	for u, at := range h.ends {
-		if at <= h.ran {
+	var last, lastIsolated int64
+	for u, at := range h.crashes {
+		if at <= h.completedAt {
 			continue
 		}
-		j.Upstreams = append(j.Upstreams, u)
+		a.Upstreams = append(a.Upstreams, u)
 		last = max(last, at)
-		if h.alone[u] > 0 {
-			j.IsolatedUpstreams = append(j.IsolatedUpstreams, u)
-			lastAlone = max(lastAlone, at)
+		if h.isolatedCrashes[u] > 0 {
+			a.IsolatedUpstreams = append(a.IsolatedUpstreams, u)
+			lastIsolated = max(lastIsolated, at)
 		}
 	}
-	j.Crashes = len(j.Upstreams)
-	if j.Crashes == 0 {
-		return j
+	a.Crashes = len(a.Upstreams)
+	if a.Crashes == 0 {
+		return a
 	}
-	slices.Sort(j.Upstreams)
-	slices.Sort(j.IsolatedUpstreams)
-	j.LastCrash = time.UnixMilli(last)
-	j.State = SeenAtCrash
-	if j.Crashes >= endsToIsolate {
-		j.State = Isolated
+	slices.Sort(a.Upstreams)
+	slices.Sort(a.IsolatedUpstreams)
+	a.LastCrash = time.UnixMilli(last)
+	a.State = SeenAtCrash
+	if a.Crashes >= crashesToIsolate {
+		a.State = Isolated
 	}
-	if len(j.IsolatedUpstreams) > 0 {
-		j.BlockedUntil = time.UnixMilli(lastAlone).Add(blockFor(len(j.IsolatedUpstreams)))
+	if len(a.IsolatedUpstreams) > 0 {
+		a.BlockedUntil = time.UnixMilli(lastIsolated).Add(blockDuration(len(a.IsolatedUpstreams)))
 	}
-	if now.Before(j.BlockedUntil) {
-		j.State = Blocked
+	if now.Before(a.BlockedUntil) {
+		a.State = Blocked
 	}
-	return j
+	return a
 }
 
-// blockFor returns how long a request is blocked after the given number of upstreams have
-// ended while it was isolated:
+// blockDuration returns how long a request is blocked after the given number of upstreams have
+// crashed while it was isolated:
 //
-//	firstBlock * 2^(ends - 1),
+//	initialBlock * 2^(crashes - 1),
 //
-// and at most Keep.
-func blockFor(ends int) time.Duration {
-	block := firstBlock
-	for range ends - 1 {
+// and at most ReportLifetime.
+func blockDuration(crashes int) time.Duration {
+	block := initialBlock
+	for range crashes - 1 {
 		block = min(2*block, ReportLifetime)
 	}
 	return block
 }
 
-// All returns the judgments of all requests that are suspected, those with the most ends
+// All returns the assessments of all suspected requests, those with the most crashes
 // first.
 func (x *Index) All() []Assessment {
 	list := x.suspected()
@@ -283,46 +284,46 @@
 	return list
 }
 
-// suspected returns the judgments of all requests that are suspected, in no order.
+// suspected returns the assessments of all suspected requests, in no particular order.
 func (x *Index) suspected() []Assessment {
 	x.mu.RLock()
 	defer x.mu.RUnlock()
 	now := time.Now()
 	var list []Assessment
-	for p := range x.prints {
-		if j := x.judge(p, now); j.State != Unsuspected {
-			list = append(list, j)
+	for p := range x.histories {
+		if a := x.assess(p, now); a.State != Unsuspected {
+			list = append(list, a)
 		}
 	}
 	return list
 }
 
-// Count returns the number of requests with a standing other than Unsuspected.
+// Count returns the number of requests in a state other than Unsuspected.
 func (x *Index) Count(s State) (n int) {
-	for _, j := range x.suspected() {
-		if j.State == s {
+	for _, a := range x.suspected() {
+		if a.State == s {
 			n++
 		}
 	}
 	return n
 }
 
-// Oldest returns the report that is dropped first where there are too many, if there is
-// one.
+// Oldest returns the report that is removed first if there are too many. It returns false if
+// there is none.
 func (x *Index) Oldest() (Report, bool) {
 	x.mu.RLock()
 	defer x.mu.RUnlock()
 	var oldest Report
 	found := false
 	for _, r := range x.reports {
-		if !found || r.older(oldest) {
+		if !found || r.olderThan(oldest) {
 			oldest, found = r, true
 		}
 	}
 	return oldest, found
 }
 
-// Full returns whether there is no room for a report: as many newer ones are kept.
+// Full returns whether there is no room for a report, because MaxReports newer ones are kept.
 func (x *Index) Full(r Report) bool {
 	x.mu.RLock()
 	n := len(x.reports)
@@ -332,7 +333,7 @@
 		return false
 	}
 	oldest, _ := x.Oldest()
-	return r.older(oldest)
+	return r.olderThan(oldest)
 }
 
 // Excess returns the number of reports beyond MaxReports.
@@ -342,10 +343,10 @@
 	return max(0, len(x.reports)-MaxReports)
 }
 
-// Failure returns why a request with the judgment is not run, or nil if it may run.
-func (j Assessment) Failure() *verdict.Error {
-	if j.State != Blocked {
+// Failure returns the error for a request that is blocked, or nil if the request may run.
+func (a Assessment) Failure() *verdict.Error {
+	if a.State != Blocked {
 		return nil
 	}
-	return verdict.New(verdict.Quarantined, eris.Errorf("%d upstreams have ended under requests like this one", j.Crashes)).WithRetryAfter(time.Until(j.BlockedUntil))
+	return verdict.New(verdict.Quarantined, eris.Errorf("%d upstreams have crashed while running requests like this one", a.Crashes)).WithRetryAfter(time.Until(a.BlockedUntil))
 }
