--- a/gate/admission.go
+++ b/gate/admission.go
@@ -46,14 +46,14 @@
 // slowed returns why a call that has been admitted is sent elsewhere all the same:
 // the upstream has just slowed down, which its sender could not know. A call that
 // comes from elsewhere already is taken as it is.
-func (g *Gate) slowed(ctx context.Context, in *peer.Inbound) *verdict.Error {
+func (g *Gate) checkSlowed(ctx context.Context, in *peer.Inbound) *verdict.Error {
 	if g.ProbeLoad == nil || in.Call.Try != 1 {
 		return nil
 	}
-	if g.admit.SlowdownAge() > freshSpeed {
+	if g.admit.SlowdownAge() > maxSpeedAge {
 		g.ProbeLoad(ctx)
 	}
-	if !g.admit.SlowedWithin(newsTime) {
+	if !g.admit.SlowedWithin(propagationTime) {
 		return nil
 	}
 	return verdict.New(verdict.Slowed, nil)
--- a/gate/ahead.go
+++ b/gate/ahead.go
@@ -33,14 +33,14 @@
 	if err := t.Err(); err != nil {
 		return t, err
 	}
-	took, err := c.in.Receive(receiving)
+	bodyTime, err := c.in.Receive(receiving)
 	if err != nil {
 		t.Revoke()
 		return t, verdict.New(verdict.Revoked, err)
 	}
-	c.arrived = took
+	c.bodyTime = bodyTime
 	if c.gate.BodyReceived != nil {
-		c.gate.BodyReceived(m.Service, m.Class, m.Length, took)
+		c.gate.BodyReceived(m.Service, m.Class, m.Length, bodyTime)
 	}
 	t.BodyArrived()
 	return t, t.Wait(ctx)
--- a/gate/ahead_test.go
+++ b/gate/ahead_test.go
@@ -25,7 +25,7 @@
 const bodySize = 60_000
 
 // sendAhead starts a call whose body is sent ahead of its admission.
-func (r *rig) sendAhead(t *testing.T, ctx context.Context, body io.Reader) *peer.Exchange {
+func (r *fixture) sendAhead(t *testing.T, ctx context.Context, body io.Reader) *peer.Exchange {
 	t.Helper()
 	m := &peer.Call{Service: "service", Method: "POST", Target: "/ahead", Remaining: time.Minute, Streams: true, Ahead: true, Length: bodySize}
 	x, failure := r.client.Start(ctx, m, body)
@@ -37,31 +37,31 @@
 // TestBodyAhead has one row for what may happen while the body of a call comes in. The only
 // slot is free meanwhile, and a call of which anything else is told than an answer never
 // reaches the upstream.
-func TestBodyAhead(t *testing.T) {
+func TestBodyBeforeAdmission(t *testing.T) {
 	tests := map[string]struct {
-		meanwhile func(r *rig, x *peer.Exchange, body *io.PipeWriter)
+		meanwhile func(r *fixture, x *peer.Exchange, body *io.PipeWriter)
 		want      verdict.Cause
 	}{
-		"comes": {meanwhile: func(_ *rig, _ *peer.Exchange, _ *io.PipeWriter) {}},
-		"upstream starts again": {meanwhile: func(r *rig, _ *peer.Exchange, _ *io.PipeWriter) {
+		"comes": {meanwhile: func(_ *fixture, _ *peer.Exchange, _ *io.PipeWriter) {}},
+		"upstream starts again": {meanwhile: func(r *fixture, _ *peer.Exchange, _ *io.PipeWriter) {
 			r.gate.SetAnnouncement(&upstream.Announcement{Service: "service", Address: r.address, Slots: 1, Connections: 1, StartID: "two"})
 		}},
-		"breaks":                 {meanwhile: func(_ *rig, _ *peer.Exchange, w *io.PipeWriter) { w.CloseWithError(io.ErrUnexpectedEOF) }, want: verdict.BadRequest},
-		"call revoked":           {meanwhile: func(_ *rig, x *peer.Exchange, _ *io.PipeWriter) { x.Revoke(); <-x.Ready() }, want: verdict.Revoked},
-		"zone evacuated":         {meanwhile: func(r *rig, _ *peer.Exchange, _ *io.PipeWriter) { r.gate.SetEvacuated(true) }, want: verdict.Draining},
-		"node leaves":            {meanwhile: func(r *rig, _ *peer.Exchange, _ *io.PipeWriter) { r.gate.Drain() }, want: verdict.Draining},
-		"connection is lost":     {meanwhile: func(r *rig, _ *peer.Exchange, _ *io.PipeWriter) { r.client.Close() }, want: verdict.NotWritten},
-		"upstream goes":          {meanwhile: func(r *rig, _ *peer.Exchange, _ *io.PipeWriter) { r.gate.SetAnnouncement(nil) }, want: verdict.Misrouted},
-		"nobody wants an answer": {meanwhile: func(_ *rig, x *peer.Exchange, _ *io.PipeWriter) { x.Close() }},
+		"breaks":                 {meanwhile: func(_ *fixture, _ *peer.Exchange, w *io.PipeWriter) { w.CloseWithError(io.ErrUnexpectedEOF) }, want: verdict.BadRequest},
+		"call revoked":           {meanwhile: func(_ *fixture, x *peer.Exchange, _ *io.PipeWriter) { x.Revoke(); <-x.Ready() }, want: verdict.Revoked},
+		"zone evacuated":         {meanwhile: func(r *fixture, _ *peer.Exchange, _ *io.PipeWriter) { r.gate.SetEvacuated(true) }, want: verdict.Draining},
+		"node leaves":            {meanwhile: func(r *fixture, _ *peer.Exchange, _ *io.PipeWriter) { r.gate.Drain() }, want: verdict.Draining},
+		"connection is lost":     {meanwhile: func(r *fixture, _ *peer.Exchange, _ *io.PipeWriter) { r.client.Close() }, want: verdict.NotWritten},
+		"upstream goes":          {meanwhile: func(r *fixture, _ *peer.Exchange, _ *io.PipeWriter) { r.gate.SetAnnouncement(nil) }, want: verdict.Misrouted},
+		"nobody wants an answer": {meanwhile: func(_ *fixture, x *peer.Exchange, _ *io.PipeWriter) { x.Close() }},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			var ahead atomic.Int32
-			r := newRig(t, 1, func(_ http.ResponseWriter, q *http.Request) {
+			var arrived atomic.Int32
+			r := newFixture(t, 1, func(_ http.ResponseWriter, q *http.Request) {
 				if q.URL.Path != "/ahead" {
 					return
 				}
-				ahead.Add(1)
+				arrived.Add(1)
 				data, err := io.ReadAll(q.Body)
 				qt.Check(t, err, qt.IsNil)
 				qt.Check(t, data, qt.HasLen, bodySize)
@@ -80,21 +80,21 @@
 			}()
 			if name == "nobody wants an answer" {
 				time.Sleep(20 * time.Millisecond)
-				qt.Check(t, ahead.Load(), qt.Equals, int32(0))
+				qt.Check(t, arrived.Load(), qt.Equals, int32(0))
 				return
 			}
 			response, failure := x.Wait()
 			if test.want == "" {
 				qt.Assert(t, failure == nil, qt.IsTrue, qt.Commentf("%v", failure))
 				qt.Check(t, response.Arrived > 0, qt.IsTrue)
-				qt.Check(t, ahead.Load(), qt.Equals, int32(1))
+				qt.Check(t, arrived.Load(), qt.Equals, int32(1))
 				return
 			}
 			qt.Assert(t, failure != nil, qt.IsTrue)
 			qt.Check(t, failure.Cause, qt.Equals, test.want)
 			qt.Check(t, failure.Verdict(), qt.Equals, verdict.NotRun)
 			time.Sleep(20 * time.Millisecond)
-			qt.Check(t, ahead.Load(), qt.Equals, int32(0))
+			qt.Check(t, arrived.Load(), qt.Equals, int32(0))
 		})
 	}
 }
--- a/gate/call.go
+++ b/gate/call.go
@@ -25,7 +25,7 @@
 )
 
 // gatherLimit is the largest answer that is sent in one frame.
-const gatherLimit = 32 << 10
+const maxSingleFrameBytes = 32 << 10
 
 // call is the handling of one call.
 type call struct {
@@ -34,14 +34,14 @@
 	status int
 	waited time.Duration
 	// arrived is how long the body took to arrive, if it was sent ahead.
-	arrived time.Duration
-	body    *quarantine.BodyHasher // that passes through, if the entry has not gathered it
+	bodyTime time.Duration
+	body     *quarantine.BodyHasher // that passes through, if the entry has not gathered it
 }
 
 // guarded does what run does, and has the call fail if that panics: a fault that one request
 // meets must not end the node, which the next node would be sent as well. It is not sent
 // elsewhere for the same reason.
-func (c *call) guarded(ctx context.Context) (failure *verdict.Error) {
+func (c *call) runRecovered(ctx context.Context) (failure *verdict.Error) {
 	defer func() {
 		value := recover()
 		if value == nil {
@@ -80,18 +80,18 @@
 		released = true
 	}
 	defer release()
-	if slowed := c.gate.slowed(ctx, c.in); slowed != nil {
-		return slowed
+	if slowFailure := c.gate.checkSlowed(ctx, c.in); slowFailure != nil {
+		return slowFailure
 	}
 	if err := c.in.Admit(); err != nil {
 		e := verdict.As(err, verdict.BodyLost)
 		return verdict.New(verdict.Revoked, e)
 	}
-	judgment, rejoin, failure := c.gate.isolate(c.in.Call.Print)
+	judgment, unlock, failure := c.gate.isolate(c.in.Call.Print)
 	if failure != nil {
 		return failure
 	}
-	defer rejoin()
+	defer unlock()
 	b.start.calls.Add(1)
 	defer b.start.calls.Add(-1)
 	run := c.track(b, judgment.State == quarantine.Isolated)
@@ -103,7 +103,7 @@
 	ctx, span := c.gate.Tracer.Start(ctx, "upstream", trace.WithSpanKind(trace.SpanKindClient))
 	tracing.Inject(ctx, propagation.HeaderCarrier(r.Header))
 	began := time.Now()
-	response, failure := b.transport.Send(r, c.inform)
+	response, failure := b.transport.Send(r, c.forwardInformational)
 	if failure != nil {
 		tracing.End(span, 0, failure)
 		if failure.Verdict() != verdict.NotRun {
@@ -113,32 +113,32 @@
 		if failure.Cause == verdict.UpstreamRefused {
 			ticket.UpstreamRefused()
 		}
-		c.judge(b, failure, time.Since(began))
-		c.gate.sendFailed(b, failure)
+		c.recordOutcome(b, failure, time.Since(began))
+		c.gate.handleSendFailure(b, failure)
 		return failure
 	}
 	defer response.Body.Close()
 	c.status = response.StatusCode
-	c.judge(b, nil, time.Since(began)) // before the answer, which tells of it
-	failure = c.answer(response, func() {
-		healthy = c.status < http.StatusInternalServerError && c.gate.present(b) // errors may come in no time
+	c.recordOutcome(b, nil, time.Since(began)) // before the answer, which tells of it
+	failure = c.forwardResponse(response, func() {
+		healthy = c.status < http.StatusInternalServerError && c.gate.isCurrent(b) // errors may come in no time
 		release()
 	})
 	tracing.End(span, c.status, failure)
 	if failure != nil {
 		run.Abandon()
 		abandoned = ctx.Err() != nil
-		c.judge(b, failure, time.Since(began))
+		c.recordOutcome(b, failure, time.Since(began))
 		return failure
 	}
 	if c.status < http.StatusInternalServerError {
-		c.gate.answered(c.print())
+		c.gate.recordCompleted(c.fingerprint())
 	}
 	return nil
 }
 
 // print returns the fingerprint of the call, with its body as far as it has passed.
-func (c *call) print() quarantine.Fingerprint {
+func (c *call) fingerprint() quarantine.Fingerprint {
 	if c.body == nil {
 		return c.in.Call.Print
 	}
@@ -149,8 +149,8 @@
 // passed says nothing of the upstream, and neither does a caller that left; one
 // start says nothing of the next. A request that is given up on still tells how long it
 // has taken so far.
-func (c *call) judge(b *binding, failure *verdict.Error, took time.Duration) {
-	if !c.gate.present(b) {
+func (c *call) recordOutcome(b *binding, failure *verdict.Error, took time.Duration) {
+	if !c.gate.isCurrent(b) {
 		return
 	}
 	failed := c.status == http.StatusInternalServerError
@@ -195,21 +195,21 @@
 		r.Header.Set(names.ExpectedInstance, b.announcement.StartID)
 	}
 	if m.Length != 0 {
-		r.Body = io.NopCloser(c.reader())
+		r.Body = io.NopCloser(c.bodyReader())
 	}
 	if m.Streams && m.Length < 0 {
 		r.Trailer = make(http.Header)
-		r.Body = &trailing{
-			Reader: c.reader(),
-			in:     c.in,
-			to:     r.Trailer,
+		r.Body = &trailerReader{
+			Reader:  c.bodyReader(),
+			in:      c.in,
+			trailer: r.Trailer,
 		}
 	}
 	return r, nil
 }
 
 // reader returns the body of the call.
-func (c *call) reader() io.Reader {
+func (c *call) bodyReader() io.Reader {
 	if c.body != nil {
 		return c.body
 	}
@@ -217,29 +217,29 @@
 }
 
 // trailing is a body that fills in the trailer at its end.
-type trailing struct {
+type trailerReader struct {
 	io.Reader
-	in *peer.Inbound
-	to http.Header
+	in      *peer.Inbound
+	trailer http.Header
 }
 
 // Read implements io.Reader.
-func (t *trailing) Read(p []byte) (int, error) {
+func (t *trailerReader) Read(p []byte) (int, error) {
 	n, err := t.Reader.Read(p)
 	if err == io.EOF {
 		for _, f := range t.in.Trailer() {
-			t.to.Add(f.Name, f.Value)
+			t.trailer.Add(f.Name, f.Value)
 		}
 	}
 	return n, err
 }
 
 // Close implements io.Closer.
-func (t *trailing) Close() error { return nil }
+func (t *trailerReader) Close() error { return nil }
 
 // inform passes an informational answer on, unless it is too large: it may be
 // left out.
-func (c *call) inform(status int, h http.Header) {
+func (c *call) forwardInformational(status int, h http.Header) {
 	if fields := httpfield.From(h); len(fields) <= peer.MaxFields {
 		_ = c.in.Inform(status, fields)
 	}
@@ -247,22 +247,22 @@
 
 // answer passes the upstream's answer on. It calls ended once the upstream has
 // sent all of it, so that the slot is free before the last frame is written.
-func (c *call) answer(r *http.Response, ended func()) *verdict.Error {
+func (c *call) forwardResponse(r *http.Response, ended func()) *verdict.Error {
 	a := &peer.Answer{
 		Status: r.StatusCode,
 		Header: httpfield.From(r.Header),
 		Length: r.ContentLength,
 		Report: c.gate.reportFor(c.in.From.Node),
 
-		Arrived: c.arrived,
+		Arrived: c.bodyTime,
 		Waited:  c.waited,
 	}
-	c.in.Notice = c.gate.notice()
+	c.in.Notice = c.gate.peerNotice()
 	if len(a.Header) > peer.MaxFields {
 		return verdict.New(verdict.AnswerInvalid, eris.Errorf("%d header fields", len(a.Header)))
 	}
-	if r.ContentLength < 0 || r.ContentLength > gatherLimit {
-		return c.stream(r, a, ended)
+	if r.ContentLength < 0 || r.ContentLength > maxSingleFrameBytes {
+		return c.streamResponse(r, a, ended)
 	}
 	data, err := io.ReadAll(r.Body)
 	a.Body = data
@@ -284,7 +284,7 @@
 }
 
 // stream passes on an answer that is large or of unknown length.
-func (c *call) stream(r *http.Response, a *peer.Answer, ended func()) *verdict.Error {
+func (c *call) streamResponse(r *http.Response, a *peer.Answer, ended func()) *verdict.Error {
 	if err := c.in.Begin(a); err != nil {
 		return verdict.As(err, verdict.AnswerTruncated)
 	}
--- a/gate/reason_test.go
+++ b/gate/causes_test.go
@@ -24,42 +24,44 @@
 )
 
 // never is a body that does not come.
-type never struct{}
+type blockedReader struct{}
 
 // Read implements io.Reader.
-func (never) Read([]byte) (int, error) { select {} }
+func (blockedReader) Read([]byte) (int, error) { select {} }
 
 // TestLostCallsHaveReasons ends a call in each way, at each stage of its handling: a gate says why,
 // and says peerLost only where the connection that the call came on is lost. It guards against a
 // peerLost that no log explains.
-func TestLostCallsHaveReasons(t *testing.T) {
+func TestFailedCallsHaveCauses(t *testing.T) {
 	stages := map[string]struct {
-		call peer.Call
-		body func() io.Reader
-		busy bool // whether another call has the slot
-		runs bool // whether the upstream has it
-		at   func(r admit.Report) bool
+		call    peer.Call
+		body    func() io.Reader
+		busy    bool // whether another call has the slot
+		runs    bool // whether the upstream has it
+		reached func(r admit.Report) bool
 	}{
 		"waits for a slot": {
-			busy: true,
-			at:   func(r admit.Report) bool { return r.Waiting == 1 },
+			busy:    true,
+			reached: func(r admit.Report) bool { return r.Waiting == 1 },
 		},
 		"waits for its body": {
-			call: peer.Call{Streams: true, Length: 1},
-			body: func() io.Reader { return never{} },
-			at:   func(r admit.Report) bool { return r.Running == 1 },
+			call:    peer.Call{Streams: true, Length: 1},
+			body:    func() io.Reader { return blockedReader{} },
+			reached: func(r admit.Report) bool { return r.Running == 1 },
 		},
 		"waits for its body ahead": {
-			call: peer.Call{Streams: true, Ahead: true, Length: 100 << 10},
-			body: func() io.Reader { return never{} },
-			at:   func(admit.Report) bool { return true },
+			call:    peer.Call{Streams: true, Ahead: true, Length: 100 << 10},
+			body:    func() io.Reader { return blockedReader{} },
+			reached: func(admit.Report) bool { return true },
 		},
 		"runs": {
 			runs: true,
 		},
 		"runs with half of its body": {
 			call: peer.Call{Streams: true, Length: 20 << 10},
-			body: func() io.Reader { return io.MultiReader(strings.NewReader(strings.Repeat("x", 10<<10)), never{}) },
+			body: func() io.Reader {
+				return io.MultiReader(strings.NewReader(strings.Repeat("x", 10<<10)), blockedReader{})
+			},
 			runs: true,
 		},
 		"is answered": {
@@ -69,24 +71,24 @@
 	}
 	ends := map[string]struct {
 		remaining time.Duration
-		end       func(p *ended)
+		end       func(p *endingCalls)
 		causes    []verdict.Cause
 	}{
 		"its caller leaves": {
-			end:    func(p *ended) { p.exchange.Close() },
+			end:    func(p *endingCalls) { p.exchange.Close() },
 			causes: []verdict.Cause{verdict.Revoked, verdict.CallerGone, verdict.BodyLost, verdict.UpstreamDialFailed, verdict.AnswerTruncated, verdict.AnswerMalformed},
 		},
 		"its sender stops": {
-			end:    func(p *ended) { p.client.Close() },
+			end:    func(p *endingCalls) { p.client.Close() },
 			causes: []verdict.Cause{verdict.Revoked, verdict.PeerLost, verdict.UpstreamDialFailed, verdict.AnswerTruncated, verdict.AnswerMalformed},
 		},
 		"its connection is reset": {
-			end:    func(p *ended) { _ = p.conn.(*net.TCPConn).SetLinger(0); p.conn.Close() },
+			end:    func(p *endingCalls) { _ = p.conn.(*net.TCPConn).SetLinger(0); p.conn.Close() },
 			causes: []verdict.Cause{verdict.Revoked, verdict.PeerLost, verdict.UpstreamDialFailed, verdict.AnswerTruncated, verdict.AnswerMalformed},
 		},
 		"its deadline passes": {
 			remaining: 50 * time.Millisecond,
-			end:       func(*ended) {},
+			end:       func(*endingCalls) {},
 			causes:    []verdict.Cause{verdict.Revoked, verdict.Refused, verdict.DeadlinePassed, verdict.UpstreamDialFailed, verdict.TimedOut, verdict.CallerGone, verdict.AnswerTruncated, verdict.AnswerMalformed},
 		},
 	}
@@ -97,7 +99,7 @@
 			}
 			t.Run(stage+"/"+name, func(t *testing.T) {
 				t.Parallel()
-				p := newEnded(t)
+				p := newEndingCalls(t)
 				if s.busy {
 					go p.start(peer.Call{Remaining: time.Minute}, nil)
 					p.await(func(r admit.Report) bool { return r.Running == 1 })
@@ -117,7 +119,7 @@
 				case s.runs:
 					<-p.inside
 				default:
-					p.await(s.at)
+					p.await(s.reached)
 				}
 				e.end(p)
 				failure := <-p.failures
@@ -133,8 +135,8 @@
 // TestStoppedServerIsNoCaller has the server of a gate stop while a call runs: the call has not been
 // given up by its caller. It guards against a callerGone where nobody left, which no node sends
 // elsewhere.
-func TestStoppedServerIsNoCaller(t *testing.T) {
-	p := newEnded(t)
+func TestServerStopIsNotCallerGone(t *testing.T) {
+	p := newEndingCalls(t)
 	p.start(peer.Call{Remaining: time.Minute}, nil)
 	<-p.inside
 	p.stop()
@@ -144,7 +146,7 @@
 }
 
 // ended is a gate whose calls are ended.
-type ended struct {
+type endingCalls struct {
 	t        *testing.T
 	gate     *gate.Gate
 	client   *peer.Client
@@ -155,9 +157,9 @@
 	failures chan *verdict.Error // of the calls, as the gate tells
 }
 
-func newEnded(t *testing.T) *ended {
+func newEndingCalls(t *testing.T) *endingCalls {
 	inside := make(chan struct{}, 10)
-	r := newRig(t, 1, func(w http.ResponseWriter, r *http.Request) {
+	r := newFixture(t, 1, func(w http.ResponseWriter, r *http.Request) {
 		inside <- struct{}{}
 		if r.URL.Path == "/long" {
 			w.(http.Flusher).Flush()
@@ -166,7 +168,7 @@
 			<-r.Context().Done()
 		}
 	})
-	p := &ended{
+	p := &endingCalls{
 		t:        t,
 		inside:   inside,
 		failures: make(chan *verdict.Error, 10),
@@ -203,7 +205,7 @@
 }
 
 // start makes a call.
-func (p *ended) start(m peer.Call, body io.Reader) *peer.Exchange {
+func (p *endingCalls) start(m peer.Call, body io.Reader) *peer.Exchange {
 	m.Service, m.Method = "service", "POST"
 	if m.Target == "" {
 		m.Target = "/"
@@ -223,8 +225,8 @@
 }
 
 // await waits until the gate's load is as said.
-func (p *ended) await(as func(r admit.Report) bool) {
-	for !as(p.gate.Load()) {
+func (p *endingCalls) await(condition func(r admit.Report) bool) {
+	for !condition(p.gate.Load()) {
 		time.Sleep(time.Millisecond)
 	}
 }
--- a/gate/gone_test.go
+++ b/gate/crash_test.go
@@ -20,42 +20,42 @@
 )
 
 // printOf returns the fingerprint of a request for a target.
-func printOf(target string) quarantine.Fingerprint {
+func fingerprintOf(target string) quarantine.Fingerprint {
 	return quarantine.NewFingerprint("caller", "GET", "h.example", target).WithBody(nil)
 }
 
 // end is what a gate told of the end of its upstream.
-type end struct {
-	prints []quarantine.Fingerprint
-	alone  quarantine.Fingerprint
+type crash struct {
+	suspects []quarantine.Fingerprint
+	isolated quarantine.Fingerprint
 }
 
 // watched is a rig whose gate knows suspects and tells of ends.
-type watched struct {
-	*rig
+type quarantineFixture struct {
+	*fixture
 	index   quarantine.Index
-	ends    chan end
+	crashes chan crash
 	cleared chan quarantine.Fingerprint
 }
 
-func newWatched(t *testing.T, h http.HandlerFunc) *watched {
+func newQuarantineFixture(t *testing.T, h http.HandlerFunc) *quarantineFixture {
 	t.Helper()
-	w := &watched{
-		rig:     newRig(t, 4, h),
-		ends:    make(chan end, 10),
+	w := &quarantineFixture{
+		fixture: newFixture(t, 4, h),
+		crashes: make(chan crash, 10),
 		cleared: make(chan quarantine.Fingerprint, 10),
 	}
 	w.gate.Quarantine = &w.index
-	w.gate.UpstreamCrashed = func(_ *upstream.Announcement, prints []quarantine.Fingerprint, alone quarantine.Fingerprint) {
-		w.ends <- end{prints, alone}
+	w.gate.UpstreamCrashed = func(_ *upstream.Announcement, suspects []quarantine.Fingerprint, isolated quarantine.Fingerprint) {
+		w.crashes <- crash{suspects, isolated}
 	}
 	w.gate.SuspectCleared = func(p quarantine.Fingerprint) { w.cleared <- p }
 	return w
 }
 
 // get makes a call for a target and returns its failure.
-func (w *watched) get(target string) *verdict.Error {
-	m := &peer.Call{Service: "service", Method: "GET", Target: target, Remaining: 5 * time.Second, Try: 1, Print: printOf(target)}
+func (w *quarantineFixture) get(target string) *verdict.Error {
+	m := &peer.Call{Service: "service", Method: "GET", Target: target, Remaining: 5 * time.Second, Try: 1, Print: fingerprintOf(target)}
 	x, failure := w.client.Start(context.Background(), m, nil)
 	if failure != nil {
 		return failure
@@ -66,19 +66,19 @@
 }
 
 // suspect adds the report that some upstreams have ended with a request at hand.
-func (w *watched) suspect(target string, starts ...string) {
+func (w *quarantineFixture) suspect(target string, starts ...string) {
 	for _, s := range starts {
-		var alone quarantine.Fingerprint
-		if w.index.Assess(printOf(target)).State == quarantine.Isolated {
-			alone = printOf(target)
+		var isolated quarantine.Fingerprint
+		if w.index.Assess(fingerprintOf(target)).State == quarantine.Isolated {
+			isolated = fingerprintOf(target)
 		}
-		w.index.Add(quarantine.NewCrashReport(s, []quarantine.Fingerprint{printOf(target)}, alone))
+		w.index.Add(quarantine.NewCrashReport(s, []quarantine.Fingerprint{fingerprintOf(target)}, isolated))
 	}
 }
 
 // TestStandingsAtTheGate tells what a gate does with a suspected request, while another
 // isolated one runs.
-func TestStandingsAtTheGate(t *testing.T) {
+func TestSuspectedRequests(t *testing.T) {
 	tests := map[string]struct {
 		starts  []string // that have ended with it at hand
 		want    verdict.Cause
@@ -92,7 +92,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			inside, goOn := make(chan struct{}), make(chan struct{})
-			w := newWatched(t, func(_ http.ResponseWriter, r *http.Request) {
+			w := newQuarantineFixture(t, func(_ http.ResponseWriter, r *http.Request) {
 				if r.URL.Path == "/other" {
 					close(inside)
 					<-goOn
@@ -114,9 +114,9 @@
 				qt.Check(t, failure.RetryAfter > 0, qt.IsTrue)
 			}
 			qt.Check(t, <-other == nil, qt.IsTrue)
-			want := map[quarantine.Fingerprint]bool{printOf("/other"): true}
+			want := map[quarantine.Fingerprint]bool{fingerprintOf("/other"): true}
 			if test.cleared {
-				want[printOf("/it")] = true
+				want[fingerprintOf("/it")] = true
 			}
 			for range len(want) {
 				qt.Check(t, want[<-w.cleared], qt.IsTrue)
@@ -128,65 +128,65 @@
 
 // TestErrorClearsNobody has a suspected request answered with an error: that is no sign
 // that it does no harm.
-func TestErrorClearsNobody(t *testing.T) {
-	w := newWatched(t, func(rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(http.StatusInternalServerError) })
+func TestErrorDoesNotClearSuspect(t *testing.T) {
+	w := newQuarantineFixture(t, func(rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(http.StatusInternalServerError) })
 	w.suspect("/it", "a")
 	qt.Check(t, w.get("/it") == nil, qt.IsTrue)
 	qt.Check(t, w.cleared, qt.HasLen, 0)
 }
 
 // TestGone tells which ends of connections are ends of the upstream.
-func TestGone(t *testing.T) {
+func TestUpstreamCrash(t *testing.T) {
 	tests := map[string]struct {
-		before func(w *watched) // the loss
-		isGone bool
+		before  func(w *quarantineFixture) // the loss
+		crashed bool
 	}{
 		"it refuses connections": {
-			before: func(w *watched) {
-				w.back.Listener.Close()
-				w.back.CloseClientConnections()
+			before: func(w *quarantineFixture) {
+				w.server.Listener.Close()
+				w.server.CloseClientConnections()
 			},
-			isGone: true,
+			crashed: true,
 		},
 		"its connections are reset, and it takes new ones": {
-			before: func(w *watched) { w.back.CloseClientConnections() },
+			before: func(w *quarantineFixture) { w.server.CloseClientConnections() },
 		},
 		"another start is announced, and its connections end": {
-			before: func(w *watched) {
+			before: func(w *quarantineFixture) {
 				w.gate.SetAnnouncement(&upstream.Announcement{Service: "service", Address: w.address, Slots: 4, Connections: 4, StartID: "another"})
-				w.back.CloseClientConnections()
+				w.server.CloseClientConnections()
 			},
-			isGone: true,
+			crashed: true,
 		},
 		"its connections end, and another start is announced": {
-			before: func(w *watched) {
-				w.back.CloseClientConnections()
+			before: func(w *quarantineFixture) {
+				w.server.CloseClientConnections()
 				for w.gate.Load().Running > 0 {
 					time.Sleep(time.Millisecond)
 				}
 				w.gate.SetAnnouncement(&upstream.Announcement{Service: "service", Address: w.address, Slots: 4, Connections: 4, StartID: "another"})
 			},
-			isGone: true,
+			crashed: true,
 		},
 		"it left before": {
-			before: func(w *watched) {
+			before: func(w *quarantineFixture) {
 				w.gate.SetAnnouncement(nil)
-				w.back.Listener.Close()
-				w.back.CloseClientConnections()
+				w.server.Listener.Close()
+				w.server.CloseClientConnections()
 			},
 		},
 		"it drained before": {
-			before: func(w *watched) {
+			before: func(w *quarantineFixture) {
 				w.gate.SetAnnouncement(&upstream.Announcement{Service: "service", Address: w.address, Slots: 4, Connections: 4, Draining: true})
-				w.back.Listener.Close()
-				w.back.CloseClientConnections()
+				w.server.Listener.Close()
+				w.server.CloseClientConnections()
 			},
 		},
 		"another start is announced after its drain": {
-			before: func(w *watched) {
+			before: func(w *quarantineFixture) {
 				w.gate.SetAnnouncement(&upstream.Announcement{Service: "service", Address: w.address, Slots: 4, Connections: 4, Draining: true})
 				w.gate.SetAnnouncement(&upstream.Announcement{Service: "service", Address: w.address, Slots: 4, Connections: 4, StartID: "another"})
-				w.back.CloseClientConnections()
+				w.server.CloseClientConnections()
 			},
 		},
 	}
@@ -195,7 +195,7 @@
 			var inside sync.WaitGroup
 			inside.Add(2)
 			goOn := make(chan struct{})
-			w := newWatched(t, func(_ http.ResponseWriter, r *http.Request) {
+			w := newQuarantineFixture(t, func(_ http.ResponseWriter, r *http.Request) {
 				if r.URL.Path != "/after" {
 					inside.Done()
 					<-goOn
@@ -210,25 +210,25 @@
 			test.before(w)
 			qt.Check(t, <-done != nil, qt.IsTrue)
 			qt.Check(t, <-done != nil, qt.IsTrue)
-			if test.isGone {
-				e := <-w.ends
+			if test.crashed {
+				e := <-w.crashes
 				close(goOn)
-				qt.Check(t, e.prints, qt.HasLen, 2)
-				qt.Check(t, e.alone, qt.Equals, printOf("/b"))
+				qt.Check(t, e.suspects, qt.HasLen, 2)
+				qt.Check(t, e.isolated, qt.Equals, fingerprintOf("/b"))
 				return
 			}
 			close(goOn)
 			w.get("/after") // by which the gate has looked
-			qt.Check(t, w.ends, qt.HasLen, 0)
+			qt.Check(t, w.crashes, qt.HasLen, 0)
 		})
 	}
 }
 
 // TestNotGone has another start announced while the former one goes on with its requests, and
 // answers them: it has not ended under them.
-func TestNotGone(t *testing.T) {
+func TestReplacedUpstreamStillRunning(t *testing.T) {
 	inside, goOn := make(chan struct{}), make(chan struct{})
-	w := newWatched(t, func(_ http.ResponseWriter, r *http.Request) {
+	w := newQuarantineFixture(t, func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/it" {
 			close(inside)
 			<-goOn
@@ -243,5 +243,5 @@
 	failure := <-done
 	qt.Check(t, failure == nil, qt.IsTrue, qt.Commentf("%v", failure))
 	qt.Check(t, w.get("/after") == nil, qt.IsTrue)
-	qt.Check(t, w.ends, qt.HasLen, 0)
+	qt.Check(t, w.crashes, qt.HasLen, 0)
 }
--- a/gate/evacuate_test.go
+++ b/gate/evacuate_test.go
@@ -27,7 +27,7 @@
 func TestEvacuate(t *testing.T) {
 	inside, goOn := make(chan struct{}), make(chan struct{})
 	var runs atomic.Int32
-	r := newRig(t, 1, func(http.ResponseWriter, *http.Request) {
+	r := newFixture(t, 1, func(http.ResponseWriter, *http.Request) {
 		if runs.Add(1) == 1 {
 			close(inside)
 			<-goOn
@@ -65,7 +65,7 @@
 func TestEvacuateAfterAdmission(t *testing.T) {
 	inside, goOn := make(chan struct{}), make(chan struct{})
 	var runs atomic.Int32
-	r := newRig(t, 2, func(http.ResponseWriter, *http.Request) {
+	r := newFixture(t, 2, func(http.ResponseWriter, *http.Request) {
 		if runs.Add(1) == 1 {
 			close(inside)
 			<-goOn
@@ -82,7 +82,7 @@
 	m := &peer.Call{Service: "service", Method: "PUT", Target: "/", Remaining: time.Minute, Streams: true, Length: 1}
 	done := make(chan *verdict.Error, 1)
 	go func() {
-		x, failure := r.client.Start(context.Background(), m, held{Reader: strings.NewReader("x"), until: body})
+		x, failure := r.client.Start(context.Background(), m, delayedReader{Reader: strings.NewReader("x"), ready: body})
 		if failure == nil {
 			_, failure = x.Wait()
 			x.Close()
@@ -99,14 +99,14 @@
 }
 
 // held is a body that begins when its channel is closed.
-type held struct {
+type delayedReader struct {
 	*strings.Reader
-	until chan struct{}
+	ready chan struct{}
 }
 
 // Read implements io.Reader.
-func (h held) Read(p []byte) (int, error) {
-	<-h.until
+func (h delayedReader) Read(p []byte) (int, error) {
+	<-h.ready
 	return h.Reader.Read(p)
 }
 
@@ -129,7 +129,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			var runs atomic.Int32
-			r := newRig(t, calls, func(http.ResponseWriter, *http.Request) { runs.Add(1) })
+			r := newFixture(t, calls, func(http.ResponseWriter, *http.Request) { runs.Add(1) })
 			r.gate = &gate.Gate{Tracer: r.gate.Tracer, Started: time.Now()}
 			r.serve(t)
 			config := operator.Service{
@@ -173,7 +173,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			var runs atomic.Int32
-			r := newRig(t, calls, func(http.ResponseWriter, *http.Request) { runs.Add(1) })
+			r := newFixture(t, calls, func(http.ResponseWriter, *http.Request) { runs.Add(1) })
 			config := operator.Service{Cold: test.cold, Queue: operator.Queue{Length: calls, Wait: operator.Duration(10 * time.Millisecond)}}.WithDefaults()
 			r.gate.Configure(&config)
 			r.gate.SetAnnouncement(&upstream.Announcement{Service: "service", Address: r.address, Slots: calls, Connections: calls, StartID: "new"})
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -59,12 +59,12 @@
 	// Quarantine, if not nil, knows the requests that end upstreams.
 	Quarantine *quarantine.Index
 	// Cleared, if not nil, is called when a suspected request has run to its end.
-	SuspectCleared func(p quarantine.Fingerprint)
+	SuspectCleared func(suspect quarantine.Fingerprint)
 	// Gone, if not nil, is called when an upstream has ended without leave, with the
 	// requests that it may have ended under, without those that are answered there all
 	// the time, and the one of them that was isolated and never answered, or zero. It is
 	// not called where no request was at hand.
-	UpstreamCrashed func(a *upstream.Announcement, prints []quarantine.Fingerprint, alone quarantine.Fingerprint)
+	UpstreamCrashed func(a *upstream.Announcement, suspects []quarantine.Fingerprint, isolated quarantine.Fingerprint)
 	// Received, if not nil, is called when the body of a call that was sent ahead of its
 	// admission is there.
 	BodyReceived func(service, class string, bytes int64, took time.Duration)
@@ -74,35 +74,35 @@
 	// Noticed, if not nil, is called when what the upstream says of the requests that it wants
 	// has changed, and Unreadable with why that can't be read.
 	NoticeChanged func(NoticeState)
-	NoticeInvalid func(start string, reason error)
+	NoticeInvalid func(startID string, reason error)
 	// Left, if not nil, is called when a start of an upstream has said that it leaves.
-	UpstreamLeaving func(start string, born int64)
+	UpstreamLeaving func(startID string, startMillis int64)
 	// Ended, if not nil, is called at the end of each call.
 	CallEnded func(service, class string, failure *verdict.Error, waited, took time.Duration)
 
-	admit    admit.Gate
-	sending  coldstart.Limiter
-	current  atomic.Pointer[binding]
-	isolated sync.Mutex // held by the isolated request that runs
-	answers  quarantine.AnswerCounter
-	written  atomic.Uint64 // requests, so far
+	admit      admit.Gate
+	sendLimit  coldstart.Limiter
+	current    atomic.Pointer[binding]
+	isolatedMu sync.Mutex // held by the isolated request that runs
+	answers    quarantine.AnswerCounter
+	written    atomic.Uint64 // requests, so far
 
-	mu      sync.Mutex
-	service *operator.Service // in force for the announced service
-	latest  *upstream.Announcement
-	leaving bool // whether the node leaves
-	emptied bool // whether the zone is evacuated
+	mu        sync.Mutex
+	service   *operator.Service // in force for the announced service
+	latest    *upstream.Announcement
+	draining  bool // whether the node leaves
+	evacuated bool // whether the zone is evacuated
 	// withheld is whether the upstream's version is not to be used.
-	withheld bool
-	told     float64 // the slowdown told last
+	versionWithheld  bool
+	reportedSlowdown float64 // the slowdown told last
 	// departing is whether the upstream has said in its answers that it leaves, departed since
 	// when, and healthNames whether the answers of its health check name limits.
-	departing   bool
-	departed    time.Time
-	healthNames bool
-	limitTold   time.Time // when peers were told of a changed limit
+	noticeLeaving       bool
+	noticeLeavingSince  time.Time
+	healthReportsLimits bool
+	limitReportedAt     time.Time // when peers were told of a changed limit
 
-	startKnown bool // whether firstStart has found out what it is for
+	firstStartChecked bool // whether firstStart has found out what it is for
 }
 
 // binding is the upstream that requests go to.
@@ -114,7 +114,7 @@
 
 // serves returns whether the binding is for the same start of an upstream, reached
 // in the same way, as a is.
-func (b *binding) serves(a *upstream.Announcement) bool {
+func (b *binding) matches(a *upstream.Announcement) bool {
 	o := b.announcement
 	return o.SameStart(a) && o.Address == a.Address
 }
@@ -127,9 +127,9 @@
 	if a == nil {
 		g.current.Store(nil)
 		if g.latest != nil && g.latest.StartID == "" {
-			g.forgetNotices() // the next one can't be told from it
+			g.resetNotices() // the next one can't be told from it
 		}
-		g.update()
+		g.updateLimits()
 		return
 	}
 	b := g.bind(old, a)
@@ -137,21 +137,21 @@
 	first := g.latest == nil
 	restarted := first || !g.latest.SameStart(a)
 	if restarted && !first {
-		g.forgetNotices()
+		g.resetNotices()
 	}
-	g.update()
+	g.updateLimits()
 	g.latest = a
 	if old != nil && old.transport != b.transport {
 		if old.start != b.start {
 			old.transport.ProbeBusyConns()
-			g.replaced(old)
+			g.handleReplaced(old)
 		}
 		old.transport.Resize(old.announcement.Connections, 0)
 	}
 	if restarted {
-		g.startCold(a, first)
+		g.initCold(a, first)
 		g.admit.Restart()
-		g.told = 0
+		g.reportedSlowdown = 0
 		if g.BroadcastReport != nil {
 			go g.BroadcastReport(g.Report()) // peers go by what the start before has told
 		}
@@ -167,8 +167,8 @@
 	} else {
 		b.start = new(start)
 	}
-	b.start.drained.Store(a.Draining)
-	if old != nil && old.serves(a) {
+	b.start.draining.Store(a.Draining)
+	if old != nil && old.matches(a) {
 		b.transport = old.transport
 		b.transport.Resize(a.Connections, min(a.Slots, a.Connections))
 		return b
@@ -179,7 +179,7 @@
 		MaxIdleConns: min(a.Slots, a.Connections),
 		Names:        g.Names.OrDefault(),
 		LoadReported: func(l upstream.Load) {
-			if g.present(b) {
+			if g.isCurrent(b) {
 				g.ObserveLoad(l)
 			}
 		},
@@ -190,7 +190,7 @@
 }
 
 // tellRatio is the change of the upstream's speed from which it is told at once.
-const tellRatio = 1.3
+const reportRatio = 1.3
 
 // Observe takes in the load that the upstream tells.
 func (g *Gate) ObserveLoad(l upstream.Load) {
@@ -199,10 +199,10 @@
 		return
 	}
 	g.mu.Lock()
-	told := max(g.told, 1)
-	changed := l.Slowdown > told*tellRatio || l.Slowdown < told/tellRatio
+	reported := max(g.reportedSlowdown, 1)
+	changed := l.Slowdown > reported*reportRatio || l.Slowdown < reported/reportRatio
 	if changed {
-		g.told = l.Slowdown
+		g.reportedSlowdown = l.Slowdown
 	}
 	g.mu.Unlock()
 	if changed {
@@ -216,22 +216,22 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.service = s
-	g.update()
+	g.updateLimits()
 }
 
 // update sets the limits from the announcement and the configuration.
-func (g *Gate) update() {
+func (g *Gate) updateLimits() {
 	b := g.current.Load()
 	limits := admit.Limits{}
 	if b != nil && g.service != nil {
 		limits = limitsOf(*g.service).WithSlots(g.usableSlots(b.announcement))
 		limits.Weight = g.Weight
 		g.admit.ColdLimiter.SetLimit(g.service.Cold.Pace)
-		g.sending.SetLimit(g.service.Cold.Most)
-		g.firstStart()
+		g.sendLimit.SetLimit(g.service.Cold.Most)
+		g.checkFirstStart()
 	}
 	g.admit.SetLimits(limits)
-	if g.leaving || g.emptied || g.withheld || g.departing || b != nil && b.announcement.Draining {
+	if g.draining || g.evacuated || g.versionWithheld || g.noticeLeaving || b != nil && b.announcement.Draining {
 		g.admit.Drain()
 	} else {
 		g.admit.Resume()
@@ -274,7 +274,7 @@
 func (g *Gate) Drain() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.leaving = true
+	g.draining = true
 	return g.admit.Drain()
 }
 
@@ -286,14 +286,14 @@
 	if span.IsRecording() {
 		span.SetAttributes(attribute.String("sassafras.service", in.Call.Service), attribute.Int("sassafras.try", in.Call.Try), attribute.String("sassafras.entry", in.From.Node))
 	}
-	g.adopt(in.Call.Notice)
+	g.adoptNotice(in.Call.Notice)
 	c := &call{
 		gate: g,
 		in:   in,
 	}
-	failure := c.guarded(ctx)
+	failure := c.runRecovered(ctx)
 	if failure != nil {
-		in.Notice = g.notice()
+		in.Notice = g.peerNotice()
 		in.Fail(failure, g.reportFor(in.From.Node))
 		if g.CallFailed != nil {
 			g.CallFailed(in.Call, in.From.Node, failure, g.admit.Report(), c.waited, time.Since(began))
@@ -309,15 +309,15 @@
 	// freshSpeed is how old the upstream's last word on its speed may be when a
 	// request is sent to it. Its speed at the start of a request holds for all of
 	// it, and changes several times a second.
-	freshSpeed = 15 * time.Millisecond
+	maxSpeedAge = 15 * time.Millisecond
 	// newsTime is how long senders may not know of a slowdown: a one-way delay, and
 	// that of a call that crosses the news.
-	newsTime = 10 * time.Millisecond
+	propagationTime = 10 * time.Millisecond
 )
 
 // tellsOfAbsence returns whether a failure shows that the announced upstream is not there:
 // it could not be reached, and not for the reason that the call ended before.
-func tellsOfAbsence(failure *verdict.Error) bool {
+func showsUnreachable(failure *verdict.Error) bool {
 	switch failure.Cause {
 	case verdict.WrongUpstream:
 		return true
@@ -328,19 +328,19 @@
 }
 
 // sendFailed tells of a failure that shows the upstream to be gone.
-func (g *Gate) sendFailed(b *binding, failure *verdict.Error) {
+func (g *Gate) handleSendFailure(b *binding, failure *verdict.Error) {
 	switch {
 	case failure.Cause == verdict.UpstreamLost:
-		b.start.broke.Store(true)
-		if g.present(b) {
-			go g.look(b)
+		b.start.lostRequest.Store(true)
+		if g.isCurrent(b) {
+			go g.checkAlive(b)
 		} else {
-			g.gone(b)
+			g.reportCrash(b)
 		}
 	case failure.Cause == verdict.WrongUpstream || errors.Is(failure, syscall.ECONNREFUSED):
-		g.gone(b)
+		g.reportCrash(b)
 	}
-	if g.UpstreamUnreachable != nil && tellsOfAbsence(failure) {
+	if g.UpstreamUnreachable != nil && showsUnreachable(failure) {
 		g.UpstreamUnreachable(b.announcement, failure)
 	}
 }
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -28,21 +28,21 @@
 )
 
 // rig is a gate before an upstream, with a client that calls it.
-type rig struct {
+type fixture struct {
 	gate   *gate.Gate
 	client *peer.Client
-	back   *httptest.Server
+	server *httptest.Server
 	// address is the upstream's.
 	address string
 	mu      sync.Mutex
-	ended   []verdict.Cause // of the calls, as the gate tells
+	causes  []verdict.Cause // of the calls, as the gate tells
 	loads   []peer.Report
 }
 
-func newRig(t *testing.T, slots int, h http.HandlerFunc) *rig {
+func newFixture(t *testing.T, slots int, h http.HandlerFunc) *fixture {
 	t.Helper()
-	back := httptest.NewServer(h)
-	r := &rig{back: back, address: back.Listener.Addr().String()}
+	server := httptest.NewServer(h)
+	r := &fixture{server: server, address: server.Listener.Addr().String()}
 	r.gate = &gate.Gate{
 		Tracer:  noop.NewTracerProvider().Tracer(""),
 		Reports: &watch.Pacer[string]{Budget: watch.NewBudget(1<<20, 1), MessageBytes: 1},
@@ -50,25 +50,25 @@
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			if failure == nil {
-				r.ended = append(r.ended, "")
+				r.causes = append(r.causes, "")
 			} else {
-				r.ended = append(r.ended, failure.Cause)
+				r.causes = append(r.causes, failure.Cause)
 			}
 		},
 	}
 	config := operator.Service{Queue: operator.Queue{Length: 1, Wait: operator.Duration(50 * time.Millisecond)}}.WithDefaults()
 	r.gate.Configure(&config)
-	r.gate.SetAnnouncement(&upstream.Announcement{Service: "service", Address: back.Listener.Addr().String(), Slots: slots, Connections: slots})
+	r.gate.SetAnnouncement(&upstream.Announcement{Service: "service", Address: server.Listener.Addr().String(), Slots: slots, Connections: slots})
 	r.serve(t)
 	t.Cleanup(func() {
-		back.CloseClientConnections()
-		back.Close()
+		server.CloseClientConnections()
+		server.Close()
 	})
 	return r
 }
 
 // serve has the client call the gate that the rig has now.
-func (r *rig) serve(t *testing.T) {
+func (r *fixture) serve(t *testing.T) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
@@ -91,7 +91,7 @@
 }
 
 // call makes a call and returns its failure.
-func (r *rig) call(service string, remaining time.Duration) *verdict.Error {
+func (r *fixture) call(service string, remaining time.Duration) *verdict.Error {
 	m := &peer.Call{Service: service, Method: "POST", Target: "/", Remaining: remaining}
 	x, failure := r.client.Start(context.Background(), m, nil)
 	if failure != nil {
@@ -111,15 +111,15 @@
 	}
 	for name, fault := range tests {
 		t.Run(name, func(t *testing.T) {
-			w := newWatched(t, func(http.ResponseWriter, *http.Request) {})
+			w := newQuarantineFixture(t, func(http.ResponseWriter, *http.Request) {})
 			w.suspect("/it", "a")
-			var faults atomic.Int32
-			told := make(chan bool, 10)
+			var panics atomic.Int32
+			reported := make(chan bool, 10)
 			w.gate.Panicked = func(c *peer.Call, value any, stack []byte) {
-				told <- c.Target == "/it" && value == "a fault" && len(stack) > 0
+				reported <- c.Target == "/it" && value == "a fault" && len(stack) > 0
 			}
 			fault(w.gate, func() {
-				if faults.Add(1) == 1 {
+				if panics.Add(1) == 1 {
 					panic("a fault")
 				}
 			})
@@ -128,12 +128,12 @@
 				qt.Check(t, failure.Cause, qt.Equals, verdict.GateFailed)
 				qt.Check(t, failure.Verdict(), qt.Equals, verdict.MayHaveRun)
 			}
-			qt.Check(t, <-told, qt.IsTrue) // which may come after the answer
+			qt.Check(t, <-reported, qt.IsTrue) // which may come after the answer
 			for w.gate.Load().Running > 0 {
 				time.Sleep(time.Millisecond)
 			}
 			qt.Check(t, w.get("/it") == nil, qt.IsTrue)
-			qt.Check(t, told, qt.HasLen, 0)
+			qt.Check(t, reported, qt.HasLen, 0)
 		})
 	}
 }
@@ -159,37 +159,37 @@
 //
 // Seen: an upstream that was well got no requests for 300 ms after a caller had left, and
 // with one of two upstreams just ended every request was refused meanwhile.
-func TestCallEndsUnsent(t *testing.T) {
+func TestCallerLeavesBeforeSend(t *testing.T) {
 	tests := map[string]struct {
-		leave, gone bool
-		failed      int32
+		leave, closed bool
+		failed        int32
 	}{
 		"the caller leaves":    {leave: true},
-		"the upstream is gone": {gone: true, failed: 1},
+		"the upstream is gone": {closed: true, failed: 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			var failed atomic.Int32
-			r := newRig(t, 4, func(http.ResponseWriter, *http.Request) {})
+			r := newFixture(t, 4, func(http.ResponseWriter, *http.Request) {})
 			r.gate = &gate.Gate{Tracer: r.gate.Tracer, UpstreamUnreachable: func(*upstream.Announcement, *verdict.Error) { failed.Add(1) }}
 			r.serve(t)
 			config := operator.Service{}.WithDefaults()
 			r.gate.Configure(&config)
 			r.gate.SetAnnouncement(&upstream.Announcement{Service: "service", Address: r.address, Slots: 4, Connections: 4, StartID: "one"})
 			qt.Assert(t, r.call("service", time.Minute) == nil, qt.IsTrue, qt.Commentf("a connection is kept"))
-			asked := make(chan struct{})
+			sending := make(chan struct{})
 			r.gate.Tracer = beforeSending{Tracer: r.gate.Tracer, do: func(ctx context.Context) {
-				close(asked)
+				close(sending)
 				if test.leave {
 					<-ctx.Done()
 				}
 			}}
-			if test.gone {
-				r.back.Close()
+			if test.closed {
+				r.server.Close()
 			}
 			x, failure := r.client.Start(context.Background(), &peer.Call{Service: "service", Method: "GET", Target: "/", Remaining: time.Minute, Try: 1}, nil)
 			qt.Assert(t, failure == nil, qt.IsTrue)
-			<-asked
+			<-sending
 			if !test.leave {
 				_, _ = x.Wait()
 			}
@@ -217,15 +217,15 @@
 		"not configured":        {before: func(g *gate.Gate) { g.Configure(nil) }, want: verdict.Misrouted},
 		"leaving":               {before: func(g *gate.Gate) { g.Drain() }, want: verdict.Draining},
 		"no time left":          {remaining: -1, want: verdict.DeadlinePassed},
-		"upstream moved away":   {before: func(g *gate.Gate) { move(g, false) }, want: verdict.UpstreamDialFailed},
-		"upstream drains":       {before: func(g *gate.Gate) { move(g, true) }, want: verdict.Draining},
+		"upstream moved away":   {before: func(g *gate.Gate) { announceDeadAddress(g, false) }, want: verdict.UpstreamDialFailed},
+		"upstream drains":       {before: func(g *gate.Gate) { announceDeadAddress(g, true) }, want: verdict.Draining},
 		"left, and called late": {before: func(g *gate.Gate) { <-g.Drain() }, want: verdict.Draining},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			var mu sync.Mutex
 			ran := false
-			r := newRig(t, 1, func(http.ResponseWriter, *http.Request) {
+			r := newFixture(t, 1, func(http.ResponseWriter, *http.Request) {
 				mu.Lock()
 				ran = true
 				mu.Unlock()
@@ -259,23 +259,23 @@
 }
 
 // move announces an address where nobody listens.
-func move(g *gate.Gate, draining bool) {
+func announceDeadAddress(g *gate.Gate, draining bool) {
 	g.SetAnnouncement(&upstream.Announcement{Service: "service", Address: "127.0.0.1:1", Slots: 1, Connections: 1, Draining: draining})
 }
 
 // TestSlotsAreExact sends many calls at once to an upstream of three slots.
 func TestSlotsAreExact(t *testing.T) {
 	var mu sync.Mutex
-	var now, most, runs int
-	r := newRig(t, 3, func(http.ResponseWriter, *http.Request) {
+	var running, most, runs int
+	r := newFixture(t, 3, func(http.ResponseWriter, *http.Request) {
 		mu.Lock()
-		now++
+		running++
 		runs++
-		most = max(most, now)
+		most = max(most, running)
 		mu.Unlock()
 		time.Sleep(5 * time.Millisecond)
 		mu.Lock()
-		now--
+		running--
 		mu.Unlock()
 	})
 	var answered, refused int
@@ -308,9 +308,9 @@
 
 // TestErrorsAreTold has an upstream that answers well in 20 ms and then fails all
 // requests at once. What it takes for that is no sample of its service time.
-func TestErrorsAreTold(t *testing.T) {
+func TestErrorsAreReported(t *testing.T) {
 	var failing atomic.Bool
-	r := newRig(t, 4, func(w http.ResponseWriter, _ *http.Request) {
+	r := newFixture(t, 4, func(w http.ResponseWriter, _ *http.Request) {
 		if failing.Load() {
 			w.WriteHeader(http.StatusInternalServerError)
 			return
@@ -337,12 +337,12 @@
 // TestSlowedIsSentBack has an upstream slow down unseen: the first sending of a
 // request finds it out and goes elsewhere, a second one is taken, and so is a first
 // one once senders can know.
-func TestSlowedIsSentBack(t *testing.T) {
-	r := newRig(t, 4, func(http.ResponseWriter, *http.Request) {})
-	var asked atomic.Int32
+func TestSlowedUpstreamRedirects(t *testing.T) {
+	r := newFixture(t, 4, func(http.ResponseWriter, *http.Request) {})
+	var probes atomic.Int32
 	slowdown := 1.0
 	r.gate.ProbeLoad = func(context.Context) {
-		asked.Add(1)
+		probes.Add(1)
 		r.gate.ObserveLoad(upstream.Load{Slowdown: slowdown})
 	}
 	call := func(try int) verdict.Cause {
@@ -356,13 +356,13 @@
 		return ""
 	}
 	qt.Check(t, call(1), qt.Equals, verdict.Cause(""))
-	qt.Check(t, asked.Load(), qt.Equals, int32(1))
+	qt.Check(t, probes.Load(), qt.Equals, int32(1))
 	qt.Check(t, call(2), qt.Equals, verdict.Cause(""), qt.Commentf("nobody is asked for a later try"))
-	qt.Check(t, asked.Load(), qt.Equals, int32(1))
+	qt.Check(t, probes.Load(), qt.Equals, int32(1))
 	time.Sleep(30 * time.Millisecond) // until the word is old
 	slowdown = 4
 	qt.Check(t, call(1), qt.Equals, verdict.Slowed)
-	qt.Check(t, asked.Load(), qt.Equals, int32(2))
+	qt.Check(t, probes.Load(), qt.Equals, int32(2))
 	qt.Check(t, call(2), qt.Equals, verdict.Cause(""))
 	time.Sleep(30 * time.Millisecond)
 	qt.Check(t, call(1), qt.Equals, verdict.Cause(""), qt.Commentf("senders know by now"))
@@ -373,7 +373,7 @@
 // runs there. The call is lost once its connection is, and is told so at once, and the
 // new start is not judged by the old one. It guards against the loss of calls at an upstream
 // that goes on with them, of which the announcement of another start is no proof.
-func TestUpstreamStartsAgain(t *testing.T) {
+func TestUpstreamRestart(t *testing.T) {
 	tests := map[string]struct {
 		first, second upstream.Announcement
 		ends          bool // whether the first start does
@@ -390,7 +390,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			inside, goOn := make(chan struct{}), make(chan struct{})
-			r := newRig(t, 4, func(http.ResponseWriter, *http.Request) {
+			r := newFixture(t, 4, func(http.ResponseWriter, *http.Request) {
 				close(inside)
 				<-goOn
 			})
@@ -414,7 +414,7 @@
 			announce(test.second)
 			restarted := test.first.StartID != test.second.StartID || test.first.StartMillis != 0 && test.first.StartMillis != test.second.StartMillis
 			if test.ends {
-				r.back.CloseClientConnections()
+				r.server.CloseClientConnections()
 				failure := <-ended
 				close(goOn)
 				qt.Assert(t, failure, qt.IsNotNil)
--- a/gate/notice.go
+++ b/gate/notice.go
@@ -27,110 +27,110 @@
 
 // limitTellEvery is the least time between two reports to all peers for a changed limit. An
 // upstream may name another one in each answer; those that call it learn it from their answers.
-const limitTellEvery = 500 * time.Millisecond
+const limitReportInterval = 500 * time.Millisecond
 
 // Notice takes in what an answer of a start of the upstream says of the requests that it wants.
-func (g *Gate) HandleNotice(start string, n upstream.Notice) {
+func (g *Gate) HandleNotice(startID string, n upstream.Notice) {
 	if n.Err != nil && g.NoticeInvalid != nil {
-		g.NoticeInvalid(start, n.Err)
+		g.NoticeInvalid(startID, n.Err)
 	}
 	g.mu.Lock()
-	var c change
-	if g.latest != nil && g.latest.StartID == start {
-		c = g.hear(func(named *throttle.Limiter) {
+	var c noticeChange
+	if g.latest != nil && g.latest.StartID == startID {
+		c = g.applyNotice(func(limiter *throttle.Limiter) {
 			switch {
 			case n.Limited:
-				g.healthNames = g.healthNames || n.FromHealthCheck
-				named.ObserveLimit(n.Limit, n.SentAt)
+				g.healthReportsLimits = g.healthReportsLimits || n.FromHealthCheck
+				limiter.ObserveLimit(n.Limit, n.SentAt)
 			case n.Err != nil: // what was known holds
-			case n.FromHealthCheck && !g.healthNames: // it never says
+			case n.FromHealthCheck && !g.healthReportsLimits: // it never says
 			default:
-				named.ObserveNoLimit(n.SentAt)
+				limiter.ObserveNoLimit(n.SentAt)
 			}
 		}, n.Leaving)
 	}
 	g.mu.Unlock()
-	g.changed(c)
+	g.notifyChange(c)
 }
 
 // adopt takes in what the sender of a call has been told of the upstream, which the upstream may
 // have said to a process before this one.
-func (g *Gate) adopt(n *peer.Notice) {
+func (g *Gate) adoptNotice(n *peer.Notice) {
 	if n == nil {
 		return
 	}
-	of := upstream.Announcement{
+	announced := upstream.Announcement{
 		StartID:     n.Start,
 		StartMillis: n.Born,
 	}
 	g.mu.Lock()
-	var c change
-	if g.latest != nil && g.latest.SameStart(&of) {
-		c = g.hear(func(named *throttle.Limiter) {
+	var c noticeChange
+	if g.latest != nil && g.latest.SameStart(&announced) {
+		c = g.applyNotice(func(limiter *throttle.Limiter) {
 			if n.Limited {
-				named.AdoptLimit(n.Limit)
+				limiter.AdoptLimit(n.Limit)
 			}
 		}, n.Leaving)
 	} else if n.Leaving {
-		c.left = &of
+		c.leaving = &announced
 	}
 	g.mu.Unlock()
-	g.changed(c)
+	g.notifyChange(c)
 }
 
 // change is what a notice has changed.
-type change struct {
-	limit bool
-	left  *upstream.Announcement // the start that leaves, or nil
-	tell  bool                   // whether peers are told at once
-	now   NoticeState
+type noticeChange struct {
+	limit     bool
+	leaving   *upstream.Announcement // the start that leaves, or nil
+	broadcast bool                   // whether peers are told at once
+	state     NoticeState
 }
 
 // hear takes in a notice of the present start: what set makes of its limit, and whether the
 // upstream leaves. The lock is held.
-func (g *Gate) hear(set func(*throttle.Limiter), leaving bool) (c change) {
-	named := &g.admit.AdvertisedLimiter
-	rateBefore, namedBefore := named.Rate()
-	set(named)
-	if leaving && !g.departing {
-		g.departing = true
-		g.departed = time.Now()
-		g.update()
-		c.left = g.latest
-	}
-	rateNow, namedNow := named.Rate()
-	c.limit = namedNow != namedBefore || rateNow != rateBefore
-	if !c.limit && c.left == nil {
+func (g *Gate) applyNotice(apply func(*throttle.Limiter), leaving bool) (c noticeChange) {
+	limiter := &g.admit.AdvertisedLimiter
+	rateBefore, limitedBefore := limiter.Rate()
+	apply(limiter)
+	if leaving && !g.noticeLeaving {
+		g.noticeLeaving = true
+		g.noticeLeavingSince = time.Now()
+		g.updateLimits()
+		c.leaving = g.latest
+	}
+	rateNow, limitedNow := limiter.Rate()
+	c.limit = limitedNow != limitedBefore || rateNow != rateBefore
+	if !c.limit && c.leaving == nil {
 		return c
 	}
-	c.now = g.standing()
-	if c.left != nil || c.limit && time.Since(g.limitTold) >= limitTellEvery {
-		c.tell = true
-		g.limitTold = time.Now()
+	c.state = g.noticeState()
+	if c.leaving != nil || c.limit && time.Since(g.limitReportedAt) >= limitReportInterval {
+		c.broadcast = true
+		g.limitReportedAt = time.Now()
 	}
 	return c
 }
 
 // changed acts on what a notice has changed.
-func (g *Gate) changed(c change) {
+func (g *Gate) notifyChange(c noticeChange) {
 	if c.limit {
 		g.admit.LimitChanged()
 	}
-	if c.left != nil && g.UpstreamLeaving != nil {
-		g.UpstreamLeaving(c.left.StartID, c.left.StartMillis)
+	if c.leaving != nil && g.UpstreamLeaving != nil {
+		g.UpstreamLeaving(c.leaving.StartID, c.leaving.StartMillis)
 	}
-	if c.tell && g.BroadcastReport != nil {
+	if c.broadcast && g.BroadcastReport != nil {
 		go g.BroadcastReport(g.Report())
 	}
-	if (c.limit || c.now.Leaving && c.left != nil) && g.NoticeChanged != nil {
-		g.NoticeChanged(c.now)
+	if (c.limit || c.state.Leaving && c.leaving != nil) && g.NoticeChanged != nil {
+		g.NoticeChanged(c.state)
 	}
 }
 
 // forgetNotices says that the upstream has started anew and has said nothing yet. The lock is
 // held.
-func (g *Gate) forgetNotices() {
-	g.departing, g.healthNames = false, false
+func (g *Gate) resetNotices() {
+	g.noticeLeaving, g.healthReportsLimits = false, false
 	g.admit.AdvertisedLimiter.Reset()
 }
 
@@ -138,15 +138,15 @@
 func (g *Gate) NoticeState() NoticeState {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.standing()
+	return g.noticeState()
 }
 
 // standing does what Standing does. The lock is held.
-func (g *Gate) standing() NoticeState {
+func (g *Gate) noticeState() NoticeState {
 	s := NoticeState{
 		Limit:        g.admit.AdvertisedLimiter.State(),
-		Leaving:      g.departing,
-		LeavingSince: g.departed,
+		Leaving:      g.noticeLeaving,
+		LeavingSince: g.noticeLeavingSince,
 	}
 	if g.latest != nil {
 		s.Start = g.latest.StartID
@@ -155,11 +155,11 @@
 }
 
 // notice returns what goes with answers to peers, or nil if the upstream wants all requests.
-func (g *Gate) notice() *peer.Notice {
+func (g *Gate) peerNotice() *peer.Notice {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	rate, limited := g.admit.AdvertisedLimiter.Rate()
-	if g.latest == nil || !limited && !g.departing {
+	if g.latest == nil || !limited && !g.noticeLeaving {
 		return nil
 	}
 	return &peer.Notice{
@@ -167,7 +167,7 @@
 		Born:    g.latest.StartMillis,
 		Limited: limited,
 		Limit:   rate,
-		Leaving: g.departing,
+		Leaving: g.noticeLeaving,
 	}
 }
 
--- a/gate/notice_test.go
+++ b/gate/notice_test.go
@@ -22,26 +22,26 @@
 )
 
 // noticed is a rig whose upstream says what words holds, in every answer.
-type noticed struct {
-	*rig
-	slots   int
-	words   atomic.Pointer[http.Header]
-	status  atomic.Int64
-	came    atomic.Int64
-	mu      sync.Mutex
-	told    []*peer.Notice // that came with answers and failures, nil for its end
-	left    []string
-	changes int
-	faults  int
+type noticeFixture struct {
+	*fixture
+	slots        int
+	noticeFields atomic.Pointer[http.Header]
+	status       atomic.Int64
+	requests     atomic.Int64
+	mu           sync.Mutex
+	notices      []*peer.Notice // that came with answers and failures, nil for its end
+	leaving      []string
+	changes      int
+	invalid      int
 }
 
-func newNoticed(t *testing.T, slots int, work time.Duration) *noticed {
-	n := &noticed{slots: slots}
-	n.say()
-	n.rig = newRig(t, slots, func(w http.ResponseWriter, r *http.Request) {
-		n.came.Add(1)
+func newNoticeFixture(t *testing.T, slots int, work time.Duration) *noticeFixture {
+	n := &noticeFixture{slots: slots}
+	n.setFields()
+	n.fixture = newFixture(t, slots, func(w http.ResponseWriter, r *http.Request) {
+		n.requests.Add(1)
 		time.Sleep(work)
-		for name, values := range *n.words.Load() {
+		for name, values := range *n.noticeFields.Load() {
 			w.Header()[name] = values
 		}
 		if s := n.status.Load(); s != 0 {
@@ -51,7 +51,7 @@
 	n.gate.UpstreamLeaving = func(start string, _ int64) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		n.left = append(n.left, start)
+		n.leaving = append(n.leaving, start)
 	}
 	n.gate.NoticeChanged = func(gate.NoticeState) {
 		n.mu.Lock()
@@ -61,19 +61,19 @@
 	n.gate.NoticeInvalid = func(string, error) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		n.faults++
+		n.invalid++
 	}
 	n.client.Noticed = func(m *peer.Notice) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		n.told = append(n.told, m)
+		n.notices = append(n.notices, m)
 	}
 	n.announce("i-1", 0)
 	return n
 }
 
 // announce announces a start of the upstream.
-func (n *noticed) announce(start string, born int64) {
+func (n *noticeFixture) announce(start string, born int64) {
 	n.gate.SetAnnouncement(&upstream.Announcement{
 		Service:     "service",
 		Address:     n.address,
@@ -85,16 +85,16 @@
 }
 
 // say sets fields of the upstream's answers, as names and values.
-func (n *noticed) say(fields ...string) {
+func (n *noticeFixture) setFields(fields ...string) {
 	h := http.Header{}
 	for i := 0; i < len(fields); i += 2 {
 		h.Set(fields[i], fields[i+1])
 	}
-	n.words.Store(&h)
+	n.noticeFields.Store(&h)
 }
 
 // send makes a call whose sender has been told of a notice, and returns its failure.
-func (n *noticed) send(notice *peer.Notice) *verdict.Error {
+func (n *noticeFixture) send(notice *peer.Notice) *verdict.Error {
 	m := &peer.Call{Service: "service", Method: "POST", Target: "/", Remaining: time.Second, Notice: notice}
 	x, failure := n.client.Start(context.Background(), m, nil)
 	if failure != nil {
@@ -106,11 +106,11 @@
 }
 
 // last returns what came last with an answer or a failure.
-func (n *noticed) last(t *testing.T) *peer.Notice {
+func (n *noticeFixture) last(t *testing.T) *peer.Notice {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	qt.Assert(t, len(n.told) > 0, qt.IsTrue)
-	return n.told[len(n.told)-1]
+	qt.Assert(t, len(n.notices) > 0, qt.IsTrue)
+	return n.notices[len(n.notices)-1]
 }
 
 const (
@@ -119,7 +119,7 @@
 )
 
 // TestNoticeInAnswers has an upstream name a limit in answers of different kinds.
-func TestNoticeInAnswers(t *testing.T) {
+func TestNoticeInResponses(t *testing.T) {
 	tests := map[string]struct {
 		fields  []string
 		status  int
@@ -139,34 +139,34 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			n := newNoticed(t, 4, 0)
-			n.say(test.fields...)
+			n := newNoticeFixture(t, 4, 0)
+			n.setFields(test.fields...)
 			n.status.Store(int64(test.status))
 			_ = n.send(nil)
 			s := n.gate.NoticeState()
 			qt.Check(t, s.Limit.Limited, qt.Equals, test.limited)
 			qt.Check(t, s.Limit.Rate, qt.Equals, test.limit)
 			qt.Check(t, s.Leaving, qt.IsFalse)
-			qt.Check(t, n.faults, qt.Equals, test.faults)
+			qt.Check(t, n.invalid, qt.Equals, test.faults)
 			if test.limited {
 				qt.Check(t, *n.last(t), qt.Equals, peer.Notice{Start: "i-1", Limited: true, Limit: test.limit})
 			} else {
-				qt.Check(t, n.told, qt.HasLen, 0)
+				qt.Check(t, n.notices, qt.HasLen, 0)
 			}
 		})
 	}
 }
 
 // TestGarbageKeepsLimit has a limit be followed by one that can't be read: the first holds.
-func TestGarbageKeepsLimit(t *testing.T) {
-	n := newNoticed(t, 4, 0)
-	n.say(limitField, "1000")
+func TestInvalidNoticeKeepsLimit(t *testing.T) {
+	n := newNoticeFixture(t, 4, 0)
+	n.setFields(limitField, "1000")
 	qt.Assert(t, n.send(nil) == nil, qt.IsTrue)
-	n.say(limitField, "soon")
+	n.setFields(limitField, "soon")
 	time.Sleep(5 * time.Millisecond)
 	_ = n.send(nil)
 	qt.Check(t, n.gate.NoticeState().Limit.Rate, qt.Equals, 1000.0)
-	n.say()
+	n.setFields()
 	time.Sleep(5 * time.Millisecond)
 	qt.Assert(t, n.send(n.last(t)) == nil, qt.IsTrue)
 	qt.Check(t, n.gate.NoticeState().Limit.Limited, qt.IsFalse)
@@ -177,34 +177,34 @@
 // a limit, or of a leaving, by the one before: it holds before the upstream has said so again.
 //
 // Guards against a fresh burst from each new process.
-func TestLimitOverProcesses(t *testing.T) {
-	n := newNoticed(t, 4, 0)
+func TestLimitAcrossNodeRestarts(t *testing.T) {
+	n := newNoticeFixture(t, 4, 0)
 	known := &peer.Notice{Start: "i-1", Limited: true, Limit: 0.5}
 	failure := n.send(known)
 	qt.Assert(t, failure, qt.IsNotNil)
 	qt.Check(t, failure.Verdict(), qt.Equals, verdict.NotRun)
 	qt.Check(t, failure.RetryAfter > time.Second, qt.IsTrue, qt.Commentf("%v", failure.RetryAfter))
 	qt.Check(t, n.gate.NoticeState().Limit.Adopted, qt.IsTrue)
-	qt.Check(t, n.came.Load(), qt.Equals, int64(0))
+	qt.Check(t, n.requests.Load(), qt.Equals, int64(0))
 	qt.Check(t, *n.last(t), qt.Equals, *known, qt.Commentf("who sends is told as well"))
 
-	other := newNoticed(t, 4, 0)
+	other := newNoticeFixture(t, 4, 0)
 	qt.Check(t, other.send(&peer.Notice{Start: "i-0", Limited: true, Limit: 0.5}) == nil, qt.IsTrue, qt.Commentf("another start's"))
 	qt.Check(t, other.gate.NoticeState().Limit.Limited, qt.IsFalse)
 
 	failure = other.send(&peer.Notice{Start: "i-1", Leaving: true})
 	qt.Assert(t, failure, qt.IsNotNil)
 	qt.Check(t, failure.Cause, qt.Equals, verdict.Draining)
-	qt.Check(t, other.left, qt.DeepEquals, []string{"i-1"})
+	qt.Check(t, other.leaving, qt.DeepEquals, []string{"i-1"})
 }
 
 // TestLeavingInAnswers has an upstream say that it leaves while requests wait: these are refused as
 // not run, and no other gets through until another start is there.
 //
 // Guards against requests at an upstream that leaves without having announced it.
-func TestLeavingInAnswers(t *testing.T) {
-	n := newNoticed(t, 1, 30*time.Millisecond)
-	n.say(leavingField, "1")
+func TestLeavingInResponses(t *testing.T) {
+	n := newNoticeFixture(t, 1, 30*time.Millisecond)
+	n.setFields(leavingField, "1")
 	var all sync.WaitGroup
 	var mu sync.Mutex
 	causes := make(map[verdict.Cause]int)
@@ -219,38 +219,38 @@
 		})
 	}
 	all.Wait()
-	qt.Check(t, n.came.Load(), qt.Equals, int64(1))
+	qt.Check(t, n.requests.Load(), qt.Equals, int64(1))
 	qt.Check(t, causes, qt.DeepEquals, map[verdict.Cause]int{verdict.Draining: 1})
-	n.say()
+	n.setFields()
 	for range 3 {
 		qt.Check(t, n.send(nil).Cause, qt.Equals, verdict.Draining, qt.Commentf("it still leaves"))
 	}
 	n.announce("i-1", 0)
 	qt.Check(t, n.send(nil).Cause, qt.Equals, verdict.Draining, qt.Commentf("the same start"))
 	qt.Check(t, n.gate.NoticeState().Leaving, qt.IsTrue)
-	qt.Check(t, n.left, qt.DeepEquals, []string{"i-1"})
+	qt.Check(t, n.leaving, qt.DeepEquals, []string{"i-1"})
 	for i, born := range []int64{5, 9} {
 		n.announce(fmt.Sprint("i-", 2), born)
 		qt.Check(t, n.send(nil) == nil, qt.IsTrue, qt.Commentf("start %d", i))
-		n.say(leavingField, "1")
+		n.setFields(leavingField, "1")
 		_ = n.send(nil)
 		qt.Check(t, n.gate.NoticeState().Leaving, qt.IsTrue)
-		n.say()
+		n.setFields()
 	}
 }
 
 // TestHealthNotices has the health check name limits or not: where it never does, that it names
 // none says nothing.
 func TestHealthNotices(t *testing.T) {
-	ask := func(n *noticed, limit float64) {
+	healthCheck := func(n *noticeFixture, limit float64) {
 		n.gate.HandleNotice("i-1", upstream.Notice{FromHealthCheck: true, Limited: limit > 0, Limit: limit, SentAt: time.Now()})
 	}
-	n := newNoticed(t, 4, 0)
+	n := newNoticeFixture(t, 4, 0)
 	n.gate.HandleNotice("i-1", upstream.Notice{Limited: true, Limit: 5})
-	ask(n, 0)
+	healthCheck(n, 0)
 	qt.Check(t, n.gate.NoticeState().Limit.Limited, qt.IsTrue, qt.Commentf("it never says"))
-	ask(n, 4)
-	ask(n, 0)
+	healthCheck(n, 4)
+	healthCheck(n, 0)
 	qt.Check(t, n.gate.NoticeState().Limit.Limited, qt.IsFalse)
 	n.gate.HandleNotice("i-0", upstream.Notice{Limited: true, Limit: 5})
 	qt.Check(t, n.gate.NoticeState().Limit.Limited, qt.IsFalse, qt.Commentf("another start's"))
--- a/gate/observe_test.go
+++ b/gate/observe_test.go
@@ -18,8 +18,8 @@
 
 // TestAnswerPastReport guards against an answer that is held back until all nodes have been sent
 // the changed load that it told.
-func TestAnswerPastReport(t *testing.T) {
-	r := newRig(t, 4, func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("Load", "3,0,8,300") })
+func TestResponseNotDelayedByReport(t *testing.T) {
+	r := newFixture(t, 4, func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("Load", "3,0,8,300") })
 	r.gate.Names = upstream.FieldNames{Load: "Load"}
 	held := make(chan struct{})
 	defer close(held)
--- a/gate/organisation_test.go
+++ b/gate/organisation_test.go
@@ -19,9 +19,9 @@
 
 // TestOrganisationsAtTheGate has an organisation fill a gate's queue before another's call
 // comes: the last of its calls gives way, unrun, and the other's runs.
-func TestOrganisationsAtTheGate(t *testing.T) {
+func TestOrganisationDisplacement(t *testing.T) {
 	inside, goOn := make(chan struct{}), make(chan struct{})
-	r := newRig(t, 1, func(http.ResponseWriter, *http.Request) {
+	r := newFixture(t, 1, func(http.ResponseWriter, *http.Request) {
 		inside <- struct{}{}
 		<-goOn
 	})
--- a/gate/permit_test.go
+++ b/gate/permit_test.go
@@ -16,28 +16,28 @@
 // TestColdBetweenMilliseconds has many requests wait for an upstream to be warm, which tells
 // in whole milliseconds how much longer it is cold: until it is warm, no second has more of
 // them than it bears.
-func TestColdBetweenMilliseconds(t *testing.T) {
+func TestColdRemainingTruncation(t *testing.T) {
 	const most, calls = 5, 30
-	tell := map[string]func(g *Gate, remaining time.Duration){
+	reports := map[string]func(g *Gate, remaining time.Duration){
 		"health check": (*Gate).SetColdRemaining,
 		"announcement": (*Gate).ExtendColdStart,
 	}
-	for name, tell := range tell {
+	for name, report := range reports {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(20) {
 				synctest.Test(t, func(t *testing.T) {
 					random := rand.New(rand.NewPCG(1, seed))
 					var g Gate
-					g.sending.SetLimit(most)
-					g.unsent()
+					g.sendLimit.SetLimit(most)
+					g.resetSent()
 					end := time.Now().Add(800*time.Millisecond + time.Duration(random.IntN(1000))*time.Microsecond)
 					sent := 0
 					for range calls {
-						tell(&g, time.Until(end).Truncate(time.Millisecond))
+						report(&g, time.Until(end).Truncate(time.Millisecond))
 						written, refused := g.permit()
 						for refused != nil {
 							time.Sleep(min(refused.RetryAfter, 300*time.Microsecond))
-							tell(&g, time.Until(end).Truncate(time.Millisecond))
+							report(&g, time.Until(end).Truncate(time.Millisecond))
 							written, refused = g.permit()
 						}
 						written()
--- a/gate/resize_test.go
+++ b/gate/resize_test.go
@@ -38,8 +38,8 @@
 				inside <- struct{}{}
 				<-goOn
 			}
-			back := httptest.NewUnstartedServer(http.HandlerFunc(handle))
-			back.Config.ConnState = func(c net.Conn, s http.ConnState) {
+			server := httptest.NewUnstartedServer(http.HandlerFunc(handle))
+			server.Config.ConnState = func(c net.Conn, s http.ConnState) {
 				mu.Lock()
 				defer mu.Unlock()
 				if s == http.StateClosed {
@@ -48,11 +48,11 @@
 					open[c] = true
 				}
 			}
-			back.Start()
-			defer back.Close()
-			r := newRig(t, 1, handle)
+			server.Start()
+			defer server.Close()
+			r := newFixture(t, 1, handle)
 			announce := func(slots int, start string) {
-				r.gate.SetAnnouncement(&upstream.Announcement{Service: "service", Address: back.Listener.Addr().String(), Slots: slots, Connections: slots, StartID: start})
+				r.gate.SetAnnouncement(&upstream.Announcement{Service: "service", Address: server.Listener.Addr().String(), Slots: slots, Connections: slots, StartID: start})
 			}
 			ended := make(chan *verdict.Error)
 			begin := func(calls int) {
--- a/gate/goeson_test.go
+++ b/gate/running_test.go
@@ -20,7 +20,7 @@
 
 // TestRunsGoOn guards against the loss of requests at whose upstream work goes on, by what the gate
 // learns meanwhile: it may refuse others by that, and end none.
-func TestRunsGoOn(t *testing.T) {
+func TestRunningRequestsContinue(t *testing.T) {
 	announced := func(address string) upstream.Announcement {
 		return upstream.Announcement{Service: "service", Address: address, Slots: 4, Connections: 4, StartID: "one"}
 	}
@@ -59,7 +59,7 @@
 			}
 			t.Run(name+"/"+stage, func(t *testing.T) {
 				inside, goOn := make(chan struct{}), make(chan struct{})
-				r := newRig(t, 4, func(w http.ResponseWriter, _ *http.Request) {
+				r := newFixture(t, 4, func(w http.ResponseWriter, _ *http.Request) {
 					if begun {
 						_, _ = io.WriteString(w, "be")
 						w.(http.Flusher).Flush()
--- a/gate/start.go
+++ b/gate/start.go
@@ -17,16 +17,16 @@
 	running quarantine.InFlight
 	calls   atomic.Int32
 	// drained is whether it has said that it drains.
-	drained atomic.Bool
+	draining atomic.Bool
 	// broke is whether it has lost a request.
-	broke atomic.Bool
+	lostRequest atomic.Bool
 	// looking is whether it is being found out if it is still there.
-	looking atomic.Bool
+	checking atomic.Bool
 }
 
 // present returns whether b is for the start of the upstream that is announced, or for the last
 // one if none is.
-func (g *Gate) present(b *binding) bool {
+func (g *Gate) isCurrent(b *binding) bool {
 	now := g.current.Load()
 	return now == nil || now.start == b.start
 }
@@ -35,8 +35,8 @@
 // not ended by that: a heartbeat may be late, and the former start may be ending its last
 // ones, while the kernel tells of one that is gone. Until it does so for one of them, the start
 // has not ended under them.
-func (g *Gate) replaced(b *binding) {
-	if b.start.calls.Load() == 0 || b.start.broke.Load() {
-		g.gone(b)
+func (g *Gate) handleReplaced(b *binding) {
+	if b.start.calls.Load() == 0 || b.start.lostRequest.Load() {
+		g.reportCrash(b)
 	}
 }
