--- a/gate/admission.go
+++ b/gate/admission.go
@@ -12,8 +12,8 @@
 	"sassafrasfront.example/verdict"
 )
 
-// binding returns the upstream that the call goes to, or nil if there is none of its service
-// beside this node.
+// binding returns the binding for the call, or nil if no upstream of its service runs beside this
+// node.
 func (c *call) binding() *binding {
 	b := c.gate.current.Load()
 	if b == nil || b.announcement.Service != c.in.Call.Service {
@@ -22,7 +22,7 @@
 	return b
 }
 
-// admit gets a slot for the call, waiting for it if need be.
+// admit gets a slot for the call, and waits for one if necessary.
 func (c *call) admit(ctx context.Context) (*admit.Ticket, *binding, *verdict.Error) {
 	if c.binding() == nil {
 		return nil, nil, verdict.New(verdict.Misrouted, nil)
@@ -30,22 +30,22 @@
 	t, err := c.enter(ctx)
 	switch {
 	case err == nil:
-		b := c.binding() // the upstream may have started again meanwhile
+		b := c.binding() // the upstream may have restarted meanwhile
 		if b == nil {
 			t.Release(false)
 			return nil, nil, verdict.New(verdict.Misrouted, nil)
 		}
 		return t, b, nil
 	case err.Cause == verdict.NoUpstream:
-		// This gate does not know its service yet; another may.
+		// This gate has no configuration for its service yet; another node may have one.
 		return nil, nil, verdict.New(verdict.Misrouted, err)
 	}
 	return nil, nil, err
 }
 
-// slowed returns why a call that has been admitted is sent elsewhere all the same:
-// the upstream has just slowed down, which its sender could not know. A call that
-// comes from elsewhere already is taken as it is.
+// checkSlowed returns why an admitted call is still sent to another node: the upstream has just
+// slowed down, and the sender could not know that yet. A call that another node has already
+// sent on is accepted.
 func (g *Gate) checkSlowed(ctx context.Context, in *peer.Inbound) *verdict.Error {
 	if g.ProbeLoad == nil || in.Call.Try != 1 {
 		return nil
--- a/gate/ahead.go
+++ b/gate/ahead.go
@@ -11,8 +11,8 @@
 	"sassafrasfront.example/verdict"
 )
 
-// enter gets a slot for the call. The body of one that is sent ahead is received first, if
-// the call is likely to be admitted then, so that no slot is held while it comes in.
+// enter gets a slot for the call. If the body is sent ahead of admission and the call is likely
+// to be admitted, the body is received first, so that no slot is held while it arrives.
 func (c *call) enter(ctx context.Context) (*admit.Ticket, *verdict.Error) {
 	m := c.in.Call
 	if !m.Ahead {
--- a/gate/ahead_test.go
+++ b/gate/ahead_test.go
@@ -21,7 +21,7 @@
 	"sassafrasfront.example/verdict"
 )
 
-// bodySize is the length of the bodies that are sent ahead in the tests.
+// bodySize is the length of bodies sent ahead of admission in the tests.
 const bodySize = 60_000
 
 // sendAhead starts a call whose body is sent ahead of its admission.
@@ -34,25 +34,25 @@
 	return x
 }
 
-// TestBodyAhead has one row for what may happen while the body of a call comes in. The only
-// slot is free meanwhile, and a call of which anything else is told than an answer never
+// TestBodyBeforeAdmission has one row for each event that may happen while the body of a call
+// arrives. The only slot stays free meanwhile, and a call that does not end with a response never
 // reaches the upstream.
 func TestBodyBeforeAdmission(t *testing.T) {
 	tests := map[string]struct {
 		meanwhile func(r *fixture, x *peer.Exchange, body *io.PipeWriter)
 		want      verdict.Cause
 	}{
-		"comes": {meanwhile: func(_ *fixture, _ *peer.Exchange, _ *io.PipeWriter) {}},
-		"upstream starts again": {meanwhile: func(r *fixture, _ *peer.Exchange, _ *io.PipeWriter) {
+		"body arrives": {meanwhile: func(_ *fixture, _ *peer.Exchange, _ *io.PipeWriter) {}},
+		"upstream restarts": {meanwhile: func(r *fixture, _ *peer.Exchange, _ *io.PipeWriter) {
 			r.gate.SetAnnouncement(&upstream.Announcement{Service: "service", Address: r.address, Slots: 1, Connections: 1, StartID: "two"})
 		}},
-		"breaks":                 {meanwhile: func(_ *fixture, _ *peer.Exchange, w *io.PipeWriter) { w.CloseWithError(io.ErrUnexpectedEOF) }, want: verdict.BadRequest},
-		"call revoked":           {meanwhile: func(_ *fixture, x *peer.Exchange, _ *io.PipeWriter) { x.Revoke(); <-x.Ready() }, want: verdict.Revoked},
-		"zone evacuated":         {meanwhile: func(r *fixture, _ *peer.Exchange, _ *io.PipeWriter) { r.gate.SetEvacuated(true) }, want: verdict.Draining},
-		"node leaves":            {meanwhile: func(r *fixture, _ *peer.Exchange, _ *io.PipeWriter) { r.gate.Drain() }, want: verdict.Draining},
-		"connection is lost":     {meanwhile: func(r *fixture, _ *peer.Exchange, _ *io.PipeWriter) { r.client.Close() }, want: verdict.NotWritten},
-		"upstream goes":          {meanwhile: func(r *fixture, _ *peer.Exchange, _ *io.PipeWriter) { r.gate.SetAnnouncement(nil) }, want: verdict.Misrouted},
-		"nobody wants an answer": {meanwhile: func(_ *fixture, x *peer.Exchange, _ *io.PipeWriter) { x.Close() }},
+		"body fails":            {meanwhile: func(_ *fixture, _ *peer.Exchange, w *io.PipeWriter) { w.CloseWithError(io.ErrUnexpectedEOF) }, want: verdict.BadRequest},
+		"call revoked":          {meanwhile: func(_ *fixture, x *peer.Exchange, _ *io.PipeWriter) { x.Revoke(); <-x.Ready() }, want: verdict.Revoked},
+		"zone evacuated":        {meanwhile: func(r *fixture, _ *peer.Exchange, _ *io.PipeWriter) { r.gate.SetEvacuated(true) }, want: verdict.Draining},
+		"node leaves":           {meanwhile: func(r *fixture, _ *peer.Exchange, _ *io.PipeWriter) { r.gate.Drain() }, want: verdict.Draining},
+		"connection is lost":    {meanwhile: func(r *fixture, _ *peer.Exchange, _ *io.PipeWriter) { r.client.Close() }, want: verdict.NotWritten},
+		"upstream is withdrawn": {meanwhile: func(r *fixture, _ *peer.Exchange, _ *io.PipeWriter) { r.gate.SetAnnouncement(nil) }, want: verdict.Misrouted},
+		"caller leaves":         {meanwhile: func(_ *fixture, x *peer.Exchange, _ *io.PipeWriter) { x.Close() }},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -70,7 +70,7 @@
 			r.gate.Configure(&config)
 			reader, writer := io.Pipe()
 			x := r.sendAhead(t, context.Background(), reader)
-			_, err := writer.Write(make([]byte, bodySize/2)) // returns once the gate has asked for it
+			_, err := writer.Write(make([]byte, bodySize/2)) // returns once the gate has requested it
 			qt.Assert(t, err, qt.IsNil)
 			qt.Check(t, r.call("service", time.Minute) == nil, qt.IsTrue, qt.Commentf("the slot is free"))
 			test.meanwhile(r, x, writer)
@@ -78,7 +78,7 @@
 				_, _ = io.Copy(writer, strings.NewReader(strings.Repeat("x", bodySize/2)))
 				writer.Close()
 			}()
-			if name == "nobody wants an answer" {
+			if name == "caller leaves" {
 				time.Sleep(20 * time.Millisecond)
 				qt.Check(t, arrived.Load(), qt.Equals, int32(0))
 				return
--- a/gate/call.go
+++ b/gate/call.go
@@ -24,7 +24,7 @@
 	"sassafrasfront.example/verdict"
 )
 
-// gatherLimit is the largest answer that is sent in one frame.
+// maxSingleFrameBytes is the largest response body that is sent in one frame.
 const maxSingleFrameBytes = 32 << 10
 
 // call is the handling of one call.
@@ -33,14 +33,14 @@
 	in     *peer.Inbound
 	status int
 	waited time.Duration
-	// arrived is how long the body took to arrive, if it was sent ahead.
+	// bodyTime is how long the body took to arrive, if it was sent ahead of admission.
 	bodyTime time.Duration
-	body     *quarantine.BodyHasher // that passes through, if the entry has not gathered it
+	body     *quarantine.BodyHasher // while it passes through, if the entry has not buffered it
 }
 
-// guarded does what run does, and has the call fail if that panics: a fault that one request
-// meets must not end the node, which the next node would be sent as well. It is not sent
-// elsewhere for the same reason.
+// runRecovered calls run and turns a panic into a failure of the call: a fault that one request
+// triggers must not end the node. The call is not sent to another node, as that would fail in
+// the same way.
 func (c *call) runRecovered(ctx context.Context) (failure *verdict.Error) {
 	defer func() {
 		value := recover()
@@ -55,8 +55,8 @@
 	return c.run(ctx)
 }
 
-// run handles the call up to the end of its answer, or returns why there is
-// none, or why it is cut.
+// run handles the call up to the end of its response, or returns why there is none or why
+// it was cut off.
 func (c *call) run(ctx context.Context) *verdict.Error {
 	if failure := c.gate.Quarantine.Assess(c.in.Call.Print).Failure(); failure != nil {
 		return failure
@@ -119,9 +119,9 @@
 	}
 	defer response.Body.Close()
 	c.status = response.StatusCode
-	c.recordOutcome(b, nil, time.Since(began)) // before the answer, which tells of it
+	c.recordOutcome(b, nil, time.Since(began)) // before the response, whose load report includes it
 	failure = c.forwardResponse(response, func() {
-		healthy = c.status < http.StatusInternalServerError && c.gate.isCurrent(b) // errors may come in no time
+		healthy = c.status < http.StatusInternalServerError && c.gate.isCurrent(b) // the time of an error is no sample
 		release()
 	})
 	tracing.End(span, c.status, failure)
@@ -137,7 +137,7 @@
 	return nil
 }
 
-// print returns the fingerprint of the call, with its body as far as it has passed.
+// fingerprint returns the fingerprint of the call, including the part of its body passed on so far.
 func (c *call) fingerprint() quarantine.Fingerprint {
 	if c.body == nil {
 		return c.in.Call.Print
@@ -145,10 +145,9 @@
 	return c.body.Fingerprint(c.in.Call.Print)
 }
 
-// judge tells the gate whether the upstream failed the call. A deadline that
-// passed says nothing of the upstream, and neither does a caller that left; one
-// start says nothing of the next. A request that is given up on still tells how long it
-// has taken so far.
+// recordOutcome records whether the upstream failed the call. A passed deadline or a caller that
+// left says nothing about the upstream, and the outcome at an earlier start says nothing about
+// the current one. For an abandoned request the time that it has taken so far still counts.
 func (c *call) recordOutcome(b *binding, failure *verdict.Error, took time.Duration) {
 	if !c.gate.isCurrent(b) {
 		return
@@ -208,7 +207,7 @@
 	return r, nil
 }
 
-// reader returns the body of the call.
+// bodyReader returns a reader of the call's body.
 func (c *call) bodyReader() io.Reader {
 	if c.body != nil {
 		return c.body
@@ -216,7 +215,7 @@
 	return c.in.Body()
 }
 
-// trailing is a body that fills in the trailer at its end.
+// trailerReader is a body that fills in the trailer when it ends.
 type trailerReader struct {
 	io.Reader
 	in      *peer.Inbound
@@ -237,16 +236,16 @@
 // Close implements io.Closer.
 func (t *trailerReader) Close() error { return nil }
 
-// inform passes an informational answer on, unless it is too large: it may be
-// left out.
+// forwardInformational passes an informational (1xx) response on. One with too many header fields
+// is dropped, which HTTP allows.
 func (c *call) forwardInformational(status int, h http.Header) {
 	if fields := httpfield.From(h); len(fields) <= peer.MaxFields {
 		_ = c.in.Inform(status, fields)
 	}
 }
 
-// answer passes the upstream's answer on. It calls ended once the upstream has
-// sent all of it, so that the slot is free before the last frame is written.
+// forwardResponse passes the upstream's response on. It calls ended once the upstream has sent all
+// of it, so that the slot is free before the last frame is written.
 func (c *call) forwardResponse(r *http.Response, ended func()) *verdict.Error {
 	a := &peer.Answer{
 		Status: r.StatusCode,
@@ -259,7 +258,7 @@
 	}
 	c.in.Notice = c.gate.peerNotice()
 	if len(a.Header) > peer.MaxFields {
-		return verdict.New(verdict.AnswerInvalid, eris.Errorf("%d header fields", len(a.Header)))
+		return verdict.New(verdict.AnswerInvalid, eris.Errorf("%d header fields in the response", len(a.Header)))
 	}
 	if r.ContentLength < 0 || r.ContentLength > maxSingleFrameBytes {
 		return c.streamResponse(r, a, ended)
@@ -267,11 +266,11 @@
 	data, err := io.ReadAll(r.Body)
 	a.Body = data
 	if err != nil && c.gate.Names.Signature != "" {
-		// Nothing of the answer has gone on yet: another upstream may give one.
+		// Nothing of the response has been sent yet: another upstream may still give one.
 		return verdict.New(verdict.AnswerMalformed, err)
 	}
 	if err != nil {
-		// The whole head and what there is of the body go on, and then the cut.
+		// Send the header and the part of the body that was read, then report the truncation.
 		_ = c.in.Begin(a)
 		return verdict.As(err, verdict.AnswerTruncated)
 	}
@@ -283,7 +282,7 @@
 	return nil
 }
 
-// stream passes on an answer that is large or of unknown length.
+// streamResponse passes on a response that is large or of unknown length.
 func (c *call) streamResponse(r *http.Response, a *peer.Answer, ended func()) *verdict.Error {
 	if err := c.in.Begin(a); err != nil {
 		return verdict.As(err, verdict.AnswerTruncated)
--- a/gate/causes_test.go
+++ b/gate/causes_test.go
@@ -23,21 +23,21 @@
 	"sassafrasfront.example/verdict"
 )
 
-// never is a body that does not come.
+// blockedReader is a body that never arrives.
 type blockedReader struct{}
 
 // Read implements io.Reader.
 func (blockedReader) Read([]byte) (int, error) { select {} }
 
-// TestLostCallsHaveReasons ends a call in each way, at each stage of its handling: a gate says why,
-// and says peerLost only where the connection that the call came on is lost. It guards against a
+// TestFailedCallsHaveCauses ends a call in each way, at each stage of its handling: the gate reports a
+// cause, and reports peerLost only if the connection of the call is lost. It guards against a
 // peerLost that no log explains.
 func TestFailedCallsHaveCauses(t *testing.T) {
 	stages := map[string]struct {
 		call    peer.Call
 		body    func() io.Reader
-		busy    bool // whether another call has the slot
-		runs    bool // whether the upstream has it
+		busy    bool // whether another call holds the slot
+		runs    bool // whether it has reached the upstream
 		reached func(r admit.Report) bool
 	}{
 		"waits for a slot": {
@@ -49,7 +49,7 @@
 			body:    func() io.Reader { return blockedReader{} },
 			reached: func(r admit.Report) bool { return r.Running == 1 },
 		},
-		"waits for its body ahead": {
+		"waits for its body before admission": {
 			call:    peer.Call{Streams: true, Ahead: true, Length: 100 << 10},
 			body:    func() io.Reader { return blockedReader{} },
 			reached: func(admit.Report) bool { return true },
@@ -95,7 +95,7 @@
 	for stage, s := range stages {
 		for name, e := range ends {
 			if stage == "is answered" && e.remaining > 0 {
-				continue // an answer that has begun may go on
+				continue // a response that has begun may continue
 			}
 			t.Run(stage+"/"+name, func(t *testing.T) {
 				t.Parallel()
@@ -132,9 +132,8 @@
 	}
 }
 
-// TestStoppedServerIsNoCaller has the server of a gate stop while a call runs: the call has not been
-// given up by its caller. It guards against a callerGone where nobody left, which no node sends
-// elsewhere.
+// TestServerStopIsNotCallerGone stops the server of a gate while a call runs, which its caller has not
+// given up. It guards against reporting callerGone, which no node retries, when no caller has left.
 func TestServerStopIsNotCallerGone(t *testing.T) {
 	p := newEndingCalls(t)
 	p.start(peer.Call{Remaining: time.Minute}, nil)
@@ -145,7 +144,7 @@
 	qt.Check(t, failure.Err, qt.IsNotNil)
 }
 
-// ended is a gate whose calls are ended.
+// endingCalls is a gate whose calls are ended by the test.
 type endingCalls struct {
 	t        *testing.T
 	gate     *gate.Gate
@@ -153,8 +152,8 @@
 	conn     net.Conn // of the client
 	stop     func()   // ends the gate's server
 	exchange *peer.Exchange
-	inside   chan struct{}       // tells of each call at the upstream
-	failures chan *verdict.Error // of the calls, as the gate tells
+	inside   chan struct{}       // receives a value for each call that reaches the upstream
+	failures chan *verdict.Error // of the ended calls
 }
 
 func newEndingCalls(t *testing.T) *endingCalls {
@@ -210,7 +209,7 @@
 	if m.Target == "" {
 		m.Target = "/"
 	}
-	// A call whose time is over before it has been written does not come to the gate.
+	// A call whose deadline passes before it has been written does not reach the gate.
 	for wait := m.Remaining; ; wait *= 2 {
 		m.Remaining = wait
 		x, failure := p.client.Start(context.Background(), &m, body)
@@ -224,7 +223,7 @@
 	}
 }
 
-// await waits until the gate's load is as said.
+// await waits until the gate's load meets the condition.
 func (p *endingCalls) await(condition func(r admit.Report) bool) {
 	for !condition(p.gate.Load()) {
 		time.Sleep(time.Millisecond)
--- a/gate/crash.go
+++ b/gate/crash.go
@@ -14,7 +14,7 @@
 	"sassafrasfront.example/verdict"
 )
 
-// track records that the call is sent to its upstream, and whether it is isolated.
+// track records that the call is sent to its upstream, and whether it is isolated there.
 func (c *call) track(b *binding, isolated bool) *quarantine.Run {
 	fingerprint := c.in.Call.Print
 	if !fingerprint.Complete() && c.in.Call.Streams {
@@ -25,8 +25,8 @@
 	return b.start.running.Begin(c.fingerprint, isolated)
 }
 
-// look finds out whether an upstream that has lost a request is still there. Connections
-// may be cut for other reasons; only an upstream that is gone refuses new ones.
+// checkAlive finds out whether an upstream that has lost a request is still running. Connections
+// may be closed for other reasons; only an upstream that has ended refuses new ones.
 func (g *Gate) checkAlive(b *binding) {
 	if !b.start.checking.CompareAndSwap(false, true) {
 		return
@@ -37,8 +37,8 @@
 	}
 }
 
-// gone tells that an upstream has ended, with the requests that it may have ended under.
-// One that drains, or that has left, ends as it was to.
+// reportCrash reports that a start of the upstream has ended, with the requests that were in flight.
+// An upstream that was draining or had left is not reported.
 func (g *Gate) reportCrash(b *binding) {
 	if g.UpstreamCrashed == nil || g.current.Load() == nil || b.start.draining.Load() {
 		return
@@ -51,9 +51,8 @@
 	g.UpstreamCrashed(b.announcement, suspects, isolatedSuspect)
 }
 
-// answered takes in that a request has run to its end here. A suspected one is cleared by
-// that, also if it began before anything was known of it: what ends upstreams is never
-// answered.
+// recordCompleted records that a request has completed. This clears a suspected request, also if it
+// started before it was suspected: a request that crashes upstreams never completes.
 func (g *Gate) recordCompleted(p quarantine.Fingerprint) {
 	if !p.Complete() {
 		return
@@ -64,13 +63,13 @@
 	}
 }
 
-// comeBackIsolated is when an isolated request may come back to a gate where another
-// runs: runs take some hundred milliseconds.
+// isolatedRetryAfter is the retry delay of an isolated request that is refused because another
+// one is running: runs take some hundred milliseconds.
 const isolatedRetryAfter = 100 * time.Millisecond
 
-// isolate returns the standing of a request that is about to run, which may be another
-// than when it came, and what it owes at its end. An isolated one runs if no other
-// isolated one does: the upstream can then end under one of them only.
+// isolate returns the quarantine judgment of a request that is about to run, which may have
+// changed since the call arrived, and a function to call when the request ends. Only one isolated
+// request runs at a time, so that a crash of the upstream can be attributed to it.
 func (g *Gate) isolate(p quarantine.Fingerprint) (j quarantine.Assessment, unlock func(), failure *verdict.Error) {
 	j = g.Quarantine.Assess(p)
 	if failure := j.Failure(); failure != nil {
--- a/gate/crash_test.go
+++ b/gate/crash_test.go
@@ -19,18 +19,18 @@
 	"sassafrasfront.example/verdict"
 )
 
-// printOf returns the fingerprint of a request for a target.
+// fingerprintOf returns the fingerprint of a request for a target.
 func fingerprintOf(target string) quarantine.Fingerprint {
 	return quarantine.NewFingerprint("caller", "GET", "h.example", target).WithBody(nil)
 }
 
-// end is what a gate told of the end of its upstream.
+// crash is a crash of the upstream as reported by the gate.
 type crash struct {
 	suspects []quarantine.Fingerprint
 	isolated quarantine.Fingerprint
 }
 
-// watched is a rig whose gate knows suspects and tells of ends.
+// quarantineFixture is a fixture whose gate has a quarantine index and reports crashes.
 type quarantineFixture struct {
 	*fixture
 	index   quarantine.Index
@@ -65,7 +65,7 @@
 	return failure
 }
 
-// suspect adds the report that some upstreams have ended with a request at hand.
+// suspect adds a report that the given starts have crashed with a request in flight.
 func (w *quarantineFixture) suspect(target string, starts ...string) {
 	for _, s := range starts {
 		var isolated quarantine.Fingerprint
@@ -76,11 +76,11 @@
 	}
 }
 
-// TestStandingsAtTheGate tells what a gate does with a suspected request, while another
-// isolated one runs.
+// TestSuspectedRequests checks what a gate does with a suspected request while another, isolated
+// one runs.
 func TestSuspectedRequests(t *testing.T) {
 	tests := map[string]struct {
-		starts  []string // that have ended with it at hand
+		starts  []string // starts that crashed with it in flight
 		want    verdict.Cause
 		cleared bool
 	}{
@@ -126,8 +126,8 @@
 	}
 }
 
-// TestErrorClearsNobody has a suspected request answered with an error: that is no sign
-// that it does no harm.
+// TestErrorDoesNotClearSuspect responds to a suspected request with an error, which does not show that
+// it is harmless.
 func TestErrorDoesNotClearSuspect(t *testing.T) {
 	w := newQuarantineFixture(t, func(rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(http.StatusInternalServerError) })
 	w.suspect("/it", "a")
@@ -135,10 +135,10 @@
 	qt.Check(t, w.cleared, qt.HasLen, 0)
 }
 
-// TestGone tells which ends of connections are ends of the upstream.
+// TestUpstreamCrash checks which lost connections count as a crash of the upstream.
 func TestUpstreamCrash(t *testing.T) {
 	tests := map[string]struct {
-		before  func(w *quarantineFixture) // the loss
+		before  func(w *quarantineFixture) // causes the loss
 		crashed bool
 	}{
 		"it refuses connections": {
@@ -218,14 +218,14 @@
 				return
 			}
 			close(goOn)
-			w.get("/after") // by which the gate has looked
+			w.get("/after") // by then the gate has checked the upstream
 			qt.Check(t, w.crashes, qt.HasLen, 0)
 		})
 	}
 }
 
-// TestNotGone has another start announced while the former one goes on with its requests, and
-// answers them: it has not ended under them.
+// TestReplacedUpstreamStillRunning announces a new start of the upstream while the former one continues
+// with its requests and completes them: this is not a crash.
 func TestReplacedUpstreamStillRunning(t *testing.T) {
 	inside, goOn := make(chan struct{}), make(chan struct{})
 	w := newQuarantineFixture(t, func(_ http.ResponseWriter, r *http.Request) {
--- a/gate/evacuate_test.go
+++ b/gate/evacuate_test.go
@@ -21,9 +21,9 @@
 	"sassafrasfront.example/verdict"
 )
 
-// TestEvacuate has the zone of a gate evacuated while one request runs and one waits: what
-// runs is let end, what waits and what comes after is refused unrun, and the gate takes
-// requests again when the zone is taken back.
+// TestEvacuate evacuates the zone of a gate while one request runs and one waits: the running
+// one completes, the waiting one and later ones are refused without having run, and the gate
+// accepts requests again after the evacuation ends.
 func TestEvacuate(t *testing.T) {
 	inside, goOn := make(chan struct{}), make(chan struct{})
 	var runs atomic.Int32
@@ -60,8 +60,8 @@
 	qt.Check(t, runs.Load(), qt.Equals, int32(2))
 }
 
-// TestEvacuateAfterAdmission has the zone evacuated between the admission of a request and
-// its sending, here while the only connection is in use: it does not reach the upstream.
+// TestEvacuateAfterAdmission evacuates the zone while a request waits for the only connection and
+// for its body: it must not reach the upstream.
 func TestEvacuateAfterAdmission(t *testing.T) {
 	inside, goOn := make(chan struct{}), make(chan struct{})
 	var runs atomic.Int32
@@ -74,8 +74,8 @@
 	r.gate.SetAnnouncement(&upstream.Announcement{Service: "service", Address: r.address, Slots: 2, Connections: 1, StartID: "one"})
 	config := operator.Service{}.WithDefaults()
 	r.gate.Configure(&config)
-	// Of two connections the transport opens one at a time where it may have one only, and
-	// the gate has as many slots; a streamed body is what is left to wait for.
+	// With a single connection the gate has a single slot as well, so the streamed body is the
+	// only thing left to wait for.
 	go func() { _ = r.call("service", time.Minute) }()
 	<-inside
 	body := make(chan struct{})
@@ -98,7 +98,7 @@
 	qt.Check(t, runs.Load(), qt.Equals, int32(1))
 }
 
-// held is a body that begins when its channel is closed.
+// delayedReader is a body that can be read once its channel is closed.
 type delayedReader struct {
 	*strings.Reader
 	ready chan struct{}
@@ -110,21 +110,21 @@
 	return h.Reader.Read(p)
 }
 
-// TestNodeStartsBesideColdUpstream has a node start beside an upstream that is cold. If that
-// began before the node, a node before this one may have sent it all that is allowed in the
-// last second; if both began together, as after a loss of power, nothing was sent to it.
+// TestNodeStartsBesideColdUpstream starts a node beside a cold upstream. If the upstream started
+// before the node, an earlier process of the node may have sent it all that is allowed in the last
+// second; if both started together, as after a power loss, nothing was sent to it.
 func TestNodeStartsBesideColdUpstream(t *testing.T) {
 	const pace, calls = 5, 20
 	tests := map[string]struct {
-		cold       time.Duration // that is left
+		cold       time.Duration // remaining cold time
 		configured bool          // before the upstream announces itself
 		want       int32
 	}{
-		"began together":                        {cold: 3 * time.Second, configured: true, want: pace},
-		"began together, the table comes later": {cold: 3 * time.Second, want: pace},
-		"began before":                          {cold: 2 * time.Second, configured: true, want: 0},
-		"began before, the table comes later":   {cold: 2 * time.Second, want: 0},
-		"warm":                                  {configured: true, want: calls},
+		"started together":                   {cold: 3 * time.Second, configured: true, want: pace},
+		"started together, configured later": {cold: 3 * time.Second, want: pace},
+		"started before":                     {cold: 2 * time.Second, configured: true, want: 0},
+		"started before, configured later":   {cold: 2 * time.Second, want: 0},
+		"warm":                               {configured: true, want: calls},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -155,9 +155,9 @@
 	}
 }
 
-// TestColdUpstream has many calls at once reach a gate whose upstream has just started: no
-// more than it bears are sent, the others are refused unrun with a time to come back, also
-// where more were admitted. When it says that it is warm, all are sent.
+// TestColdUpstream sends many calls at once to a gate whose upstream has just started: no more
+// are sent on than the cold limits allow, also if more were admitted, and the others are refused
+// without having run, with a retry delay. Once the upstream reports that it is warm, all are sent.
 func TestColdUpstream(t *testing.T) {
 	const pace, most, calls = 5, 7, 40
 	tests := map[string]struct {
@@ -165,10 +165,10 @@
 		warm bool
 		want int32
 	}{
-		"cold":                   {cold: operator.Cold{Pace: pace, Most: most, Lasts: operator.Duration(time.Minute)}, want: pace},
-		"admitted, and held up":  {cold: operator.Cold{Most: most, Lasts: operator.Duration(time.Minute)}, want: most},
-		"warm by its own word":   {cold: operator.Cold{Pace: pace, Most: most, Lasts: operator.Duration(time.Minute)}, warm: true, want: calls},
-		"no bound is configured": {want: calls},
+		"cold":                    {cold: operator.Cold{Pace: pace, Most: most, Lasts: operator.Duration(time.Minute)}, want: pace},
+		"admitted, then delayed":  {cold: operator.Cold{Most: most, Lasts: operator.Duration(time.Minute)}, want: most},
+		"reports that it is warm": {cold: operator.Cold{Pace: pace, Most: most, Lasts: operator.Duration(time.Minute)}, warm: true, want: calls},
+		"no limit is configured":  {want: calls},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -29,97 +29,99 @@
 // Gate runs calls at the upstream beside this node. The exported fields are set
 // before the first call.
 type Gate struct {
-	// Tracer makes a span for each call and one for each upstream request.
+	// Tracer starts a span for each call and one for each upstream request.
 	Tracer trace.Tracer
 	// Started is when the process started.
 	Started time.Time
 	// Names are the header fields that the upstream uses.
 	Names upstream.FieldNames
-	// Weight, if not nil, returns the part of the slots that an organisation gets beside
-	// others.
+	// Weight, if not nil, returns the weight of an organisation when slots are shared among
+	// several.
 	Weight func(organisation string) float64
-	// Failed, if not nil, is called when a call shows that the announced upstream
-	// is not there: it can't be reached, or another has its address.
+	// UpstreamUnreachable, if not nil, is called when a call shows that the announced upstream
+	// is not there: it can't be reached, or another upstream has its address.
 	UpstreamUnreachable func(a *upstream.Announcement, failure *verdict.Error)
-	// Ask, if not nil, asks the upstream for its present speed and returns when it
-	// has answered, or soon in any case.
+	// ProbeLoad, if not nil, asks the upstream for its present speed. It returns when the
+	// upstream has responded, or after a short timeout.
 	ProbeLoad func(ctx context.Context)
-	// Tell, if not nil, sends a report to all nodes that send calls here. It is
+	// BroadcastReport, if not nil, sends a report to all nodes that send calls here. It is
 	// called when the upstream's speed has changed.
 	BroadcastReport func(*peer.Report)
-	// Inflow, if not nil, returns how fast bodies come in to this node, as in peer.Server.
+	// Inflow, if not nil, returns the rate at which bodies arrive at this node, as in peer.Server.
 	Inflow func() (rate float64, backlog int)
-	// Reports says when a load report goes to which node. Nil means never.
+	// Reports decides which nodes get a load report with a response. Nil means that none does.
 	Reports *watch.Pacer[string]
-	// Refused, if not nil, is called with each call that ends without an answer,
-	// with the load at that moment, how long it waited for a slot and how long all took.
+	// CallFailed, if not nil, is called with each call that ends without a response, with the
+	// load at that moment, the wait for a slot and the duration of the whole call.
 	CallFailed func(c *peer.Call, from string, failure *verdict.Error, load admit.Report, waited, took time.Duration)
-	// Panicked, if not nil, is called when the handling of a call panics, with the stack.
+	// Panicked, if not nil, is called with the stack when the handling of a call panics.
 	Panicked func(c *peer.Call, value any, stack []byte)
-	// Quarantine, if not nil, knows the requests that end upstreams.
+	// Quarantine, if not nil, holds the requests suspected of crashing upstreams.
 	Quarantine *quarantine.Index
-	// Cleared, if not nil, is called when a suspected request has run to its end.
+	// SuspectCleared, if not nil, is called when a suspected request has completed.
 	SuspectCleared func(suspect quarantine.Fingerprint)
-	// Gone, if not nil, is called when an upstream has ended without leave, with the
-	// requests that it may have ended under, without those that are answered there all
-	// the time, and the one of them that was isolated and never answered, or zero. It is
-	// not called where no request was at hand.
+	// UpstreamCrashed, if not nil, is called when an upstream has ended without draining or
+	// leaving, with the requests that it may have crashed on and with the isolated one among
+	// them, or zero. Requests that the upstream completes all the time are left out. It is not
+	// called if no request was in flight.
 	UpstreamCrashed func(a *upstream.Announcement, suspects []quarantine.Fingerprint, isolated quarantine.Fingerprint)
-	// Received, if not nil, is called when the body of a call that was sent ahead of its
-	// admission is there.
+	// BodyReceived, if not nil, is called when the body of a call that was sent ahead of its
+	// admission has arrived.
 	BodyReceived func(service, class string, bytes int64, took time.Duration)
-	// Ran, if not nil, is called with each request that the upstream has answered or failed,
-	// with whether it failed it and how long that took.
+	// RequestCompleted, if not nil, is called with each request that the upstream has completed or
+	// failed, with whether it failed it and how long that took.
 	RequestCompleted func(class string, failed bool, took time.Duration)
-	// Noticed, if not nil, is called when what the upstream says of the requests that it wants
-	// has changed, and Unreadable with why that can't be read.
+	// NoticeChanged, if not nil, is called when the upstream has changed its advertised limit
+	// or has said that it leaves. NoticeInvalid, if not nil, is called when such a
+	// notice can't be parsed.
 	NoticeChanged func(NoticeState)
 	NoticeInvalid func(startID string, reason error)
-	// Left, if not nil, is called when a start of an upstream has said that it leaves.
+	// UpstreamLeaving, if not nil, is called when a start of an upstream has said that it leaves.
 	UpstreamLeaving func(startID string, startMillis int64)
-	// Ended, if not nil, is called at the end of each call.
+	// CallEnded, if not nil, is called at the end of each call.
 	CallEnded func(service, class string, failure *verdict.Error, waited, took time.Duration)
 
 	admit      admit.Gate
 	sendLimit  coldstart.Limiter
 	current    atomic.Pointer[binding]
-	isolatedMu sync.Mutex // held by the isolated request that runs
+	isolatedMu sync.Mutex // held while an isolated request runs
 	answers    quarantine.AnswerCounter
-	written    atomic.Uint64 // requests, so far
+	written    atomic.Uint64 // requests written so far
 
 	mu        sync.Mutex
-	service   *operator.Service // in force for the announced service
+	service   *operator.Service // active configuration of the announced service
 	latest    *upstream.Announcement
-	draining  bool // whether the node leaves
+	draining  bool // whether Drain has been called
 	evacuated bool // whether the zone is evacuated
-	// withheld is whether the upstream's version is not to be used.
+	// versionWithheld is whether the upstream's version must not be used.
 	versionWithheld  bool
-	reportedSlowdown float64 // the slowdown told last
-	// departing is whether the upstream has said in its answers that it leaves, departed since
-	// when, and healthNames whether the answers of its health check name limits.
+	reportedSlowdown float64 // slowdown that was broadcast last
+	// noticeLeaving is whether the upstream has said in its responses that it leaves, and
+	// noticeLeavingSince when it first did. healthReportsLimits is whether its responses
+	// to probes advertise limits.
 	noticeLeaving       bool
 	noticeLeavingSince  time.Time
 	healthReportsLimits bool
-	limitReportedAt     time.Time // when peers were told of a changed limit
+	limitReportedAt     time.Time // when a changed limit was last broadcast
 
-	firstStartChecked bool // whether firstStart has found out what it is for
+	firstStartChecked bool // whether checkFirstStart has decided
 }
 
-// binding is the upstream that requests go to.
+// binding is the upstream to which requests are sent.
 type binding struct {
 	announcement *upstream.Announcement
 	transport    *upstream.Transport
-	start        *start // of the upstream
+	start        *start
 }
 
-// serves returns whether the binding is for the same start of an upstream, reached
-// in the same way, as a is.
+// matches returns whether the binding is for the same start of an upstream as a, at the same
+// address.
 func (b *binding) matches(a *upstream.Announcement) bool {
 	o := b.announcement
 	return o.SameStart(a) && o.Address == a.Address
 }
 
-// Announce takes in an announcement, or the withdrawal of one if a is nil.
+// SetAnnouncement records an announcement, or its withdrawal if a is nil.
 func (g *Gate) SetAnnouncement(a *upstream.Announcement) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -127,7 +129,7 @@
 	if a == nil {
 		g.current.Store(nil)
 		if g.latest != nil && g.latest.StartID == "" {
-			g.resetNotices() // the next one can't be told from it
+			g.resetNotices() // the next start can't be distinguished from this one
 		}
 		g.updateLimits()
 		return
@@ -153,13 +155,13 @@
 		g.admit.Restart()
 		g.reportedSlowdown = 0
 		if g.BroadcastReport != nil {
-			go g.BroadcastReport(g.Report()) // peers go by what the start before has told
+			go g.BroadcastReport(g.Report()) // peers still use the load of the former start
 		}
 	}
 }
 
-// bind returns the binding for an announcement, which keeps the connections of the
-// one before if it is for the same start.
+// bind returns the binding for an announcement. It keeps the connections of the old binding if
+// that is for the same start at the same address.
 func (g *Gate) bind(old *binding, a *upstream.Announcement) *binding {
 	b := &binding{announcement: a}
 	if old != nil && old.announcement.SameStart(a) {
@@ -189,10 +191,10 @@
 	return b
 }
 
-// tellRatio is the change of the upstream's speed from which it is told at once.
+// reportRatio is the ratio of slowdowns above which a change of speed is broadcast at once.
 const reportRatio = 1.3
 
-// Observe takes in the load that the upstream tells.
+// ObserveLoad records the load that the upstream reports.
 func (g *Gate) ObserveLoad(l upstream.Load) {
 	g.admit.ObserveSlowdown(l.Slowdown)
 	if g.BroadcastReport == nil {
@@ -206,12 +208,11 @@
 	}
 	g.mu.Unlock()
 	if changed {
-		go func() { g.BroadcastReport(g.Report()) }() // answers wait for Observe
+		go func() { g.BroadcastReport(g.Report()) }() // responses wait for ObserveLoad
 	}
 }
 
-// Configure takes in the configuration in force for the announced service, or
-// nil if there is none.
+// Configure sets the active configuration of the announced service, or nil if there is none.
 func (g *Gate) Configure(s *operator.Service) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -219,7 +220,7 @@
 	g.updateLimits()
 }
 
-// update sets the limits from the announcement and the configuration.
+// updateLimits sets the limits from the announcement and the configuration. The lock is held.
 func (g *Gate) updateLimits() {
 	b := g.current.Load()
 	limits := admit.Limits{}
@@ -238,7 +239,7 @@
 	}
 }
 
-// usableSlots returns how many requests the upstream is given at once.
+// usableSlots returns how many requests the upstream may run at once.
 func (g *Gate) usableSlots(a *upstream.Announcement) int {
 	slots := min(a.Slots, a.Connections)
 	if share := g.service.Queue.SlotShare; share > 0 {
@@ -247,7 +248,7 @@
 	return slots
 }
 
-// limitsOf returns the limits that a service is configured to have.
+// limitsOf returns the admission limits of a configured service, without slots.
 func limitsOf(s operator.Service) admit.Limits {
 	classes := make([]admit.Class, len(s.Classes))
 	for i, c := range s.Classes {
@@ -269,8 +270,8 @@
 	}.WithClasses(classes...)
 }
 
-// Leave refuses all new calls from now on. The returned channel is closed once
-// no request runs at the upstream.
+// Drain refuses all new calls from now on. The returned channel is closed once no request runs
+// at the upstream.
 func (g *Gate) Drain() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -306,17 +307,17 @@
 }
 
 const (
-	// freshSpeed is how old the upstream's last word on its speed may be when a
-	// request is sent to it. Its speed at the start of a request holds for all of
-	// it, and changes several times a second.
+	// maxSpeedAge is how old the upstream's last reported speed may be when a request is sent
+	// to it. The speed at the start of a request holds for all of it, and changes several
+	// times a second.
 	maxSpeedAge = 15 * time.Millisecond
-	// newsTime is how long senders may not know of a slowdown: a one-way delay, and
-	// that of a call that crosses the news.
+	// propagationTime is how long senders may not know about a slowdown: the one-way delay of
+	// the report, plus that of a call sent before the report arrived.
 	propagationTime = 10 * time.Millisecond
 )
 
-// tellsOfAbsence returns whether a failure shows that the announced upstream is not there:
-// it could not be reached, and not for the reason that the call ended before.
+// showsUnreachable returns whether a failure shows that the announced upstream is not there:
+// it could not be reached, and not because the call had been cancelled.
 func showsUnreachable(failure *verdict.Error) bool {
 	switch failure.Cause {
 	case verdict.WrongUpstream:
@@ -327,7 +328,7 @@
 	return false
 }
 
-// sendFailed tells of a failure that shows the upstream to be gone.
+// handleSendFailure acts on a failure that may show that the upstream has ended.
 func (g *Gate) handleSendFailure(b *binding, failure *verdict.Error) {
 	switch {
 	case failure.Cause == verdict.UpstreamLost:
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -27,7 +27,7 @@
 	"sassafrasfront.example/watch"
 )
 
-// rig is a gate before an upstream, with a client that calls it.
+// fixture is a gate in front of an upstream, with a client that calls it.
 type fixture struct {
 	gate   *gate.Gate
 	client *peer.Client
@@ -35,7 +35,7 @@
 	// address is the upstream's.
 	address string
 	mu      sync.Mutex
-	causes  []verdict.Cause // of the calls, as the gate tells
+	causes  []verdict.Cause // causes of the ended calls, "" for a completed one
 	loads   []peer.Report
 }
 
@@ -67,7 +67,7 @@
 	return r
 }
 
-// serve has the client call the gate that the rig has now.
+// serve connects the client to the fixture's current gate.
 func (r *fixture) serve(t *testing.T) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -102,8 +102,8 @@
 	return failure
 }
 
-// TestPanic has the handling of a call panic, before and after the request has been sent: the
-// call fails as one that may have run, its slot is free again, and the gate goes on.
+// TestPanic makes the handling of a call panic, before and after the request has been sent: the
+// call fails as one that may have run, its slot is free again, and the gate continues.
 func TestPanic(t *testing.T) {
 	tests := map[string]func(g *gate.Gate, fault func()){
 		"before it is sent": func(g *gate.Gate, fault func()) { g.ProbeLoad = func(context.Context) { fault() } },
@@ -124,11 +124,11 @@
 				}
 			})
 			failure := w.get("/it")
-			if failure != nil { // otherwise the answer was whole
+			if failure != nil { // otherwise the response was complete
 				qt.Check(t, failure.Cause, qt.Equals, verdict.GateFailed)
 				qt.Check(t, failure.Verdict(), qt.Equals, verdict.MayHaveRun)
 			}
-			qt.Check(t, <-reported, qt.IsTrue) // which may come after the answer
+			qt.Check(t, <-reported, qt.IsTrue) // which may come after the response
 			for w.gate.Load().Running > 0 {
 				time.Sleep(time.Millisecond)
 			}
@@ -138,7 +138,7 @@
 	}
 }
 
-// beforeSending is a tracer that does something between the admission of a call and its
+// beforeSending is a tracer that calls a function between the admission of a call and its
 // sending.
 type beforeSending struct {
 	trace.Tracer
@@ -153,12 +153,10 @@
 	return b.Tracer.Start(ctx, name, options...)
 }
 
-// TestCallEndsUnsent has the caller of a call leave at the moment at which the call is about to
-// be written: that says nothing of the upstream, which is not taken for gone. One that can't
-// be reached is.
-//
-// Seen: an upstream that was well got no requests for 300 ms after a caller had left, and
-// with one of two upstreams just ended every request was refused meanwhile.
+// TestCallerLeavesBeforeSend guards against an upstream being taken for unreachable because the
+// caller cancelled at the moment at which the call was about to be written. A healthy upstream
+// then got no requests for 300 ms, and with one of two upstreams just ended, every request was
+// refused meanwhile. An upstream that can't be reached does count as unreachable.
 func TestCallerLeavesBeforeSend(t *testing.T) {
 	tests := map[string]struct {
 		leave, closed bool
@@ -202,7 +200,7 @@
 	}
 }
 
-// TestCalls has one row for each state in which a call can find the gate.
+// TestCalls has one row for each state of the gate in which a call may arrive.
 func TestCalls(t *testing.T) {
 	tests := map[string]struct {
 		before    func(g *gate.Gate)
@@ -211,15 +209,15 @@
 		want      verdict.Cause
 		ran       bool
 	}{
-		"runs":                  {ran: true},
-		"another service":       {service: "other", want: verdict.Misrouted},
-		"withdrawn":             {before: func(g *gate.Gate) { g.SetAnnouncement(nil) }, want: verdict.Misrouted},
-		"not configured":        {before: func(g *gate.Gate) { g.Configure(nil) }, want: verdict.Misrouted},
-		"leaving":               {before: func(g *gate.Gate) { g.Drain() }, want: verdict.Draining},
-		"no time left":          {remaining: -1, want: verdict.DeadlinePassed},
-		"upstream moved away":   {before: func(g *gate.Gate) { announceDeadAddress(g, false) }, want: verdict.UpstreamDialFailed},
-		"upstream drains":       {before: func(g *gate.Gate) { announceDeadAddress(g, true) }, want: verdict.Draining},
-		"left, and called late": {before: func(g *gate.Gate) { <-g.Drain() }, want: verdict.Draining},
+		"runs":                     {ran: true},
+		"another service":          {service: "other", want: verdict.Misrouted},
+		"withdrawn":                {before: func(g *gate.Gate) { g.SetAnnouncement(nil) }, want: verdict.Misrouted},
+		"not configured":           {before: func(g *gate.Gate) { g.Configure(nil) }, want: verdict.Misrouted},
+		"leaving":                  {before: func(g *gate.Gate) { g.Drain() }, want: verdict.Draining},
+		"no time left":             {remaining: -1, want: verdict.DeadlinePassed},
+		"upstream address changed": {before: func(g *gate.Gate) { announceDeadAddress(g, false) }, want: verdict.UpstreamDialFailed},
+		"upstream drains":          {before: func(g *gate.Gate) { announceDeadAddress(g, true) }, want: verdict.Draining},
+		"drained, and called late": {before: func(g *gate.Gate) { <-g.Drain() }, want: verdict.Draining},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -250,7 +248,7 @@
 			}
 			qt.Assert(t, failure != nil, qt.IsTrue)
 			qt.Check(t, failure.Verdict(), qt.Equals, verdict.NotRun)
-			// A deadline that has passed may be told by either side's clock.
+			// Either side may detect that the deadline has passed.
 			if test.remaining == 0 {
 				qt.Check(t, failure.Cause, qt.Equals, test.want)
 			}
@@ -258,12 +256,12 @@
 	}
 }
 
-// move announces an address where nobody listens.
+// announceDeadAddress announces an address that refuses connections.
 func announceDeadAddress(g *gate.Gate, draining bool) {
 	g.SetAnnouncement(&upstream.Announcement{Service: "service", Address: "127.0.0.1:1", Slots: 1, Connections: 1, Draining: draining})
 }
 
-// TestSlotsAreExact sends many calls at once to an upstream of three slots.
+// TestSlotsAreExact sends many calls at once to an upstream with three slots.
 func TestSlotsAreExact(t *testing.T) {
 	var mu sync.Mutex
 	var running, most, runs int
@@ -303,11 +301,11 @@
 	qt.Check(t, runs, qt.Equals, answered, qt.Commentf("what was refused must not have run"))
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	qt.Check(t, len(r.loads) > 0, qt.IsTrue, qt.Commentf("answers and refusals bear load reports"))
+	qt.Check(t, len(r.loads) > 0, qt.IsTrue, qt.Commentf("responses and refusals carry load reports"))
 }
 
-// TestErrorsAreTold has an upstream that answers well in 20 ms and then fails all
-// requests at once. What it takes for that is no sample of its service time.
+// TestErrorsAreReported has an upstream that responds in 20 ms and then fails all requests
+// immediately: the failures are reported and their times do not count as service times.
 func TestErrorsAreReported(t *testing.T) {
 	var failing atomic.Bool
 	r := newFixture(t, 4, func(w http.ResponseWriter, _ *http.Request) {
@@ -331,12 +329,12 @@
 	qt.Check(t, after.ServiceTime, qt.Equals, before.ServiceTime)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	qt.Check(t, r.loads[10].Failing > 0, qt.IsTrue, qt.Commentf("the answer itself tells of it"))
+	qt.Check(t, r.loads[10].Failing > 0, qt.IsTrue, qt.Commentf("the response's own load report includes it"))
 }
 
-// TestSlowedIsSentBack has an upstream slow down unseen: the first sending of a
-// request finds it out and goes elsewhere, a second one is taken, and so is a first
-// one once senders can know.
+// TestSlowedUpstreamRedirects slows the upstream down without a report: the first attempt
+// of a request detects it and is sent elsewhere, a second one is accepted, and so is a first one
+// once senders may know.
 func TestSlowedUpstreamRedirects(t *testing.T) {
 	r := newFixture(t, 4, func(http.ResponseWriter, *http.Request) {})
 	var probes atomic.Int32
@@ -357,35 +355,35 @@
 	}
 	qt.Check(t, call(1), qt.Equals, verdict.Cause(""))
 	qt.Check(t, probes.Load(), qt.Equals, int32(1))
-	qt.Check(t, call(2), qt.Equals, verdict.Cause(""), qt.Commentf("nobody is asked for a later try"))
+	qt.Check(t, call(2), qt.Equals, verdict.Cause(""), qt.Commentf("a later attempt does not probe the upstream"))
 	qt.Check(t, probes.Load(), qt.Equals, int32(1))
-	time.Sleep(30 * time.Millisecond) // until the word is old
+	time.Sleep(30 * time.Millisecond) // until the reported speed is stale
 	slowdown = 4
 	qt.Check(t, call(1), qt.Equals, verdict.Slowed)
 	qt.Check(t, probes.Load(), qt.Equals, int32(2))
 	qt.Check(t, call(2), qt.Equals, verdict.Cause(""))
 	time.Sleep(30 * time.Millisecond)
-	qt.Check(t, call(1), qt.Equals, verdict.Cause(""), qt.Commentf("senders know by now"))
+	qt.Check(t, call(1), qt.Equals, verdict.Cause(""), qt.Commentf("senders may know by now"))
 	qt.Check(t, r.gate.Load().Running, qt.Equals, 0)
 }
 
-// TestUpstreamStartsAgain has an upstream start again at its address while a call
-// runs there. The call is lost once its connection is, and is told so at once, and the
-// new start is not judged by the old one. It guards against the loss of calls at an upstream
-// that goes on with them, of which the announcement of another start is no proof.
+// TestUpstreamRestart restarts an upstream at the same address while a call runs there. The call
+// fails as soon as its connection is lost, and the state of the new start is fresh. It guards
+// against losing calls at an upstream that continues with them: the announcement of a new
+// start does not prove that the former one has ended.
 func TestUpstreamRestart(t *testing.T) {
 	tests := map[string]struct {
 		first, second upstream.Announcement
-		ends          bool // whether the first start does
+		ends          bool // whether the first start ends
 	}{
-		"under its id":                  {upstream.Announcement{StartID: "i-1", StartMillis: 1000}, upstream.Announcement{StartID: "i-1", StartMillis: 2000}, true},
-		"under another id":              {upstream.Announcement{StartID: "i-1"}, upstream.Announcement{StartID: "i-2"}, true},
-		"under its id, and it goes on":  {upstream.Announcement{StartID: "i-1", StartMillis: 1000}, upstream.Announcement{StartID: "i-1", StartMillis: 2000}, false},
-		"under another id, and goes on": {upstream.Announcement{StartID: "i-1"}, upstream.Announcement{StartID: "i-2"}, false},
-		"after a drain":                 {upstream.Announcement{StartID: "i-1", StartMillis: 1000, Draining: true}, upstream.Announcement{StartID: "i-1", StartMillis: 2000}, false},
-		"no, it tells its birth":        {upstream.Announcement{StartID: "i-1"}, upstream.Announcement{StartID: "i-1", StartMillis: 2000}, false},
-		"no, it only drains":            {upstream.Announcement{StartID: "i-1", StartMillis: 1000}, upstream.Announcement{StartID: "i-1", StartMillis: 1000, Draining: true}, false},
-		"no, it has another size":       {upstream.Announcement{StartID: "i-1", StartMillis: 1000}, upstream.Announcement{StartID: "i-1", StartMillis: 1000, Slots: 8}, false},
+		"same id":                         {upstream.Announcement{StartID: "i-1", StartMillis: 1000}, upstream.Announcement{StartID: "i-1", StartMillis: 2000}, true},
+		"new id":                          {upstream.Announcement{StartID: "i-1"}, upstream.Announcement{StartID: "i-2"}, true},
+		"same id, former one continues":   {upstream.Announcement{StartID: "i-1", StartMillis: 1000}, upstream.Announcement{StartID: "i-1", StartMillis: 2000}, false},
+		"new id, former one continues":    {upstream.Announcement{StartID: "i-1"}, upstream.Announcement{StartID: "i-2"}, false},
+		"after a drain":                   {upstream.Announcement{StartID: "i-1", StartMillis: 1000, Draining: true}, upstream.Announcement{StartID: "i-1", StartMillis: 2000}, false},
+		"not restarted, start time added": {upstream.Announcement{StartID: "i-1"}, upstream.Announcement{StartID: "i-1", StartMillis: 2000}, false},
+		"not restarted, drains":           {upstream.Announcement{StartID: "i-1", StartMillis: 1000}, upstream.Announcement{StartID: "i-1", StartMillis: 1000, Draining: true}, false},
+		"not restarted, more slots":       {upstream.Announcement{StartID: "i-1", StartMillis: 1000}, upstream.Announcement{StartID: "i-1", StartMillis: 1000, Slots: 8}, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/gate/notice.go
+++ b/gate/notice.go
@@ -12,24 +12,25 @@
 	"sassafrasfront.example/upstream"
 )
 
-// Standing is what the upstream has said of the requests that it wants, and how far that is
-// used.
+// NoticeState is what the upstream has said about the requests that it accepts, and how much
+// of its advertised limit is used.
 type NoticeState struct {
-	// Start is the start of the upstream that has said it.
+	// Start is the ID of the start that has said it.
 	Start string
-	// Limit is the limit that it names.
+	// Limit is its advertised limit.
 	Limit throttle.State
-	// Leaving is whether it has said in its answers that it leaves, and LeavingSince when that was
-	// heard first.
+	// Leaving is whether it has said in its responses that it leaves, and LeavingSince when that
+	// was first received.
 	Leaving      bool
 	LeavingSince time.Time
 }
 
-// limitTellEvery is the least time between two reports to all peers for a changed limit. An
-// upstream may name another one in each answer; those that call it learn it from their answers.
+// limitReportInterval is the minimum time between two reports to all peers about a changed
+// limit. An upstream may advertise a different one in each response; nodes that call it
+// learn it from their responses.
 const limitReportInterval = 500 * time.Millisecond
 
-// Notice takes in what an answer of a start of the upstream says of the requests that it wants.
+// HandleNotice applies the notice in a response of the given start of the upstream.
 func (g *Gate) HandleNotice(startID string, n upstream.Notice) {
 	if n.Err != nil && g.NoticeInvalid != nil {
 		g.NoticeInvalid(startID, n.Err)
@@ -42,8 +43,8 @@
 			case n.Limited:
 				g.healthReportsLimits = g.healthReportsLimits || n.FromHealthCheck
 				limiter.ObserveLimit(n.Limit, n.SentAt)
-			case n.Err != nil: // what was known holds
-			case n.FromHealthCheck && !g.healthReportsLimits: // it never says
+			case n.Err != nil: // keep the known limit
+			case n.FromHealthCheck && !g.healthReportsLimits: // probes never advertise a limit
 			default:
 				limiter.ObserveNoLimit(n.SentAt)
 			}
@@ -53,8 +54,8 @@
 	g.notifyChange(c)
 }
 
-// adopt takes in what the sender of a call has been told of the upstream, which the upstream may
-// have said to a process before this one.
+// adoptNotice applies the notice that the sender of a call knows. The upstream may have given it
+// to an earlier process of this node.
 func (g *Gate) adoptNotice(n *peer.Notice) {
 	if n == nil {
 		return
@@ -78,16 +79,16 @@
 	g.notifyChange(c)
 }
 
-// change is what a notice has changed.
+// noticeChange is what a notice has changed.
 type noticeChange struct {
 	limit     bool
 	leaving   *upstream.Announcement // the start that leaves, or nil
-	broadcast bool                   // whether peers are told at once
+	broadcast bool                   // whether to report to all peers at once
 	state     NoticeState
 }
 
-// hear takes in a notice of the present start: what set makes of its limit, and whether the
-// upstream leaves. The lock is held.
+// applyNotice applies a notice of the current start: apply updates the advertised limit, and
+// leaving is whether the upstream leaves. The lock is held.
 func (g *Gate) applyNotice(apply func(*throttle.Limiter), leaving bool) (c noticeChange) {
 	limiter := &g.admit.AdvertisedLimiter
 	rateBefore, limitedBefore := limiter.Rate()
@@ -111,7 +112,7 @@
 	return c
 }
 
-// changed acts on what a notice has changed.
+// notifyChange acts on what a notice has changed.
 func (g *Gate) notifyChange(c noticeChange) {
 	if c.limit {
 		g.admit.LimitChanged()
@@ -127,21 +128,20 @@
 	}
 }
 
-// forgetNotices says that the upstream has started anew and has said nothing yet. The lock is
-// held.
+// resetNotices discards the notices of an earlier start. The lock is held.
 func (g *Gate) resetNotices() {
 	g.noticeLeaving, g.healthReportsLimits = false, false
 	g.admit.AdvertisedLimiter.Reset()
 }
 
-// Standing returns what the upstream has said of the requests that it wants.
+// NoticeState returns what the upstream has said about the requests that it accepts.
 func (g *Gate) NoticeState() NoticeState {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.noticeState()
 }
 
-// standing does what Standing does. The lock is held.
+// noticeState does what NoticeState does. The lock is held.
 func (g *Gate) noticeState() NoticeState {
 	s := NoticeState{
 		Limit:        g.admit.AdvertisedLimiter.State(),
@@ -154,7 +154,8 @@
 	return s
 }
 
-// notice returns what goes with answers to peers, or nil if the upstream wants all requests.
+// peerNotice returns the notice that goes with responses to peers, or nil if the upstream accepts
+// all requests.
 func (g *Gate) peerNotice() *peer.Notice {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -171,16 +172,15 @@
 	}
 }
 
-// AskHealth returns 0 if the health check of the upstream may be asked now, which counts, and
-// otherwise after how long it may: the limit that an upstream names is taken to hold for that as
-// well.
+// ReserveHealthCheck returns 0 and counts a probe if one may be sent now, and otherwise returns the
+// time until one may. The advertised limit is assumed to apply to probes as well.
 func (g *Gate) ReserveHealthCheck() time.Duration { return g.admit.AdvertisedLimiter.TryHealthCheck() }
 
-// Limited returns whether the upstream names a limit.
+// LimitAdvertised returns whether the upstream advertises a limit.
 func (g *Gate) LimitAdvertised() bool {
 	_, limited := g.admit.AdvertisedLimiter.Rate()
 	return limited
 }
 
-// Written returns how many requests have been written to upstreams so far.
+// RequestsWritten returns how many requests have been written to upstreams so far.
 func (g *Gate) RequestsWritten() uint64 { return g.written.Load() }
--- a/gate/notice_test.go
+++ b/gate/notice_test.go
@@ -21,7 +21,7 @@
 	"sassafrasfront.example/verdict"
 )
 
-// noticed is a rig whose upstream says what words holds, in every answer.
+// noticeFixture is a fixture whose upstream sets the fields in noticeFields in every response.
 type noticeFixture struct {
 	*fixture
 	slots        int
@@ -29,7 +29,7 @@
 	status       atomic.Int64
 	requests     atomic.Int64
 	mu           sync.Mutex
-	notices      []*peer.Notice // that came with answers and failures, nil for its end
+	notices      []*peer.Notice // notices received with responses and failures, nil when one ends
 	leaving      []string
 	changes      int
 	invalid      int
@@ -84,7 +84,7 @@
 	})
 }
 
-// say sets fields of the upstream's answers, as names and values.
+// setFields sets fields of the upstream's responses, given as names and values.
 func (n *noticeFixture) setFields(fields ...string) {
 	h := http.Header{}
 	for i := 0; i < len(fields); i += 2 {
@@ -93,7 +93,7 @@
 	n.noticeFields.Store(&h)
 }
 
-// send makes a call whose sender has been told of a notice, and returns its failure.
+// send makes a call whose sender already knows a notice, and returns its failure.
 func (n *noticeFixture) send(notice *peer.Notice) *verdict.Error {
 	m := &peer.Call{Service: "service", Method: "POST", Target: "/", Remaining: time.Second, Notice: notice}
 	x, failure := n.client.Start(context.Background(), m, nil)
@@ -105,7 +105,7 @@
 	return failure
 }
 
-// last returns what came last with an answer or a failure.
+// last returns the notice that came with the last response or failure.
 func (n *noticeFixture) last(t *testing.T) *peer.Notice {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -118,7 +118,7 @@
 	leavingField = "Sassafras-Leaving"
 )
 
-// TestNoticeInAnswers has an upstream name a limit in answers of different kinds.
+// TestNoticeInResponses has an upstream advertise a limit in responses of different kinds.
 func TestNoticeInResponses(t *testing.T) {
 	tests := map[string]struct {
 		fields  []string
@@ -127,15 +127,15 @@
 		limit   float64
 		faults  int
 	}{
-		"nothing":             {},
-		"a limit":             {fields: []string{limitField, "7.5"}, limited: true, limit: 7.5},
-		"with a failure":      {fields: []string{limitField, "7.5"}, status: 500, limited: true, limit: 7.5},
-		"with a refusal":      {fields: []string{limitField, "7.5", upstream.VerdictHeader, "notRun"}, status: 503, limited: true, limit: 7.5},
-		"zero":                {fields: []string{limitField, "0"}, limited: true},
-		"a huge number":       {fields: []string{limitField, "1e300"}, limited: true, limit: 1e6},
-		"garbage":             {fields: []string{limitField, "some"}, faults: 1},
-		"below zero":          {fields: []string{limitField, "-2"}, faults: 1},
-		"leaving, unreadable": {fields: []string{leavingField, "perhaps"}, faults: 1},
+		"nothing":          {},
+		"a limit":          {fields: []string{limitField, "7.5"}, limited: true, limit: 7.5},
+		"with a failure":   {fields: []string{limitField, "7.5"}, status: 500, limited: true, limit: 7.5},
+		"with a refusal":   {fields: []string{limitField, "7.5", upstream.VerdictHeader, "notRun"}, status: 503, limited: true, limit: 7.5},
+		"zero":             {fields: []string{limitField, "0"}, limited: true},
+		"a huge number":    {fields: []string{limitField, "1e300"}, limited: true, limit: 1e6},
+		"garbage":          {fields: []string{limitField, "some"}, faults: 1},
+		"negative":         {fields: []string{limitField, "-2"}, faults: 1},
+		"leaving, invalid": {fields: []string{leavingField, "perhaps"}, faults: 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -157,7 +157,7 @@
 	}
 }
 
-// TestGarbageKeepsLimit has a limit be followed by one that can't be read: the first holds.
+// TestInvalidNoticeKeepsLimit guards against losing a limit when a later notice can't be parsed.
 func TestInvalidNoticeKeepsLimit(t *testing.T) {
 	n := newNoticeFixture(t, 4, 0)
 	n.setFields(limitField, "1000")
@@ -170,13 +170,12 @@
 	time.Sleep(5 * time.Millisecond)
 	qt.Assert(t, n.send(n.last(t)) == nil, qt.IsTrue)
 	qt.Check(t, n.gate.NoticeState().Limit.Limited, qt.IsFalse)
-	qt.Check(t, n.last(t), qt.IsNil, qt.Commentf("the sender is told that it is over"))
+	qt.Check(t, n.last(t), qt.IsNil, qt.Commentf("the sender learns that it has ended"))
 }
 
-// TestLimitOverProcesses has another process of the gate get the calls of a sender that was told of
-// a limit, or of a leaving, by the one before: it holds before the upstream has said so again.
-//
-// Guards against a fresh burst from each new process.
+// TestLimitAcrossNodeRestarts guards against a burst of requests from each new process of a node. A
+// sender that learnt from an earlier process of an advertised limit, or that the upstream leaves, passes
+// it on with its calls: it applies before the upstream has repeated it.
 func TestLimitAcrossNodeRestarts(t *testing.T) {
 	n := newNoticeFixture(t, 4, 0)
 	known := &peer.Notice{Start: "i-1", Limited: true, Limit: 0.5}
@@ -186,10 +185,10 @@
 	qt.Check(t, failure.RetryAfter > time.Second, qt.IsTrue, qt.Commentf("%v", failure.RetryAfter))
 	qt.Check(t, n.gate.NoticeState().Limit.Adopted, qt.IsTrue)
 	qt.Check(t, n.requests.Load(), qt.Equals, int64(0))
-	qt.Check(t, *n.last(t), qt.Equals, *known, qt.Commentf("who sends is told as well"))
+	qt.Check(t, *n.last(t), qt.Equals, *known, qt.Commentf("the sender gets it as well"))
 
 	other := newNoticeFixture(t, 4, 0)
-	qt.Check(t, other.send(&peer.Notice{Start: "i-0", Limited: true, Limit: 0.5}) == nil, qt.IsTrue, qt.Commentf("another start's"))
+	qt.Check(t, other.send(&peer.Notice{Start: "i-0", Limited: true, Limit: 0.5}) == nil, qt.IsTrue, qt.Commentf("of another start"))
 	qt.Check(t, other.gate.NoticeState().Limit.Limited, qt.IsFalse)
 
 	failure = other.send(&peer.Notice{Start: "i-1", Leaving: true})
@@ -198,10 +197,9 @@
 	qt.Check(t, other.leaving, qt.DeepEquals, []string{"i-1"})
 }
 
-// TestLeavingInAnswers has an upstream say that it leaves while requests wait: these are refused as
-// not run, and no other gets through until another start is there.
-//
-// Guards against requests at an upstream that leaves without having announced it.
+// TestLeavingInResponses guards against sending requests to an upstream that leaves without having
+// announced it. The upstream says so in a response while requests wait: these are refused as not
+// run, and no other is sent until a new start is announced.
 func TestLeavingInResponses(t *testing.T) {
 	n := newNoticeFixture(t, 1, 30*time.Millisecond)
 	n.setFields(leavingField, "1")
@@ -239,8 +237,8 @@
 	}
 }
 
-// TestHealthNotices has the health check name limits or not: where it never does, that it names
-// none says nothing.
+// TestHealthNotices has probes with and without an advertised limit in their responses: if they have
+// never had one, its absence does not end the limit that another response has advertised.
 func TestHealthNotices(t *testing.T) {
 	healthCheck := func(n *noticeFixture, limit float64) {
 		n.gate.HandleNotice("i-1", upstream.Notice{FromHealthCheck: true, Limited: limit > 0, Limit: limit, SentAt: time.Now()})
@@ -248,11 +246,11 @@
 	n := newNoticeFixture(t, 4, 0)
 	n.gate.HandleNotice("i-1", upstream.Notice{Limited: true, Limit: 5})
 	healthCheck(n, 0)
-	qt.Check(t, n.gate.NoticeState().Limit.Limited, qt.IsTrue, qt.Commentf("it never says"))
+	qt.Check(t, n.gate.NoticeState().Limit.Limited, qt.IsTrue, qt.Commentf("probes never advertise a limit"))
 	healthCheck(n, 4)
 	healthCheck(n, 0)
 	qt.Check(t, n.gate.NoticeState().Limit.Limited, qt.IsFalse)
 	n.gate.HandleNotice("i-0", upstream.Notice{Limited: true, Limit: 5})
-	qt.Check(t, n.gate.NoticeState().Limit.Limited, qt.IsFalse, qt.Commentf("another start's"))
+	qt.Check(t, n.gate.NoticeState().Limit.Limited, qt.IsFalse, qt.Commentf("of another start"))
 	qt.Check(t, n.changes, qt.Equals, 3)
 }
--- a/gate/observe_test.go
+++ b/gate/observe_test.go
@@ -16,8 +16,8 @@
 	"sassafrasfront.example/upstream"
 )
 
-// TestAnswerPastReport guards against an answer that is held back until all nodes have been sent
-// the changed load that it told.
+// TestResponseNotDelayedByReport guards against holding a response back until the changed load in it
+// has been sent to all nodes.
 func TestResponseNotDelayedByReport(t *testing.T) {
 	r := newFixture(t, 4, func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("Load", "3,0,8,300") })
 	r.gate.Names = upstream.FieldNames{Load: "Load"}
--- a/gate/organisation_test.go
+++ b/gate/organisation_test.go
@@ -17,8 +17,8 @@
 	"sassafrasfront.example/verdict"
 )
 
-// TestOrganisationsAtTheGate has an organisation fill a gate's queue before another's call
-// comes: the last of its calls gives way, unrun, and the other's runs.
+// TestOrganisationDisplacement has an organisation fill a gate's queue before another's call
+// arrives: the last of its calls is refused without having run, and the other's runs.
 func TestOrganisationDisplacement(t *testing.T) {
 	inside, goOn := make(chan struct{}), make(chan struct{})
 	r := newFixture(t, 1, func(http.ResponseWriter, *http.Request) {
--- a/gate/permit.go
+++ b/gate/permit.go
@@ -11,14 +11,14 @@
 	"sassafrasfront.example/verdict"
 )
 
-// Evacuate takes in whether the zone is evacuated: the upstream then gets no requests, and
-// those that wait are refused. Peers are told at once.
+// SetEvacuated sets whether the zone is evacuated. While it is, the upstream gets no requests and
+// waiting ones are refused. Peers are notified at once.
 func (g *Gate) SetEvacuated(evacuated bool) { g.setClosed(&g.evacuated, evacuated) }
 
-// Withhold takes in whether the upstream's version is not to be used, with the same effect.
+// SetVersionWithheld sets whether the upstream's version must not be used, with the same effect.
 func (g *Gate) SetVersionWithheld(withheld bool) { g.setClosed(&g.versionWithheld, withheld) }
 
-// close sets a reason for which the upstream gets no requests.
+// setClosed sets one of the reasons for which the upstream gets no requests.
 func (g *Gate) setClosed(reason *bool, closed bool) {
 	g.mu.Lock()
 	changed := *reason != closed
@@ -32,8 +32,8 @@
 	}
 }
 
-// permit is the last word before a request is written to the upstream: it has been
-// admitted, and may have waited since for its body or a connection.
+// permit is the final check before a request is written to the upstream: the request has been
+// admitted, but may have waited since then for its body or for a connection.
 func (g *Gate) permit() (written func(), refused *verdict.Error) {
 	g.mu.Lock()
 	closed := g.evacuated || g.versionWithheld || g.noticeLeaving
@@ -57,9 +57,10 @@
 	}, nil
 }
 
-// startCold takes in a new start of the upstream. One that follows another has been sent
-// nothing yet, and is cold until it says otherwise. The first one that this node knows may
-// have been there before it, and goes by its word. The lock is held.
+// initCold applies the announcement of a new start of the upstream. One that replaces another has
+// been sent nothing yet, and is assumed to be cold until it reports otherwise. The first one that
+// this node sees may have started before the node, so its announcement is trusted. The lock is
+// held.
 func (g *Gate) initCold(a *upstream.Announcement, first bool) {
 	remaining := a.ColdRemaining
 	if !first {
@@ -72,22 +73,22 @@
 	g.checkFirstStart()
 }
 
-// unsent says that the upstream has been sent nothing by this node or one before it.
+// resetSent records that this start of the upstream has been sent nothing, by this node or an earlier
+// process of it.
 func (g *Gate) resetSent() {
 	g.admit.ColdLimiter.Reset()
 	g.sendLimit.Reset()
 }
 
-// startGrace is how much earlier than this node an upstream may have begun that is taken to
-// have begun with it, as after a loss of power. A node that was killed and started again
-// within that time may have sent a fifth of what is allowed in a second, which the slack of
-// the last look covers.
+// startGrace is how much earlier than this node an upstream may have started and still be
+// assumed to have started with it, as after a power loss. A node that was killed and restarted
+// within that time may have sent a fifth of what is allowed in a second, which the slack of the
+// limit in permit covers.
 const startGrace = 200 * time.Millisecond
 
-// firstStart finds out, once, whether the first start of the upstream that this node knows
-// began with the node. If so nothing was sent to it before: without that it would get
-// nothing in its first second, as it is not known what a node before this one sent. The
-// lock is held.
+// checkFirstStart finds out, once, whether the first start that this node sees began together
+// with the node, so that nothing was sent to it before. Otherwise it gets nothing in its first
+// second, because it is not known what an earlier process of this node sent. The lock is held.
 func (g *Gate) checkFirstStart() {
 	if g.firstStartChecked || g.service == nil || g.latest == nil {
 		return
@@ -101,16 +102,16 @@
 }
 
 const (
-	// coldUnit is the unit in which an upstream tells how much longer it is cold.
+	// coldResolution is the resolution at which an upstream reports its remaining cold time.
 	coldResolution = time.Millisecond
-	// coldTold is how much longer than it tells an upstream may be cold, by the unit and by
-	// what its clock and this one's differ in a second. What has waited for the end would
-	// come all at once in that time.
+	// coldMargin is how much longer than reported an upstream may be cold, because of the
+	// resolution and of clock drift within a second. Without it the requests that wait for
+	// the end of the cold period would all be sent within that time.
 	coldMargin = 2 * coldResolution
 )
 
-// ColdAtLeast takes in that the upstream stays cold for the given time, or longer, by word
-// that may be late.
+// ExtendColdStart records that the upstream stays cold for at least the given time, from a report
+// that may be delayed.
 func (g *Gate) ExtendColdStart(remaining time.Duration) {
 	if remaining <= 0 {
 		return
@@ -119,13 +120,13 @@
 	g.admit.ColdLimiter.ExtendRemaining(remaining + coldMargin)
 }
 
-// Cold takes in how much longer the upstream is cold, as it tells at this moment.
+// SetColdRemaining sets how much longer the upstream stays cold, as it reports at this moment.
 func (g *Gate) SetColdRemaining(remaining time.Duration) {
 	switch {
 	case remaining > 0:
 		remaining += coldMargin
 	case g.sendLimit.Remaining() <= coldMargin+coldResolution:
-		return // less than a unit is told as nothing, or it is warm already
+		return // less than the resolution is reported as 0, or it is warm already
 	}
 	g.sendLimit.SetRemaining(remaining)
 	g.admit.ColdLimiter.SetRemaining(remaining)
--- a/gate/permit_test.go
+++ b/gate/permit_test.go
@@ -13,9 +13,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestColdBetweenMilliseconds has many requests wait for an upstream to be warm, which tells
-// in whole milliseconds how much longer it is cold: until it is warm, no second has more of
-// them than it bears.
+// TestColdRemainingTruncation guards against sending requests too early when an upstream reports
+// its remaining cold time in whole milliseconds: no more than the cold limit allows are sent before
+// it is warm.
 func TestColdRemainingTruncation(t *testing.T) {
 	const most, calls = 5, 30
 	reports := map[string]func(g *Gate, remaining time.Duration){
--- a/gate/report.go
+++ b/gate/report.go
@@ -14,10 +14,10 @@
 // Load returns the present load of the upstream.
 func (g *Gate) Load() admit.Report { return g.admit.Report() }
 
-// Observed returns how long ago the upstream told its speed last.
+// LoadAge returns how long ago the upstream last reported its speed.
 func (g *Gate) LoadAge() time.Duration { return g.admit.SlowdownAge() }
 
-// Report returns the load as it is told to peers.
+// Report returns the load that is reported to peers.
 func (g *Gate) Report() *peer.Report {
 	r := g.admit.Report()
 	var rate float64
@@ -43,7 +43,7 @@
 	}
 }
 
-// reportFor returns a load report if one is due to the node.
+// reportFor returns a load report if the node should get one now, or nil.
 func (g *Gate) reportFor(node string) *peer.Report {
 	if g.Reports == nil || !g.Reports.Allow(node) {
 		return nil
--- a/gate/resize_test.go
+++ b/gate/resize_test.go
@@ -19,7 +19,7 @@
 )
 
 // TestConnectionsAfterChange guards against the loss of requests on connections beyond those that the
-// upstream takes, which it resets, after it has announced another number, address or start.
+// upstream accepts, which it resets after it has announced a new number, address or start.
 func TestConnectionsAfterChange(t *testing.T) {
 	tests := map[string]struct {
 		before, after int
--- a/gate/running_test.go
+++ b/gate/running_test.go
@@ -18,8 +18,8 @@
 	"sassafrasfront.example/upstream"
 )
 
-// TestRunsGoOn guards against the loss of requests at whose upstream work goes on, by what the gate
-// learns meanwhile: it may refuse others by that, and end none.
+// TestRunningRequestsContinue guards against the loss of running requests because of what the gate
+// learns meanwhile: it may refuse other requests, but must not end running ones.
 func TestRunningRequestsContinue(t *testing.T) {
 	announced := func(address string) upstream.Announcement {
 		return upstream.Announcement{Service: "service", Address: address, Slots: 4, Connections: 4, StartID: "one"}
@@ -30,10 +30,10 @@
 		"the version is withheld":  func(g *gate.Gate, _ upstream.Announcement) { g.SetVersionWithheld(true) },
 		"it is withdrawn":          func(g *gate.Gate, _ upstream.Announcement) { g.SetAnnouncement(nil) },
 		"its service is withdrawn": func(g *gate.Gate, _ upstream.Announcement) { g.Configure(nil) },
-		"it says in an answer that it leaves": func(g *gate.Gate, a upstream.Announcement) {
+		"it says in a response that it leaves": func(g *gate.Gate, a upstream.Announcement) {
 			g.HandleNotice(a.StartID, upstream.Notice{Leaving: true, SentAt: time.Now()})
 		},
-		"it names a limit of none": func(g *gate.Gate, a upstream.Announcement) {
+		"it advertises a limit of zero": func(g *gate.Gate, a upstream.Announcement) {
 			g.HandleNotice(a.StartID, upstream.Notice{Limited: true, SentAt: time.Now()})
 		},
 		"it drains":          func(g *gate.Gate, a upstream.Announcement) { a.Draining = true; g.SetAnnouncement(&a) },
@@ -49,7 +49,7 @@
 			g.SetAnnouncement(&b)
 			g.SetAnnouncement(&a)
 		},
-		"it turns cold": func(g *gate.Gate, _ upstream.Announcement) { g.ExtendColdStart(time.Minute) },
+		"it becomes cold": func(g *gate.Gate, _ upstream.Announcement) { g.ExtendColdStart(time.Minute) },
 	}
 	for name, event := range events {
 		for _, begun := range []bool{false, true} {
--- a/gate/start.go
+++ b/gate/start.go
@@ -10,31 +10,30 @@
 	"sassafrasfront.example/quarantine"
 )
 
-// start is what is known of one start of the upstream. It outlives the announcement of the
-// next one, as the upstream may go on with what it has.
+// start is the state of one start (process run) of the upstream. It is kept after the announcement of
+// the next one, because the process may continue with its running requests.
 type start struct {
-	// running are the requests at it, and calls how many they are.
+	// running holds the requests in flight at it, and calls is their number.
 	running quarantine.InFlight
 	calls   atomic.Int32
-	// drained is whether it has said that it drains.
+	// draining is whether it has said that it drains.
 	draining atomic.Bool
-	// broke is whether it has lost a request.
+	// lostRequest is whether it has lost a request.
 	lostRequest atomic.Bool
-	// looking is whether it is being found out if it is still there.
+	// checking is whether a check that it is still running is in progress.
 	checking atomic.Bool
 }
 
-// present returns whether b is for the start of the upstream that is announced, or for the last
-// one if none is.
+// isCurrent returns whether b is for the start that is announced. It returns true if none is.
 func (g *Gate) isCurrent(b *binding) bool {
 	now := g.current.Load()
 	return now == nil || now.start == b.start
 }
 
-// replaced takes in that another start has come after that of b. Requests that run there are
-// not ended by that: a heartbeat may be late, and the former start may be ending its last
-// ones, while the kernel tells of one that is gone. Until it does so for one of them, the start
-// has not ended under them.
+// handleReplaced handles the announcement of a new start after that of b. This does not end
+// requests at the former one: a heartbeat may be late, and the former process may still be
+// completing its last requests. The operating system closes its connections when it ends; until
+// one of its requests is lost in this way, it has not crashed.
 func (g *Gate) handleReplaced(b *binding) {
 	if b.start.calls.Load() == 0 || b.start.lostRequest.Load() {
 		g.reportCrash(b)
