--- a/admit/abandon.go
+++ b/admit/abandon.go
@@ -11,18 +11,18 @@
 
 // finishesFor is for how long an upstream counts as one that finishes what has been abandoned,
 // after it has shown so. While it counts as one it is not overfilled and so shows nothing.
-const finishesFor = 10 * time.Second
+const assumeCompletionFor = 10 * time.Second
 
 // abandoned knows the requests that were abandoned at an upstream, and whether it drops
 // them when their connections are closed, as most do, or finishes them. The gate's mutex
 // guards it.
-type abandoned struct {
-	ends     []time.Time // by when those that may still run have ended
-	finishes time.Time   // until when the upstream counts as one that finishes them
+type abandonedRequests struct {
+	ends           []time.Time // by when those that may still run have ended
+	completesUntil time.Time   // until when the upstream counts as one that finishes them
 }
 
 // add records a request that has been abandoned.
-func (a *abandoned) add(end, now time.Time) {
+func (a *abandonedRequests) add(end, now time.Time) {
 	a.prune(now)
 	if end.After(now) {
 		a.ends = append(a.ends, end)
@@ -30,22 +30,22 @@
 }
 
 // prune removes the requests that have ended.
-func (a *abandoned) prune(now time.Time) {
+func (a *abandonedRequests) prune(now time.Time) {
 	a.ends = slices.DeleteFunc(a.ends, func(end time.Time) bool { return !end.After(now) })
 }
 
 // refused takes in that the upstream refused a request while the gate had the given number
 // there. If those that were abandoned explain it, the upstream finishes them.
-func (a *abandoned) refused(running, slots int, now time.Time) {
+func (a *abandonedRequests) upstreamRefused(running, slots int, now time.Time) {
 	a.prune(now)
 	if running <= slots && running+len(a.ends) > slots {
-		a.finishes = now.Add(finishesFor)
+		a.completesUntil = now.Add(assumeCompletionFor)
 	}
 }
 
 // held returns how many slots abandoned requests hold, and when the next of them is free.
-func (a *abandoned) held(now time.Time) (n int, next time.Time) {
-	if !now.Before(a.finishes) {
+func (a *abandonedRequests) heldSlots(now time.Time) (n int, next time.Time) {
+	if !now.Before(a.completesUntil) {
 		return 0, time.Time{}
 	}
 	a.prune(now)
@@ -61,7 +61,7 @@
 	g := t.gate
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.abandoned.refused(g.running, g.limits.Slots, time.Now())
+	g.abandoned.upstreamRefused(g.running, g.limits.Slots, time.Now())
 }
 
 // Abandon gives the slot back of a request that ran and whose answer nobody waits for any
@@ -71,7 +71,7 @@
 func (t *Ticket) Abandon() {
 	g := t.gate
 	g.mu.Lock()
-	end := t.began.Add(time.Duration(runSpread * t.slowdown * float64(g.run(t.queue))))
+	end := t.startedAt.Add(time.Duration(runTimeMargin * t.slowdown * float64(g.expectedRun(t.queue))))
 	g.abandoned.add(end, time.Now())
 	g.mu.Unlock()
 	g.release(t, false)
--- a/admit/abandon_test.go
+++ b/admit/abandon_test.go
@@ -23,21 +23,21 @@
 //
 // An upstream that finishes abandoned requests must not be overfilled by them for longer
 // than it takes to learn so, and one that drops them must not lose any of its slots.
-func TestAbandonedLoads(t *testing.T) {
+func TestAbandonedRequests(t *testing.T) {
 	const (
-		slots = 8
-		work  = 20 * time.Millisecond
-		turns = 500
+		slots  = 8
+		work   = 20 * time.Millisecond
+		rounds = 500
 	)
 	tests := map[string]struct {
-		finishes    bool
+		completes   bool
 		abandoned   int // in each turn
 		wantRefused int // by the upstream, at most
 		wantWaited  int // at the gate, at most
 	}{
 		"dropped":                {abandoned: 4},
-		"finished":               {finishes: true, abandoned: 4, wantRefused: 2 * slots, wantWaited: turns * slots},
-		"finished, none is left": {finishes: true},
+		"finished":               {completes: true, abandoned: 4, wantRefused: 2 * slots, wantWaited: rounds * slots},
+		"finished, none is left": {completes: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -83,7 +83,7 @@
 						return
 					}
 					time.Sleep(work / 4)
-					if test.finishes {
+					if test.completes {
 						time.AfterFunc(work-work/4, end)
 					} else {
 						end()
@@ -92,7 +92,7 @@
 				}
 				random := rand.New(rand.NewPCG(1, 1))
 				var all sync.WaitGroup
-				for range turns {
+				for range rounds {
 					for range test.abandoned {
 						all.Go(func() { send(true) })
 					}
--- a/admit/cold_test.go
+++ b/admit/cold_test.go
@@ -21,9 +21,9 @@
 // 330 ms that take twice as long while cold, 15 requests a second borne then, and 22 let
 // through. Warm, such an upstream gets some 28 a second, and half as many again in a burst.
 const (
-	coldSlots = 10
-	coldPace  = 22
-	coldLasts = 3 * time.Second
+	coldSlots    = 10
+	coldRate     = 22
+	coldDuration = 3 * time.Second
 )
 
 // coldLoad is what became of the requests of a load on one upstream.
@@ -31,17 +31,17 @@
 	gate *admit.Gate
 	run  time.Duration // of each, warm
 
-	mu               sync.Mutex
-	cold             bool
-	starts           []time.Time
-	served, refused  int
-	longestRefusal   time.Duration // between its coming and its refusal
-	shortestComeBack time.Duration
+	mu                 sync.Mutex
+	cold               bool
+	starts             []time.Time
+	served, refused    int
+	longestRefusal     time.Duration // between its coming and its refusal
+	shortestRetryAfter time.Duration
 }
 
 // turn turns the upstream cold.
-func (l *coldLoad) turn() {
-	l.gate.ColdLimiter.SetRemaining(coldLasts)
+func (l *coldLoad) turnCold() {
+	l.gate.ColdLimiter.SetRemaining(coldDuration)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cold = true
@@ -59,7 +59,7 @@
 }
 
 // ended records the end of a request, or why it was refused.
-func (l *coldLoad) ended(came time.Time, err *verdict.Error) {
+func (l *coldLoad) ended(arrived time.Time, err *verdict.Error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err == nil {
@@ -67,29 +67,29 @@
 		return
 	}
 	l.refused++
-	l.longestRefusal = max(l.longestRefusal, time.Since(came))
-	l.shortestComeBack = min(l.shortestComeBack, err.RetryAfter)
+	l.longestRefusal = max(l.longestRefusal, time.Since(arrived))
+	l.shortestRetryAfter = min(l.shortestRetryAfter, err.RetryAfter)
 }
 
 // newColdLoad returns a load on an upstream that has run for a while.
 func newColdLoad(run time.Duration) *coldLoad {
 	g := new(admit.Gate)
 	g.SetLimits(admit.Limits{Slots: coldSlots, QueueLength: 16, QueueWait: 60 * time.Millisecond})
-	g.ColdLimiter.SetLimit(coldPace)
+	g.ColdLimiter.SetLimit(coldRate)
 	time.Sleep(2 * time.Second)
-	return &coldLoad{gate: g, run: run, shortestComeBack: time.Hour}
+	return &coldLoad{gate: g, run: run, shortestRetryAfter: time.Hour}
 }
 
 // send sends a request with the given time left.
-func (l *coldLoad) send(left time.Duration) {
-	came := time.Now()
-	t := l.gate.Enter("", came.Add(left))
+func (l *coldLoad) send(remaining time.Duration) {
+	arrived := time.Now()
+	t := l.gate.Enter("", arrived.Add(remaining))
 	err := t.Wait(context.Background())
 	if err == nil {
 		time.Sleep(l.started())
 		t.Release(true)
 	}
-	l.ended(came, err)
+	l.ended(arrived, err)
 }
 
 // play sends so many a second for a time, evenly.
@@ -104,7 +104,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, at := range l.starts {
-		if !at.Before(from) && at.Sub(from) < coldLasts {
+		if !at.Before(from) && at.Sub(from) < coldDuration {
 			in = append(in, at)
 		}
 	}
@@ -112,7 +112,7 @@
 }
 
 // most returns the most starts in any second of that time.
-func (l *coldLoad) most(from time.Time) (most int) {
+func (l *coldLoad) maxPerSecond(from time.Time) (most int) {
 	in := l.whileCold(from)
 	for i, first := range in {
 		n := 0
@@ -130,7 +130,7 @@
 // when it loses its caches: the requests of the last second count, and no second from then
 // on has more than it bears. What it can't take is refused within the time that requests
 // wait there, with a time to come back, and it serves as many as it bears.
-func TestUpstreamTurnsCold(t *testing.T) {
+func TestUpstreamBecomesCold(t *testing.T) {
 	tests := map[string]struct {
 		run       time.Duration
 		perSecond int
@@ -144,16 +144,16 @@
 			synctest.Test(t, func(t *testing.T) {
 				l := newColdLoad(test.run)
 				l.play(test.perSecond, 2*time.Second)
-				l.turn()
-				turned := time.Now()
-				l.play(test.perSecond, coldLasts-time.Millisecond)
+				l.turnCold()
+				becameCold := time.Now()
+				l.play(test.perSecond, coldDuration-time.Millisecond)
 				time.Sleep(5 * time.Second)
-				during := len(l.whileCold(turned))
-				t.Logf("%d started while cold, %d refused, longest refusal %v, shortest time to come back %v", during, l.refused, l.longestRefusal, l.shortestComeBack)
-				qt.Check(t, l.most(turned) <= coldPace, qt.IsTrue, qt.Commentf("%d", l.most(turned)))
+				during := len(l.whileCold(becameCold))
+				t.Logf("%d started while cold, %d refused, longest refusal %v, shortest time to come back %v", during, l.refused, l.longestRefusal, l.shortestRetryAfter)
+				qt.Check(t, l.maxPerSecond(becameCold) <= coldRate, qt.IsTrue, qt.Commentf("%d", l.maxPerSecond(becameCold)))
 				qt.Check(t, during >= 15*3, qt.IsTrue, qt.Commentf("%d: it bears 15 a second", during))
 				qt.Check(t, l.longestRefusal <= 60*time.Millisecond, qt.IsTrue)
-				qt.Check(t, l.refused == 0 || l.shortestComeBack > 0, qt.IsTrue)
+				qt.Check(t, l.refused == 0 || l.shortestRetryAfter > 0, qt.IsTrue)
 			})
 		})
 	}
@@ -162,7 +162,7 @@
 // TestZoneComesBackCold has the upstreams of a zone come back together, each cold and with
 // nothing behind it, while all that the service gets is offered to them at once: each of
 // them is filled at the pace that it bears, from its first second on.
-func TestZoneComesBackCold(t *testing.T) {
+func TestZoneRecoversCold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var zone []*coldLoad
 		for range 20 {
@@ -170,16 +170,16 @@
 		}
 		for _, l := range zone {
 			l.gate.ColdLimiter.Reset()
-			l.turn()
+			l.turnCold()
 		}
-		back := time.Now()
+		recovered := time.Now()
 		for i := range 2999 { // until they are warm
 			go zone[i%len(zone)].send(800 * time.Millisecond)
 			time.Sleep(time.Millisecond)
 		}
 		time.Sleep(5 * time.Second)
 		for _, l := range zone {
-			qt.Check(t, l.most(back) <= coldPace, qt.IsTrue, qt.Commentf("%d", l.most(back)))
+			qt.Check(t, l.maxPerSecond(recovered) <= coldRate, qt.IsTrue, qt.Commentf("%d", l.maxPerSecond(recovered)))
 			qt.Check(t, l.served >= 15*3, qt.IsTrue, qt.Commentf("%d", l.served))
 		}
 	})
--- a/admit/share.go
+++ b/admit/decayingratio.go
@@ -12,10 +12,10 @@
 const (
 	// shareTime is the time constant of a Share: long enough for some tens of
 	// requests of an upstream, and short against the seconds for which one fails.
-	shareTime = time.Second
+	ratioTimeConstant = time.Second
 	// sharePrior is the number of events without a hit that a Share starts from, so
 	// that a single hit does not look like a rule.
-	sharePrior = 2
+	ratioPrior = 2
 )
 
 // Share is the share of recent events that are hits. It is
@@ -26,12 +26,12 @@
 // goroutines at once.
 type DecayingRatio struct {
 	hits, all float64
-	at        time.Time
+	updatedAt time.Time
 }
 
 // Add takes in one event.
 func (s *DecayingRatio) Add(hit bool, now time.Time) {
-	s.fade(now)
+	s.decay(now)
 	s.all++
 	if hit {
 		s.hits++
@@ -40,14 +40,14 @@
 
 // Value returns the share.
 func (s *DecayingRatio) Value(now time.Time) float64 {
-	s.fade(now)
-	return s.hits / (sharePrior + s.all)
+	s.decay(now)
+	return s.hits / (ratioPrior + s.all)
 }
 
 // fade brings the sums to the given time.
-func (s *DecayingRatio) fade(now time.Time) {
-	keep := math.Exp(-float64(now.Sub(s.at)) / float64(shareTime))
-	s.hits *= keep
-	s.all *= keep
-	s.at = now
+func (s *DecayingRatio) decay(now time.Time) {
+	factor := math.Exp(-float64(now.Sub(s.updatedAt)) / float64(ratioTimeConstant))
+	s.hits *= factor
+	s.all *= factor
+	s.updatedAt = now
 }
--- a/admit/share_test.go
+++ b/admit/decayingratio_test.go
@@ -13,19 +13,19 @@
 	"sassafrasfront.example/admit"
 )
 
-func TestShare(t *testing.T) {
+func TestDecayingRatio(t *testing.T) {
 	now := time.Now()
 	tests := map[string]struct {
-		hits, misses int
-		wait         time.Duration
-		least, most  float64
+		hits, misses    int
+		wait            time.Duration
+		atLeast, atMost float64
 	}{
 		"nothing yet":          {},
-		"one hit is no rule":   {hits: 1, least: 0.33, most: 0.34},
-		"half of many":         {hits: 50, misses: 50, least: 0.48, most: 0.5},
-		"all of many":          {hits: 100, least: 0.98, most: 1},
-		"all of many, forgot":  {hits: 100, wait: 10 * time.Second, most: 0.01},
-		"half of many, a past": {hits: 5, misses: 5, wait: time.Second, least: 0.3, most: 0.35},
+		"one hit is no rule":   {hits: 1, atLeast: 0.33, atMost: 0.34},
+		"half of many":         {hits: 50, misses: 50, atLeast: 0.48, atMost: 0.5},
+		"all of many":          {hits: 100, atLeast: 0.98, atMost: 1},
+		"all of many, forgot":  {hits: 100, wait: 10 * time.Second, atMost: 0.01},
+		"half of many, a past": {hits: 5, misses: 5, wait: time.Second, atLeast: 0.3, atMost: 0.35},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -37,7 +37,7 @@
 				s.Add(false, now)
 			}
 			got := s.Value(now.Add(test.wait))
-			qt.Check(t, got >= test.least && got <= test.most, qt.IsTrue, qt.Commentf("%v", got))
+			qt.Check(t, got >= test.atLeast && got <= test.atMost, qt.IsTrue, qt.Commentf("%v", got))
 		})
 	}
 }
--- a/admit/dispatch.go
+++ b/admit/dispatch.go
@@ -10,26 +10,26 @@
 )
 
 // maxRest bounds the expected rest of a slow spell.
-const maxRest = 10 * time.Second
+const maxSlowRemaining = 10 * time.Second
 
 // dispatch starts waiting requests while slots are free.
 func (g *Gate) dispatch(now time.Time) {
 	allowed := g.allowed(now)
-	held, next := g.abandoned.held(now)
+	held, next := g.abandoned.heldSlots(now)
 	for g.running+held < allowed && g.waiting > 0 {
-		q := g.next(allowed, now)
+		q := g.nextClass(allowed, now)
 		if q == nil {
 			return
 		}
-		if wait := g.boundWait(0); wait > 0 {
+		if wait := g.limitWait(0); wait > 0 {
 			g.dispatchAfter(wait)
 			return
 		}
-		if sending, _ := g.ColdLimiter.TryAcquire(); sending != nil {
-			sending.MarkWritten()
+		if coldSend, _ := g.ColdLimiter.TryAcquire(); coldSend != nil {
+			coldSend.MarkWritten()
 		}
 		g.AdvertisedLimiter.Admit()
-		g.start(q, now)
+		g.startNext(q, now)
 	}
 	if held > 0 && g.waiting > 0 {
 		g.dispatchAfter(next.Sub(now))
@@ -38,7 +38,7 @@
 
 // boundWait returns after how long a request may start if the given number goes before it, as
 // far as the bounds on the requests in a time say: the lowest of them binds. The lock is held.
-func (g *Gate) boundWait(ahead int) time.Duration {
+func (g *Gate) limitWait(ahead int) time.Duration {
 	return max(g.ColdLimiter.Wait(ahead), g.AdvertisedLimiter.Wait(ahead))
 }
 
@@ -51,11 +51,11 @@
 
 // dispatchAfter has dispatch called again after the given time. The lock is held.
 func (g *Gate) dispatchAfter(d time.Duration) {
-	if g.woken != nil {
-		g.woken.Reset(d)
+	if g.dispatchTimer != nil {
+		g.dispatchTimer.Reset(d)
 		return
 	}
-	g.woken = time.AfterFunc(d, func() {
+	g.dispatchTimer = time.AfterFunc(d, func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		g.dispatch(time.Now())
@@ -64,8 +64,8 @@
 
 // occupied returns the number of slots that hold a request, be it an abandoned one. The lock
 // is held.
-func (g *Gate) occupied(now time.Time) int {
-	held, _ := g.abandoned.held(now)
+func (g *Gate) occupiedSlots(now time.Time) int {
+	held, _ := g.abandoned.heldSlots(now)
 	return g.running + held
 }
 
@@ -74,28 +74,28 @@
 // The lock is held.
 func (g *Gate) allowed(now time.Time) int {
 	n := g.limiter.allowed(g.limits, now)
-	most, bound := g.ColdLimiter.Limit()
-	if !bound || g.limiter.fast == 0 {
+	maxPerSecond, limited := g.ColdLimiter.Limit()
+	if !limited || g.limiter.fast == 0 {
 		return n
 	}
-	running := float64(most) * g.limiter.fast * g.slow()
+	running := float64(maxPerSecond) * g.limiter.fast * g.currentSlowdown()
 	return min(n, max(1, int(math.Ceil(running))))
 }
 
 // start lets the first waiting request of q run.
-func (g *Gate) start(q *classQueue, now time.Time) {
+func (g *Gate) startNext(q *classQueue, now time.Time) {
 	t := q.pop()
 	g.waiting--
 	g.running++
 	q.running++
-	g.virtual = t.start
-	g.startSum += now.Sub(g.epoch)
+	g.virtualTime = t.startTag
+	g.startTimeSum += now.Sub(g.epoch)
 	t.state = running
-	t.began = now
-	t.slowdown = g.slow()
-	t.rate = 1 / (t.slowdown * max(leastRun, g.run(q)).Seconds())
-	t.flow.Start(t.runTime)
-	g.freeing += t.rate
+	t.startedAt = now
+	t.slowdown = g.currentSlowdown()
+	t.releaseRate = 1 / (t.slowdown * max(minRun, g.expectedRun(q)).Seconds())
+	t.flow.Start(t.expectedRun)
+	g.releaseRate += t.releaseRate
 	close(t.ready)
 }
 
@@ -104,26 +104,26 @@
 // run time s that begins with a slowdown of k ends after k s, and one that waits for
 // the rest r of the spell after r + p s, with the pace p. One that begins slow also
 // holds its slot for that much longer, and others wait for it.
-func (g *Gate) held(q *classQueue, now time.Time) bool {
+func (g *Gate) shouldHold(q *classQueue, now time.Time) bool {
 	if !g.limits.HoldWhileSlow {
 		return false
 	}
-	if _, slow := g.spells.age(now); !slow {
+	if _, slow := g.slowPeriods.age(now); !slow {
 		return false
 	}
-	gain := time.Duration((g.slow() - g.pace.value(now)) * float64(g.run(q)))
-	return g.spells.rest(now, 2*gain) < gain
+	gain := time.Duration((g.currentSlowdown() - g.minSlowdown.value(now)) * float64(g.expectedRun(q)))
+	return g.slowPeriods.remaining(now, 2*gain) < gain
 }
 
 // next returns the class whose first waiting request runs next, or nil if all
 // classes with waiting requests have their share or are held.
-func (g *Gate) next(allowed int, now time.Time) *classQueue {
+func (g *Gate) nextClass(allowed int, now time.Time) *classQueue {
 	var best *classQueue
 	for _, q := range g.classes {
-		if len(q.waiting) == 0 || q.running >= q.cap(allowed) || g.held(q, now) {
+		if len(q.waiting) == 0 || q.running >= q.maxSlots(allowed) || g.shouldHold(q, now) {
 			continue
 		}
-		if best == nil || q.waiting[0].start < best.waiting[0].start {
+		if best == nil || q.waiting[0].startTag < best.waiting[0].startTag {
 			best = q
 		}
 	}
--- a/admit/gate.go
+++ b/admit/gate.go
@@ -21,28 +21,28 @@
 	// Named bounds those that start while the upstream names a limit.
 	AdvertisedLimiter throttle.Limiter
 
-	mu       sync.Mutex
-	woken    *time.Timer // dispatches again when a bound lets a request start
-	limits   Limits
-	limiter  limiter
-	classes  []*classQueue
-	byName   map[string]*classQueue
-	virtual  float64
-	running  int
-	waiting  int
-	expected int           // requests that wait for their bodies, and not for a slot yet
-	startSum time.Duration // sum of the start times of running requests, since epoch
-	epoch    time.Time
-	draining bool
-	idle     chan struct{}
-	slowdown float64       // as last told by the upstream, 0 if never
-	observed time.Time     // when it was told last
-	pace     pace          // the slowdown beside the spells
-	spells   spells        // of a slowdown by slowRatio times the pace or more
-	freeing  float64       // expected rate at which running requests end, per second
-	failing  DecayingRatio // of the requests that ran
+	mu            sync.Mutex
+	dispatchTimer *time.Timer // dispatches again when a bound lets a request start
+	limits        Limits
+	limiter       limiter
+	classes       []*classQueue
+	byName        map[string]*classQueue
+	virtualTime   float64
+	running       int
+	waiting       int
+	pendingBodies int           // requests that wait for their bodies, and not for a slot yet
+	startTimeSum  time.Duration // sum of the start times of running requests, since epoch
+	epoch         time.Time
+	draining      bool
+	idle          chan struct{}
+	slowdown      float64         // as last told by the upstream, 0 if never
+	slowdownAt    time.Time       // when it was told last
+	minSlowdown   slowdownMinimum // the slowdown beside the spells
+	slowPeriods   slowPeriods     // of a slowdown by slowRatio times the pace or more
+	releaseRate   float64         // expected rate at which running requests end, per second
+	failureRatio  DecayingRatio   // of the requests that ran
 
-	abandoned abandoned
+	abandoned abandonedRequests
 	displaced uint64 // requests that gave way to another organisation's
 }
 
@@ -75,12 +75,12 @@
 	now := time.Now()
 	g.limiter.restart(g.limits.Slots, now)
 	g.slowdown = 0
-	g.observed = time.Time{}
-	g.pace = pace{}
-	g.spells = spells{}
-	g.failing = DecayingRatio{}
+	g.slowdownAt = time.Time{}
+	g.minSlowdown = slowdownMinimum{}
+	g.slowPeriods = slowPeriods{}
+	g.failureRatio = DecayingRatio{}
 	for _, q := range g.classes {
-		q.run = 0
+		q.meanRun = 0
 		q.flows.ResetHoldTimes()
 	}
 	g.dispatch(now)
@@ -116,7 +116,7 @@
 func (g *Gate) RecordResult(failed bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.failing.Add(failed, time.Now())
+	g.failureRatio.Add(failed, time.Now())
 }
 
 // Observe takes in how many times longer than usual work takes at the upstream
@@ -126,9 +126,9 @@
 	defer g.mu.Unlock()
 	now := time.Now()
 	g.slowdown = slowdown
-	g.observed = now
-	g.pace.observe(slowdown, now)
-	g.spells.observe(slowdown >= slowRatio*g.pace.value(now), now)
+	g.slowdownAt = now
+	g.minSlowdown.observe(slowdown, now)
+	g.slowPeriods.observe(slowdown >= slowRatio*g.minSlowdown.value(now), now)
 	g.observeQueues(now)
 	g.dispatch(now)
 }
@@ -141,7 +141,7 @@
 func (g *Gate) SlowdownAge() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return time.Since(g.observed)
+	return time.Since(g.slowdownAt)
 }
 
 // JustSlowed returns whether the upstream has been found to be slowed down
@@ -149,12 +149,12 @@
 func (g *Gate) SlowedWithin(within time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	age, slow := g.spells.age(time.Now())
+	age, slow := g.slowPeriods.age(time.Now())
 	return slow && age < within
 }
 
 // slow returns the last known slowdown.
-func (g *Gate) slow() float64 {
+func (g *Gate) currentSlowdown() float64 {
 	if g.slowdown <= 0 {
 		return 1
 	}
@@ -187,38 +187,38 @@
 		queue:        g.class(class),
 		organisation: organisation,
 		ready:        make(chan struct{}),
-		entered:      now,
+		enteredAt:    now,
 		deadline:     deadline,
 	}
 }
 
 // enter lets t run, has it wait, or refuses it. The lock is held.
 func (g *Gate) enter(t *Ticket, now time.Time) {
-	if err := g.admissible(t, now, t.deadline); err != nil {
+	if err := g.checkAdmissible(t, now, t.deadline); err != nil {
 		t.refuse(err)
 		return
 	}
 	t.state = waiting
 	t.flow = t.queue.flows.Flow(t.organisation, now)
-	t.runTime = max(leastRun, t.flow.ExpectedHoldTime(g.run(t.queue)))
-	t.within = t.flow.AddDemand(t.runTime, g.room(t.queue, now), now)
-	t.queue.tag(t, g.virtual, g.run(t.queue))
+	t.expectedRun = max(minRun, t.flow.ExpectedHoldTime(g.expectedRun(t.queue)))
+	t.withinShare = t.flow.AddDemand(t.expectedRun, g.availableSlots(t.queue, now), now)
+	t.queue.tag(t, g.virtualTime, g.expectedRun(t.queue))
 	t.queue.push(t)
 	g.waiting++
 	g.dispatch(now)
 	if t.state != waiting {
 		return
 	}
-	if err := g.queueable(t, now, t.deadline); err != nil {
+	if err := g.checkQueueable(t, now, t.deadline); err != nil {
 		t.queue.remove(t)
-		t.queue.finish = t.start
+		t.queue.finishTag = t.startTag
 		g.waiting--
 		t.refuse(err)
 	}
 }
 
 // admissible returns why the request can't even be considered, or nil.
-func (g *Gate) admissible(t *Ticket, now, deadline time.Time) *verdict.Error {
+func (g *Gate) checkAdmissible(t *Ticket, now, deadline time.Time) *verdict.Error {
 	switch {
 	case t.queue == nil || g.limits.Slots <= 0:
 		return verdict.New(verdict.NoUpstream, nil)
@@ -238,9 +238,9 @@
 	case waiting:
 		t.queue.remove(t)
 		g.waiting--
-	case expected:
-		g.expected--
-		t.queue.expected--
+	case pendingBody:
+		g.pendingBodies--
+		t.queue.pendingBodies--
 	default:
 		return false
 	}
@@ -259,14 +259,14 @@
 	g.observeQueues(now)
 	t.state = released
 	t.queue.running--
-	t.flow.End(t.runTime, time.Duration(float64(now.Sub(t.began))/t.slowdown), now)
+	t.flow.End(t.expectedRun, time.Duration(float64(now.Sub(t.startedAt))/t.slowdown), now)
 	g.running--
-	g.startSum -= t.began.Sub(g.epoch)
-	g.freeing = max(0, g.freeing-t.rate)
+	g.startTimeSum -= t.startedAt.Sub(g.epoch)
+	g.releaseRate = max(0, g.releaseRate-t.releaseRate)
 	if healthy {
-		took := time.Duration(float64(now.Sub(t.began)) / t.slowdown)
+		took := time.Duration(float64(now.Sub(t.startedAt)) / t.slowdown)
 		g.limiter.observe(took, g.limits.Slots)
-		t.queue.ran(took)
+		t.queue.observeRun(took)
 	}
 	g.dispatch(now)
 	g.signalIdle()
@@ -314,7 +314,7 @@
 		g.byName[c.Name] = q
 	}
 	for _, q := range old {
-		if g.byName[q.class.Name] != q && len(q.waiting)+q.running+q.expected > 0 {
+		if g.byName[q.class.Name] != q && len(q.waiting)+q.running+q.pendingBodies > 0 {
 			g.classes = append(g.classes, q)
 		}
 	}
@@ -348,6 +348,6 @@
 func (t *Ticket) refuse(err *verdict.Error) {
 	t.state = refused
 	t.failure = err
-	t.began = time.Now()
+	t.startedAt = time.Now()
 	close(t.ready)
 }
--- a/admit/gate_test.go
+++ b/admit/gate_test.go
@@ -18,7 +18,7 @@
 	"sassafrasfront.example/verdict"
 )
 
-var base = admit.Limits{
+var defaultLimits = admit.Limits{
 	Slots:       2,
 	QueueLength: 4,
 	QueueWait:   50 * time.Millisecond,
@@ -63,7 +63,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
 				var g admit.Gate
-				g.SetLimits(base)
+				g.SetLimits(defaultLimits)
 				warm(&g, 1, 10*time.Millisecond)
 				for range test.running + test.waiting {
 					g.Enter("", time.Time{})
@@ -93,14 +93,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		var g admit.Gate
-		g.SetLimits(base)
+		g.SetLimits(defaultLimits)
 		g.Enter("", time.Time{})
 		g.Enter("", time.Time{})
 		began := time.Now()
 		err := g.Enter("", time.Time{}).Wait(context.Background())
 		c.Assert(err != nil, qt.IsTrue)
 		c.Check(err.Cause, qt.Equals, verdict.Refused)
-		c.Check(time.Since(began), qt.Equals, base.QueueWait)
+		c.Check(time.Since(began), qt.Equals, defaultLimits.QueueWait)
 	})
 }
 
@@ -112,7 +112,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		var g admit.Gate
-		l := base.WithSlots(10)
+		l := defaultLimits.WithSlots(10)
 		l.QueueLength = 100
 		g.SetLimits(l)
 		const service = 20 * time.Millisecond
@@ -157,7 +157,7 @@
 func TestDrainRefusesWaitingAndSignalsIdle(t *testing.T) {
 	c := qt.New(t)
 	var g admit.Gate
-	g.SetLimits(base.WithSlots(1))
+	g.SetLimits(defaultLimits.WithSlots(1))
 	first := g.Enter("", time.Time{})
 	second := g.Enter("", time.Time{})
 	idle := g.Drain()
@@ -238,7 +238,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		var g admit.Gate
-		l := base.WithSlots(20)
+		l := defaultLimits.WithSlots(20)
 		l.Adaptive = true
 		g.SetLimits(l)
 		warm(&g, 200, 10*time.Millisecond)
@@ -255,7 +255,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		var g admit.Gate
-		l := base.WithSlots(20)
+		l := defaultLimits.WithSlots(20)
 		l.SlowStart = 10 * time.Second
 		g.SetLimits(l)
 		c.Check(g.Report().Allowed, qt.Equals, 5)
@@ -270,10 +270,10 @@
 
 // TestServiceGrowsWhileNothingAnswers shows that the reported service time
 // does not wait for an answer to grow.
-func TestServiceGrowsWhileNothingAnswers(t *testing.T) {
+func TestServiceTimeGrowsWithoutAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var g admit.Gate
-		g.SetLimits(base)
+		g.SetLimits(defaultLimits)
 		warm(&g, 10, 10*time.Millisecond)
 		g.Enter("", time.Time{})
 		time.Sleep(300 * time.Millisecond)
@@ -283,7 +283,7 @@
 
 func TestReleaseTwicePanics(t *testing.T) {
 	var g admit.Gate
-	g.SetLimits(base)
+	g.SetLimits(defaultLimits)
 	k := g.Enter("", time.Time{})
 	k.Release(true)
 	qt.Check(t, func() { k.Release(true) }, qt.PanicMatches, "admit: release .*")
@@ -324,11 +324,11 @@
 					return
 				}
 				k := rapid.SampledFrom(open).Draw(t, "ticket")
-				was := isReady(k)
+				wasReady := isReady(k)
 				if k.Revoke() {
 					revoked[k] = true
 				}
-				if was && revoked[k] && k.Err().Cause != verdict.Revoked {
+				if wasReady && revoked[k] && k.Err().Cause != verdict.Revoked {
 					t.Fatal("a request both ended and was revoked")
 				}
 			},
@@ -356,7 +356,7 @@
 
 func BenchmarkEnterRelease(b *testing.B) {
 	var g admit.Gate
-	g.SetLimits(base)
+	g.SetLimits(defaultLimits)
 	for b.Loop() {
 		g.Enter("", time.Time{}).Release(true)
 	}
@@ -368,7 +368,7 @@
 func TestStandingQueueOfOneClass(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var g admit.Gate
-		l := base.WithSlots(10).WithClasses(
+		l := defaultLimits.WithSlots(10).WithClasses(
 			admit.Class{Name: "low", Weight: 1, MaxShare: 1, MaxWait: 30 * time.Millisecond},
 			admit.Class{Name: "high", Weight: 16, MaxShare: 1, Priority: 1, MaxWait: 60 * time.Millisecond},
 		)
@@ -406,10 +406,10 @@
 
 // TestRestartForgets has an upstream start again after it was slow and failed: what
 // is reported of it then is what is reported of one that is new.
-func TestRestartForgets(t *testing.T) {
+func TestRestartResetsState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var g, fresh admit.Gate
-		g.SetLimits(base)
+		g.SetLimits(defaultLimits)
 		warm(&g, 20, 40*time.Millisecond)
 		for range 5 {
 			g.ObserveSlowdown(1)
@@ -420,7 +420,7 @@
 		}
 		qt.Check(t, g.Report().FailureRatio > 0.3, qt.IsTrue)
 		g.Restart()
-		fresh.SetLimits(base)
+		fresh.SetLimits(defaultLimits)
 		qt.Check(t, g.Report(), qt.DeepEquals, fresh.Report())
 		qt.Check(t, g.SlowedWithin(time.Hour), qt.IsFalse)
 	})
@@ -431,21 +431,21 @@
 // enough for its run, not at its deadline.
 func TestWaitEndsBeforeTheDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const run, left = 50 * time.Millisecond, 300 * time.Millisecond
+		const run, remaining = 50 * time.Millisecond, 300 * time.Millisecond
 		var g admit.Gate
-		l := base.WithSlots(1)
+		l := defaultLimits.WithSlots(1)
 		l.QueueWait = time.Second
 		g.SetLimits(l)
 		warm(&g, 20, run)
 		hanging := g.Enter("", time.Time{})
 		qt.Assert(t, hanging.Wait(context.Background()) == nil, qt.IsTrue)
 		began := time.Now()
-		ctx, cancel := context.WithDeadline(context.Background(), began.Add(left))
+		ctx, cancel := context.WithDeadline(context.Background(), began.Add(remaining))
 		defer cancel()
-		failure := g.Enter("", began.Add(left)).Wait(ctx)
+		failure := g.Enter("", began.Add(remaining)).Wait(ctx)
 		qt.Assert(t, failure, qt.IsNotNil)
 		qt.Check(t, failure.Cause, qt.Equals, verdict.Refused)
 		waited := time.Since(began)
-		qt.Check(t, waited >= left/2 && waited <= left-run, qt.IsTrue, qt.Commentf("%v", waited))
+		qt.Check(t, waited >= remaining/2 && waited <= remaining-run, qt.IsTrue, qt.Commentf("%v", waited))
 	})
 }
--- a/admit/load_test.go
+++ b/admit/load_test.go
@@ -26,19 +26,19 @@
 
 // spellsOf says how an upstream's speed changes: in each step it is slow with the
 // given probability.
-type spellsOf struct {
-	step     time.Duration
-	share    float64
-	slowdown float64
-	pace     float64 // the slowdown beside the spells
+type slowPeriodsOf struct {
+	step        time.Duration
+	share       float64
+	slowdown    float64
+	minSlowdown float64 // the slowdown beside the spells
 }
 
 // load is an upstream and what comes to it.
 type load struct {
-	limits admit.Limits
-	flows  []flow
-	spells spellsOf
-	length time.Duration
+	limits      admit.Limits
+	flows       []flow
+	slowPeriods slowPeriodsOf
+	length      time.Duration
 }
 
 // play sends the load to a gate and returns, for each class, the share of requests
@@ -63,10 +63,10 @@
 	var all sync.WaitGroup
 	all.Go(func() {
 		random := rand.New(rand.NewPCG(1, 1))
-		for began := time.Now(); l.spells.step > 0 && time.Since(began) < l.length; time.Sleep(l.spells.step) {
-			k := l.spells.pace
-			if random.Float64() < l.spells.share {
-				k *= l.spells.slowdown
+		for began := time.Now(); l.slowPeriods.step > 0 && time.Since(began) < l.length; time.Sleep(l.slowPeriods.step) {
+			k := l.slowPeriods.minSlowdown
+			if random.Float64() < l.slowPeriods.share {
+				k *= l.slowPeriods.slowdown
 			}
 			mu.Lock()
 			slowdown = k
@@ -85,7 +85,7 @@
 				time.Sleep(time.Duration(random.ExpFloat64() / f.perSecond * float64(time.Second)))
 				work := time.Duration((2 + 2*random.Float64()) / 3 * float64(f.work))
 				all.Go(func() {
-					came := time.Now()
+					arrived := time.Now()
 					k := g.Enter(f.class, time.Time{})
 					ran := k.Wait(context.Background()) == nil
 					if ran {
@@ -95,7 +95,7 @@
 					mu.Lock()
 					defer mu.Unlock()
 					offered[f.class]++
-					if ran && time.Since(came) <= objective[f.class] {
+					if ran && time.Since(arrived) <= objective[f.class] {
 						served[f.class]++
 					}
 				})
@@ -112,16 +112,16 @@
 // checks returns the share of requests of 220 ms that end within their objective at
 // an upstream of 14 slots. For a quarter of the time, 150 ms at a time, it takes five
 // times as long as its pace.
-func checks(hold bool, objective time.Duration, perSecond, pace float64) float64 {
+func playChecks(hold bool, objective time.Duration, perSecond, minSlowdown float64) float64 {
 	return load{
 		limits: admit.Limits{
 			Slots:         14,
 			QueueLength:   16,
 			HoldWhileSlow: hold,
 		}.WithClasses(admit.Class{Name: "check", Weight: 1, MaxShare: 1, Objective: objective}),
-		flows:  []flow{{"check", perSecond, ms(220)}},
-		spells: spellsOf{ms(150), 0.25, 5, pace},
-		length: 60 * time.Second,
+		flows:       []flow{{"check", perSecond, ms(220)}},
+		slowPeriods: slowPeriodsOf{ms(150), 0.25, 5, minSlowdown},
+		length:      60 * time.Second,
 	}.play()["check"]
 }
 
@@ -129,10 +129,10 @@
 // the time, 150 ms at a time, under three quarters of the load that it could run were
 // it never slow, in requests of 220 ms with an objective of 600 ms. Those that start
 // in a spell take 1.1 s, and their slots with them.
-func TestShortSlowSpells(t *testing.T) {
+func TestShortSlowPeriods(t *testing.T) {
 	play := func(hold bool) (share float64) {
 		synctest.Test(t, func(*testing.T) {
-			share = checks(hold, ms(600), 48, 1)
+			share = playChecks(hold, ms(600), 48, 1)
 		})
 		return share
 	}
@@ -145,9 +145,9 @@
 // TestSlowSpellsOfAColdUpstream is the same upstream while it is cold and runs all
 // at half its speed, as after a loss of power, under three quarters of what it can
 // run then. Its slow spells are those in which it is slower still.
-func TestSlowSpellsOfAColdUpstream(t *testing.T) {
+func TestSlowPeriodsOfColdUpstream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		share := checks(true, ms(900), 24, 2)
+		share := playChecks(true, ms(900), 24, 2)
 		t.Logf("within the objective: %.3f", share)
 		qt.Check(t, share > 0.8, qt.IsTrue)
 	})
@@ -157,7 +157,7 @@
 // slots, which is asked for 19 of them: 13.6 by reads of 880 ms with a low priority,
 // 3 by uploads of 260 ms and 2.3 by the calls of requests that already run at other
 // upstreams, of 55 ms. The low class gets what the others leave.
-func TestLongRequestsOfALowClass(t *testing.T) {
+func TestLongRequestsOfLowPriorityClass(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		share := load{
 			limits: admit.Limits{
--- a/admit/organisation_test.go
+++ b/admit/organisation_test.go
@@ -17,15 +17,15 @@
 )
 
 // line is an upstream of one slot with its queue, in which all requests run for 10 ms.
-type line struct {
+type singleSlot struct {
 	gate    admit.Gate
 	tickets []*admit.Ticket
 	names   []string
 }
 
 // newLine returns a line whose slot is held by the given organisation.
-func newLine(organisation string, limits admit.Limits) *line {
-	l := new(line)
+func newSingleSlot(organisation string, limits admit.Limits) *singleSlot {
+	l := new(singleSlot)
 	l.gate.SetLimits(limits)
 	warm(&l.gate, 1, 10*time.Millisecond)
 	l.enter(organisation, "")
@@ -33,7 +33,7 @@
 }
 
 // enter has an organisation send a request, which waits without end if it may.
-func (l *line) enter(organisation, class string) *admit.Ticket {
+func (l *singleSlot) enter(organisation, class string) *admit.Ticket {
 	t := l.gate.EnterFor(organisation, class, time.Time{})
 	l.tickets = append(l.tickets, t)
 	l.names = append(l.names, organisation)
@@ -41,7 +41,7 @@
 }
 
 // enterAll does that for each organisation in the list.
-func (l *line) enterAll(organisations string) {
+func (l *singleSlot) enterAll(organisations string) {
 	for _, o := range strings.Fields(organisations) {
 		l.enter(o, "")
 	}
@@ -49,7 +49,7 @@
 
 // refused returns the organisations whose requests have been refused, in the order of their
 // coming.
-func (l *line) refused() string {
+func (l *singleSlot) refused() string {
 	var list []string
 	for i, t := range l.tickets {
 		if t.Err() != nil {
@@ -60,7 +60,7 @@
 }
 
 // drain has all requests run, and returns their organisations in that order.
-func (l *line) drain() string {
+func (l *singleSlot) drain() string {
 	var list []string
 	done := make(map[*admit.Ticket]bool)
 	for more := true; more; {
@@ -78,7 +78,7 @@
 	return strings.Join(list, " ")
 }
 
-var single = admit.Limits{
+var singleSlotLimits = admit.Limits{
 	Slots:       1,
 	QueueLength: 4,
 	QueueWait:   time.Hour,
@@ -87,26 +87,26 @@
 // TestOrganisationsTakeTurns has requests wait in one order and start in another.
 func TestOrganisationsTakeTurns(t *testing.T) {
 	tests := map[string]struct {
-		come, want string
-		weight     func(string) float64
+		arrivals, want string
+		weight         func(string) float64
 	}{
-		"one":        {come: "a a a", want: "a a a a"},
-		"a late one": {come: "a a a b", want: "a b a a a"},
-		"two":        {come: "b b a a", want: "a b b a a"},
-		"none":       {come: "", want: "a"},
+		"one":        {arrivals: "a a a", want: "a a a a"},
+		"a late one": {arrivals: "a a a b", want: "a b a a a"},
+		"two":        {arrivals: "b b a a", want: "a b b a a"},
+		"none":       {arrivals: "", want: "a"},
 		"by weight": {
-			come:   "b b b a",
-			want:   "a b b b a",
-			weight: func(o string) float64 { return map[string]float64{"a": 1, "b": 4}[o] },
+			arrivals: "b b b a",
+			want:     "a b b b a",
+			weight:   func(o string) float64 { return map[string]float64{"a": 1, "b": 4}[o] },
 		},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				limits := single
+				limits := singleSlotLimits
 				limits.Weight = test.weight
-				l := newLine("a", limits)
-				l.enterAll(test.come)
+				l := newSingleSlot("a", limits)
+				l.enterAll(test.arrivals)
 				qt.Check(t, l.refused(), qt.Equals, "")
 				qt.Check(t, l.drain(), qt.Equals, test.want)
 			})
@@ -118,19 +118,19 @@
 // the one that has most waiting, if that is more than the one that comes would have.
 func TestQueueFullOfOneOrganisation(t *testing.T) {
 	tests := map[string]struct {
-		come, refused string
+		arrivals, refused string
 	}{
-		"its own":        {come: "a a a a a", refused: "a"},
-		"another":        {come: "a a a a b", refused: "a"},
-		"several others": {come: "a a a a b c d", refused: "a a a"},
-		"all have one":   {come: "a a a a b c d e", refused: "a a a e"},
-		"alike":          {come: "a a b b a", refused: "a"},
+		"its own":        {arrivals: "a a a a a", refused: "a"},
+		"another":        {arrivals: "a a a a b", refused: "a"},
+		"several others": {arrivals: "a a a a b c d", refused: "a a a"},
+		"all have one":   {arrivals: "a a a a b c d e", refused: "a a a e"},
+		"alike":          {arrivals: "a a b b a", refused: "a"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				l := newLine("a", single)
-				l.enterAll(test.come)
+				l := newSingleSlot("a", singleSlotLimits)
+				l.enterAll(test.arrivals)
 				qt.Check(t, l.refused(), qt.Equals, test.refused)
 				for _, k := range l.tickets {
 					if err := k.Err(); err != nil {
@@ -148,7 +148,7 @@
 // TestQueueFullOfClasses has a request come to a queue that another organisation fills
 // with requests of a class of the same priority, or of a lower one.
 func TestQueueFullOfClasses(t *testing.T) {
-	limits := single.WithClasses(
+	limits := singleSlotLimits.WithClasses(
 		admit.Class{Name: "low", Weight: 1, MaxShare: 1},
 		admit.Class{Name: "slow", Weight: 4, MaxShare: 1, Priority: 1},
 		admit.Class{Name: "fast", Weight: 4, MaxShare: 1, Priority: 1},
@@ -168,7 +168,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				l := newLine("a", limits)
+				l := newSingleSlot("a", limits)
 				for _, class := range test.full {
 					l.enter("a", class)
 				}
@@ -185,12 +185,12 @@
 // wait for its own turn, not for the whole queue, so that it gets in with little time.
 func TestWaitOfSmallOrganisation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		limits := single
+		limits := singleSlotLimits
 		limits.QueueLength = 16
-		l := newLine("a", limits)
+		l := newSingleSlot("a", limits)
 		l.enterAll("a a a a a a a a")
-		enter := func(organisation string, left time.Duration) *verdict.Error {
-			k := l.gate.EnterFor(organisation, "", time.Now().Add(left))
+		enter := func(organisation string, remaining time.Duration) *verdict.Error {
+			k := l.gate.EnterFor(organisation, "", time.Now().Add(remaining))
 			defer k.Revoke()
 			return k.Err()
 		}
@@ -205,7 +205,7 @@
 // way to others'.
 func TestReportOfOrganisations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLine("a", single)
+		l := newSingleSlot("a", singleSlotLimits)
 		l.enterAll("a a a a b c")
 		r := l.gate.Report()
 		qt.Check(t, r.WaitingOrganisations, qt.Equals, 3)
--- a/admit/expect_test.go
+++ b/admit/pendingbody_test.go
@@ -36,13 +36,13 @@
 	gate admit.Gate
 	link chan struct{} // has room while no body crosses
 
-	mu      sync.Mutex
-	queued  int // bodies that cross or wait to
-	offered map[string]int
-	inTime  map[string]int
-	refused int
-	latest  time.Duration // refusal, after its coming
-	late    int           // uploads that were accepted and ended late
+	mu             sync.Mutex
+	queued         int // bodies that cross or wait to
+	offered        map[string]int
+	inTime         map[string]int
+	refused        int
+	longestRefusal time.Duration // refusal, after its coming
+	late           int           // uploads that were accepted and ended late
 }
 
 // cross has a body cross the link.
@@ -59,7 +59,7 @@
 }
 
 // coming returns how long a body takes that comes now.
-func (u *uploads) coming() time.Duration {
+func (u *uploads) expectedBodyTime() time.Duration {
 	if u.blind {
 		return 0
 	}
@@ -79,7 +79,7 @@
 		}
 		return k, err
 	}
-	k := u.gate.EnterPendingBody("", "upload", time.Time{}, u.coming())
+	k := u.gate.EnterPendingBody("", "upload", time.Time{}, u.expectedBodyTime())
 	if err := k.Err(); err != nil {
 		return k, err
 	}
@@ -89,8 +89,8 @@
 }
 
 // one has one request come.
-func (u *uploads) one(class string, work, objective time.Duration) {
-	came := time.Now()
+func (u *uploads) request(class string, work, objective time.Duration) {
+	arrived := time.Now()
 	var k *admit.Ticket
 	var err *verdict.Error
 	if class == "upload" {
@@ -99,7 +99,7 @@
 		k = u.gate.Enter(class, time.Time{})
 		err = k.Wait(context.Background())
 	}
-	told := time.Since(came)
+	decided := time.Since(arrived)
 	if err == nil {
 		time.Sleep(work)
 		k.Release(true)
@@ -107,10 +107,10 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.offered[class]++
-	switch took := time.Since(came); {
+	switch took := time.Since(arrived); {
 	case err != nil && class == "upload":
 		u.refused++
-		u.latest = max(u.latest, told)
+		u.longestRefusal = max(u.longestRefusal, decided)
 	case err != nil:
 	case took <= objective:
 		u.inTime[class]++
@@ -133,18 +133,18 @@
 		admit.Class{Name: "call", Weight: 1, MaxShare: 1, Objective: ms(250)},
 	))
 	var all sync.WaitGroup
-	come := func(class string, perSecond float64, work, objective time.Duration) {
+	send := func(class string, perSecond float64, work, objective time.Duration) {
 		random := rand.New(rand.NewPCG(3, uint64(work)))
 		all.Go(func() {
 			for began := time.Now(); time.Since(began) < 30*time.Second; {
 				time.Sleep(time.Duration(random.ExpFloat64() / perSecond * float64(time.Second)))
 				varied := time.Duration((2 + 2*random.Float64()) / 3 * float64(work))
-				all.Go(func() { u.one(class, varied, objective) })
+				all.Go(func() { u.request(class, varied, objective) })
 			}
 		})
 	}
-	come("upload", u.perSecond, ms(280), ms(1200))
-	come("call", u.calls, ms(70), ms(250))
+	send("upload", u.perSecond, ms(280), ms(1200))
+	send("call", u.calls, ms(70), ms(250))
 	all.Wait()
 	share := make(map[string]float64)
 	for class, n := range u.offered {
@@ -156,7 +156,7 @@
 // TestNoSlotIsHeldForABody has uploads take nine tenths of a slow link, and uploads and calls
 // together nine tenths of the slots. A body then waits for the link longer than it takes to
 // cross it; if its request holds a slot meanwhile, the slots are full of requests that wait.
-func TestNoSlotIsHeldForABody(t *testing.T) {
+func TestNoSlotHeldWhileBodyArrives(t *testing.T) {
 	play := func(slotFirst bool) (share map[string]float64) {
 		synctest.Test(t, func(*testing.T) {
 			u := &uploads{perSecond: 18.5, calls: 105, slotFirst: slotFirst}
@@ -174,7 +174,7 @@
 // TestRushOnASlowLink has uploads come at one and a half times what the link carries. Those
 // whose body would come too late are refused at once, and the others end in time; where
 // nothing is known of the link, nearly all are accepted and late.
-func TestRushOnASlowLink(t *testing.T) {
+func TestUploadOverloadOnSlowLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		u := &uploads{perSecond: 31, calls: 20}
 		share := u.play()
@@ -183,7 +183,7 @@
 		t.Logf("in time: %v, and %v with nothing known of the link", share, blindShare)
 		qt.Check(t, share["upload"] > 0.6, qt.IsTrue) // of 0.67 that the link carries
 		qt.Check(t, share["call"] > 0.95, qt.IsTrue)
-		qt.Check(t, u.latest < ms(50), qt.IsTrue, qt.Commentf("told after %v", u.latest))
+		qt.Check(t, u.longestRefusal < ms(50), qt.IsTrue, qt.Commentf("told after %v", u.longestRefusal))
 		qt.Check(t, u.late < u.offered["upload"]/50, qt.IsTrue, qt.Commentf("%d late", u.late))
 		qt.Check(t, blindShare["upload"] < 0.3, qt.IsTrue)
 	})
@@ -191,7 +191,7 @@
 
 // TestExpect has one row for what may become of a request between its coming and the arrival
 // of its body.
-func TestExpect(t *testing.T) {
+func TestPendingBody(t *testing.T) {
 	tests := map[string]struct {
 		meanwhile func(g *admit.Gate, k *admit.Ticket)
 		want      verdict.Cause
@@ -225,16 +225,16 @@
 
 // TestExpectedOfClassThatGoes has a request's class go while its body comes in. It then takes a
 // slot that is free, as one that waits would.
-func TestExpectedOfClassThatGoes(t *testing.T) {
+func TestPendingBodyOfRemovedClass(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var g admit.Gate
 		limits := admit.Limits{Slots: 2, QueueLength: 4, QueueWait: time.Second}
 		g.SetLimits(limits.WithClasses(admit.Class{Name: "goes", Weight: 1, MaxShare: 1}, admit.Class{Name: "stays", Weight: 1, MaxShare: 1}))
-		expected := g.EnterPendingBody("", "goes", time.Time{}, 0)
+		pending := g.EnterPendingBody("", "goes", time.Time{}, 0)
 		g.SetLimits(limits.WithClasses(admit.Class{Name: "stays", Weight: 1, MaxShare: 1}))
-		expected.BodyArrived()
-		qt.Assert(t, expected.Wait(t.Context()) == nil, qt.IsTrue)
-		qt.Check(t, expected.Waited(), qt.Equals, time.Duration(0))
-		expected.Release(true)
+		pending.BodyArrived()
+		qt.Assert(t, pending.Wait(t.Context()) == nil, qt.IsTrue)
+		qt.Check(t, pending.Waited(), qt.Equals, time.Duration(0))
+		pending.Release(true)
 	})
 }
--- a/admit/queue.go
+++ b/admit/queue.go
@@ -24,39 +24,39 @@
 // The tags say when the class has its turns. Which of its requests gets one is up to
 // the organisations that share the class.
 type classQueue struct {
-	class    Class
-	standing standing
-	flows    fair.Flows
-	finish   float64
-	running  int
-	expected int       // requests that wait for their bodies
-	waiting  []*Ticket // in the order in which they came
-	run      float64   // mean run time at the usual speed, in seconds, 0 until one has ended
+	class         Class
+	standing      standing
+	flows         fair.Flows
+	finishTag     float64
+	running       int
+	pendingBodies int       // requests that wait for their bodies
+	waiting       []*Ticket // in the order in which they came
+	meanRun       float64   // mean run time at the usual speed, in seconds, 0 until one has ended
 }
 
 const (
 	// runGain is the weight of one request in the mean run time of its class.
 	runGain = 0.1
 	// leastRun is the least run time that counts.
-	leastRun = time.Millisecond
+	minRun = time.Millisecond
 )
 
 // ran takes in the run time of a request at the usual speed.
-func (q *classQueue) ran(took time.Duration) {
-	if q.run == 0 {
-		q.run = took.Seconds()
+func (q *classQueue) observeRun(took time.Duration) {
+	if q.meanRun == 0 {
+		q.meanRun = took.Seconds()
 	}
-	q.run += runGain * (took.Seconds() - q.run)
+	q.meanRun += runGain * (took.Seconds() - q.meanRun)
 }
 
 // tag gives t, which is expected to run for the given time, its start tag.
 func (q *classQueue) tag(t *Ticket, virtual float64, run time.Duration) {
-	t.start = max(virtual, q.finish)
-	q.finish = t.start + max(leastRun, run).Seconds()/q.class.Weight
+	t.startTag = max(virtual, q.finishTag)
+	q.finishTag = t.startTag + max(minRun, run).Seconds()/q.class.Weight
 }
 
 // cap returns how many slots the class may hold of the given number.
-func (q *classQueue) cap(allowed int) int {
+func (q *classQueue) maxSlots(allowed int) int {
 	return max(1, int(q.class.MaxShare*float64(allowed)))
 }
 
@@ -69,22 +69,22 @@
 // pop removes and returns the waiting request that has the next turn, with the tag of
 // the first one: the tags of those before it stay where they are.
 func (q *classQueue) pop() *Ticket {
-	i := q.next()
+	i := q.nextIndex()
 	t := q.waiting[i]
-	tag := t.start
+	tag := t.startTag
 	for ; i > 0; i-- {
 		moved := q.waiting[i-1]
-		moved.start, tag = tag, moved.start
+		moved.startTag, tag = tag, moved.startTag
 		q.waiting[i] = moved
 	}
-	t.start = tag
+	t.startTag = tag
 	q.waiting[0] = nil
 	q.waiting = q.waiting[1:]
 	return t
 }
 
 // next returns the place of the waiting request that has the next turn.
-func (q *classQueue) next() int {
+func (q *classQueue) nextIndex() int {
 	best := 0
 	for i, t := range q.waiting {
 		if t.flow.Before(q.waiting[best].flow) {
@@ -108,22 +108,22 @@
 
 // newest returns the request that came last of the flow with the most waiting ones,
 // or nil.
-func (q *classQueue) newest() *Ticket {
-	var most *Ticket
+func (q *classQueue) newestOfLargestFlow() *Ticket {
+	var newest *Ticket
 	for _, t := range q.waiting {
-		if most == nil || t.flow.Waiting() >= most.flow.Waiting() {
-			most = t
+		if newest == nil || t.flow.Waiting() >= newest.flow.Waiting() {
+			newest = t
 		}
 	}
-	return most
+	return newest
 }
 
 // bound returns the longest expected wait with which a request of the flow may enter
 // the queue, given the longest that is configured. Where an organisation that holds
 // more than its part makes the queue stand, the others still wait for their turns.
-func (q *classQueue) bound(t *Ticket, most time.Duration) time.Duration {
-	if t.within {
-		return most
+func (q *classQueue) maxWait(t *Ticket, configured time.Duration) time.Duration {
+	if t.withinShare {
+		return configured
 	}
-	return q.standing.bound(most)
+	return q.standing.maxWait(configured)
 }
--- a/admit/report.go
+++ b/admit/report.go
@@ -50,12 +50,12 @@
 	now := time.Now()
 	var service time.Duration
 	if g.limiter.fast > 0 {
-		service = g.service(now)
+		service = g.expectedServiceTime(now)
 	}
 	limit := g.AdvertisedLimiter.State()
-	waiting := g.waiting + g.expected
+	waiting := g.waiting + g.pendingBodies
 	return Report{
-		Running:       g.occupied(now),
+		Running:       g.occupiedSlots(now),
 		Waiting:       waiting,
 		Allowed:       g.allowed(now),
 		Limited:       limit.Limited,
@@ -64,19 +64,19 @@
 		LimitWait:     g.AdvertisedLimiter.Wait(waiting),
 		ServiceTime:   service,
 		Draining:      g.draining,
-		Slowdown:      g.slow(),
-		MinSlowdown:   g.pace.value(now),
-		SlowRemaining: g.spells.rest(now, maxRest),
-		FailureRatio:  g.failing.Value(now),
+		Slowdown:      g.currentSlowdown(),
+		MinSlowdown:   g.minSlowdown.value(now),
+		SlowRemaining: g.slowPeriods.remaining(now, maxSlowRemaining),
+		FailureRatio:  g.failureRatio.Value(now),
 
-		WaitingOrganisations: g.organisations(),
+		WaitingOrganisations: g.waitingOrganisations(),
 		Displaced:            g.displaced,
 	}
 }
 
 // organisations returns the number of organisations with waiting requests, summed over the
 // classes.
-func (g *Gate) organisations() (sum int) {
+func (g *Gate) waitingOrganisations() (sum int) {
 	for _, q := range g.classes {
 		sum += q.flows.WaitingOrganisations()
 	}
@@ -87,18 +87,18 @@
 // speed: requests that began while it was slow stay slow, and only an age that
 // no slowdown explains says that it hangs. It is to be above any slowdown that
 // an upstream which still answers tells.
-const agePatience = 6
+const maxPlausibleSlowdown = 6
 
 // service returns the expected service time at the given time, for an upstream
 // that runs at its usual speed.
-func (g *Gate) service(now time.Time) time.Duration {
+func (g *Gate) expectedServiceTime(now time.Time) time.Duration {
 	mean := time.Duration(g.limiter.fast * float64(time.Second))
 	if g.running == 0 {
 		return mean
 	}
-	age := now.Sub(g.epoch) - g.startSum/time.Duration(g.running)
+	age := now.Sub(g.epoch) - g.startTimeSum/time.Duration(g.running)
 	if g.slowdown > 0 {
-		age /= agePatience
+		age /= maxPlausibleSlowdown
 	}
 	return max(mean, age)
 }
--- a/admit/room_test.go
+++ b/admit/sharedupstream_test.go
@@ -25,40 +25,40 @@
 	organisation, class string
 	perSecond           float64
 	work                time.Duration // mean; a third of it more or less
-	repeats             int           // how often it repeats a request that is refused, at once
+	retries             int           // how often it repeats a request that is refused, at once
 }
 
 // room is an upstream that organisations share. What they send comes at drawn times.
-type room struct {
+type sharedUpstream struct {
 	limits  admit.Limits
 	senders []sender
 	length  time.Duration
 }
 
 // fate is what became of requests.
-type fate struct {
+type outcome struct {
 	offered, ran, useful float64 // useful are those that ended within their objective
 }
 
 // served returns the part of the requests that ran.
-func (f fate) served() float64 { return f.ran / f.offered }
+func (f outcome) served() float64 { return f.ran / f.offered }
 
 // inTime returns the part of the requests that ended within their objective.
-func (f fate) inTime() float64 { return f.useful / f.offered }
+func (f outcome) inTime() float64 { return f.useful / f.offered }
 
 // String implements fmt.Stringer.
-func (f fate) String() string {
+func (f outcome) String() string {
 	return fmt.Sprintf("%.2f in time, %.2f served", f.inTime(), f.served())
 }
 
 // add returns the sum of both.
-func (f fate) add(o fate) fate {
-	return fate{offered: f.offered + o.offered, ran: f.ran + o.ran, useful: f.useful + o.useful}
+func (f outcome) add(o outcome) outcome {
+	return outcome{offered: f.offered + o.offered, ran: f.ran + o.ran, useful: f.useful + o.useful}
 }
 
 // play sends all to a gate, with the organisations' names or without, and returns what
 // became of each organisation's requests.
-func (r room) play(named bool) map[string]fate {
+func (r sharedUpstream) play(named bool) map[string]outcome {
 	var g admit.Gate
 	g.SetLimits(r.limits)
 	objective := make(map[string]time.Duration)
@@ -66,7 +66,7 @@
 		objective[c.Name] = c.Objective
 	}
 	var mu sync.Mutex
-	fates := make(map[string]fate)
+	outcomes := make(map[string]outcome)
 	var all sync.WaitGroup
 	for i, s := range r.senders {
 		name := s.organisation
@@ -74,24 +74,24 @@
 			name = ""
 		}
 		request := func(work time.Duration) {
-			came := time.Now()
-			f := fate{offered: 1}
-			for range s.repeats + 1 {
-				t := g.EnterFor(name, s.class, came.Add(10*time.Second))
+			arrived := time.Now()
+			f := outcome{offered: 1}
+			for range s.retries + 1 {
+				t := g.EnterFor(name, s.class, arrived.Add(10*time.Second))
 				if t.Wait(context.Background()) != nil {
 					continue
 				}
 				time.Sleep(work)
 				t.Release(true)
 				f.ran = 1
-				if time.Since(came) <= objective[s.class] {
+				if time.Since(arrived) <= objective[s.class] {
 					f.useful = 1
 				}
 				break
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			fates[s.organisation] = fates[s.organisation].add(f)
+			outcomes[s.organisation] = outcomes[s.organisation].add(f)
 		}
 		random := rand.New(rand.NewPCG(3, uint64(i)))
 		all.Go(func() {
@@ -106,13 +106,13 @@
 		})
 	}
 	all.Wait()
-	return fates
+	return outcomes
 }
 
 // total returns what became of the requests of all but the named organisations.
-func total(fates map[string]fate, but ...string) (sum fate) {
-	for name, f := range fates {
-		if !slices.Contains(but, name) {
+func total(outcomes map[string]outcome, except ...string) (sum outcome) {
+	for name, f := range outcomes {
+		if !slices.Contains(except, name) {
 			sum = sum.add(f)
 		}
 	}
@@ -121,8 +121,8 @@
 
 // least returns the organisation whose requests were served least often, of those with
 // enough of them to tell.
-func least(fates map[string]fate) (name string, worst fate) {
-	for n, f := range fates {
+func leastServed(outcomes map[string]outcome) (name string, worst outcome) {
+	for n, f := range outcomes {
 		if f.offered >= 40 && (name == "" || f.served() < worst.served()) {
 			name = n
 			worst = f
@@ -133,7 +133,7 @@
 
 // desk is an upstream of 14 slots whose requests of 220 ms are to end within 600 ms: it
 // runs 63 a second.
-func desk(objective time.Duration) admit.Limits {
+func checkLimits(objective time.Duration) admit.Limits {
 	return admit.Limits{
 		Slots:         14,
 		QueueLength:   16,
@@ -151,24 +151,24 @@
 }
 
 // play plays r for 40 seconds.
-func play(t *testing.T, r room, named bool) (fates map[string]fate) {
+func play(t *testing.T, r sharedUpstream, named bool) (outcomes map[string]outcome) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
 		r.length = 40 * time.Second
-		fates = r.play(named)
+		outcomes = r.play(named)
 	})
-	return fates
+	return outcomes
 }
 
 // TestOneOrganisationRushes is an upstream that runs 63 requests a second, of which
 // twenty organisations together ask for 40 and another one for ten, or in a rush for many
 // times that, which would be within its limit. The others are served as without the rush,
 // the one that rushes gets what they leave. Without the names all are refused alike.
-func TestOneOrganisationRushes(t *testing.T) {
+func TestOverloadByOneOrganisation(t *testing.T) {
 	for name, perSecond := range map[string]float64{"fourfold": 40, "eightfold": 80} {
 		t.Run(name, func(t *testing.T) {
-			r := room{
-				limits:  desk(ms(600)),
+			r := sharedUpstream{
+				limits:  checkLimits(ms(600)),
 				senders: append(small(20, 40, ms(220)), sender{"big", "check", perSecond, ms(220), 0}),
 			}
 			named, unnamed := play(t, r, true), play(t, r, false)
@@ -176,7 +176,7 @@
 			qt.Check(t, total(named, "big").inTime() > 0.95, qt.IsTrue)
 			qt.Check(t, total(unnamed, "big").inTime() < 0.8, qt.IsTrue)
 			qt.Check(t, total(named).served() > total(unnamed).served()-0.02, qt.IsTrue)
-			_, worst := least(named)
+			_, worst := leastServed(named)
 			qt.Check(t, worst.served() > total(named).served()/4, qt.IsTrue)
 		})
 	}
@@ -194,8 +194,8 @@
 		"beside 180 ms": {work: ms(180), perSecond: 30},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := room{
-				limits:  desk(time.Second),
+			r := sharedUpstream{
+				limits:  checkLimits(time.Second),
 				senders: append(small(20, test.perSecond, test.work), sender{"big", "check", 25, ms(550), 0}),
 			}
 			named, unnamed := play(t, r, true), play(t, r, false)
@@ -210,9 +210,9 @@
 // TestOneOrganisationRepeatsAtOnce has the callers of an organisation that asks for two
 // thirds of an upstream repeat each refused request at once, twenty times, beside others
 // that need two thirds of it and don't.
-func TestOneOrganisationRepeatsAtOnce(t *testing.T) {
-	r := room{
-		limits:  desk(ms(600)),
+func TestImmediateRetriesOfOneOrganisation(t *testing.T) {
+	r := sharedUpstream{
+		limits:  checkLimits(ms(600)),
 		senders: append(small(20, 40, ms(220)), sender{"big", "check", 40, ms(220), 20}),
 	}
 	named, unnamed := play(t, r, true), play(t, r, false)
@@ -227,8 +227,8 @@
 // rushes, they are served before it, but it isn't starved.
 func TestThousandsOfOrganisations(t *testing.T) {
 	t.Run("alone", func(t *testing.T) {
-		r := room{
-			limits:  desk(ms(600)),
+		r := sharedUpstream{
+			limits:  checkLimits(ms(600)),
 			senders: small(5000, 95, ms(220)),
 		}
 		named, unnamed := total(play(t, r, true)), total(play(t, r, false))
@@ -238,8 +238,8 @@
 	})
 	for name, perSecond := range map[string]float64{"beside 40 a second": 40, "beside 100 a second": 100, "beside 300 a second": 300} {
 		t.Run(name, func(t *testing.T) {
-			r := room{
-				limits:  desk(ms(600)),
+			r := sharedUpstream{
+				limits:  checkLimits(ms(600)),
 				senders: append(small(5000, 55, ms(220)), sender{"big", "check", perSecond, ms(220), 0}),
 			}
 			named := play(t, r, true)
@@ -254,8 +254,8 @@
 // forty others ask for a third of what all ask for, which is twice what the upstream runs.
 // Its weight says that a fifth is its part.
 func TestWeightsOfOrganisations(t *testing.T) {
-	r := room{
-		limits:  desk(ms(600)),
+	r := sharedUpstream{
+		limits:  checkLimits(ms(600)),
 		senders: append(small(40, 80, ms(220)), sender{"big", "check", 40, ms(220), 0}),
 	}
 	r.limits.Weight = func(organisation string) float64 {
@@ -266,7 +266,7 @@
 	}
 	named := play(t, r, true)
 	t.Logf("others %v, big %v", total(named, "big"), named["big"])
-	_, worst := least(named)
+	_, worst := leastServed(named)
 	qt.Check(t, worst.served() > total(named).served()/4, qt.IsTrue)
 	qt.Check(t, named["big"].served() > total(named).served()/2, qt.IsTrue)
 }
@@ -276,44 +276,44 @@
 // of them rushes, for so many times its usual rate that the upstream is asked for half as
 // much again. The others are served as usual, the smallest ones too.
 func TestSizesOfOrganisations(t *testing.T) {
-	const all, usual = 77, 50.0
+	const all, usualRate = 77, 50.0
 	var sum float64
 	for rank := 1; rank <= all; rank++ {
 		sum += math.Pow(float64(rank), -1.2)
 	}
 	rate := make(map[string]float64)
 	for rank := 1; rank <= all; rank++ {
-		rate[fmt.Sprint(rank)] = usual * math.Pow(float64(rank), -1.2) / sum
+		rate[fmt.Sprint(rank)] = usualRate * math.Pow(float64(rank), -1.2) / sum
 	}
 	for name, test := range map[string]struct {
-		rushes string
-		times  float64
+		overloading string
+		factor      float64
 	}{
-		"largest": {rushes: "1", times: 4},
-		"middle":  {rushes: "4", times: 10},
+		"largest": {overloading: "1", factor: 4},
+		"middle":  {overloading: "4", factor: 10},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := room{limits: desk(ms(600))}
+			r := sharedUpstream{limits: checkLimits(ms(600))}
 			r.limits.Weight = func(organisation string) float64 { return 1.6 * rate[organisation] }
 			for rank := 1; rank <= all; rank++ {
 				name := fmt.Sprint(rank)
 				perSecond := rate[name]
-				if name == test.rushes {
-					perSecond *= test.times
+				if name == test.overloading {
+					perSecond *= test.factor
 				}
 				r.senders = append(r.senders, sender{name, "check", perSecond, ms(220), 0})
 			}
-			fates, unnamed := play(t, r, true), play(t, r, false)
-			var small fate
+			named, unnamed := play(t, r, true), play(t, r, false)
+			var small outcome
 			for rank := all / 2; rank <= all; rank++ {
-				small = small.add(fates[fmt.Sprint(rank)])
+				small = small.add(named[fmt.Sprint(rank)])
 			}
-			n, worst := least(fates)
-			t.Logf("others %v, small %v, rushes %v, least %s %v; without names %v", total(fates, test.rushes), small, fates[test.rushes], n, worst, total(unnamed, test.rushes))
-			qt.Check(t, total(fates, test.rushes).inTime() > 0.95, qt.IsTrue)
+			n, worst := leastServed(named)
+			t.Logf("others %v, small %v, rushes %v, least %s %v; without names %v", total(named, test.overloading), small, named[test.overloading], n, worst, total(unnamed, test.overloading))
+			qt.Check(t, total(named, test.overloading).inTime() > 0.95, qt.IsTrue)
 			qt.Check(t, small.inTime() > 0.95, qt.IsTrue)
-			qt.Check(t, worst.served() > total(fates).served()/4, qt.IsTrue)
-			qt.Check(t, total(unnamed, test.rushes).inTime() < 0.85, qt.IsTrue)
+			qt.Check(t, worst.served() > total(named).served()/4, qt.IsTrue)
+			qt.Check(t, total(unnamed, test.overloading).inTime() < 0.85, qt.IsTrue)
 		})
 	}
 }
@@ -322,8 +322,8 @@
 // are, share a class with organisations of which one rushes. They ask for a quarter of the
 // upstream, which is less than the half that is theirs beside any number of organisations.
 func TestRequestsWithoutOrganisation(t *testing.T) {
-	r := room{
-		limits:  desk(ms(600)),
+	r := sharedUpstream{
+		limits:  checkLimits(ms(600)),
 		senders: append(small(20, 25, ms(220)), sender{"", "check", 15, ms(220), 0}, sender{"big", "check", 80, ms(220), 0}),
 	}
 	named := play(t, r, true)
@@ -336,7 +336,7 @@
 // office is an upstream of 14 slots with urgent requests of 180 ms, to end within 500 ms,
 // calls inside runs elsewhere, of 55 ms within 150 ms, and long requests of 550 ms that
 // can wait, each a priority below.
-func office() admit.Limits {
+func mixedLimits() admit.Limits {
 	return admit.Limits{
 		Slots:         14,
 		QueueLength:   16,
@@ -349,9 +349,9 @@
 }
 
 // mixed is the load of an office; each class is an organisation here.
-func mixed(statements, calls, refunds float64) room {
-	return room{
-		limits: office(),
+func mixed(statements, calls, refunds float64) sharedUpstream {
+	return sharedUpstream{
+		limits: mixedLimits(),
 		senders: []sender{
 			{"statement", "statement", statements, ms(550), 0},
 			{"call", "call", calls, ms(55), 0},
@@ -362,7 +362,7 @@
 
 // TestUrgentBesideBurstsOfLong has the long requests ask for all slots and up to twice as
 // many beside urgent ones that need one.
-func TestUrgentBesideBurstsOfLong(t *testing.T) {
+func TestUrgentRequestsBesideLongOnes(t *testing.T) {
 	for name, statements := range map[string]float64{"all": 26, "twice": 52} {
 		t.Run(name, func(t *testing.T) {
 			share := play(t, mixed(statements, 0.01, 6), false)
@@ -373,7 +373,7 @@
 }
 
 // TestUrgentBesideCalls has calls inside runs ask for all slots beside the urgent ones.
-func TestUrgentBesideCalls(t *testing.T) {
+func TestUrgentRequestsBesideNestedCalls(t *testing.T) {
 	share := play(t, mixed(6, 260, 6), false)
 	t.Logf("%v", share)
 	qt.Check(t, share["refund"].inTime() > 0.95, qt.IsTrue)
@@ -383,7 +383,7 @@
 // many beside calls. Two calls are needed by seven in ten of the runs that make them, which
 // are thrown away with one; a refused call is sent to two more upstreams, under the same load.
 // Of the runs, 95 in 100 have to get their calls.
-func TestCallsBesideBurstsOfLong(t *testing.T) {
+func TestNestedCallsBesideLongRequests(t *testing.T) {
 	for name, statements := range map[string]float64{"all": 26, "twice": 52} {
 		t.Run(name, func(t *testing.T) {
 			share := play(t, mixed(statements, 12, 2), false)
--- a/admit/slowdown_test.go
+++ b/admit/slowdown_test.go
@@ -17,7 +17,7 @@
 // TestServiceWithoutSlowdown has requests that begin while the upstream is slow
 // leave the reported service time as it is: it is what routing multiplies by the
 // slowdown of the moment.
-func TestServiceWithoutSlowdown(t *testing.T) {
+func TestServiceTimeExcludesSlowdown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var g admit.Gate
 		g.SetLimits(admit.Limits{Slots: 4})
--- a/admit/spells.go
+++ b/admit/slowperiods.go
@@ -8,7 +8,7 @@
 
 // spellMemory is the number of spells that are remembered: the last half minute of
 // an upstream that slows down once a second.
-const spellMemory = 32
+const slowPeriodHistory = 32
 
 // spells remembers for how long an upstream stayed slow, to tell how long it is
 // likely to stay so. The expected rest of a spell of age a is the mean of L - a over
@@ -16,19 +16,19 @@
 // it is a: who waits for no longer than what the waiting can gain then loses at most
 // as much again, as in A. Karlin et al., Competitive snoopy caching, 1988.
 // doi:10.1007/BF01762111.
-type spells struct {
-	lengths [spellMemory]time.Duration
+type slowPeriods struct {
+	lengths [slowPeriodHistory]time.Duration
 	count   int
 	since   time.Time // when the present spell began, zero if there is none
 }
 
 // observe takes in whether the upstream is slow.
-func (s *spells) observe(slow bool, now time.Time) {
+func (s *slowPeriods) observe(slow bool, now time.Time) {
 	switch {
 	case slow && s.since.IsZero():
 		s.since = now
 	case !slow && !s.since.IsZero():
-		s.lengths[s.count%spellMemory] = now.Sub(s.since)
+		s.lengths[s.count%slowPeriodHistory] = now.Sub(s.since)
 		s.count++
 		s.since = time.Time{}
 	}
@@ -36,7 +36,7 @@
 
 // age returns for how long the present spell has lasted. The second result is
 // false if there is none.
-func (s *spells) age(now time.Time) (time.Duration, bool) {
+func (s *slowPeriods) age(now time.Time) (time.Duration, bool) {
 	if s.since.IsZero() {
 		return 0, false
 	}
@@ -45,21 +45,21 @@
 
 // rest returns the expected rest of the present spell, in which the rest of each
 // remembered one counts as at most the given time. It is 0 if there is none.
-func (s *spells) rest(now time.Time, most time.Duration) time.Duration {
+func (s *slowPeriods) remaining(now time.Time, limit time.Duration) time.Duration {
 	age, slow := s.age(now)
 	if !slow {
 		return 0
 	}
 	var sum time.Duration
 	var n int
-	for _, l := range s.lengths[:min(s.count, spellMemory)] {
+	for _, l := range s.lengths[:min(s.count, slowPeriodHistory)] {
 		if l > age {
-			sum += min(most, l-age)
+			sum += min(limit, l-age)
 			n++
 		}
 	}
 	if n == 0 {
-		return min(most, age)
+		return min(limit, age)
 	}
 	return sum / time.Duration(n)
 }
--- a/admit/spells_test.go
+++ b/admit/slowperiods_test.go
@@ -20,14 +20,14 @@
 // TestHold has one row for each relation between the work of a request, how much
 // slower it runs now, and how long upstreams usually stay slow. The last column says
 // whether a request that comes in at the given age of a spell waits for its end.
-func TestHold(t *testing.T) {
+func TestHoldWhileSlow(t *testing.T) {
 	tests := map[string]struct {
-		work     time.Duration
-		slowdown float64
-		spells   []int // lengths of the earlier ones, in ms
-		age      time.Duration
-		held     bool
-		cold     bool // whether it has been as slow for as long as it is known
+		work        time.Duration
+		slowdown    float64
+		slowPeriods []int // lengths of the earlier ones, in ms
+		age         time.Duration
+		held        bool
+		cold        bool // whether it has been as slow for as long as it is known
 	}{
 		"long work, short spells":             {ms(220), 5, []int{150, 150, 300, 150}, 0, true, false},
 		"work shorter than the spells":        {ms(90), 4, []int{300, 300, 600, 300}, 0, false, false},
@@ -53,7 +53,7 @@
 				if !test.cold {
 					g.ObserveSlowdown(1)
 				}
-				for _, length := range test.spells {
+				for _, length := range test.slowPeriods {
 					g.ObserveSlowdown(test.slowdown)
 					time.Sleep(ms(length))
 					g.ObserveSlowdown(1)
@@ -73,7 +73,7 @@
 
 // TestHeldIsRefusedWhereItCannotEndInTime has an upstream whose slow spells last
 // for longer than the objective leaves beside the run.
-func TestHeldIsRefusedWhereItCannotEndInTime(t *testing.T) {
+func TestHeldRequestRefusedIfTooLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var g admit.Gate
 		g.SetLimits(admit.Limits{
--- a/admit/standing.go
+++ b/admit/standing.go
@@ -31,29 +31,29 @@
 //
 //	p += (1 - exp(-d/200 ms)) (x - p)
 type standing struct {
-	share float64
-	at    time.Time
+	share     float64
+	updatedAt time.Time
 }
 
 // observe takes in that the queue was empty or not since the last call.
-func (s *standing) observe(waits bool, now time.Time) {
-	if s.at.IsZero() {
-		s.at = now
+func (s *standing) observe(waiting bool, now time.Time) {
+	if s.updatedAt.IsZero() {
+		s.updatedAt = now
 		return
 	}
 	var x float64
-	if waits {
+	if waiting {
 		x = 1
 	}
-	s.share += (1 - math.Exp(-float64(now.Sub(s.at))/float64(standingTime))) * (x - s.share)
-	s.at = now
+	s.share += (1 - math.Exp(-float64(now.Sub(s.updatedAt))/float64(standingTime))) * (x - s.share)
+	s.updatedAt = now
 }
 
 // bound returns the longest expected wait with which a request may enter the
 // queue, given the longest that is configured.
-func (s *standing) bound(most time.Duration) time.Duration {
+func (s *standing) maxWait(configured time.Duration) time.Duration {
 	if s.share < standingShare {
-		return most
+		return configured
 	}
-	return min(most, standingWait)
+	return min(configured, standingWait)
 }
--- a/admit/ticket.go
+++ b/admit/ticket.go
@@ -20,7 +20,7 @@
 	running
 	refused
 	released
-	expected // waits for its body, and for no slot yet
+	pendingBody // waits for its body, and for no slot yet
 )
 
 // Ticket is one request's place at a Gate.
@@ -29,24 +29,24 @@
 	queue        *classQueue
 	organisation string
 	flow         *fair.Flow // the organisation's, once the request waits or runs
-	start        float64    // start tag
+	startTag     float64    // start tag
 	ready        chan struct{}
-	entered      time.Time // into the queue
+	enteredAt    time.Time // into the queue
 	// deadline is when an answer is of no use any more, or zero.
 	deadline time.Time
 
 	// The gate's mutex guards what follows.
-	state state
-	began time.Time
+	state     state
+	startedAt time.Time
 	// within is whether its organisation kept to its part when it came.
-	within bool
+	withinShare bool
 	// runTime is for how long it was expected to run, at the usual speed.
-	runTime time.Duration
+	expectedRun time.Duration
 	// slowdown is that of the upstream when the request began.
 	slowdown float64
 	// rate is the inverse of the time that it was expected to run, in 1/s.
-	rate    float64
-	failure *verdict.Error
+	releaseRate float64
+	failure     *verdict.Error
 }
 
 // Ready returns a channel that is closed when the request no longer waits:
@@ -66,12 +66,12 @@
 	t.gate.mu.Lock()
 	defer t.gate.mu.Unlock()
 	switch t.state {
-	case expected:
+	case pendingBody:
 		return 0
 	case waiting:
-		return time.Since(t.entered)
+		return time.Since(t.enteredAt)
 	}
-	return t.began.Sub(t.entered)
+	return t.startedAt.Sub(t.enteredAt)
 }
 
 // Revoke takes the request back if it still waits. It returns true if the
@@ -91,7 +91,7 @@
 // Arrive has a request that was expected wait for a slot from now on. It does nothing if
 // the request has been refused meanwhile.
 func (t *Ticket) BodyArrived() {
-	t.gate.arrive(t)
+	t.gate.bodyArrived(t)
 }
 
 // Wait blocks until the request runs or has been refused. The request is
@@ -104,7 +104,7 @@
 		return t.Err()
 	default:
 	}
-	timer := time.NewTimer(t.gate.queueWait(t))
+	timer := time.NewTimer(t.gate.waitLimit(t))
 	defer timer.Stop()
 	select {
 	case <-t.ready:
--- a/admit/wait.go
+++ b/admit/wait.go
@@ -14,41 +14,43 @@
 	// runSpread is how many times the mean run time a request is given within its
 	// objective. Nine in ten requests whose run times have a standard deviation of
 	// 0.3 of their mean take less. With 2.0 fewer were served, with 1.2 as many.
-	runSpread = 1.5
+	runTimeMargin = 1.5
 	// waitFloor is the part of the objective that a request may wait in any case. It
 	// counts where the run takes nearly all of the objective, as at cold upstreams:
 	// with an eighth, requests were refused for a slow spell while nothing ran.
-	waitFloor = 0.25
+	minWaitShare = 0.25
 	// expectedPart is the part of the objective that a request is expected to run
 	// before any of its class has. Operators set objectives at two to five times the
 	// usual run time.
-	expectedPart = 0.25
+	initialRunShare = 0.25
 )
 
 // queueable returns why the request, which stands in its queue, may not wait,
 // or nil if it may.
-func (g *Gate) queueable(t *Ticket, now, deadline time.Time) *verdict.Error {
-	wait := g.expectedWait(t.queue, g.ahead(t), now)
-	if wait > t.queue.bound(t, g.longestWait(t.queue)) {
-		return g.full(wait)
+func (g *Gate) checkQueueable(t *Ticket, now, deadline time.Time) *verdict.Error {
+	wait := g.expectedWait(t.queue, g.queuePosition(t), now)
+	if wait > t.queue.maxWait(t, g.classMaxWait(t.queue)) {
+		return g.refusal(wait)
 	}
-	if !deadline.IsZero() && now.Add(wait+g.run(t.queue)).After(deadline) {
-		return g.full(wait)
+	if !deadline.IsZero() && now.Add(wait+g.expectedRun(t.queue)).After(deadline) {
+		return g.refusal(wait)
 	}
 	if g.waiting > g.limits.QueueLength && !g.shed(t, wait) {
-		return g.full(wait)
+		return g.refusal(wait)
 	}
 	return nil
 }
 
 // full returns the refusal of a request that would wait for so long. The lock is held.
-func (g *Gate) full(wait time.Duration) *verdict.Error {
+func (g *Gate) refusal(wait time.Duration) *verdict.Error {
 	return verdict.New(verdict.Refused, nil).WithRetryAfter(g.AdvertisedLimiter.RetryAfter(wait))
 }
 
 // ahead returns the number of requests of t's class that start up to and with the last one
 // of its organisation.
-func (g *Gate) ahead(t *Ticket) int { return t.flow.QueuePosition(max(leastRun, g.run(t.queue))) }
+func (g *Gate) queuePosition(t *Ticket) int {
+	return t.flow.QueuePosition(max(minRun, g.expectedRun(t.queue)))
+}
 
 // expectedWait returns the time after which the given number of requests of q, of all that
 // wait, have started. Before the last of these n start as many of each other class o as fair
@@ -63,39 +65,39 @@
 func (g *Gate) expectedWait(q *classQueue, starting int, now time.Time) time.Duration {
 	n := float64(starting)
 	ahead := n
-	own := n * g.run(q).Seconds() / q.class.Weight
+	own := n * g.expectedRun(q).Seconds() / q.class.Weight
 	for _, o := range g.classes {
 		if o != q && len(o.waiting) > 0 {
-			ahead += min(float64(len(o.waiting)), own*o.class.Weight/max(leastRun, g.run(o)).Seconds())
+			ahead += min(float64(len(o.waiting)), own*o.class.Weight/max(minRun, g.expectedRun(o)).Seconds())
 		}
 	}
 	var wait time.Duration
-	if g.held(q, now) {
-		wait = g.spells.rest(now, maxRest)
+	if g.shouldHold(q, now) {
+		wait = g.slowPeriods.remaining(now, maxSlowRemaining)
 	}
-	wait = max(wait, g.boundWait(max(0, int(ahead)-1)))
-	free := min(g.allowed(now), q.cap(g.limits.Slots)) - g.occupied(now)
+	wait = max(wait, g.limitWait(max(0, int(ahead)-1)))
+	free := min(g.allowed(now), q.maxSlots(g.limits.Slots)) - g.occupiedSlots(now)
 	ahead -= float64(max(0, free))
-	if ahead <= 0 || g.freeing <= 0 {
+	if ahead <= 0 || g.releaseRate <= 0 {
 		return wait
 	}
-	return wait + time.Duration(ahead/g.freeing*float64(time.Second))
+	return wait + time.Duration(ahead/g.releaseRate*float64(time.Second))
 }
 
 // room returns the number of slots that the classes but q leave to it, of an upstream
 // that runs at its usual speed.
-func (g *Gate) room(q *classQueue, now time.Time) float64 {
-	n := g.allowed(now) - (g.occupied(now) - q.running)
-	return float64(max(1, min(n, q.cap(g.limits.Slots)))) / g.slow()
+func (g *Gate) availableSlots(q *classQueue, now time.Time) float64 {
+	n := g.allowed(now) - (g.occupiedSlots(now) - q.running)
+	return float64(max(1, min(n, q.maxSlots(g.limits.Slots)))) / g.currentSlowdown()
 }
 
 // run returns the expected run time of a request of q at the usual speed.
-func (g *Gate) run(q *classQueue) time.Duration {
+func (g *Gate) expectedRun(q *classQueue) time.Duration {
 	switch {
-	case q.run > 0:
-		return time.Duration(q.run * float64(time.Second))
+	case q.meanRun > 0:
+		return time.Duration(q.meanRun * float64(time.Second))
 	case q.class.Objective > 0:
-		return time.Duration(expectedPart * float64(q.class.Objective))
+		return time.Duration(initialRunShare * float64(q.class.Objective))
 	}
 	return time.Duration(g.limiter.fast * float64(time.Second))
 }
@@ -105,9 +107,9 @@
 // if that is lower than t's, or else in a class of the same priority, if it is another
 // organisation that has more there than that of t. It would have waited for about as long as t.
 func (g *Gate) shed(t *Ticket, wait time.Duration) bool {
-	victim := g.lowerPriority(t)
+	victim := g.lowerPriorityVictim(t)
 	if victim == nil {
-		if victim = g.largerFlow(t); victim == nil {
+		if victim = g.largerFlowVictim(t); victim == nil {
 			return false
 		}
 		g.displaced++
@@ -116,15 +118,15 @@
 	last := victim == q.waiting[len(q.waiting)-1]
 	q.remove(victim)
 	if last {
-		q.finish = victim.start
+		q.finishTag = victim.startTag
 	}
 	g.waiting--
-	victim.refuse(g.full(wait))
+	victim.refuse(g.refusal(wait))
 	return true
 }
 
 // lowerPriority returns the request that gives way to t by its priority, or nil.
-func (g *Gate) lowerPriority(t *Ticket) *Ticket {
+func (g *Gate) lowerPriorityVictim(t *Ticket) *Ticket {
 	var lowest *classQueue
 	for _, q := range g.classes {
 		if len(q.waiting) == 0 || q.class.Priority >= t.queue.class.Priority {
@@ -137,19 +139,19 @@
 	if lowest == nil {
 		return nil
 	}
-	return lowest.newest()
+	return lowest.newestOfLargestFlow()
 }
 
 // largerFlow returns the request that gives way to t because its organisation has more
 // of them waiting, or nil.
-func (g *Gate) largerFlow(t *Ticket) *Ticket {
+func (g *Gate) largerFlowVictim(t *Ticket) *Ticket {
 	var victim *Ticket
 	most := t.flow.Waiting()
 	for _, q := range g.classes {
 		if q.class.Priority != t.queue.class.Priority {
 			continue
 		}
-		if v := q.newest(); v != nil && v.flow.Waiting() > most && v.flow.Name() != t.flow.Name() {
+		if v := q.newestOfLargestFlow(); v != nil && v.flow.Waiting() > most && v.flow.Name() != t.flow.Name() {
 			victim = v
 			most = v.flow.Waiting()
 		}
@@ -160,38 +162,38 @@
 // expire refuses t if it still waits after the longest allowed time.
 func (g *Gate) expire(t *Ticket) {
 	g.mu.Lock()
-	full := g.full(g.expectedWait(t.queue, g.ahead(t), time.Now()))
+	err := g.refusal(g.expectedWait(t.queue, g.queuePosition(t), time.Now()))
 	g.mu.Unlock()
-	g.revoke(t, full)
+	g.revoke(t, err)
 }
 
 // queueWait returns the longest time that t waits: until what is left of its time is
 // its expected run. It is refused then, while its caller can still be told that it has
 // not run. One that waits on to its deadline is answered that it may have run, which
 // nobody repeats.
-func (g *Gate) queueWait(t *Ticket) time.Duration {
+func (g *Gate) waitLimit(t *Ticket) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	longest := g.longestWait(t.queue)
+	maxWait := g.classMaxWait(t.queue)
 	if t.deadline.IsZero() {
-		return longest
+		return maxWait
 	}
-	return min(longest, max(0, time.Until(t.deadline)-g.run(t.queue)))
+	return min(maxWait, max(0, time.Until(t.deadline)-g.expectedRun(t.queue)))
 }
 
 // longestWait returns the longest time that a request of q waits: what its
 // objective leaves beside its run. A wait that were the same for all requests would be too
 // short for those with a long objective to find a slot. The lock is held.
-func (g *Gate) longestWait(q *classQueue) time.Duration {
+func (g *Gate) classMaxWait(q *classQueue) time.Duration {
 	switch {
 	case q == nil:
 		return g.limits.QueueWait
 	case q.class.MaxWait > 0:
 		return q.class.MaxWait
 	case q.class.Objective > 0:
-		o := float64(q.class.Objective)
-		run := g.pace.value(time.Now()) * float64(g.run(q))
-		return time.Duration(max(waitFloor*o, o-runSpread*run))
+		objective := float64(q.class.Objective)
+		run := g.minSlowdown.value(time.Now()) * float64(g.expectedRun(q))
+		return time.Duration(max(minWaitShare*objective, objective-runTimeMargin*run))
 	}
 	return g.limits.QueueWait
 }
