--- a/admit/abandon.go
+++ b/admit/abandon.go
@@ -9,19 +9,20 @@
 	"time"
 )
 
-// finishesFor is for how long an upstream counts as one that finishes what has been abandoned,
-// after it has shown so. While it counts as one it is not overfilled and so shows nothing.
+// assumeCompletionFor is how long an upstream is assumed to complete abandoned requests after
+// it has been seen to. While this is assumed, the upstream is not overfilled, so there is no further
+// evidence.
 const assumeCompletionFor = 10 * time.Second
 
-// abandoned knows the requests that were abandoned at an upstream, and whether it drops
-// them when their connections are closed, as most do, or finishes them. The gate's mutex
-// guards it.
+// abandonedRequests tracks the requests that were abandoned at an upstream, and whether the
+// upstream drops them when their connections are closed, as most do, or completes them. The
+// gate's mutex guards it.
 type abandonedRequests struct {
-	ends           []time.Time // by when those that may still run have ended
-	completesUntil time.Time   // until when the upstream counts as one that finishes them
+	ends           []time.Time // latest end times of those that may still run
+	completesUntil time.Time   // until then the upstream is assumed to complete them
 }
 
-// add records a request that has been abandoned.
+// add records an abandoned request that ends by the given time.
 func (a *abandonedRequests) add(end, now time.Time) {
 	a.prune(now)
 	if end.After(now) {
@@ -34,8 +35,8 @@
 	a.ends = slices.DeleteFunc(a.ends, func(end time.Time) bool { return !end.After(now) })
 }
 
-// refused takes in that the upstream refused a request while the gate had the given number
-// there. If those that were abandoned explain it, the upstream finishes them.
+// upstreamRefused records that the upstream refused a request while the gate had the given
+// number running. If abandoned requests explain the refusal, the upstream completes them.
 func (a *abandonedRequests) upstreamRefused(running, slots int, now time.Time) {
 	a.prune(now)
 	if running <= slots && running+len(a.ends) > slots {
@@ -43,7 +44,7 @@
 	}
 }
 
-// held returns how many slots abandoned requests hold, and when the next of them is free.
+// heldSlots returns how many slots abandoned requests hold, and when the next of them is free.
 func (a *abandonedRequests) heldSlots(now time.Time) (n int, next time.Time) {
 	if !now.Before(a.completesUntil) {
 		return 0, time.Time{}
@@ -55,8 +56,8 @@
 	return len(a.ends), slices.MinFunc(a.ends, time.Time.Compare)
 }
 
-// Refused tells the gate that the upstream has refused to run the request. It is called
-// before Release.
+// UpstreamRefused records that the upstream has refused to run the request. It is called before
+// Release.
 func (t *Ticket) UpstreamRefused() {
 	g := t.gate
 	g.mu.Lock()
@@ -64,10 +65,10 @@
 	g.abandoned.upstreamRefused(g.running, g.limits.Slots, time.Now())
 }
 
-// Abandon gives the slot back of a request that ran and whose answer nobody waits for any
-// more. It is called instead of Release. At an upstream that finishes such requests the
-// slot is free only once nearly all runs have ended: one given to another request before
-// would have that refused.
+// Abandon gives back the slot of a request that ran and whose response is no longer awaited. It is
+// called instead of Release. At an upstream that completes such requests the slot becomes free
+// only once nearly all runs of that length have ended; a request that got it earlier would be
+// refused by the upstream.
 func (t *Ticket) Abandon() {
 	g := t.gate
 	g.mu.Lock()
--- a/admit/abandon_test.go
+++ b/admit/abandon_test.go
@@ -17,12 +17,11 @@
 	"sassafrasfront.example/admit"
 )
 
-// TestAbandonedLoads has callers that send their requests to two upstreams and abandon the
-// slower sending, all at the same moments, so that new requests come while the upstream may
-// still run the abandoned ones.
+// TestAbandonedRequests has clients abandon some of their requests, so that new ones arrive while
+// the upstream may still run the abandoned ones.
 //
-// An upstream that finishes abandoned requests must not be overfilled by them for longer
-// than it takes to learn so, and one that drops them must not lose any of its slots.
+// It guards against overfilling an upstream that completes abandoned requests for longer than it
+// takes to detect this, and against losing slots of one that drops them.
 func TestAbandonedRequests(t *testing.T) {
 	const (
 		slots  = 8
@@ -31,13 +30,13 @@
 	)
 	tests := map[string]struct {
 		completes   bool
-		abandoned   int // in each turn
+		abandoned   int // in each round
 		wantRefused int // by the upstream, at most
 		wantWaited  int // at the gate, at most
 	}{
-		"dropped":                {abandoned: 4},
-		"finished":               {completes: true, abandoned: 4, wantRefused: 2 * slots, wantWaited: rounds * slots},
-		"finished, none is left": {completes: true},
+		"dropped":                  {abandoned: 4},
+		"finished":                 {completes: true, abandoned: 4, wantRefused: 2 * slots, wantWaited: rounds * slots},
+		"finished, none abandoned": {completes: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/admit/cold_test.go
+++ b/admit/cold_test.go
@@ -17,16 +17,16 @@
 	"sassafrasfront.example/verdict"
 )
 
-// The load of the tests of cold upstreams: 13 slots of which ten are used, runs of 60 ms to
-// 330 ms that take twice as long while cold, 15 requests a second borne then, and 22 let
-// through. Warm, such an upstream gets some 28 a second, and half as many again in a burst.
+// The load in the tests of cold upstreams: 13 slots of which ten are used, run times of 60 ms to
+// 330 ms that double while the upstream is cold, and a capacity of 15 requests a second then, with
+// 22 a second allowed. A warm upstream gets about 28 a second, and half as many again in a burst.
 const (
 	coldSlots    = 10
 	coldRate     = 22
 	coldDuration = 3 * time.Second
 )
 
-// coldLoad is what became of the requests of a load on one upstream.
+// coldLoad is a load on one upstream and its results.
 type coldLoad struct {
 	gate *admit.Gate
 	run  time.Duration // of each, warm
@@ -35,11 +35,11 @@
 	cold               bool
 	starts             []time.Time
 	served, refused    int
-	longestRefusal     time.Duration // between its coming and its refusal
+	longestRefusal     time.Duration // time from arrival to refusal
 	shortestRetryAfter time.Duration
 }
 
-// turn turns the upstream cold.
+// turnCold makes the upstream cold.
 func (l *coldLoad) turnCold() {
 	l.gate.ColdLimiter.SetRemaining(coldDuration)
 	l.mu.Lock()
@@ -58,7 +58,7 @@
 	return l.run
 }
 
-// ended records the end of a request, or why it was refused.
+// ended records the end of a request, or its refusal.
 func (l *coldLoad) ended(arrived time.Time, err *verdict.Error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -71,7 +71,7 @@
 	l.shortestRetryAfter = min(l.shortestRetryAfter, err.RetryAfter)
 }
 
-// newColdLoad returns a load on an upstream that has run for a while.
+// newColdLoad returns a load on an upstream that has been running for a while.
 func newColdLoad(run time.Duration) *coldLoad {
 	g := new(admit.Gate)
 	g.SetLimits(admit.Limits{Slots: coldSlots, QueueLength: 16, QueueWait: 60 * time.Millisecond})
@@ -80,7 +80,7 @@
 	return &coldLoad{gate: g, run: run, shortestRetryAfter: time.Hour}
 }
 
-// send sends a request with the given time left.
+// send sends a request whose deadline is the given time away.
 func (l *coldLoad) send(remaining time.Duration) {
 	arrived := time.Now()
 	t := l.gate.Enter("", arrived.Add(remaining))
@@ -92,14 +92,14 @@
 	l.ended(arrived, err)
 }
 
-// play sends so many a second for a time, evenly.
+// play sends requests at a constant rate for the given time.
 func (l *coldLoad) play(perSecond int, d time.Duration) {
 	for began := time.Now(); time.Since(began) < d; time.Sleep(time.Second / time.Duration(perSecond)) {
 		go l.send(800 * time.Millisecond)
 	}
 }
 
-// whileCold returns the starts while the upstream was cold, from the given time on.
+// whileCold returns the starts while the upstream was cold, beginning at the given time.
 func (l *coldLoad) whileCold(from time.Time) (in []time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -111,7 +111,7 @@
 	return in
 }
 
-// most returns the most starts in any second of that time.
+// maxPerSecond returns the largest number of starts in any second of that time.
 func (l *coldLoad) maxPerSecond(from time.Time) (most int) {
 	in := l.whileCold(from)
 	for i, first := range in {
@@ -126,10 +126,10 @@
 	return most
 }
 
-// TestUpstreamTurnsCold has an upstream turn cold under load, as after an evacuation or
-// when it loses its caches: the requests of the last second count, and no second from then
-// on has more than it bears. What it can't take is refused within the time that requests
-// wait there, with a time to come back, and it serves as many as it bears.
+// TestUpstreamBecomesCold makes an upstream cold under load, as after an evacuation or when it
+// loses its caches. The requests of the last second count, and no second from then on has more
+// than the limit. Excess requests are refused within the time that requests wait there, with a
+// retry delay, and the upstream serves as many as it can.
 func TestUpstreamBecomesCold(t *testing.T) {
 	tests := map[string]struct {
 		run       time.Duration
@@ -149,9 +149,9 @@
 				l.play(test.perSecond, coldDuration-time.Millisecond)
 				time.Sleep(5 * time.Second)
 				during := len(l.whileCold(becameCold))
-				t.Logf("%d started while cold, %d refused, longest refusal %v, shortest time to come back %v", during, l.refused, l.longestRefusal, l.shortestRetryAfter)
+				t.Logf("%d started while cold, %d refused, longest refusal %v, shortest retry delay %v", during, l.refused, l.longestRefusal, l.shortestRetryAfter)
 				qt.Check(t, l.maxPerSecond(becameCold) <= coldRate, qt.IsTrue, qt.Commentf("%d", l.maxPerSecond(becameCold)))
-				qt.Check(t, during >= 15*3, qt.IsTrue, qt.Commentf("%d: it bears 15 a second", during))
+				qt.Check(t, during >= 15*3, qt.IsTrue, qt.Commentf("%d: it can serve 15 a second", during))
 				qt.Check(t, l.longestRefusal <= 60*time.Millisecond, qt.IsTrue)
 				qt.Check(t, l.refused == 0 || l.shortestRetryAfter > 0, qt.IsTrue)
 			})
@@ -159,9 +159,9 @@
 	}
 }
 
-// TestZoneComesBackCold has the upstreams of a zone come back together, each cold and with
-// nothing behind it, while all that the service gets is offered to them at once: each of
-// them is filled at the pace that it bears, from its first second on.
+// TestZoneRecoversCold makes the upstreams of a zone recover at the same time, each cold and with
+// no earlier requests, while the full load of the service is offered to them: each of them is
+// filled at the rate that it can serve, from its first second on.
 func TestZoneRecoversCold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var zone []*coldLoad
--- a/admit/decayingratio.go
+++ b/admit/decayingratio.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// shareTime is the time constant of a Share: long enough for some tens of
-	// requests of an upstream, and short against the seconds for which one fails.
+	// ratioTimeConstant is the time constant of a DecayingRatio: long enough for some tens of
+	// requests of an upstream, and short compared with the seconds for which one fails.
 	ratioTimeConstant = time.Second
-	// sharePrior is the number of events without a hit that a Share starts from, so
-	// that a single hit does not look like a rule.
+	// ratioPrior is the number of misses that a DecayingRatio starts with, so that a single
+	// hit has little weight.
 	ratioPrior = 2
 )
 
-// Share is the share of recent events that are hits. It is
+// DecayingRatio is the share of recent events that are hits. It is
 //
 //	sum over hits of exp(-age/1 s) / (2 + sum over all events of exp(-age/1 s)),
 //
@@ -29,7 +29,7 @@
 	updatedAt time.Time
 }
 
-// Add takes in one event.
+// Add records one event.
 func (s *DecayingRatio) Add(hit bool, now time.Time) {
 	s.decay(now)
 	s.all++
@@ -38,13 +38,13 @@
 	}
 }
 
-// Value returns the share.
+// Value returns the ratio.
 func (s *DecayingRatio) Value(now time.Time) float64 {
 	s.decay(now)
 	return s.hits / (ratioPrior + s.all)
 }
 
-// fade brings the sums to the given time.
+// decay brings the sums to the given time.
 func (s *DecayingRatio) decay(now time.Time) {
 	factor := math.Exp(-float64(now.Sub(s.updatedAt)) / float64(ratioTimeConstant))
 	s.hits *= factor
--- a/admit/decayingratio_test.go
+++ b/admit/decayingratio_test.go
@@ -20,12 +20,12 @@
 		wait            time.Duration
 		atLeast, atMost float64
 	}{
-		"nothing yet":          {},
-		"one hit is no rule":   {hits: 1, atLeast: 0.33, atMost: 0.34},
-		"half of many":         {hits: 50, misses: 50, atLeast: 0.48, atMost: 0.5},
-		"all of many":          {hits: 100, atLeast: 0.98, atMost: 1},
-		"all of many, forgot":  {hits: 100, wait: 10 * time.Second, atMost: 0.01},
-		"half of many, a past": {hits: 5, misses: 5, wait: time.Second, atLeast: 0.3, atMost: 0.35},
+		"nothing yet":                  {},
+		"one hit":                      {hits: 1, atLeast: 0.33, atMost: 0.34},
+		"half of many":                 {hits: 50, misses: 50, atLeast: 0.48, atMost: 0.5},
+		"all of many":                  {hits: 100, atLeast: 0.98, atMost: 1},
+		"all of many, decayed":         {hits: 100, wait: 10 * time.Second, atMost: 0.01},
+		"half of some, partly decayed": {hits: 5, misses: 5, wait: time.Second, atLeast: 0.3, atMost: 0.35},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/admit/dispatch.go
+++ b/admit/dispatch.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// maxRest bounds the expected rest of a slow spell.
+// maxSlowRemaining bounds the expected remaining time of a slow period.
 const maxSlowRemaining = 10 * time.Second
 
-// dispatch starts waiting requests while slots are free.
+// dispatch starts waiting requests while slots are free. The lock is held.
 func (g *Gate) dispatch(now time.Time) {
 	allowed := g.allowed(now)
 	held, next := g.abandoned.heldSlots(now)
@@ -36,20 +36,20 @@
 	}
 }
 
-// boundWait returns after how long a request may start if the given number goes before it, as
-// far as the bounds on the requests in a time say: the lowest of them binds. The lock is held.
+// limitWait returns after how long a request may start under the cold and the advertised limit, if
+// the given number of requests goes before it. The stricter limit applies. The lock is held.
 func (g *Gate) limitWait(ahead int) time.Duration {
 	return max(g.ColdLimiter.Wait(ahead), g.AdvertisedLimiter.Wait(ahead))
 }
 
-// Rebound starts waiting requests after the upstream has named another limit, or none.
+// LimitChanged starts waiting requests after the advertised limit has changed or ended.
 func (g *Gate) LimitChanged() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.dispatch(time.Now())
 }
 
-// dispatchAfter has dispatch called again after the given time. The lock is held.
+// dispatchAfter schedules a call of dispatch after the given time. The lock is held.
 func (g *Gate) dispatchAfter(d time.Duration) {
 	if g.dispatchTimer != nil {
 		g.dispatchTimer.Reset(d)
@@ -62,15 +62,15 @@
 	})
 }
 
-// occupied returns the number of slots that hold a request, be it an abandoned one. The lock
-// is held.
+// occupiedSlots returns the number of slots that are in use, including those held by abandoned
+// requests. The lock is held.
 func (g *Gate) occupiedSlots(now time.Time) int {
 	held, _ := g.abandoned.heldSlots(now)
 	return g.running + held
 }
 
-// allowed returns the number of requests that may run now. At a cold upstream it is no more
-// than those that start in the time of one run, so that senders who know it send as many.
+// allowed returns the number of requests that may run now. At a cold upstream it is at most the
+// number that may start during the time of one run, so that senders that know it send no more.
 // The lock is held.
 func (g *Gate) allowed(now time.Time) int {
 	n := g.limiter.allowed(g.limits, now)
@@ -82,7 +82,7 @@
 	return min(n, max(1, int(math.Ceil(running))))
 }
 
-// start lets the first waiting request of q run.
+// startNext starts the waiting request of q whose turn is next.
 func (g *Gate) startNext(q *classQueue, now time.Time) {
 	t := q.pop()
 	g.waiting--
@@ -99,10 +99,10 @@
 	close(t.ready)
 }
 
-// held returns whether a request of q had better wait for the end of the present
-// slow spell. The speed with which a request begins holds for all of its run: one of
-// run time s that begins with a slowdown of k ends after k s, and one that waits for
-// the rest r of the spell after r + p s, with the pace p. One that begins slow also
+// shouldHold returns whether a request of q should wait for the end of the present slow period.
+// A request runs at the speed at which it starts: one with run time s that starts at a slowdown
+// of k ends after k s, and one that waits for the remaining time r of the period ends after
+// r + p s, with the minimum slowdown p of the last second. A request that starts slow also
 // holds its slot for that much longer, and others wait for it.
 func (g *Gate) shouldHold(q *classQueue, now time.Time) bool {
 	if !g.limits.HoldWhileSlow {
@@ -115,8 +115,8 @@
 	return g.slowPeriods.remaining(now, 2*gain) < gain
 }
 
-// next returns the class whose first waiting request runs next, or nil if all
-// classes with waiting requests have their share or are held.
+// nextClass returns the class whose first waiting request starts next, or nil if all classes with
+// waiting requests are held or have reached their share.
 func (g *Gate) nextClass(allowed int, now time.Time) *classQueue {
 	var best *classQueue
 	for _, q := range g.classes {
--- a/admit/gate.go
+++ b/admit/gate.go
@@ -13,16 +13,16 @@
 	"sassafrasfront.example/verdict"
 )
 
-// Gate admits requests to one upstream. The zero value refuses everything
-// until Set is called. Its methods may be called from any goroutine.
+// Gate admits requests to one upstream. The zero value refuses all requests until SetLimits is
+// called. Its methods may be called from any goroutine.
 type Gate struct {
-	// Pace bounds the requests that start while the upstream is cold.
+	// ColdLimiter limits the rate of requests while the upstream is cold.
 	ColdLimiter coldstart.Limiter
-	// Named bounds those that start while the upstream names a limit.
+	// AdvertisedLimiter limits the rate of requests while the upstream advertises a limit.
 	AdvertisedLimiter throttle.Limiter
 
 	mu            sync.Mutex
-	dispatchTimer *time.Timer // dispatches again when a bound lets a request start
+	dispatchTimer *time.Timer // calls dispatch again when a limit lets a request start
 	limits        Limits
 	limiter       limiter
 	classes       []*classQueue
@@ -30,24 +30,24 @@
 	virtualTime   float64
 	running       int
 	waiting       int
-	pendingBodies int           // requests that wait for their bodies, and not for a slot yet
-	startTimeSum  time.Duration // sum of the start times of running requests, since epoch
+	pendingBodies int           // number of requests that wait for their bodies, and not for a slot yet
+	startTimeSum  time.Duration // sum over running requests of their start times since epoch
 	epoch         time.Time
 	draining      bool
 	idle          chan struct{}
-	slowdown      float64         // as last told by the upstream, 0 if never
-	slowdownAt    time.Time       // when it was told last
-	minSlowdown   slowdownMinimum // the slowdown beside the spells
-	slowPeriods   slowPeriods     // of a slowdown by slowRatio times the pace or more
-	releaseRate   float64         // expected rate at which running requests end, per second
-	failureRatio  DecayingRatio   // of the requests that ran
+	slowdown      float64         // as last reported by the upstream, 0 if never
+	slowdownAt    time.Time       // when it was last reported
+	minSlowdown   slowdownMinimum // over the last second
+	slowPeriods   slowPeriods     // in which the slowdown is at least slowRatio times its minimum
+	releaseRate   float64         // expected rate at which running requests end, in 1/s
+	failureRatio  DecayingRatio   // of recent requests
 
 	abandoned abandonedRequests
-	displaced uint64 // requests that gave way to another organisation's
+	displaced uint64 // requests refused in favour of another organisation's
 }
 
-// Set replaces the limits. Requests that run or wait keep their places, also
-// when there are now more of them than the limits allow.
+// SetLimits replaces the limits. Running and waiting requests keep their places, even if there
+// are now more of them than the limits allow.
 func (g *Gate) SetLimits(l Limits) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -65,10 +65,9 @@
 	g.dispatch(now)
 }
 
-// Restart tells the gate that its upstream has just started, cold. What was learnt
-// of the start before says nothing of this one: its speed and the lengths of its
-// slow spells, its run times and its failures are forgotten. Requests that run or
-// wait keep their places.
+// Restart records that the upstream has been restarted and is cold. The state learnt from the
+// former start does not apply any more: its speed, the lengths of its slow periods, its run
+// times and its failures are discarded. Running and waiting requests keep their places.
 func (g *Gate) Restart() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -86,8 +85,8 @@
 	g.dispatch(now)
 }
 
-// Drain refuses all new requests and those that wait. Running requests go on.
-// The returned channel is closed once none runs.
+// Drain refuses all new and all waiting requests. Running requests continue. The returned
+// channel is closed once none runs.
 func (g *Gate) Drain() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -102,7 +101,7 @@
 	return g.idle
 }
 
-// Resume takes requests again after a Drain.
+// Resume accepts requests again after a Drain.
 func (g *Gate) Resume() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -112,15 +111,14 @@
 	}
 }
 
-// Ran takes in whether the upstream failed a request that it was sent.
+// RecordResult records whether the upstream failed a request that was sent to it.
 func (g *Gate) RecordResult(failed bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.failureRatio.Add(failed, time.Now())
 }
 
-// Observe takes in how many times longer than usual work takes at the upstream
-// now.
+// ObserveSlowdown records how many times longer than usual the upstream takes at present.
 func (g *Gate) ObserveSlowdown(slowdown float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -133,19 +131,19 @@
 	g.dispatch(now)
 }
 
-// slowRatio is how many times its pace an upstream is slowed down from which a
-// request is better sent elsewhere, or held.
+// slowRatio is the ratio of the slowdown to its recent minimum from which the upstream counts
+// as slow: a request should then be sent elsewhere, or held.
 const slowRatio = 2.0
 
-// Observed returns how long ago the upstream told its speed last.
+// SlowdownAge returns how long ago the upstream last reported its speed.
 func (g *Gate) SlowdownAge() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return time.Since(g.slowdownAt)
 }
 
-// JustSlowed returns whether the upstream has been found to be slowed down
-// within the given time, so that senders may not know it yet.
+// SlowedWithin returns whether the present slow period began within the given time, so that
+// senders may not know about it yet.
 func (g *Gate) SlowedWithin(within time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -153,7 +151,7 @@
 	return slow && age < within
 }
 
-// slow returns the last known slowdown.
+// currentSlowdown returns the last known slowdown.
 func (g *Gate) currentSlowdown() float64 {
 	if g.slowdown <= 0 {
 		return 1
@@ -161,15 +159,14 @@
 	return g.slowdown
 }
 
-// Enter asks for a slot for a request of the given class that is of no use
-// after the deadline. A zero deadline means none. The ticket that it returns
-// runs, waits, or is refused.
+// Enter asks for a slot for a request of the given class that is of no use after the deadline.
+// A zero deadline means none. The returned ticket runs, waits, or is refused.
 func (g *Gate) Enter(class string, deadline time.Time) *Ticket {
 	return g.EnterFor("", class, deadline)
 }
 
-// EnterFor does what Enter does for a request of the given organisation. The empty
-// name stands for none.
+// EnterFor does what Enter does for a request of the given organisation. The empty name means
+// that the request has none.
 func (g *Gate) EnterFor(organisation, class string, deadline time.Time) *Ticket {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -180,7 +177,7 @@
 	return t
 }
 
-// ticket returns the ticket of a request that comes now.
+// ticket returns the ticket of a request that arrives now.
 func (g *Gate) ticket(organisation, class string, deadline, now time.Time) *Ticket {
 	return &Ticket{
 		gate:         g,
@@ -192,7 +189,7 @@
 	}
 }
 
-// enter lets t run, has it wait, or refuses it. The lock is held.
+// enter starts t, queues it, or refuses it. The lock is held.
 func (g *Gate) enter(t *Ticket, now time.Time) {
 	if err := g.checkAdmissible(t, now, t.deadline); err != nil {
 		t.refuse(err)
@@ -217,7 +214,7 @@
 	}
 }
 
-// admissible returns why the request can't even be considered, or nil.
+// checkAdmissible returns why the request can't be admitted in any case, or nil.
 func (g *Gate) checkAdmissible(t *Ticket, now, deadline time.Time) *verdict.Error {
 	switch {
 	case t.queue == nil || g.limits.Slots <= 0:
@@ -230,7 +227,7 @@
 	return nil
 }
 
-// revoke refuses t with err if it waits, and returns whether it did.
+// revoke refuses t with err if it waits, and returns whether it did so.
 func (g *Gate) revoke(t *Ticket, err *verdict.Error) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -272,8 +269,8 @@
 	g.signalIdle()
 }
 
-// observeQueues takes in which classes wait. Each class stands by itself: where
-// the queue of a low priority never empties, a wait in a higher one may still end in
+// observeQueues records which classes have waiting requests. Each class is observed separately:
+// if the queue of a low priority never empties, a request of a higher priority may still start in
 // time.
 func (g *Gate) observeQueues(now time.Time) {
 	for _, q := range g.classes {
@@ -292,8 +289,8 @@
 	return g.classes[0]
 }
 
-// setClasses takes over the given classes. Classes that are gone keep their
-// queue until it is empty, at the end of the list.
+// setClasses replaces the classes. A class that has been removed keeps its queue, at the end of
+// the list, until the queue is empty.
 func (g *Gate) setClasses(classes []Class) {
 	if len(classes) == 0 {
 		classes = []Class{defaultClass}
@@ -332,7 +329,7 @@
 	}
 }
 
-// signalIdle closes the idle channel if the gate drains and nothing runs.
+// signalIdle closes the idle channel if the gate drains and no request runs.
 func (g *Gate) signalIdle() {
 	if !g.draining || g.running > 0 {
 		return
--- a/admit/gate_test.go
+++ b/admit/gate_test.go
@@ -24,8 +24,7 @@
 	QueueWait:   50 * time.Millisecond,
 }
 
-// warm runs n requests of the given duration so that the gate knows its
-// service time.
+// warm runs n requests of the given duration so that the gate knows its service time.
 func warm(g *admit.Gate, n int, d time.Duration) {
 	for range n {
 		t := g.Enter("", time.Time{})
@@ -104,10 +103,9 @@
 	})
 }
 
-// TestStandingQueueRefusesAtOnce offers twice what the upstream can run. While
-// the queue is young, requests wait for up to the configured time; once it
-// stands, those that get in wait for a few milliseconds, and the others are
-// refused at once.
+// TestStandingQueueRefusesAtOnce offers twice what the upstream can run. While the queue is new,
+// requests wait for up to the configured time. Once it stands, those that are queued wait for a few
+// milliseconds, and the others are refused at once.
 func TestStandingQueueRefusesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -206,7 +204,7 @@
 			}
 		}
 	}
-	// The batch request that ran first counts too: 16 to 5 of 21 runs.
+	// The batch request that ran first counts as well: 16 to 5 of 21 runs.
 	c.Check(counts["interactive"], qt.Equals, 16)
 	c.Check(counts["batch"], qt.Equals, 4)
 }
@@ -268,8 +266,8 @@
 	})
 }
 
-// TestServiceGrowsWhileNothingAnswers shows that the reported service time
-// does not wait for an answer to grow.
+// TestServiceTimeGrowsWithoutAnswers checks that the reported service time grows while no request
+// completes.
 func TestServiceTimeGrowsWithoutAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var g admit.Gate
@@ -289,9 +287,8 @@
 	qt.Check(t, func() { k.Release(true) }, qt.PanicMatches, "admit: release .*")
 }
 
-// TestGateProperties drives a gate with random operations and compares it with
-// a count kept outside: the slots are never exceeded, each request ends once,
-// and a revoked request never runs.
+// TestGateProperties applies random operations to a gate and compares it with a separate count: the
+// slots are never exceeded, each request ends once, and a revoked request never runs.
 func TestGateProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var g admit.Gate
@@ -347,7 +344,7 @@
 				}
 				r := g.Report()
 				if running > slots || running != r.Running || waiting != r.Waiting {
-					t.Fatalf("%d running and %d waiting of %d slots, but the gate says %+v", running, waiting, slots, r)
+					t.Fatalf("%d running and %d waiting of %d slots, but the gate reports %+v", running, waiting, slots, r)
 				}
 			},
 		})
@@ -362,9 +359,9 @@
 	}
 }
 
-// TestStandingQueueOfOneClass has a low class ask for twice the room for two
-// seconds, and a high one for a tenth of it. The queue of the low one stands, and
-// the high one waits its turn all the same.
+// TestStandingQueueOfOneClass has a class of low priority ask for twice the capacity for two
+// seconds, and one of high priority for a tenth of it. The queue of the low one stands, but
+// requests of the high one still wait for their turns.
 func TestStandingQueueOfOneClass(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var g admit.Gate
@@ -404,8 +401,8 @@
 	})
 }
 
-// TestRestartForgets has an upstream start again after it was slow and failed: what
-// is reported of it then is what is reported of one that is new.
+// TestRestartResetsState restarts an upstream after it was slow and failed: its report then equals
+// that of a new one.
 func TestRestartResetsState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var g, fresh admit.Gate
@@ -426,9 +423,9 @@
 	})
 }
 
-// TestWaitEndsBeforeTheDeadline has a request wait behind one that hangs, at a gate that
-// expected it to end in time. It is refused when what is left of its time is no longer
-// enough for its run, not at its deadline.
+// TestWaitEndsBeforeTheDeadline has a request wait behind one that hangs, which the gate expected
+// to end in time. It is refused when its remaining time is no longer enough for its run, and not
+// at its deadline.
 func TestWaitEndsBeforeTheDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const run, remaining = 50 * time.Millisecond, 300 * time.Millisecond
--- a/admit/limiter.go
+++ b/admit/limiter.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// fastGain and slowGain are the weights of one sample in the moving means
-	// of the service time. The slow mean is the baseline.
+	// fastGain and slowGain are the weights of one sample in the moving averages of the
+	// service time. The slow average is the baseline.
 	fastGain = 0.1
 	slowGain = 0.002
-	// dropGain is the weight of the fast mean in the baseline when it is below
-	// the baseline, so that the baseline follows an improvement quickly.
+	// dropGain is the weight of the fast average in the baseline while it is below the
+	// baseline, so that the baseline follows an improvement quickly.
 	dropGain = 0.05
-	// tolerance is the ratio of fast mean to baseline above which the upstream
-	// counts as slowed down.
+	// tolerance is the ratio of fast average to baseline above which the upstream counts as
+	// slowed down.
 	tolerance = 2.0
 	// decrease is the factor applied to the limit at each step down.
 	decrease = 0.9
-	// floorShare is the part of the slots below which the limit never falls.
+	// floorShare is the fraction of the slots that the limit never falls below.
 	floorShare = 0.25
-	// minWindow is the least number of samples between two steps.
+	// minWindow is the minimum number of samples between two steps.
 	minWindow = 10
 )
 
@@ -45,8 +45,7 @@
 	coldSince      time.Time
 }
 
-// restart makes the limiter forget what it measured. The slow start runs from
-// now on.
+// restart discards all samples and begins the slow start now.
 func (l *limiter) restart(slots int, now time.Time) {
 	*l = limiter{
 		limit:     float64(slots),
@@ -74,7 +73,7 @@
 	}
 }
 
-// step moves the limit once, at the end of a window.
+// step adjusts the limit at the end of a window.
 func (l *limiter) step(slots int) {
 	l.samples = 0
 	if l.fast > tolerance*l.baseline {
@@ -84,8 +83,8 @@
 	l.limit = min(float64(slots), l.limit+1)
 }
 
-// allowed returns the number of requests that may run now. It is at least one
-// if there are any slots.
+// allowed returns the number of requests that may run now. It is at least one if there are any
+// slots.
 func (l *limiter) allowed(limits Limits, now time.Time) int {
 	if limits.Slots <= 0 {
 		return 0
--- a/admit/limits.go
+++ b/admit/limits.go
@@ -6,49 +6,48 @@
 
 import "time"
 
-// Class is a kind of request that shares an upstream with others.
+// Class is a class of requests that share an upstream with others.
 type Class struct {
 	// Name identifies the class.
 	Name string
-	// Weight is the part of the slots that the class gets, relative to the
+	// Weight is the share of the slots that the class gets, relative to the
 	// other classes, when requests of several classes wait. It is positive.
 	Weight float64
-	// Share is the largest part of the slots that the class may hold, in
-	// (0, 1]. A class may always hold one slot.
+	// MaxShare is the largest fraction of the slots that the class may hold, in (0, 1]. A class
+	// may always hold one slot.
 	MaxShare float64
-	// Priority orders the classes for shedding. When the queue is full, a
-	// waiting request of the lowest priority gives way to one of a higher.
+	// Priority orders the classes for load shedding. If the queue is full, a waiting request
+	// of the lowest priority is refused in favour of one of a higher priority.
 	Priority int
-	// Wait is the longest time that a request of the class waits. Zero means what
-	// Objective leaves beside the run or, without one, that Limits says so.
+	// MaxWait is the longest time that a request of the class waits. Zero means the part of
+	// Objective that the expected run leaves or, without an objective, Limits.QueueWait.
 	MaxWait time.Duration
-	// Objective is the latency within which an answer is of full value, or 0.
+	// Objective is the latency up to which a response is of full value, or 0.
 	Objective time.Duration
 }
 
-// Limits is what a Gate keeps to. It is an immutable value.
+// Limits configures a Gate. It is an immutable value.
 type Limits struct {
 	// Slots is the number of requests that the upstream runs at once.
 	Slots int
-	// QueueLength is the largest number of waiting requests. Zero means that
-	// nothing waits.
+	// QueueLength is the largest number of waiting requests. Zero means that no request waits.
 	QueueLength int
 	// QueueWait is the longest time that a request waits.
 	QueueWait time.Duration
 	// SlowStart is the time over which a cold upstream is brought from a
 	// quarter of its slots to all of them. Zero means at once.
 	SlowStart time.Duration
-	// Adaptive is whether the number of running requests is lowered when the
-	// upstream slows down.
+	// Adaptive is whether the number of running requests is reduced when the upstream slows
+	// down.
 	Adaptive bool
-	// Hold is whether a request waits for the end of a slow spell of the upstream
-	// if it is expected to end sooner for that.
+	// HoldWhileSlow is whether a request waits for the end of a slow period of the upstream if
+	// it is expected to complete earlier that way.
 	HoldWhileSlow bool
 	// Classes are the known classes. A request of an unknown class counts as
 	// one of the first class. No classes means one class for all requests.
 	Classes []Class
-	// Weight, if not nil, returns the part of the slots that an organisation gets, relative
-	// to the others, when requests of several wait. It is positive.
+	// Weight, if not nil, returns the weight of an organisation when requests of several wait.
+	// It is positive.
 	Weight func(organisation string) float64
 }
 
@@ -64,7 +63,7 @@
 	return l
 }
 
-// defaultClass is used if Limits names no classes.
+// defaultClass is used if Limits has no classes.
 var defaultClass = Class{
 	Name:     "default",
 	Weight:   1,
--- a/admit/load_test.go
+++ b/admit/load_test.go
@@ -17,23 +17,23 @@
 	"sassafrasfront.example/admit"
 )
 
-// flow is the requests of one class.
+// flow is the load of one class.
 type flow struct {
 	class     string
 	perSecond float64
 	work      time.Duration // mean; a third of it more or less
 }
 
-// spellsOf says how an upstream's speed changes: in each step it is slow with the
-// given probability.
+// slowPeriodsOf describes how an upstream's speed changes: in each step it is slow with the given
+// probability.
 type slowPeriodsOf struct {
 	step        time.Duration
 	share       float64
 	slowdown    float64
-	minSlowdown float64 // the slowdown beside the spells
+	minSlowdown float64 // the slowdown outside the slow periods
 }
 
-// load is an upstream and what comes to it.
+// load is an upstream and the requests sent to it.
 type load struct {
 	limits      admit.Limits
 	flows       []flow
@@ -41,9 +41,9 @@
 	length      time.Duration
 }
 
-// play sends the load to a gate and returns, for each class, the share of requests
-// that end within the class's objective. Arrivals are Poisson with a fixed seed. An
-// upstream works on a request with the speed at which it began.
+// play sends the load to a gate and returns, for each class, the share of requests that end within
+// the class's objective. Arrivals are Poisson with a fixed seed. An upstream runs a request at the
+// speed at which it started.
 func (l load) play() map[string]float64 {
 	var g admit.Gate
 	g.SetLimits(l.limits)
@@ -109,9 +109,8 @@
 	return served
 }
 
-// checks returns the share of requests of 220 ms that end within their objective at
-// an upstream of 14 slots. For a quarter of the time, 150 ms at a time, it takes five
-// times as long as its pace.
+// playChecks returns the share of requests of 220 ms that end within their objective at an upstream of
+// 14 slots. For a quarter of the time, 150 ms at a time, it takes five times its minimum slowdown.
 func playChecks(hold bool, objective time.Duration, perSecond, minSlowdown float64) float64 {
 	return load{
 		limits: admit.Limits{
@@ -125,10 +124,10 @@
 	}.play()["check"]
 }
 
-// TestShortSlowSpells is an upstream that is slowed down fivefold for a quarter of
-// the time, 150 ms at a time, under three quarters of the load that it could run were
-// it never slow, in requests of 220 ms with an objective of 600 ms. Those that start
-// in a spell take 1.1 s, and their slots with them.
+// TestShortSlowPeriods has an upstream that is slowed down fivefold for a quarter of the time, 150 ms
+// at a time. Its load is three quarters of what it could run if it were never slow, in requests of
+// 220 ms with an objective of 600 ms. Those that start in a slow period take 1.1 s, and hold their
+// slots for as long.
 func TestShortSlowPeriods(t *testing.T) {
 	play := func(hold bool) (share float64) {
 		synctest.Test(t, func(*testing.T) {
@@ -142,9 +141,9 @@
 	qt.Check(t, started < 0.7, qt.IsTrue)
 }
 
-// TestSlowSpellsOfAColdUpstream is the same upstream while it is cold and runs all
-// at half its speed, as after a loss of power, under three quarters of what it can
-// run then. Its slow spells are those in which it is slower still.
+// TestSlowPeriodsOfColdUpstream has the same upstream while it is cold and runs everything at half
+// its speed, as after a power loss, under three quarters of what it can run then. Its slow periods
+// are those in which it is slower still.
 func TestSlowPeriodsOfColdUpstream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		share := playChecks(true, ms(900), 24, 2)
@@ -153,10 +152,10 @@
 	})
 }
 
-// TestLongRequestsOfALowClass is the one upstream that is left of three, with 14
-// slots, which is asked for 19 of them: 13.6 by reads of 880 ms with a low priority,
-// 3 by uploads of 260 ms and 2.3 by the calls of requests that already run at other
-// upstreams, of 55 ms. The low class gets what the others leave.
+// TestLongRequestsOfLowPriorityClass has the only upstream left of three, with 14 slots, under a load
+// of 19 slots: 13.6 by reads of 880 ms with a low priority, 3 by uploads of 260 ms, and 2.3 by
+// nested calls of 55 ms from requests that already run at other upstreams. The low class gets what
+// the others leave.
 func TestLongRequestsOfLowPriorityClass(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		share := load{
--- a/admit/organisation_test.go
+++ b/admit/organisation_test.go
@@ -16,14 +16,14 @@
 	"sassafrasfront.example/verdict"
 )
 
-// line is an upstream of one slot with its queue, in which all requests run for 10 ms.
+// singleSlot is an upstream with one slot and its queue, in which all requests run for 10 ms.
 type singleSlot struct {
 	gate    admit.Gate
 	tickets []*admit.Ticket
 	names   []string
 }
 
-// newLine returns a line whose slot is held by the given organisation.
+// newSingleSlot returns a singleSlot whose slot is held by the given organisation.
 func newSingleSlot(organisation string, limits admit.Limits) *singleSlot {
 	l := new(singleSlot)
 	l.gate.SetLimits(limits)
@@ -32,7 +32,7 @@
 	return l
 }
 
-// enter has an organisation send a request, which waits without end if it may.
+// enter sends a request of an organisation, without a deadline.
 func (l *singleSlot) enter(organisation, class string) *admit.Ticket {
 	t := l.gate.EnterFor(organisation, class, time.Time{})
 	l.tickets = append(l.tickets, t)
@@ -40,7 +40,7 @@
 	return t
 }
 
-// enterAll does that for each organisation in the list.
+// enterAll sends a request of each organisation in the list.
 func (l *singleSlot) enterAll(organisations string) {
 	for _, o := range strings.Fields(organisations) {
 		l.enter(o, "")
@@ -48,7 +48,7 @@
 }
 
 // refused returns the organisations whose requests have been refused, in the order of their
-// coming.
+// arrival.
 func (l *singleSlot) refused() string {
 	var list []string
 	for i, t := range l.tickets {
@@ -59,7 +59,7 @@
 	return strings.Join(list, " ")
 }
 
-// drain has all requests run, and returns their organisations in that order.
+// drain runs all requests and returns their organisations in that order.
 func (l *singleSlot) drain() string {
 	var list []string
 	done := make(map[*admit.Ticket]bool)
@@ -84,16 +84,16 @@
 	QueueWait:   time.Hour,
 }
 
-// TestOrganisationsTakeTurns has requests wait in one order and start in another.
+// TestOrganisationsTakeTurns checks in which order waiting requests of several organisations start.
 func TestOrganisationsTakeTurns(t *testing.T) {
 	tests := map[string]struct {
 		arrivals, want string
 		weight         func(string) float64
 	}{
-		"one":        {arrivals: "a a a", want: "a a a a"},
-		"a late one": {arrivals: "a a a b", want: "a b a a a"},
-		"two":        {arrivals: "b b a a", want: "a b b a a"},
-		"none":       {arrivals: "", want: "a"},
+		"one":              {arrivals: "a a a", want: "a a a a"},
+		"one late arrival": {arrivals: "a a a b", want: "a b a a a"},
+		"two":              {arrivals: "b b a a", want: "a b b a a"},
+		"none":             {arrivals: "", want: "a"},
 		"by weight": {
 			arrivals: "b b b a",
 			want:     "a b b b a",
@@ -114,8 +114,8 @@
 	}
 }
 
-// TestQueueFullOfOneOrganisation has organisations come to a full queue: room is made by
-// the one that has most waiting, if that is more than the one that comes would have.
+// TestQueueFullOfOneOrganisation has organisations send requests to a full queue: a request of the
+// organisation with the most waiting ones is displaced, if it has more than the sender would have.
 func TestQueueFullOfOneOrganisation(t *testing.T) {
 	tests := map[string]struct {
 		arrivals, refused string
@@ -124,7 +124,7 @@
 		"another":        {arrivals: "a a a a b", refused: "a"},
 		"several others": {arrivals: "a a a a b c d", refused: "a a a"},
 		"all have one":   {arrivals: "a a a a b c d e", refused: "a a a e"},
-		"alike":          {arrivals: "a a b b a", refused: "a"},
+		"equal":          {arrivals: "a a b b a", refused: "a"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -145,8 +145,8 @@
 	}
 }
 
-// TestQueueFullOfClasses has a request come to a queue that another organisation fills
-// with requests of a class of the same priority, or of a lower one.
+// TestQueueFullOfClasses sends a request to a queue that another organisation fills with requests of
+// classes of the same priority, or of a lower one.
 func TestQueueFullOfClasses(t *testing.T) {
 	limits := singleSlotLimits.WithClasses(
 		admit.Class{Name: "low", Weight: 1, MaxShare: 1},
@@ -158,12 +158,12 @@
 		full                []string
 		refused             string
 	}{
-		"a lower priority goes first":         {organisation: "b", class: "fast", full: []string{"slow", "slow", "slow", "low"}, refused: "a"},
-		"its own lower priority":              {organisation: "a", class: "fast", full: []string{"slow", "slow", "slow", "low"}, refused: "a"},
-		"another class of the same":           {organisation: "b", class: "fast", full: []string{"slow", "slow", "slow", "slow"}, refused: "a"},
-		"another class, itself":               {organisation: "a", class: "fast", full: []string{"slow", "slow", "slow", "slow"}, refused: "a"},
-		"no organisation, another class":      {organisation: "", class: "fast", full: []string{"slow", "slow", "slow", "slow"}, refused: "a"},
-		"a higher priority does not give way": {organisation: "b", class: "low", full: []string{"slow", "slow", "slow", "slow"}, refused: "b"},
+		"a lower priority goes first":        {organisation: "b", class: "fast", full: []string{"slow", "slow", "slow", "low"}, refused: "a"},
+		"its own lower priority":             {organisation: "a", class: "fast", full: []string{"slow", "slow", "slow", "low"}, refused: "a"},
+		"another class of the same":          {organisation: "b", class: "fast", full: []string{"slow", "slow", "slow", "slow"}, refused: "a"},
+		"another class, itself":              {organisation: "a", class: "fast", full: []string{"slow", "slow", "slow", "slow"}, refused: "a"},
+		"no organisation, another class":     {organisation: "", class: "fast", full: []string{"slow", "slow", "slow", "slow"}, refused: "a"},
+		"a higher priority is not displaced": {organisation: "b", class: "low", full: []string{"slow", "slow", "slow", "slow"}, refused: "b"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -181,8 +181,8 @@
 	}
 }
 
-// TestWaitOfSmallOrganisation has one organisation fill the queue: another is expected to
-// wait for its own turn, not for the whole queue, so that it gets in with little time.
+// TestWaitOfSmallOrganisation has one organisation fill the queue: a request of another is expected
+// to wait for its own turn, not for the whole queue, so it is queued even with little time left.
 func TestWaitOfSmallOrganisation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limits := singleSlotLimits
@@ -201,8 +201,8 @@
 	})
 }
 
-// TestReportOfOrganisations counts the organisations that wait, and the requests that gave
-// way to others'.
+// TestReportOfOrganisations checks the reported numbers of organisations that wait and of displaced
+// requests.
 func TestReportOfOrganisations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newSingleSlot("a", singleSlotLimits)
--- a/admit/pendingbody.go
+++ b/admit/pendingbody.go
@@ -10,10 +10,11 @@
 	"sassafrasfront.example/verdict"
 )
 
-// Expect is EnterFor for a request whose body has yet to come in, which is likely to take the
-// given time: it is refused at once if it would be refused now with its body there, or if
-// that comes too late, and otherwise takes no slot until Arrive is called on its ticket. A
-// slot that is held while a body crosses a slow link is of no use to any request.
+// EnterPendingBody does what EnterFor does for a request whose body has not arrived yet and is
+// expected within the given time. The request is refused at once if it would be refused with
+// its body present, or if the body would arrive too late. Otherwise it takes no slot until
+// BodyArrived is called on its ticket: a slot held while a body crosses a slow link is of no
+// use to any request.
 func (g *Gate) EnterPendingBody(organisation, class string, deadline time.Time, bodyTime time.Duration) *Ticket {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -34,12 +35,12 @@
 	return t
 }
 
-// bodyShare is the part of the longest wait that a body may take. The rest is left for the
-// wait for a slot, and for what a transfer takes beside the bytes ahead of it.
+// maxBodyShare is the fraction of the longest wait that a body may take. The rest is left for the
+// wait for a slot, and for the overhead of a transfer beside the bytes queued before it.
 const maxBodyShare = 0.5
 
-// expectable returns why a request whose body is there after the given time is better
-// refused, or nil. Those that are expected already count as if they waited. The lock is held.
+// checkPendingBody returns why a request whose body arrives after the given time should be
+// refused, or nil. Requests that already await their bodies count as waiting. The lock is held.
 func (g *Gate) checkPendingBody(t *Ticket, now time.Time, bodyTime time.Duration) *verdict.Error {
 	free := min(g.allowed(now), t.queue.maxSlots(g.limits.Slots)) - g.occupiedSlots(now) - g.waiting
 	wait := g.AdvertisedLimiter.Wait(g.waiting + g.pendingBodies)
@@ -58,7 +59,7 @@
 	return g.refusal(ready)
 }
 
-// arrive has t, which was expected, wait for a slot.
+// bodyArrived lets t, whose body was pending, wait for a slot.
 func (g *Gate) bodyArrived(t *Ticket) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/admit/pendingbody_test.go
+++ b/admit/pendingbody_test.go
@@ -18,34 +18,33 @@
 	"sassafrasfront.example/verdict"
 )
 
-// bodyTime is what the link of the upstream's instance takes for one body: 60 KB at
-// 10 Mbit/s.
+// bodyTime is how long one body takes on the link of the upstream's instance: 60 KB at 10 Mbit/s.
 const bodyTime = 48 * time.Millisecond
 
-// uploads is an upstream of 14 slots on a slow link: uploads whose bodies cross the link one
-// after the other, and short calls without a body.
+// uploads is an upstream with 14 slots on a slow link. It gets uploads, whose bodies cross the
+// link one after the other, and short calls without a body.
 type uploads struct {
-	// perSecond is the number of uploads, runs of 280 ms with an objective of 1.2 s, and
-	// calls that of calls, runs of 70 ms with an objective of 250 ms.
+	// perSecond is the rate of uploads, which run for 280 ms and have an objective of 1.2 s,
+	// and calls that of calls, which run for 70 ms and have one of 250 ms.
 	perSecond, calls float64
-	// slotFirst is whether an upload gets its slot before its body is asked for.
+	// slotFirst is whether an upload gets its slot before its body is requested.
 	slotFirst bool
-	// blind is whether nothing is known of the link.
+	// blind is whether the gate knows nothing about the link.
 	blind bool
 
 	gate admit.Gate
-	link chan struct{} // has room while no body crosses
+	link chan struct{} // not full while no body crosses
 
 	mu             sync.Mutex
-	queued         int // bodies that cross or wait to
+	queued         int // bodies that cross the link or wait for it
 	offered        map[string]int
 	inTime         map[string]int
 	refused        int
-	longestRefusal time.Duration // refusal, after its coming
+	longestRefusal time.Duration // longest time from arrival to refusal
 	late           int           // uploads that were accepted and ended late
 }
 
-// cross has a body cross the link.
+// cross simulates the transfer of a body over the link.
 func (u *uploads) cross() {
 	u.mu.Lock()
 	u.queued++
@@ -58,7 +57,7 @@
 	u.mu.Unlock()
 }
 
-// coming returns how long a body takes that comes now.
+// expectedBodyTime returns how long a body takes that is sent now.
 func (u *uploads) expectedBodyTime() time.Duration {
 	if u.blind {
 		return 0
@@ -68,7 +67,7 @@
 	return time.Duration(u.queued+1) * bodyTime
 }
 
-// admit gets a slot for an upload whose body is there.
+// admit gets a slot for an upload once its body has arrived.
 func (u *uploads) admit() (*admit.Ticket, *verdict.Error) {
 	ctx := context.Background()
 	if u.slotFirst {
@@ -88,7 +87,7 @@
 	return k, k.Wait(ctx)
 }
 
-// one has one request come.
+// request handles one request.
 func (u *uploads) request(class string, work, objective time.Duration) {
 	arrived := time.Now()
 	var k *admit.Ticket
@@ -119,7 +118,7 @@
 	}
 }
 
-// play has the load come for 30 s and returns the share of each class that ended within its
+// play sends the load for 30 s and returns the share of each class that ended within its
 // objective.
 func (u *uploads) play() map[string]float64 {
 	u.link = make(chan struct{}, 1)
@@ -153,9 +152,10 @@
 	return share
 }
 
-// TestNoSlotIsHeldForABody has uploads take nine tenths of a slow link, and uploads and calls
-// together nine tenths of the slots. A body then waits for the link longer than it takes to
-// cross it; if its request holds a slot meanwhile, the slots are full of requests that wait.
+// TestNoSlotHeldWhileBodyArrives guards against slots held by requests whose bodies are still
+// arriving. Uploads take nine tenths of a slow link, and uploads and calls together nine tenths of
+// the slots. A body then waits for the link for longer than it takes to cross it; if its request
+// holds a slot meanwhile, the slots are full of waiting requests.
 func TestNoSlotHeldWhileBodyArrives(t *testing.T) {
 	play := func(slotFirst bool) (share map[string]float64) {
 		synctest.Test(t, func(*testing.T) {
@@ -171,9 +171,9 @@
 	qt.Check(t, slot["call"] < body["call"]-0.1, qt.IsTrue)
 }
 
-// TestRushOnASlowLink has uploads come at one and a half times what the link carries. Those
-// whose body would come too late are refused at once, and the others end in time; where
-// nothing is known of the link, nearly all are accepted and late.
+// TestUploadOverloadOnSlowLink sends uploads at one and a half times the capacity of the link. Those
+// whose bodies would arrive too late are refused at once, and the others end in time. If the gate
+// knows nothing about the link, nearly all are accepted and late.
 func TestUploadOverloadOnSlowLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		u := &uploads{perSecond: 31, calls: 20}
@@ -181,16 +181,15 @@
 		blind := &uploads{perSecond: 31, calls: 20, blind: true}
 		blindShare := blind.play()
 		t.Logf("in time: %v, and %v with nothing known of the link", share, blindShare)
-		qt.Check(t, share["upload"] > 0.6, qt.IsTrue) // of 0.67 that the link carries
+		qt.Check(t, share["upload"] > 0.6, qt.IsTrue) // the link can carry 0.67
 		qt.Check(t, share["call"] > 0.95, qt.IsTrue)
-		qt.Check(t, u.longestRefusal < ms(50), qt.IsTrue, qt.Commentf("told after %v", u.longestRefusal))
+		qt.Check(t, u.longestRefusal < ms(50), qt.IsTrue, qt.Commentf("refused after %v", u.longestRefusal))
 		qt.Check(t, u.late < u.offered["upload"]/50, qt.IsTrue, qt.Commentf("%d late", u.late))
 		qt.Check(t, blindShare["upload"] < 0.3, qt.IsTrue)
 	})
 }
 
-// TestExpect has one row for what may become of a request between its coming and the arrival
-// of its body.
+// TestPendingBody has one row for each event that may happen before the body of a request arrives.
 func TestPendingBody(t *testing.T) {
 	tests := map[string]struct {
 		meanwhile func(g *admit.Gate, k *admit.Ticket)
@@ -223,8 +222,8 @@
 	}
 }
 
-// TestExpectedOfClassThatGoes has a request's class go while its body comes in. It then takes a
-// slot that is free, as one that waits would.
+// TestPendingBodyOfRemovedClass removes the class of a request while its body arrives. The request
+// then takes a free slot, as a waiting one would.
 func TestPendingBodyOfRemovedClass(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var g admit.Gate
--- a/admit/queue.go
+++ b/admit/queue.go
@@ -13,16 +13,15 @@
 // classQueue holds the waiting requests of one class and the class's state in
 // start-time fair queueing.
 //
-// A request that arrives gets the start tag S = max(V, F), where V is the
-// virtual time of the gate and F the finish tag of the class, and F becomes
-// S + s/weight for the expected run time s, so that the weights divide the time
-// of the slots whatever the run times. If each request counted the same, long requests
-// of a class with little weight would take most of that time. The waiting request with
-// the least start tag runs next, and V becomes its start tag. See P. Goyal, H. Vin and
-// H. Cheng, Start-time fair queueing, 1996. doi:10.1145/248157.248171.
+// A request that arrives gets the start tag S = max(V, F), where V is the virtual time of the
+// gate and F the finish tag of the class, and F becomes S + s/weight for the expected run time s.
+// The weights thus divide the time of the slots whatever the run times; if each request counted
+// the same, long requests of a class with little weight would take most of that time. The waiting
+// request with the smallest start tag runs next, and V becomes its start tag. See P. Goyal, H. Vin
+// and H. Cheng, Start-time fair queueing, 1996. doi:10.1145/248157.248171.
 //
-// The tags say when the class has its turns. Which of its requests gets one is up to
-// the organisations that share the class.
+// The tags decide when the class has its turns. The organisations that share the class decide
+// which of its requests gets a turn.
 type classQueue struct {
 	class         Class
 	standing      standing
@@ -30,18 +29,18 @@
 	finishTag     float64
 	running       int
 	pendingBodies int       // requests that wait for their bodies
-	waiting       []*Ticket // in the order in which they came
+	waiting       []*Ticket // in the order of their arrival
 	meanRun       float64   // mean run time at the usual speed, in seconds, 0 until one has ended
 }
 
 const (
 	// runGain is the weight of one request in the mean run time of its class.
 	runGain = 0.1
-	// leastRun is the least run time that counts.
+	// minRun is the minimum run time used in computations.
 	minRun = time.Millisecond
 )
 
-// ran takes in the run time of a request at the usual speed.
+// observeRun records the run time of a request at the usual speed.
 func (q *classQueue) observeRun(took time.Duration) {
 	if q.meanRun == 0 {
 		q.meanRun = took.Seconds()
@@ -49,13 +48,13 @@
 	q.meanRun += runGain * (took.Seconds() - q.meanRun)
 }
 
-// tag gives t, which is expected to run for the given time, its start tag.
+// tag sets the start tag of t, which is expected to run for the given time.
 func (q *classQueue) tag(t *Ticket, virtual float64, run time.Duration) {
 	t.startTag = max(virtual, q.finishTag)
 	q.finishTag = t.startTag + max(minRun, run).Seconds()/q.class.Weight
 }
 
-// cap returns how many slots the class may hold of the given number.
+// maxSlots returns how many of the given number of slots the class may hold.
 func (q *classQueue) maxSlots(allowed int) int {
 	return max(1, int(q.class.MaxShare*float64(allowed)))
 }
@@ -66,8 +65,8 @@
 	t.flow.Enqueue()
 }
 
-// pop removes and returns the waiting request that has the next turn, with the tag of
-// the first one: the tags of those before it stay where they are.
+// pop removes and returns the waiting request whose turn is next. It gets the tag of the first
+// one; the tags stay at their positions in the queue.
 func (q *classQueue) pop() *Ticket {
 	i := q.nextIndex()
 	t := q.waiting[i]
@@ -83,7 +82,7 @@
 	return t
 }
 
-// next returns the place of the waiting request that has the next turn.
+// nextIndex returns the index of the waiting request whose turn is next.
 func (q *classQueue) nextIndex() int {
 	best := 0
 	for i, t := range q.waiting {
@@ -94,7 +93,7 @@
 	return best
 }
 
-// remove takes t out, wherever it stands. It returns whether it was there.
+// remove removes t from the queue and returns whether it was there.
 func (q *classQueue) remove(t *Ticket) bool {
 	for i, w := range q.waiting {
 		if w == t {
@@ -106,8 +105,8 @@
 	return false
 }
 
-// newest returns the request that came last of the flow with the most waiting ones,
-// or nil.
+// newestOfLargestFlow returns the last request of the organisation with the most waiting ones, or
+// nil.
 func (q *classQueue) newestOfLargestFlow() *Ticket {
 	var newest *Ticket
 	for _, t := range q.waiting {
@@ -118,9 +117,9 @@
 	return newest
 }
 
-// bound returns the longest expected wait with which a request of the flow may enter
-// the queue, given the longest that is configured. Where an organisation that holds
-// more than its part makes the queue stand, the others still wait for their turns.
+// maxWait returns the longest expected wait with which t may enter the queue, given the
+// configured maximum. If an organisation above its fair share causes a standing queue,
+// the other organisations may still wait for their turns.
 func (q *classQueue) maxWait(t *Ticket, configured time.Duration) time.Duration {
 	if t.withinShare {
 		return configured
--- a/admit/report.go
+++ b/admit/report.go
@@ -6,40 +6,41 @@
 
 import "time"
 
-// Report is a gate's load at one instant.
+// Report is the load of a gate at one instant.
 type Report struct {
-	// Running and Waiting count the requests in the two states. An abandoned request that
+	// Running and Waiting count the running and waiting requests. An abandoned request that
 	// holds its slot counts as running.
 	Running, Waiting int
 	// Allowed is the number of requests that may run now, at most the slots.
 	Allowed int
-	// Service is the expected service time at the usual speed. It is the larger of
-	// the mean over recent requests, each divided by the slowdown that it began
-	// with, and the mean age of the running ones, so that it grows at once when the
-	// upstream stops answering. It is zero before the first request has ended.
+	// ServiceTime is the expected service time at the usual speed: the larger of the mean over
+	// recent requests, each divided by the slowdown at its start, and the mean age of the
+	// running ones, so that it grows at once when the upstream stops responding. It is zero
+	// before the first request has ended.
 	ServiceTime time.Duration
-	// Limited is whether the upstream names a limit, Limit its requests a second, Used the part of
-	// it that was used in the last window, and Free after how long a request that comes now may
-	// start under it.
+	// Limited is whether the upstream advertises a limit, Limit is that limit in requests per
+	// second, LimitUsed the fraction of it that was used in the last window, and LimitWait the
+	// time until a request that arrives now may start under it.
 	Limited   bool
 	Limit     float64
 	LimitUsed float64
 	LimitWait time.Duration
 	// Draining is whether the gate refuses all new requests.
 	Draining bool
-	// Slowdown is how many times longer than usual work takes now, as the
-	// upstream told last. It is 1 if it has not told.
+	// Slowdown is how many times longer than usual the upstream takes now, as it last
+	// reported, or 1 if it has not reported.
 	Slowdown float64
-	// Pace is the least slowdown of the last second.
+	// MinSlowdown is the minimum slowdown of the last second.
 	MinSlowdown float64
-	// Rest is the expected rest of the present slow spell, 0 if there is none.
+	// SlowRemaining is the expected remaining time of the present slow period, or 0.
 	SlowRemaining time.Duration
-	// Failing is the share of the latest requests that the upstream failed.
+	// FailureRatio is the share of recent requests that the upstream failed.
 	FailureRatio float64
-	// Organisations is the number of them with waiting requests, summed over the classes.
+	// WaitingOrganisations is the number of organisations with waiting requests, summed over
+	// the classes.
 	WaitingOrganisations int
-	// Displaced is the number of requests so far that were refused while they waited, as
-	// the queue was full and their organisation had most in it.
+	// Displaced is the number of requests that have been refused while waiting because the
+	// queue was full and their organisation had the most requests in it.
 	Displaced uint64
 }
 
@@ -74,7 +75,7 @@
 	}
 }
 
-// organisations returns the number of organisations with waiting requests, summed over the
+// waitingOrganisations returns the number of organisations with waiting requests, summed over the
 // classes.
 func (g *Gate) waitingOrganisations() (sum int) {
 	for _, q := range g.classes {
@@ -83,14 +84,13 @@
 	return sum
 }
 
-// agePatience divides the age of running requests where the upstream tells its
-// speed: requests that began while it was slow stay slow, and only an age that
-// no slowdown explains says that it hangs. It is to be above any slowdown that
-// an upstream which still answers tells.
+// maxPlausibleSlowdown divides the age of running requests if the upstream reports its speed:
+// requests that started while it was slow stay slow, and only an age that no slowdown explains
+// shows that it hangs. It must be above any slowdown reported by an upstream that still responds.
 const maxPlausibleSlowdown = 6
 
-// service returns the expected service time at the given time, for an upstream
-// that runs at its usual speed.
+// expectedServiceTime returns the expected service time at the given time, for an upstream that
+// runs at its usual speed.
 func (g *Gate) expectedServiceTime(now time.Time) time.Duration {
 	mean := time.Duration(g.limiter.fast * float64(time.Second))
 	if g.running == 0 {
--- a/admit/sharedupstream_test.go
+++ b/admit/sharedupstream_test.go
@@ -20,30 +20,30 @@
 	"sassafrasfront.example/admit"
 )
 
-// sender is an organisation with requests of one class.
+// sender is the load of one organisation in one class.
 type sender struct {
 	organisation, class string
 	perSecond           float64
 	work                time.Duration // mean; a third of it more or less
-	retries             int           // how often it repeats a request that is refused, at once
+	retries             int           // how often it retries a refused request at once
 }
 
-// room is an upstream that organisations share. What they send comes at drawn times.
+// sharedUpstream is an upstream that organisations share. Arrivals are Poisson with a fixed seed.
 type sharedUpstream struct {
 	limits  admit.Limits
 	senders []sender
 	length  time.Duration
 }
 
-// fate is what became of requests.
+// outcome counts the requests of a load by their outcome.
 type outcome struct {
 	offered, ran, useful float64 // useful are those that ended within their objective
 }
 
-// served returns the part of the requests that ran.
+// served returns the share of the requests that ran.
 func (f outcome) served() float64 { return f.ran / f.offered }
 
-// inTime returns the part of the requests that ended within their objective.
+// inTime returns the share of the requests that ended within their objective.
 func (f outcome) inTime() float64 { return f.useful / f.offered }
 
 // String implements fmt.Stringer.
@@ -51,13 +51,13 @@
 	return fmt.Sprintf("%.2f in time, %.2f served", f.inTime(), f.served())
 }
 
-// add returns the sum of both.
+// add returns the sum of the two outcomes.
 func (f outcome) add(o outcome) outcome {
 	return outcome{offered: f.offered + o.offered, ran: f.ran + o.ran, useful: f.useful + o.useful}
 }
 
-// play sends all to a gate, with the organisations' names or without, and returns what
-// became of each organisation's requests.
+// play sends the load to a gate, with or without the organisations' names, and returns the outcome
+// of each organisation.
 func (r sharedUpstream) play(named bool) map[string]outcome {
 	var g admit.Gate
 	g.SetLimits(r.limits)
@@ -109,7 +109,7 @@
 	return outcomes
 }
 
-// total returns what became of the requests of all but the named organisations.
+// total returns the outcome of all organisations except the named ones.
 func total(outcomes map[string]outcome, except ...string) (sum outcome) {
 	for name, f := range outcomes {
 		if !slices.Contains(except, name) {
@@ -119,8 +119,8 @@
 	return sum
 }
 
-// least returns the organisation whose requests were served least often, of those with
-// enough of them to tell.
+// leastServed returns the organisation with the smallest share of served requests, of those with
+// at least 40 requests.
 func leastServed(outcomes map[string]outcome) (name string, worst outcome) {
 	for n, f := range outcomes {
 		if f.offered >= 40 && (name == "" || f.served() < worst.served()) {
@@ -131,8 +131,8 @@
 	return name, worst
 }
 
-// desk is an upstream of 14 slots whose requests of 220 ms are to end within 600 ms: it
-// runs 63 a second.
+// checkLimits returns the limits of an upstream of 14 slots with requests of one class. With run
+// times of 220 ms it can serve 63 a second.
 func checkLimits(objective time.Duration) admit.Limits {
 	return admit.Limits{
 		Slots:         14,
@@ -141,7 +141,7 @@
 	}.WithClasses(admit.Class{Name: "check", Weight: 1, MaxShare: 1, Objective: objective})
 }
 
-// small returns so many organisations that send the same each.
+// small returns n organisations that send the given rate together, each the same fraction of it.
 func small(n int, perSecond float64, work time.Duration) []sender {
 	var list []sender
 	for i := range n {
@@ -150,7 +150,7 @@
 	return list
 }
 
-// play plays r for 40 seconds.
+// play runs the load r for 40 seconds.
 func play(t *testing.T, r sharedUpstream, named bool) (outcomes map[string]outcome) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
@@ -160,10 +160,10 @@
 	return outcomes
 }
 
-// TestOneOrganisationRushes is an upstream that runs 63 requests a second, of which
-// twenty organisations together ask for 40 and another one for ten, or in a rush for many
-// times that, which would be within its limit. The others are served as without the rush,
-// the one that rushes gets what they leave. Without the names all are refused alike.
+// TestOverloadByOneOrganisation has an upstream that can serve 63 requests a second. Twenty
+// organisations together send 40 and another one sends four or eight times its usual ten, which
+// would be within its rate limit. The others are served as usual and the one in overload gets what
+// they leave. Without the names all are refused alike.
 func TestOverloadByOneOrganisation(t *testing.T) {
 	for name, perSecond := range map[string]float64{"fourfold": 40, "eightfold": 80} {
 		t.Run(name, func(t *testing.T) {
@@ -182,9 +182,9 @@
 	}
 }
 
-// TestLongRequestsOfOneOrganisation has an organisation send requests of 550 ms for all
-// slots there are, beside others' short ones of the same class, which need a fifth or two
-// fifths of them. What counts is how long slots are held, not how many requests there are.
+// TestLongRequestsOfOneOrganisation has an organisation send requests of 550 ms for all slots,
+// beside short ones of other organisations in the same class that need a fifth or two fifths of the
+// slots. Fairness is by the time that slots are held, not by the number of requests.
 func TestLongRequestsOfOneOrganisation(t *testing.T) {
 	for name, test := range map[string]struct {
 		work      time.Duration
@@ -207,9 +207,9 @@
 	}
 }
 
-// TestOneOrganisationRepeatsAtOnce has the callers of an organisation that asks for two
-// thirds of an upstream repeat each refused request at once, twenty times, beside others
-// that need two thirds of it and don't.
+// TestImmediateRetriesOfOneOrganisation has an organisation that needs two thirds of an upstream
+// retry each refused request at once, up to twenty times, beside others that need two thirds of it
+// and do not retry.
 func TestImmediateRetriesOfOneOrganisation(t *testing.T) {
 	r := sharedUpstream{
 		limits:  checkLimits(ms(600)),
@@ -221,10 +221,10 @@
 	qt.Check(t, total(unnamed, "big").inTime() < 0.8, qt.IsTrue)
 }
 
-// TestThousandsOfOrganisations has five thousand organisations of which none sends more
-// than a request a minute ask for half as much again as the upstream runs. Nothing
-// is gained by waiting then: as many are served as if they were one. With one among them that
-// rushes, they are served before it, but it isn't starved.
+// TestThousandsOfOrganisations has five thousand organisations, none of which sends more than about
+// a request a minute, send half as much again as the upstream can run. Waiting gains nothing then:
+// as many are served as if they were one organisation. If one among them overloads the upstream,
+// the others are served before it, but it is not starved.
 func TestThousandsOfOrganisations(t *testing.T) {
 	t.Run("alone", func(t *testing.T) {
 		r := sharedUpstream{
@@ -250,9 +250,9 @@
 	}
 }
 
-// TestWeightsOfOrganisations has an organisation with ten times the weight of each of
-// forty others ask for a third of what all ask for, which is twice what the upstream runs.
-// Its weight says that a fifth is its part.
+// TestWeightsOfOrganisations has an organisation with ten times the weight of each of forty others
+// send a third of a load that is twice what the upstream can run. Its fair share by weight is a
+// fifth.
 func TestWeightsOfOrganisations(t *testing.T) {
 	r := sharedUpstream{
 		limits:  checkLimits(ms(600)),
@@ -272,9 +272,9 @@
 }
 
 // TestSizesOfOrganisations has 77 organisations whose usual rates fall with their rank, as
-// 1/rank^1.2, and whose rate limits are their weights, ask for four fifths of an upstream. One
-// of them rushes, for so many times its usual rate that the upstream is asked for half as
-// much again. The others are served as usual, the smallest ones too.
+// 1/rank^1.2, and whose rate limits are their weights, use four fifths of an upstream. One of them
+// multiplies its rate so that the total load is one and a half times the capacity. The others are
+// served as usual, including the smallest ones.
 func TestSizesOfOrganisations(t *testing.T) {
 	const all, usualRate = 77, 50.0
 	var sum float64
@@ -309,7 +309,7 @@
 				small = small.add(named[fmt.Sprint(rank)])
 			}
 			n, worst := leastServed(named)
-			t.Logf("others %v, small %v, rushes %v, least %s %v; without names %v", total(named, test.overloading), small, named[test.overloading], n, worst, total(unnamed, test.overloading))
+			t.Logf("others %v, small %v, overloading %v, least %s %v; without names %v", total(named, test.overloading), small, named[test.overloading], n, worst, total(unnamed, test.overloading))
 			qt.Check(t, total(named, test.overloading).inTime() > 0.95, qt.IsTrue)
 			qt.Check(t, small.inTime() > 0.95, qt.IsTrue)
 			qt.Check(t, worst.served() > total(named).served()/4, qt.IsTrue)
@@ -318,9 +318,9 @@
 	}
 }
 
-// TestRequestsWithoutOrganisation has requests without an organisation, as calls inside runs
-// are, share a class with organisations of which one rushes. They ask for a quarter of the
-// upstream, which is less than the half that is theirs beside any number of organisations.
+// TestRequestsWithoutOrganisation has requests without an organisation, as nested calls are, share a
+// class with organisations of which one overloads the upstream. They need a quarter of the upstream,
+// which is less than the half that they are entitled to beside any number of organisations.
 func TestRequestsWithoutOrganisation(t *testing.T) {
 	r := sharedUpstream{
 		limits:  checkLimits(ms(600)),
@@ -333,9 +333,9 @@
 	qt.Check(t, named["big"].served() > total(named).served()/4, qt.IsTrue)
 }
 
-// office is an upstream of 14 slots with urgent requests of 180 ms, to end within 500 ms,
-// calls inside runs elsewhere, of 55 ms within 150 ms, and long requests of 550 ms that
-// can wait, each a priority below.
+// mixedLimits returns the limits of an upstream of 14 slots with urgent requests of 180 ms and an
+// objective of 500 ms, nested calls of 55 ms and 150 ms, and long requests of 550 ms that can wait,
+// each with a lower priority than the one before.
 func mixedLimits() admit.Limits {
 	return admit.Limits{
 		Slots:         14,
@@ -348,7 +348,7 @@
 	)
 }
 
-// mixed is the load of an office; each class is an organisation here.
+// mixed is a load on such an upstream; here each class is an organisation.
 func mixed(statements, calls, refunds float64) sharedUpstream {
 	return sharedUpstream{
 		limits: mixedLimits(),
@@ -360,8 +360,8 @@
 	}
 }
 
-// TestUrgentBesideBurstsOfLong has the long requests ask for all slots and up to twice as
-// many beside urgent ones that need one.
+// TestUrgentRequestsBesideLongOnes has long requests ask for all slots or twice as many, beside
+// urgent ones that need one.
 func TestUrgentRequestsBesideLongOnes(t *testing.T) {
 	for name, statements := range map[string]float64{"all": 26, "twice": 52} {
 		t.Run(name, func(t *testing.T) {
@@ -372,17 +372,17 @@
 	}
 }
 
-// TestUrgentBesideCalls has calls inside runs ask for all slots beside the urgent ones.
+// TestUrgentRequestsBesideNestedCalls has nested calls ask for all slots beside the urgent requests.
 func TestUrgentRequestsBesideNestedCalls(t *testing.T) {
 	share := play(t, mixed(6, 260, 6), false)
 	t.Logf("%v", share)
 	qt.Check(t, share["refund"].inTime() > 0.95, qt.IsTrue)
 }
 
-// TestCallsBesideBurstsOfLong has the long requests ask for all slots and up to twice as
-// many beside calls. Two calls are needed by seven in ten of the runs that make them, which
-// are thrown away with one; a refused call is sent to two more upstreams, under the same load.
-// Of the runs, 95 in 100 have to get their calls.
+// TestNestedCallsBesideLongRequests has long requests ask for all slots or twice as many, beside
+// nested calls. Seven in ten of the runs that make calls need two of them, and fail if one fails; a
+// refused call is sent to two more upstreams, under the same load. Of the runs, 95 in 100 must get
+// their calls.
 func TestNestedCallsBesideLongRequests(t *testing.T) {
 	for name, statements := range map[string]float64{"all": 26, "twice": 52} {
 		t.Run(name, func(t *testing.T) {
--- a/admit/slowdown_test.go
+++ b/admit/slowdown_test.go
@@ -14,9 +14,8 @@
 	"sassafrasfront.example/admit"
 )
 
-// TestServiceWithoutSlowdown has requests that begin while the upstream is slow
-// leave the reported service time as it is: it is what routing multiplies by the
-// slowdown of the moment.
+// TestServiceTimeExcludesSlowdown checks that requests that start while the upstream is slow do not
+// change the reported service time, because routing multiplies it by the current slowdown.
 func TestServiceTimeExcludesSlowdown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var g admit.Gate
--- a/admit/slowdownminimum.go
+++ b/admit/slowdownminimum.go
@@ -7,25 +7,24 @@
 import "time"
 
 const (
-	// paceParts and pacePart are the number and length of the parts in which the
-	// window of a pace is counted: 1 s together, several times the length of a slow
-	// spell and well under the seconds for which an upstream is cold or overcome.
+	// minimumBuckets and bucketLength are the number and length of the buckets of the window
+	// of a slowdownMinimum: 1 s in total, several times the length of a slow period and much
+	// less than the seconds for which an upstream is cold or overloaded.
 	minimumBuckets = 4
 	bucketLength   = 250 * time.Millisecond
 )
 
-// pace is the least slowdown of an upstream over the last second: the one to which
-// it is likely to return soon. An upstream that has just started is slow for
-// seconds, and so is one whose instance is overcome; nothing is gained by waiting
-// for these to end. By a fixed bound in its place a cold upstream's spells could not be
-// told from its being cold.
+// slowdownMinimum is the minimum slowdown of an upstream over the last second, to which it is
+// likely to return soon. An upstream that has just started is slow for seconds, and so is one
+// whose instance is overloaded; waiting for these to end gains nothing. With a fixed threshold
+// instead, the slow periods of a cold upstream could not be told from its being cold.
 type slowdownMinimum struct {
-	minima      [minimumBuckets]float64 // of each part, 0 if nothing was observed in it
+	minima      [minimumBuckets]float64 // of each bucket, 0 if nothing was observed in it
 	current     int
-	bucketStart time.Time // of the current part
+	bucketStart time.Time // of the current bucket
 }
 
-// observe takes in a slowdown.
+// observe records a slowdown.
 func (p *slowdownMinimum) observe(slowdown float64, now time.Time) {
 	p.advance(now)
 	if l := p.minima[p.current]; l == 0 || slowdown < l {
@@ -33,7 +32,7 @@
 	}
 }
 
-// value returns the pace, or 1 if nothing was observed.
+// value returns the minimum slowdown, or 1 if none was observed in the window.
 func (p *slowdownMinimum) value(now time.Time) float64 {
 	p.advance(now)
 	var least float64
@@ -48,7 +47,7 @@
 	return least
 }
 
-// advance forgets the parts that are out of the window.
+// advance discards the buckets that have left the window.
 func (p *slowdownMinimum) advance(now time.Time) {
 	for range minimumBuckets {
 		if now.Sub(p.bucketStart) < bucketLength {
@@ -58,5 +57,5 @@
 		p.current = (p.current + 1) % minimumBuckets
 		p.minima[p.current] = 0
 	}
-	p.bucketStart = now // the whole window is over
+	p.bucketStart = now // all buckets are older than the window
 }
--- a/admit/slowperiods.go
+++ b/admit/slowperiods.go
@@ -6,23 +6,22 @@
 
 import "time"
 
-// spellMemory is the number of spells that are remembered: the last half minute of
-// an upstream that slows down once a second.
+// slowPeriodHistory is the number of slow periods that are remembered: those of the last half
+// minute if an upstream slows down once a second.
 const slowPeriodHistory = 32
 
-// spells remembers for how long an upstream stayed slow, to tell how long it is
-// likely to stay so. The expected rest of a spell of age a is the mean of L - a over
-// the remembered lengths L > a, the mean residual life. Where no spell was so long,
-// it is a: who waits for no longer than what the waiting can gain then loses at most
-// as much again, as in A. Karlin et al., Competitive snoopy caching, 1988.
-// doi:10.1007/BF01762111.
+// slowPeriods remembers the lengths of an upstream's slow periods, to estimate how long the
+// present one will last. The expected remaining time of a period of age a is the mean of L - a
+// over the remembered lengths L > a, the mean residual life. If no remembered period was so
+// long, it is a: a request that waits no longer than the wait can gain then loses at most as
+// much again, as in A. Karlin et al., Competitive snoopy caching, 1988. doi:10.1007/BF01762111.
 type slowPeriods struct {
 	lengths [slowPeriodHistory]time.Duration
 	count   int
-	since   time.Time // when the present spell began, zero if there is none
+	since   time.Time // when the present slow period began, zero if there is none
 }
 
-// observe takes in whether the upstream is slow.
+// observe records whether the upstream is slow.
 func (s *slowPeriods) observe(slow bool, now time.Time) {
 	switch {
 	case slow && s.since.IsZero():
@@ -34,8 +33,8 @@
 	}
 }
 
-// age returns for how long the present spell has lasted. The second result is
-// false if there is none.
+// age returns how long the present slow period has lasted. The second result is false if there
+// is none.
 func (s *slowPeriods) age(now time.Time) (time.Duration, bool) {
 	if s.since.IsZero() {
 		return 0, false
@@ -43,8 +42,8 @@
 	return now.Sub(s.since), true
 }
 
-// rest returns the expected rest of the present spell, in which the rest of each
-// remembered one counts as at most the given time. It is 0 if there is none.
+// remaining returns the expected remaining time of the present slow period, or 0 if there is
+// none. The remaining time of each remembered period counts as at most the given time.
 func (s *slowPeriods) remaining(now time.Time, limit time.Duration) time.Duration {
 	age, slow := s.age(now)
 	if !slow {
--- a/admit/slowperiods_test.go
+++ b/admit/slowperiods_test.go
@@ -17,27 +17,27 @@
 // ms returns a number of milliseconds as a duration.
 func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// TestHold has one row for each relation between the work of a request, how much
-// slower it runs now, and how long upstreams usually stay slow. The last column says
-// whether a request that comes in at the given age of a spell waits for its end.
+// TestHoldWhileSlow has one row for each relation between the run time of a request, the present
+// slowdown, and the usual length of slow periods. It checks whether a request that arrives when the
+// period has the given age waits for its end.
 func TestHoldWhileSlow(t *testing.T) {
 	tests := map[string]struct {
 		work        time.Duration
 		slowdown    float64
-		slowPeriods []int // lengths of the earlier ones, in ms
+		slowPeriods []int // lengths of earlier slow periods, in ms
 		age         time.Duration
 		held        bool
-		cold        bool // whether it has been as slow for as long as it is known
+		cold        bool // whether it has been this slow since it was first observed
 	}{
-		"long work, short spells":             {ms(220), 5, []int{150, 150, 300, 150}, 0, true, false},
-		"work shorter than the spells":        {ms(90), 4, []int{300, 300, 600, 300}, 0, false, false},
-		"the same, near the end of the spell": {ms(90), 4, []int{300, 300, 600, 300}, ms(250), true, false},
-		"very short work":                     {ms(36), 4, []int{300, 300, 600, 300}, 0, false, false},
-		"nothing known, just slowed":          {ms(90), 4, nil, 0, true, false},
-		"nothing known, slow for long":        {ms(90), 4, nil, ms(400), false, false},
-		"longer than any known":               {ms(220), 5, []int{150, 150}, ms(2000), false, false},
-		"slow since it has started":           {ms(220), 2, nil, 0, false, true},
-		"not slow enough":                     {ms(220), 1.5, nil, 0, false, false},
+		"long work, short periods":             {ms(220), 5, []int{150, 150, 300, 150}, 0, true, false},
+		"work shorter than the periods":        {ms(90), 4, []int{300, 300, 600, 300}, 0, false, false},
+		"the same, near the end of the period": {ms(90), 4, []int{300, 300, 600, 300}, ms(250), true, false},
+		"very short work":                      {ms(36), 4, []int{300, 300, 600, 300}, 0, false, false},
+		"nothing known, just slowed":           {ms(90), 4, nil, 0, true, false},
+		"nothing known, slow for long":         {ms(90), 4, nil, ms(400), false, false},
+		"longer than any known":                {ms(220), 5, []int{150, 150}, ms(2000), false, false},
+		"slow since its start":                 {ms(220), 2, nil, 0, false, true},
+		"not slow enough":                      {ms(220), 1.5, nil, 0, false, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -65,14 +65,14 @@
 				qt.Check(t, isReady(k), qt.Equals, !test.held)
 				qt.Check(t, k.Err() == nil, qt.IsTrue)
 				g.ObserveSlowdown(1)
-				qt.Check(t, isReady(k), qt.IsTrue, qt.Commentf("it starts once the upstream is quick again"))
+				qt.Check(t, isReady(k), qt.IsTrue, qt.Commentf("it starts once the upstream is fast again"))
 			})
 		})
 	}
 }
 
-// TestHeldIsRefusedWhereItCannotEndInTime has an upstream whose slow spells last
-// for longer than the objective leaves beside the run.
+// TestHeldRequestRefusedIfTooLate has an upstream whose slow periods are longer than the time that
+// the objective leaves beside the run.
 func TestHeldRequestRefusedIfTooLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var g admit.Gate
--- a/admit/standing.go
+++ b/admit/standing.go
@@ -10,23 +10,22 @@
 )
 
 const (
-	// standingTime is the time constant of the share of time in which requests
-	// wait.
+	// standingTime is the time constant of the share of time during which requests wait.
 	standingTime = 200 * time.Millisecond
-	// standingShare is the share from which the queue counts as standing.
+	// standingShare is the share above which a queue counts as standing.
 	standingShare = 0.7
-	// standingWait is the longest expected wait with which a request enters a
-	// standing queue.
+	// standingWait is the longest expected wait with which a request may enter a standing
+	// queue.
 	standingWait = 5 * time.Millisecond
 )
 
-// standing tells a queue that takes up a burst from one that never empties. The
-// first serves who waits in it. In the second a long wait serves no more requests
-// than a short one, so only a short one is allowed and the rest is refused at
-// once. See K. Nichols and V. Jacobson, Controlling queue delay, 2012.
+// standing distinguishes a queue that absorbs a burst from a standing queue, which never
+// empties. Requests that wait in the first are served. In the second a long wait serves no more
+// requests than a short one, so only a short wait is allowed and the other requests are refused
+// at once. See K. Nichols and V. Jacobson, Controlling queue delay, 2012.
 // doi:10.1145/2208917.2209336.
 //
-// The share p of time in which requests wait is averaged exponentially: after a
+// The share p of time during which requests wait is an exponential moving average: after a
 // time d in which the queue was empty (x = 0) or not (x = 1),
 //
 //	p += (1 - exp(-d/200 ms)) (x - p)
@@ -35,7 +34,7 @@
 	updatedAt time.Time
 }
 
-// observe takes in that the queue was empty or not since the last call.
+// observe records whether requests have been waiting since the last call.
 func (s *standing) observe(waiting bool, now time.Time) {
 	if s.updatedAt.IsZero() {
 		s.updatedAt = now
@@ -49,8 +48,8 @@
 	s.updatedAt = now
 }
 
-// bound returns the longest expected wait with which a request may enter the
-// queue, given the longest that is configured.
+// maxWait returns the longest expected wait with which a request may enter the queue, given the
+// configured maximum.
 func (s *standing) maxWait(configured time.Duration) time.Duration {
 	if s.share < standingShare {
 		return configured
--- a/admit/ticket.go
+++ b/admit/ticket.go
@@ -12,7 +12,7 @@
 	"sassafrasfront.example/verdict"
 )
 
-// state is where a Ticket stands.
+// state is the state of a Ticket.
 type state uint8
 
 const (
@@ -20,37 +20,37 @@
 	running
 	refused
 	released
-	pendingBody // waits for its body, and for no slot yet
+	pendingBody // waits for its body, and not for a slot yet
 )
 
-// Ticket is one request's place at a Gate.
+// Ticket is the place of one request at a Gate.
 type Ticket struct {
 	gate         *Gate
 	queue        *classQueue
 	organisation string
-	flow         *fair.Flow // the organisation's, once the request waits or runs
-	startTag     float64    // start tag
+	flow         *fair.Flow // of the organisation, once the request waits or runs
+	startTag     float64    // in start-time fair queueing
 	ready        chan struct{}
 	enteredAt    time.Time // into the queue
-	// deadline is when an answer is of no use any more, or zero.
+	// deadline is the time after which a response is of no use, or zero.
 	deadline time.Time
 
-	// The gate's mutex guards what follows.
+	// The gate's mutex guards the following fields.
 	state     state
 	startedAt time.Time
-	// within is whether its organisation kept to its part when it came.
+	// withinShare is whether its organisation was within its fair share when it arrived.
 	withinShare bool
-	// runTime is for how long it was expected to run, at the usual speed.
+	// expectedRun is its expected run time at the usual speed, when it arrived.
 	expectedRun time.Duration
-	// slowdown is that of the upstream when the request began.
+	// slowdown is the upstream's slowdown when the request started.
 	slowdown float64
-	// rate is the inverse of the time that it was expected to run, in 1/s.
+	// releaseRate is the inverse of its expected run time, in 1/s.
 	releaseRate float64
 	failure     *verdict.Error
 }
 
-// Ready returns a channel that is closed when the request no longer waits:
-// it then either runs, or Err says why not.
+// Ready returns a channel that is closed when the request no longer waits: it then either runs,
+// or Err returns why it was refused.
 func (t *Ticket) Ready() <-chan struct{} { return t.ready }
 
 // Err returns why the request was refused, or nil if it waits or runs.
@@ -74,30 +74,28 @@
 	return t.startedAt.Sub(t.enteredAt)
 }
 
-// Revoke takes the request back if it still waits. It returns true if the
-// request was waiting: it is then certain that it never runs. Otherwise the
-// ticket is unchanged and Revoke returns false.
+// Revoke takes the request back if it still waits. If it returns true, the request was waiting
+// and will never run. Otherwise the ticket is unchanged.
 func (t *Ticket) Revoke() bool {
 	return t.gate.revoke(t, verdict.New(verdict.Revoked, nil))
 }
 
-// Release gives the slot back. It must be called exactly once for a request
-// that ran; it panics if the request is not running. Healthy says whether the
-// service time is a fair sample: it is not if the request was cancelled.
+// Release gives the slot back. It must be called exactly once for a request that ran; it panics
+// if the request is not running. Healthy is whether the service time is a valid sample, which it
+// is not if the request was cancelled.
 func (t *Ticket) Release(healthy bool) {
 	t.gate.release(t, healthy)
 }
 
-// Arrive has a request that was expected wait for a slot from now on. It does nothing if
-// the request has been refused meanwhile.
+// BodyArrived makes a request whose body was pending wait for a slot from now on. It does nothing
+// if the request has been refused or revoked meanwhile.
 func (t *Ticket) BodyArrived() {
 	t.gate.bodyArrived(t)
 }
 
-// Wait blocks until the request runs or has been refused. The request is
-// revoked when ctx ends, and refused when it has waited for as long as the
-// gate allows. A nil result means that the request runs and the caller owes a
-// Release.
+// Wait blocks until the request runs or has been refused. The request is revoked when ctx ends,
+// and refused when it has waited for the longest time that the gate allows. If the result is nil,
+// the request runs and the caller must call Release or Abandon.
 func (t *Ticket) Wait(ctx context.Context) *verdict.Error {
 	select {
 	case <-t.ready:
--- a/admit/wait.go
+++ b/admit/wait.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	// runSpread is how many times the mean run time a request is given within its
-	// objective. Nine in ten requests whose run times have a standard deviation of
-	// 0.3 of their mean take less. With 2.0 fewer were served, with 1.2 as many.
+	// runTimeMargin is the multiple of the mean run time that is reserved for a request within
+	// its objective. Nine in ten requests whose run times have a standard deviation of 0.3 of
+	// their mean take less. With 2.0 fewer requests were served, with 1.2 as many.
 	runTimeMargin = 1.5
-	// waitFloor is the part of the objective that a request may wait in any case. It
-	// counts where the run takes nearly all of the objective, as at cold upstreams:
-	// with an eighth, requests were refused for a slow spell while nothing ran.
+	// minWaitShare is the fraction of the objective that a request may wait in any case. It applies
+	// if the run takes nearly all of the objective, as at cold upstreams: with an eighth,
+	// requests were refused for a slow period while nothing ran.
 	minWaitShare = 0.25
-	// expectedPart is the part of the objective that a request is expected to run
-	// before any of its class has. Operators set objectives at two to five times the
-	// usual run time.
+	// initialRunShare is the fraction of the objective that a run is expected to take before any
+	// request of the class has run. Operators set objectives at two to five times the usual
+	// run time.
 	initialRunShare = 0.25
 )
 
-// queueable returns why the request, which stands in its queue, may not wait,
-// or nil if it may.
+// checkQueueable returns why the request, which is already in its queue, may not wait, or nil if
+// it may.
 func (g *Gate) checkQueueable(t *Ticket, now, deadline time.Time) *verdict.Error {
 	wait := g.expectedWait(t.queue, g.queuePosition(t), now)
 	if wait > t.queue.maxWait(t, g.classMaxWait(t.queue)) {
@@ -41,27 +41,28 @@
 	return nil
 }
 
-// full returns the refusal of a request that would wait for so long. The lock is held.
+// refusal returns the error for a request that would have to wait for the given time. The lock is
+// held.
 func (g *Gate) refusal(wait time.Duration) *verdict.Error {
 	return verdict.New(verdict.Refused, nil).WithRetryAfter(g.AdvertisedLimiter.RetryAfter(wait))
 }
 
-// ahead returns the number of requests of t's class that start up to and with the last one
-// of its organisation.
+// queuePosition returns the number of requests of t's class that start up to and including the
+// last one of t's organisation.
 func (g *Gate) queuePosition(t *Ticket) int {
 	return t.flow.QueuePosition(max(minRun, g.expectedRun(t.queue)))
 }
 
-// expectedWait returns the time after which the given number of requests of q, of all that
-// wait, have started. Before the last of these n start as many of each other class o as fair
-// queueing lets pass,
+// expectedWait returns the time after which the given number of waiting requests of q have
+// started. Before the last of these n requests, fair queueing lets
 //
 //	min(n_o, n (s w_o) / (s_o w))
 //
-// for waiting requests n, run times s and weights w. Slots become free at the rate
-// sum of 1/(s k) over the running requests, which began with a slowdown of k. What
-// is held back by a slow spell waits for its expected end besides, and what a cold upstream
-// does not bear yet, or is beyond the limit that an upstream names, for its turn.
+// requests of each other class o start, for waiting requests n, run times s and weights w. Slots
+// become free at the rate sum of 1/(s k) over the running requests, which started at a slowdown
+// of k. The wait also includes the expected remaining time of a slow period for which requests are
+// held, and the time until the limits of a cold upstream or its advertised limit allow the
+// start.
 func (g *Gate) expectedWait(q *classQueue, starting int, now time.Time) time.Duration {
 	n := float64(starting)
 	ahead := n
@@ -84,14 +85,14 @@
 	return wait + time.Duration(ahead/g.releaseRate*float64(time.Second))
 }
 
-// room returns the number of slots that the classes but q leave to it, of an upstream
-// that runs at its usual speed.
+// availableSlots returns the number of slots that the other classes leave to q, in slots of an
+// upstream that runs at its usual speed.
 func (g *Gate) availableSlots(q *classQueue, now time.Time) float64 {
 	n := g.allowed(now) - (g.occupiedSlots(now) - q.running)
 	return float64(max(1, min(n, q.maxSlots(g.limits.Slots)))) / g.currentSlowdown()
 }
 
-// run returns the expected run time of a request of q at the usual speed.
+// expectedRun returns the expected run time of a request of q at the usual speed.
 func (g *Gate) expectedRun(q *classQueue) time.Duration {
 	switch {
 	case q.meanRun > 0:
@@ -102,10 +103,11 @@
 	return time.Duration(g.limiter.fast * float64(time.Second))
 }
 
-// shed refuses a waiting request in place of t, and returns whether there was one: the
-// newest of the organisation that has most of them in the class of the lowest priority,
-// if that is lower than t's, or else in a class of the same priority, if it is another
-// organisation that has more there than that of t. It would have waited for about as long as t.
+// shed refuses a waiting request in favour of t, and returns whether there was one. It is the
+// newest one of the organisation with the most waiting requests in the class of the lowest
+// priority, if that is lower than t's. Otherwise it is taken from a class of the same priority, if
+// another organisation has more requests waiting there than that of t. It would have waited for
+// about as long as t.
 func (g *Gate) shed(t *Ticket, wait time.Duration) bool {
 	victim := g.lowerPriorityVictim(t)
 	if victim == nil {
@@ -125,7 +127,8 @@
 	return true
 }
 
-// lowerPriority returns the request that gives way to t by its priority, or nil.
+// lowerPriorityVictim returns a waiting request of a lower priority to refuse in favour of t, or
+// nil.
 func (g *Gate) lowerPriorityVictim(t *Ticket) *Ticket {
 	var lowest *classQueue
 	for _, q := range g.classes {
@@ -142,8 +145,8 @@
 	return lowest.newestOfLargestFlow()
 }
 
-// largerFlow returns the request that gives way to t because its organisation has more
-// of them waiting, or nil.
+// largerFlowVictim returns a waiting request to refuse in favour of t because its organisation has
+// more requests waiting, or nil.
 func (g *Gate) largerFlowVictim(t *Ticket) *Ticket {
 	var victim *Ticket
 	most := t.flow.Waiting()
@@ -167,10 +170,9 @@
 	g.revoke(t, err)
 }
 
-// queueWait returns the longest time that t waits: until what is left of its time is
-// its expected run. It is refused then, while its caller can still be told that it has
-// not run. One that waits on to its deadline is answered that it may have run, which
-// nobody repeats.
+// waitLimit returns the longest time that t waits: until its remaining time equals its expected
+// run time. It is refused then, while its caller can still be told that it has not run. If it
+// waited up to its deadline, the result would be that it may have run, and nobody would retry it.
 func (g *Gate) waitLimit(t *Ticket) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -181,9 +183,9 @@
 	return min(maxWait, max(0, time.Until(t.deadline)-g.expectedRun(t.queue)))
 }
 
-// longestWait returns the longest time that a request of q waits: what its
-// objective leaves beside its run. A wait that were the same for all requests would be too
-// short for those with a long objective to find a slot. The lock is held.
+// classMaxWait returns the longest time that a request of q waits, which by default is what its
+// objective leaves beside its run. A wait that is the same for all requests would be too short for
+// those with a long objective to get a slot. The lock is held.
 func (g *Gate) classMaxWait(q *classQueue) time.Duration {
 	switch {
 	case q == nil:
