--- a/fair/flows.go
+++ b/fair/flows.go
@@ -9,10 +9,10 @@
 const (
 	// heldGain is the weight of one request in the mean time for which those of its
 	// organisation hold a slot.
-	heldGain = 0.1
+	holdTimeGain = 0.1
 	// rememberFor is how long an organisation is remembered after its last request. What it
 	// has used before that does not count any more when it comes back.
-	rememberFor = 5 * time.Second
+	flowRetention = 5 * time.Second
 )
 
 // Flows are the organisations whose requests share slots. The zero value is ready for
@@ -22,34 +22,34 @@
 	// Without it all have the same.
 	Weight func(organisation string) float64
 
-	list    map[string]*Flow // by organisation
-	active  []*Flow          // those with requests that wait or run
-	virtual float64          // start tag of the flow that had the last turn
-	crowded bool             // whether some organisations crowd out others
-	level   float64          // slots for each unit of weight then
-	levelAt time.Time        // when the level was found out
-	demand  float64          // sum over all flows at levelAt
-	served  float64          // sum over all flows at levelAt
-	weights float64          // sum of the weights of all flows but that without a name
-	swept   time.Time        // when flows were last forgotten
+	list         map[string]*Flow // by organisation
+	active       []*Flow          // those with requests that wait or run
+	virtualTime  float64          // start tag of the flow that had the last turn
+	contended    bool             // whether some organisations crowd out others
+	level        float64          // slots for each unit of weight then
+	levelUpdated time.Time        // when the level was found out
+	totalDemand  float64          // sum over all flows at levelAt
+	totalServed  float64          // sum over all flows at levelAt
+	totalWeight  float64          // sum of the weights of all flows but that without a name
+	lastSweep    time.Time        // when flows were last forgotten
 }
 
 // Flow is one organisation, or all requests that have none.
 type Flow struct {
-	flows    *Flows
-	name     string
-	weight   float64
-	start    float64 // start tag of its first waiting request
-	finish   float64 // finish tag of the request that started last
-	waiting  int
-	running  int
-	index    int       // among the active ones
-	held     float64   // mean time for which its requests hold a slot in seconds, 0 if not known
-	demand   float64   // slots that its requests would hold, mean of the last seconds
-	served   float64   // the part of demand whose requests have started
-	each     float64   // slots that one request adds to demand
-	fadedAt  time.Time // when demand and served were last brought up to date
-	lastUsed time.Time // when it last came, or one of its requests ended
+	flows            *Flows
+	name             string
+	weight           float64
+	startTag         float64 // start tag of its first waiting request
+	finishTag        float64 // finish tag of the request that started last
+	waiting          int
+	running          int
+	index            int       // among the active ones
+	meanHoldTime     float64   // mean time for which its requests hold a slot in seconds, 0 if not known
+	demand           float64   // slots that its requests would hold, mean of the last seconds
+	served           float64   // the part of demand whose requests have started
+	demandPerRequest float64   // slots that one request adds to demand
+	decayedAt        time.Time // when demand and served were last brought up to date
+	lastUsed         time.Time // when it last came, or one of its requests ended
 }
 
 // Flow returns the flow of an organisation. The empty name stands for requests that
@@ -64,7 +64,7 @@
 			weight: f.weightOf(organisation),
 		}
 		if organisation != "" {
-			f.weights += l.weight
+			f.totalWeight += l.weight
 		}
 		if f.list == nil {
 			f.list = make(map[string]*Flow)
@@ -77,11 +77,11 @@
 
 // Reweigh takes in that weights may have changed.
 func (f *Flows) UpdateWeights() {
-	f.weights = 0
+	f.totalWeight = 0
 	for name, l := range f.list {
 		l.weight = f.weightOf(name)
 		if name != "" {
-			f.weights += l.weight
+			f.totalWeight += l.weight
 		}
 	}
 }
@@ -96,21 +96,21 @@
 
 // sweep forgets the flows that have not been used for long, now and then.
 func (f *Flows) sweep(now time.Time) {
-	if now.Sub(f.swept) < rememberFor {
+	if now.Sub(f.lastSweep) < flowRetention {
 		return
 	}
-	f.swept = now
+	f.lastSweep = now
 	for name, l := range f.list {
-		if l.waiting+l.running > 0 || now.Sub(l.lastUsed) < rememberFor {
+		if l.waiting+l.running > 0 || now.Sub(l.lastUsed) < flowRetention {
 			continue
 		}
 		delete(f.list, name)
 		if name != "" {
-			f.weights -= l.weight
+			f.totalWeight -= l.weight
 		}
 	}
 	if len(f.list) == 0 {
-		f.weights = 0 // without what rounding left
+		f.totalWeight = 0 // without what rounding left
 	}
 }
 
@@ -131,7 +131,7 @@
 // Restart forgets for how long requests have held slots, as the upstream has started anew.
 func (f *Flows) ResetHoldTimes() {
 	for _, l := range f.list {
-		l.held = 0
+		l.meanHoldTime = 0
 	}
 }
 
@@ -146,13 +146,13 @@
 	if a, b := l.rank(), o.rank(); a != b {
 		return a < b
 	}
-	return l.start < o.start
+	return l.startTag < o.startTag
 }
 
 // Wait takes in that a request waits.
 func (l *Flow) Enqueue() {
 	if l.waiting == 0 {
-		l.start = max(l.flows.virtual, l.finish)
+		l.startTag = max(l.flows.virtualTime, l.finishTag)
 	}
 	if l.waiting+l.running == 0 {
 		l.index = len(l.flows.active)
@@ -184,9 +184,9 @@
 // the given time.
 func (l *Flow) Start(expected time.Duration) {
 	f := l.flows
-	f.virtual = max(f.virtual, l.start)
-	l.finish = l.start + expected.Seconds()/l.share()
-	l.start = l.finish
+	f.virtualTime = max(f.virtualTime, l.startTag)
+	l.finishTag = l.startTag + expected.Seconds()/l.effectiveWeight()
+	l.startTag = l.finishTag
 	l.served += expected.Seconds() / demandTime.Seconds()
 	l.waiting--
 	l.running++
@@ -195,49 +195,49 @@
 // Expected returns for how long its next request is expected to hold a slot, given what
 // is expected of those of all organisations.
 func (l *Flow) ExpectedHoldTime(all time.Duration) time.Duration {
-	if l.held == 0 {
+	if l.meanHoldTime == 0 {
 		return all
 	}
-	return time.Duration(l.held * float64(time.Second))
+	return time.Duration(l.meanHoldTime * float64(time.Second))
 }
 
 // End takes in that a request that was expected to hold its slot for some time has
 // held it for another.
 func (l *Flow) End(expected, held time.Duration, now time.Time) {
-	if l.held == 0 {
-		l.held = held.Seconds()
+	if l.meanHoldTime == 0 {
+		l.meanHoldTime = held.Seconds()
 	}
-	l.held += heldGain * (held.Seconds() - l.held)
+	l.meanHoldTime += holdTimeGain * (held.Seconds() - l.meanHoldTime)
 	l.running--
 	l.lastUsed = now
-	more := (held - expected).Seconds() / l.share()
-	l.finish += more
-	l.start += more
+	excess := (held - expected).Seconds() / l.effectiveWeight()
+	l.finishTag += excess
+	l.startTag += excess
 	l.deactivate()
 }
 
 // share returns the weight of the flow. Requests without an organisation may belong to
 // any number of them: together they weigh as much as all organisations.
-func (l *Flow) share() float64 {
-	if l.name != "" || l.flows.weights <= 0 {
+func (l *Flow) effectiveWeight() float64 {
+	if l.name != "" || l.flows.totalWeight <= 0 {
 		return l.weight
 	}
-	return l.flows.weights
+	return l.flows.totalWeight
 }
 
 // Ahead returns the number of waiting requests that start up to and with its last one,
 // given that a request holds a slot for the given time.
-func (l *Flow) QueuePosition(each time.Duration) int {
+func (l *Flow) QueuePosition(holdTime time.Duration) int {
 	n := l.waiting
 	rank := l.rank()
-	last := l.start + float64(l.waiting-1)*each.Seconds()/l.share()
+	lastTag := l.startTag + float64(l.waiting-1)*holdTime.Seconds()/l.effectiveWeight()
 	for _, o := range l.flows.active {
 		switch r := o.rank(); {
 		case o == l || o.waiting == 0 || r > rank:
 		case r < rank:
 			n += o.waiting
-		case o.start <= last:
-			n += min(o.waiting, 1+int((last-o.start)*o.share()/each.Seconds()))
+		case o.startTag <= lastTag:
+			n += min(o.waiting, 1+int((lastTag-o.startTag)*o.effectiveWeight()/holdTime.Seconds()))
 		}
 	}
 	return n
--- a/fair/flows_test.go
+++ b/fair/flows_test.go
@@ -73,16 +73,16 @@
 }
 
 // TestAsk has organisations ask at steady rates, and tells which keep to their parts.
-func TestAsk(t *testing.T) {
+func TestDemand(t *testing.T) {
 	tests := map[string]struct {
-		asks map[string]float64 // slots
-		want map[string]bool
+		demand map[string]float64 // slots
+		want   map[string]bool
 	}{
-		"room for all":         {asks: map[string]float64{"a": 1, "b": 5}, want: map[string]bool{"a": false, "b": false}},
-		"one rushes":           {asks: map[string]float64{"a": 1, "b": 2, "c": 20}, want: map[string]bool{"a": true, "b": true, "c": false}},
-		"alike":                {asks: map[string]float64{"a": 20, "b": 20}, want: map[string]bool{"a": false, "b": false}},
-		"alone":                {asks: map[string]float64{"a": 20}, want: map[string]bool{"a": false}},
-		"without organisation": {asks: map[string]float64{"": 4, "a": 1, "b": 20}, want: map[string]bool{"": true, "a": true, "b": false}},
+		"room for all":         {demand: map[string]float64{"a": 1, "b": 5}, want: map[string]bool{"a": false, "b": false}},
+		"one rushes":           {demand: map[string]float64{"a": 1, "b": 2, "c": 20}, want: map[string]bool{"a": true, "b": true, "c": false}},
+		"alike":                {demand: map[string]float64{"a": 20, "b": 20}, want: map[string]bool{"a": false, "b": false}},
+		"alone":                {demand: map[string]float64{"a": 20}, want: map[string]bool{"a": false}},
+		"without organisation": {demand: map[string]float64{"": 4, "a": 1, "b": 20}, want: map[string]bool{"": true, "a": true, "b": false}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -90,7 +90,7 @@
 			got := make(map[string]bool)
 			for i := range 10000 { // a millisecond each
 				now := began.Add(time.Duration(i) * time.Millisecond)
-				for o, slots := range test.asks {
+				for o, slots := range test.demand {
 					if gap := int(run.Seconds() / slots * 1000); i%gap == 0 {
 						l := f.Flow(o, now)
 						got[o] = l.AddDemand(run, 10, now)
@@ -107,7 +107,7 @@
 
 // TestNobodyStarves has an organisation that is beyond its part get nothing: it counts as
 // within its part then.
-func TestNobodyStarves(t *testing.T) {
+func TestNoStarvation(t *testing.T) {
 	var f fair.Flows
 	var within int
 	for i := range 1000 {
@@ -131,7 +131,7 @@
 
 // TestForgets has ten thousand organisations send a request each, over and over. Those
 // without a request for some seconds are forgotten, however many there are.
-func TestForgets(t *testing.T) {
+func TestRetention(t *testing.T) {
 	var f fair.Flows
 	const perSecond = 200
 	most := 0
@@ -150,7 +150,7 @@
 
 // TestAccounts draws what happens to requests, and checks the counts and that the time
 // that is given out never runs backwards or away.
-func TestAccounts(t *testing.T) {
+func TestFlowProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var f fair.Flows
 		now := began
@@ -186,8 +186,8 @@
 			if l.Waiting() != waiting[name] || f.WaitingOrganisations() != organisations {
 				t.Fatalf("%d wait of %q and %d organisations, want %d and %d", l.Waiting(), name, f.WaitingOrganisations(), waiting[name], organisations)
 			}
-			if ahead := l.QueuePosition(run); waiting[name] > 0 && (ahead < waiting[name] || ahead > all) {
-				t.Fatalf("%d are ahead of the last of %d, of %d", ahead, waiting[name], all)
+			if position := l.QueuePosition(run); waiting[name] > 0 && (position < waiting[name] || position > all) {
+				t.Fatalf("%d are ahead of the last of %d, of %d", position, waiting[name], all)
 			}
 		}
 	})
--- a/fair/level.go
+++ b/fair/level.go
@@ -15,14 +15,14 @@
 	demandTime = 2 * time.Second
 	// spare is the number of requests within that time that an organisation may have beside
 	// its part: so few say nothing of what it asks for.
-	spare = 3
+	burstAllowance = 3
 	// levelEvery is how often the level is found out anew.
-	levelEvery = 100 * time.Millisecond
+	levelInterval = 100 * time.Millisecond
 	// levelSteps is the number of steps in which it is found, each to half of the error.
 	levelSteps = 24
 	// leastServed is how often an organisation is served at least, as a part of how often
 	// all are. It leaves room above the quarter that is promised.
-	leastServed = 1.0 / 3
+	minServedRatio = 1.0 / 3
 )
 
 // Ask takes in a request that would hold a slot for the given time, at a time at which
@@ -38,13 +38,13 @@
 // treated alike. See D. Bertsekas and R. Gallager, Data Networks, 1992, section 6.5.2.
 func (l *Flow) AddDemand(expected time.Duration, slots float64, now time.Time) bool {
 	f := l.flows
-	l.fade(now)
-	l.each = expected.Seconds() / demandTime.Seconds()
-	l.demand += l.each
-	if len(f.list) > 1 && now.Sub(f.levelAt) >= levelEvery {
-		f.findLevel(slots, now)
+	l.decay(now)
+	l.demandPerRequest = expected.Seconds() / demandTime.Seconds()
+	l.demand += l.demandPerRequest
+	if len(f.list) > 1 && now.Sub(f.levelUpdated) >= levelInterval {
+		f.updateLevel(slots, now)
 	}
-	return l.rank() < beyondPart
+	return l.rank() < aboveShare
 }
 
 // rank orders organisations before their tags do.
@@ -55,66 +55,66 @@
 	// of all, that at least one more is due.
 	underserved rank = iota
 	// withinPart is one that keeps to its part while others crowd it out.
-	withinPart
+	withinShare
 	// beyondPart is one that asks for more, and any one where nobody crowds others out.
-	beyondPart
+	aboveShare
 )
 
 // rank returns that of the organisation now.
 func (l *Flow) rank() rank {
 	f := l.flows
 	switch {
-	case !f.crowded || len(f.list) == 1:
-		return beyondPart
-	case leastServed*f.served/f.demand*l.demand-l.served >= l.each:
+	case !f.contended || len(f.list) == 1:
+		return aboveShare
+	case minServedRatio*f.totalServed/f.totalDemand*l.demand-l.served >= l.demandPerRequest:
 		return underserved
-	case l.demand <= l.part(f.level):
-		return withinPart
+	case l.demand <= l.shareAt(f.level):
+		return withinShare
 	}
-	return beyondPart
+	return aboveShare
 }
 
 // fade brings demand and served to the given time.
-func (l *Flow) fade(now time.Time) {
-	left := math.Exp(-float64(now.Sub(l.fadedAt)) / float64(demandTime))
-	l.demand *= left
-	l.served *= left
-	l.fadedAt = now
+func (l *Flow) decay(now time.Time) {
+	factor := math.Exp(-float64(now.Sub(l.decayedAt)) / float64(demandTime))
+	l.demand *= factor
+	l.served *= factor
+	l.decayedAt = now
 }
 
 // part returns the most that the organisation gets at the given level.
-func (l *Flow) part(level float64) float64 {
-	return level*l.share() + spare*l.each
+func (l *Flow) shareAt(level float64) float64 {
+	return level*l.effectiveWeight() + burstAllowance*l.demandPerRequest
 }
 
 // findLevel finds the level at which the slots are used up, if some organisations crowd
 // out others.
-func (f *Flows) findLevel(slots float64, now time.Time) {
-	f.levelAt = now
-	f.demand, f.served = 0, 0
-	var most float64
+func (f *Flows) updateLevel(slots float64, now time.Time) {
+	f.levelUpdated = now
+	f.totalDemand, f.totalServed = 0, 0
+	var maxLevel float64
 	for _, l := range f.list {
-		l.fade(now)
-		f.demand += l.demand
-		f.served += l.served
-		most = max(most, l.demand/l.share())
+		l.decay(now)
+		f.totalDemand += l.demand
+		f.totalServed += l.served
+		maxLevel = max(maxLevel, l.demand/l.effectiveWeight())
 	}
-	f.crowded = f.demand > slots && f.given(0) <= slots
-	if !f.crowded {
+	f.contended = f.totalDemand > slots && f.allocated(0) <= slots
+	if !f.contended {
 		return
 	}
 	f.level = 0
-	for step := most / 2; step > most*math.Pow(2, -levelSteps); step /= 2 {
-		if f.given(f.level+step) <= slots {
+	for step := maxLevel / 2; step > maxLevel*math.Pow(2, -levelSteps); step /= 2 {
+		if f.allocated(f.level+step) <= slots {
 			f.level += step
 		}
 	}
 }
 
 // given returns what all organisations get at the given level.
-func (f *Flows) given(level float64) (sum float64) {
+func (f *Flows) allocated(level float64) (sum float64) {
 	for _, l := range f.list {
-		sum += min(l.demand, l.part(level))
+		sum += min(l.demand, l.shareAt(level))
 	}
 	return sum
 }
