--- a/fair/flows.go
+++ b/fair/flows.go
@@ -7,53 +7,52 @@
 import "time"
 
 const (
-	// heldGain is the weight of one request in the mean time for which those of its
+	// holdTimeGain is the weight of one request in the mean time for which the requests of an
 	// organisation hold a slot.
 	holdTimeGain = 0.1
-	// rememberFor is how long an organisation is remembered after its last request. What it
-	// has used before that does not count any more when it comes back.
+	// flowRetention is how long an organisation is remembered after its last request. Its
+	// usage before that does not count when it sends requests again.
 	flowRetention = 5 * time.Second
 )
 
-// Flows are the organisations whose requests share slots. The zero value is ready for
-// use. It is not safe for use by several goroutines at once.
+// Flows are the organisations whose requests share slots. The zero value is ready for use. It is
+// not safe for concurrent use.
 type Flows struct {
-	// Weight, if not nil, returns the weight of an organisation, which is positive.
-	// Without it all have the same.
+	// Weight, if not nil, returns the weight of an organisation, which is positive. Without it
+	// all organisations have the same weight.
 	Weight func(organisation string) float64
 
 	list         map[string]*Flow // by organisation
 	active       []*Flow          // those with requests that wait or run
-	virtualTime  float64          // start tag of the flow that had the last turn
-	contended    bool             // whether some organisations crowd out others
-	level        float64          // slots for each unit of weight then
-	levelUpdated time.Time        // when the level was found out
-	totalDemand  float64          // sum over all flows at levelAt
-	totalServed  float64          // sum over all flows at levelAt
-	totalWeight  float64          // sum of the weights of all flows but that without a name
-	lastSweep    time.Time        // when flows were last forgotten
+	virtualTime  float64          // largest start tag of the requests started so far
+	contended    bool             // whether some organisations ask for so much that others get less
+	level        float64          // slots per unit of weight, if contended
+	levelUpdated time.Time        // when the level was computed
+	totalDemand  float64          // sum over all flows at levelUpdated
+	totalServed  float64          // sum over all flows at levelUpdated
+	totalWeight  float64          // sum of the weights of all flows with a name
+	lastSweep    time.Time        // when unused flows were last removed
 }
 
-// Flow is one organisation, or all requests that have none.
+// Flow is one organisation, or the requests that have none.
 type Flow struct {
 	flows            *Flows
 	name             string
 	weight           float64
-	startTag         float64 // start tag of its first waiting request
-	finishTag        float64 // finish tag of the request that started last
+	startTag         float64 // of its first waiting request
+	finishTag        float64 // of the request that started last
 	waiting          int
 	running          int
-	index            int       // among the active ones
-	meanHoldTime     float64   // mean time for which its requests hold a slot in seconds, 0 if not known
-	demand           float64   // slots that its requests would hold, mean of the last seconds
-	served           float64   // the part of demand whose requests have started
+	index            int       // in Flows.active
+	meanHoldTime     float64   // mean time for which its requests hold a slot, in seconds, 0 if unknown
+	demand           float64   // slots that its requests would hold, averaged over the last seconds
+	served           float64   // the same for the requests that have started
 	demandPerRequest float64   // slots that one request adds to demand
-	decayedAt        time.Time // when demand and served were last brought up to date
-	lastUsed         time.Time // when it last came, or one of its requests ended
+	decayedAt        time.Time // when demand and served were last updated
+	lastUsed         time.Time // when its last request arrived or ended
 }
 
-// Flow returns the flow of an organisation. The empty name stands for requests that
-// have none.
+// Flow returns the flow of an organisation. The empty name stands for requests that have none.
 func (f *Flows) Flow(organisation string, now time.Time) *Flow {
 	f.sweep(now)
 	l := f.list[organisation]
@@ -75,7 +74,7 @@
 	return l
 }
 
-// Reweigh takes in that weights may have changed.
+// UpdateWeights reads the weights of all organisations again.
 func (f *Flows) UpdateWeights() {
 	f.totalWeight = 0
 	for name, l := range f.list {
@@ -86,7 +85,7 @@
 	}
 }
 
-// weightOf returns the present weight of an organisation.
+// weightOf returns the current weight of an organisation.
 func (f *Flows) weightOf(organisation string) float64 {
 	if f.Weight == nil || organisation == "" {
 		return 1
@@ -94,7 +93,8 @@
 	return f.Weight(organisation)
 }
 
-// sweep forgets the flows that have not been used for long, now and then.
+// sweep removes the flows that have not been used for flowRetention. It does so at most once in
+// that time.
 func (f *Flows) sweep(now time.Time) {
 	if now.Sub(f.lastSweep) < flowRetention {
 		return
@@ -110,14 +110,14 @@
 		}
 	}
 	if len(f.list) == 0 {
-		f.totalWeight = 0 // without what rounding left
+		f.totalWeight = 0 // discard rounding errors
 	}
 }
 
-// Len returns the number of flows that are remembered.
+// Len returns the number of flows that are stored.
 func (f *Flows) Len() int { return len(f.list) }
 
-// Waiting returns the number of organisations with waiting requests.
+// WaitingOrganisations returns the number of organisations with waiting requests.
 func (f *Flows) WaitingOrganisations() int {
 	var n int
 	for _, l := range f.active {
@@ -128,20 +128,21 @@
 	return n
 }
 
-// Restart forgets for how long requests have held slots, as the upstream has started anew.
+// ResetHoldTimes discards the mean times for which requests hold slots, after a restart of the
+// upstream.
 func (f *Flows) ResetHoldTimes() {
 	for _, l := range f.list {
 		l.meanHoldTime = 0
 	}
 }
 
-// Name returns the name of the organisation, or nothing.
+// Name returns the name of the organisation, or the empty string.
 func (l *Flow) Name() string { return l.name }
 
-// Waiting returns the number of its requests that wait.
+// Waiting returns the number of waiting requests.
 func (l *Flow) Waiting() int { return l.waiting }
 
-// Before returns whether its turn comes before that of o.
+// Before returns whether the next request of l starts before that of o.
 func (l *Flow) Before(o *Flow) bool {
 	if a, b := l.rank(), o.rank(); a != b {
 		return a < b
@@ -149,7 +150,7 @@
 	return l.startTag < o.startTag
 }
 
-// Wait takes in that a request waits.
+// Enqueue records that a request starts to wait.
 func (l *Flow) Enqueue() {
 	if l.waiting == 0 {
 		l.startTag = max(l.flows.virtualTime, l.finishTag)
@@ -161,13 +162,13 @@
 	l.waiting++
 }
 
-// Leave takes in that a request waits no more and has not run.
+// Cancel records that a waiting request has been removed without running.
 func (l *Flow) Cancel() {
 	l.waiting--
 	l.deactivate()
 }
 
-// deactivate takes the flow off the active ones if none of its requests waits or runs.
+// deactivate removes the flow from the active ones if none of its requests waits or runs.
 func (l *Flow) deactivate() {
 	if l.waiting+l.running > 0 {
 		return
@@ -180,8 +181,8 @@
 	f.active = f.active[:last]
 }
 
-// Start takes in that a waiting request starts, which is expected to hold a slot for
-// the given time.
+// Start records that a waiting request starts, which is expected to hold a slot for the given
+// time.
 func (l *Flow) Start(expected time.Duration) {
 	f := l.flows
 	f.virtualTime = max(f.virtualTime, l.startTag)
@@ -192,8 +193,8 @@
 	l.running++
 }
 
-// Expected returns for how long its next request is expected to hold a slot, given what
-// is expected of those of all organisations.
+// ExpectedHoldTime returns for how long the next request is expected to hold a slot, given the
+// expected time over all organisations.
 func (l *Flow) ExpectedHoldTime(all time.Duration) time.Duration {
 	if l.meanHoldTime == 0 {
 		return all
@@ -201,8 +202,8 @@
 	return time.Duration(l.meanHoldTime * float64(time.Second))
 }
 
-// End takes in that a request that was expected to hold its slot for some time has
-// held it for another.
+// End records the end of a request, with the time for which it was expected to hold its slot
+// and the time for which it did.
 func (l *Flow) End(expected, held time.Duration, now time.Time) {
 	if l.meanHoldTime == 0 {
 		l.meanHoldTime = held.Seconds()
@@ -216,8 +217,8 @@
 	l.deactivate()
 }
 
-// share returns the weight of the flow. Requests without an organisation may belong to
-// any number of them: together they weigh as much as all organisations.
+// effectiveWeight returns the weight of the flow. Requests without an organisation may belong to
+// any number of organisations: together they weigh as much as all organisations.
 func (l *Flow) effectiveWeight() float64 {
 	if l.name != "" || l.flows.totalWeight <= 0 {
 		return l.weight
@@ -225,8 +226,8 @@
 	return l.flows.totalWeight
 }
 
-// Ahead returns the number of waiting requests that start up to and with its last one,
-// given that a request holds a slot for the given time.
+// QueuePosition returns the number of waiting requests of all flows that start up to and including
+// the last waiting request of l, if each request holds a slot for the given time.
 func (l *Flow) QueuePosition(holdTime time.Duration) int {
 	n := l.waiting
 	rank := l.rank()
--- a/fair/flows_test.go
+++ b/fair/flows_test.go
@@ -18,10 +18,10 @@
 
 const run = 100 * time.Millisecond
 
-// began is when the tests begin. What the package does depends on differences only.
+// began is the time at which the tests start. The package only uses time differences.
 var began = time.Unix(1, 0)
 
-// serve has one slot serve the flows, which always have a request waiting, for so many
+// serve has one slot serve the flows, which always have a request waiting, for the given number of
 // turns, and returns for how long each has held it.
 func serve(flows map[string]*fair.Flow, held map[string]time.Duration, turns int) map[string]time.Duration {
 	got := make(map[string]time.Duration)
@@ -46,14 +46,14 @@
 	return got
 }
 
-// TestTurns has organisations that always want more share the time of a slot by their
-// weights, whatever their run times.
+// TestTurns checks that organisations that always have requests waiting share the time of a slot by
+// their weights, whatever their run times.
 func TestTurns(t *testing.T) {
 	tests := map[string]struct {
 		weights map[string]float64
 		held    map[string]time.Duration
 	}{
-		"alike":       {weights: map[string]float64{"a": 1, "b": 1}, held: map[string]time.Duration{"a": run, "b": run}},
+		"equal":       {weights: map[string]float64{"a": 1, "b": 1}, held: map[string]time.Duration{"a": run, "b": run}},
 		"long runs":   {weights: map[string]float64{"a": 1, "b": 1}, held: map[string]time.Duration{"a": 10 * run, "b": run}},
 		"four to one": {weights: map[string]float64{"a": 4, "b": 1}, held: map[string]time.Duration{"a": run, "b": run}},
 	}
@@ -72,15 +72,16 @@
 	}
 }
 
-// TestAsk has organisations ask at steady rates, and tells which keep to their parts.
+// TestDemand has organisations send requests at steady rates and checks which are within their fair
+// shares.
 func TestDemand(t *testing.T) {
 	tests := map[string]struct {
 		demand map[string]float64 // slots
 		want   map[string]bool
 	}{
-		"room for all":         {demand: map[string]float64{"a": 1, "b": 5}, want: map[string]bool{"a": false, "b": false}},
-		"one rushes":           {demand: map[string]float64{"a": 1, "b": 2, "c": 20}, want: map[string]bool{"a": true, "b": true, "c": false}},
-		"alike":                {demand: map[string]float64{"a": 20, "b": 20}, want: map[string]bool{"a": false, "b": false}},
+		"enough for all":       {demand: map[string]float64{"a": 1, "b": 5}, want: map[string]bool{"a": false, "b": false}},
+		"one overloads":        {demand: map[string]float64{"a": 1, "b": 2, "c": 20}, want: map[string]bool{"a": true, "b": true, "c": false}},
+		"equal":                {demand: map[string]float64{"a": 20, "b": 20}, want: map[string]bool{"a": false, "b": false}},
 		"alone":                {demand: map[string]float64{"a": 20}, want: map[string]bool{"a": false}},
 		"without organisation": {demand: map[string]float64{"": 4, "a": 1, "b": 20}, want: map[string]bool{"": true, "a": true, "b": false}},
 	}
@@ -88,7 +89,7 @@
 		t.Run(name, func(t *testing.T) {
 			var f fair.Flows
 			got := make(map[string]bool)
-			for i := range 10000 { // a millisecond each
+			for i := range 10000 { // one millisecond each
 				now := began.Add(time.Duration(i) * time.Millisecond)
 				for o, slots := range test.demand {
 					if gap := int(run.Seconds() / slots * 1000); i%gap == 0 {
@@ -105,8 +106,8 @@
 	}
 }
 
-// TestNobodyStarves has an organisation that is beyond its part get nothing: it counts as
-// within its part then.
+// TestNoStarvation guards against starving an organisation that is above its fair share: if it gets
+// nothing, it counts as within its share.
 func TestNoStarvation(t *testing.T) {
 	var f fair.Flows
 	var within int
@@ -129,8 +130,8 @@
 	qt.Check(t, within > 3000, qt.IsTrue, qt.Commentf("%d", within))
 }
 
-// TestForgets has ten thousand organisations send a request each, over and over. Those
-// without a request for some seconds are forgotten, however many there are.
+// TestRetention has ten thousand organisations send a request each, over and over. Those without a
+// request for some seconds are removed, however many there are.
 func TestRetention(t *testing.T) {
 	var f fair.Flows
 	const perSecond = 200
@@ -148,8 +149,8 @@
 	qt.Check(t, f.WaitingOrganisations(), qt.Equals, 0)
 }
 
-// TestAccounts draws what happens to requests, and checks the counts and that the time
-// that is given out never runs backwards or away.
+// TestFlowProperties applies random operations to flows and checks the counts and the queue
+// positions.
 func TestFlowProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var f fair.Flows
@@ -187,14 +188,14 @@
 				t.Fatalf("%d wait of %q and %d organisations, want %d and %d", l.Waiting(), name, f.WaitingOrganisations(), waiting[name], organisations)
 			}
 			if position := l.QueuePosition(run); waiting[name] > 0 && (position < waiting[name] || position > all) {
-				t.Fatalf("%d are ahead of the last of %d, of %d", position, waiting[name], all)
+				t.Fatalf("queue position %d of the last of %d waiting requests, of %d", position, waiting[name], all)
 			}
 		}
 	})
 }
 
-// BenchmarkRequest is what the parts cost a request, at a gate that a thousand
-// organisations have used lately.
+// BenchmarkRequest measures the cost of a request at a gate that a number of organisations have
+// used recently.
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{1, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -216,7 +217,7 @@
 	}
 }
 
-// BenchmarkNewFlow is what an organisation costs that comes anew.
+// BenchmarkNewFlow measures the cost of a request of a new organisation.
 func BenchmarkNewFlow(b *testing.B) {
 	names := make([]string, 10000)
 	for i := range names {
@@ -232,8 +233,8 @@
 	}
 }
 
-// TestWeightChanges has an organisation that is always busy get another weight: its part of
-// the turns follows.
+// TestWeightChanges changes the weight of an organisation that is always busy: its share of the
+// turns follows.
 func TestWeightChanges(t *testing.T) {
 	weights := map[string]float64{"a": 1, "b": 1}
 	f := &fair.Flows{Weight: func(organisation string) float64 { return weights[organisation] }}
--- a/fair/level.go
+++ b/fair/level.go
@@ -10,31 +10,31 @@
 )
 
 const (
-	// demandTime is the time constant of the mean demand of an organisation: some requests
-	// of a small one come in it, and a rush lasts longer.
+	// demandTime is the time constant of the mean demand of an organisation. A small one sends
+	// several requests within it, and an overload lasts longer.
 	demandTime = 2 * time.Second
-	// spare is the number of requests within that time that an organisation may have beside
-	// its part: so few say nothing of what it asks for.
+	// burstAllowance is the number of requests within demandTime that an organisation may send
+	// beyond its fair share: so few do not show what its demand is.
 	burstAllowance = 3
-	// levelEvery is how often the level is found out anew.
+	// levelInterval is the minimum time between two computations of the level.
 	levelInterval = 100 * time.Millisecond
-	// levelSteps is the number of steps in which it is found, each to half of the error.
+	// levelSteps is the number of bisection steps in which the level is computed.
 	levelSteps = 24
-	// leastServed is how often an organisation is served at least, as a part of how often
-	// all are. It leaves room above the quarter that is promised.
+	// minServedRatio is the minimum ratio at which the requests of an organisation are served,
+	// relative to those of all. It leaves a margin above the guaranteed quarter.
 	minServedRatio = 1.0 / 3
 )
 
-// Ask takes in a request that would hold a slot for the given time, at a time at which
-// there are so many slots. It returns whether the slots run short by what other
-// organisations ask for, while this one keeps to its part: it asks for no more than it
-// would get if each had what it asks for, but at most the same as the others for its
-// weight. The parts P_i of the slots S by demands d_i and weights w_i are max-min fair,
+// AddDemand records a request that is expected to hold a slot for the given time, while there is
+// the given number of slots. It returns whether other organisations ask for more than the slots can
+// serve while this one is within its fair share: it asks for no more than it would get if each
+// organisation got what it asks for, but at most the same as the others relative to its weight. The
+// shares P_i of the slots S for demands d_i and weights w_i are max-min fair,
 //
-//	P_i = min(d_i, w_i L + spare requests), with L such that the sum of all P_i is S,
+//	P_i = min(d_i, w_i L + burst allowance), with L such that the sum of all P_i is S,
 //
-// so that what an organisation doesn't use of its part goes to the others. Where the slots
-// are too few for the spare requests alone, no organisation is the cause, and all are
+// so that the unused part of an organisation's share is divided among the others. If the slots are
+// too few for the burst allowances alone, no organisation is the cause of the overload, and all are
 // treated alike. See D. Bertsekas and R. Gallager, Data Networks, 1992, section 6.5.2.
 func (l *Flow) AddDemand(expected time.Duration, slots float64, now time.Time) bool {
 	f := l.flows
@@ -47,20 +47,20 @@
 	return l.rank() < aboveShare
 }
 
-// rank orders organisations before their tags do.
+// rank orders organisations before their tags do. A lower rank is served first.
 type rank int
 
 const (
-	// underserved is an organisation of whose requests so few have been served, beside those
-	// of all, that at least one more is due.
+	// underserved is the rank of an organisation whose served requests, relative to those of
+	// all, are too few by at least one.
 	underserved rank = iota
-	// withinPart is one that keeps to its part while others crowd it out.
+	// withinShare is the rank of one within its fair share while others overload the slots.
 	withinShare
-	// beyondPart is one that asks for more, and any one where nobody crowds others out.
+	// aboveShare is the rank of one above it, and of every one if there is no such overload.
 	aboveShare
 )
 
-// rank returns that of the organisation now.
+// rank returns the current rank of the organisation.
 func (l *Flow) rank() rank {
 	f := l.flows
 	switch {
@@ -74,7 +74,7 @@
 	return aboveShare
 }
 
-// fade brings demand and served to the given time.
+// decay brings demand and served to the given time.
 func (l *Flow) decay(now time.Time) {
 	factor := math.Exp(-float64(now.Sub(l.decayedAt)) / float64(demandTime))
 	l.demand *= factor
@@ -82,13 +82,13 @@
 	l.decayedAt = now
 }
 
-// part returns the most that the organisation gets at the given level.
+// shareAt returns the largest share that the organisation gets at the given level.
 func (l *Flow) shareAt(level float64) float64 {
 	return level*l.effectiveWeight() + burstAllowance*l.demandPerRequest
 }
 
-// findLevel finds the level at which the slots are used up, if some organisations crowd
-// out others.
+// updateLevel computes the level at which all slots are used, if some organisations ask for so
+// much that others get less.
 func (f *Flows) updateLevel(slots float64, now time.Time) {
 	f.levelUpdated = now
 	f.totalDemand, f.totalServed = 0, 0
@@ -111,7 +111,7 @@
 	}
 }
 
-// given returns what all organisations get at the given level.
+// allocated returns the sum of what all organisations get at the given level.
 func (f *Flows) allocated(level float64) (sum float64) {
 	for _, l := range f.list {
 		sum += min(l.demand, l.shareAt(level))
