--- a/admit/abandon_test.go
+++ b/admit/abandon_test.go
@@ -17,27 +17,26 @@
 	"sassafrasfront.example/admit"
 )
 
-// TestAbandonedLoads has callers that send their requests to two upstreams and abandon the
-// slower sending, all at the same moments, so that new requests come while the upstream may
-// still run the abandoned ones.
+// TestAbandonedRequests has clients abandon some of their requests, so that new ones arrive while
+// the upstream may still run the abandoned ones.
 //
-// An upstream that finishes abandoned requests must not be overfilled by them for longer
-// than it takes to learn so, and one that drops them must not lose any of its slots.
-func TestAbandonedLoads(t *testing.T) {
+// It guards against overfilling an upstream that completes abandoned requests for longer than it
+// takes to detect this, and against losing slots of one that drops them.
+func TestAbandonedRequests(t *testing.T) {
 	const (
-		slots = 8
-		work  = 20 * time.Millisecond
-		turns = 500
+		slots  = 8
+		work   = 20 * time.Millisecond
+		rounds = 500
 	)
 	tests := map[string]struct {
-		finishes    bool
-		abandoned   int // in each turn
+		completes   bool
+		abandoned   int // in each round
 		wantRefused int // by the upstream, at most
 		wantWaited  int // at the gate, at most
 	}{
-		"dropped":                {abandoned: 4},
-		"finished":               {finishes: true, abandoned: 4, wantRefused: 2 * slots, wantWaited: turns * slots},
-		"finished, none is left": {finishes: true},
+		"dropped":                  {abandoned: 4},
+		"finished":                 {completes: true, abandoned: 4, wantRefused: 2 * slots, wantWaited: rounds * slots},
+		"finished, none abandoned": {completes: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -83,7 +82,7 @@
 						return
 					}
 					time.Sleep(work / 4)
-					if test.finishes {
+					if test.completes {
 						time.AfterFunc(work-work/4, end)
 					} else {
 						end()
@@ -92,7 +91,7 @@
 				}
 				random := rand.New(rand.NewPCG(1, 1))
 				var all sync.WaitGroup
-				for range turns {
+				for range rounds {
 					for range test.abandoned {
 						all.Go(func() { send(true) })
 					}
--- a/admit/cold_test.go
+++ b/admit/cold_test.go
@@ -17,31 +17,31 @@
 	"sassafrasfront.example/verdict"
 )
 
-// The load of the tests of cold upstreams: 13 slots of which ten are used, runs of 60 ms to
-// 330 ms that take twice as long while cold, 15 requests a second borne then, and 22 let
-// through. Warm, such an upstream gets some 28 a second, and half as many again in a burst.
+// The load in the tests of cold upstreams: 13 slots of which ten are used, run times of 60 ms to
+// 330 ms that double while the upstream is cold, and a capacity of 15 requests a second then, with
+// 22 a second allowed. A warm upstream gets about 28 a second, and half as many again in a burst.
 const (
-	coldSlots = 10
-	coldPace  = 22
-	coldLasts = 3 * time.Second
+	coldSlots    = 10
+	coldRate     = 22
+	coldDuration = 3 * time.Second
 )
 
-// coldLoad is what became of the requests of a load on one upstream.
+// coldLoad is a load on one upstream and its results.
 type coldLoad struct {
 	gate *admit.Gate
 	run  time.Duration // of each, warm
 
-	mu               sync.Mutex
-	cold             bool
-	starts           []time.Time
-	served, refused  int
-	longestRefusal   time.Duration // between its coming and its refusal
-	shortestComeBack time.Duration
+	mu                 sync.Mutex
+	cold               bool
+	starts             []time.Time
+	served, refused    int
+	longestRefusal     time.Duration // time from arrival to refusal
+	shortestRetryAfter time.Duration
 }
 
-// turn turns the upstream cold.
-func (l *coldLoad) turn() {
-	l.gate.ColdLimiter.SetRemaining(coldLasts)
+// turnCold makes the upstream cold.
+func (l *coldLoad) turnCold() {
+	l.gate.ColdLimiter.SetRemaining(coldDuration)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cold = true
@@ -58,8 +58,8 @@
 	return l.run
 }
 
-// ended records the end of a request, or why it was refused.
-func (l *coldLoad) ended(came time.Time, err *verdict.Error) {
+// ended records the end of a request, or its refusal.
+func (l *coldLoad) ended(arrived time.Time, err *verdict.Error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err == nil {
@@ -67,52 +67,52 @@
 		return
 	}
 	l.refused++
-	l.longestRefusal = max(l.longestRefusal, time.Since(came))
-	l.shortestComeBack = min(l.shortestComeBack, err.RetryAfter)
+	l.longestRefusal = max(l.longestRefusal, time.Since(arrived))
+	l.shortestRetryAfter = min(l.shortestRetryAfter, err.RetryAfter)
 }
 
-// newColdLoad returns a load on an upstream that has run for a while.
+// newColdLoad returns a load on an upstream that has been running for a while.
 func newColdLoad(run time.Duration) *coldLoad {
 	g := new(admit.Gate)
 	g.SetLimits(admit.Limits{Slots: coldSlots, QueueLength: 16, QueueWait: 60 * time.Millisecond})
-	g.ColdLimiter.SetLimit(coldPace)
+	g.ColdLimiter.SetLimit(coldRate)
 	time.Sleep(2 * time.Second)
-	return &coldLoad{gate: g, run: run, shortestComeBack: time.Hour}
+	return &coldLoad{gate: g, run: run, shortestRetryAfter: time.Hour}
 }
 
-// send sends a request with the given time left.
-func (l *coldLoad) send(left time.Duration) {
-	came := time.Now()
-	t := l.gate.Enter("", came.Add(left))
+// send sends a request whose deadline is the given time away.
+func (l *coldLoad) send(remaining time.Duration) {
+	arrived := time.Now()
+	t := l.gate.Enter("", arrived.Add(remaining))
 	err := t.Wait(context.Background())
 	if err == nil {
 		time.Sleep(l.started())
 		t.Release(true)
 	}
-	l.ended(came, err)
+	l.ended(arrived, err)
 }
 
-// play sends so many a second for a time, evenly.
+// play sends requests at a constant rate for the given time.
 func (l *coldLoad) play(perSecond int, d time.Duration) {
 	for began := time.Now(); time.Since(began) < d; time.Sleep(time.Second / time.Duration(perSecond)) {
 		go l.send(800 * time.Millisecond)
 	}
 }
 
-// whileCold returns the starts while the upstream was cold, from the given time on.
+// whileCold returns the starts while the upstream was cold, beginning at the given time.
 func (l *coldLoad) whileCold(from time.Time) (in []time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, at := range l.starts {
-		if !at.Before(from) && at.Sub(from) < coldLasts {
+		if !at.Before(from) && at.Sub(from) < coldDuration {
 			in = append(in, at)
 		}
 	}
 	return in
 }
 
-// most returns the most starts in any second of that time.
-func (l *coldLoad) most(from time.Time) (most int) {
+// maxPerSecond returns the largest number of starts in any second of that time.
+func (l *coldLoad) maxPerSecond(from time.Time) (most int) {
 	in := l.whileCold(from)
 	for i, first := range in {
 		n := 0
@@ -126,11 +126,11 @@
 	return most
 }
 
-// TestUpstreamTurnsCold has an upstream turn cold under load, as after an evacuation or
-// when it loses its caches: the requests of the last second count, and no second from then
-// on has more than it bears. What it can't take is refused within the time that requests
-// wait there, with a time to come back, and it serves as many as it bears.
-func TestUpstreamTurnsCold(t *testing.T) {
+// TestUpstreamBecomesCold makes an upstream cold under load, as after an evacuation or when it
+// loses its caches. The requests of the last second count, and no second from then on has more
+// than the limit. Excess requests are refused within the time that requests wait there, with a
+// retry delay, and the upstream serves as many as it can.
+func TestUpstreamBecomesCold(t *testing.T) {
 	tests := map[string]struct {
 		run       time.Duration
 		perSecond int
@@ -144,25 +144,25 @@
 			synctest.Test(t, func(t *testing.T) {
 				l := newColdLoad(test.run)
 				l.play(test.perSecond, 2*time.Second)
-				l.turn()
-				turned := time.Now()
-				l.play(test.perSecond, coldLasts-time.Millisecond)
+				l.turnCold()
+				becameCold := time.Now()
+				l.play(test.perSecond, coldDuration-time.Millisecond)
 				time.Sleep(5 * time.Second)
-				during := len(l.whileCold(turned))
-				t.Logf("%d started while cold, %d refused, longest refusal %v, shortest time to come back %v", during, l.refused, l.longestRefusal, l.shortestComeBack)
-				qt.Check(t, l.most(turned) <= coldPace, qt.IsTrue, qt.Commentf("%d", l.most(turned)))
-				qt.Check(t, during >= 15*3, qt.IsTrue, qt.Commentf("%d: it bears 15 a second", during))
+				during := len(l.whileCold(becameCold))
+				t.Logf("%d started while cold, %d refused, longest refusal %v, shortest retry delay %v", during, l.refused, l.longestRefusal, l.shortestRetryAfter)
+				qt.Check(t, l.maxPerSecond(becameCold) <= coldRate, qt.IsTrue, qt.Commentf("%d", l.maxPerSecond(becameCold)))
+				qt.Check(t, during >= 15*3, qt.IsTrue, qt.Commentf("%d: it can serve 15 a second", during))
 				qt.Check(t, l.longestRefusal <= 60*time.Millisecond, qt.IsTrue)
-				qt.Check(t, l.refused == 0 || l.shortestComeBack > 0, qt.IsTrue)
+				qt.Check(t, l.refused == 0 || l.shortestRetryAfter > 0, qt.IsTrue)
 			})
 		})
 	}
 }
 
-// TestZoneComesBackCold has the upstreams of a zone come back together, each cold and with
-// nothing behind it, while all that the service gets is offered to them at once: each of
-// them is filled at the pace that it bears, from its first second on.
-func TestZoneComesBackCold(t *testing.T) {
+// TestZoneRecoversCold makes the upstreams of a zone recover at the same time, each cold and with
+// no earlier requests, while the full load of the service is offered to them: each of them is
+// filled at the rate that it can serve, from its first second on.
+func TestZoneRecoversCold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var zone []*coldLoad
 		for range 20 {
@@ -170,16 +170,16 @@
 		}
 		for _, l := range zone {
 			l.gate.ColdLimiter.Reset()
-			l.turn()
+			l.turnCold()
 		}
-		back := time.Now()
+		recovered := time.Now()
 		for i := range 2999 { // until they are warm
 			go zone[i%len(zone)].send(800 * time.Millisecond)
 			time.Sleep(time.Millisecond)
 		}
 		time.Sleep(5 * time.Second)
 		for _, l := range zone {
-			qt.Check(t, l.most(back) <= coldPace, qt.IsTrue, qt.Commentf("%d", l.most(back)))
+			qt.Check(t, l.maxPerSecond(recovered) <= coldRate, qt.IsTrue, qt.Commentf("%d", l.maxPerSecond(recovered)))
 			qt.Check(t, l.served >= 15*3, qt.IsTrue, qt.Commentf("%d", l.served))
 		}
 	})
--- a/admit/gate.go
+++ b/admit/gate.go
@@ -13,41 +13,41 @@
 	"sassafrasfront.example/verdict"
 )
 
-// Gate admits requests to one upstream. The zero value refuses everything
-// until Set is called. Its methods may be called from any goroutine.
+// Gate admits requests to one upstream. The zero value refuses all requests until SetLimits is
+// called. Its methods may be called from any goroutine.
 type Gate struct {
-	// Pace bounds the requests that start while the upstream is cold.
+	// ColdLimiter limits the rate of requests while the upstream is cold.
 	ColdLimiter coldstart.Limiter
-	// Named bounds those that start while the upstream names a limit.
+	// AdvertisedLimiter limits the rate of requests while the upstream advertises a limit.
 	AdvertisedLimiter throttle.Limiter
 
-	mu       sync.Mutex
-	woken    *time.Timer // dispatches again when a bound lets a request start
-	limits   Limits
-	limiter  limiter
-	classes  []*classQueue
-	byName   map[string]*classQueue
-	virtual  float64
-	running  int
-	waiting  int
-	expected int           // requests that wait for their bodies, and not for a slot yet
-	startSum time.Duration // sum of the start times of running requests, since epoch
-	epoch    time.Time
-	draining bool
-	idle     chan struct{}
-	slowdown float64       // as last told by the upstream, 0 if never
-	observed time.Time     // when it was told last
-	pace     pace          // the slowdown beside the spells
-	spells   spells        // of a slowdown by slowRatio times the pace or more
-	freeing  float64       // expected rate at which running requests end, per second
-	failing  DecayingRatio // of the requests that ran
+	mu            sync.Mutex
+	dispatchTimer *time.Timer // calls dispatch again when a limit lets a request start
+	limits        Limits
+	limiter       limiter
+	classes       []*classQueue
+	byName        map[string]*classQueue
+	virtualTime   float64
+	running       int
+	waiting       int
+	pendingBodies int           // number of requests that wait for their bodies, and not for a slot yet
+	startTimeSum  time.Duration // sum over running requests of their start times since epoch
+	epoch         time.Time
+	draining      bool
+	idle          chan struct{}
+	slowdown      float64         // as last reported by the upstream, 0 if never
+	slowdownAt    time.Time       // when it was last reported
+	minSlowdown   slowdownMinimum // over the last second
+	slowPeriods   slowPeriods     // in which the slowdown is at least slowRatio times its minimum
+	releaseRate   float64         // expected rate at which running requests end, in 1/s
+	failureRatio  DecayingRatio   // of recent requests
 
-	abandoned abandoned
-	displaced uint64 // requests that gave way to another organisation's
+	abandoned abandonedRequests
+	displaced uint64 // requests refused in favour of another organisation's
 }
 
-// Set replaces the limits. Requests that run or wait keep their places, also
-// when there are now more of them than the limits allow.
+// SetLimits replaces the limits. Running and waiting requests keep their places, even if there
+// are now more of them than the limits allow.
 func (g *Gate) SetLimits(l Limits) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -65,29 +65,28 @@
 	g.dispatch(now)
 }
 
-// Restart tells the gate that its upstream has just started, cold. What was learnt
-// of the start before says nothing of this one: its speed and the lengths of its
-// slow spells, its run times and its failures are forgotten. Requests that run or
-// wait keep their places.
+// Restart records that the upstream has been restarted and is cold. The state learnt from the
+// former start does not apply any more: its speed, the lengths of its slow periods, its run
+// times and its failures are discarded. Running and waiting requests keep their places.
 func (g *Gate) Restart() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
 	g.limiter.restart(g.limits.Slots, now)
 	g.slowdown = 0
-	g.observed = time.Time{}
-	g.pace = pace{}
-	g.spells = spells{}
-	g.failing = DecayingRatio{}
+	g.slowdownAt = time.Time{}
+	g.minSlowdown = slowdownMinimum{}
+	g.slowPeriods = slowPeriods{}
+	g.failureRatio = DecayingRatio{}
 	for _, q := range g.classes {
-		q.run = 0
+		q.meanRun = 0
 		q.flows.ResetHoldTimes()
 	}
 	g.dispatch(now)
 }
 
-// Drain refuses all new requests and those that wait. Running requests go on.
-// The returned channel is closed once none runs.
+// Drain refuses all new and all waiting requests. Running requests continue. The returned
+// channel is closed once none runs.
 func (g *Gate) Drain() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -102,7 +101,7 @@
 	return g.idle
 }
 
-// Resume takes requests again after a Drain.
+// Resume accepts requests again after a Drain.
 func (g *Gate) Resume() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -112,64 +111,62 @@
 	}
 }
 
-// Ran takes in whether the upstream failed a request that it was sent.
+// RecordResult records whether the upstream failed a request that was sent to it.
 func (g *Gate) RecordResult(failed bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.failing.Add(failed, time.Now())
+	g.failureRatio.Add(failed, time.Now())
 }
 
-// Observe takes in how many times longer than usual work takes at the upstream
-// now.
+// ObserveSlowdown records how many times longer than usual the upstream takes at present.
 func (g *Gate) ObserveSlowdown(slowdown float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
 	g.slowdown = slowdown
-	g.observed = now
-	g.pace.observe(slowdown, now)
-	g.spells.observe(slowdown >= slowRatio*g.pace.value(now), now)
+	g.slowdownAt = now
+	g.minSlowdown.observe(slowdown, now)
+	g.slowPeriods.observe(slowdown >= slowRatio*g.minSlowdown.value(now), now)
 	g.observeQueues(now)
 	g.dispatch(now)
 }
 
-// slowRatio is how many times its pace an upstream is slowed down from which a
-// request is better sent elsewhere, or held.
+// slowRatio is the ratio of the slowdown to its recent minimum from which the upstream counts
+// as slow: a request should then be sent elsewhere, or held.
 const slowRatio = 2.0
 
-// Observed returns how long ago the upstream told its speed last.
+// SlowdownAge returns how long ago the upstream last reported its speed.
 func (g *Gate) SlowdownAge() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return time.Since(g.observed)
+	return time.Since(g.slowdownAt)
 }
 
-// JustSlowed returns whether the upstream has been found to be slowed down
-// within the given time, so that senders may not know it yet.
+// SlowedWithin returns whether the present slow period began within the given time, so that
+// senders may not know about it yet.
 func (g *Gate) SlowedWithin(within time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	age, slow := g.spells.age(time.Now())
+	age, slow := g.slowPeriods.age(time.Now())
 	return slow && age < within
 }
 
-// slow returns the last known slowdown.
-func (g *Gate) slow() float64 {
+// currentSlowdown returns the last known slowdown.
+func (g *Gate) currentSlowdown() float64 {
 	if g.slowdown <= 0 {
 		return 1
 	}
 	return g.slowdown
 }
 
-// Enter asks for a slot for a request of the given class that is of no use
-// after the deadline. A zero deadline means none. The ticket that it returns
-// runs, waits, or is refused.
+// Enter asks for a slot for a request of the given class that is of no use after the deadline.
+// A zero deadline means none. The returned ticket runs, waits, or is refused.
 func (g *Gate) Enter(class string, deadline time.Time) *Ticket {
 	return g.EnterFor("", class, deadline)
 }
 
-// EnterFor does what Enter does for a request of the given organisation. The empty
-// name stands for none.
+// EnterFor does what Enter does for a request of the given organisation. The empty name means
+// that the request has none.
 func (g *Gate) EnterFor(organisation, class string, deadline time.Time) *Ticket {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -180,45 +177,45 @@
 	return t
 }
 
-// ticket returns the ticket of a request that comes now.
+// ticket returns the ticket of a request that arrives now.
 func (g *Gate) ticket(organisation, class string, deadline, now time.Time) *Ticket {
 	return &Ticket{
 		gate:         g,
 		queue:        g.class(class),
 		organisation: organisation,
 		ready:        make(chan struct{}),
-		entered:      now,
+		enteredAt:    now,
 		deadline:     deadline,
 	}
 }
 
-// enter lets t run, has it wait, or refuses it. The lock is held.
+// enter starts t, queues it, or refuses it. The lock is held.
 func (g *Gate) enter(t *Ticket, now time.Time) {
-	if err := g.admissible(t, now, t.deadline); err != nil {
+	if err := g.checkAdmissible(t, now, t.deadline); err != nil {
 		t.refuse(err)
 		return
 	}
 	t.state = waiting
 	t.flow = t.queue.flows.Flow(t.organisation, now)
-	t.runTime = max(leastRun, t.flow.ExpectedHoldTime(g.run(t.queue)))
-	t.within = t.flow.AddDemand(t.runTime, g.room(t.queue, now), now)
-	t.queue.tag(t, g.virtual, g.run(t.queue))
+	t.expectedRun = max(minRun, t.flow.ExpectedHoldTime(g.expectedRun(t.queue)))
+	t.withinShare = t.flow.AddDemand(t.expectedRun, g.availableSlots(t.queue, now), now)
+	t.queue.tag(t, g.virtualTime, g.expectedRun(t.queue))
 	t.queue.push(t)
 	g.waiting++
 	g.dispatch(now)
 	if t.state != waiting {
 		return
 	}
-	if err := g.queueable(t, now, t.deadline); err != nil {
+	if err := g.checkQueueable(t, now, t.deadline); err != nil {
 		t.queue.remove(t)
-		t.queue.finish = t.start
+		t.queue.finishTag = t.startTag
 		g.waiting--
 		t.refuse(err)
 	}
 }
 
-// admissible returns why the request can't even be considered, or nil.
-func (g *Gate) admissible(t *Ticket, now, deadline time.Time) *verdict.Error {
+// checkAdmissible returns why the request can't be admitted in any case, or nil.
+func (g *Gate) checkAdmissible(t *Ticket, now, deadline time.Time) *verdict.Error {
 	switch {
 	case t.queue == nil || g.limits.Slots <= 0:
 		return verdict.New(verdict.NoUpstream, nil)
@@ -230,7 +227,7 @@
 	return nil
 }
 
-// revoke refuses t with err if it waits, and returns whether it did.
+// revoke refuses t with err if it waits, and returns whether it did so.
 func (g *Gate) revoke(t *Ticket, err *verdict.Error) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -238,9 +235,9 @@
 	case waiting:
 		t.queue.remove(t)
 		g.waiting--
-	case expected:
-		g.expected--
-		t.queue.expected--
+	case pendingBody:
+		g.pendingBodies--
+		t.queue.pendingBodies--
 	default:
 		return false
 	}
@@ -259,21 +256,21 @@
 	g.observeQueues(now)
 	t.state = released
 	t.queue.running--
-	t.flow.End(t.runTime, time.Duration(float64(now.Sub(t.began))/t.slowdown), now)
+	t.flow.End(t.expectedRun, time.Duration(float64(now.Sub(t.startedAt))/t.slowdown), now)
 	g.running--
-	g.startSum -= t.began.Sub(g.epoch)
-	g.freeing = max(0, g.freeing-t.rate)
+	g.startTimeSum -= t.startedAt.Sub(g.epoch)
+	g.releaseRate = max(0, g.releaseRate-t.releaseRate)
 	if healthy {
-		took := time.Duration(float64(now.Sub(t.began)) / t.slowdown)
+		took := time.Duration(float64(now.Sub(t.startedAt)) / t.slowdown)
 		g.limiter.observe(took, g.limits.Slots)
-		t.queue.ran(took)
+		t.queue.observeRun(took)
 	}
 	g.dispatch(now)
 	g.signalIdle()
 }
 
-// observeQueues takes in which classes wait. Each class stands by itself: where
-// the queue of a low priority never empties, a wait in a higher one may still end in
+// observeQueues records which classes have waiting requests. Each class is observed separately:
+// if the queue of a low priority never empties, a request of a higher priority may still start in
 // time.
 func (g *Gate) observeQueues(now time.Time) {
 	for _, q := range g.classes {
@@ -292,8 +289,8 @@
 	return g.classes[0]
 }
 
-// setClasses takes over the given classes. Classes that are gone keep their
-// queue until it is empty, at the end of the list.
+// setClasses replaces the classes. A class that has been removed keeps its queue, at the end of
+// the list, until the queue is empty.
 func (g *Gate) setClasses(classes []Class) {
 	if len(classes) == 0 {
 		classes = []Class{defaultClass}
@@ -314,7 +311,7 @@
 		g.byName[c.Name] = q
 	}
 	for _, q := range old {
-		if g.byName[q.class.Name] != q && len(q.waiting)+q.running+q.expected > 0 {
+		if g.byName[q.class.Name] != q && len(q.waiting)+q.running+q.pendingBodies > 0 {
 			g.classes = append(g.classes, q)
 		}
 	}
@@ -332,7 +329,7 @@
 	}
 }
 
-// signalIdle closes the idle channel if the gate drains and nothing runs.
+// signalIdle closes the idle channel if the gate drains and no request runs.
 func (g *Gate) signalIdle() {
 	if !g.draining || g.running > 0 {
 		return
@@ -348,6 +345,6 @@
 func (t *Ticket) refuse(err *verdict.Error) {
 	t.state = refused
 	t.failure = err
-	t.began = time.Now()
+	t.startedAt = time.Now()
 	close(t.ready)
 }
--- a/admit/gate_test.go
+++ b/admit/gate_test.go
@@ -18,14 +18,13 @@
 	"sassafrasfront.example/verdict"
 )
 
-var base = admit.Limits{
+var defaultLimits = admit.Limits{
 	Slots:       2,
 	QueueLength: 4,
 	QueueWait:   50 * time.Millisecond,
 }
 
-// warm runs n requests of the given duration so that the gate knows its
-// service time.
+// warm runs n requests of the given duration so that the gate knows its service time.
 func warm(g *admit.Gate, n int, d time.Duration) {
 	for range n {
 		t := g.Enter("", time.Time{})
@@ -63,7 +62,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
 				var g admit.Gate
-				g.SetLimits(base)
+				g.SetLimits(defaultLimits)
 				warm(&g, 1, 10*time.Millisecond)
 				for range test.running + test.waiting {
 					g.Enter("", time.Time{})
@@ -93,26 +92,25 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		var g admit.Gate
-		g.SetLimits(base)
+		g.SetLimits(defaultLimits)
 		g.Enter("", time.Time{})
 		g.Enter("", time.Time{})
 		began := time.Now()
 		err := g.Enter("", time.Time{}).Wait(context.Background())
 		c.Assert(err != nil, qt.IsTrue)
 		c.Check(err.Cause, qt.Equals, verdict.Refused)
-		c.Check(time.Since(began), qt.Equals, base.QueueWait)
+		c.Check(time.Since(began), qt.Equals, defaultLimits.QueueWait)
 	})
 }
 
-// TestStandingQueueRefusesAtOnce offers twice what the upstream can run. While
-// the queue is young, requests wait for up to the configured time; once it
-// stands, those that get in wait for a few milliseconds, and the others are
-// refused at once.
+// TestStandingQueueRefusesAtOnce offers twice what the upstream can run. While the queue is new,
+// requests wait for up to the configured time. Once it stands, those that are queued wait for a few
+// milliseconds, and the others are refused at once.
 func TestStandingQueueRefusesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		var g admit.Gate
-		l := base.WithSlots(10)
+		l := defaultLimits.WithSlots(10)
 		l.QueueLength = 100
 		g.SetLimits(l)
 		const service = 20 * time.Millisecond
@@ -157,7 +155,7 @@
 func TestDrainRefusesWaitingAndSignalsIdle(t *testing.T) {
 	c := qt.New(t)
 	var g admit.Gate
-	g.SetLimits(base.WithSlots(1))
+	g.SetLimits(defaultLimits.WithSlots(1))
 	first := g.Enter("", time.Time{})
 	second := g.Enter("", time.Time{})
 	idle := g.Drain()
@@ -206,7 +204,7 @@
 			}
 		}
 	}
-	// The batch request that ran first counts too: 16 to 5 of 21 runs.
+	// The batch request that ran first counts as well: 16 to 5 of 21 runs.
 	c.Check(counts["interactive"], qt.Equals, 16)
 	c.Check(counts["batch"], qt.Equals, 4)
 }
@@ -238,7 +236,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		var g admit.Gate
-		l := base.WithSlots(20)
+		l := defaultLimits.WithSlots(20)
 		l.Adaptive = true
 		g.SetLimits(l)
 		warm(&g, 200, 10*time.Millisecond)
@@ -255,7 +253,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		var g admit.Gate
-		l := base.WithSlots(20)
+		l := defaultLimits.WithSlots(20)
 		l.SlowStart = 10 * time.Second
 		g.SetLimits(l)
 		c.Check(g.Report().Allowed, qt.Equals, 5)
@@ -268,12 +266,12 @@
 	})
 }
 
-// TestServiceGrowsWhileNothingAnswers shows that the reported service time
-// does not wait for an answer to grow.
-func TestServiceGrowsWhileNothingAnswers(t *testing.T) {
+// TestServiceTimeGrowsWithoutAnswers checks that the reported service time grows while no request
+// completes.
+func TestServiceTimeGrowsWithoutAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var g admit.Gate
-		g.SetLimits(base)
+		g.SetLimits(defaultLimits)
 		warm(&g, 10, 10*time.Millisecond)
 		g.Enter("", time.Time{})
 		time.Sleep(300 * time.Millisecond)
@@ -283,15 +281,14 @@
 
 func TestReleaseTwicePanics(t *testing.T) {
 	var g admit.Gate
-	g.SetLimits(base)
+	g.SetLimits(defaultLimits)
 	k := g.Enter("", time.Time{})
 	k.Release(true)
 	qt.Check(t, func() { k.Release(true) }, qt.PanicMatches, "admit: release .*")
 }
 
-// TestGateProperties drives a gate with random operations and compares it with
-// a count kept outside: the slots are never exceeded, each request ends once,
-// and a revoked request never runs.
+// TestGateProperties applies random operations to a gate and compares it with a separate count: the
+// slots are never exceeded, each request ends once, and a revoked request never runs.
 func TestGateProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var g admit.Gate
@@ -324,11 +321,11 @@
 					return
 				}
 				k := rapid.SampledFrom(open).Draw(t, "ticket")
-				was := isReady(k)
+				wasReady := isReady(k)
 				if k.Revoke() {
 					revoked[k] = true
 				}
-				if was && revoked[k] && k.Err().Cause != verdict.Revoked {
+				if wasReady && revoked[k] && k.Err().Cause != verdict.Revoked {
 					t.Fatal("a request both ended and was revoked")
 				}
 			},
@@ -347,7 +344,7 @@
 				}
 				r := g.Report()
 				if running > slots || running != r.Running || waiting != r.Waiting {
-					t.Fatalf("%d running and %d waiting of %d slots, but the gate says %+v", running, waiting, slots, r)
+					t.Fatalf("%d running and %d waiting of %d slots, but the gate reports %+v", running, waiting, slots, r)
 				}
 			},
 		})
@@ -356,19 +353,19 @@
 
 func BenchmarkEnterRelease(b *testing.B) {
 	var g admit.Gate
-	g.SetLimits(base)
+	g.SetLimits(defaultLimits)
 	for b.Loop() {
 		g.Enter("", time.Time{}).Release(true)
 	}
 }
 
-// TestStandingQueueOfOneClass has a low class ask for twice the room for two
-// seconds, and a high one for a tenth of it. The queue of the low one stands, and
-// the high one waits its turn all the same.
+// TestStandingQueueOfOneClass has a class of low priority ask for twice the capacity for two
+// seconds, and one of high priority for a tenth of it. The queue of the low one stands, but
+// requests of the high one still wait for their turns.
 func TestStandingQueueOfOneClass(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var g admit.Gate
-		l := base.WithSlots(10).WithClasses(
+		l := defaultLimits.WithSlots(10).WithClasses(
 			admit.Class{Name: "low", Weight: 1, MaxShare: 1, MaxWait: 30 * time.Millisecond},
 			admit.Class{Name: "high", Weight: 16, MaxShare: 1, Priority: 1, MaxWait: 60 * time.Millisecond},
 		)
@@ -404,12 +401,12 @@
 	})
 }
 
-// TestRestartForgets has an upstream start again after it was slow and failed: what
-// is reported of it then is what is reported of one that is new.
-func TestRestartForgets(t *testing.T) {
+// TestRestartResetsState restarts an upstream after it was slow and failed: its report then equals
+// that of a new one.
+func TestRestartResetsState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var g, fresh admit.Gate
-		g.SetLimits(base)
+		g.SetLimits(defaultLimits)
 		warm(&g, 20, 40*time.Millisecond)
 		for range 5 {
 			g.ObserveSlowdown(1)
@@ -420,32 +417,32 @@
 		}
 		qt.Check(t, g.Report().FailureRatio > 0.3, qt.IsTrue)
 		g.Restart()
-		fresh.SetLimits(base)
+		fresh.SetLimits(defaultLimits)
 		qt.Check(t, g.Report(), qt.DeepEquals, fresh.Report())
 		qt.Check(t, g.SlowedWithin(time.Hour), qt.IsFalse)
 	})
 }
 
-// TestWaitEndsBeforeTheDeadline has a request wait behind one that hangs, at a gate that
-// expected it to end in time. It is refused when what is left of its time is no longer
-// enough for its run, not at its deadline.
+// TestWaitEndsBeforeTheDeadline has a request wait behind one that hangs, which the gate expected
+// to end in time. It is refused when its remaining time is no longer enough for its run, and not
+// at its deadline.
 func TestWaitEndsBeforeTheDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const run, left = 50 * time.Millisecond, 300 * time.Millisecond
+		const run, remaining = 50 * time.Millisecond, 300 * time.Millisecond
 		var g admit.Gate
-		l := base.WithSlots(1)
+		l := defaultLimits.WithSlots(1)
 		l.QueueWait = time.Second
 		g.SetLimits(l)
 		warm(&g, 20, run)
 		hanging := g.Enter("", time.Time{})
 		qt.Assert(t, hanging.Wait(context.Background()) == nil, qt.IsTrue)
 		began := time.Now()
-		ctx, cancel := context.WithDeadline(context.Background(), began.Add(left))
+		ctx, cancel := context.WithDeadline(context.Background(), began.Add(remaining))
 		defer cancel()
-		failure := g.Enter("", began.Add(left)).Wait(ctx)
+		failure := g.Enter("", began.Add(remaining)).Wait(ctx)
 		qt.Assert(t, failure, qt.IsNotNil)
 		qt.Check(t, failure.Cause, qt.Equals, verdict.Refused)
 		waited := time.Since(began)
-		qt.Check(t, waited >= left/2 && waited <= left-run, qt.IsTrue, qt.Commentf("%v", waited))
+		qt.Check(t, waited >= remaining/2 && waited <= remaining-run, qt.IsTrue, qt.Commentf("%v", waited))
 	})
 }
--- a/admit/organisation_test.go
+++ b/admit/organisation_test.go
@@ -16,40 +16,40 @@
 	"sassafrasfront.example/verdict"
 )
 
-// line is an upstream of one slot with its queue, in which all requests run for 10 ms.
-type line struct {
+// singleSlot is an upstream with one slot and its queue, in which all requests run for 10 ms.
+type singleSlot struct {
 	gate    admit.Gate
 	tickets []*admit.Ticket
 	names   []string
 }
 
-// newLine returns a line whose slot is held by the given organisation.
-func newLine(organisation string, limits admit.Limits) *line {
-	l := new(line)
+// newSingleSlot returns a singleSlot whose slot is held by the given organisation.
+func newSingleSlot(organisation string, limits admit.Limits) *singleSlot {
+	l := new(singleSlot)
 	l.gate.SetLimits(limits)
 	warm(&l.gate, 1, 10*time.Millisecond)
 	l.enter(organisation, "")
 	return l
 }
 
-// enter has an organisation send a request, which waits without end if it may.
-func (l *line) enter(organisation, class string) *admit.Ticket {
+// enter sends a request of an organisation, without a deadline.
+func (l *singleSlot) enter(organisation, class string) *admit.Ticket {
 	t := l.gate.EnterFor(organisation, class, time.Time{})
 	l.tickets = append(l.tickets, t)
 	l.names = append(l.names, organisation)
 	return t
 }
 
-// enterAll does that for each organisation in the list.
-func (l *line) enterAll(organisations string) {
+// enterAll sends a request of each organisation in the list.
+func (l *singleSlot) enterAll(organisations string) {
 	for _, o := range strings.Fields(organisations) {
 		l.enter(o, "")
 	}
 }
 
 // refused returns the organisations whose requests have been refused, in the order of their
-// coming.
-func (l *line) refused() string {
+// arrival.
+func (l *singleSlot) refused() string {
 	var list []string
 	for i, t := range l.tickets {
 		if t.Err() != nil {
@@ -59,8 +59,8 @@
 	return strings.Join(list, " ")
 }
 
-// drain has all requests run, and returns their organisations in that order.
-func (l *line) drain() string {
+// drain runs all requests and returns their organisations in that order.
+func (l *singleSlot) drain() string {
 	var list []string
 	done := make(map[*admit.Ticket]bool)
 	for more := true; more; {
@@ -78,35 +78,35 @@
 	return strings.Join(list, " ")
 }
 
-var single = admit.Limits{
+var singleSlotLimits = admit.Limits{
 	Slots:       1,
 	QueueLength: 4,
 	QueueWait:   time.Hour,
 }
 
-// TestOrganisationsTakeTurns has requests wait in one order and start in another.
+// TestOrganisationsTakeTurns checks in which order waiting requests of several organisations start.
 func TestOrganisationsTakeTurns(t *testing.T) {
 	tests := map[string]struct {
-		come, want string
-		weight     func(string) float64
+		arrivals, want string
+		weight         func(string) float64
 	}{
-		"one":        {come: "a a a", want: "a a a a"},
-		"a late one": {come: "a a a b", want: "a b a a a"},
-		"two":        {come: "b b a a", want: "a b b a a"},
-		"none":       {come: "", want: "a"},
+		"one":              {arrivals: "a a a", want: "a a a a"},
+		"one late arrival": {arrivals: "a a a b", want: "a b a a a"},
+		"two":              {arrivals: "b b a a", want: "a b b a a"},
+		"none":             {arrivals: "", want: "a"},
 		"by weight": {
-			come:   "b b b a",
-			want:   "a b b b a",
-			weight: func(o string) float64 { return map[string]float64{"a": 1, "b": 4}[o] },
+			arrivals: "b b b a",
+			want:     "a b b b a",
+			weight:   func(o string) float64 { return map[string]float64{"a": 1, "b": 4}[o] },
 		},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				limits := single
+				limits := singleSlotLimits
 				limits.Weight = test.weight
-				l := newLine("a", limits)
-				l.enterAll(test.come)
+				l := newSingleSlot("a", limits)
+				l.enterAll(test.arrivals)
 				qt.Check(t, l.refused(), qt.Equals, "")
 				qt.Check(t, l.drain(), qt.Equals, test.want)
 			})
@@ -114,23 +114,23 @@
 	}
 }
 
-// TestQueueFullOfOneOrganisation has organisations come to a full queue: room is made by
-// the one that has most waiting, if that is more than the one that comes would have.
+// TestQueueFullOfOneOrganisation has organisations send requests to a full queue: a request of the
+// organisation with the most waiting ones is displaced, if it has more than the sender would have.
 func TestQueueFullOfOneOrganisation(t *testing.T) {
 	tests := map[string]struct {
-		come, refused string
+		arrivals, refused string
 	}{
-		"its own":        {come: "a a a a a", refused: "a"},
-		"another":        {come: "a a a a b", refused: "a"},
-		"several others": {come: "a a a a b c d", refused: "a a a"},
-		"all have one":   {come: "a a a a b c d e", refused: "a a a e"},
-		"alike":          {come: "a a b b a", refused: "a"},
+		"its own":        {arrivals: "a a a a a", refused: "a"},
+		"another":        {arrivals: "a a a a b", refused: "a"},
+		"several others": {arrivals: "a a a a b c d", refused: "a a a"},
+		"all have one":   {arrivals: "a a a a b c d e", refused: "a a a e"},
+		"equal":          {arrivals: "a a b b a", refused: "a"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				l := newLine("a", single)
-				l.enterAll(test.come)
+				l := newSingleSlot("a", singleSlotLimits)
+				l.enterAll(test.arrivals)
 				qt.Check(t, l.refused(), qt.Equals, test.refused)
 				for _, k := range l.tickets {
 					if err := k.Err(); err != nil {
@@ -145,10 +145,10 @@
 	}
 }
 
-// TestQueueFullOfClasses has a request come to a queue that another organisation fills
-// with requests of a class of the same priority, or of a lower one.
+// TestQueueFullOfClasses sends a request to a queue that another organisation fills with requests of
+// classes of the same priority, or of a lower one.
 func TestQueueFullOfClasses(t *testing.T) {
-	limits := single.WithClasses(
+	limits := singleSlotLimits.WithClasses(
 		admit.Class{Name: "low", Weight: 1, MaxShare: 1},
 		admit.Class{Name: "slow", Weight: 4, MaxShare: 1, Priority: 1},
 		admit.Class{Name: "fast", Weight: 4, MaxShare: 1, Priority: 1},
@@ -158,17 +158,17 @@
 		full                []string
 		refused             string
 	}{
-		"a lower priority goes first":         {organisation: "b", class: "fast", full: []string{"slow", "slow", "slow", "low"}, refused: "a"},
-		"its own lower priority":              {organisation: "a", class: "fast", full: []string{"slow", "slow", "slow", "low"}, refused: "a"},
-		"another class of the same":           {organisation: "b", class: "fast", full: []string{"slow", "slow", "slow", "slow"}, refused: "a"},
-		"another class, itself":               {organisation: "a", class: "fast", full: []string{"slow", "slow", "slow", "slow"}, refused: "a"},
-		"no organisation, another class":      {organisation: "", class: "fast", full: []string{"slow", "slow", "slow", "slow"}, refused: "a"},
-		"a higher priority does not give way": {organisation: "b", class: "low", full: []string{"slow", "slow", "slow", "slow"}, refused: "b"},
+		"a lower priority goes first":        {organisation: "b", class: "fast", full: []string{"slow", "slow", "slow", "low"}, refused: "a"},
+		"its own lower priority":             {organisation: "a", class: "fast", full: []string{"slow", "slow", "slow", "low"}, refused: "a"},
+		"another class of the same":          {organisation: "b", class: "fast", full: []string{"slow", "slow", "slow", "slow"}, refused: "a"},
+		"another class, itself":              {organisation: "a", class: "fast", full: []string{"slow", "slow", "slow", "slow"}, refused: "a"},
+		"no organisation, another class":     {organisation: "", class: "fast", full: []string{"slow", "slow", "slow", "slow"}, refused: "a"},
+		"a higher priority is not displaced": {organisation: "b", class: "low", full: []string{"slow", "slow", "slow", "slow"}, refused: "b"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				l := newLine("a", limits)
+				l := newSingleSlot("a", limits)
 				for _, class := range test.full {
 					l.enter("a", class)
 				}
@@ -181,16 +181,16 @@
 	}
 }
 
-// TestWaitOfSmallOrganisation has one organisation fill the queue: another is expected to
-// wait for its own turn, not for the whole queue, so that it gets in with little time.
+// TestWaitOfSmallOrganisation has one organisation fill the queue: a request of another is expected
+// to wait for its own turn, not for the whole queue, so it is queued even with little time left.
 func TestWaitOfSmallOrganisation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		limits := single
+		limits := singleSlotLimits
 		limits.QueueLength = 16
-		l := newLine("a", limits)
+		l := newSingleSlot("a", limits)
 		l.enterAll("a a a a a a a a")
-		enter := func(organisation string, left time.Duration) *verdict.Error {
-			k := l.gate.EnterFor(organisation, "", time.Now().Add(left))
+		enter := func(organisation string, remaining time.Duration) *verdict.Error {
+			k := l.gate.EnterFor(organisation, "", time.Now().Add(remaining))
 			defer k.Revoke()
 			return k.Err()
 		}
@@ -201,11 +201,11 @@
 	})
 }
 
-// TestReportOfOrganisations counts the organisations that wait, and the requests that gave
-// way to others'.
+// TestReportOfOrganisations checks the reported numbers of organisations that wait and of displaced
+// requests.
 func TestReportOfOrganisations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLine("a", single)
+		l := newSingleSlot("a", singleSlotLimits)
 		l.enterAll("a a a a b c")
 		r := l.gate.Report()
 		qt.Check(t, r.WaitingOrganisations, qt.Equals, 3)
--- a/admit/expect_test.go
+++ b/admit/pendingbody_test.go
@@ -18,34 +18,33 @@
 	"sassafrasfront.example/verdict"
 )
 
-// bodyTime is what the link of the upstream's instance takes for one body: 60 KB at
-// 10 Mbit/s.
+// bodyTime is how long one body takes on the link of the upstream's instance: 60 KB at 10 Mbit/s.
 const bodyTime = 48 * time.Millisecond
 
-// uploads is an upstream of 14 slots on a slow link: uploads whose bodies cross the link one
-// after the other, and short calls without a body.
+// uploads is an upstream with 14 slots on a slow link. It gets uploads, whose bodies cross the
+// link one after the other, and short calls without a body.
 type uploads struct {
-	// perSecond is the number of uploads, runs of 280 ms with an objective of 1.2 s, and
-	// calls that of calls, runs of 70 ms with an objective of 250 ms.
+	// perSecond is the rate of uploads, which run for 280 ms and have an objective of 1.2 s,
+	// and calls that of calls, which run for 70 ms and have one of 250 ms.
 	perSecond, calls float64
-	// slotFirst is whether an upload gets its slot before its body is asked for.
+	// slotFirst is whether an upload gets its slot before its body is requested.
 	slotFirst bool
-	// blind is whether nothing is known of the link.
+	// blind is whether the gate knows nothing about the link.
 	blind bool
 
 	gate admit.Gate
-	link chan struct{} // has room while no body crosses
-
-	mu      sync.Mutex
-	queued  int // bodies that cross or wait to
-	offered map[string]int
-	inTime  map[string]int
-	refused int
-	latest  time.Duration // refusal, after its coming
-	late    int           // uploads that were accepted and ended late
+	link chan struct{} // not full while no body crosses
+
+	mu             sync.Mutex
+	queued         int // bodies that cross the link or wait for it
+	offered        map[string]int
+	inTime         map[string]int
+	refused        int
+	longestRefusal time.Duration // longest time from arrival to refusal
+	late           int           // uploads that were accepted and ended late
 }
 
-// cross has a body cross the link.
+// cross simulates the transfer of a body over the link.
 func (u *uploads) cross() {
 	u.mu.Lock()
 	u.queued++
@@ -58,8 +57,8 @@
 	u.mu.Unlock()
 }
 
-// coming returns how long a body takes that comes now.
-func (u *uploads) coming() time.Duration {
+// expectedBodyTime returns how long a body takes that is sent now.
+func (u *uploads) expectedBodyTime() time.Duration {
 	if u.blind {
 		return 0
 	}
@@ -68,7 +67,7 @@
 	return time.Duration(u.queued+1) * bodyTime
 }
 
-// admit gets a slot for an upload whose body is there.
+// admit gets a slot for an upload once its body has arrived.
 func (u *uploads) admit() (*admit.Ticket, *verdict.Error) {
 	ctx := context.Background()
 	if u.slotFirst {
@@ -79,7 +78,7 @@
 		}
 		return k, err
 	}
-	k := u.gate.EnterPendingBody("", "upload", time.Time{}, u.coming())
+	k := u.gate.EnterPendingBody("", "upload", time.Time{}, u.expectedBodyTime())
 	if err := k.Err(); err != nil {
 		return k, err
 	}
@@ -88,9 +87,9 @@
 	return k, k.Wait(ctx)
 }
 
-// one has one request come.
-func (u *uploads) one(class string, work, objective time.Duration) {
-	came := time.Now()
+// request handles one request.
+func (u *uploads) request(class string, work, objective time.Duration) {
+	arrived := time.Now()
 	var k *admit.Ticket
 	var err *verdict.Error
 	if class == "upload" {
@@ -99,7 +98,7 @@
 		k = u.gate.Enter(class, time.Time{})
 		err = k.Wait(context.Background())
 	}
-	told := time.Since(came)
+	decided := time.Since(arrived)
 	if err == nil {
 		time.Sleep(work)
 		k.Release(true)
@@ -107,10 +106,10 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.offered[class]++
-	switch took := time.Since(came); {
+	switch took := time.Since(arrived); {
 	case err != nil && class == "upload":
 		u.refused++
-		u.latest = max(u.latest, told)
+		u.longestRefusal = max(u.longestRefusal, decided)
 	case err != nil:
 	case took <= objective:
 		u.inTime[class]++
@@ -119,7 +118,7 @@
 	}
 }
 
-// play has the load come for 30 s and returns the share of each class that ended within its
+// play sends the load for 30 s and returns the share of each class that ended within its
 // objective.
 func (u *uploads) play() map[string]float64 {
 	u.link = make(chan struct{}, 1)
@@ -133,18 +132,18 @@
 		admit.Class{Name: "call", Weight: 1, MaxShare: 1, Objective: ms(250)},
 	))
 	var all sync.WaitGroup
-	come := func(class string, perSecond float64, work, objective time.Duration) {
+	send := func(class string, perSecond float64, work, objective time.Duration) {
 		random := rand.New(rand.NewPCG(3, uint64(work)))
 		all.Go(func() {
 			for began := time.Now(); time.Since(began) < 30*time.Second; {
 				time.Sleep(time.Duration(random.ExpFloat64() / perSecond * float64(time.Second)))
 				varied := time.Duration((2 + 2*random.Float64()) / 3 * float64(work))
-				all.Go(func() { u.one(class, varied, objective) })
+				all.Go(func() { u.request(class, varied, objective) })
 			}
 		})
 	}
-	come("upload", u.perSecond, ms(280), ms(1200))
-	come("call", u.calls, ms(70), ms(250))
+	send("upload", u.perSecond, ms(280), ms(1200))
+	send("call", u.calls, ms(70), ms(250))
 	all.Wait()
 	share := make(map[string]float64)
 	for class, n := range u.offered {
@@ -153,10 +152,11 @@
 	return share
 }
 
-// TestNoSlotIsHeldForABody has uploads take nine tenths of a slow link, and uploads and calls
-// together nine tenths of the slots. A body then waits for the link longer than it takes to
-// cross it; if its request holds a slot meanwhile, the slots are full of requests that wait.
-func TestNoSlotIsHeldForABody(t *testing.T) {
+// TestNoSlotHeldWhileBodyArrives guards against slots held by requests whose bodies are still
+// arriving. Uploads take nine tenths of a slow link, and uploads and calls together nine tenths of
+// the slots. A body then waits for the link for longer than it takes to cross it; if its request
+// holds a slot meanwhile, the slots are full of waiting requests.
+func TestNoSlotHeldWhileBodyArrives(t *testing.T) {
 	play := func(slotFirst bool) (share map[string]float64) {
 		synctest.Test(t, func(*testing.T) {
 			u := &uploads{perSecond: 18.5, calls: 105, slotFirst: slotFirst}
@@ -171,27 +171,26 @@
 	qt.Check(t, slot["call"] < body["call"]-0.1, qt.IsTrue)
 }
 
-// TestRushOnASlowLink has uploads come at one and a half times what the link carries. Those
-// whose body would come too late are refused at once, and the others end in time; where
-// nothing is known of the link, nearly all are accepted and late.
-func TestRushOnASlowLink(t *testing.T) {
+// TestUploadOverloadOnSlowLink sends uploads at one and a half times the capacity of the link. Those
+// whose bodies would arrive too late are refused at once, and the others end in time. If the gate
+// knows nothing about the link, nearly all are accepted and late.
+func TestUploadOverloadOnSlowLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		u := &uploads{perSecond: 31, calls: 20}
 		share := u.play()
 		blind := &uploads{perSecond: 31, calls: 20, blind: true}
 		blindShare := blind.play()
 		t.Logf("in time: %v, and %v with nothing known of the link", share, blindShare)
-		qt.Check(t, share["upload"] > 0.6, qt.IsTrue) // of 0.67 that the link carries
+		qt.Check(t, share["upload"] > 0.6, qt.IsTrue) // the link can carry 0.67
 		qt.Check(t, share["call"] > 0.95, qt.IsTrue)
-		qt.Check(t, u.latest < ms(50), qt.IsTrue, qt.Commentf("told after %v", u.latest))
+		qt.Check(t, u.longestRefusal < ms(50), qt.IsTrue, qt.Commentf("refused after %v", u.longestRefusal))
 		qt.Check(t, u.late < u.offered["upload"]/50, qt.IsTrue, qt.Commentf("%d late", u.late))
 		qt.Check(t, blindShare["upload"] < 0.3, qt.IsTrue)
 	})
 }
 
-// TestExpect has one row for what may become of a request between its coming and the arrival
-// of its body.
-func TestExpect(t *testing.T) {
+// TestPendingBody has one row for each event that may happen before the body of a request arrives.
+func TestPendingBody(t *testing.T) {
 	tests := map[string]struct {
 		meanwhile func(g *admit.Gate, k *admit.Ticket)
 		want      verdict.Cause
@@ -223,18 +222,18 @@
 	}
 }
 
-// TestExpectedOfClassThatGoes has a request's class go while its body comes in. It then takes a
-// slot that is free, as one that waits would.
-func TestExpectedOfClassThatGoes(t *testing.T) {
+// TestPendingBodyOfRemovedClass removes the class of a request while its body arrives. The request
+// then takes a free slot, as a waiting one would.
+func TestPendingBodyOfRemovedClass(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var g admit.Gate
 		limits := admit.Limits{Slots: 2, QueueLength: 4, QueueWait: time.Second}
 		g.SetLimits(limits.WithClasses(admit.Class{Name: "goes", Weight: 1, MaxShare: 1}, admit.Class{Name: "stays", Weight: 1, MaxShare: 1}))
-		expected := g.EnterPendingBody("", "goes", time.Time{}, 0)
+		pending := g.EnterPendingBody("", "goes", time.Time{}, 0)
 		g.SetLimits(limits.WithClasses(admit.Class{Name: "stays", Weight: 1, MaxShare: 1}))
-		expected.BodyArrived()
-		qt.Assert(t, expected.Wait(t.Context()) == nil, qt.IsTrue)
-		qt.Check(t, expected.Waited(), qt.Equals, time.Duration(0))
-		expected.Release(true)
+		pending.BodyArrived()
+		qt.Assert(t, pending.Wait(t.Context()) == nil, qt.IsTrue)
+		qt.Check(t, pending.Waited(), qt.Equals, time.Duration(0))
+		pending.Release(true)
 	})
 }
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -29,97 +29,99 @@
 // Gate runs calls at the upstream beside this node. The exported fields are set
 // before the first call.
 type Gate struct {
-	// Tracer makes a span for each call and one for each upstream request.
+	// Tracer starts a span for each call and one for each upstream request.
 	Tracer trace.Tracer
 	// Started is when the process started.
 	Started time.Time
 	// Names are the header fields that the upstream uses.
 	Names upstream.FieldNames
-	// Weight, if not nil, returns the part of the slots that an organisation gets beside
-	// others.
+	// Weight, if not nil, returns the weight of an organisation when slots are shared among
+	// several.
 	Weight func(organisation string) float64
-	// Failed, if not nil, is called when a call shows that the announced upstream
-	// is not there: it can't be reached, or another has its address.
+	// UpstreamUnreachable, if not nil, is called when a call shows that the announced upstream
+	// is not there: it can't be reached, or another upstream has its address.
 	UpstreamUnreachable func(a *upstream.Announcement, failure *verdict.Error)
-	// Ask, if not nil, asks the upstream for its present speed and returns when it
-	// has answered, or soon in any case.
+	// ProbeLoad, if not nil, asks the upstream for its present speed. It returns when the
+	// upstream has responded, or after a short timeout.
 	ProbeLoad func(ctx context.Context)
-	// Tell, if not nil, sends a report to all nodes that send calls here. It is
+	// BroadcastReport, if not nil, sends a report to all nodes that send calls here. It is
 	// called when the upstream's speed has changed.
 	BroadcastReport func(*peer.Report)
-	// Inflow, if not nil, returns how fast bodies come in to this node, as in peer.Server.
+	// Inflow, if not nil, returns the rate at which bodies arrive at this node, as in peer.Server.
 	Inflow func() (rate float64, backlog int)
-	// Reports says when a load report goes to which node. Nil means never.
+	// Reports decides which nodes get a load report with a response. Nil means that none does.
 	Reports *watch.Pacer[string]
-	// Refused, if not nil, is called with each call that ends without an answer,
-	// with the load at that moment, how long it waited for a slot and how long all took.
+	// CallFailed, if not nil, is called with each call that ends without a response, with the
+	// load at that moment, the wait for a slot and the duration of the whole call.
 	CallFailed func(c *peer.Call, from string, failure *verdict.Error, load admit.Report, waited, took time.Duration)
-	// Panicked, if not nil, is called when the handling of a call panics, with the stack.
+	// Panicked, if not nil, is called with the stack when the handling of a call panics.
 	Panicked func(c *peer.Call, value any, stack []byte)
-	// Quarantine, if not nil, knows the requests that end upstreams.
+	// Quarantine, if not nil, holds the requests suspected of crashing upstreams.
 	Quarantine *quarantine.Index
-	// Cleared, if not nil, is called when a suspected request has run to its end.
-	SuspectCleared func(p quarantine.Fingerprint)
-	// Gone, if not nil, is called when an upstream has ended without leave, with the
-	// requests that it may have ended under, without those that are answered there all
-	// the time, and the one of them that was isolated and never answered, or zero. It is
-	// not called where no request was at hand.
-	UpstreamCrashed func(a *upstream.Announcement, prints []quarantine.Fingerprint, alone quarantine.Fingerprint)
-	// Received, if not nil, is called when the body of a call that was sent ahead of its
-	// admission is there.
+	// SuspectCleared, if not nil, is called when a suspected request has completed.
+	SuspectCleared func(suspect quarantine.Fingerprint)
+	// UpstreamCrashed, if not nil, is called when an upstream has ended without draining or
+	// leaving, with the requests that it may have crashed on and with the isolated one among
+	// them, or zero. Requests that the upstream completes all the time are left out. It is not
+	// called if no request was in flight.
+	UpstreamCrashed func(a *upstream.Announcement, suspects []quarantine.Fingerprint, isolated quarantine.Fingerprint)
+	// BodyReceived, if not nil, is called when the body of a call that was sent ahead of its
+	// admission has arrived.
 	BodyReceived func(service, class string, bytes int64, took time.Duration)
-	// Ran, if not nil, is called with each request that the upstream has answered or failed,
-	// with whether it failed it and how long that took.
+	// RequestCompleted, if not nil, is called with each request that the upstream has completed or
+	// failed, with whether it failed it and how long that took.
 	RequestCompleted func(class string, failed bool, took time.Duration)
-	// Noticed, if not nil, is called when what the upstream says of the requests that it wants
-	// has changed, and Unreadable with why that can't be read.
+	// NoticeChanged, if not nil, is called when the upstream has changed its advertised limit
+	// or has said that it leaves. NoticeInvalid, if not nil, is called when such a
+	// notice can't be parsed.
 	NoticeChanged func(NoticeState)
-	NoticeInvalid func(start string, reason error)
-	// Left, if not nil, is called when a start of an upstream has said that it leaves.
-	UpstreamLeaving func(start string, born int64)
-	// Ended, if not nil, is called at the end of each call.
+	NoticeInvalid func(startID string, reason error)
+	// UpstreamLeaving, if not nil, is called when a start of an upstream has said that it leaves.
+	UpstreamLeaving func(startID string, startMillis int64)
+	// CallEnded, if not nil, is called at the end of each call.
 	CallEnded func(service, class string, failure *verdict.Error, waited, took time.Duration)
 
-	admit    admit.Gate
-	sending  coldstart.Limiter
-	current  atomic.Pointer[binding]
-	isolated sync.Mutex // held by the isolated request that runs
-	answers  quarantine.AnswerCounter
-	written  atomic.Uint64 // requests, so far
+	admit      admit.Gate
+	sendLimit  coldstart.Limiter
+	current    atomic.Pointer[binding]
+	isolatedMu sync.Mutex // held while an isolated request runs
+	answers    quarantine.AnswerCounter
+	written    atomic.Uint64 // requests written so far
 
-	mu      sync.Mutex
-	service *operator.Service // in force for the announced service
-	latest  *upstream.Announcement
-	leaving bool // whether the node leaves
-	emptied bool // whether the zone is evacuated
-	// withheld is whether the upstream's version is not to be used.
-	withheld bool
-	told     float64 // the slowdown told last
-	// departing is whether the upstream has said in its answers that it leaves, departed since
-	// when, and healthNames whether the answers of its health check name limits.
-	departing   bool
-	departed    time.Time
-	healthNames bool
-	limitTold   time.Time // when peers were told of a changed limit
+	mu        sync.Mutex
+	service   *operator.Service // active configuration of the announced service
+	latest    *upstream.Announcement
+	draining  bool // whether Drain has been called
+	evacuated bool // whether the zone is evacuated
+	// versionWithheld is whether the upstream's version must not be used.
+	versionWithheld  bool
+	reportedSlowdown float64 // slowdown that was broadcast last
+	// noticeLeaving is whether the upstream has said in its responses that it leaves, and
+	// noticeLeavingSince when it first did. healthReportsLimits is whether its responses
+	// to probes advertise limits.
+	noticeLeaving       bool
+	noticeLeavingSince  time.Time
+	healthReportsLimits bool
+	limitReportedAt     time.Time // when a changed limit was last broadcast
 
-	startKnown bool // whether firstStart has found out what it is for
+	firstStartChecked bool // whether checkFirstStart has decided
 }
 
-// binding is the upstream that requests go to.
+// binding is the upstream to which requests are sent.
 type binding struct {
 	announcement *upstream.Announcement
 	transport    *upstream.Transport
-	start        *start // of the upstream
+	start        *start
 }
 
-// serves returns whether the binding is for the same start of an upstream, reached
-// in the same way, as a is.
-func (b *binding) serves(a *upstream.Announcement) bool {
+// matches returns whether the binding is for the same start of an upstream as a, at the same
+// address.
+func (b *binding) matches(a *upstream.Announcement) bool {
 	o := b.announcement
 	return o.SameStart(a) && o.Address == a.Address
 }
 
-// Announce takes in an announcement, or the withdrawal of one if a is nil.
+// SetAnnouncement records an announcement, or its withdrawal if a is nil.
 func (g *Gate) SetAnnouncement(a *upstream.Announcement) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -127,9 +129,9 @@
 	if a == nil {
 		g.current.Store(nil)
 		if g.latest != nil && g.latest.StartID == "" {
-			g.forgetNotices() // the next one can't be told from it
+			g.resetNotices() // the next start can't be distinguished from this one
 		}
-		g.update()
+		g.updateLimits()
 		return
 	}
 	b := g.bind(old, a)
@@ -137,29 +139,29 @@
 	first := g.latest == nil
 	restarted := first || !g.latest.SameStart(a)
 	if restarted && !first {
-		g.forgetNotices()
+		g.resetNotices()
 	}
-	g.update()
+	g.updateLimits()
 	g.latest = a
 	if old != nil && old.transport != b.transport {
 		if old.start != b.start {
 			old.transport.ProbeBusyConns()
-			g.replaced(old)
+			g.handleReplaced(old)
 		}
 		old.transport.Resize(old.announcement.Connections, 0)
 	}
 	if restarted {
-		g.startCold(a, first)
+		g.initCold(a, first)
 		g.admit.Restart()
-		g.told = 0
+		g.reportedSlowdown = 0
 		if g.BroadcastReport != nil {
-			go g.BroadcastReport(g.Report()) // peers go by what the start before has told
+			go g.BroadcastReport(g.Report()) // peers still use the load of the former start
 		}
 	}
 }
 
-// bind returns the binding for an announcement, which keeps the connections of the
-// one before if it is for the same start.
+// bind returns the binding for an announcement. It keeps the connections of the old binding if
+// that is for the same start at the same address.
 func (g *Gate) bind(old *binding, a *upstream.Announcement) *binding {
 	b := &binding{announcement: a}
 	if old != nil && old.announcement.SameStart(a) {
@@ -167,8 +169,8 @@
 	} else {
 		b.start = new(start)
 	}
-	b.start.drained.Store(a.Draining)
-	if old != nil && old.serves(a) {
+	b.start.draining.Store(a.Draining)
+	if old != nil && old.matches(a) {
 		b.transport = old.transport
 		b.transport.Resize(a.Connections, min(a.Slots, a.Connections))
 		return b
@@ -179,7 +181,7 @@
 		MaxIdleConns: min(a.Slots, a.Connections),
 		Names:        g.Names.OrDefault(),
 		LoadReported: func(l upstream.Load) {
-			if g.present(b) {
+			if g.isCurrent(b) {
 				g.ObserveLoad(l)
 			}
 		},
@@ -189,56 +191,55 @@
 	return b
 }
 
-// tellRatio is the change of the upstream's speed from which it is told at once.
-const tellRatio = 1.3
+// reportRatio is the ratio of slowdowns above which a change of speed is broadcast at once.
+const reportRatio = 1.3
 
-// Observe takes in the load that the upstream tells.
+// ObserveLoad records the load that the upstream reports.
 func (g *Gate) ObserveLoad(l upstream.Load) {
 	g.admit.ObserveSlowdown(l.Slowdown)
 	if g.BroadcastReport == nil {
 		return
 	}
 	g.mu.Lock()
-	told := max(g.told, 1)
-	changed := l.Slowdown > told*tellRatio || l.Slowdown < told/tellRatio
+	reported := max(g.reportedSlowdown, 1)
+	changed := l.Slowdown > reported*reportRatio || l.Slowdown < reported/reportRatio
 	if changed {
-		g.told = l.Slowdown
+		g.reportedSlowdown = l.Slowdown
 	}
 	g.mu.Unlock()
 	if changed {
-		go func() { g.BroadcastReport(g.Report()) }() // answers wait for Observe
+		go func() { g.BroadcastReport(g.Report()) }() // responses wait for ObserveLoad
 	}
 }
 
-// Configure takes in the configuration in force for the announced service, or
-// nil if there is none.
+// Configure sets the active configuration of the announced service, or nil if there is none.
 func (g *Gate) Configure(s *operator.Service) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.service = s
-	g.update()
+	g.updateLimits()
 }
 
-// update sets the limits from the announcement and the configuration.
-func (g *Gate) update() {
+// updateLimits sets the limits from the announcement and the configuration. The lock is held.
+func (g *Gate) updateLimits() {
 	b := g.current.Load()
 	limits := admit.Limits{}
 	if b != nil && g.service != nil {
 		limits = limitsOf(*g.service).WithSlots(g.usableSlots(b.announcement))
 		limits.Weight = g.Weight
 		g.admit.ColdLimiter.SetLimit(g.service.Cold.Pace)
-		g.sending.SetLimit(g.service.Cold.Most)
-		g.firstStart()
+		g.sendLimit.SetLimit(g.service.Cold.Most)
+		g.checkFirstStart()
 	}
 	g.admit.SetLimits(limits)
-	if g.leaving || g.emptied || g.withheld || g.departing || b != nil && b.announcement.Draining {
+	if g.draining || g.evacuated || g.versionWithheld || g.noticeLeaving || b != nil && b.announcement.Draining {
 		g.admit.Drain()
 	} else {
 		g.admit.Resume()
 	}
 }
 
-// usableSlots returns how many requests the upstream is given at once.
+// usableSlots returns how many requests the upstream may run at once.
 func (g *Gate) usableSlots(a *upstream.Announcement) int {
 	slots := min(a.Slots, a.Connections)
 	if share := g.service.Queue.SlotShare; share > 0 {
@@ -247,7 +248,7 @@
 	return slots
 }
 
-// limitsOf returns the limits that a service is configured to have.
+// limitsOf returns the admission limits of a configured service, without slots.
 func limitsOf(s operator.Service) admit.Limits {
 	classes := make([]admit.Class, len(s.Classes))
 	for i, c := range s.Classes {
@@ -269,12 +270,12 @@
 	}.WithClasses(classes...)
 }
 
-// Leave refuses all new calls from now on. The returned channel is closed once
-// no request runs at the upstream.
+// Drain refuses all new calls from now on. The returned channel is closed once no request runs
+// at the upstream.
 func (g *Gate) Drain() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.leaving = true
+	g.draining = true
 	return g.admit.Drain()
 }
 
@@ -286,14 +287,14 @@
 	if span.IsRecording() {
 		span.SetAttributes(attribute.String("sassafras.service", in.Call.Service), attribute.Int("sassafras.try", in.Call.Try), attribute.String("sassafras.entry", in.From.Node))
 	}
-	g.adopt(in.Call.Notice)
+	g.adoptNotice(in.Call.Notice)
 	c := &call{
 		gate: g,
 		in:   in,
 	}
-	failure := c.guarded(ctx)
+	failure := c.runRecovered(ctx)
 	if failure != nil {
-		in.Notice = g.notice()
+		in.Notice = g.peerNotice()
 		in.Fail(failure, g.reportFor(in.From.Node))
 		if g.CallFailed != nil {
 			g.CallFailed(in.Call, in.From.Node, failure, g.admit.Report(), c.waited, time.Since(began))
@@ -306,18 +307,18 @@
 }
 
 const (
-	// freshSpeed is how old the upstream's last word on its speed may be when a
-	// request is sent to it. Its speed at the start of a request holds for all of
-	// it, and changes several times a second.
-	freshSpeed = 15 * time.Millisecond
-	// newsTime is how long senders may not know of a slowdown: a one-way delay, and
-	// that of a call that crosses the news.
-	newsTime = 10 * time.Millisecond
+	// maxSpeedAge is how old the upstream's last reported speed may be when a request is sent
+	// to it. The speed at the start of a request holds for all of it, and changes several
+	// times a second.
+	maxSpeedAge = 15 * time.Millisecond
+	// propagationTime is how long senders may not know about a slowdown: the one-way delay of
+	// the report, plus that of a call sent before the report arrived.
+	propagationTime = 10 * time.Millisecond
 )
 
-// tellsOfAbsence returns whether a failure shows that the announced upstream is not there:
-// it could not be reached, and not for the reason that the call ended before.
-func tellsOfAbsence(failure *verdict.Error) bool {
+// showsUnreachable returns whether a failure shows that the announced upstream is not there:
+// it could not be reached, and not because the call had been cancelled.
+func showsUnreachable(failure *verdict.Error) bool {
 	switch failure.Cause {
 	case verdict.WrongUpstream:
 		return true
@@ -327,20 +328,20 @@
 	return false
 }
 
-// sendFailed tells of a failure that shows the upstream to be gone.
-func (g *Gate) sendFailed(b *binding, failure *verdict.Error) {
+// handleSendFailure acts on a failure that may show that the upstream has ended.
+func (g *Gate) handleSendFailure(b *binding, failure *verdict.Error) {
 	switch {
 	case failure.Cause == verdict.UpstreamLost:
-		b.start.broke.Store(true)
-		if g.present(b) {
-			go g.look(b)
+		b.start.lostRequest.Store(true)
+		if g.isCurrent(b) {
+			go g.checkAlive(b)
 		} else {
-			g.gone(b)
+			g.reportCrash(b)
 		}
 	case failure.Cause == verdict.WrongUpstream || errors.Is(failure, syscall.ECONNREFUSED):
-		g.gone(b)
+		g.reportCrash(b)
 	}
-	if g.UpstreamUnreachable != nil && tellsOfAbsence(failure) {
+	if g.UpstreamUnreachable != nil && showsUnreachable(failure) {
 		g.UpstreamUnreachable(b.announcement, failure)
 	}
 }
--- a/gate/organisation_test.go
+++ b/gate/organisation_test.go
@@ -17,11 +17,11 @@
 	"sassafrasfront.example/verdict"
 )
 
-// TestOrganisationsAtTheGate has an organisation fill a gate's queue before another's call
-// comes: the last of its calls gives way, unrun, and the other's runs.
-func TestOrganisationsAtTheGate(t *testing.T) {
+// TestOrganisationDisplacement has an organisation fill a gate's queue before another's call
+// arrives: the last of its calls is refused without having run, and the other's runs.
+func TestOrganisationDisplacement(t *testing.T) {
 	inside, goOn := make(chan struct{}), make(chan struct{})
-	r := newRig(t, 1, func(http.ResponseWriter, *http.Request) {
+	r := newFixture(t, 1, func(http.ResponseWriter, *http.Request) {
 		inside <- struct{}{}
 		<-goOn
 	})
