--- a/route/antiphase_test.go
+++ b/route/antiphase_test.go
@@ -20,24 +20,24 @@
 // The load of TestZonesInAntiphase: upstreams with 14 slots each for runs of 240 ms, and five
 // entries in each zone.
 const (
-	phaseEntries = 5
-	phaseSlots   = 14
-	phaseRun     = 240 * time.Millisecond
-	phaseDelay   = 4400 * time.Microsecond // between zones, one way
-	phaseLasts   = 30 * time.Second
+	entriesPerZone   = 5
+	slotsPerUpstream = 14
+	meanRunTime      = 240 * time.Millisecond
+	zoneDelay        = 4400 * time.Microsecond // between zones, one way
+	simulatedTime    = 30 * time.Second
 )
 
 // phased is an upstream whose requests beyond its slots wait.
-type phased struct {
+type queueingUpstream struct {
 	zone  int
 	slots chan struct{}
 
-	mu   sync.Mutex
-	here int // that run or wait
+	mu      sync.Mutex
+	present int // that run or wait
 }
 
 // run runs a request.
-func (p *phased) run(work time.Duration) {
+func (p *queueingUpstream) run(work time.Duration) {
 	p.add(1)
 	p.slots <- struct{}{}
 	time.Sleep(work)
@@ -45,40 +45,40 @@
 	p.add(-1)
 }
 
-func (p *phased) add(n int) {
+func (p *queueingUpstream) add(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.here += n
+	p.present += n
 }
 
-func (p *phased) load() route.Load {
+func (p *queueingUpstream) load() route.Load {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return route.Load{
-		Running:     min(p.here, phaseSlots),
-		Waiting:     max(0, p.here-phaseSlots),
-		Slots:       phaseSlots,
-		ServiceTime: phaseRun,
+		Running:     min(p.present, slotsPerUpstream),
+		Waiting:     max(0, p.present-slotsPerUpstream),
+		Slots:       slotsPerUpstream,
+		ServiceTime: meanRunTime,
 	}
 }
 
 // phasePlay is what came of a load.
-type phasePlay struct {
-	crossed  float64       // share of the requests that crossed zones
-	late     float64       // share that took over a second
-	unevenly time.Duration // the longest that one was over its slots with another half empty
+type zonesResult struct {
+	crossed          float64       // share of the requests that crossed zones
+	late             float64       // share that took over a second
+	longestImbalance time.Duration // the longest that one was over its slots with another half empty
 }
 
 // playZones has the callers of each zone rise and fall by 0.55 every 15 s, each zone at another
 // moment, around the given share of all slots, for so many upstreams in each zone. Reports
 // reach an entry 5 to 100 ms after they were made.
-func playZones(used float64, zones []int) phasePlay {
-	var upstreams []*phased
+func simulateZones(utilisation float64, zones []int) zonesResult {
+	var upstreams []*queueingUpstream
 	for zone, n := range zones {
 		for range n {
-			upstreams = append(upstreams, &phased{
+			upstreams = append(upstreams, &queueingUpstream{
 				zone:  zone,
-				slots: make(chan struct{}, phaseSlots),
+				slots: make(chan struct{}, slotsPerUpstream),
 			})
 		}
 	}
@@ -86,16 +86,16 @@
 	var mu sync.Mutex
 	var sent, crossed, late float64
 	began := time.Now()
-	going := func() bool { return time.Since(began) < phaseLasts }
-	perEntry := used * float64(len(upstreams)*phaseSlots) / phaseRun.Seconds() / float64(len(zones)*phaseEntries)
-	for entry := range len(zones) * phaseEntries {
-		zone := entry / phaseEntries
+	running := func() bool { return time.Since(began) < simulatedTime }
+	perEntry := utilisation * float64(len(upstreams)*slotsPerUpstream) / meanRunTime.Seconds() / float64(len(zones)*entriesPerZone)
+	for entry := range len(zones) * entriesPerZone {
+		zone := entry / entriesPerZone
 		random := rand.New(rand.NewPCG(7, uint64(entry)))
-		p := &route.Pool[int]{Policy: route.Fastest{}, ExpectedServiceTime: phaseRun}
-		p.SetTargets(phaseTargets(zone, random, upstreams))
+		p := &route.Pool[int]{Policy: route.Fastest{}, ExpectedServiceTime: meanRunTime}
+		p.SetTargets(zoneTargets(zone, random, upstreams))
 		reports := rand.New(rand.NewPCG(8, uint64(entry)))
 		all.Go(func() {
-			for going() {
+			for running() {
 				for i, u := range upstreams {
 					l := u.load()
 					age := 5*time.Millisecond + time.Duration(reports.Int64N(int64(95*time.Millisecond)))
@@ -105,30 +105,30 @@
 			}
 		})
 		all.Go(func() {
-			for going() {
+			for running() {
 				angle := 2 * math.Pi * (time.Since(began).Seconds()/15 + float64(zone)/float64(len(zones)))
 				rate := perEntry * (1 + 0.55*math.Sin(angle))
 				time.Sleep(time.Duration(random.ExpFloat64() / rate * float64(time.Second)))
-				work := time.Duration((2 + 2*random.Float64()) / 3 * float64(phaseRun))
-				use, ok := p.Pick(nil)
+				work := time.Duration((2 + 2*random.Float64()) / 3 * float64(meanRunTime))
+				assignment, ok := p.Pick(nil)
 				if !ok {
 					panic("no upstream")
 				}
-				u := upstreams[use.Key()]
+				u := upstreams[assignment.Key()]
 				all.Go(func() {
-					came := time.Now()
+					arrived := time.Now()
 					if u.zone != zone {
-						time.Sleep(2 * phaseDelay)
+						time.Sleep(2 * zoneDelay)
 					}
 					u.run(work)
-					use.Done(route.Succeeded)
+					assignment.Done(route.Succeeded)
 					mu.Lock()
 					defer mu.Unlock()
 					sent++
 					if u.zone != zone {
 						crossed++
 					}
-					if time.Since(came) > time.Second {
+					if time.Since(arrived) > time.Second {
 						late++
 					}
 				})
@@ -138,14 +138,14 @@
 	var longest time.Duration
 	all.Go(func() {
 		since := make([]time.Time, len(upstreams)) // when each was not over its slots last
-		for going() {
+		for running() {
 			time.Sleep(10 * time.Millisecond)
 			least := math.MaxInt
 			for _, u := range upstreams {
 				least = min(least, u.load().Running)
 			}
 			for i, u := range upstreams {
-				if u.load().Waiting == 0 || 2*least > phaseSlots || since[i].IsZero() {
+				if u.load().Waiting == 0 || 2*least > slotsPerUpstream || since[i].IsZero() {
 					since[i] = time.Now()
 				}
 				longest = max(longest, time.Since(since[i]))
@@ -154,20 +154,20 @@
 	})
 	all.Wait()
 	time.Sleep(time.Second) // reports on their way
-	return phasePlay{
-		crossed:  crossed / sent,
-		late:     late / sent,
-		unevenly: longest,
+	return zonesResult{
+		crossed:          crossed / sent,
+		late:             late / sent,
+		longestImbalance: longest,
 	}
 }
 
 // phaseTargets returns the upstreams as an entry of a zone sees them: six near and two far
 // ones are its regular ones.
-func phaseTargets(zone int, random *rand.Rand, upstreams []*phased) map[int]route.Target {
+func zoneTargets(zone int, random *rand.Rand, upstreams []*queueingUpstream) map[int]route.Target {
 	targets := make(map[int]route.Target)
 	near, far := 6, 2
 	for _, i := range random.Perm(len(upstreams)) {
-		t := route.Target{Slots: phaseSlots}
+		t := route.Target{Slots: slotsPerUpstream}
 		left := &near
 		if upstreams[i].zone != zone {
 			t.Distance = 12 * time.Millisecond
@@ -187,23 +187,23 @@
 // a request crosses where there is room in each zone at any moment.
 func TestZonesInAntiphase(t *testing.T) {
 	tests := map[string]struct {
-		zones   []int
-		used    float64
-		crosses float64 // the most that may
+		zones       []int
+		utilisation float64
+		maxCrossed  float64 // the most that may
 	}{
-		"thirty upstreams, room in each zone": {zones: []int{10, 10, 10}, used: 0.5, crosses: 0.05},
-		"thirty upstreams, peaks over a zone": {zones: []int{10, 10, 10}, used: 0.75, crosses: 0.5},
-		"thirty upstreams, nearly full":       {zones: []int{10, 10, 10}, used: 0.85, crosses: 0.5},
-		"seven upstreams, peaks over a zone":  {zones: []int{3, 2, 2}, used: 0.75, crosses: 0.5},
+		"thirty upstreams, room in each zone": {zones: []int{10, 10, 10}, utilisation: 0.5, maxCrossed: 0.05},
+		"thirty upstreams, peaks over a zone": {zones: []int{10, 10, 10}, utilisation: 0.75, maxCrossed: 0.5},
+		"thirty upstreams, nearly full":       {zones: []int{10, 10, 10}, utilisation: 0.85, maxCrossed: 0.5},
+		"seven upstreams, peaks over a zone":  {zones: []int{3, 2, 2}, utilisation: 0.75, maxCrossed: 0.5},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := playZones(test.used, test.zones)
+				p := simulateZones(test.utilisation, test.zones)
 				t.Logf("%+v", p)
-				qt.Check(t, p.unevenly < time.Second, qt.IsTrue)
+				qt.Check(t, p.longestImbalance < time.Second, qt.IsTrue)
 				qt.Check(t, p.late < 0.01, qt.IsTrue)
-				qt.Check(t, p.crossed < test.crosses, qt.IsTrue)
+				qt.Check(t, p.crossed < test.maxCrossed, qt.IsTrue)
 			})
 		})
 	}
--- a/route/fastest.go
+++ b/route/fastest.go
@@ -31,8 +31,8 @@
 	// that show one have it at seven to nine tenths of their slots.
 	kneeLoad = 0.7
 	// spreadSlope and crowdSlope are the slopes of the cost below and beyond it.
-	spreadSlope = 0.25
-	crowdSlope  = 4.0
+	baseSlope     = 0.25
+	overloadSlope = 4.0
 	// failureCost is what a failed request costs, in service times. Upstreams that
 	// fail half of their requests are then as bad as those that are slowed down
 	// fourfold, which make a request miss its objective.
@@ -47,13 +47,13 @@
 	}
 	n := v.Len()
 	if n <= choices {
-		return argmin(v, random, fastestCost)
+		return argmin(v, random, expectedCost)
 	}
 	best := random.IntN(n)
-	least := fastestCost(v.At(best))
+	least := expectedCost(v.At(best))
 	for range choices - 1 {
 		i := random.IntN(n)
-		if x := fastestCost(v.At(i)); x < least {
+		if x := expectedCost(v.At(i)); x < least {
 			best, least = i, x
 		}
 	}
@@ -65,25 +65,25 @@
 // one where it would wait, or that is slowed down threefold, is not. Where the upstreams
 // of a node's subset are all full or slow and others are not, requests then go to the
 // others.
-const enough = 2.4
+const acceptableCost = 2.4
 
 // Enough implements Demanding. It judges the upstream, and not the body's way there, which
 // other upstreams have as well.
 func (Fastest) Acceptable(c Candidate) bool {
-	return fastestCost(c)-c.TransferTime.Seconds() <= enough*c.MeanServiceTime.Seconds()
+	return expectedCost(c)-c.TransferTime.Seconds() <= acceptableCost*c.MeanServiceTime.Seconds()
 }
 
 // fastestCost is the expected time until a request sent to c ends, in seconds.
-func fastestCost(c Candidate) float64 {
-	u := c.share()
-	times := c.Slowdown*(1+crowding(u)) + failureCost*c.FailureRatio
-	return times*c.ServiceTime.Seconds() + c.ZoneCrossingCost*c.MeanServiceTime.Seconds() + (c.Distance + c.TransferTime + c.LimitWait).Seconds()
+func expectedCost(c Candidate) float64 {
+	u := c.utilisation()
+	factor := c.Slowdown*(1+loadPenalty(u)) + failureCost*c.FailureRatio
+	return factor*c.ServiceTime.Seconds() + c.ZoneCrossingCost*c.MeanServiceTime.Seconds() + (c.Distance + c.TransferTime + c.LimitWait).Seconds()
 }
 
 // crowding is the part by which the load u prolongs a request.
-func crowding(u float64) float64 {
+func loadPenalty(u float64) float64 {
 	if u <= kneeLoad {
-		return spreadSlope * u
+		return baseSlope * u
 	}
-	return spreadSlope*kneeLoad + crowdSlope*(u-kneeLoad)
+	return baseSlope*kneeLoad + overloadSlope*(u-kneeLoad)
 }
--- a/route/fastest_test.go
+++ b/route/fastest_test.go
@@ -39,9 +39,9 @@
 			p.SetTargets(map[string]route.Target{"a": {Slots: 8}, "b": {Slots: 8}})
 			p.Observe("a", test.a)
 			p.Observe("b", test.b)
-			use, ok := p.Pick(nil)
+			assignment, ok := p.Pick(nil)
 			qt.Assert(t, ok, qt.IsTrue)
-			qt.Check(t, use.Key(), qt.Equals, test.want)
+			qt.Check(t, assignment.Key(), qt.Equals, test.want)
 		})
 	}
 }
--- a/route/limited_test.go
+++ b/route/limited_test.go
@@ -44,9 +44,9 @@
 					p.Observe(1, other)
 					var sent int
 					for range 10 {
-						use, ok := p.Pick(nil)
+						assignment, ok := p.Pick(nil)
 						qt.Assert(t, ok, qt.IsTrue)
-						if use.Key() == 0 {
+						if assignment.Key() == 0 {
 							sent++
 						}
 					}
@@ -58,7 +58,7 @@
 }
 
 // TestPickWithin passes over upstreams where a request would wait for too long for its turn.
-func TestPickWithin(t *testing.T) {
+func TestPickWithMaxWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &route.Pool[int]{Policy: route.Fastest{}}
 		p.SetTargets(map[int]route.Target{0: {Slots: 8}, 1: {Slots: 8}})
@@ -66,18 +66,18 @@
 			p.Observe(i, route.Load{Slots: 8, Limited: true, Limit: 1, LimitWait: free})
 		}
 		for name, test := range map[string]struct {
-			most time.Duration
-			ok   bool
+			maxWait time.Duration
+			ok      bool
 		}{
 			"no bound":     {ok: true},
-			"long enough":  {most: 2 * time.Second, ok: true},
-			"not for both": {most: 500 * time.Millisecond},
+			"long enough":  {maxWait: 2 * time.Second, ok: true},
+			"not for both": {maxWait: 500 * time.Millisecond},
 		} {
-			use, ok := p.PickWithMaxWait(test.most, 0, nil)
+			assignment, ok := p.PickWithMaxWait(test.maxWait, 0, nil)
 			qt.Check(t, ok, qt.Equals, test.ok, qt.Commentf("%s", name))
 			if ok {
-				qt.Check(t, use.Key(), qt.Equals, 0, qt.Commentf("%s", name))
-				use.Done(route.Refused)
+				qt.Check(t, assignment.Key(), qt.Equals, 0, qt.Commentf("%s", name))
+				assignment.Done(route.Refused)
 				p.Observe(0, route.Load{Slots: 8, Limited: true, Limit: 1, LimitWait: time.Second})
 			}
 		}
--- a/route/load_test.go
+++ b/route/load_test.go
@@ -22,14 +22,14 @@
 // request is in time if it takes no more than 2.5 times the usual service time.
 func TestCrossing(t *testing.T) {
 	const (
-		members  = 6 // near, and as many far
-		allowed  = 7
-		requests = 4000
-		usual    = 480 * time.Millisecond
-		onTime   = 2.5 // usual service times
+		members          = 6 // near, and as many far
+		slots            = 7
+		requests         = 4000
+		usualServiceTime = 480 * time.Millisecond
+		onTime           = 2.5 // usual service times
 	)
-	type figures struct{ crossed, inTime float64 }
-	play := func(crossing float64, nearSlow float64) (f figures) {
+	type result struct{ crossed, inTime float64 }
+	simulate := func(crossing float64, nearSlow float64) (f result) {
 		random := rand.New(rand.NewPCG(1, 2))
 		for range requests {
 			p := &route.Pool[string]{Policy: route.Fastest{}}
@@ -37,14 +37,14 @@
 			loads := make(map[string]route.Load)
 			for i := range 2 * members {
 				key := fmt.Sprint(i)
-				slow, target := 0.25, route.Target{Slots: allowed}
+				slow, target := 0.25, route.Target{Slots: slots}
 				if i < members {
 					slow = nearSlow
 				} else {
 					target.ZoneCrossingCost = crossing
 					target.Distance = 12 * time.Millisecond
 				}
-				load := route.Load{Running: 2 + random.IntN(6), Slots: allowed, ServiceTime: usual, Slowdown: 1}
+				load := route.Load{Running: 2 + random.IntN(6), Slots: slots, ServiceTime: usualServiceTime, Slowdown: 1}
 				if random.Float64() < slow {
 					load.Slowdown = 4
 				}
@@ -54,15 +54,15 @@
 			for key, load := range loads {
 				p.Observe(key, load)
 			}
-			use, _ := p.Pick(nil)
-			load := loads[use.Key()]
+			assignment, _ := p.Pick(nil)
+			load := loads[assignment.Key()]
 			took := load.Slowdown
-			if load.Running+1 > allowed {
+			if load.Running+1 > slots {
 				took++ // it waits
-			} else if load.Running >= allowed-1 {
+			} else if load.Running >= slots-1 {
 				took *= 1.7
 			}
-			if targets[use.Key()].ZoneCrossingCost > 0 || targets[use.Key()].Distance > 0 {
+			if targets[assignment.Key()].ZoneCrossingCost > 0 || targets[assignment.Key()].Distance > 0 {
 				f.crossed += 1.0 / requests
 			}
 			if took <= onTime {
@@ -72,21 +72,21 @@
 		return f
 	}
 	tests := map[string]struct {
-		nearSlow       float64
-		before, after  figures // without a cost of crossing, and with that of half a service time
-		leastCrossings float64 // with it
+		nearSlow              float64
+		withoutCost, withCost result  // without a cost of crossing, and with that of half a service time
+		minCrossed            float64 // with it
 	}{
-		"as usual":                 {nearSlow: 0.25, before: figures{0.30, 0.999}, after: figures{0.06, 0.999}},
-		"the zone is slow":         {nearSlow: 0.9, before: figures{0.85, 0.999}, after: figures{0.74, 0.999}, leastCrossings: 0.6},
-		"the whole zone is slowed": {nearSlow: 1, before: figures{1, 0.999}, after: figures{1, 0.999}, leastCrossings: 0.99},
+		"as usual":                 {nearSlow: 0.25, withoutCost: result{0.30, 0.999}, withCost: result{0.06, 0.999}},
+		"the zone is slow":         {nearSlow: 0.9, withoutCost: result{0.85, 0.999}, withCost: result{0.74, 0.999}, minCrossed: 0.6},
+		"the whole zone is slowed": {nearSlow: 1, withoutCost: result{1, 0.999}, withCost: result{1, 0.999}, minCrossed: 0.99},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			before, after := play(0, test.nearSlow), play(0.5, test.nearSlow)
-			t.Logf("without %+.3f, with %+.3f", before, after)
-			qt.Check(t, before.crossed <= test.before.crossed+0.1 && before.crossed >= test.before.crossed-0.1, qt.IsTrue)
-			qt.Check(t, after.crossed <= test.after.crossed+0.05 && after.crossed >= test.leastCrossings, qt.IsTrue)
-			qt.Check(t, after.inTime >= before.inTime-0.002, qt.IsTrue)
+			withoutCost, withCost := simulate(0, test.nearSlow), simulate(0.5, test.nearSlow)
+			t.Logf("without %+.3f, with %+.3f", withoutCost, withCost)
+			qt.Check(t, withoutCost.crossed <= test.withoutCost.crossed+0.1 && withoutCost.crossed >= test.withoutCost.crossed-0.1, qt.IsTrue)
+			qt.Check(t, withCost.crossed <= test.withCost.crossed+0.05 && withCost.crossed >= test.minCrossed, qt.IsTrue)
+			qt.Check(t, withCost.inTime >= withoutCost.inTime-0.002, qt.IsTrue)
 		})
 	}
 }
@@ -96,46 +96,46 @@
 // where they are not, it takes none.
 func TestSpareByNeed(t *testing.T) {
 	const (
-		members  = 40
-		subset   = 8
-		allowed  = 7
-		requests = 2000
-		usual    = 480 * time.Millisecond
+		members          = 40
+		subset           = 8
+		slots            = 7
+		requests         = 2000
+		usualServiceTime = 480 * time.Millisecond
 	)
-	full := route.Load{Running: allowed, Waiting: 3, Slots: allowed, ServiceTime: usual, Slowdown: 1}
-	slow := route.Load{Running: 2, Slots: allowed, ServiceTime: usual, Slowdown: 4}
-	good := route.Load{Running: 3, Slots: allowed, ServiceTime: usual, Slowdown: 1}
-	busy := route.Load{Running: 6, Slots: allowed, ServiceTime: usual, Slowdown: 1}
+	full := route.Load{Running: slots, Waiting: 3, Slots: slots, ServiceTime: usualServiceTime, Slowdown: 1}
+	slow := route.Load{Running: 2, Slots: slots, ServiceTime: usualServiceTime, Slowdown: 4}
+	good := route.Load{Running: 3, Slots: slots, ServiceTime: usualServiceTime, Slowdown: 1}
+	busy := route.Load{Running: 6, Slots: slots, ServiceTime: usualServiceTime, Slowdown: 1}
 	tests := map[string]struct {
-		own, others route.Load
-		least, most float64 // the part of the requests that others get
+		inSubset, others route.Load
+		least, most      float64 // the part of the requests that others get
 	}{
-		"the subset is full":        {own: full, others: good, least: 0.95, most: 1},
-		"the subset is slow":        {own: slow, others: good, least: 0.95, most: 1},
-		"the subset is fast enough": {own: busy, others: good},
-		"all are full":              {own: full, others: full, most: 0.5},
-		"nothing is known of them":  {own: full, least: 0.95, most: 1},
+		"the subset is full":        {inSubset: full, others: good, least: 0.95, most: 1},
+		"the subset is slow":        {inSubset: slow, others: good, least: 0.95, most: 1},
+		"the subset is fast enough": {inSubset: busy, others: good},
+		"all are full":              {inSubset: full, others: full, most: 0.5},
+		"nothing is known of them":  {inSubset: full, least: 0.95, most: 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			var others float64
 			for range requests {
-				p := &route.Pool[int]{Policy: route.Fastest{}, ExpectedServiceTime: usual}
+				p := &route.Pool[int]{Policy: route.Fastest{}, ExpectedServiceTime: usualServiceTime}
 				targets := make(map[int]route.Target)
 				for i := range members {
-					targets[i] = route.Target{Slots: allowed, Spare: i >= subset}
+					targets[i] = route.Target{Slots: slots, Spare: i >= subset}
 				}
 				p.SetTargets(targets)
 				for i := range members {
-					load := test.own
+					load := test.inSubset
 					if i >= subset {
 						load = test.others
 					}
 					p.Observe(i, load)
 				}
-				use, ok := p.Pick(nil)
+				assignment, ok := p.Pick(nil)
 				qt.Assert(t, ok, qt.IsTrue)
-				if use.Key() >= subset {
+				if assignment.Key() >= subset {
 					others += 1.0 / requests
 				}
 			}
--- a/route/policy.go
+++ b/route/policy.go
@@ -42,7 +42,7 @@
 }
 
 // share returns the part of what the upstream takes that is in use with one request more.
-func (c Candidate) share() float64 { return max((c.Load+1)/float64(c.Slots), c.LimitUsed) }
+func (c Candidate) utilisation() float64 { return max((c.Load+1)/float64(c.Slots), c.LimitUsed) }
 
 // View gives a policy the candidates one by one, so that a policy that looks
 // at two of them does not pay for all.
@@ -105,18 +105,18 @@
 	HotThreshold float64
 }
 
-const defaultHot = 0.8
+const defaultHotThreshold = 0.8
 
 // Choose implements Policy.
 func (p HotCold) Choose(v View, random *rand.Rand) int {
-	hot := p.HotThreshold
-	if hot == 0 {
-		hot = defaultHot
+	threshold := p.HotThreshold
+	if threshold == 0 {
+		threshold = defaultHotThreshold
 	}
 	return argmin(v, random, func(c Candidate) float64 {
-		share := c.Load / float64(c.Slots)
-		if share >= hot || c.LimitWait > 0 {
-			return 1e6 * (1 + share)
+		utilisation := c.Load / float64(c.Slots)
+		if utilisation >= threshold || c.LimitWait > 0 {
+			return 1e6 * (1 + utilisation)
 		}
 		return c.ServiceTime.Seconds()
 	})
@@ -184,7 +184,7 @@
 
 // score is the expected cost of sending a request to c, in seconds.
 func score(c Candidate) float64 {
-	return c.share()*c.ServiceTime.Seconds() + (c.Distance + c.TransferTime + c.LimitWait).Seconds()
+	return c.utilisation()*c.ServiceTime.Seconds() + (c.Distance + c.TransferTime + c.LimitWait).Seconds()
 }
 
 // argmin returns the index of the candidate with the least value, and any of
--- a/route/pool.go
+++ b/route/pool.go
@@ -16,26 +16,26 @@
 const (
 	// loadFade is the time constant with which a reported load fades to the
 	// mean of the service.
-	loadFade = 100 * time.Millisecond
+	loadDecay = 100 * time.Millisecond
 	// serviceFade is the time constant with which a reported service time
 	// fades to the mean of the service. It is long, so that a slow upstream is
 	// tried again seldom.
-	serviceFade = 5 * time.Second
+	serviceTimeDecay = 5 * time.Second
 	// slowdownFade is the time constant with which a reported slowdown is
 	// forgotten. Changes are reported at once, so it bounds only how long an
 	// upstream that no report comes from is passed over.
-	slowdownFade = 2 * time.Second
+	slowdownDecay = 2 * time.Second
 	// failingFade is the time constant with which a reported share of failures is
 	// forgotten, so that an upstream that is passed over for it is tried again.
-	failingFade = 2 * time.Second
+	failureRatioDecay = 2 * time.Second
 	// agePatience divides the age of own requests at an upstream that tells its
 	// speed: one that began while it was slow stays slow to its end.
-	agePatience = 6
+	inFlightAgeDivisor = 6
 	// meanGain is the weight of one report in the means of the service.
-	meanGain = 0.05
+	ewmaWeight = 0.05
 	// defaultService is the service time assumed before the first report, where
 	// none is expected.
-	defaultService = 10 * time.Millisecond
+	defaultServiceTime = 10 * time.Millisecond
 )
 
 // Load is what the node beside an upstream reports of it.
@@ -99,31 +99,31 @@
 	// known.
 	LinkBandwidth float64
 
-	mu      sync.Mutex
-	random  *rand.Rand
-	byKey   map[K]*entry[K]
-	entries []*entry[K]
-	usable  []*entry[K]
-	load    float64 // mean reported load
-	service float64 // mean reported service time, in seconds
+	mu                 sync.Mutex
+	random             *rand.Rand
+	byKey              map[K]*entry[K]
+	entries            []*entry[K]
+	candidates         []*entry[K]
+	meanLoad           float64 // mean reported load
+	meanServiceSeconds float64 // mean reported service time, in seconds
 }
 
 // entry is the state of one upstream.
 type entry[K comparable] struct {
-	key      K
-	target   Target
-	own      int
-	startSum time.Duration // of own requests in flight, since base
-	reported Load
-	at       time.Time // of the report; zero if there is none
-	sent     int       // own requests sent since the report
-	ended    int       // own requests ended since the report
-	bodies   int64     // own body bytes sent since the report
-	health   health
+	key            K
+	target         Target
+	inFlight       int
+	startSum       time.Duration // of own requests in flight, since base
+	reported       Load
+	reportedAt     time.Time // of the report; zero if there is none
+	sentSince      int       // own requests sent since the report
+	endedSince     int       // own requests ended since the report
+	bodyBytesSince int64     // own body bytes sent since the report
+	health         health
 }
 
 // base is the origin of the times in entry.startSum.
-var base = time.Now()
+var timeOrigin = time.Now()
 
 // Set replaces the upstreams. What is known of those that stay is kept.
 func (p *Pool[K]) SetTargets(targets map[K]Target) {
@@ -158,18 +158,18 @@
 	if e == nil || l.Slots <= 0 {
 		return
 	}
-	p.load += meanGain * (float64(l.Running+l.Waiting) - p.load)
-	if p.service == 0 {
-		p.service = l.ServiceTime.Seconds()
+	p.meanLoad += ewmaWeight * (float64(l.Running+l.Waiting) - p.meanLoad)
+	if p.meanServiceSeconds == 0 {
+		p.meanServiceSeconds = l.ServiceTime.Seconds()
 	}
 	if l.ServiceTime > 0 {
-		p.service += meanGain * (l.ServiceTime.Seconds() - p.service)
+		p.meanServiceSeconds += ewmaWeight * (l.ServiceTime.Seconds() - p.meanServiceSeconds)
 	}
 	e.reported = l
-	e.at = time.Now()
-	e.sent = 0
-	e.ended = 0
-	e.bodies = 0
+	e.reportedAt = time.Now()
+	e.sentSince = 0
+	e.endedSince = 0
+	e.bodyBytesSince = 0
 }
 
 // Pick chooses an upstream for one request, passing over those for which
@@ -184,21 +184,21 @@
 
 // PickWithin is PickFor for a request that is of no use at an upstream where it waits for longer
 // than the given time for its turn under a limit. Zero means no bound.
-func (p *Pool[K]) PickWithMaxWait(most time.Duration, body int64, exclude func(K) bool) (*Assignment[K], bool) {
+func (p *Pool[K]) PickWithMaxWait(maxWait time.Duration, body int64, exclude func(K) bool) (*Assignment[K], bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
 	if p.random == nil {
 		p.random = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	}
-	p.gather(now, exclude)
-	if most > 0 {
-		p.usable = slices.DeleteFunc(p.usable, func(e *entry[K]) bool {
-			_, wait := e.limited(now.Sub(e.at))
-			return wait > most
+	p.gatherCandidates(now, exclude)
+	if maxWait > 0 {
+		p.candidates = slices.DeleteFunc(p.candidates, func(e *entry[K]) bool {
+			_, wait := e.rateLimitState(now.Sub(e.reportedAt))
+			return wait > maxWait
 		})
 	}
-	if len(p.usable) == 0 {
+	if len(p.candidates) == 0 {
 		return nil, false
 	}
 	policy := p.Policy
@@ -206,9 +206,9 @@
 		policy = TwoChoice{}
 	}
 	v := view[K]{
-		pool: p,
-		now:  now,
-		body: body,
+		pool:      p,
+		now:       now,
+		bodyBytes: body,
 	}
 	chosen := policy.Choose(v, p.random)
 	candidate := v.At(chosen)
@@ -216,33 +216,33 @@
 		chosen = policy.Choose(v, p.random)
 		candidate = v.At(chosen)
 	}
-	e := p.usable[chosen]
-	e.own++
-	e.sent++
-	e.bodies += body
-	e.startSum += now.Sub(base)
+	e := p.candidates[chosen]
+	e.inFlight++
+	e.sentSince++
+	e.bodyBytesSince += body
+	e.startSum += now.Sub(timeOrigin)
 	e.health.begin(now)
 	return &Assignment[K]{
-		pool:  p,
-		entry: e,
-		began: now,
+		pool:      p,
+		entry:     e,
+		startedAt: now,
 
 		candidate: candidate,
-		age:       e.age(now),
+		reportAge: e.reportAge(now),
 	}, true
 }
 
 // age returns the age of the last report, or -1 if there is none.
-func (e *entry[K]) age(now time.Time) time.Duration {
-	if e.at.IsZero() {
+func (e *entry[K]) reportAge(now time.Time) time.Duration {
+	if e.reportedAt.IsZero() {
 		return -1
 	}
-	return now.Sub(e.at)
+	return now.Sub(e.reportedAt)
 }
 
 // gather fills p.usable with the upstreams that may be picked. If too many are
 // ejected, the ejections are not believed.
-func (p *Pool[K]) gather(now time.Time, exclude func(K) bool) {
+func (p *Pool[K]) gatherCandidates(now time.Time, exclude func(K) bool) {
 	limit := p.MaxEjectedFraction
 	if limit == 0 {
 		limit = 0.5
@@ -253,11 +253,11 @@
 			ejected++
 		}
 	}
-	trust := float64(ejected) <= limit*float64(len(p.entries))
-	p.usable = p.usable[:0]
-	p.collect(now, exclude, trust, false)
-	if len(p.usable) == 0 {
-		p.collect(now, exclude, trust, true)
+	trustEjections := float64(ejected) <= limit*float64(len(p.entries))
+	p.candidates = p.candidates[:0]
+	p.collect(now, exclude, trustEjections, false)
+	if len(p.candidates) == 0 {
+		p.collect(now, exclude, trustEjections, true)
 	}
 }
 
@@ -268,49 +268,49 @@
 // addSpare adds a few spare upstreams that may be picked to p.usable, and returns
 // whether there were any.
 func (p *Pool[K]) addSpare(now time.Time, exclude func(K) bool) bool {
-	regular := len(p.usable)
+	regular := len(p.candidates)
 	for range 2 * spareDraws {
 		e := p.entries[p.random.IntN(len(p.entries))]
-		if len(p.usable) == regular+spareDraws {
+		if len(p.candidates) == regular+spareDraws {
 			break
 		}
-		if !e.target.Spare || slices.Contains(p.usable, e) || exclude != nil && exclude(e.key) || e.draining(now) || !e.health.usable(now) {
+		if !e.target.Spare || slices.Contains(p.candidates, e) || exclude != nil && exclude(e.key) || e.draining(now) || !e.health.usable(now) {
 			continue
 		}
-		p.usable = append(p.usable, e)
+		p.candidates = append(p.candidates, e)
 	}
-	return len(p.usable) > regular
+	return len(p.candidates) > regular
 }
 
 // collect adds the upstreams that may be picked and are spare or not to
 // p.usable.
-func (p *Pool[K]) collect(now time.Time, exclude func(K) bool, trust, spare bool) {
+func (p *Pool[K]) collect(now time.Time, exclude func(K) bool, trustEjections, spare bool) {
 	for _, e := range p.entries {
 		if e.target.Spare != spare || exclude != nil && exclude(e.key) {
 			continue
 		}
-		if e.draining(now) || trust && !e.health.usable(now) {
+		if e.draining(now) || trustEjections && !e.health.usable(now) {
 			continue
 		}
-		p.usable = append(p.usable, e)
+		p.candidates = append(p.candidates, e)
 	}
 }
 
 // drainFade is how long a report of draining is believed. It outlasts the time
 // in which the membership says the same.
-const drainFade = 10 * time.Second
+const drainingTimeout = 10 * time.Second
 
 // draining returns whether the upstream said lately that it drains.
 func (e *entry[K]) draining(now time.Time) bool {
-	return e.reported.Draining && now.Sub(e.at) < drainFade
+	return e.reported.Draining && now.Sub(e.reportedAt) < drainingTimeout
 }
 
 const (
 	// oddShare is the share of failures from which an upstream may stand out, and
 	// oddRatio how many times the mean of the others it then has to be: where most
 	// fail alike, the fault is not the upstream's.
-	oddShare = 0.15
-	oddRatio = 2.0
+	outlierMinRatio = 0.15
+	outlierFactor   = 2.0
 )
 
 // StandsOut returns whether an upstream fails far more of its requests than the
@@ -323,25 +323,25 @@
 		return false
 	}
 	now := time.Now()
-	own := e.failing(now)
+	own := e.failureRatio(now)
 	var sum float64
 	for _, o := range p.entries {
 		if o != e {
-			sum += o.failing(now)
+			sum += o.failureRatio(now)
 		}
 	}
-	return own >= oddShare && own >= oddRatio*sum/float64(len(p.entries)-1)
+	return own >= outlierMinRatio && own >= outlierFactor*sum/float64(len(p.entries)-1)
 }
 
 // fade returns exp(-age/constant).
-func fade(age, constant time.Duration) float64 {
+func decay(age, constant time.Duration) float64 {
 	return math.Exp(-float64(age) / float64(constant))
 }
 
 // meanService returns the mean service time over the reports.
-func (p *Pool[K]) meanService() time.Duration {
-	if p.service == 0 {
-		return cmp.Or(p.ExpectedServiceTime, defaultService)
+func (p *Pool[K]) meanServiceTime() time.Duration {
+	if p.meanServiceSeconds == 0 {
+		return cmp.Or(p.ExpectedServiceTime, defaultServiceTime)
 	}
-	return time.Duration(p.service * float64(time.Second))
+	return time.Duration(p.meanServiceSeconds * float64(time.Second))
 }
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -96,7 +96,7 @@
 
 // TestOwnSendsCountAtOnce shows that a burst within one report's lifetime is
 // spread, although no report says so.
-func TestOwnSendsCountAtOnce(t *testing.T) {
+func TestBurstIsSpreadBetweenReports(t *testing.T) {
 	var p route.Pool[string]
 	p.SetTargets(targets(5))
 	counts := make(map[string]int)
@@ -125,23 +125,23 @@
 func TestEjection(t *testing.T) {
 	tests := map[string]struct {
 		outcomes []route.Outcome
-		bad      int // upstreams that fail so, of 4
+		failing  int // upstreams that fail so, of 4
 		ejected  bool
 	}{
-		"one failure":                 {outcomes: []route.Outcome{route.Failed}, bad: 1},
-		"three failures":              {outcomes: []route.Outcome{route.Failed, route.Failed, route.Failed}, bad: 1, ejected: true},
-		"a success between":           {outcomes: []route.Outcome{route.Failed, route.Failed, route.Succeeded, route.Failed}, bad: 1},
-		"refusals":                    {outcomes: []route.Outcome{route.Refused, route.Refused, route.Refused}, bad: 1},
-		"unreachable":                 {outcomes: []route.Outcome{route.Unreachable}, bad: 1, ejected: true},
-		"half of them unreachable":    {outcomes: []route.Outcome{route.Unreachable}, bad: 2, ejected: true},
-		"most unreachable: none gone": {outcomes: []route.Outcome{route.Unreachable}, bad: 3},
+		"one failure":                 {outcomes: []route.Outcome{route.Failed}, failing: 1},
+		"three failures":              {outcomes: []route.Outcome{route.Failed, route.Failed, route.Failed}, failing: 1, ejected: true},
+		"a success between":           {outcomes: []route.Outcome{route.Failed, route.Failed, route.Succeeded, route.Failed}, failing: 1},
+		"refusals":                    {outcomes: []route.Outcome{route.Refused, route.Refused, route.Refused}, failing: 1},
+		"unreachable":                 {outcomes: []route.Outcome{route.Unreachable}, failing: 1, ejected: true},
+		"half of them unreachable":    {outcomes: []route.Outcome{route.Unreachable}, failing: 2, ejected: true},
+		"most unreachable: none gone": {outcomes: []route.Outcome{route.Unreachable}, failing: 3},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				p := &route.Pool[string]{Policy: route.Random{}}
 				p.SetTargets(targets(4))
-				for i := range test.bad {
+				for i := range test.failing {
 					for _, o := range test.outcomes {
 						u, ok := p.Pick(func(k string) bool { return k != fmt.Sprint(i) })
 						qt.Assert(t, ok, qt.IsTrue)
--- a/route/transfer_test.go
+++ b/route/transfer_test.go
@@ -21,12 +21,12 @@
 	// uploadSize is the length of a large body, which a link of 10 Mbit/s carries in 48 ms.
 	uploadSize = 60_000
 	// slowLink and quickLink are what the links of instances carry, in bytes per second.
-	slowLink  = 10e6 / 8
-	quickLink = 100e6 / 8
+	slowLink = 10e6 / 8
+	fastLink = 100e6 / 8
 )
 
 // linked is an upstream on a link, which carries one body at a time.
-type linked struct {
+type linkedUpstream struct {
 	rate float64
 	link chan struct{} // has room while no body crosses
 
@@ -36,20 +36,20 @@
 }
 
 // take has a body cross the link and its request run.
-func (l *linked) take(work time.Duration) (arrived time.Duration) {
-	came := time.Now()
+func (l *linkedUpstream) serve(work time.Duration) (arrived time.Duration) {
+	started := time.Now()
 	l.add(uploadSize, 0)
 	l.link <- struct{}{}
 	time.Sleep(time.Duration(uploadSize / l.rate * float64(time.Second)))
 	<-l.link
-	arrived = time.Since(came)
+	arrived = time.Since(started)
 	l.add(-uploadSize, 1)
 	time.Sleep(work)
 	l.add(0, -1)
 	return arrived
 }
 
-func (l *linked) add(backlog, running int) {
+func (l *linkedUpstream) add(backlog, running int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.backlog += backlog
@@ -58,7 +58,7 @@
 
 // load returns what the node of the upstream reports. Of one that is blind nothing is told of
 // its link.
-func (l *linked) load(blind bool) route.Load {
+func (l *linkedUpstream) load(hidden bool) route.Load {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := route.Load{
@@ -66,7 +66,7 @@
 		Slots:       14,
 		ServiceTime: 280 * time.Millisecond,
 	}
-	if !blind {
+	if !hidden {
 		r.LinkBandwidth = l.rate
 		r.BacklogBytes = l.backlog
 	}
@@ -75,14 +75,14 @@
 
 // upload has three entries send uploads to seven upstreams, of which one has a quick link, for
 // 20 s, with reports that are up to 50 ms old. It returns the times that the bodies took.
-func upload(perSecond float64, blind bool) (took []time.Duration) {
-	upstreams := make([]*linked, 7)
+func simulateUploads(perSecond float64, hidden bool) (took []time.Duration) {
+	upstreams := make([]*linkedUpstream, 7)
 	targets := make(map[int]route.Target)
 	for i := range upstreams {
-		upstreams[i] = &linked{rate: slowLink, link: make(chan struct{}, 1)}
+		upstreams[i] = &linkedUpstream{rate: slowLink, link: make(chan struct{}, 1)}
 		targets[i] = route.Target{Slots: 14}
 	}
-	upstreams[0].rate = quickLink
+	upstreams[0].rate = fastLink
 	var all sync.WaitGroup
 	var mu sync.Mutex
 	began := time.Now()
@@ -92,7 +92,7 @@
 		all.Go(func() {
 			for time.Since(began) < 20*time.Second {
 				for i, u := range upstreams {
-					p.Observe(i, u.load(blind))
+					p.Observe(i, u.load(hidden))
 				}
 				time.Sleep(50 * time.Millisecond)
 			}
@@ -101,13 +101,13 @@
 		all.Go(func() {
 			for time.Since(began) < 20*time.Second {
 				time.Sleep(time.Duration(3 * random.ExpFloat64() / perSecond * float64(time.Second)))
-				use, ok := p.PickForBody(uploadSize, nil)
+				assignment, ok := p.PickForBody(uploadSize, nil)
 				if !ok {
 					panic("no upstream")
 				}
 				all.Go(func() {
-					arrived := upstreams[use.Key()].take(280 * time.Millisecond)
-					use.Done(route.Succeeded)
+					arrived := upstreams[assignment.Key()].serve(280 * time.Millisecond)
+					assignment.Done(route.Succeeded)
 					mu.Lock()
 					defer mu.Unlock()
 					took = append(took, arrived)
@@ -123,55 +123,55 @@
 // TestLargeBodiesGoWhereLinksHaveRoom has uploads take six tenths of what the links of seven
 // upstreams carry, one of which is ten times as quick as the others. Where that is known,
 // hardly a body waits for others on a slow link; where it is not, the slow links fill up.
-func TestLargeBodiesGoWhereLinksHaveRoom(t *testing.T) {
+func TestLargeBodiesAvoidBusyLinks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const perSecond = 120
-		known, blind := upload(perSecond, false), upload(perSecond, true)
+		known, hidden := simulateUploads(perSecond, false), simulateUploads(perSecond, true)
 		p90 := func(took []time.Duration) time.Duration { return took[len(took)*9/10] }
-		t.Logf("nine in ten bodies within %v, and %v with nothing known of the links", p90(known), p90(blind))
+		t.Logf("nine in ten bodies within %v, and %v with nothing known of the links", p90(known), p90(hidden))
 		qt.Check(t, p90(known) < 150*time.Millisecond, qt.IsTrue)
-		qt.Check(t, p90(blind) > 2*p90(known), qt.IsTrue)
+		qt.Check(t, p90(hidden) > 2*p90(known), qt.IsTrue)
 	})
 }
 
 // TestTransfer has one row for what decides where a large body goes.
 func TestTransfer(t *testing.T) {
 	slow := route.Load{Slots: 14, ServiceTime: 280 * time.Millisecond, LinkBandwidth: slowLink}
-	busy, quick, unknown, loaded := slow, slow, slow, slow
+	busy, fast, unknown, loaded := slow, slow, slow, slow
 	busy.BacklogBytes = 100_000
-	quick.LinkBandwidth = quickLink
+	fast.LinkBandwidth = fastLink
 	unknown.LinkBandwidth = 0
-	loaded.LinkBandwidth = quickLink
+	loaded.LinkBandwidth = fastLink
 	loaded.Running = 14
 	tests := map[string]struct {
-		first, second route.Load
-		local         bool // whether the first is beside the entry
-		own           float64
-		body          int64
-		want          int // -1 for either
+		first, second  route.Load
+		local          bool // whether the first is beside the entry
+		entryBandwidth float64
+		body           int64
+		want           int // -1 for either
 	}{
-		"to the quick link":               {first: quick, second: slow, body: uploadSize, want: 0},
+		"to the quick link":               {first: fast, second: slow, body: uploadSize, want: 0},
 		"past what waits":                 {first: busy, second: slow, body: uploadSize, want: 1},
 		"beside the entry":                {first: slow, second: slow, local: true, body: uploadSize, want: 0},
 		"not to a full upstream":          {first: loaded, second: slow, body: uploadSize, want: 1},
-		"a small one anywhere":            {first: quick, second: busy, want: -1},
-		"over an own link that is slow":   {first: quick, second: slow, own: slowLink / 10, body: uploadSize, want: -1},
+		"a small one anywhere":            {first: fast, second: busy, want: -1},
+		"over an own link that is slow":   {first: fast, second: slow, entryBandwidth: slowLink / 10, body: uploadSize, want: -1},
 		"nothing known of any link":       {first: unknown, second: unknown, body: uploadSize, want: -1},
 		"a local one with a busy link":    {first: busy, second: slow, local: true, body: uploadSize, want: 0},
 		"a link of which nothing is told": {first: unknown, second: busy, body: uploadSize, want: 0},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			p := &route.Pool[int]{Policy: route.Fastest{}, ExpectedServiceTime: 280 * time.Millisecond, LinkBandwidth: test.own}
+			p := &route.Pool[int]{Policy: route.Fastest{}, ExpectedServiceTime: 280 * time.Millisecond, LinkBandwidth: test.entryBandwidth}
 			p.SetTargets(map[int]route.Target{0: {Slots: 14, Local: test.local}, 1: {Slots: 14}})
 			got := make(map[int]int)
 			for range 100 {
 				p.Observe(0, test.first)
 				p.Observe(1, test.second)
-				use, ok := p.PickForBody(test.body, nil)
+				assignment, ok := p.PickForBody(test.body, nil)
 				qt.Assert(t, ok, qt.IsTrue)
-				got[use.Key()]++
-				use.Done(route.Unknown)
+				got[assignment.Key()]++
+				assignment.Done(route.Unknown)
 			}
 			switch test.want {
 			case -1:
--- a/route/use.go
+++ b/route/use.go
@@ -24,19 +24,19 @@
 
 // Use is one request at an upstream of a Pool.
 type Assignment[K comparable] struct {
-	pool  *Pool[K]
-	entry *entry[K]
-	began time.Time
-	done  bool
+	pool      *Pool[K]
+	entry     *entry[K]
+	startedAt time.Time
+	done      bool
 
 	candidate Candidate
-	age       time.Duration
+	reportAge time.Duration
 }
 
 // Candidate returns what the choice was made by: the upstream as the pool saw it,
 // and the age of the report that this rests on. The age is negative if there was
 // none.
-func (u *Assignment[K]) Candidate() (Candidate, time.Duration) { return u.candidate, u.age }
+func (u *Assignment[K]) Candidate() (Candidate, time.Duration) { return u.candidate, u.reportAge }
 
 // Key returns the key of the upstream.
 func (u *Assignment[K]) Key() K { return u.entry.key }
@@ -49,8 +49,8 @@
 		return
 	}
 	u.done = true
-	u.entry.own--
-	u.entry.ended++
-	u.entry.startSum -= u.began.Sub(base)
+	u.entry.inFlight--
+	u.entry.endedSince++
+	u.entry.startSum -= u.startedAt.Sub(timeOrigin)
 	u.entry.health.end(o, time.Now())
 }
--- a/route/view.go
+++ b/route/view.go
@@ -8,52 +8,52 @@
 
 // view is the pool as a policy sees it.
 type view[K comparable] struct {
-	pool *Pool[K]
-	now  time.Time
-	body int64 // that is to be sent, in bytes
+	pool      *Pool[K]
+	now       time.Time
+	bodyBytes int64 // that is to be sent, in bytes
 }
 
 // Len implements View.
-func (v view[K]) Len() int { return len(v.pool.usable) }
+func (v view[K]) Len() int { return len(v.pool.candidates) }
 
 // At implements View.
 func (v view[K]) At(i int) Candidate {
-	p, e := v.pool, v.pool.usable[i]
+	p, e := v.pool, v.pool.candidates[i]
 	c := Candidate{
-		InFlight:         e.own,
-		Load:             max(p.load, float64(e.own)),
+		InFlight:         e.inFlight,
+		Load:             max(p.meanLoad, float64(e.inFlight)),
 		Slots:            max(1, e.target.Slots),
-		ServiceTime:      p.meanService(),
+		ServiceTime:      p.meanServiceTime(),
 		Distance:         e.target.Distance,
 		ZoneCrossingCost: e.target.ZoneCrossingCost,
-		MeanServiceTime:  p.meanService(),
+		MeanServiceTime:  p.meanServiceTime(),
 		Local:            e.target.Local,
 		Slowdown:         1,
 	}
-	if !e.at.IsZero() {
-		age := v.now.Sub(e.at)
-		fresh := fade(age, loadFade)
-		known := float64(e.reported.Running + e.reported.Waiting + e.sent - e.ended)
-		c.Load = max(float64(e.own), fresh*known+(1-fresh)*c.Load)
+	if !e.reportedAt.IsZero() {
+		age := v.now.Sub(e.reportedAt)
+		fresh := decay(age, loadDecay)
+		known := float64(e.reported.Running + e.reported.Waiting + e.sentSince - e.endedSince)
+		c.Load = max(float64(e.inFlight), fresh*known+(1-fresh)*c.Load)
 		c.Slots = e.reported.Slots
 		if e.reported.ServiceTime > 0 {
-			fresh = fade(age, serviceFade)
+			fresh = decay(age, serviceTimeDecay)
 			c.ServiceTime = time.Duration(fresh*float64(e.reported.ServiceTime) + (1-fresh)*float64(c.ServiceTime))
 		}
 		if e.reported.Slowdown > 0 {
-			fresh = fade(age, slowdownFade)
+			fresh = decay(age, slowdownDecay)
 			c.Slowdown = fresh*e.reported.Slowdown + (1-fresh)*c.Slowdown
 		}
-		c.FailureRatio = e.failing(v.now)
-		c.LimitUsed, c.LimitWait = e.limited(age)
+		c.FailureRatio = e.failureRatio(v.now)
+		c.LimitUsed, c.LimitWait = e.rateLimitState(age)
 	}
-	if v.body > 0 && !e.target.Local {
-		c.TransferTime = p.transfer(e, v.body, v.now)
+	if v.bodyBytes > 0 && !e.target.Local {
+		c.TransferTime = p.transferTime(e, v.bodyBytes, v.now)
 	}
-	if e.own > 0 {
-		age := v.now.Sub(base) - e.startSum/time.Duration(e.own)
+	if e.inFlight > 0 {
+		age := v.now.Sub(timeOrigin) - e.startSum/time.Duration(e.inFlight)
 		if e.reported.Slowdown > 0 {
-			age /= agePatience
+			age /= inFlightAgeDivisor
 		}
 		c.ServiceTime = max(c.ServiceTime, age)
 	}
@@ -63,41 +63,41 @@
 const (
 	// leastLimit is the least limit that counts, in requests a second: one that takes none is
 	// given one now and then, by which the end of the limit is found out.
-	leastLimit = 0.25
+	minRateLimit = 0.25
 	// limitWindow is the time over which the used part of a limit is counted.
-	limitWindow = 4 * time.Second
+	rateLimitWindow = 4 * time.Second
 )
 
 // limited returns which part of the limit that the upstream names is used, and how long a request
 // waits for its turn under it, given the age of the report: what was so then, and what was sent
 // since.
-func (e *entry[K]) limited(age time.Duration) (used float64, wait time.Duration) {
+func (e *entry[K]) rateLimitState(age time.Duration) (used float64, wait time.Duration) {
 	if !e.reported.Limited {
 		return 0, 0
 	}
-	sent := float64(e.sent) / max(leastLimit, e.reported.Limit) // in seconds of the limit
-	used = min(1, fade(age, limitWindow)*e.reported.LimitUsed+sent/limitWindow.Seconds())
-	return used, max(0, e.reported.LimitWait+time.Duration(sent*float64(time.Second))-age)
+	usedSeconds := float64(e.sentSince) / max(minRateLimit, e.reported.Limit) // in seconds of the limit
+	used = min(1, decay(age, rateLimitWindow)*e.reported.LimitUsed+usedSeconds/rateLimitWindow.Seconds())
+	return used, max(0, e.reported.LimitWait+time.Duration(usedSeconds*float64(time.Second))-age)
 }
 
 // transfer returns how long a body takes to a node: over the slower one of the two links,
 // and behind what waits at the other's already.
-func (p *Pool[K]) transfer(e *entry[K], body int64, now time.Time) time.Duration {
+func (p *Pool[K]) transferTime(e *entry[K], body int64, now time.Time) time.Duration {
 	var seconds float64
 	if p.LinkBandwidth > 0 {
 		seconds = float64(body) / p.LinkBandwidth
 	}
 	if rate := e.reported.LinkBandwidth; rate > 0 {
-		backlog := fade(now.Sub(e.at), loadFade) * float64(int64(e.reported.BacklogBytes)+e.bodies)
+		backlog := decay(now.Sub(e.reportedAt), loadDecay) * float64(int64(e.reported.BacklogBytes)+e.bodyBytesSince)
 		seconds = max(seconds, (backlog+float64(body))/rate)
 	}
 	return time.Duration(seconds * float64(time.Second))
 }
 
 // failing returns what is left of the share of failures that was reported last.
-func (e *entry[K]) failing(now time.Time) float64 {
-	if e.at.IsZero() {
+func (e *entry[K]) failureRatio(now time.Time) float64 {
+	if e.reportedAt.IsZero() {
 		return 0
 	}
-	return fade(now.Sub(e.at), failingFade) * e.reported.FailureRatio
+	return decay(now.Sub(e.reportedAt), failureRatioDecay) * e.reported.FailureRatio
 }
