--- a/route/antiphase_test.go
+++ b/route/antiphase_test.go
@@ -17,8 +17,8 @@
 	"sassafrasfront.example/route"
 )
 
-// The load of TestZonesInAntiphase: upstreams with 14 slots each for runs of 240 ms, and five
-// entries in each zone.
+// The load of TestZonesInAntiphase: upstreams run 14 requests of 240 ms concurrently, and each
+// zone has five entries.
 const (
 	entriesPerZone   = 5
 	slotsPerUpstream = 14
@@ -27,51 +27,51 @@
 	simulatedTime    = 30 * time.Second
 )
 
-// phased is an upstream whose requests beyond its slots wait.
+// queueingUpstream is an upstream that queues the requests beyond its slots.
 type queueingUpstream struct {
 	zone  int
 	slots chan struct{}
 
 	mu      sync.Mutex
-	present int // that run or wait
+	present int // running or queued
 }
 
-// run runs a request.
-func (p *queueingUpstream) run(work time.Duration) {
-	p.add(1)
-	p.slots <- struct{}{}
+// run runs a request once a slot is free.
+func (u *queueingUpstream) run(work time.Duration) {
+	u.add(1)
+	u.slots <- struct{}{}
 	time.Sleep(work)
-	<-p.slots
-	p.add(-1)
+	<-u.slots
+	u.add(-1)
 }
 
-func (p *queueingUpstream) add(n int) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.present += n
+func (u *queueingUpstream) add(n int) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.present += n
 }
 
-func (p *queueingUpstream) load() route.Load {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (u *queueingUpstream) load() route.Load {
+	u.mu.Lock()
+	defer u.mu.Unlock()
 	return route.Load{
-		Running:     min(p.present, slotsPerUpstream),
-		Waiting:     max(0, p.present-slotsPerUpstream),
+		Running:     min(u.present, slotsPerUpstream),
+		Waiting:     max(0, u.present-slotsPerUpstream),
 		Slots:       slotsPerUpstream,
 		ServiceTime: meanRunTime,
 	}
 }
 
-// phasePlay is what came of a load.
+// zonesResult is the result of simulateZones.
 type zonesResult struct {
-	crossed          float64       // share of the requests that crossed zones
-	late             float64       // share that took over a second
-	longestImbalance time.Duration // the longest that one was over its slots with another half empty
+	crossed          float64       // fraction of the requests that crossed zones
+	late             float64       // fraction that took over a second
+	longestImbalance time.Duration // longest time that one was over its slots while another was half empty
 }
 
-// playZones has the callers of each zone rise and fall by 0.55 every 15 s, each zone at another
-// moment, around the given share of all slots, for so many upstreams in each zone. Reports
-// reach an entry 5 to 100 ms after they were made.
+// simulateZones has the request rate of each zone rise and fall by 0.55 of its mean every 15 s,
+// with a phase of its own, where the mean needs the given fraction of all slots. The list says
+// how many upstreams each zone has. Reports reach an entry 5 to 100 ms after they were made.
 func simulateZones(utilisation float64, zones []int) zonesResult {
 	var upstreams []*queueingUpstream
 	for zone, n := range zones {
@@ -137,7 +137,7 @@
 	}
 	var longest time.Duration
 	all.Go(func() {
-		since := make([]time.Time, len(upstreams)) // when each was not over its slots last
+		since := make([]time.Time, len(upstreams)) // when each was last not in that state
 		for running() {
 			time.Sleep(10 * time.Millisecond)
 			least := math.MaxInt
@@ -153,7 +153,7 @@
 		}
 	})
 	all.Wait()
-	time.Sleep(time.Second) // reports on their way
+	time.Sleep(time.Second) // reports in transit
 	return zonesResult{
 		crossed:          crossed / sent,
 		late:             late / sent,
@@ -161,8 +161,8 @@
 	}
 }
 
-// phaseTargets returns the upstreams as an entry of a zone sees them: six near and two far
-// ones are its regular ones.
+// zoneTargets returns the upstreams as an entry of a zone sees them: six in its zone and two
+// elsewhere are regular, and the others are spare.
 func zoneTargets(zone int, random *rand.Rand, upstreams []*queueingUpstream) map[int]route.Target {
 	targets := make(map[int]route.Target)
 	near, far := 6, 2
@@ -181,20 +181,20 @@
 	return targets
 }
 
-// TestZonesInAntiphase has the callers of three zones rise and fall at different moments, so
-// that a zone's peak is over what its upstreams run, and the others have room for it. No
-// upstream is over its slots for longer than a second while another is half empty, and hardly
-// a request crosses where there is room in each zone at any moment.
+// TestZonesInAntiphase has the request rates of three zones rise and fall with different phases,
+// so that the peak of a zone exceeds what its upstreams run while the others have room for it.
+// No upstream may be over its slots for a second while another is half empty, and hardly any
+// request may cross zones while each zone has room at any moment.
 func TestZonesInAntiphase(t *testing.T) {
 	tests := map[string]struct {
 		zones       []int
 		utilisation float64
-		maxCrossed  float64 // the most that may
+		maxCrossed  float64 // largest fraction that may cross zones
 	}{
-		"thirty upstreams, room in each zone": {zones: []int{10, 10, 10}, utilisation: 0.5, maxCrossed: 0.05},
-		"thirty upstreams, peaks over a zone": {zones: []int{10, 10, 10}, utilisation: 0.75, maxCrossed: 0.5},
-		"thirty upstreams, nearly full":       {zones: []int{10, 10, 10}, utilisation: 0.85, maxCrossed: 0.5},
-		"seven upstreams, peaks over a zone":  {zones: []int{3, 2, 2}, utilisation: 0.75, maxCrossed: 0.5},
+		"thirty upstreams, room in each zone":   {zones: []int{10, 10, 10}, utilisation: 0.5, maxCrossed: 0.05},
+		"thirty upstreams, peaks exceed a zone": {zones: []int{10, 10, 10}, utilisation: 0.75, maxCrossed: 0.5},
+		"thirty upstreams, nearly full":         {zones: []int{10, 10, 10}, utilisation: 0.85, maxCrossed: 0.5},
+		"seven upstreams, peaks exceed a zone":  {zones: []int{3, 2, 2}, utilisation: 0.75, maxCrossed: 0.5},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/route/fastest.go
+++ b/route/fastest.go
@@ -6,20 +6,19 @@
 
 import "math/rand/v2"
 
-// Fastest draws some candidates at random and takes the one where the request is
-// likely to end first. It suits upstreams whose speed changes from one moment to
-// the next and that tell it, by the cost
+// Fastest draws some candidates at random and takes the one where the request is expected
+// to end first. It suits upstreams whose speed changes from one moment to the next and that
+// report it. The cost of a candidate is
 //
-//	slowdown * (1 + crowding(u)) * service + 6 failing * service + crossing * usual + distance + transfer + wait
+//	slowdown * (1 + loadPenalty(u)) * serviceTime + 6 * failureRatio * serviceTime + zoneCrossingCost * meanServiceTime + distance + transferTime + limitWait
 //
-// for the share of failures there and the load u = (load + 1)/allowed, or the used part of the
-// limit that the upstream names if that is more, with
+// where u is the larger of (load + 1) / slots and the used fraction of the rate limit, and
 //
-//	crowding(u) = u/4                       for u <= 0.7
-//	crowding(u) = 0.175 + 4 (u - 0.7)       beyond.
+//	loadPenalty(u) = u/4                       for u <= 0.7
+//	loadPenalty(u) = 0.175 + 4 (u - 0.7)       otherwise.
 //
-// Below the knee an upstream's load hardly matters for the request, so the term
-// only spreads the requests; beyond it, they slow each other down or wait.
+// Below the knee, the load of an upstream hardly affects a request, so the penalty only
+// spreads the requests. Above it, requests slow each other down or have to wait.
 type Fastest struct {
 	// Choices is the number of candidates drawn. Zero means 16.
 	Choices int
@@ -27,15 +26,16 @@
 
 const (
 	defaultChoices = 16
-	// kneeLoad is the load from which requests slow each other down. Upstreams
-	// that show one have it at seven to nine tenths of their slots.
+	// kneeLoad is the load from which requests slow each other down. Upstreams that
+	// have such a knee have it at 70 to 90 percent of their slots.
 	kneeLoad = 0.7
-	// spreadSlope and crowdSlope are the slopes of the cost below and beyond it.
+	// baseSlope and overloadSlope are the slopes of the load penalty below and above
+	// kneeLoad.
 	baseSlope     = 0.25
 	overloadSlope = 4.0
-	// failureCost is what a failed request costs, in service times. Upstreams that
-	// fail half of their requests are then as bad as those that are slowed down
-	// fourfold, which make a request miss its objective.
+	// failureCost is the cost of a failed request, in service times. Upstreams that
+	// fail half of their requests then cost as much as those that are slowed down
+	// fourfold, which makes requests miss their latency objective.
 	failureCost = 6.0
 )
 
@@ -60,27 +60,26 @@
 	return best
 }
 
-// enough is the expected time, in usual service times, up to which a choice is good
-// enough: an upstream at its usual speed where the request takes the last slot is, and
-// one where it would wait, or that is slowed down threefold, is not. Where the upstreams
-// of a node's subset are all full or slow and others are not, requests then go to the
-// others.
+// acceptableCost is the highest cost, in mean service times, at which a candidate is good
+// enough. An upstream at its usual speed where the request takes the last slot is good enough;
+// one where it would have to wait, or that is slowed down threefold, is not. If all upstreams
+// of a node's subset are full or slow and others are not, requests are sent to the others.
 const acceptableCost = 2.4
 
-// Enough implements Demanding. It judges the upstream, and not the body's way there, which
+// Acceptable implements ThresholdPolicy. It ignores the transfer time of the body, which
 // other upstreams have as well.
 func (Fastest) Acceptable(c Candidate) bool {
 	return expectedCost(c)-c.TransferTime.Seconds() <= acceptableCost*c.MeanServiceTime.Seconds()
 }
 
-// fastestCost is the expected time until a request sent to c ends, in seconds.
+// expectedCost returns the expected time until a request sent to c ends, in seconds.
 func expectedCost(c Candidate) float64 {
 	u := c.utilisation()
 	factor := c.Slowdown*(1+loadPenalty(u)) + failureCost*c.FailureRatio
 	return factor*c.ServiceTime.Seconds() + c.ZoneCrossingCost*c.MeanServiceTime.Seconds() + (c.Distance + c.TransferTime + c.LimitWait).Seconds()
 }
 
-// crowding is the part by which the load u prolongs a request.
+// loadPenalty returns the relative increase in service time at the load u.
 func loadPenalty(u float64) float64 {
 	if u <= kneeLoad {
 		return baseSlope * u
--- a/route/health.go
+++ b/route/health.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// failuresToEject is the number of failures in a row that ejects an
+	// failuresToEject is the number of consecutive failures that ejects an
 	// upstream.
 	failuresToEject = 3
 	// minEject and maxEject bound the time for which an upstream is ejected.
-	// It doubles with each ejection in a row.
+	// It doubles with each consecutive ejection.
 	minEject = time.Second
 	maxEject = 30 * time.Second
 )
 
-// health says whether an upstream may be picked.
+// health tracks whether an upstream may be picked.
 //
-// An upstream is ejected after some failures in a row. When its time is over,
-// one request at a time is sent there until one succeeds.
+// An upstream is ejected after several consecutive failures. Once the ejection time is
+// over, it is on probation: one request at a time is sent there until one succeeds.
 type health struct {
-	failures  int
-	ejections int
-	until     time.Time
-	probing   bool
+	failures     int
+	ejections    int
+	ejectedUntil time.Time
+	probing      bool
 }
 
 // ejected returns whether the upstream is ejected or on probation.
@@ -35,13 +35,13 @@
 
 // usable returns whether the upstream may be picked now.
 func (h *health) usable(now time.Time) bool {
-	return h.ejections == 0 || !h.probing && !now.Before(h.until)
+	return h.ejections == 0 || !h.probing && !now.Before(h.ejectedUntil)
 }
 
-// begin records that a request is sent. It is the probe if the upstream is on
-// probation.
+// begin records that a request is sent. If the upstream is on probation, the request is
+// the probe.
 func (h *health) begin(now time.Time) {
-	if h.ejections > 0 && !now.Before(h.until) {
+	if h.ejections > 0 && !now.Before(h.ejectedUntil) {
 		h.probing = true
 	}
 }
@@ -63,13 +63,13 @@
 	}
 }
 
-// eject takes the upstream out for a while, unless it already is.
+// eject ejects the upstream for a while, unless it is ejected already.
 func (h *health) eject(now time.Time) {
-	if h.ejections > 0 && now.Before(h.until) {
+	if h.ejections > 0 && now.Before(h.ejectedUntil) {
 		return
 	}
 	d := min(maxEject, minEject<<min(h.ejections, 5))
 	h.ejections++
 	h.failures = 0
-	h.until = now.Add(d + rand.N(d/4))
+	h.ejectedUntil = now.Add(d + rand.N(d/4))
 }
--- a/route/limited_test.go
+++ b/route/limited_test.go
@@ -14,8 +14,8 @@
 	"sassafrasfront.example/route"
 )
 
-// TestLimitedUpstream has one of two upstreams name a limit, and tells how many of ten requests in a
-// row it is sent, by each policy that goes by loads.
+// TestLimitedUpstream has one of two upstreams advertise a rate limit, and counts how many of ten
+// consecutive requests it is sent, with each policy that considers loads.
 func TestLimitedUpstream(t *testing.T) {
 	const work = 100 * time.Millisecond
 	other := route.Load{Running: 4, Slots: 8, ServiceTime: work, Slowdown: 1}
@@ -24,13 +24,13 @@
 		after       time.Duration
 		least, most int
 	}{
-		"unused":               {limited: route.Load{Slots: 8, ServiceTime: work, Slowdown: 1, Limited: true, Limit: 10}, least: 1, most: 4},
-		"its turn is far":      {limited: route.Load{Slots: 8, ServiceTime: work, Slowdown: 1, Limited: true, Limit: 10, LimitWait: time.Second}},
-		"its turn has come":    {limited: route.Load{Slots: 8, ServiceTime: work, Slowdown: 1, Limited: true, Limit: 10, LimitWait: time.Second}, after: time.Second, least: 1, most: 4},
-		"used up":              {limited: route.Load{Slots: 8, ServiceTime: work, Slowdown: 1, Limited: true, Limit: 10, LimitUsed: 1}, most: 3},
-		"takes none":           {limited: route.Load{Slots: 8, ServiceTime: work, Slowdown: 1, Limited: true, LimitWait: 4 * time.Second}},
-		"limit does not bind":  {limited: route.Load{Slots: 8, ServiceTime: work, Slowdown: 1, Limited: true, Limit: 1e6}, least: 3, most: 10},
-		"no limit, for a look": {limited: route.Load{Slots: 8, ServiceTime: work, Slowdown: 1}, least: 3, most: 10},
+		"unused":              {limited: route.Load{Slots: 8, ServiceTime: work, Slowdown: 1, Limited: true, Limit: 10}, least: 1, most: 4},
+		"a long wait":         {limited: route.Load{Slots: 8, ServiceTime: work, Slowdown: 1, Limited: true, Limit: 10, LimitWait: time.Second}},
+		"the wait is over":    {limited: route.Load{Slots: 8, ServiceTime: work, Slowdown: 1, Limited: true, Limit: 10, LimitWait: time.Second}, after: time.Second, least: 1, most: 4},
+		"used up":             {limited: route.Load{Slots: 8, ServiceTime: work, Slowdown: 1, Limited: true, Limit: 10, LimitUsed: 1}, most: 3},
+		"a limit of zero":     {limited: route.Load{Slots: 8, ServiceTime: work, Slowdown: 1, Limited: true, LimitWait: 4 * time.Second}},
+		"limit does not bind": {limited: route.Load{Slots: 8, ServiceTime: work, Slowdown: 1, Limited: true, Limit: 1e6}, least: 3, most: 10},
+		"no limit":            {limited: route.Load{Slots: 8, ServiceTime: work, Slowdown: 1}, least: 3, most: 10},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -57,7 +57,8 @@
 	}
 }
 
-// TestPickWithin passes over upstreams where a request would wait for too long for its turn.
+// TestPickWithMaxWait checks that upstreams are skipped where a request would wait too long for
+// the rate limit.
 func TestPickWithMaxWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &route.Pool[int]{Policy: route.Fastest{}}
@@ -69,9 +70,9 @@
 			maxWait time.Duration
 			ok      bool
 		}{
-			"no bound":     {ok: true},
-			"long enough":  {maxWait: 2 * time.Second, ok: true},
-			"not for both": {maxWait: 500 * time.Millisecond},
+			"no bound":           {ok: true},
+			"long enough":        {maxWait: 2 * time.Second, ok: true},
+			"too short for both": {maxWait: 500 * time.Millisecond},
 		} {
 			assignment, ok := p.PickWithMaxWait(test.maxWait, 0, nil)
 			qt.Check(t, ok, qt.Equals, test.ok, qt.Commentf("%s", name))
--- a/route/load_test.go
+++ b/route/load_test.go
@@ -15,14 +15,14 @@
 	"sassafrasfront.example/route"
 )
 
-// TestCrossing has a node send to six upstreams in its availability zone and six
-// elsewhere. Each is slowed down fourfold a quarter of the time, runs two to seven of
-// the seven requests that it may, and takes 1.7 times as long beyond eight tenths of
-// its nine slots, which is what was seen of upstreams on instances that they share. A
-// request is in time if it takes no more than 2.5 times the usual service time.
+// TestCrossing has a node send to six upstreams in its availability zone and six in other zones.
+// Each is slowed down fourfold a quarter of the time, runs two to seven of its at most seven
+// requests, and takes 1.7 times as long beyond eight tenths of its nine slots, as was observed
+// of upstreams on instances that they share. A request is in time if it takes no more than 2.5
+// times the usual service time.
 func TestCrossing(t *testing.T) {
 	const (
-		members          = 6 // near, and as many far
+		members          = 6 // in the zone, and as many outside
 		slots            = 7
 		requests         = 4000
 		usualServiceTime = 480 * time.Millisecond
@@ -73,8 +73,8 @@
 	}
 	tests := map[string]struct {
 		nearSlow              float64
-		withoutCost, withCost result  // without a cost of crossing, and with that of half a service time
-		minCrossed            float64 // with it
+		withoutCost, withCost result  // without a cost of crossing zones, and with a cost of half a service time
+		minCrossed            float64 // with that cost
 	}{
 		"as usual":                 {nearSlow: 0.25, withoutCost: result{0.30, 0.999}, withCost: result{0.06, 0.999}},
 		"the zone is slow":         {nearSlow: 0.9, withoutCost: result{0.85, 0.999}, withCost: result{0.74, 0.999}, minCrossed: 0.6},
@@ -91,9 +91,9 @@
 	}
 }
 
-// TestSpareByNeed has a node send to a subset of eight of forty upstreams. Where those of
-// the subset are full, or slow, and the others are not, it takes some of the others;
-// where they are not, it takes none.
+// TestSpareByNeed has a node send to a subset of eight of forty upstreams. If those of the
+// subset are full or slow and the others are not, it sends to some of the others; otherwise it
+// does not.
 func TestSpareByNeed(t *testing.T) {
 	const (
 		members          = 40
@@ -108,13 +108,13 @@
 	busy := route.Load{Running: 6, Slots: slots, ServiceTime: usualServiceTime, Slowdown: 1}
 	tests := map[string]struct {
 		inSubset, others route.Load
-		least, most      float64 // the part of the requests that others get
+		least, most      float64 // fraction of the requests that the others get
 	}{
 		"the subset is full":        {inSubset: full, others: good, least: 0.95, most: 1},
 		"the subset is slow":        {inSubset: slow, others: good, least: 0.95, most: 1},
 		"the subset is fast enough": {inSubset: busy, others: good},
 		"all are full":              {inSubset: full, others: full, most: 0.5},
-		"nothing is known of them":  {inSubset: full, least: 0.95, most: 1},
+		"the others are not known":  {inSubset: full, least: 0.95, most: 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/route/policy.go
+++ b/route/policy.go
@@ -9,43 +9,45 @@
 	"time"
 )
 
-// Candidate is what a policy may know of one upstream.
+// Candidate is one upstream as a policy sees it.
 type Candidate struct {
-	// Own is the number of requests in flight there from this pool.
+	// InFlight is the number of requests from this pool that are in flight there.
 	InFlight int
 	// Load is the estimated number of requests there, from all callers.
 	Load float64
-	// Allowed is the number of requests that it runs at once.
+	// Slots is the number of requests that it runs concurrently.
 	Slots int
-	// Service is its expected service time.
+	// ServiceTime is its expected service time.
 	ServiceTime time.Duration
-	// Distance is the cost of reaching it.
+	// Distance is the cost of reaching it, expressed as a duration.
 	Distance time.Duration
-	// Crossing is what sending there costs besides, in usual service times.
+	// ZoneCrossingCost is an additional cost of sending there, in units of MeanServiceTime.
 	ZoneCrossingCost float64
-	// Usual is the usual service time of all upstreams.
+	// MeanServiceTime is the mean service time of all upstreams.
 	MeanServiceTime time.Duration
-	// Slowdown is how many times longer than usual work takes there now, 1 if that
-	// is not known.
+	// Slowdown is the factor by which requests currently take longer there than
+	// usual, or 1 if it is not known.
 	Slowdown float64
-	// Failing is the share of the latest requests there that failed.
+	// FailureRatio is the fraction of the latest requests there that failed.
 	FailureRatio float64
-	// Transfer is how long the body of the request takes there, if it is a large one.
+	// TransferTime is how long it takes to send the body of the request there, if it is large.
 	TransferTime time.Duration
-	// Used is the part that is used of the limit that the upstream names, 0 if it names none.
+	// LimitUsed is the used fraction of the rate limit that the upstream advertises, or 0
+	// if it advertises none.
 	LimitUsed float64
-	// Wait is how long a request waits there for its turn under the limit that the upstream names.
+	// LimitWait is how long a request has to wait there for the upstream's rate limit.
 	LimitWait time.Duration
-	// Local is whether it is the upstream beside this process, whose load is
-	// known exactly.
+	// Local is whether the upstream is beside this process, so that its load is known
+	// exactly.
 	Local bool
 }
 
-// share returns the part of what the upstream takes that is in use with one request more.
+// utilisation returns the fraction of the upstream's capacity that is in use with one more
+// request.
 func (c Candidate) utilisation() float64 { return max((c.Load+1)/float64(c.Slots), c.LimitUsed) }
 
-// View gives a policy the candidates one by one, so that a policy that looks
-// at two of them does not pay for all.
+// View gives a policy the candidates one by one, so that a policy that compares two of
+// them does not pay for computing all.
 type View interface {
 	// Len returns the number of candidates. It is positive.
 	Len() int
@@ -60,15 +62,15 @@
 	Choose(v View, random *rand.Rand) int
 }
 
-// Demanding is a Policy that says which choices are good enough. Where the best one is
-// not, a few spare upstreams are considered as well.
+// ThresholdPolicy is a Policy that decides whether a candidate is good enough. If the chosen
+// one is not, a Pool considers a few spare upstreams as well.
 type ThresholdPolicy interface {
 	Policy
-	// Enough returns whether there is no need to look further than c.
+	// Acceptable returns whether c is good enough, so that no spare upstreams are needed.
 	Acceptable(c Candidate) bool
 }
 
-// Random chooses any candidate with the same probability.
+// Random chooses a candidate uniformly at random.
 type Random struct{}
 
 // Choose implements Policy.
@@ -85,8 +87,8 @@
 	return p.next % v.Len()
 }
 
-// LeastOutstanding chooses the candidate with the fewest own requests in
-// flight, and any of them if there are several.
+// LeastOutstanding chooses the candidate with the fewest requests from this pool in
+// flight. It breaks ties at random.
 type LeastOutstanding struct{}
 
 // Choose implements Policy.
@@ -94,13 +96,13 @@
 	return argmin(v, random, func(c Candidate) float64 { return float64(c.InFlight) })
 }
 
-// HotCold calls a candidate hot if its load is above Hot times its allowed
-// requests. It chooses the cold candidate with the least service time, or the
-// candidate with the least load if all are hot. See B. Wydrowski et al., Load
-// is not what you should balance: introducing Prequal, NSDI 2024. Unlike there,
-// the loads come from the reports on answers and not from probes of their own.
+// HotCold considers a candidate hot if its load is at least HotThreshold times its slots,
+// or if requests have to wait for its rate limit. It chooses the cold candidate with the
+// shortest service time, or the candidate with the lowest relative load if all are hot. See
+// B. Wydrowski et al., Load is not what you should balance: introducing Prequal, NSDI 2024.
+// Unlike Prequal, it uses the loads reported with responses and sends no probes.
 type HotCold struct {
-	// Hot is the share of the allowed requests from which a candidate is hot.
+	// HotThreshold is the fraction of the slots in use from which a candidate is hot.
 	// Zero means 0.8.
 	HotThreshold float64
 }
@@ -125,15 +127,15 @@
 // TwoChoice draws two candidates at random and takes the one with the lower
 // score
 //
-//	u * service + distance + transfer + wait
+//	u * serviceTime + distance + transferTime + limitWait
 //
-// for the load u = (load + 1) / allowed, or the used part of a limit if that is more.
-// The local upstream goes first if it has a free slot, no wait, and is not slower than
-// LocalSlack times the alternative. See M. Mitzenmacher, The power of two
-// choices in randomized load balancing, 2001. doi:10.1109/71.963420.
+// where u is the larger of (load + 1) / slots and the used fraction of the rate limit.
+// The local upstream is preferred if it has a free slot, needs no waiting, and its service
+// time is at most LocalSlack times that of the drawn candidate. See M. Mitzenmacher, The
+// power of two choices in randomized load balancing, 2001. doi:10.1109/71.963420.
 type TwoChoice struct {
-	// LocalSlack is how many times the alternative's service time the local
-	// upstream's may be. Zero means 1.5.
+	// LocalSlack is the factor by which the local upstream's service time may exceed
+	// that of the alternative. Zero means 1.5.
 	LocalSlack float64
 }
 
@@ -161,8 +163,8 @@
 	return best
 }
 
-// local returns the index of the local candidate if it goes before other, or
-// -1.
+// local returns the index of the local candidate if it is preferred to other, and -1
+// otherwise.
 func (p TwoChoice) local(v View, other Candidate) int {
 	slack := p.LocalSlack
 	if slack == 0 {
@@ -187,8 +189,8 @@
 	return c.utilisation()*c.ServiceTime.Seconds() + (c.Distance + c.TransferTime + c.LimitWait).Seconds()
 }
 
-// argmin returns the index of the candidate with the least value, and any of
-// them if there are several.
+// argmin returns the index of the candidate with the lowest value. It breaks ties at
+// random.
 func argmin(v View, random *rand.Rand, value func(Candidate) float64) int {
 	best, least, ties := 0, value(v.At(0)), 1
 	for i := 1; i < v.Len(); i++ {
--- a/route/pool.go
+++ b/route/pool.go
@@ -14,52 +14,54 @@
 )
 
 const (
-	// loadFade is the time constant with which a reported load fades to the
+	// loadDecay is the time constant with which a reported load decays to the
 	// mean of the service.
 	loadDecay = 100 * time.Millisecond
-	// serviceFade is the time constant with which a reported service time
-	// fades to the mean of the service. It is long, so that a slow upstream is
-	// tried again seldom.
+	// serviceTimeDecay is the time constant with which a reported service time
+	// decays to the mean of the service. It is long, so that a slow upstream is
+	// rarely tried again.
 	serviceTimeDecay = 5 * time.Second
-	// slowdownFade is the time constant with which a reported slowdown is
-	// forgotten. Changes are reported at once, so it bounds only how long an
-	// upstream that no report comes from is passed over.
+	// slowdownDecay is the time constant with which a reported slowdown decays
+	// to 1. Changes are reported immediately, so it only bounds how long an
+	// upstream that sends no reports is avoided.
 	slowdownDecay = 2 * time.Second
-	// failingFade is the time constant with which a reported share of failures is
-	// forgotten, so that an upstream that is passed over for it is tried again.
+	// failureRatioDecay is the time constant with which a reported failure ratio decays
+	// to 0, so that an upstream that is avoided because of it is tried again.
 	failureRatioDecay = 2 * time.Second
-	// agePatience divides the age of own requests at an upstream that tells its
-	// speed: one that began while it was slow stays slow to its end.
+	// inFlightAgeDivisor divides the age of this pool's requests in flight at an
+	// upstream that reports a slowdown: a request that began while the upstream was
+	// slow stays slow until it ends.
 	inFlightAgeDivisor = 6
-	// meanGain is the weight of one report in the means of the service.
+	// ewmaWeight is the weight of one report in the moving averages of the service.
 	ewmaWeight = 0.05
-	// defaultService is the service time assumed before the first report, where
-	// none is expected.
+	// defaultServiceTime is the service time assumed before the first report if
+	// Pool.ExpectedServiceTime is zero.
 	defaultServiceTime = 10 * time.Millisecond
 )
 
-// Load is what the node beside an upstream reports of it.
+// Load is the load of an upstream as reported by the node beside it.
 type Load struct {
-	// Running and Waiting count its requests, from all callers.
+	// Running and Waiting count its running and queued requests, from all callers.
 	Running, Waiting int
-	// Allowed is the number of requests that it runs at once.
+	// Slots is the number of requests that it runs concurrently.
 	Slots int
-	// Service is its expected service time. Zero means that it is not known.
+	// ServiceTime is its expected service time. Zero means that it is not known.
 	ServiceTime time.Duration
 	// Draining is whether it refuses new requests.
 	Draining bool
-	// Slowdown is how many times longer than usual work takes there now. Zero
-	// means that it is not known.
+	// Slowdown is the factor by which requests currently take longer there than
+	// usual. Zero means that it is not known.
 	Slowdown float64
-	// Failing is the share of the latest requests that it failed.
+	// FailureRatio is the fraction of the latest requests that it failed.
 	FailureRatio float64
-	// Rate is how many body bytes a second the link to its node carries, or 0 if that is
-	// not known, and Backlog how many are on their way there or wait for their turn.
+	// LinkBandwidth is the rate at which the link to its node carries bodies, in bytes per
+	// second, or 0 if that is not known. BacklogBytes counts the bytes of bodies that are
+	// being sent there or are queued.
 	LinkBandwidth float64
 	BacklogBytes  int
-	// Limited is whether the upstream names a limit, Limit its requests a second from all
-	// callers, Used the part of it that was used of late, and Free after how long one more may
-	// start.
+	// Limited is whether the upstream advertises a rate limit, Limit the limit in
+	// requests per second from all callers, LimitUsed the fraction of it that was used
+	// recently, and LimitWait the time until one more request may start.
 	Limited   bool
 	Limit     float64
 	LimitUsed float64
@@ -68,35 +70,35 @@
 
 // Target describes an upstream of the service.
 type Target struct {
-	// Slots is the number of requests that it runs at once, until a report
+	// Slots is the number of requests that it runs concurrently, until a report
 	// says otherwise. It is positive.
 	Slots int
-	// Distance is the cost of reaching it.
+	// Distance is the cost of reaching it, expressed as a duration.
 	Distance time.Duration
-	// Crossing is what sending there costs besides, in usual service times: bytes
-	// between availability zones are paid for.
+	// ZoneCrossingCost is an additional cost of sending there, in mean service times, as
+	// traffic between availability zones is paid for.
 	ZoneCrossingCost float64
 	// Local is whether it is beside this process.
 	Local bool
 	// Spare is whether it is picked only if no other upstream can be, or if the policy
-	// is Demanding and none of the others is good enough.
+	// is a ThresholdPolicy and no other upstream is acceptable.
 	Spare bool
 }
 
-// Pool holds the upstreams of one service, known by keys of type K. The
-// exported fields are set before the first call. Its methods may be called
+// Pool holds the upstreams of one service, identified by keys of type K. The
+// exported fields must be set before the first call. Its methods may be called
 // from any goroutine.
 type Pool[K comparable] struct {
 	// Policy chooses among the upstreams. Nil means TwoChoice.
 	Policy Policy
-	// MaxEjected is the largest part of the upstreams that may be ejected; if
-	// more look bad, none is. Zero means one half.
+	// MaxEjectedFraction is the largest fraction of the upstreams that may be
+	// ejected. If more look unhealthy, none is ejected. Zero means one half.
 	MaxEjectedFraction float64
-	// Expected is the service time to assume until one is reported. Zero means
-	// 10 ms.
+	// ExpectedServiceTime is the service time to assume until one is reported.
+	// Zero means 10 ms.
 	ExpectedServiceTime time.Duration
-	// Rate is how many bytes a second the link of this node carries, or 0 if that is not
-	// known.
+	// LinkBandwidth is the bandwidth of this node's link in bytes per second, or 0 if it is
+	// not known.
 	LinkBandwidth float64
 
 	mu                 sync.Mutex
@@ -113,19 +115,19 @@
 	key            K
 	target         Target
 	inFlight       int
-	startSum       time.Duration // of own requests in flight, since base
+	startSum       time.Duration // sum of the start times of requests in flight, since timeOrigin
 	reported       Load
-	reportedAt     time.Time // of the report; zero if there is none
-	sentSince      int       // own requests sent since the report
-	endedSince     int       // own requests ended since the report
-	bodyBytesSince int64     // own body bytes sent since the report
+	reportedAt     time.Time // zero if there is no report
+	sentSince      int       // requests sent since the report
+	endedSince     int       // requests ended since the report
+	bodyBytesSince int64     // body bytes sent since the report
 	health         health
 }
 
-// base is the origin of the times in entry.startSum.
+// timeOrigin is the origin of the times in entry.startSum.
 var timeOrigin = time.Now()
 
-// Set replaces the upstreams. What is known of those that stay is kept.
+// SetTargets replaces the upstreams. The state of those that stay is kept.
 func (p *Pool[K]) SetTargets(targets map[K]Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -150,7 +152,7 @@
 	return len(p.entries)
 }
 
-// Observe takes in a load report. Reports of unknown upstreams are ignored.
+// Observe records a load report. Reports of unknown upstreams are ignored.
 func (p *Pool[K]) Observe(key K, l Load) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -172,18 +174,18 @@
 	e.bodyBytesSince = 0
 }
 
-// Pick chooses an upstream for one request, passing over those for which
-// exclude returns true. A nil exclude passes over none. The second result is
-// false if there is none left. The caller owes the Use a Done.
+// Pick chooses an upstream for one request, skipping those for which exclude
+// returns true. A nil exclude skips none. The second result is false if no
+// upstream is left. The caller must call Done on the Assignment.
 func (p *Pool[K]) Pick(exclude func(K) bool) (*Assignment[K], bool) { return p.PickForBody(0, exclude) }
 
-// PickFor is Pick for a request with a large body, of the given number of bytes.
+// PickForBody is Pick for a request with a large body, of the given number of bytes.
 func (p *Pool[K]) PickForBody(body int64, exclude func(K) bool) (*Assignment[K], bool) {
 	return p.PickWithMaxWait(0, body, exclude)
 }
 
-// PickWithin is PickFor for a request that is of no use at an upstream where it waits for longer
-// than the given time for its turn under a limit. Zero means no bound.
+// PickWithMaxWait is PickForBody, but skips upstreams where the request would wait for the
+// rate limit for longer than maxWait. Zero means no bound.
 func (p *Pool[K]) PickWithMaxWait(maxWait time.Duration, body int64, exclude func(K) bool) (*Assignment[K], bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -232,7 +234,7 @@
 	}, true
 }
 
-// age returns the age of the last report, or -1 if there is none.
+// reportAge returns the age of the last report, or -1 if there is none.
 func (e *entry[K]) reportAge(now time.Time) time.Duration {
 	if e.reportedAt.IsZero() {
 		return -1
@@ -240,8 +242,8 @@
 	return now.Sub(e.reportedAt)
 }
 
-// gather fills p.usable with the upstreams that may be picked. If too many are
-// ejected, the ejections are not believed.
+// gatherCandidates fills p.candidates with the upstreams that may be picked. If too many
+// are ejected, ejections are ignored.
 func (p *Pool[K]) gatherCandidates(now time.Time, exclude func(K) bool) {
 	limit := p.MaxEjectedFraction
 	if limit == 0 {
@@ -261,11 +263,12 @@
 	}
 }
 
-// spareDraws is the number of spare upstreams that are drawn where the others are not
-// good enough. With a quarter of all slow or full, each of four is once in 256 times.
+// spareDraws is the number of spare upstreams that are drawn if the regular ones are not
+// acceptable. If a quarter of all upstreams is slow or full, all four drawn ones are with a
+// probability of 1 in 256.
 const spareDraws = 4
 
-// addSpare adds a few spare upstreams that may be picked to p.usable, and returns
+// addSpare adds a few spare upstreams that may be picked to p.candidates, and returns
 // whether there were any.
 func (p *Pool[K]) addSpare(now time.Time, exclude func(K) bool) bool {
 	regular := len(p.candidates)
@@ -282,8 +285,8 @@
 	return len(p.candidates) > regular
 }
 
-// collect adds the upstreams that may be picked and are spare or not to
-// p.usable.
+// collect adds the upstreams that may be picked to p.candidates: the spare ones if spare is
+// true, and the others if it is not.
 func (p *Pool[K]) collect(now time.Time, exclude func(K) bool, trustEjections, spare bool) {
 	for _, e := range p.entries {
 		if e.target.Spare != spare || exclude != nil && exclude(e.key) {
@@ -296,25 +299,25 @@
 	}
 }
 
-// drainFade is how long a report of draining is believed. It outlasts the time
-// in which the membership says the same.
+// drainingTimeout is how long a report of draining is trusted. It is longer than the
+// membership takes to report the same.
 const drainingTimeout = 10 * time.Second
 
-// draining returns whether the upstream said lately that it drains.
+// draining returns whether the upstream recently reported that it is draining.
 func (e *entry[K]) draining(now time.Time) bool {
 	return e.reported.Draining && now.Sub(e.reportedAt) < drainingTimeout
 }
 
 const (
-	// oddShare is the share of failures from which an upstream may stand out, and
-	// oddRatio how many times the mean of the others it then has to be: where most
-	// fail alike, the fault is not the upstream's.
+	// outlierMinRatio is the lowest failure ratio at which an upstream may be an
+	// outlier, and outlierFactor the factor by which it has to exceed the mean of
+	// the others: where most fail alike, the fault is not the upstream's.
 	outlierMinRatio = 0.15
 	outlierFactor   = 2.0
 )
 
-// StandsOut returns whether an upstream fails far more of its requests than the
-// others of the pool do.
+// IsOutlier returns whether an upstream fails a far larger fraction of its requests than
+// the other upstreams of the pool do.
 func (p *Pool[K]) IsOutlier(key K) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -333,12 +336,12 @@
 	return own >= outlierMinRatio && own >= outlierFactor*sum/float64(len(p.entries)-1)
 }
 
-// fade returns exp(-age/constant).
+// decay returns exp(-age/constant).
 func decay(age, constant time.Duration) float64 {
 	return math.Exp(-float64(age) / float64(constant))
 }
 
-// meanService returns the mean service time over the reports.
+// meanServiceTime returns the mean of the reported service times.
 func (p *Pool[K]) meanServiceTime() time.Duration {
 	if p.meanServiceSeconds == 0 {
 		return cmp.Or(p.ExpectedServiceTime, defaultServiceTime)
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -23,7 +23,7 @@
 	return m
 }
 
-// share returns the part of n picks, each ended at once, that went to key.
+// share returns the fraction of n picks, each ended at once, that chose key.
 func share(p *route.Pool[string], n int, key string) float64 {
 	var hits int
 	for range n {
@@ -87,15 +87,15 @@
 				got := share(&p, 4000, "0")
 				qt.Check(t, got <= test.most, qt.IsTrue, qt.Commentf("share %v", got))
 				if test.after > 0 {
-					qt.Check(t, got > 0.1, qt.IsTrue, qt.Commentf("a stale report must fade; share %v", got))
+					qt.Check(t, got > 0.1, qt.IsTrue, qt.Commentf("a stale report must lose its weight; share %v", got))
 				}
 			})
 		})
 	}
 }
 
-// TestOwnSendsCountAtOnce shows that a burst within one report's lifetime is
-// spread, although no report says so.
+// TestBurstIsSpreadBetweenReports checks that a burst between two reports is spread, as the pool counts
+// its own requests in flight before any report does.
 func TestBurstIsSpreadBetweenReports(t *testing.T) {
 	var p route.Pool[string]
 	p.SetTargets(targets(5))
@@ -128,13 +128,13 @@
 		failing  int // upstreams that fail so, of 4
 		ejected  bool
 	}{
-		"one failure":                 {outcomes: []route.Outcome{route.Failed}, failing: 1},
-		"three failures":              {outcomes: []route.Outcome{route.Failed, route.Failed, route.Failed}, failing: 1, ejected: true},
-		"a success between":           {outcomes: []route.Outcome{route.Failed, route.Failed, route.Succeeded, route.Failed}, failing: 1},
-		"refusals":                    {outcomes: []route.Outcome{route.Refused, route.Refused, route.Refused}, failing: 1},
-		"unreachable":                 {outcomes: []route.Outcome{route.Unreachable}, failing: 1, ejected: true},
-		"half of them unreachable":    {outcomes: []route.Outcome{route.Unreachable}, failing: 2, ejected: true},
-		"most unreachable: none gone": {outcomes: []route.Outcome{route.Unreachable}, failing: 3},
+		"one failure":                    {outcomes: []route.Outcome{route.Failed}, failing: 1},
+		"three failures":                 {outcomes: []route.Outcome{route.Failed, route.Failed, route.Failed}, failing: 1, ejected: true},
+		"a success between":              {outcomes: []route.Outcome{route.Failed, route.Failed, route.Succeeded, route.Failed}, failing: 1},
+		"refusals":                       {outcomes: []route.Outcome{route.Refused, route.Refused, route.Refused}, failing: 1},
+		"unreachable":                    {outcomes: []route.Outcome{route.Unreachable}, failing: 1, ejected: true},
+		"half of them unreachable":       {outcomes: []route.Outcome{route.Unreachable}, failing: 2, ejected: true},
+		"most unreachable: none ejected": {outcomes: []route.Outcome{route.Unreachable}, failing: 3},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/route/shares_test.go
+++ b/route/shares_test.go
@@ -18,30 +18,30 @@
 	"sassafrasfront.example/route"
 )
 
-// calm is a service with room to spare whose upstreams are alike but for the slow spells that
-// each has at times of its own: a quarter of the time, 300 ms at a time, a request that begins
-// takes four times as long. Each has a node beside it, which sends the same part of the
-// requests.
+// steadyService is a service with spare capacity whose upstreams are alike but for slow periods,
+// which each has independently of the others: in a quarter of all intervals of 300 ms, a
+// request that begins takes four times as long. Each upstream has a node beside it, and all
+// nodes send the same fraction of the requests.
 type steadyService struct {
 	upstreams  int
 	perSecond  float64       // of all nodes together
 	delay      time.Duration // of a report
-	uniform    bool          // whether nodes are told the same service time of all upstreams
+	uniform    bool          // whether all upstreams report the same service time
 	slowCount  int           // how many upstreams take longer
 	slowFactor float64       // how many times longer
 }
 
-// shares are how unevenly the requests are spread, and how many end within a second.
+// spread is how unevenly the requests are spread, and the fraction that ends within a second.
 type spread struct{ busiest, inTime float64 }
 
-// play sends requests of 240 ms in the mean for half a minute, of which three in a hundred
+// simulate sends requests of 240 ms on average for half a minute, three in a hundred of which
 // take seven times as long.
 func (c steadyService) simulate(t *testing.T) (s spread) {
 	const (
 		slots     = 14
 		length    = 30 * time.Second
 		work      = 240 * time.Millisecond
-		gain      = 0.1 // of one request in the mean that an upstream tells
+		gain      = 0.1 // weight of one request in the mean that an upstream reports
 		objective = time.Second
 	)
 	synctest.Test(t, func(*testing.T) {
@@ -143,18 +143,18 @@
 	return s
 }
 
-// TestShares compares what each upstream tells of its service time, the mean over its latest
-// ten requests or so, with the same for all. Alike upstreams get up to more than twice the
-// mean of the requests either way that the means of so few requests happen to fall, not as
-// reports are old: with the same service time for all it is a third more at most, whatever
-// the delay. Below the load from which requests slow each other down that costs callers less
-// than one request in a hundred, or two where reports are late; and where some upstreams are
-// truly slower, going by what they tell serves more.
+// TestIndividualServiceTimes compares upstreams that report their own service times, as means over
+// about their latest ten requests, with upstreams that all report the same one. With their own,
+// upstreams that are alike get up to more than twice the mean number of requests, because means of
+// so few requests vary and not because reports are old; with the same one, it is at most a third
+// more, whatever the delay of reports. Below the load from which requests slow each other down,
+// the imbalance makes less than one request in a hundred late, or two if reports are delayed. If
+// some upstreams are really slower, more requests are in time with their own service times.
 func TestIndividualServiceTimes(t *testing.T) {
 	ms := time.Millisecond
 	tests := map[string]struct {
 		steadyService
-		minGain float64 // least gain of going by what upstreams tell, in requests in time
+		minGain float64 // least gain from their own service times, in the fraction of requests in time
 	}{
 		"alike":                    {steadyService: steadyService{upstreams: 11, perSecond: 80, delay: 5 * ms}, minGain: -0.01},
 		"alike, more load":         {steadyService: steadyService{upstreams: 11, perSecond: 160, delay: 5 * ms}, minGain: -0.01},
@@ -170,7 +170,7 @@
 			individual := test.simulate(t)
 			test.uniform = true
 			uniform := test.simulate(t)
-			t.Logf("told %+.3v, the same for all %+.3v", individual, uniform)
+			t.Logf("their own service times %+.3v, the same for all %+.3v", individual, uniform)
 			qt.Check(t, individual.inTime >= uniform.inTime+test.minGain, qt.IsTrue)
 			if test.slowCount == 0 {
 				qt.Check(t, uniform.busiest < 1.4, qt.IsTrue)
--- a/route/transfer_test.go
+++ b/route/transfer_test.go
@@ -18,24 +18,24 @@
 )
 
 const (
-	// uploadSize is the length of a large body, which a link of 10 Mbit/s carries in 48 ms.
+	// uploadSize is the size of a large body in bytes, which takes 48 ms on a link of 10 Mbit/s.
 	uploadSize = 60_000
-	// slowLink and quickLink are what the links of instances carry, in bytes per second.
+	// slowLink and fastLink are the bandwidths of instances' links, in bytes per second.
 	slowLink = 10e6 / 8
 	fastLink = 100e6 / 8
 )
 
-// linked is an upstream on a link, which carries one body at a time.
+// linkedUpstream is an upstream behind a link that transfers one body at a time.
 type linkedUpstream struct {
 	rate float64
-	link chan struct{} // has room while no body crosses
+	link chan struct{} // has room while no body is transferred
 
 	mu      sync.Mutex
 	backlog int
 	running int
 }
 
-// take has a body cross the link and its request run.
+// serve transfers a body over the link and runs its request.
 func (l *linkedUpstream) serve(work time.Duration) (arrived time.Duration) {
 	started := time.Now()
 	l.add(uploadSize, 0)
@@ -56,7 +56,7 @@
 	l.running += running
 }
 
-// load returns what the node of the upstream reports. Of one that is blind nothing is told of
+// load returns what the upstream's node reports. If hidden is true, it reports nothing about
 // its link.
 func (l *linkedUpstream) load(hidden bool) route.Load {
 	l.mu.Lock()
@@ -73,8 +73,9 @@
 	return r
 }
 
-// upload has three entries send uploads to seven upstreams, of which one has a quick link, for
-// 20 s, with reports that are up to 50 ms old. It returns the times that the bodies took.
+// simulateUploads has three entries send uploads to seven upstreams, one of which has a fast
+// link, for 20 s, with reports that are up to 50 ms old. It returns the transfer times of the
+// bodies, sorted.
 func simulateUploads(perSecond float64, hidden bool) (took []time.Duration) {
 	upstreams := make([]*linkedUpstream, 7)
 	targets := make(map[int]route.Target)
@@ -120,21 +121,21 @@
 	return took
 }
 
-// TestLargeBodiesGoWhereLinksHaveRoom has uploads take six tenths of what the links of seven
-// upstreams carry, one of which is ten times as quick as the others. Where that is known,
-// hardly a body waits for others on a slow link; where it is not, the slow links fill up.
+// TestLargeBodiesAvoidBusyLinks has uploads use six tenths of the total bandwidth of seven
+// upstreams, one of which has a link ten times as fast as the others. If the bandwidths are
+// known, hardly any body waits for others on a slow link; otherwise the slow links fill up.
 func TestLargeBodiesAvoidBusyLinks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const perSecond = 120
 		known, hidden := simulateUploads(perSecond, false), simulateUploads(perSecond, true)
 		p90 := func(took []time.Duration) time.Duration { return took[len(took)*9/10] }
-		t.Logf("nine in ten bodies within %v, and %v with nothing known of the links", p90(known), p90(hidden))
+		t.Logf("nine in ten bodies within %v, and %v with unknown bandwidths", p90(known), p90(hidden))
 		qt.Check(t, p90(known) < 150*time.Millisecond, qt.IsTrue)
 		qt.Check(t, p90(hidden) > 2*p90(known), qt.IsTrue)
 	})
 }
 
-// TestTransfer has one row for what decides where a large body goes.
+// TestTransfer has one row for each reason why a large body is sent to an upstream.
 func TestTransfer(t *testing.T) {
 	slow := route.Load{Slots: 14, ServiceTime: 280 * time.Millisecond, LinkBandwidth: slowLink}
 	busy, fast, unknown, loaded := slow, slow, slow, slow
@@ -150,15 +151,15 @@
 		body           int64
 		want           int // -1 for either
 	}{
-		"to the quick link":               {first: fast, second: slow, body: uploadSize, want: 0},
-		"past what waits":                 {first: busy, second: slow, body: uploadSize, want: 1},
-		"beside the entry":                {first: slow, second: slow, local: true, body: uploadSize, want: 0},
-		"not to a full upstream":          {first: loaded, second: slow, body: uploadSize, want: 1},
-		"a small one anywhere":            {first: fast, second: busy, want: -1},
-		"over an own link that is slow":   {first: fast, second: slow, entryBandwidth: slowLink / 10, body: uploadSize, want: -1},
-		"nothing known of any link":       {first: unknown, second: unknown, body: uploadSize, want: -1},
-		"a local one with a busy link":    {first: busy, second: slow, local: true, body: uploadSize, want: 0},
-		"a link of which nothing is told": {first: unknown, second: busy, body: uploadSize, want: 0},
+		"to the fast link":                      {first: fast, second: slow, body: uploadSize, want: 0},
+		"past a backlog":                        {first: busy, second: slow, body: uploadSize, want: 1},
+		"to the local upstream":                 {first: slow, second: slow, local: true, body: uploadSize, want: 0},
+		"not to a full upstream":                {first: loaded, second: slow, body: uploadSize, want: 1},
+		"a small body to any":                   {first: fast, second: busy, want: -1},
+		"over the entry's own slow link":        {first: fast, second: slow, entryBandwidth: slowLink / 10, body: uploadSize, want: -1},
+		"no bandwidth known":                    {first: unknown, second: unknown, body: uploadSize, want: -1},
+		"a local one with a busy link":          {first: busy, second: slow, local: true, body: uploadSize, want: 0},
+		"an unknown bandwidth before a backlog": {first: unknown, second: busy, body: uploadSize, want: 0},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/route/view.go
+++ b/route/view.go
@@ -6,11 +6,11 @@
 
 import "time"
 
-// view is the pool as a policy sees it.
+// view is the candidates of a pool as a policy sees them.
 type view[K comparable] struct {
 	pool      *Pool[K]
 	now       time.Time
-	bodyBytes int64 // that is to be sent, in bytes
+	bodyBytes int64 // the size of the request's body
 }
 
 // Len implements View.
@@ -61,27 +61,28 @@
 }
 
 const (
-	// leastLimit is the least limit that counts, in requests a second: one that takes none is
-	// given one now and then, by which the end of the limit is found out.
+	// minRateLimit is the lowest rate limit that is assumed, in requests per second. An upstream
+	// that accepts no requests is still sent one from time to time, as only a response shows
+	// that the limit has ended.
 	minRateLimit = 0.25
-	// limitWindow is the time over which the used part of a limit is counted.
+	// rateLimitWindow is the time over which the used fraction of a rate limit is counted.
 	rateLimitWindow = 4 * time.Second
 )
 
-// limited returns which part of the limit that the upstream names is used, and how long a request
-// waits for its turn under it, given the age of the report: what was so then, and what was sent
-// since.
+// rateLimitState returns the used fraction of the rate limit that the upstream advertises, and
+// how long a request has to wait for it, given the age of the last report. It combines that
+// report with the requests sent since.
 func (e *entry[K]) rateLimitState(age time.Duration) (used float64, wait time.Duration) {
 	if !e.reported.Limited {
 		return 0, 0
 	}
-	usedSeconds := float64(e.sentSince) / max(minRateLimit, e.reported.Limit) // in seconds of the limit
+	usedSeconds := float64(e.sentSince) / max(minRateLimit, e.reported.Limit) // seconds of the rate limit that they take
 	used = min(1, decay(age, rateLimitWindow)*e.reported.LimitUsed+usedSeconds/rateLimitWindow.Seconds())
 	return used, max(0, e.reported.LimitWait+time.Duration(usedSeconds*float64(time.Second))-age)
 }
 
-// transfer returns how long a body takes to a node: over the slower one of the two links,
-// and behind what waits at the other's already.
+// transferTime returns how long it takes to send a body to a node, over the slower one of the
+// two links and behind the bodies that are already queued at the other end.
 func (p *Pool[K]) transferTime(e *entry[K], body int64, now time.Time) time.Duration {
 	var seconds float64
 	if p.LinkBandwidth > 0 {
@@ -94,7 +95,7 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// failing returns what is left of the share of failures that was reported last.
+// failureRatio returns the last reported failure ratio, decayed by its age.
 func (e *entry[K]) failureRatio(now time.Time) float64 {
 	if e.reportedAt.IsZero() {
 		return 0
