--- a/retry/account.go
+++ b/retry/account.go
@@ -6,23 +6,23 @@
 
 // commonPart is the part of a budget that an organisation may spend beyond what its own
 // requests have earned. The rest is left to those that have something of their own.
-const commonPart = 0.5
+const sharedFraction = 0.5
 
 // account is what the requests of one organisation have earned and spent in the window.
 type account struct {
-	parts [windowParts]part
+	buckets [windowBuckets]bucket
 }
 
 // overdrawn returns whether the organisation has spent what its requests have earned at
 // the given share. One extra request is always its own.
 func (a *account) overdrawn(share float64) bool {
-	sum := sumOf(&a.parts)
+	sum := sumOf(&a.buckets)
 	return float64(sum.extra) >= 1+share*float64(sum.ordinary)
 }
 
 // sumOf returns the sum of the parts of a window.
-func sumOf(parts *[windowParts]part) (sum part) {
-	for _, p := range parts {
+func sumOf(buckets *[windowBuckets]bucket) (sum bucket) {
+	for _, p := range buckets {
 		sum.ordinary += p.ordinary
 		sum.extra += p.extra
 	}
@@ -33,7 +33,7 @@
 type accounts map[string]*account
 
 // of returns the account of an organisation.
-func (a *accounts) of(organisation string) *account {
+func (a *accounts) get(organisation string) *account {
 	if *a == nil {
 		*a = make(accounts)
 	}
@@ -46,10 +46,10 @@
 }
 
 // forget clears the given part of all accounts, and drops those that are empty then.
-func (a accounts) forget(current int) {
-	for name, one := range a {
-		one.parts[current] = part{}
-		if one.parts == ([windowParts]part{}) {
+func (a accounts) clearBucket(current int) {
+	for name, entry := range a {
+		entry.buckets[current] = bucket{}
+		if entry.buckets == ([windowBuckets]bucket{}) {
 			delete(a, name)
 		}
 	}
--- a/retry/account_test.go
+++ b/retry/account_test.go
@@ -21,7 +21,7 @@
 // requests a second each, of which one in ten fails at the first upstream, and to another one
 // with the given number, which all fail at each: an abuser's repeats, or a fault of its own.
 // It returns the part of the others' requests that are answered by the first or the second.
-func answered(t *testing.T, perSecond int, named bool) (share float64) {
+func answeredFraction(t *testing.T, perSecond int, named bool) (share float64) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
 		random := rand.New(rand.NewPCG(1, 1))
@@ -34,8 +34,8 @@
 			return organisation
 		}
 		again := func(organisation string) bool {
-			plan := retry.Policy{MaxAttempts: 2, Budget: budget, Organisation: organisation}
-			return plan.ShouldRetry(failure, true, 1, time.Second)
+			policy := retry.Policy{MaxAttempts: 2, Budget: budget, Organisation: organisation}
+			return policy.ShouldRetry(failure, true, 1, time.Second)
 		}
 		var good, all float64
 		for range 60 * 40 {
@@ -60,7 +60,7 @@
 // for repeats to the others, whose failures are then made good.
 func TestBudgetOfOneOrganisation(t *testing.T) {
 	for _, perSecond := range []int{40, 120, 400} {
-		named, unnamed := answered(t, perSecond, true), answered(t, perSecond, false)
+		named, unnamed := answeredFraction(t, perSecond, true), answeredFraction(t, perSecond, false)
 		t.Logf("%d a second: others answered %.3f, without names %.3f", perSecond, named, unnamed)
 		qt.Check(t, named > 0.99, qt.IsTrue)
 		qt.Check(t, unnamed < 0.95, qt.IsTrue)
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -15,7 +15,7 @@
 	DefaultWindow = 10 * time.Second
 	// windowParts is the number of parts that a window is counted in. Requests and
 	// takings are forgotten a part at a time.
-	windowParts = 10
+	windowBuckets = 10
 )
 
 // Budget bounds extra requests to a share of the ordinary ones. In each Window
@@ -36,16 +36,16 @@
 	// Window is the time over which both hold. Zero means DefaultWindow.
 	Window time.Duration
 
-	mu        sync.Mutex
-	parts     [windowParts]part
-	current   int       // the part that is counted in
-	began     time.Time // of the current part
-	threshold float64   // in [0, 1), drawn anew with each taking
-	accounts  accounts
+	mu          sync.Mutex
+	buckets     [windowBuckets]bucket
+	current     int       // the part that is counted in
+	bucketStart time.Time // of the current part
+	threshold   float64   // in [0, 1), drawn anew with each taking
+	accounts    accounts
 }
 
 // part counts the requests in one part of the window.
-type part struct {
+type bucket struct {
 	ordinary, extra int
 }
 
@@ -65,8 +65,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.advance(time.Now())
-	b.parts[b.current].ordinary++
-	b.accounts.of(organisation).parts[b.current].ordinary++
+	b.buckets[b.current].ordinary++
+	b.accounts.get(organisation).buckets[b.current].ordinary++
 }
 
 // Take takes one extra request out of the budget, and returns whether there
@@ -76,24 +76,24 @@
 // TakePart takes one extra request as Take does, if no more than the given part of
 // the budget is spent, in (0, 1]. The rest is left to those who may spend a larger
 // part.
-func (b *Budget) TakeWithin(share float64) bool { return b.TakeFor("", share) }
+func (b *Budget) TakeWithin(fraction float64) bool { return b.TakeFor("", fraction) }
 
 // TakeFor takes one extra request of an organisation as TakePart does. One that has spent
 // what its own requests have earned leaves a part of the rest to the others.
-func (b *Budget) TakeFor(organisation string, share float64) bool {
+func (b *Budget) TakeFor(organisation string, fraction float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.advance(time.Now())
-	account := b.accounts.of(organisation)
+	account := b.accounts.get(organisation)
 	if organisation != "" && account.overdrawn(b.Share) {
-		share *= commonPart
+		fraction *= sharedFraction
 	}
-	all := sumOf(&b.parts)
-	if float64(all.extra)+b.threshold >= share*(b.Share*float64(all.ordinary)+b.Burst) {
+	all := sumOf(&b.buckets)
+	if float64(all.extra)+b.threshold >= fraction*(b.Share*float64(all.ordinary)+b.Burst) {
 		return false
 	}
-	b.parts[b.current].extra++
-	account.parts[b.current].extra++
+	b.buckets[b.current].extra++
+	account.buckets[b.current].extra++
 	b.threshold = rand.Float64()
 	return true
 }
@@ -104,19 +104,19 @@
 	if window == 0 {
 		window = DefaultWindow
 	}
-	length := window / windowParts
-	if b.began.IsZero() {
-		b.began = now
+	length := window / windowBuckets
+	if b.bucketStart.IsZero() {
+		b.bucketStart = now
 		b.threshold = rand.Float64()
 	}
-	for range windowParts {
-		if now.Sub(b.began) < length {
+	for range windowBuckets {
+		if now.Sub(b.bucketStart) < length {
 			return
 		}
-		b.began = b.began.Add(length)
-		b.current = (b.current + 1) % windowParts
-		b.parts[b.current] = part{}
-		b.accounts.forget(b.current)
+		b.bucketStart = b.bucketStart.Add(length)
+		b.current = (b.current + 1) % windowBuckets
+		b.buckets[b.current] = bucket{}
+		b.accounts.clearBucket(b.current)
 	}
-	b.began = now // the whole window is over
+	b.bucketStart = now // the whole window is over
 }
--- a/retry/calls_test.go
+++ b/retry/calls_test.go
@@ -22,12 +22,12 @@
 // answered; nobody repeats them. The others' callers come back twice. Each may be sent five
 // times. It returns which part is answered of the requests that call and of the others, given
 // the part of the budget that each may spend.
-func refusedCalls(callPart, otherPart float64, seed uint64) (calling, others float64) {
+func simulateCalls(callFraction, otherFraction float64, seed uint64) (calling, others float64) {
 	const (
-		nodes   = 50
-		refused = 0.55
-		seconds = 10
-		tries   = 5
+		nodes       = 50
+		refused     = 0.55
+		seconds     = 10
+		maxAttempts = 5
 	)
 	random := rand.New(rand.NewPCG(seed, seed))
 	failure := verdict.New(verdict.UpstreamRefused, nil)
@@ -35,14 +35,14 @@
 	for range nodes {
 		budget := &retry.Budget{Share: 0.12, Burst: 60.0 / nodes}
 		// answered sends a request of which the given part of the budget may be spent.
-		answered := func(part float64) bool {
-			plan := retry.Policy{MaxAttempts: tries, Budget: budget, BudgetFraction: part}
+		answered := func(fraction float64) bool {
+			policy := retry.Policy{MaxAttempts: maxAttempts, Budget: budget, BudgetFraction: fraction}
 			budget.RecordRequest()
 			for n := 1; ; n++ {
 				if random.Float64() >= refused {
 					return true
 				}
-				if !plan.ShouldRetry(failure, false, n, time.Second) {
+				if !policy.ShouldRetry(failure, false, n, time.Second) {
 					return false
 				}
 			}
@@ -53,7 +53,7 @@
 				all[0]++
 				both := true
 				for range 2 {
-					both = both && answered(callPart)
+					both = both && answered(callFraction)
 				}
 				if both {
 					good[0]++
@@ -62,7 +62,7 @@
 			}
 			all[1]++
 			for range 3 {
-				if answered(otherPart) {
+				if answered(otherFraction) {
 					good[1]++
 					break
 				}
@@ -80,9 +80,9 @@
 			callingShare = 0.3 / (0.3 + 0.4)
 			seeds        = 40
 		)
-		mean := func(otherPart float64) (calling, others float64) {
+		mean := func(otherFraction float64) (calling, others float64) {
 			for seed := range uint64(seeds) {
-				c, o := refusedCalls(1, otherPart, seed)
+				c, o := simulateCalls(1, otherFraction, seed)
 				calling += c / seeds
 				others += o / seeds
 			}
--- a/retry/latency.go
+++ b/retry/latency.go
@@ -52,7 +52,7 @@
 
 // patience is how many times the usual time a request takes at least before it
 // counts as slow for the sake of its objective.
-const patience = 1.25
+const minHedgeFactor = 1.25
 
 // HedgeAfter returns the time after which a second copy of a request should be
 // sent, given the quantile of the request times from which they count as slow,
@@ -61,7 +61,7 @@
 // than the usual time is left may still meet the objective.
 func HedgeDelay(slow, usual, objective time.Duration) time.Duration {
 	last := objective - usual
-	if float64(last) < patience*float64(usual) {
+	if float64(last) < minHedgeFactor*float64(usual) {
 		return slow
 	}
 	return min(slow, last)
--- a/retry/load_test.go
+++ b/retry/load_test.go
@@ -31,7 +31,7 @@
 		seconds = 10
 	)
 	shares := []float64{0.71, 0.15, 0.14}
-	play := func(reserve float64, seed uint64) (answered [3]float64) {
+	simulate := func(reserve float64, seed uint64) (answered [3]float64) {
 		random := rand.New(rand.NewPCG(seed, seed))
 		var all, good [3]int
 		failure := verdict.New(verdict.UpstreamRefused, nil)
@@ -44,11 +44,11 @@
 					x -= shares[rank]
 					rank++
 				}
-				plan := retry.Policy{MaxAttempts: 2, Budget: budget, BudgetFraction: retry.BudgetFraction(rank, len(shares), reserve)}
+				policy := retry.Policy{MaxAttempts: 2, Budget: budget, BudgetFraction: retry.BudgetFraction(rank, len(shares), reserve)}
 				budget.RecordRequest()
 				all[rank]++
 				served := random.Float64() >= refused
-				if !served && plan.ShouldRetry(failure, false, 1, time.Second) {
+				if !served && policy.ShouldRetry(failure, false, 1, time.Second) {
 					served = random.Float64() >= refused
 				}
 				if served {
@@ -64,7 +64,7 @@
 	mean := func(reserve float64) (answered [3]float64) {
 		const seeds = 20
 		for seed := range uint64(seeds) {
-			for i, a := range play(reserve, seed) {
+			for i, a := range simulate(reserve, seed) {
 				answered[i] += a / seeds
 			}
 		}
--- a/retry/plan.go
+++ b/retry/plan.go
@@ -33,8 +33,8 @@
 //
 // A request that provably has not reached the upstream's application costs
 // nothing there, so it is bounded by MaxTries alone. All others need budget.
-func (p Policy) ShouldRetry(e *verdict.Error, idempotent bool, tries int, remaining time.Duration) bool {
-	if !e.MayRepeat(idempotent) || tries >= p.MaxAttempts || remaining < p.MinRemaining {
+func (p Policy) ShouldRetry(e *verdict.Error, idempotent bool, attempts int, remaining time.Duration) bool {
+	if !e.MayRepeat(idempotent) || attempts >= p.MaxAttempts || remaining < p.MinRemaining {
 		return false
 	}
 	if !MayHaveReached(e) {
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -30,28 +30,28 @@
 	qt.Check(t, none.Take(), qt.IsFalse)
 }
 
-func TestAgain(t *testing.T) {
+func TestShouldRetry(t *testing.T) {
 	second := time.Second
 	tests := map[string]struct {
 		err        *verdict.Error
 		idempotent bool
-		tries      int
+		attempts   int
 		remaining  time.Duration
 		noBudget   bool
 		want       bool
 	}{
-		"refused":                      {err: verdict.New(verdict.Refused, nil), tries: 1, remaining: second, want: true},
-		"refused, no budget needed":    {err: verdict.New(verdict.Refused, nil), tries: 1, remaining: second, noBudget: true, want: true},
-		"refused for the third time":   {err: verdict.New(verdict.Refused, nil), tries: 3, remaining: second},
-		"refused, no time left":        {err: verdict.New(verdict.Refused, nil), tries: 1, remaining: time.Microsecond},
-		"lost, idempotent":             {err: verdict.New(verdict.PeerLost, nil), idempotent: true, tries: 1, remaining: second, want: true},
-		"lost, idempotent, no budget":  {err: verdict.New(verdict.PeerLost, nil), idempotent: true, tries: 1, remaining: second, noBudget: true},
-		"lost, not idempotent":         {err: verdict.New(verdict.PeerLost, nil), tries: 1, remaining: second},
-		"shed by the upstream":         {err: verdict.New(verdict.UpstreamRefused, nil), tries: 1, remaining: second, want: true},
-		"shed by the upstream, budget": {err: verdict.New(verdict.UpstreamRefused, nil), tries: 1, remaining: second, noBudget: true},
-		"given up by a deeper hop":     {err: verdict.New(verdict.UpstreamRefused, nil).WithGivenUp(), idempotent: true, tries: 1, remaining: second},
-		"cut answer":                   {err: verdict.New(verdict.AnswerTruncated, nil), idempotent: true, tries: 1, remaining: second},
-		"timed out":                    {err: verdict.New(verdict.TimedOut, nil), idempotent: true, tries: 1, remaining: second},
+		"refused":                      {err: verdict.New(verdict.Refused, nil), attempts: 1, remaining: second, want: true},
+		"refused, no budget needed":    {err: verdict.New(verdict.Refused, nil), attempts: 1, remaining: second, noBudget: true, want: true},
+		"refused for the third time":   {err: verdict.New(verdict.Refused, nil), attempts: 3, remaining: second},
+		"refused, no time left":        {err: verdict.New(verdict.Refused, nil), attempts: 1, remaining: time.Microsecond},
+		"lost, idempotent":             {err: verdict.New(verdict.PeerLost, nil), idempotent: true, attempts: 1, remaining: second, want: true},
+		"lost, idempotent, no budget":  {err: verdict.New(verdict.PeerLost, nil), idempotent: true, attempts: 1, remaining: second, noBudget: true},
+		"lost, not idempotent":         {err: verdict.New(verdict.PeerLost, nil), attempts: 1, remaining: second},
+		"shed by the upstream":         {err: verdict.New(verdict.UpstreamRefused, nil), attempts: 1, remaining: second, want: true},
+		"shed by the upstream, budget": {err: verdict.New(verdict.UpstreamRefused, nil), attempts: 1, remaining: second, noBudget: true},
+		"given up by a deeper hop":     {err: verdict.New(verdict.UpstreamRefused, nil).WithGivenUp(), idempotent: true, attempts: 1, remaining: second},
+		"cut answer":                   {err: verdict.New(verdict.AnswerTruncated, nil), idempotent: true, attempts: 1, remaining: second},
+		"timed out":                    {err: verdict.New(verdict.TimedOut, nil), idempotent: true, attempts: 1, remaining: second},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -60,7 +60,7 @@
 				budget.Take()
 			}
 			p := retry.Policy{MaxAttempts: 3, Budget: budget, MinRemaining: time.Millisecond}
-			qt.Check(t, p.ShouldRetry(test.err, test.idempotent, test.tries, test.remaining), qt.Equals, test.want)
+			qt.Check(t, p.ShouldRetry(test.err, test.idempotent, test.attempts, test.remaining), qt.Equals, test.want)
 		})
 	}
 }
@@ -146,7 +146,7 @@
 	})
 }
 
-func TestHedgeAfter(t *testing.T) {
+func TestHedgeDelay(t *testing.T) {
 	const ms = time.Millisecond
 	tests := map[string]struct{ slow, usual, objective, want time.Duration }{
 		"few are slow":             {slow: 200 * ms, usual: 100 * ms, objective: 500 * ms, want: 200 * ms},
