--- a/retry/account.go
+++ b/retry/account.go
@@ -4,35 +4,35 @@
 
 package retry
 
-// commonPart is the part of a budget that an organisation may spend beyond what its own
-// requests have earned. The rest is left to those that have something of their own.
+// sharedFraction is the fraction of a budget that is open to an organisation which has used
+// up what its own requests added. The rest is kept for organisations that have not.
 const sharedFraction = 0.5
 
-// account is what the requests of one organisation have earned and spent in the window.
+// account counts the requests of one organisation in the window.
 type account struct {
 	buckets [windowBuckets]bucket
 }
 
-// overdrawn returns whether the organisation has spent what its requests have earned at
-// the given share. One extra request is always its own.
+// overdrawn returns whether the organisation has used up what its requests added to the
+// budget at the given share. It may always use one extra request.
 func (a *account) overdrawn(share float64) bool {
 	sum := sumOf(&a.buckets)
 	return float64(sum.extra) >= 1+share*float64(sum.ordinary)
 }
 
-// sumOf returns the sum of the parts of a window.
+// sumOf returns the sum of the buckets of a window.
 func sumOf(buckets *[windowBuckets]bucket) (sum bucket) {
-	for _, p := range buckets {
-		sum.ordinary += p.ordinary
-		sum.extra += p.extra
+	for _, b := range buckets {
+		sum.ordinary += b.ordinary
+		sum.extra += b.extra
 	}
 	return sum
 }
 
-// accounts are those of all organisations with requests in the window.
+// accounts holds the accounts of all organisations with requests in the window.
 type accounts map[string]*account
 
-// of returns the account of an organisation.
+// get returns the account of an organisation, which it creates if there is none.
 func (a *accounts) get(organisation string) *account {
 	if *a == nil {
 		*a = make(accounts)
@@ -45,7 +45,8 @@
 	return found
 }
 
-// forget clears the given part of all accounts, and drops those that are empty then.
+// clearBucket clears the given bucket of all accounts, and removes accounts that are empty
+// then.
 func (a accounts) clearBucket(current int) {
 	for name, entry := range a {
 		entry.buckets[current] = bucket{}
--- a/retry/account_test.go
+++ b/retry/account_test.go
@@ -17,10 +17,11 @@
 	"sassafrasfront.example/verdict"
 )
 
-// answered plays a node for a minute whose callers belong to twenty organisations with two
-// requests a second each, of which one in ten fails at the first upstream, and to another one
-// with the given number, which all fail at each: an abuser's repeats, or a fault of its own.
-// It returns the part of the others' requests that are answered by the first or the second.
+// answeredFraction simulates a node for a minute. Twenty organisations send two requests a
+// second each, one in ten of which fails at the first upstream. Another organisation sends the
+// given number, which all fail at each upstream because of abuse or of a fault of its own. It
+// returns the fraction of the twenty organisations' requests that are answered by the first or
+// the second upstream. If named is false, the budget does not know the organisations.
 func answeredFraction(t *testing.T, perSecond int, named bool) (share float64) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
@@ -56,19 +57,19 @@
 	return share
 }
 
-// TestBudgetOfOneOrganisation has an organisation whose requests all fail leave the budget
-// for repeats to the others, whose failures are then made good.
+// TestBudgetOfOneOrganisation checks that an organisation whose requests all fail leaves the
+// retry budget to the others, whose failed requests are then answered by another upstream.
 func TestBudgetOfOneOrganisation(t *testing.T) {
 	for _, perSecond := range []int{40, 120, 400} {
 		named, unnamed := answeredFraction(t, perSecond, true), answeredFraction(t, perSecond, false)
-		t.Logf("%d a second: others answered %.3f, without names %.3f", perSecond, named, unnamed)
+		t.Logf("%d requests a second: fraction of the others answered %.3f, without names %.3f", perSecond, named, unnamed)
 		qt.Check(t, named > 0.99, qt.IsTrue)
 		qt.Check(t, unnamed < 0.95, qt.IsTrue)
 	}
 }
 
-// TestBudgetAlone has an organisation that nobody else shares a budget with spend half of
-// it at once, and its requests earn the rest.
+// TestBudgetAlone checks that an organisation that shares a budget with nobody can use half of
+// it at once, and the rest as its requests add to it.
 func TestBudgetAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		budget := &retry.Budget{Share: 0.1, Burst: 20}
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -11,45 +11,45 @@
 )
 
 const (
-	// DefaultWindow is the time over which a Budget is kept to if it does not say.
+	// DefaultWindow is the window of a Budget whose Window is zero.
 	DefaultWindow = 10 * time.Second
-	// windowParts is the number of parts that a window is counted in. Requests and
-	// takings are forgotten a part at a time.
+	// windowBuckets is the number of buckets that a window is divided into. Requests leave
+	// the window a bucket at a time.
 	windowBuckets = 10
 )
 
-// Budget bounds extra requests to a share of the ordinary ones. In each Window
-// there are at most
+// Budget bounds extra requests, such as retries, to a fraction of the ordinary ones. In
+// each Window there are at most
 //
 //	Share * (ordinary requests in the window) + Burst
 //
-// extra ones. The part of this beyond a whole number is allowed with that
-// probability: where many processes have a small part each of what all may spend
-// together, some of them spend one and the others none. The zero value allows
-// none. The exported fields are set before the first call. The methods may be
-// called from any goroutine.
+// extra ones. The fractional part of this bound is allowed with the corresponding
+// probability: where many processes have a small part each of a common budget, some of
+// them send one extra request and the others none. The zero value allows none. The
+// exported fields must be set before the first call. The methods may be called from any
+// goroutine.
 type Budget struct {
 	// Share is the number of extra requests per ordinary one, such as 0.1.
 	Share float64
 	// Burst is the number of extra requests beyond that.
 	Burst float64
-	// Window is the time over which both hold. Zero means DefaultWindow.
+	// Window is the time over which both apply. Zero means DefaultWindow.
 	Window time.Duration
 
 	mu          sync.Mutex
 	buckets     [windowBuckets]bucket
-	current     int       // the part that is counted in
-	bucketStart time.Time // of the current part
-	threshold   float64   // in [0, 1), drawn anew with each taking
+	current     int       // the bucket that is counted in
+	bucketStart time.Time // when the current bucket began
+	threshold   float64   // in [0, 1), drawn again with each extra request
 	accounts    accounts
 }
 
-// part counts the requests in one part of the window.
+// bucket counts the requests in one part of the window.
 type bucket struct {
 	ordinary, extra int
 }
 
-// Adjust sets Share and Burst. What was spent stays spent.
+// Adjust sets Share and Burst. Extra requests already taken still count.
 func (b *Budget) Adjust(share, burst float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -57,10 +57,11 @@
 	b.Burst = burst
 }
 
-// Earn records one ordinary request.
+// RecordRequest records one ordinary request.
 func (b *Budget) RecordRequest() { b.RecordRequestFor("") }
 
-// EarnFor records one ordinary request of an organisation. The empty name stands for none.
+// RecordRequestFor records one ordinary request of an organisation. The empty name stands
+// for none.
 func (b *Budget) RecordRequestFor(organisation string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -73,13 +74,12 @@
 // was one.
 func (b *Budget) Take() bool { return b.TakeWithin(1) }
 
-// TakePart takes one extra request as Take does, if no more than the given part of
-// the budget is spent, in (0, 1]. The rest is left to those who may spend a larger
-// part.
+// TakeWithin is Take, but uses up no more than the given fraction of the budget, in (0, 1].
+// The rest is left to those that may use a larger fraction.
 func (b *Budget) TakeWithin(fraction float64) bool { return b.TakeFor("", fraction) }
 
-// TakeFor takes one extra request of an organisation as TakePart does. One that has spent
-// what its own requests have earned leaves a part of the rest to the others.
+// TakeFor is TakeWithin for an organisation. One that has used up what its own requests
+// added leaves part of the rest to the others.
 func (b *Budget) TakeFor(organisation string, fraction float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -98,7 +98,7 @@
 	return true
 }
 
-// advance forgets the parts that are out of the window. The lock is held.
+// advance clears the buckets that have left the window. The lock is held.
 func (b *Budget) advance(now time.Time) {
 	window := b.Window
 	if window == 0 {
--- a/retry/calls_test.go
+++ b/retry/calls_test.go
@@ -16,12 +16,12 @@
 	"sassafrasfront.example/verdict"
 )
 
-// refusedCalls plays a service each of whose upstreams refuses 0.55 of what it gets,
-// without running it, for ten seconds, as in TestRefusalsOfHalf. Six in ten requests to it
-// are calls that another service's requests make, two each, both of which have to be
-// answered; nobody repeats them. The others' callers come back twice. Each may be sent five
-// times. It returns which part is answered of the requests that call and of the others, given
-// the part of the budget that each may spend.
+// simulateCalls simulates a service whose upstreams refuse 0.55 of their requests without running
+// them, for ten seconds, as in TestRefusalsOfHalf. Six in ten of its requests are calls made by
+// requests of another service, two each, both of which have to be answered; nobody retries them.
+// The callers of the others retry twice. Each request may be sent five times. It returns the
+// fraction that is answered of the calling requests and of the others, given the fraction of the
+// budget that each may use.
 func simulateCalls(callFraction, otherFraction float64, seed uint64) (calling, others float64) {
 	const (
 		nodes       = 50
@@ -34,7 +34,7 @@
 	var all, good [2]float64
 	for range nodes {
 		budget := &retry.Budget{Share: 0.12, Burst: 60.0 / nodes}
-		// answered sends a request of which the given part of the budget may be spent.
+		// answered sends a request that may use the given fraction of the budget.
 		answered := func(fraction float64) bool {
 			policy := retry.Policy{MaxAttempts: maxAttempts, Budget: budget, BudgetFraction: fraction}
 			budget.RecordRequest()
@@ -72,8 +72,8 @@
 	return good[0] / all[0], good[1] / all[1]
 }
 
-// TestRefusedCalls keeps half of the budget for the calls: more is answered of all requests
-// together, and fewer of those that call have run in vain.
+// TestRefusedCalls checks that with half of the budget reserved for calls, more requests are
+// answered in total, and fewer of the calling requests run in vain.
 func TestRefusedCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const (
@@ -90,10 +90,10 @@
 		}
 		evenCalling, evenOthers := mean(1)
 		calling, others := mean(retry.BudgetFraction(0, 2, 0.5))
-		t.Logf("calling %.3f, others %.3f; of an even budget %.3f, %.3f", calling, others, evenCalling, evenOthers)
+		t.Logf("calling %.3f, others %.3f; with an undivided budget %.3f, %.3f", calling, others, evenCalling, evenOthers)
 		all := callingShare*calling + (1-callingShare)*others
 		even := callingShare*evenCalling + (1-callingShare)*evenOthers
-		t.Logf("all %.3f; of an even budget %.3f", all, even)
+		t.Logf("all %.3f; with an undivided budget %.3f", all, even)
 		qt.Check(t, all > even, qt.IsTrue)
 		qt.Check(t, calling > evenCalling+0.05, qt.IsTrue)
 	})
--- a/retry/latency.go
+++ b/retry/latency.go
@@ -11,15 +11,14 @@
 )
 
 const (
-	// latencyWindow is the number of recent samples that the quantile is
-	// taken over.
+	// latencyWindow is the number of recent samples that quantiles are taken from.
 	latencyWindow = 512
-	// latencyRefresh is the number of samples after which it is taken anew.
+	// latencyRefresh is the number of samples after which they are sorted again.
 	latencyRefresh = 64
 )
 
-// Latency measures a quantile of the latest request times. The zero value is
-// ready. Its methods may be called from any goroutine.
+// Latency measures quantiles of the latest request times. The zero value is ready to
+// use. Its methods may be called from any goroutine.
 type Latency struct {
 	mu      sync.Mutex
 	samples [latencyWindow]time.Duration
@@ -50,15 +49,14 @@
 	return l.sorted[int(q*float64(len(l.sorted)))], true
 }
 
-// patience is how many times the usual time a request takes at least before it
-// counts as slow for the sake of its objective.
+// minHedgeFactor is the least multiple of the usual time after which a second copy is sent
+// for the sake of the latency objective.
 const minHedgeFactor = 1.25
 
-// HedgeAfter returns the time after which a second copy of a request should be
-// sent, given the quantile of the request times from which they count as slow,
-// the usual time, and the latency objective, or 0 if there is none. Where many
-// requests are slow, the quantile comes too late: a copy that is sent when no more
-// than the usual time is left may still meet the objective.
+// HedgeDelay returns the time after which a second copy of a request should be sent, given
+// the quantile of the request times from which they count as slow, the usual time, and the
+// latency objective, or 0 if there is none. Where many requests are slow, the quantile comes
+// too late: a copy that is sent while the usual time is left may still meet the objective.
 func HedgeDelay(slow, usual, objective time.Duration) time.Duration {
 	last := objective - usual
 	if float64(last) < minHedgeFactor*float64(usual) {
--- a/retry/load_test.go
+++ b/retry/load_test.go
@@ -16,14 +16,13 @@
 	"sassafrasfront.example/verdict"
 )
 
-// TestRefusalsOfHalf plays a service each of whose upstreams refuses 0.55 of what it
-// gets, without running it, for ten seconds. Its requests are of three priorities, 0.14
-// most urgent, 0.15 between and 0.71 the calls of another service's requests, as a
-// service has them that is called by another. Each may be sent twice. Fifty nodes send
-// five requests a second each, and may together send 0.12 of the requests and 60 more
-// again in ten seconds. Where the most urgent count three and those between two, and
-// the calls come in pairs of which both have to be answered for one, a reserve of a half
-// to nine tenths gains a tenth over none.
+// TestRefusalsOfHalf simulates a service whose upstreams refuse 0.55 of their requests without
+// running them, for ten seconds. Its requests have three priorities: 0.14 are the most urgent,
+// 0.15 are in between, and 0.71 are the calls of another service's requests. Each may be sent
+// twice. Fifty nodes send five requests a second each, and may together send again 0.12 of the
+// requests and 60 more in ten seconds. If the most urgent requests count three and those in
+// between two, and calls come in pairs that count one if both are answered, a reserve of 0.5 to
+// 0.9 gains a tenth over none.
 func TestRefusalsOfHalf(t *testing.T) {
 	const (
 		nodes   = 50
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -40,18 +40,18 @@
 		noBudget   bool
 		want       bool
 	}{
-		"refused":                      {err: verdict.New(verdict.Refused, nil), attempts: 1, remaining: second, want: true},
-		"refused, no budget needed":    {err: verdict.New(verdict.Refused, nil), attempts: 1, remaining: second, noBudget: true, want: true},
-		"refused for the third time":   {err: verdict.New(verdict.Refused, nil), attempts: 3, remaining: second},
-		"refused, no time left":        {err: verdict.New(verdict.Refused, nil), attempts: 1, remaining: time.Microsecond},
-		"lost, idempotent":             {err: verdict.New(verdict.PeerLost, nil), idempotent: true, attempts: 1, remaining: second, want: true},
-		"lost, idempotent, no budget":  {err: verdict.New(verdict.PeerLost, nil), idempotent: true, attempts: 1, remaining: second, noBudget: true},
-		"lost, not idempotent":         {err: verdict.New(verdict.PeerLost, nil), attempts: 1, remaining: second},
-		"shed by the upstream":         {err: verdict.New(verdict.UpstreamRefused, nil), attempts: 1, remaining: second, want: true},
-		"shed by the upstream, budget": {err: verdict.New(verdict.UpstreamRefused, nil), attempts: 1, remaining: second, noBudget: true},
-		"given up by a deeper hop":     {err: verdict.New(verdict.UpstreamRefused, nil).WithGivenUp(), idempotent: true, attempts: 1, remaining: second},
-		"cut answer":                   {err: verdict.New(verdict.AnswerTruncated, nil), idempotent: true, attempts: 1, remaining: second},
-		"timed out":                    {err: verdict.New(verdict.TimedOut, nil), idempotent: true, attempts: 1, remaining: second},
+		"refused":                         {err: verdict.New(verdict.Refused, nil), attempts: 1, remaining: second, want: true},
+		"refused, no budget needed":       {err: verdict.New(verdict.Refused, nil), attempts: 1, remaining: second, noBudget: true, want: true},
+		"refused for the third time":      {err: verdict.New(verdict.Refused, nil), attempts: 3, remaining: second},
+		"refused, no time left":           {err: verdict.New(verdict.Refused, nil), attempts: 1, remaining: time.Microsecond},
+		"lost, idempotent":                {err: verdict.New(verdict.PeerLost, nil), idempotent: true, attempts: 1, remaining: second, want: true},
+		"lost, idempotent, no budget":     {err: verdict.New(verdict.PeerLost, nil), idempotent: true, attempts: 1, remaining: second, noBudget: true},
+		"lost, not idempotent":            {err: verdict.New(verdict.PeerLost, nil), attempts: 1, remaining: second},
+		"shed by the upstream":            {err: verdict.New(verdict.UpstreamRefused, nil), attempts: 1, remaining: second, want: true},
+		"shed by the upstream, no budget": {err: verdict.New(verdict.UpstreamRefused, nil), attempts: 1, remaining: second, noBudget: true},
+		"given up by a later hop":         {err: verdict.New(verdict.UpstreamRefused, nil).WithGivenUp(), idempotent: true, attempts: 1, remaining: second},
+		"truncated answer":                {err: verdict.New(verdict.AnswerTruncated, nil), idempotent: true, attempts: 1, remaining: second},
+		"timed out":                       {err: verdict.New(verdict.TimedOut, nil), idempotent: true, attempts: 1, remaining: second},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -87,8 +87,8 @@
 	// true
 }
 
-// TestBudgetOfManyProcesses has many processes with a small part each of one
-// budget: together they spend about what they may, and not more.
+// TestBudgetOfManyProcesses has many processes with a small part each of one budget. Together
+// they use about as much as they may, and not more.
 func TestBudgetOfManyProcesses(t *testing.T) {
 	const processes = 1000
 	tests := map[string]struct {
@@ -121,7 +121,7 @@
 	}
 }
 
-// TestBudgetWindow spends a budget, and has it back when the window is over.
+// TestBudgetWindow checks that a used budget is available again when the window is over.
 func TestBudgetWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &retry.Budget{Share: 0.1, Burst: 5, Window: 10 * time.Second}
@@ -149,11 +149,11 @@
 func TestHedgeDelay(t *testing.T) {
 	const ms = time.Millisecond
 	tests := map[string]struct{ slow, usual, objective, want time.Duration }{
-		"few are slow":             {slow: 200 * ms, usual: 100 * ms, objective: 500 * ms, want: 200 * ms},
-		"many are slow":            {slow: 2000 * ms, usual: 500 * ms, objective: 1500 * ms, want: 1000 * ms},
-		"a tight objective":        {slow: 200 * ms, usual: 100 * ms, objective: 150 * ms, want: 200 * ms},
-		"no objective":             {slow: 200 * ms, usual: 100 * ms, want: 200 * ms},
-		"at the edge of too tight": {slow: 400 * ms, usual: 100 * ms, objective: 225 * ms, want: 125 * ms},
+		"few are slow":       {slow: 200 * ms, usual: 100 * ms, objective: 500 * ms, want: 200 * ms},
+		"many are slow":      {slow: 2000 * ms, usual: 500 * ms, objective: 1500 * ms, want: 1000 * ms},
+		"a tight objective":  {slow: 200 * ms, usual: 100 * ms, objective: 150 * ms, want: 200 * ms},
+		"no objective":       {slow: 200 * ms, usual: 100 * ms, want: 200 * ms},
+		"barely enough time": {slow: 400 * ms, usual: 100 * ms, objective: 225 * ms, want: 125 * ms},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
