--- a/quota/bounds.go
+++ b/quota/bounds.go
@@ -14,7 +14,7 @@
 	// Life is how long a token may be used after the node has asked for it.
 	TokenLifetime = 250 * time.Millisecond
 	// drift is how much of a lease two clocks may differ by over its length.
-	drift = LeaseDuration / 50
+	maxClockDrift = LeaseDuration / 50
 )
 
 // Limit is the rate limit of an organisation: Rate requests a second, and Burst more after
@@ -40,7 +40,7 @@
 // after it has left its bucket: a Window sees the tokens of Life more. Half of the overage
 // pays for that, and what it does not cover is taken off the rate. The other half is for
 // rights of nodes that the others have not counted yet.
-func (b Bounds) pace() float64 {
+func (b Bounds) fillFactor() float64 {
 	return min(1, b.Window.Seconds()*(1+b.Overage/2)/(b.Window+TokenLifetime).Seconds())
 }
 
--- a/quota/lateness.go
+++ b/quota/lateness.go
@@ -11,41 +11,41 @@
 
 // runPart is the part of its objective that a request is expected to run. Operators set
 // objectives at two to five times the usual run.
-const runPart = 0.5
+const runFraction = 0.5
 
 // Lateness finds requests that can't be answered within their objective any more, as their
 // callers have been refused before: they have less time left than others of their class.
 type Lateness struct {
-	classes map[string]*allowed
+	classes map[string]*longestTime
 }
 
 // allowed is the longest time that callers of a class have allowed, in the present span and
 // in the one before it.
-type allowed struct {
-	span      int64
-	now, last time.Duration
+type longestTime struct {
+	span              int64
+	current, previous time.Duration
 }
 
 // Late returns whether a request of a class is late that has the given time left. A class
 // without an objective, which is 0, has none.
 func (l *Lateness) Late(class string, left, objective, now time.Duration) bool {
 	if l.classes == nil {
-		l.classes = make(map[string]*allowed)
+		l.classes = make(map[string]*longestTime)
 	}
-	a := l.classes[class]
-	if a == nil {
-		a = new(allowed)
-		l.classes[class] = a
+	longest := l.classes[class]
+	if longest == nil {
+		longest = new(longestTime)
+		l.classes[class] = longest
 	}
-	if span := int64(now / deadlineSpan); span != a.span {
-		a.last = 0
-		if span == a.span+1 {
-			a.last = a.now
+	if span := int64(now / deadlineSpan); span != longest.span {
+		longest.previous = 0
+		if span == longest.span+1 {
+			longest.previous = longest.current
 		}
-		a.now = 0
-		a.span = span
+		longest.current = 0
+		longest.span = span
 	}
-	a.now = max(a.now, left)
-	elapsed := max(a.now, a.last) - left
-	return objective > 0 && elapsed > time.Duration((1-runPart)*float64(objective))
+	longest.current = max(longest.current, left)
+	elapsed := max(longest.current, longest.previous) - left
+	return objective > 0 && elapsed > time.Duration((1-runFraction)*float64(objective))
 }
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -17,14 +17,14 @@
 	maxWaitingAll = 1 << 12
 	// refuseFor is how long at most a node refuses without asking once the home has
 	// refused. It bounds the messages that an organisation's rush causes.
-	refuseFor = 100 * time.Millisecond
+	maxRefuseTime = 100 * time.Millisecond
 	// lateAfter is how long late requests are refused after the last refusal of others.
-	lateAfter = 300 * time.Millisecond
+	lateRefuseTime = 300 * time.Millisecond
 	// nearly is the time for which a request waits rather than being refused: the home is
 	// asked again about then.
-	nearly = 20 * time.Millisecond
+	shortWait = 20 * time.Millisecond
 	// unknownWait is when a caller may come back that was refused as no home has answered.
-	unknownWait = LeaseDuration / 2
+	unknownRetryAfter = LeaseDuration / 2
 )
 
 // Decision is what is decided on a request.
@@ -48,9 +48,9 @@
 
 // refusal is what is told to the callers of an organisation for which there is no token.
 type refusal struct {
-	until time.Duration // when the home is asked again
-	next  time.Duration // when the next caller may come back
-	step  time.Duration
+	until     time.Duration // when the home is asked again
+	nextRetry time.Duration // when the next caller may come back
+	retryStep time.Duration
 	// unknown is whether that isn't certain.
 	unknown bool
 }
@@ -60,19 +60,19 @@
 // once, and calls the functions that it is given without waiting for anything.
 type Limiter struct {
 	*Client
-	waiting  map[string][]*Pending
-	asked    map[string][]*Pending // of them, in the Ask that is under way
-	count    int
-	refusals map[string]refusal
+	waiting      map[string][]*Pending
+	requested    map[string][]*Pending // of them, in the Ask that is under way
+	waitingCount int
+	refusals     map[string]refusal
 }
 
 // NewLimiter returns a Limiter that asks by the given Client.
 func NewLimiter(c *Client) *Limiter {
 	return &Limiter{
-		Client:   c,
-		waiting:  make(map[string][]*Pending),
-		asked:    make(map[string][]*Pending),
-		refusals: make(map[string]refusal),
+		Client:    c,
+		waiting:   make(map[string][]*Pending),
+		requested: make(map[string][]*Pending),
+		refusals:  make(map[string]refusal),
 	}
 }
 
@@ -81,10 +81,10 @@
 // gets no token while others of its organisation are refused.
 func (l *Limiter) Admit(organisation string, late bool, now time.Duration, decide func(Decision)) *Pending {
 	r, refused := l.refusals[organisation]
-	if refused && late && now < r.until+lateAfter {
+	if refused && late && now < r.until+lateRefuseTime {
 		decide(Decision{
 			Unknown:    r.unknown,
-			RetryAfter: max(r.next-now, r.step),
+			RetryAfter: max(r.nextRetry-now, r.retryStep),
 		})
 		return nil
 	}
@@ -98,17 +98,17 @@
 	if refused && now < r.until {
 		decide(Decision{
 			Unknown:    r.unknown,
-			RetryAfter: max(r.next-now, r.step),
+			RetryAfter: max(r.nextRetry-now, r.retryStep),
 		})
-		r.next += r.step
+		r.nextRetry += r.retryStep
 		l.refusals[organisation] = r
 		return nil
 	}
-	if refused && now >= r.until+lateAfter {
+	if refused && now >= r.until+lateRefuseTime {
 		delete(l.refusals, organisation)
 	}
-	if l.count >= maxWaitingAll || len(l.waiting[organisation]) >= maxWaiting {
-		decide(unknown)
+	if l.waitingCount >= maxWaitingAll || len(l.waiting[organisation]) >= maxWaiting {
+		decide(queueFull)
 		return nil
 	}
 	p := &Pending{
@@ -117,14 +117,14 @@
 		decide:       decide,
 	}
 	l.waiting[organisation] = append(l.waiting[organisation], p)
-	l.count++
+	l.waitingCount++
 	return p
 }
 
 // unknown is the decision on a request for which there is no room to wait.
-var unknown = Decision{
+var queueFull = Decision{
 	Unknown:    true,
-	RetryAfter: unknownWait,
+	RetryAfter: unknownRetryAfter,
 }
 
 // Cancel has a request not wait any longer. It returns false if it is decided on already.
@@ -133,35 +133,35 @@
 		return false
 	}
 	p.cancelled = true
-	l.count--
+	l.waitingCount--
 	return true
 }
 
 // Waiting returns the number of requests that wait.
-func (l *Limiter) Waiting() int { return l.count }
+func (l *Limiter) Waiting() int { return l.waitingCount }
 
 // Ask returns the next Ask to a home, for the requests that wait.
-func (l *Limiter) NextRequest(home string, now time.Duration) *Request {
-	var wants []TokenCount
+func (l *Limiter) NextRequest(coordinator string, now time.Duration) *Request {
+	var wanted []TokenCount
 	for _, name := range slices.Sorted(maps.Keys(l.waiting)) {
 		list := uncancelled(l.waiting[name])
 		delete(l.waiting, name)
 		if len(list) == 0 {
 			continue
 		}
-		slices.SortStableFunc(list, inTimeFirst)
-		l.asked[name] = list
-		wants = append(wants, TokenCount{
+		slices.SortStableFunc(list, lateLast)
+		l.requested[name] = list
+		wanted = append(wanted, TokenCount{
 			Organisation: name,
 			Tokens:       len(list),
-			Late:         len(list) - inTime(list),
+			Late:         len(list) - countInTime(list),
 		})
 	}
-	return l.Client.NextRequest(home, wants, now)
+	return l.Client.NextRequest(coordinator, wanted, now)
 }
 
 // inTimeFirst orders requests that are late after others.
-func inTimeFirst(a, b *Pending) int {
+func lateLast(a, b *Pending) int {
 	switch {
 	case a.late == b.late:
 		return 0
@@ -172,7 +172,7 @@
 }
 
 // inTime returns how many requests of a list in that order are not late.
-func inTime(list []*Pending) int {
+func countInTime(list []*Pending) int {
 	n := slices.IndexFunc(list, func(p *Pending) bool { return p.late })
 	if n < 0 {
 		return len(list)
@@ -192,29 +192,29 @@
 }
 
 // Answered takes in the answer to an Ask or a probe that was sent at a time.
-func (l *Limiter) HandleResponse(home string, a *Request, answer *Response, sent, now time.Duration) {
-	l.Client.HandleResponse(home, a, answer, sent, now)
-	if len(a.Wanted) == 0 {
+func (l *Limiter) HandleResponse(coordinator string, r *Request, response *Response, sent, now time.Duration) {
+	l.Client.HandleResponse(coordinator, r, response, sent, now)
+	if len(r.Wanted) == 0 {
 		return
 	}
-	for _, g := range answer.Grants {
+	for _, g := range response.Grants {
 		l.decide(g, now)
 	}
 	l.requeue()
 }
 
 // Unanswered takes in that an Ask or a probe was not answered. Who waits goes on.
-func (l *Limiter) HandleFailure(home string, a *Request, now time.Duration) {
-	l.RecordFailure(home, now)
-	if len(a.Wanted) > 0 {
+func (l *Limiter) HandleFailure(coordinator string, r *Request, now time.Duration) {
+	l.RecordFailure(coordinator, now)
+	if len(r.Wanted) > 0 {
 		l.requeue()
 	}
 }
 
 // requeue has those wait again that the last Ask has not decided on.
 func (l *Limiter) requeue() {
-	for name, list := range l.asked {
-		delete(l.asked, name)
+	for name, list := range l.requested {
+		delete(l.requested, name)
 		if list = uncancelled(list); len(list) > 0 {
 			l.waiting[name] = append(list, l.waiting[name]...)
 		}
@@ -223,8 +223,8 @@
 
 // decide decides on the requests for which a home was asked. Tokens go to those in time first.
 func (l *Limiter) decide(g Grant, now time.Duration) {
-	list := uncancelled(l.asked[g.Organisation])
-	delete(l.asked, g.Organisation)
+	list := uncancelled(l.requested[g.Organisation])
+	delete(l.requested, g.Organisation)
 	for len(list) > 0 {
 		t, ok := l.Take(g.Organisation, now)
 		if !ok {
@@ -241,14 +241,14 @@
 	case g.RetryAfter <= 0: // nothing is known, or the tokens came too late
 		l.waiting[g.Organisation] = append(list, l.waiting[g.Organisation]...)
 	default:
-		soon := min(inTime(list), 1+int((nearly-g.RetryAfter)/max(g.RetryStep, 1)))
-		if g.RetryAfter > nearly {
-			soon = 0
+		kept := min(countInTime(list), 1+int((shortWait-g.RetryAfter)/max(g.RetryStep, 1)))
+		if g.RetryAfter > shortWait {
+			kept = 0
 		}
-		l.waiting[g.Organisation] = append(slices.Clone(list[:soon]), l.waiting[g.Organisation]...)
-		g.RetryAfter += g.RetryStep * time.Duration(soon)
-		if soon < len(list) {
-			l.refuse(list[soon:], g, now)
+		l.waiting[g.Organisation] = append(slices.Clone(list[:kept]), l.waiting[g.Organisation]...)
+		g.RetryAfter += g.RetryStep * time.Duration(kept)
+		if kept < len(list) {
+			l.refuse(list[kept:], g, now)
 		}
 	}
 }
@@ -257,7 +257,7 @@
 // moment.
 func (l *Limiter) refuse(list []*Pending, g Grant, now time.Duration) {
 	next := now + g.RetryAfter
-	others := inTime(list) > 0
+	anyInTime := countInTime(list) > 0
 	for _, p := range list {
 		l.settle(p, Decision{
 			Unknown:    g.Unknown,
@@ -265,21 +265,21 @@
 		})
 		next += g.RetryStep
 	}
-	if !others {
+	if !anyInTime {
 		return
 	}
 	l.refusals[g.Organisation] = refusal{
-		until:   now + min(g.RetryAfter, refuseFor),
-		next:    next,
-		step:    g.RetryStep,
-		unknown: g.Unknown,
+		until:     now + min(g.RetryAfter, maxRefuseTime),
+		nextRetry: next,
+		retryStep: g.RetryStep,
+		unknown:   g.Unknown,
 	}
 }
 
 // settle tells a request that waits what is decided.
 func (l *Limiter) settle(p *Pending, d Decision) {
 	p.cancelled = true
-	l.count--
+	l.waitingCount--
 	p.decide(d)
 }
 
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -16,27 +16,27 @@
 )
 
 // sharp are bounds that leave nothing beyond the limits.
-var sharp = quota.Bounds{Window: 5 * time.Second}
+var exact = quota.Bounds{Window: 5 * time.Second}
 
 // TestFlappingCut has the links between two halves of the nodes fail and come back time and
 // again in a rush, so that each half finds a home of its own: both together let in no more
 // than one would.
-func TestFlappingCut(t *testing.T) {
+func TestFlappingPartition(t *testing.T) {
 	limit := quota.Limit{Rate: 200, Burst: 100}
 	for _, period := range []time.Duration{600 * time.Millisecond, 1500 * time.Millisecond, 4 * time.Second} {
 		t.Run(period.String(), func(t *testing.T) {
-			w := newWorld(6, 100, limited(limit.Rate, limit.Burst))
-			w.setBounds(sharp)
+			c := newCluster(6, 100, limited(limit.Rate, limit.Burst))
+			c.setBounds(exact)
 			half := func(n *simNode) bool { return n.index < 50 }
-			w.far = func(from, to *simNode) bool {
-				return w.now > 5*time.Second && (w.now/period)%2 == 0 && half(from) != half(to)
+			c.partitioned = func(from, to *simNode) bool {
+				return c.now > 5*time.Second && (c.now/period)%2 == 0 && half(from) != half(to)
 			}
-			w.load("o", 2000, 4*time.Second, 25*time.Second, func() *simNode { return w.nodes[w.random.IntN(100)] })
-			w.run(25 * time.Second)
-			most := w.most("o", 0, w.now)
-			ran := w.ran("o", 10*time.Second, 25*time.Second)
-			t.Logf("%d in a window, %.0f allowed; %d ran in 15 s", most, sharp.MaxRequests(limit), ran)
-			qt.Check(t, float64(most) <= sharp.MaxRequests(limit), qt.IsTrue, qt.Commentf("%d", most))
+			c.load("o", 2000, 4*time.Second, 25*time.Second, func() *simNode { return c.nodes[c.random.IntN(100)] })
+			c.runUntil(25 * time.Second)
+			most := c.maxInWindow("o", 0, c.now)
+			ran := c.ran("o", 10*time.Second, 25*time.Second)
+			t.Logf("%d in a window, %.0f allowed; %d ran in 15 s", most, exact.MaxRequests(limit), ran)
+			qt.Check(t, float64(most) <= exact.MaxRequests(limit), qt.IsTrue, qt.Commentf("%d", most))
 			qt.Check(t, float64(ran) >= limit.Rate*15/3, qt.IsTrue, qt.Commentf("%d", ran))
 		})
 	}
@@ -44,18 +44,18 @@
 
 // TestHomesDie has the home end time and again in a rush, each time after it has had time
 // to grant: the successors begin without tokens.
-func TestHomesDie(t *testing.T) {
+func TestCoordinatorsCrash(t *testing.T) {
 	limit := quota.Limit{Rate: 200, Burst: 200}
-	w := newWorld(7, 60, limited(limit.Rate, limit.Burst))
-	w.setBounds(sharp)
+	c := newCluster(7, 60, limited(limit.Rate, limit.Burst))
+	c.setBounds(exact)
 	for at := 5 * time.Second; at < 25*time.Second; at += 1300 * time.Millisecond {
-		w.after(at, func() { w.fullest().kill(100 * time.Millisecond) })
+		c.after(at, func() { c.largestHolder().kill(100 * time.Millisecond) })
 	}
-	w.load("o", 2000, 4*time.Second, 25*time.Second, func() *simNode { return w.nodes[w.random.IntN(60)] })
-	w.run(25 * time.Second)
-	most := w.most("o", 0, w.now)
-	t.Logf("%d in a window, %.0f allowed", most, sharp.MaxRequests(limit))
-	qt.Check(t, float64(most) <= sharp.MaxRequests(limit), qt.IsTrue, qt.Commentf("%d", most))
+	c.load("o", 2000, 4*time.Second, 25*time.Second, func() *simNode { return c.nodes[c.random.IntN(60)] })
+	c.runUntil(25 * time.Second)
+	most := c.maxInWindow("o", 0, c.now)
+	t.Logf("%d in a window, %.0f allowed", most, exact.MaxRequests(limit))
+	qt.Check(t, float64(most) <= exact.MaxRequests(limit), qt.IsTrue, qt.Commentf("%d", most))
 }
 
 // limited is one organisation with the given limit.
@@ -65,92 +65,92 @@
 
 // TestLoneNode has all requests of an organisation come by one node of a hundred, in a rush:
 // it gets the whole limit.
-func TestLoneNode(t *testing.T) {
-	w := newWorld(1, 100, limited(272, 272))
-	lone := func() *simNode { return w.nodes[7] }
-	w.run(3 * time.Second)
-	w.load("o", 2000, 3*time.Second, 13*time.Second, lone)
-	w.run(14 * time.Second)
-	first := w.ran("o", 3*time.Second, 3*time.Second+300*time.Millisecond)
+func TestAllRequestsAtOneNode(t *testing.T) {
+	c := newCluster(1, 100, limited(272, 272))
+	lone := func() *simNode { return c.nodes[7] }
+	c.runUntil(3 * time.Second)
+	c.load("o", 2000, 3*time.Second, 13*time.Second, lone)
+	c.runUntil(14 * time.Second)
+	first := c.ran("o", 3*time.Second, 3*time.Second+300*time.Millisecond)
 	qt.Check(t, first >= 272, qt.IsTrue, qt.Commentf("%d in the first 300 ms: the burst", first))
-	rest := w.ran("o", 4*time.Second, 13*time.Second)
+	rest := c.ran("o", 4*time.Second, 13*time.Second)
 	qt.Check(t, float64(rest) >= 0.97*272*9*0.9, qt.IsTrue, qt.Commentf("%d in 9 s, beside a tenth that was given back", rest))
-	qt.Check(t, float64(w.most("o", 0, w.now)) <= w.bounds.MaxRequests(quota.Limit{Rate: 272, Burst: 272}), qt.IsTrue)
+	qt.Check(t, float64(c.maxInWindow("o", 0, c.now)) <= c.bounds.MaxRequests(quota.Limit{Rate: 272, Burst: 272}), qt.IsTrue)
 	t.Logf("burst %d in 300 ms, then %d in 9 s of %d", first, rest, 272*9)
 }
 
 // TestScattered has the few requests of small organisations come by any node, each by
 // another: all are let in, at once.
-func TestScattered(t *testing.T) {
+func TestSparseRequests(t *testing.T) {
 	for name, rate := range map[string]float64{"one a second": 1, "eight a second": 8} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(2, 300, limited(rate, rate))
-			w.run(3 * time.Second)
+			c := newCluster(2, 300, limited(rate, rate))
+			c.runUntil(3 * time.Second)
 			var sent int
 			for at := 3 * time.Second; at < 40*time.Second; at += time.Duration(float64(time.Second) / (0.8 * rate)) {
 				sent++
-				w.after(at-w.now, func() { w.nodes[w.random.IntN(len(w.nodes))].request("o", 0) })
+				c.after(at-c.now, func() { c.nodes[c.random.IntN(len(c.nodes))].admit("o", 0) })
 			}
-			w.run(41 * time.Second)
-			qt.Check(t, len(w.runs), qt.Equals, sent)
-			qt.Check(t, w.refused+w.unknown, qt.Equals, 0)
+			c.runUntil(41 * time.Second)
+			qt.Check(t, len(c.runs), qt.Equals, sent)
+			qt.Check(t, c.refused+c.unknown, qt.Equals, 0)
 		})
 	}
 }
 
 // TestHomeDies has the home end in the middle of steady requests below the limit. Another
 // one takes its place, and hardly a caller is refused.
-func TestHomeDies(t *testing.T) {
-	w := newWorld(3, 70, limited(272, 272))
-	w.load("o", 170, 3*time.Second, 13*time.Second, func() *simNode { return w.nodes[w.random.IntN(len(w.nodes))] })
-	w.run(8 * time.Second)
-	w.byID(w.ids[0]).kill(time.Minute)
-	w.run(14 * time.Second)
+func TestCoordinatorCrashes(t *testing.T) {
+	c := newCluster(3, 70, limited(272, 272))
+	c.load("o", 170, 3*time.Second, 13*time.Second, func() *simNode { return c.nodes[c.random.IntN(len(c.nodes))] })
+	c.runUntil(8 * time.Second)
+	c.byID(c.ids[0]).kill(time.Minute)
+	c.runUntil(14 * time.Second)
 	var gap time.Duration
-	for i := 1; i < len(w.runs); i++ {
-		gap = max(gap, w.runs[i].at-w.runs[i-1].at)
+	for i := 1; i < len(c.runs); i++ {
+		gap = max(gap, c.runs[i].at-c.runs[i-1].at)
 	}
-	t.Logf("longest gap %v, refused %d, unknown %d", gap, w.refused, w.unknown)
+	t.Logf("longest gap %v, refused %d, unknown %d", gap, c.refused, c.unknown)
 	qt.Check(t, gap < time.Second, qt.IsTrue, qt.Commentf("%v", gap))
-	qt.Check(t, w.ran("o", 9*time.Second, 13*time.Second) > 4*140, qt.IsTrue)
+	qt.Check(t, c.ran("o", 9*time.Second, 13*time.Second) > 4*140, qt.IsTrue)
 }
 
 // TestPowerLost has all nodes start anew at once. Callers are let in some hundred ms later.
-func TestPowerLost(t *testing.T) {
-	w := newWorld(4, 70, limited(272, 272))
-	w.run(5 * time.Second)
-	for _, n := range w.nodes {
+func TestAllNodesRestart(t *testing.T) {
+	c := newCluster(4, 70, limited(272, 272))
+	c.runUntil(5 * time.Second)
+	for _, n := range c.nodes {
 		n.kill(time.Second)
 	}
-	w.load("o", 170, 6*time.Second, 10*time.Second, func() *simNode { return w.nodes[w.random.IntN(len(w.nodes))] })
-	w.run(11 * time.Second)
-	qt.Assert(t, len(w.runs) > 0, qt.IsTrue)
-	t.Logf("first after %v, %d of %d in 4 s", w.runs[0].at-6*time.Second, len(w.runs), 170*4*9/10)
-	qt.Check(t, w.runs[0].at-6*time.Second < time.Second, qt.IsTrue)
-	qt.Check(t, w.ran("o", 7*time.Second, 10*time.Second) > 3*130, qt.IsTrue)
+	c.load("o", 170, 6*time.Second, 10*time.Second, func() *simNode { return c.nodes[c.random.IntN(len(c.nodes))] })
+	c.runUntil(11 * time.Second)
+	qt.Assert(t, len(c.runs) > 0, qt.IsTrue)
+	t.Logf("first after %v, %d of %d in 4 s", c.runs[0].at-6*time.Second, len(c.runs), 170*4*9/10)
+	qt.Check(t, c.runs[0].at-6*time.Second < time.Second, qt.IsTrue)
+	qt.Check(t, c.ran("o", 7*time.Second, 10*time.Second) > 3*130, qt.IsTrue)
 }
 
 // TestWaits has callers come back when they are told to. They are let in.
-func TestWaits(t *testing.T) {
-	w := newWorld(5, 20, limited(10, 1))
-	w.run(2 * time.Second)
+func TestRetryAfter(t *testing.T) {
+	c := newCluster(5, 20, limited(10, 1))
+	c.runUntil(2 * time.Second)
 	for range 30 {
-		w.nodes[3].request("o", 0)
+		c.nodes[3].admit("o", 0)
 	}
-	w.run(3 * time.Second)
-	before := len(w.runs)
-	waits := w.waits
-	qt.Assert(t, before > 0 && len(waits) > 10, qt.IsTrue, qt.Commentf("%d ran, %d refused", before, len(waits)))
-	for _, wait := range waits {
-		w.after(wait, func() { w.nodes[5].request("o", 0) })
+	c.runUntil(3 * time.Second)
+	before := len(c.runs)
+	retryAfters := c.retryAfters
+	qt.Assert(t, before > 0 && len(retryAfters) > 10, qt.IsTrue, qt.Commentf("%d ran, %d refused", before, len(retryAfters)))
+	for _, wait := range retryAfters {
+		c.after(wait, func() { c.nodes[5].admit("o", 0) })
 	}
-	w.run(12 * time.Second)
-	qt.Check(t, len(w.runs), qt.Equals, before+len(waits))
+	c.runUntil(12 * time.Second)
+	qt.Check(t, len(c.runs), qt.Equals, before+len(retryAfters))
 }
 
 // scenario is what a drawn world goes through.
 type scenario struct {
-	*world
+	*cluster
 	limit   quota.Limit
 	lowered time.Duration // when the last node has the lower limit
 	lower   quota.Limit
@@ -170,9 +170,9 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			s := newScenario(seed)
-			s.run(s.now + 30*time.Second)
-			s.check(t, "before", s.most("o", 0, s.now), s.limit)
-			s.check(t, "after", s.most("o", s.lowered, s.now), s.lower)
+			s.runUntil(s.now + 30*time.Second)
+			s.check(t, "before", s.maxInWindow("o", 0, s.now), s.limit)
+			s.check(t, "after", s.maxInWindow("o", s.lowered, s.now), s.lower)
 		})
 	}
 }
@@ -194,8 +194,8 @@
 	limit := quota.Limit{Rate: rates[random.IntN(len(rates))]}
 	limit.Burst = limit.Rate * []float64{0, 0.2, 1, 3}[random.IntN(4)]
 	s := &scenario{
-		world: newWorld(seed, 20+random.IntN(200), map[string]quota.Limit{"o": limit}),
-		limit: limit,
+		cluster: newCluster(seed, 20+random.IntN(200), map[string]quota.Limit{"o": limit}),
+		limit:   limit,
 		lower: quota.Limit{
 			Rate:  limit.Rate / 2,
 			Burst: limit.Burst / 4,
@@ -205,33 +205,33 @@
 	if !s.joins {
 		s.setBounds(quota.Bounds{Window: 5 * time.Second})
 	}
-	s.breakLinks()
-	s.rush()
+	s.degradeLinks()
+	s.surge()
 	for range s.random.IntN(10) {
-		s.after(s.moment(), s.fault)
+		s.after(s.randomTime(), s.injectFault)
 	}
 	if s.random.IntN(2) == 0 {
-		s.after(s.moment(), s.power)
+		s.after(s.randomTime(), s.restartMany)
 	}
 	s.lowerLimit()
 	return s
 }
 
 // moment draws a moment of the scenario.
-func (s *scenario) moment() time.Duration {
+func (s *scenario) randomTime() time.Duration {
 	return time.Duration(s.random.Int64N(int64(25 * time.Second)))
 }
 
 // breakLinks has some messages come late or not at all.
-func (s *scenario) breakLinks() {
-	lossy := s.random.Float64() * 0.03 * float64(s.random.IntN(2))
-	slow := s.random.Float64() * 0.1 * float64(s.random.IntN(2))
+func (s *scenario) degradeLinks() {
+	lossProbability := s.random.Float64() * 0.03 * float64(s.random.IntN(2))
+	delayProbability := s.random.Float64() * 0.1 * float64(s.random.IntN(2))
 	s.delay = func() (time.Duration, bool) {
-		if s.random.Float64() < lossy {
+		if s.random.Float64() < lossProbability {
 			return 0, false
 		}
 		d := time.Millisecond + time.Duration(s.random.Int64N(int64(4*time.Millisecond)))
-		if s.random.Float64() < slow {
+		if s.random.Float64() < delayProbability {
 			d += time.Duration(s.random.Int64N(int64(300 * time.Millisecond)))
 		}
 		return d, true
@@ -240,7 +240,7 @@
 
 // rush has three to ten times what the limit allows come by some of the nodes, with pauses
 // in which the burst is saved up.
-func (s *scenario) rush() {
+func (s *scenario) surge() {
 	busy := 1 + s.random.IntN(len(s.nodes))
 	rate := max(20, s.limit.Rate*(3+7*s.random.Float64()))
 	at := func() *simNode { return s.nodes[s.random.IntN(busy)] }
@@ -252,7 +252,7 @@
 }
 
 // fault brings one fault about.
-func (s *scenario) fault() {
+func (s *scenario) injectFault() {
 	n := s.nodes[s.random.IntN(len(s.nodes))]
 	if s.random.IntN(2) == 0 {
 		n = s.byID(s.ids[s.random.IntN(2)]) // a home
@@ -260,19 +260,19 @@
 	lasts := 100*time.Millisecond + time.Duration(s.random.Int64N(int64(6*time.Second)))
 	switch s.random.IntN(6) {
 	case 0:
-		n = s.fullest()
+		n = s.largestHolder()
 		fallthrough
 	case 5:
 		for _, n := range s.nodes {
 			if s.random.IntN(2) == 0 {
-				n.forgets(1+s.random.IntN(3), time.Duration(s.random.Int64N(int64(lasts))))
+				n.hideCoordinators(1+s.random.IntN(3), time.Duration(s.random.Int64N(int64(lasts))))
 			}
 		}
 		n.kill(lasts / 4)
 	case 1:
-		n.slow = s.now + lasts/4
+		n.pausedUntil = s.now + lasts/4
 	case 2:
-		s.cut(s.random.Float64(), lasts)
+		s.partition(s.random.Float64(), lasts)
 	case 3:
 		s.flap(n, lasts)
 	case 4:
@@ -280,7 +280,7 @@
 			s.join(s.nodes[0].limits)
 		}
 		joined := len(s.nodes)
-		s.after(lasts/2, func() { s.census = max(s.census, joined) })
+		s.after(lasts/2, func() { s.nodeCount = max(s.nodeCount, joined) })
 	}
 }
 
@@ -292,13 +292,13 @@
 }
 
 // cut parts some of the nodes from the others for a time.
-func (s *scenario) cut(part float64, lasts time.Duration) {
-	cut := make(map[string]bool)
+func (s *scenario) partition(fraction float64, lasts time.Duration) {
+	separated := make(map[string]bool)
 	for _, n := range s.nodes {
-		cut[n.id] = s.random.Float64() < part
+		separated[n.id] = s.random.Float64() < fraction
 	}
-	s.far = func(from, to *simNode) bool { return cut[from.id] != cut[to.id] }
-	s.after(lasts, func() { s.far = func(_, _ *simNode) bool { return false } })
+	s.partitioned = func(from, to *simNode) bool { return separated[from.id] != separated[to.id] }
+	s.after(lasts, func() { s.partitioned = func(_, _ *simNode) bool { return false } })
 }
 
 // flap has the links of some nodes to one fail and come back, time and again.
@@ -308,7 +308,7 @@
 	var turn func()
 	turn = func() {
 		if s.now < until {
-			s.cut(0.5, off)
+			s.partition(0.5, off)
 			s.after(off+time.Duration(s.random.Int64N(int64(300*time.Millisecond))), turn)
 		}
 	}
@@ -316,11 +316,11 @@
 }
 
 // power has many nodes start anew at once.
-func (s *scenario) power() {
+func (s *scenario) restartMany() {
 	down := time.Duration(s.random.Int64N(int64(2 * time.Second)))
-	share := 0.3 + s.random.Float64()
+	fraction := 0.3 + s.random.Float64()
 	for _, n := range s.nodes {
-		if s.random.Float64() < share {
+		if s.random.Float64() < fraction {
 			n.kill(down + time.Duration(s.random.Int64N(int64(300*time.Millisecond))))
 		}
 	}
@@ -328,7 +328,7 @@
 
 // lowerLimit has the nodes learn of a lower limit, each at another moment.
 func (s *scenario) lowerLimit() {
-	at := 8*time.Second + s.moment()/2
+	at := 8*time.Second + s.randomTime()/2
 	for _, n := range s.nodes {
 		learns := at + time.Duration(s.random.Int64N(int64(2500*time.Millisecond)))
 		s.lowered = max(s.lowered, learns)
--- a/quota/recent.go
+++ b/quota/recent.go
@@ -7,39 +7,39 @@
 import "time"
 
 // recentSpan is the time over which tokens are counted for operators.
-const recentSpan = 5 * time.Second
+const rateSpan = 5 * time.Second
 
 // Recent counts tokens in the present span and the one before it. The zero value has counted
 // none.
 type RateMeter struct {
-	span      int64 // the number of the present one
-	now, last int
+	span              int64 // the number of the present one
+	current, previous int
 }
 
 // turn goes on to the span of a time.
-func (r *RateMeter) turn(at time.Duration) {
-	switch span := int64(at / recentSpan); {
+func (r *RateMeter) rotate(at time.Duration) {
+	switch span := int64(at / rateSpan); {
 	case span == r.span+1:
-		r.last = r.now
-		r.now = 0
+		r.previous = r.current
+		r.current = 0
 		r.span = span
 	case span > r.span:
-		r.last = 0
-		r.now = 0
+		r.previous = 0
+		r.current = 0
 		r.span = span
 	}
 }
 
 // Add counts n tokens.
 func (r *RateMeter) Add(n int, at time.Duration) {
-	r.turn(at)
-	r.now += n
+	r.rotate(at)
+	r.current += n
 }
 
 // Rate returns the tokens a second over about the last span.
 func (r *RateMeter) Rate(at time.Duration) float64 {
-	r.turn(at)
-	into := (at % recentSpan).Seconds()
-	left := recentSpan.Seconds() - into
-	return max(0, float64(r.now)+float64(r.last)*left/recentSpan.Seconds()) / recentSpan.Seconds()
+	r.rotate(at)
+	elapsed := (at % rateSpan).Seconds()
+	remaining := rateSpan.Seconds() - elapsed
+	return max(0, float64(r.current)+float64(r.previous)*remaining/rateSpan.Seconds()) / rateSpan.Seconds()
 }
--- a/quota/size_test.go
+++ b/quota/size_test.go
@@ -28,8 +28,8 @@
 // TestMessageSize tells what an exchange weighs: it is no matter of the number of
 // organisations or of nodes, but of the tokens that are asked for.
 func TestMessageSize(t *testing.T) {
-	for _, wants := range []int{0, 1, 10} {
-		a := quota.Request{
+	for _, wanted := range []int{0, 1, 10} {
+		r := quota.Request{
 			Incarnation: 1796255000000,
 			Sequence:    123456,
 			Coordinator: 1 << 31,
@@ -37,39 +37,39 @@
 			Elapsed:     150 * time.Millisecond,
 			Nodes:       18000,
 		}
-		answer := quota.Response{
+		response := quota.Response{
 			Coordinator: 1 << 31,
 			Clock:       time.Hour,
 			Nodes:       18000,
 		}
-		for i := range wants {
+		for i := range wanted {
 			name := fmt.Sprintf("org%05d", i)
-			a.Wanted = append(a.Wanted, quota.TokenCount{Organisation: name, Tokens: 1})
-			answer.Grants = append(answer.Grants, quota.Grant{Organisation: name, Tokens: 1})
+			r.Wanted = append(r.Wanted, quota.TokenCount{Organisation: name, Tokens: 1})
+			response.Grants = append(response.Grants, quota.Grant{Organisation: name, Tokens: 1})
 		}
-		there, err := msgpack.Marshal(a)
+		request, err := msgpack.Marshal(r)
 		qt.Assert(t, err, qt.IsNil)
-		back, err := msgpack.Marshal(answer)
+		back, err := msgpack.Marshal(response)
 		qt.Assert(t, err, qt.IsNil)
-		t.Logf("%d organisations: %d B there, %d B back", wants, len(there), len(back))
-		qt.Check(t, len(there) <= 80+wants*20, qt.IsTrue)
-		qt.Check(t, len(back) <= 60+wants*20, qt.IsTrue)
+		t.Logf("%d organisations: %d B there, %d B back", wanted, len(request), len(back))
+		qt.Check(t, len(request) <= 80+wanted*20, qt.IsTrue)
+		qt.Check(t, len(back) <= 60+wanted*20, qt.IsTrue)
 	}
 }
 
 // TestExchanges has 70 nodes with nothing to do, and with eleven requests a second each. A node
 // asks as often as it has to for its right, or for its requests, but not for both.
-func TestExchanges(t *testing.T) {
+func TestExchangeRate(t *testing.T) {
 	for name, rate := range map[string]float64{"idle": 0, "eleven a second": 11} {
 		const nodes = 70
-		w := newWorld(8, nodes, limited(2000, 2000))
+		c := newCluster(8, nodes, limited(2000, 2000))
 		if rate > 0 {
-			w.load("o", rate*nodes, 0, 20*time.Second, func() *simNode { return w.nodes[w.random.IntN(nodes)] })
+			c.load("o", rate*nodes, 0, 20*time.Second, func() *simNode { return c.nodes[c.random.IntN(nodes)] })
 		}
-		w.run(5 * time.Second)
-		before := w.exchanges
-		w.run(15 * time.Second)
-		each := float64(w.exchanges-before) / 10 / nodes
+		c.runUntil(5 * time.Second)
+		before := c.exchanges
+		c.runUntil(15 * time.Second)
+		each := float64(c.exchanges-before) / 10 / nodes
 		t.Logf("%s: %.1f exchanges a second and node", name, each)
 		qt.Check(t, each <= 5+rate, qt.IsTrue)
 	}
@@ -77,22 +77,22 @@
 
 // TestHomeSize bounds what a home keeps: under a megabyte for each thousand organisations,
 // and as much for each thousand nodes.
-func TestHomeSize(t *testing.T) {
+func TestCoordinatorSize(t *testing.T) {
 	for _, size := range []struct{ organisations, nodes int }{{1000, 70}, {10000, 70}, {10000, 1000}, {10000, 18000}} {
 		limits := organisations(size.organisations)
 		before := heapInUse()
-		h := quota.NewCoordinator(1, sharp, 0)
-		h.SetLimits(limits, 0)
+		c := quota.NewCoordinator(1, exact, 0)
+		c.SetLimits(limits, 0)
 		for i := range size.nodes {
 			node := fmt.Sprint("node-", i)
 			for number := range uint64(2) {
-				h.HandleRequest(node, &quota.Request{Incarnation: 1, Sequence: number + 1, Coordinator: 1, Nodes: size.nodes}, 0)
+				c.HandleRequest(node, &quota.Request{Incarnation: 1, Sequence: number + 1, Coordinator: 1, Nodes: size.nodes}, 0)
 			}
 		}
 		after := heapInUse()
 		t.Logf("%d organisations, %d nodes: %.2f MB", size.organisations, size.nodes, float64(after-before)/1e6)
 		qt.Check(t, after-before < int64(size.organisations+size.nodes)*1000, qt.IsTrue)
-		runtime.KeepAlive(h)
+		runtime.KeepAlive(c)
 		runtime.KeepAlive(limits)
 	}
 }
@@ -105,22 +105,22 @@
 }
 
 // BenchmarkAnswer takes in an Ask with one want of a node whose right is held.
-func BenchmarkAnswer(b *testing.B) {
+func BenchmarkHandleRequest(b *testing.B) {
 	for _, nodes := range []int{70, 1000, 18000} {
 		b.Run(fmt.Sprint("nodes ", nodes), func(b *testing.B) {
-			h := quota.NewCoordinator(1, sharp, 0)
-			h.SetLimits(organisations(10000), 0)
+			c := quota.NewCoordinator(1, exact, 0)
+			c.SetLimits(organisations(10000), 0)
 			names := make([]string, nodes)
 			for i := range names {
 				names[i] = fmt.Sprint("node-", i)
 			}
-			wants := []quota.TokenCount{{Organisation: "organisation-00007", Tokens: 1}}
+			wanted := []quota.TokenCount{{Organisation: "organisation-00007", Tokens: 1}}
 			for _, name := range names {
-				h.HandleRequest(name, &quota.Request{Incarnation: 1, Sequence: 1, Coordinator: 1, Nodes: nodes}, 0)
+				c.HandleRequest(name, &quota.Request{Incarnation: 1, Sequence: 1, Coordinator: 1, Nodes: nodes}, 0)
 			}
 			b.ResetTimer()
 			for i := range uint64(b.N) {
-				h.HandleRequest(names[i%uint64(nodes)], &quota.Request{Incarnation: 1, Sequence: i + 2, Coordinator: 1, Nodes: nodes, Wanted: wants}, 0)
+				c.HandleRequest(names[i%uint64(nodes)], &quota.Request{Incarnation: 1, Sequence: i + 2, Coordinator: 1, Nodes: nodes, Wanted: wanted}, 0)
 			}
 		})
 	}
@@ -130,11 +130,11 @@
 func BenchmarkJoin(b *testing.B) {
 	for _, n := range []int{100, 10000} {
 		b.Run(fmt.Sprint("organisations ", n), func(b *testing.B) {
-			h := quota.NewCoordinator(1, sharp, 0)
-			h.SetLimits(organisations(n), 0)
+			c := quota.NewCoordinator(1, exact, 0)
+			c.SetLimits(organisations(n), 0)
 			for i := range uint64(b.N) {
 				nodes := int(i%2) * 70 // deposited and withdrawn
-				h.HandleRequest("n", &quota.Request{Incarnation: 1, Sequence: i + 1, Coordinator: 1, Nodes: nodes}, 0)
+				c.HandleRequest("n", &quota.Request{Incarnation: 1, Sequence: i + 1, Coordinator: 1, Nodes: nodes}, 0)
 			}
 		})
 	}
--- a/quota/world_test.go
+++ b/quota/world_test.go
@@ -37,30 +37,30 @@
 }
 
 // world is nodes whose messages are events: no network, and no clock but its own.
-type world struct {
-	random *rand.Rand
-	bounds quota.Bounds
-	now    time.Duration
-	order  int
-	events events
-	nodes  []*simNode
-	ids    []string
-	census int // what nodes take for their number
+type cluster struct {
+	random    *rand.Rand
+	bounds    quota.Bounds
+	now       time.Duration
+	order     int
+	events    events
+	nodes     []*simNode
+	ids       []string
+	nodeCount int // what nodes take for their number
 	// far returns whether a message from one node does not come to another.
-	far func(from, to *simNode) bool
+	partitioned func(from, to *simNode) bool
 	// delay returns how long a message takes, or false if it is lost.
 	delay func() (time.Duration, bool)
-	runs  []run
+	runs  []runRecord
 	// exchanges counts the messages that nodes have sent to homes.
 	exchanges int
 	// refused and unknown count the requests that were not let in, and waits are the times
 	// after which those beyond the limit may come back.
 	refused, unknown int
-	waits            []time.Duration
+	retryAfters      []time.Duration
 }
 
 // run is a request that has run.
-type run struct {
+type runRecord struct {
 	organisation string
 	node         int
 	at           time.Duration
@@ -68,92 +68,92 @@
 
 // simNode is a node of a world.
 type simNode struct {
-	w       *world
-	index   int
-	id      string
-	origin  time.Duration // of its clock
-	start   uint64
-	up      bool
-	slow    time.Duration // until when it does nothing
-	limits  map[string]quota.Limit
-	home    *quota.Coordinator
-	limiter *quota.Limiter
-	asking  bool
-	probing bool
-	waker   int // the number of the last wake
-	unknown map[string]bool
+	cluster     *cluster
+	index       int
+	id          string
+	origin      time.Duration // of its clock
+	incarnation uint64
+	up          bool
+	pausedUntil time.Duration // until when it does nothing
+	limits      map[string]quota.Limit
+	coordinator *quota.Coordinator
+	limiter     *quota.Limiter
+	requesting  bool
+	probing     bool
+	wakeNumber  int // the number of the last wake
+	hidden      map[string]bool
 }
 
 const (
 	exchangeTimeout = 250 * time.Millisecond
-	askGap          = 20 * time.Millisecond
-	longestWait     = 400 * time.Millisecond
+	exchangeGap     = 20 * time.Millisecond
+	maxWait         = 400 * time.Millisecond
 )
 
-func newWorld(seed uint64, nodes int, limits map[string]quota.Limit) *world {
-	w := &world{
-		random: rand.New(rand.NewPCG(seed, 37)),
-		bounds: quota.Bounds{Window: 5 * time.Second, Overage: 0.1, Slack: 20},
-		census: nodes,
-		far:    func(_, _ *simNode) bool { return false },
+func newCluster(seed uint64, nodes int, limits map[string]quota.Limit) *cluster {
+	c := &cluster{
+		random:      rand.New(rand.NewPCG(seed, 37)),
+		bounds:      quota.Bounds{Window: 5 * time.Second, Overage: 0.1, Slack: 20},
+		nodeCount:   nodes,
+		partitioned: func(_, _ *simNode) bool { return false },
 	}
-	w.delay = func() (time.Duration, bool) { return time.Millisecond, true }
+	c.delay = func() (time.Duration, bool) { return time.Millisecond, true }
 	for range nodes {
-		w.join(limits)
+		c.join(limits)
 	}
-	return w
+	return c
 }
 
 // setBounds has all nodes start anew with other bounds.
-func (w *world) setBounds(b quota.Bounds) {
-	w.bounds = b
-	for _, n := range w.nodes {
+func (c *cluster) setBounds(b quota.Bounds) {
+	c.bounds = b
+	for _, n := range c.nodes {
 		n.boot()
 	}
 }
 
 // join starts one more node.
-func (w *world) join(limits map[string]quota.Limit) *simNode {
+func (c *cluster) join(limits map[string]quota.Limit) *simNode {
 	n := &simNode{
-		w:      w,
-		index:  len(w.nodes),
-		id:     fmt.Sprint("n", len(w.nodes)),
-		limits: limits,
+		cluster: c,
+		index:   len(c.nodes),
+		id:      fmt.Sprint("n", len(c.nodes)),
+		limits:  limits,
 	}
-	w.nodes = append(w.nodes, n)
-	w.ids = member.RendezvousOrder("quota", append(w.ids, n.id))
+	c.nodes = append(c.nodes, n)
+	c.ids = member.RendezvousOrder("quota", append(c.ids, n.id))
 	n.boot()
 	return n
 }
 
-func (w *world) after(d time.Duration, f func()) {
-	w.order++
-	heap.Push(&w.events, event{at: w.now + d, order: w.order, do: f})
+func (c *cluster) after(d time.Duration, f func()) {
+	c.order++
+	heap.Push(&c.events, event{at: c.now + d, order: c.order, do: f})
 }
 
 // run lets time pass.
-func (w *world) run(until time.Duration) {
-	for len(w.events) > 0 && w.events[0].at <= until {
-		e := heap.Pop(&w.events).(event)
-		w.now = e.at
+func (c *cluster) runUntil(until time.Duration) {
+	for len(c.events) > 0 && c.events[0].at <= until {
+		e := heap.Pop(&c.events).(event)
+		c.now = e.at
 		e.do()
 	}
-	w.now = until
+	c.now = until
 }
 
 // clock reads the node's clock.
-func (n *simNode) clock() time.Duration { return n.w.now - n.origin }
+func (n *simNode) clock() time.Duration { return n.cluster.now - n.origin }
 
 // boot starts the node's process.
 func (n *simNode) boot() {
-	n.start++
+	n.incarnation++
 	n.up = true
-	n.asking = false
+	n.requesting = false
 	n.probing = false
-	n.origin = n.w.now - time.Duration(n.w.random.Int64N(int64(time.Hour)))
-	n.home = quota.NewCoordinator(n.w.random.Uint32()|1, n.w.bounds, n.clock())
-	n.home.SetLimits(n.limits, n.clock())
-	n.limiter = quota.NewLimiter(quota.NewClient(n.start, n.clock()))
+	n.origin = n.cluster.now - time.Duration(n.cluster.random.Int64N(int64(time.Hour)))
+	n.coordinator = quota.NewCoordinator(n.cluster.random.Uint32()|1, n.cluster.bounds, n.clock())
+	n.coordinator.SetLimits(n.limits, n.clock())
+	n.limiter = quota.NewLimiter(quota.NewClient(n.incarnation, n.clock()))
 	n.wake(0)
 }
 
@@ -163,9 +163,9 @@
 		return
 	}
 	n.up = false
-	start := n.start
-	n.w.after(down, func() {
-		if n.start == start {
+	start := n.incarnation
+	n.cluster.after(down, func() {
+		if n.incarnation == start {
 			n.boot()
 		}
 	})
@@ -174,57 +174,57 @@
 // set puts limits in force.
 func (n *simNode) set(limits map[string]quota.Limit) {
 	n.limits = limits
-	n.home.SetLimits(limits, n.clock())
+	n.coordinator.SetLimits(limits, n.clock())
 }
 
 // wake has the node ask after a time, and not at the one that was set before.
 func (n *simNode) wake(after time.Duration) {
-	n.waker++
-	waker, start := n.waker, n.start
-	n.w.after(after, func() {
-		if n.start == start && n.up && n.waker == waker {
-			n.ask()
+	n.wakeNumber++
+	waker, start := n.wakeNumber, n.incarnation
+	n.cluster.after(after, func() {
+		if n.incarnation == start && n.up && n.wakeNumber == waker {
+			n.request()
 		}
 	})
 }
 
 // ask makes one exchange with the node's home.
-func (n *simNode) ask() {
-	if n.asking {
+func (n *simNode) request() {
+	if n.requesting {
 		return
 	}
-	if held := n.slow - n.w.now; held > 0 {
-		n.wake(held)
+	if pause := n.pausedUntil - n.cluster.now; pause > 0 {
+		n.wake(pause)
 		return
 	}
-	n.limiter.SetNodes(n.w.census)
-	home, probe := n.limiter.ChooseCoordinator(n.homes(), n.clock())
+	n.limiter.SetNodes(n.cluster.nodeCount)
+	coordinator, probe := n.limiter.ChooseCoordinator(n.candidates(), n.clock())
 	if probe != "" && !n.probing {
 		n.probing = true
 		n.exchange(probe, n.limiter.ProbeRequest(probe, n.clock()), func() { n.probing = false })
 	}
-	n.asking = true
+	n.requesting = true
 	end := func() {
-		n.asking = false
+		n.requesting = false
 		if n.limiter.Waiting() > 0 {
-			n.wake(askGap)
+			n.wake(exchangeGap)
 		} else {
-			n.wake(max(askGap, n.limiter.NextRenewal(n.clock())))
+			n.wake(max(exchangeGap, n.limiter.NextRenewal(n.clock())))
 		}
 	}
-	if held := n.limiter.PreviousHolder(n.clock()); held != "" {
-		n.exchange(held, n.limiter.ProbeRequest(held, n.clock()), end)
+	if holder := n.limiter.PreviousHolder(n.clock()); holder != "" {
+		n.exchange(holder, n.limiter.ProbeRequest(holder, n.clock()), end)
 		return
 	}
-	n.exchange(home, n.limiter.NextRequest(home, n.clock()), end)
+	n.exchange(coordinator, n.limiter.NextRequest(coordinator, n.clock()), end)
 }
 
 // homes returns the homes that the node chooses from: the first two of those that it knows
 // of, and itself.
-func (n *simNode) homes() []string {
+func (n *simNode) candidates() []string {
 	var list []string
-	for _, id := range n.w.ids {
-		if !n.unknown[id] && len(list) < 2 {
+	for _, id := range n.cluster.ids {
+		if !n.hidden[id] && len(list) < 2 {
 			list = append(list, id)
 		}
 	}
@@ -232,43 +232,43 @@
 }
 
 // forgets has the node not know of the first homes for some time.
-func (n *simNode) forgets(homes int, lasts time.Duration) {
-	n.unknown = make(map[string]bool)
-	for _, id := range n.w.ids[:min(homes, len(n.w.ids))] {
-		n.unknown[id] = true
+func (n *simNode) hideCoordinators(count int, lasts time.Duration) {
+	n.hidden = make(map[string]bool)
+	for _, id := range n.cluster.ids[:min(count, len(n.cluster.ids))] {
+		n.hidden[id] = true
 	}
-	n.w.after(lasts, func() { n.unknown = nil })
+	n.cluster.after(lasts, func() { n.hidden = nil })
 }
 
 // exchange sends an Ask and takes its answer in.
-func (n *simNode) exchange(home string, a *quota.Request, ended func()) {
-	start, sent := n.start, n.clock()
-	n.w.exchanges++
+func (n *simNode) exchange(coordinator string, r *quota.Request, ended func()) {
+	start, sent := n.incarnation, n.clock()
+	n.cluster.exchanges++
 	done := false
-	end := func(answer *quota.Response) {
-		if done || n.start != start || !n.up {
+	end := func(response *quota.Response) {
+		if done || n.incarnation != start || !n.up {
 			return
 		}
 		done = true
-		if answer == nil {
-			n.limiter.HandleFailure(home, a, n.clock())
+		if response == nil {
+			n.limiter.HandleFailure(coordinator, r, n.clock())
 		} else {
-			n.limiter.HandleResponse(home, a, answer, sent, n.clock())
+			n.limiter.HandleResponse(coordinator, r, response, sent, n.clock())
 		}
 		ended()
 	}
-	n.w.after(exchangeTimeout, func() { end(nil) })
-	h := n.w.byID(home)
-	n.w.send(n, h, func() {
-		answer := h.home.HandleRequest(n.id, a, h.clock())
-		if answer != nil {
-			n.w.send(h, n, func() { end(answer) })
+	n.cluster.after(exchangeTimeout, func() { end(nil) })
+	h := n.cluster.byID(coordinator)
+	n.cluster.send(n, h, func() {
+		response := h.coordinator.HandleRequest(n.id, r, h.clock())
+		if response != nil {
+			n.cluster.send(h, n, func() { end(response) })
 		}
 	})
 }
 
-func (w *world) byID(id string) *simNode {
-	for _, n := range w.nodes {
+func (c *cluster) byID(id string) *simNode {
+	for _, n := range c.nodes {
 		if n.id == id {
 			return n
 		}
@@ -277,117 +277,117 @@
 }
 
 // send has f done at the receiver when a message comes, if it does.
-func (w *world) send(from, to *simNode, f func()) {
+func (c *cluster) send(from, to *simNode, f func()) {
 	var d time.Duration
 	if from != to {
 		var ok bool
-		if d, ok = w.delay(); !ok || w.far(from, to) {
+		if d, ok = c.delay(); !ok || c.partitioned(from, to) {
 			return
 		}
 	}
 	var arrive func()
 	arrive = func() {
 		switch {
-		case !to.up || from != to && w.far(from, to):
-		case to.slow > w.now:
-			w.after(to.slow-w.now, arrive)
+		case !to.up || from != to && c.partitioned(from, to):
+		case to.pausedUntil > c.now:
+			c.after(to.pausedUntil-c.now, arrive)
 		default:
 			f()
 		}
 	}
-	w.after(d, arrive)
+	c.after(d, arrive)
 }
 
 // request has a request of an organisation arrive at a node. With the given chance it is
 // refused by all upstreams, so that its token is given back.
-func (n *simNode) request(organisation string, unrun float64) {
-	if !n.up || n.slow > n.w.now {
+func (n *simNode) admit(organisation string, notRun float64) {
+	if !n.up || n.pausedUntil > n.cluster.now {
 		return
 	}
-	start := n.start
+	start := n.incarnation
 	decided := false
 	p := n.limiter.Admit(organisation, false, n.clock(), func(d quota.Decision) {
 		decided = true
-		n.decided(organisation, d, unrun)
+		n.onDecision(organisation, d, notRun)
 	})
 	if p == nil {
 		return
 	}
 	n.wake(0)
-	n.w.after(longestWait, func() {
-		if n.start == start && !decided && n.limiter.Cancel(p) {
-			n.w.unknown++
+	n.cluster.after(maxWait, func() {
+		if n.incarnation == start && !decided && n.limiter.Cancel(p) {
+			n.cluster.unknown++
 		}
 	})
 }
 
-func (n *simNode) decided(organisation string, d quota.Decision, unrun float64) {
-	w := n.w
+func (n *simNode) onDecision(organisation string, d quota.Decision, notRun float64) {
+	c := n.cluster
 	switch {
-	case d.Granted && w.random.Float64() < unrun:
-		start := n.start
-		w.after(time.Duration(w.random.Int64N(int64(2*quota.TokenLifetime))), func() {
-			if n.up && n.start == start {
+	case d.Granted && c.random.Float64() < notRun:
+		start := n.incarnation
+		c.after(time.Duration(c.random.Int64N(int64(2*quota.TokenLifetime))), func() {
+			if n.up && n.incarnation == start {
 				n.limiter.ReturnToken(d.Token, n.clock())
 			}
 		})
 	case d.Granted:
-		w.runs = append(w.runs, run{organisation: organisation, node: n.index, at: w.now})
+		c.runs = append(c.runs, runRecord{organisation: organisation, node: n.index, at: c.now})
 	case d.Unknown:
-		w.unknown++
+		c.unknown++
 	default:
-		w.refused++
-		w.waits = append(w.waits, d.RetryAfter)
+		c.refused++
+		c.retryAfters = append(c.retryAfters, d.RetryAfter)
 	}
 }
 
 // load has requests of an organisation arrive at nodes, so many a second in all, at random
 // moments.
-func (w *world) load(organisation string, rate float64, from, until time.Duration, at func() *simNode) {
-	gap := func() time.Duration { return time.Duration(w.random.ExpFloat64() / rate * float64(time.Second)) }
+func (c *cluster) load(organisation string, rate float64, from, until time.Duration, at func() *simNode) {
+	gap := func() time.Duration { return time.Duration(c.random.ExpFloat64() / rate * float64(time.Second)) }
 	var next func()
 	next = func() {
-		if w.now >= until {
+		if c.now >= until {
 			return
 		}
-		at().request(organisation, 0.1)
-		w.after(gap(), next)
+		at().admit(organisation, 0.1)
+		c.after(gap(), next)
 	}
-	w.after(max(0, from-w.now)+gap(), next)
+	c.after(max(0, from-c.now)+gap(), next)
 }
 
 // most returns the most requests of an organisation that ran in a window that begins within
 // the given times.
-func (w *world) most(organisation string, from, until time.Duration) (most int) {
+func (c *cluster) maxInWindow(organisation string, from, until time.Duration) (most int) {
 	var at []time.Duration
-	for _, r := range w.runs {
+	for _, r := range c.runs {
 		if r.organisation == organisation && r.at >= from && r.at <= until {
 			at = append(at, r.at)
 		}
 	}
 	for i := range at {
-		end := sort.Search(len(at), func(j int) bool { return at[j] > at[i]+w.bounds.Window })
+		end := sort.Search(len(at), func(j int) bool { return at[j] > at[i]+c.bounds.Window })
 		most = max(most, end-i)
 	}
 	return most
 }
 
 // fullest returns the home that holds most rights.
-func (w *world) fullest() *simNode {
-	best := w.nodes[0]
+func (c *cluster) largestHolder() *simNode {
+	best := c.nodes[0]
 	var most float64
-	for _, n := range w.nodes {
-		if _, share := n.home.HeldShares(n.clock()); n.up && share >= most {
+	for _, n := range c.nodes {
+		if _, fraction := n.coordinator.HeldShares(n.clock()); n.up && fraction >= most {
 			best = n
-			most = share
+			most = fraction
 		}
 	}
 	return best
 }
 
 // ran returns the requests of an organisation that ran within the given times.
-func (w *world) ran(organisation string, from, until time.Duration) (n int) {
-	for _, r := range w.runs {
+func (c *cluster) ran(organisation string, from, until time.Duration) (n int) {
+	for _, r := range c.runs {
 		if r.organisation == organisation && r.at >= from && r.at < until {
 			n++
 		}
