--- a/quota/client.go
+++ b/quota/client.go
@@ -10,45 +10,45 @@
 	"time"
 )
 
-// Client is a node's side: it knows where the node's right is, and the tokens that were
-// granted and not used. It is not safe for use by several goroutines at once.
+// Client is the node's side of the protocol. It tracks which coordinator holds the node's
+// share, and the granted tokens that are unused. It is not safe for concurrent use.
 type Client struct {
-	incarnation uint64 // that of the process, which grows
-	sequence    uint64 // of the last Ask
-	nodes       int    // that have a right, or 0 if that isn't known
-	// holder is the home that may hold the node's right, until then by the node's clock.
-	// It is empty if it is known that none does, or if nobody knows which.
+	incarnation uint64 // of the process; it grows with each start
+	sequence    uint64 // of the last Request
+	nodes       int    // among which rate limits are divided, or 0 if not known
+	// holder is the coordinator that may hold the node's share, until the time holdsUntil of
+	// the node's clock. It is empty if it is known that none does, or if it is not known which.
 	holder     string
 	holdsUntil time.Duration
-	// echoes are what was heard last of homes, and avoided are those that did not answer,
-	// with until when.
+	// clockSamples come from the last responses of coordinators. avoidedUntil has the
+	// coordinators that did not respond.
 	clockSamples map[string]clockSample
 	avoidedUntil map[string]time.Duration
-	failures     map[string]int     // in a row
-	lastSequence map[string]uint64  // the Number of the last Ask to each
-	coordinator  string             // that is asked now
-	tokens       map[string][]Token // by organisation, that were granted and not used
+	failures     map[string]int     // consecutive ones
+	lastSequence map[string]uint64  // of the last Request to each
+	coordinator  string             // that is used now
+	tokens       map[string][]Token // unused ones, by organisation
 }
 
-// echo is what was heard last of a home.
+// clockSample is a reading of a coordinator's clock, from its last response.
 type clockSample struct {
-	coordinator uint32        // its id, which tells its starts apart
-	clock       time.Duration // by the home's clock, as it was sent
-	received    time.Duration // by the node's clock
+	coordinator uint32        // Response.Coordinator
+	clock       time.Duration // the reading, when the response was sent
+	received    time.Duration // when the response arrived, by the node's clock
 }
 
-// Token is the right to run one request.
+// Token is the permission to run one request.
 type Token struct {
 	organisation string
 	coordinator  string
-	requestedAt  time.Duration // when it was asked for
+	requestedAt  time.Duration // by the node's clock
 }
 
-// NewClient returns a Client. Start is larger than at earlier starts of the node. Its right
-// may still be where the process before has deposited it.
-func NewClient(start uint64, now time.Duration) *Client {
+// NewClient returns a Client. The incarnation must be larger than at earlier starts of the
+// node. Its share may still be held where the previous process has delegated it.
+func NewClient(incarnation uint64, now time.Duration) *Client {
 	return &Client{
-		incarnation:  start,
+		incarnation:  incarnation,
 		holdsUntil:   now + LeaseDuration,
 		clockSamples: make(map[string]clockSample),
 		avoidedUntil: make(map[string]time.Duration),
@@ -58,12 +58,12 @@
 	}
 }
 
-// SetNodes takes in the number of nodes that have a right. Zero means that it isn't known:
-// the right isn't deposited then.
+// SetNodes sets the number of nodes among which rate limits are divided. Zero means that it
+// isn't known: the share isn't delegated then.
 func (c *Client) SetNodes(n int) { c.nodes = n }
 
-// Leaves returns the home that holds the node's right and is to give it back, as another
-// one is asked now, or "". One that does not answer isn't asked to.
+// PreviousHolder returns the coordinator that holds the node's share and has to release it
+// because another one is used now, or "". One that does not respond isn't asked to.
 func (c *Client) PreviousHolder(now time.Duration) string {
 	if now >= c.holdsUntil || c.holder == c.coordinator || c.avoids(c.holder, now) {
 		return ""
@@ -71,15 +71,15 @@
 	return c.holder
 }
 
-// Ask returns the next Ask to a home, which deposits the node's right there unless it may
-// be elsewhere, and returns the tokens of that home that are left over.
+// NextRequest returns the next Request to a coordinator. It delegates the node's share to the
+// coordinator unless another one may hold it, and returns unused tokens of that coordinator.
 func (c *Client) NextRequest(coordinator string, wanted []TokenCount, now time.Duration) *Request {
 	r := c.newRequest(coordinator, now)
 	r.Wanted = wanted
 	r.Returned = c.takeUnused(coordinator, now)
 	switch {
 	case c.failures[coordinator] > 0:
-		r.Nodes = Unchanged // a home that does not answer isn't to hold the right for longer
+		r.Nodes = Unchanged // don't extend the lease of a coordinator that does not respond
 	case r.Coordinator != 0 && c.nodes > 0 && (now >= c.holdsUntil || c.holder == coordinator):
 		r.Nodes = c.nodes
 		c.holder = coordinator
@@ -88,7 +88,7 @@
 	return r
 }
 
-// Due returns the time until the next Ask is due even if no token is wanted.
+// NextRenewal returns the time until the next Request is needed even if no token is wanted.
 func (c *Client) NextRenewal(now time.Duration) time.Duration {
 	switch {
 	case c.nodes == 0:
@@ -102,31 +102,32 @@
 	}
 }
 
-// Probe returns an Ask that finds out whether a home answers. It takes back the right if
-// the home holds it.
+// ProbeRequest returns a Request that tests whether a coordinator responds. It withdraws the
+// share if the coordinator holds it.
 func (c *Client) ProbeRequest(coordinator string, now time.Duration) *Request {
 	return c.newRequest(coordinator, now)
 }
 
-// ask returns an Ask that names the home's last Answer, if that is young enough to count.
+// newRequest returns a Request that refers to the coordinator's last Response, if that is
+// recent enough to be useful.
 func (c *Client) newRequest(coordinator string, now time.Duration) *Request {
 	c.sequence++
 	c.lastSequence[coordinator] = c.sequence
-	e := c.clockSamples[coordinator]
+	sample := c.clockSamples[coordinator]
 	r := &Request{
 		Incarnation: c.incarnation,
 		Sequence:    c.sequence,
 	}
-	if e.coordinator != 0 && now-e.received < stateRetention {
-		r.Coordinator = e.coordinator
-		r.Clock = e.clock
-		r.Elapsed = now - e.received
+	if sample.coordinator != 0 && now-sample.received < stateRetention {
+		r.Coordinator = sample.coordinator
+		r.Clock = sample.clock
+		r.Elapsed = now - sample.received
 	}
 	return r
 }
 
-// leftOver takes the tokens of a home out that can still be returned, and drops those whose
-// time is over.
+// takeUnused removes and returns the tokens of a coordinator that can still be returned to it,
+// and drops expired tokens.
 func (c *Client) takeUnused(coordinator string, now time.Duration) []TokenCount {
 	var list []TokenCount
 	for _, name := range slices.Sorted(maps.Keys(c.tokens)) {
@@ -155,7 +156,7 @@
 	return list
 }
 
-// Answered takes in the answer to an Ask that was sent at a time.
+// HandleResponse handles the Response to a Request that was sent at the given time.
 func (c *Client) HandleResponse(coordinator string, r *Request, response *Response, sent, now time.Duration) {
 	delete(c.failures, coordinator)
 	delete(c.avoidedUntil, coordinator)
@@ -166,7 +167,7 @@
 	}
 	if r.Nodes == 0 && r.Sequence == c.lastSequence[coordinator] && c.holder == coordinator {
 		c.holder = ""
-		c.holdsUntil = now // the home has said so
+		c.holdsUntil = now // the coordinator has confirmed it
 	}
 	for _, g := range response.Grants {
 		for range min(g.Tokens, maxCount) {
@@ -180,15 +181,15 @@
 }
 
 const (
-	// avoid is how long a home is passed over that has not answered maxFailures questions in
-	// a row.
+	// avoidTime is how long a coordinator is avoided that did not respond to maxFailures
+	// consecutive requests.
 	avoidTime   = 5 * time.Second
 	maxFailures = 2
 )
 
-// Next returns the home to ask now, given those that nodes are to choose from, the first
-// one first. A home that comes before the present one takes its place once it has answered
-// a probe; the result is whom to probe, or "".
+// ChooseCoordinator returns the coordinator to use now, given the candidates in order of
+// preference. A coordinator that is preferred to the present one replaces it once it has
+// responded to a probe. The second result is the coordinator to probe, or "".
 func (c *Client) ChooseCoordinator(candidates []string, now time.Duration) (coordinator, probe string) {
 	best := candidates[len(candidates)-1]
 	for _, candidate := range candidates {
@@ -207,18 +208,18 @@
 	return c.coordinator, ""
 }
 
-// avoids returns whether a home is passed over now.
+// avoids returns whether a coordinator is avoided now.
 func (c *Client) avoids(coordinator string, now time.Duration) bool {
 	return now < c.avoidedUntil[coordinator]
 }
 
-// heard returns whether a home has answered lately.
+// responded returns whether a coordinator has responded recently.
 func (c *Client) responded(coordinator string, now time.Duration) bool {
-	e, ok := c.clockSamples[coordinator]
-	return ok && now-e.received < LeaseDuration
+	sample, ok := c.clockSamples[coordinator]
+	return ok && now-sample.received < LeaseDuration
 }
 
-// Failed takes in that a home did not answer.
+// RecordFailure records that a coordinator did not respond.
 func (c *Client) RecordFailure(coordinator string, now time.Duration) {
 	c.failures[coordinator]++
 	if c.failures[coordinator] >= maxFailures {
@@ -228,7 +229,7 @@
 	}
 }
 
-// Retain forgets what is known of all homes but the given ones.
+// Retain drops the state of all coordinators but the given ones and those in use.
 func (c *Client) Retain(candidates []string) {
 	drop := func(coordinator string) bool {
 		return coordinator != c.holder && coordinator != c.coordinator && !slices.Contains(candidates, coordinator)
@@ -239,7 +240,7 @@
 	maps.DeleteFunc(c.lastSequence, func(coordinator string, _ uint64) bool { return drop(coordinator) })
 }
 
-// hold keeps a token until it is taken.
+// addToken keeps a token until it is taken.
 func (c *Client) addToken(t Token) { c.tokens[t.organisation] = append(c.tokens[t.organisation], t) }
 
 // Take takes a token, if there is one that may be used.
@@ -256,8 +257,8 @@
 	return list[0], true
 }
 
-// GiveBack takes a token back whose request is known not to have run. It can be used again
-// in its time only: later it might be one more than fits into a window.
+// ReturnToken takes back the token of a request that is known not to have run. It can be used
+// again only during its lifetime, as later it could exceed the limit of a window.
 func (c *Client) ReturnToken(t Token, now time.Duration) {
 	if now-t.requestedAt < TokenLifetime && t.organisation != "" {
 		c.addToken(t)
--- a/quota/world_test.go
+++ b/quota/cluster_test.go
@@ -15,7 +15,7 @@
 	"sassafrasfront.example/quota"
 )
 
-// event is something that happens at a time.
+// event is a function that is called at a time.
 type event struct {
 	at    time.Duration
 	order int
@@ -36,7 +36,7 @@
 	return last
 }
 
-// world is nodes whose messages are events: no network, and no clock but its own.
+// cluster is a set of nodes whose messages are events. It has no network, and its own clock.
 type cluster struct {
 	random    *rand.Rand
 	bounds    quota.Bounds
@@ -45,28 +45,28 @@
 	events    events
 	nodes     []*simNode
 	ids       []string
-	nodeCount int // what nodes take for their number
-	// far returns whether a message from one node does not come to another.
+	nodeCount int // the number of nodes, as known to the nodes
+	// partitioned returns whether messages from one node do not reach another.
 	partitioned func(from, to *simNode) bool
 	// delay returns how long a message takes, or false if it is lost.
 	delay func() (time.Duration, bool)
 	runs  []runRecord
-	// exchanges counts the messages that nodes have sent to homes.
+	// exchanges counts the messages that nodes have sent to coordinators.
 	exchanges int
-	// refused and unknown count the requests that were not let in, and waits are the times
-	// after which those beyond the limit may come back.
+	// refused and unknown count the requests that were not admitted, and retryAfters are the
+	// times after which those over the limit may be retried.
 	refused, unknown int
 	retryAfters      []time.Duration
 }
 
-// run is a request that has run.
+// runRecord is a request that has run.
 type runRecord struct {
 	organisation string
 	node         int
 	at           time.Duration
 }
 
-// simNode is a node of a world.
+// simNode is a node of a cluster.
 type simNode struct {
 	cluster     *cluster
 	index       int
@@ -74,13 +74,13 @@
 	origin      time.Duration // of its clock
 	incarnation uint64
 	up          bool
-	pausedUntil time.Duration // until when it does nothing
+	pausedUntil time.Duration // by the cluster's clock
 	limits      map[string]quota.Limit
 	coordinator *quota.Coordinator
 	limiter     *quota.Limiter
 	requesting  bool
 	probing     bool
-	wakeNumber  int // the number of the last wake
+	wakeNumber  int // identifies the last wake
 	hidden      map[string]bool
 }
 
@@ -104,7 +104,7 @@
 	return c
 }
 
-// setBounds has all nodes start anew with other bounds.
+// setBounds has all nodes restart with other bounds.
 func (c *cluster) setBounds(b quota.Bounds) {
 	c.bounds = b
 	for _, n := range c.nodes {
@@ -131,7 +131,7 @@
 	heap.Push(&c.events, event{at: c.now + d, order: c.order, do: f})
 }
 
-// run lets time pass.
+// runUntil lets time pass.
 func (c *cluster) runUntil(until time.Duration) {
 	for len(c.events) > 0 && c.events[0].at <= until {
 		e := heap.Pop(&c.events).(event)
@@ -157,7 +157,7 @@
 	n.wake(0)
 }
 
-// kill ends the process; it starts again after a time.
+// kill ends the process. It starts again after a time.
 func (n *simNode) kill(down time.Duration) {
 	if !n.up {
 		return
@@ -171,24 +171,24 @@
 	})
 }
 
-// set puts limits in force.
+// set sets the active limits.
 func (n *simNode) set(limits map[string]quota.Limit) {
 	n.limits = limits
 	n.coordinator.SetLimits(limits, n.clock())
 }
 
-// wake has the node ask after a time, and not at the one that was set before.
+// wake has the node send a request after a time, in place of the time set before.
 func (n *simNode) wake(after time.Duration) {
 	n.wakeNumber++
-	waker, start := n.wakeNumber, n.incarnation
+	wakeNumber, start := n.wakeNumber, n.incarnation
 	n.cluster.after(after, func() {
-		if n.incarnation == start && n.up && n.wakeNumber == waker {
+		if n.incarnation == start && n.up && n.wakeNumber == wakeNumber {
 			n.request()
 		}
 	})
 }
 
-// ask makes one exchange with the node's home.
+// request makes one exchange with the node's coordinator.
 func (n *simNode) request() {
 	if n.requesting {
 		return
@@ -219,8 +219,8 @@
 	n.exchange(coordinator, n.limiter.NextRequest(coordinator, n.clock()), end)
 }
 
-// homes returns the homes that the node chooses from: the first two of those that it knows
-// of, and itself.
+// candidates returns the coordinators that the node chooses from: the first two that are visible
+// to it, and itself.
 func (n *simNode) candidates() []string {
 	var list []string
 	for _, id := range n.cluster.ids {
@@ -231,7 +231,7 @@
 	return append(list, n.id)
 }
 
-// forgets has the node not know of the first homes for some time.
+// hideCoordinators hides the first coordinators from the node for some time.
 func (n *simNode) hideCoordinators(count int, lasts time.Duration) {
 	n.hidden = make(map[string]bool)
 	for _, id := range n.cluster.ids[:min(count, len(n.cluster.ids))] {
@@ -240,7 +240,7 @@
 	n.cluster.after(lasts, func() { n.hidden = nil })
 }
 
-// exchange sends an Ask and takes its answer in.
+// exchange sends a Request and handles its Response.
 func (n *simNode) exchange(coordinator string, r *quota.Request, ended func()) {
 	start, sent := n.incarnation, n.clock()
 	n.cluster.exchanges++
@@ -258,11 +258,11 @@
 		ended()
 	}
 	n.cluster.after(exchangeTimeout, func() { end(nil) })
-	h := n.cluster.byID(coordinator)
-	n.cluster.send(n, h, func() {
-		response := h.coordinator.HandleRequest(n.id, r, h.clock())
+	target := n.cluster.byID(coordinator)
+	n.cluster.send(n, target, func() {
+		response := target.coordinator.HandleRequest(n.id, r, target.clock())
 		if response != nil {
-			n.cluster.send(h, n, func() { end(response) })
+			n.cluster.send(target, n, func() { end(response) })
 		}
 	})
 }
@@ -276,7 +276,7 @@
 	panic("no node " + id)
 }
 
-// send has f done at the receiver when a message comes, if it does.
+// send calls f at the receiver when a message arrives, if it does.
 func (c *cluster) send(from, to *simNode, f func()) {
 	var d time.Duration
 	if from != to {
@@ -298,8 +298,8 @@
 	c.after(d, arrive)
 }
 
-// request has a request of an organisation arrive at a node. With the given chance it is
-// refused by all upstreams, so that its token is given back.
+// admit has a request of an organisation arrive at a node. With the given probability all upstreams
+// refuse it, so that its token is returned.
 func (n *simNode) admit(organisation string, notRun float64) {
 	if !n.up || n.pausedUntil > n.cluster.now {
 		return
@@ -341,8 +341,8 @@
 	}
 }
 
-// load has requests of an organisation arrive at nodes, so many a second in all, at random
-// moments.
+// load has requests of an organisation arrive at nodes at random times, with the given rate per
+// second in total.
 func (c *cluster) load(organisation string, rate float64, from, until time.Duration, at func() *simNode) {
 	gap := func() time.Duration { return time.Duration(c.random.ExpFloat64() / rate * float64(time.Second)) }
 	var next func()
@@ -356,8 +356,8 @@
 	c.after(max(0, from-c.now)+gap(), next)
 }
 
-// most returns the most requests of an organisation that ran in a window that begins within
-// the given times.
+// maxInWindow returns the largest number of requests of an organisation that ran in any window that
+// begins within the given times.
 func (c *cluster) maxInWindow(organisation string, from, until time.Duration) (most int) {
 	var at []time.Duration
 	for _, r := range c.runs {
@@ -372,7 +372,7 @@
 	return most
 }
 
-// fullest returns the home that holds most rights.
+// largestHolder returns the node whose coordinator holds the largest fraction of the shares.
 func (c *cluster) largestHolder() *simNode {
 	best := c.nodes[0]
 	var most float64
@@ -385,7 +385,7 @@
 	return best
 }
 
-// ran returns the requests of an organisation that ran within the given times.
+// ran returns how many requests of an organisation ran within the given times.
 func (c *cluster) ran(organisation string, from, until time.Duration) (n int) {
 	for _, r := range c.runs {
 		if r.organisation == organisation && r.at >= from && r.at < until {
--- a/quota/home.go
+++ b/quota/coordinator.go
@@ -7,35 +7,35 @@
 import "time"
 
 const (
-	// maxNodes and maxCount bound what is believed of an Ask, and maxWants the
-	// organisations in one.
+	// maxNodes and maxCount bound the values that are accepted in a Request, and maxWanted
+	// bounds the organisations in one.
 	maxNodes  = 1 << 20
 	maxCount  = 1 << 16
 	maxWanted = 1 << 12
-	// forget is how long a node is remembered that does not ask: far longer than an Ask
-	// that is overtaken by another may be on its way and count.
+	// stateRetention is how long the state of a node that sends no requests is kept. It is
+	// far longer than an overtaken Request may be in transit and still take effect.
 	stateRetention = 20 * LeaseDuration
 )
 
-// Home holds the rights that nodes deposit, and grants tokens. It is not safe for use by
-// several goroutines at once.
+// Coordinator holds the shares that nodes delegate to it, and grants tokens. It is not safe
+// for concurrent use.
 type Coordinator struct {
-	id         uint32 // tells the starts of the process apart
+	id         uint32 // differs between starts of the process
 	pool       pool
-	nodes      int // the most that one of the askers counts
+	nodes      int // the largest count of a requester
 	requesters map[string]requester
-	nextSweep  time.Duration // when askers are looked through next
+	nextSweep  time.Duration // when old requesters are dropped next
 }
 
-// asker is a node as it asked last.
+// requester is a node as of its last Request.
 type requester struct {
 	incarnation, sequence uint64
 	lastSeen              time.Duration
-	nodes                 int // as it counts them, or 0
+	nodes                 int // as counted by it, or 0
 }
 
-// NewHome returns a Home without rights. The id, which is not 0, tells it from those of
-// other starts of the process.
+// NewCoordinator returns a Coordinator without shares. The id must not be 0 and differ from
+// those of other starts of the process.
 func NewCoordinator(id uint32, bounds Bounds, now time.Duration) *Coordinator {
 	return &Coordinator{
 		id: id,
@@ -48,18 +48,19 @@
 	}
 }
 
-// SetLimits takes in the rate limits in force, by organisation.
+// SetLimits sets the active rate limits, by organisation.
 func (c *Coordinator) SetLimits(limits map[string]Limit, now time.Duration) {
 	c.pool.setLimits(limits, now)
 }
 
-// Rights returns the number of rights that the Home holds, and their part of all.
+// HeldShares returns the number of shares that the Coordinator holds, and the fraction that
+// they are of all shares.
 func (c *Coordinator) HeldShares(now time.Duration) (count int, fraction float64) {
 	c.pool.advance(now)
 	return len(c.pool.shares), c.pool.held
 }
 
-// Rate returns the tokens of an organisation that were granted a second lately.
+// Rate returns the tokens per second of an organisation that were granted recently.
 func (c *Coordinator) Rate(organisation string, now time.Duration) float64 {
 	b := c.pool.buckets[organisation]
 	if b == nil {
@@ -68,7 +69,8 @@
 	return b.granted.Rate(now)
 }
 
-// Answer takes in what a node asks. It returns nil for an Ask that another has overtaken.
+// HandleRequest handles a node's Request. It returns nil for a Request that a later one has
+// overtaken.
 func (c *Coordinator) HandleRequest(node string, r *Request, now time.Duration) *Response {
 	if c.overtaken(node, r, now) {
 		return nil
@@ -97,8 +99,8 @@
 	return response
 }
 
-// overtaken returns whether a later Ask of the node has come before this one, and otherwise
-// takes in who asks.
+// overtaken returns whether a later Request of the node has arrived before this one. If not,
+// it records the Request.
 func (c *Coordinator) overtaken(node string, r *Request, now time.Duration) bool {
 	if now >= c.nextSweep {
 		var nodes int
@@ -127,8 +129,8 @@
 	return false
 }
 
-// sent returns a time before which an Ask was not sent, by this Home's clock: the answer that
-// it names can't have arrived before it was written.
+// earliestSent returns the earliest time at which a Request can have been sent, by this
+// Coordinator's clock: the Response that it refers to can't have arrived before it was written.
 func (c *Coordinator) earliestSent(r *Request) (at time.Duration, known bool) {
 	if r.Coordinator != c.id || r.Clock < 0 || r.Elapsed < 0 || r.Elapsed > stateRetention {
 		return 0, false
@@ -136,7 +138,7 @@
 	return r.Clock + r.Elapsed, true
 }
 
-// grant grants what it can of what is asked for.
+// grant grants as many of the requested tokens as it can.
 func (c *Coordinator) grant(wanted TokenCount, now time.Duration) Grant {
 	n := max(0, min(wanted.Tokens, maxCount))
 	late := max(0, min(wanted.Late, n))
--- a/quota/census.go
+++ b/quota/estimate.go
@@ -7,25 +7,25 @@
 import "time"
 
 const (
-	// remember is how long at least a count of nodes stands after fewer are counted: most
-	// of them may be there and not be heard of.
+	// countRetention is the least time for which a count of nodes is kept when lower
+	// counts follow: most of the nodes may be running but not be visible.
 	countRetention = 10 * time.Minute
-	// settling is the time after its start in which a node that has been told no number
-	// has met the others. It happens at the first start of a system only.
+	// discoveryTime is the time after its start in which a node may not have discovered
+	// the others, if it knows no stored count. It matters only when a system first starts.
 	discoveryTime = 5 * time.Second
 )
 
-// Census is the number of nodes among which the rights are divided: the largest one that is
-// known from lately. A count that is too small would give the nodes too much together.
+// NodeEstimate is the number of nodes among which rate limits are divided: the largest one
+// counted recently. With too low a number, the nodes together would exceed the limits.
 type NodeEstimate struct {
 	startedAt         time.Duration
-	spanStart         time.Duration // when the present span of remember began
-	current, previous int           // the most nodes counted in this span and in the one before it
-	hasStored         bool          // whether others have left a number on the platform
-	reported          int           // from a home, or 0
+	spanStart         time.Duration // when the present span of countRetention began
+	current, previous int           // the largest counts in this span and in the previous one
+	hasStored         bool          // whether a stored number is known
+	reported          int           // by a coordinator, or 0
 }
 
-// NewCensus returns the Census of a node that starts.
+// NewNodeEstimate returns the NodeEstimate of a node that starts.
 func NewNodeEstimate(now time.Duration) *NodeEstimate {
 	return &NodeEstimate{
 		startedAt: now,
@@ -33,7 +33,7 @@
 	}
 }
 
-// Count takes in how many nodes there are, as far as this one knows.
+// Observe records the number of nodes that this node knows.
 func (e *NodeEstimate) Observe(nodes int, now time.Duration) {
 	if now-e.spanStart >= countRetention {
 		e.previous = e.current
@@ -43,7 +43,7 @@
 	e.current = max(e.current, nodes)
 }
 
-// Told takes in a number that others have left on the platform.
+// ObserveStored records a number that other nodes have stored on the platform.
 func (e *NodeEstimate) ObserveStored(nodes int, now time.Duration) {
 	if nodes > 0 && nodes <= maxNodes {
 		e.hasStored = true
@@ -51,8 +51,8 @@
 	}
 }
 
-// Heard takes in a number that a home has said. It is used only while there is no better
-// one, as it comes from the nodes in the first place.
+// ObserveReported records a number that a coordinator reported. It is used only while no
+// better one is known, as a coordinator has it from the nodes.
 func (e *NodeEstimate) ObserveReported(nodes int) { e.reported = min(nodes, maxNodes) }
 
 // Nodes returns the number, or 0 if it is not known yet.
--- a/quota/lateness.go
+++ b/quota/lateness.go
@@ -6,28 +6,28 @@
 
 import "time"
 
-// deadlineSpan is the time over which the longest time that callers allow is found.
+// deadlineSpan is the time over which the longest time that callers allow is determined.
 const deadlineSpan = 10 * time.Second
 
-// runPart is the part of its objective that a request is expected to run. Operators set
-// objectives at two to five times the usual run.
+// runFraction is the fraction of its latency objective that a request is expected to run.
+// Operators set objectives at two to five times the usual service time.
 const runFraction = 0.5
 
-// Lateness finds requests that can't be answered within their objective any more, as their
-// callers have been refused before: they have less time left than others of their class.
+// Lateness detects requests that can't be answered within their latency objective any more
+// because they were refused before: they have less time left than others of their class.
 type Lateness struct {
 	classes map[string]*longestTime
 }
 
-// allowed is the longest time that callers of a class have allowed, in the present span and
-// in the one before it.
+// longestTime is the longest time that callers of a class have allowed, in the present span
+// and in the previous one.
 type longestTime struct {
 	span              int64
 	current, previous time.Duration
 }
 
-// Late returns whether a request of a class is late that has the given time left. A class
-// without an objective, which is 0, has none.
+// Late returns whether a request of a class is late, given the time that it has left. In a
+// class without an objective, which is 0, no request is late.
 func (l *Lateness) Late(class string, left, objective, now time.Duration) bool {
 	if l.classes == nil {
 		l.classes = make(map[string]*longestTime)
--- a/quota/lease_test.go
+++ b/quota/lease_test.go
@@ -15,7 +15,7 @@
 	"sassafrasfront.example/quota"
 )
 
-// pair is a node and two homes, all with the same clock, which time passes on.
+// harness is a node and two coordinators, all with the same clock.
 type harness struct {
 	t            *testing.T
 	now          time.Duration
@@ -24,176 +24,177 @@
 }
 
 func newHarness(t *testing.T) *harness {
-	p := &harness{
+	h := &harness{
 		t:            t,
 		client:       quota.NewClient(1, 0),
 		coordinators: make(map[string]*quota.Coordinator),
 	}
-	p.client.SetNodes(2)
+	h.client.SetNodes(2)
 	for i, name := range []string{"a", "b"} {
-		h := quota.NewCoordinator(uint32(i+1), exact, 0)
-		h.SetLimits(limited(100, 50), 0)
-		p.coordinators[name] = h
+		c := quota.NewCoordinator(uint32(i+1), exact, 0)
+		c.SetLimits(limited(100, 50), 0)
+		h.coordinators[name] = c
 	}
-	p.advance(quota.LeaseDuration)
-	return p
+	h.advance(quota.LeaseDuration)
+	return h
 }
 
-func (p *harness) advance(d time.Duration) { p.now += d }
+func (h *harness) advance(d time.Duration) { h.now += d }
 
-// ask makes an exchange that takes a time each way.
-func (p *harness) request(coordinator string, wanted int, there, back time.Duration) *quota.Response {
-	p.client.ChooseCoordinator([]string{coordinator}, p.now)
+// request makes an exchange that takes the given time each way.
+func (h *harness) request(coordinator string, wanted int, there, back time.Duration) *quota.Response {
+	h.client.ChooseCoordinator([]string{coordinator}, h.now)
 	var list []quota.TokenCount
 	if wanted > 0 {
 		list = append(list, quota.TokenCount{Organisation: "o", Tokens: wanted})
 	}
-	r := p.client.NextRequest(coordinator, list, p.now)
-	return p.exchange(coordinator, r, there, back)
+	r := h.client.NextRequest(coordinator, list, h.now)
+	return h.exchange(coordinator, r, there, back)
 }
 
-func (p *harness) exchange(coordinator string, r *quota.Request, there, back time.Duration) *quota.Response {
-	sent := p.now
-	p.advance(there)
-	response := p.coordinators[coordinator].HandleRequest("n", r, p.now)
-	p.advance(back)
+func (h *harness) exchange(coordinator string, r *quota.Request, there, back time.Duration) *quota.Response {
+	sent := h.now
+	h.advance(there)
+	response := h.coordinators[coordinator].HandleRequest("n", r, h.now)
+	h.advance(back)
 	if response != nil {
-		p.client.HandleResponse(coordinator, r, response, sent, p.now)
+		h.client.HandleResponse(coordinator, r, response, sent, h.now)
 	}
 	return response
 }
 
-func (p *harness) heldFraction(coordinator string) float64 {
-	_, fraction := p.coordinators[coordinator].HeldShares(p.now)
+func (h *harness) heldFraction(coordinator string) float64 {
+	_, fraction := h.coordinators[coordinator].HeldShares(h.now)
 	return fraction
 }
 
-// TestOneHolder has a node change its home. The right is at one of the two at any time.
+// TestShareHasOneHolder has a node change its coordinator. One of the two holds the share at any
+// time.
 func TestShareHasOneHolder(t *testing.T) {
 	tests := map[string]struct {
-		withdraw bool          // whether the old home is asked for the right
-		after    time.Duration // until the new one is asked
-		old, new float64       // the shares then
+		withdraw bool          // whether the old coordinator is asked to release the share
+		after    time.Duration // until the new one gets a request
+		old, new float64       // the fractions held then
 	}{
-		"at once":             {old: 0.5},
-		"withdrawn":           {withdraw: true, new: 0.5},
-		"late in the lease":   {after: quota.LeaseDuration - 30*time.Millisecond, old: 0.5},
-		"when it has ended":   {after: quota.LeaseDuration, new: 0.5},
-		"long after it ended": {after: 3 * quota.LeaseDuration, new: 0.5},
+		"at once":               {old: 0.5},
+		"withdrawn":             {withdraw: true, new: 0.5},
+		"late in the lease":     {after: quota.LeaseDuration - 30*time.Millisecond, old: 0.5},
+		"when it has expired":   {after: quota.LeaseDuration, new: 0.5},
+		"long after it expired": {after: 3 * quota.LeaseDuration, new: 0.5},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			p := newHarness(t)
-			p.request("a", 0, 0, 0)
-			qt.Check(t, p.heldFraction("a"), qt.Equals, 0.0, qt.Commentf("its clock is not known yet"))
-			p.request("b", 0, 0, 0)
-			p.request("a", 0, 0, 0)
-			qt.Check(t, p.heldFraction("a"), qt.Equals, 0.5)
+			h := newHarness(t)
+			h.request("a", 0, 0, 0)
+			qt.Check(t, h.heldFraction("a"), qt.Equals, 0.0, qt.Commentf("its clock is not known yet"))
+			h.request("b", 0, 0, 0)
+			h.request("a", 0, 0, 0)
+			qt.Check(t, h.heldFraction("a"), qt.Equals, 0.5)
 			if test.withdraw {
-				p.exchange("a", p.client.ProbeRequest("a", p.now), 0, 0)
+				h.exchange("a", h.client.ProbeRequest("a", h.now), 0, 0)
 			}
-			p.advance(test.after)
-			p.request("b", 0, 0, 0)
-			qt.Check(t, p.heldFraction("a"), qt.Equals, test.old)
-			qt.Check(t, p.heldFraction("b"), qt.Equals, test.new)
+			h.advance(test.after)
+			h.request("b", 0, 0, 0)
+			qt.Check(t, h.heldFraction("a"), qt.Equals, test.old)
+			qt.Check(t, h.heldFraction("b"), qt.Equals, test.new)
 		})
 	}
 }
 
-// TestLateAsk has an Ask come late. The home holds the right for no longer than the node
-// takes it to be there.
+// TestDelayedRequest has a Request arrive late. The coordinator holds the share for no longer
+// than the node assumes.
 func TestDelayedRequest(t *testing.T) {
-	p := newHarness(t)
-	p.request("a", 0, 0, 0)
-	p.request("b", 0, 0, 0)
-	sent := p.now
-	p.request("a", 0, quota.LeaseDuration/2, 0)
-	qt.Check(t, p.heldFraction("a"), qt.Equals, 0.5)
-	p.now = sent + quota.LeaseDuration
-	qt.Check(t, p.heldFraction("a"), qt.Equals, 0.0)
-	p.request("b", 0, 0, 0)
-	qt.Check(t, p.heldFraction("b"), qt.Equals, 0.5)
+	h := newHarness(t)
+	h.request("a", 0, 0, 0)
+	h.request("b", 0, 0, 0)
+	sent := h.now
+	h.request("a", 0, quota.LeaseDuration/2, 0)
+	qt.Check(t, h.heldFraction("a"), qt.Equals, 0.5)
+	h.now = sent + quota.LeaseDuration
+	qt.Check(t, h.heldFraction("a"), qt.Equals, 0.0)
+	h.request("b", 0, 0, 0)
+	qt.Check(t, h.heldFraction("b"), qt.Equals, 0.5)
 
-	delayed := p.client.NextRequest("a", nil, p.now)
-	p.advance(2 * quota.LeaseDuration)
-	p.coordinators["a"].HandleRequest("n", delayed, p.now)
-	qt.Check(t, p.heldFraction("a"), qt.Equals, 0.0)
+	delayed := h.client.NextRequest("a", nil, h.now)
+	h.advance(2 * quota.LeaseDuration)
+	h.coordinators["a"].HandleRequest("n", delayed, h.now)
+	qt.Check(t, h.heldFraction("a"), qt.Equals, 0.0)
 }
 
-// TestOvertaken has an Ask come after the one that took the right back.
+// TestOvertakenRequest has a Request arrive after the one that withdrew the share.
 func TestOvertakenRequest(t *testing.T) {
-	p := newHarness(t)
-	p.request("a", 0, 0, 0)
-	slow := p.client.NextRequest("a", nil, p.now)
-	p.exchange("a", p.client.ProbeRequest("a", p.now), 0, 0)
-	qt.Check(t, p.coordinators["a"].HandleRequest("n", slow, p.now), qt.IsNil)
-	qt.Check(t, p.heldFraction("a"), qt.Equals, 0.0)
+	h := newHarness(t)
+	h.request("a", 0, 0, 0)
+	slow := h.client.NextRequest("a", nil, h.now)
+	h.exchange("a", h.client.ProbeRequest("a", h.now), 0, 0)
+	qt.Check(t, h.coordinators["a"].HandleRequest("n", slow, h.now), qt.IsNil)
+	qt.Check(t, h.heldFraction("a"), qt.Equals, 0.0)
 }
 
-// TestStartsAnew has a node start anew: its right may still be where it was, and what the
-// process before has sent does not count any more.
+// TestNodeRestarts has a node restart. Its share may still be held where it was, and requests of
+// the previous process are ignored.
 func TestNodeRestarts(t *testing.T) {
-	p := newHarness(t)
-	p.request("a", 0, 0, 0)
-	old := p.client.NextRequest("a", nil, p.now)
-	p.request("a", 0, 0, 0)
-	qt.Check(t, p.heldFraction("a"), qt.Equals, 0.5)
-	p.client = quota.NewClient(2, p.now)
-	p.client.SetNodes(2)
-	p.request("b", 0, 0, 0)
-	p.request("b", 0, 0, 0)
-	qt.Check(t, p.heldFraction("b"), qt.Equals, 0.0)
-	p.advance(quota.LeaseDuration)
-	qt.Check(t, p.heldFraction("a"), qt.Equals, 0.0)
-	p.request("b", 0, 0, 0)
-	qt.Check(t, p.heldFraction("b"), qt.Equals, 0.5)
-	p.request("a", 0, 0, 0)
-	qt.Check(t, p.coordinators["a"].HandleRequest("n", old, p.now), qt.IsNil)
+	h := newHarness(t)
+	h.request("a", 0, 0, 0)
+	old := h.client.NextRequest("a", nil, h.now)
+	h.request("a", 0, 0, 0)
+	qt.Check(t, h.heldFraction("a"), qt.Equals, 0.5)
+	h.client = quota.NewClient(2, h.now)
+	h.client.SetNodes(2)
+	h.request("b", 0, 0, 0)
+	h.request("b", 0, 0, 0)
+	qt.Check(t, h.heldFraction("b"), qt.Equals, 0.0)
+	h.advance(quota.LeaseDuration)
+	qt.Check(t, h.heldFraction("a"), qt.Equals, 0.0)
+	h.request("b", 0, 0, 0)
+	qt.Check(t, h.heldFraction("b"), qt.Equals, 0.5)
+	h.request("a", 0, 0, 0)
+	qt.Check(t, h.coordinators["a"].HandleRequest("n", old, h.now), qt.IsNil)
 }
 
-// TestHomeStartsAnew has a home start anew, which knows nothing of the rights that it held
-// nor of its buckets.
+// TestCoordinatorRestarts has a coordinator restart, which loses the shares that it held and its
+// buckets.
 func TestCoordinatorRestarts(t *testing.T) {
-	p := newHarness(t)
-	p.request("a", 0, 0, 0)
-	p.request("a", 0, 0, 0)
-	p.advance(quota.RenewInterval)
-	qt.Check(t, p.request("a", 1, 0, 0).Grants[0].Tokens, qt.Equals, 1)
-	p.coordinators["a"] = quota.NewCoordinator(9, exact, p.now)
-	p.coordinators["a"].SetLimits(limited(100, 50), p.now)
-	response := p.request("a", 1, 0, 0)
+	h := newHarness(t)
+	h.request("a", 0, 0, 0)
+	h.request("a", 0, 0, 0)
+	h.advance(quota.RenewInterval)
+	qt.Check(t, h.request("a", 1, 0, 0).Grants[0].Tokens, qt.Equals, 1)
+	h.coordinators["a"] = quota.NewCoordinator(9, exact, h.now)
+	h.coordinators["a"].SetLimits(limited(100, 50), h.now)
+	response := h.request("a", 1, 0, 0)
 	qt.Check(t, response.Grants[0].Tokens, qt.Equals, 0)
 	qt.Check(t, response.Grants[0].Unknown, qt.IsTrue)
-	qt.Check(t, p.heldFraction("a"), qt.Equals, 0.0)
-	response = p.request("a", 1, 0, 0)
-	qt.Check(t, p.heldFraction("a"), qt.Equals, 0.5)
+	qt.Check(t, h.heldFraction("a"), qt.Equals, 0.0)
+	response = h.request("a", 1, 0, 0)
+	qt.Check(t, h.heldFraction("a"), qt.Equals, 0.5)
 	qt.Check(t, response.Grants[0].Tokens, qt.Equals, 0)
 	qt.Check(t, response.Grants[0].RetryAfter > 0, qt.IsTrue)
 }
 
-// TestSaysBeyond has a home without tokens, which says that the limit is reached only if it
-// knows: with nearly all rights, for long enough that its buckets have filled.
+// TestReportsLimitReached has a coordinator without tokens. It reports that the limit is reached
+// only if it can tell: if it has held nearly all shares for long enough to fill its buckets.
 func TestReportsLimitReached(t *testing.T) {
 	tests := map[string]struct {
 		nodes   int
 		held    time.Duration
 		unknown bool
 	}{
-		"half of the rights":   {nodes: 2, held: 5 * time.Second, unknown: true},
-		"all, a moment ago":    {nodes: 1, held: 500 * time.Millisecond, unknown: true},
-		"all, for long enough": {nodes: 1, held: 1500 * time.Millisecond},
+		"half of the shares":    {nodes: 2, held: 5 * time.Second, unknown: true},
+		"all, but not for long": {nodes: 1, held: 500 * time.Millisecond, unknown: true},
+		"all, for long enough":  {nodes: 1, held: 1500 * time.Millisecond},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			p := newHarness(t)
-			p.client.SetNodes(test.nodes)
-			p.request("a", 0, 0, 0)
-			p.request("a", 0, 0, 0)
+			h := newHarness(t)
+			h.client.SetNodes(test.nodes)
+			h.request("a", 0, 0, 0)
+			h.request("a", 0, 0, 0)
 			for range test.held / (100 * time.Millisecond) {
-				p.advance(100 * time.Millisecond)
-				p.request("a", 0, 0, 0)
+				h.advance(100 * time.Millisecond)
+				h.request("a", 0, 0, 0)
 			}
-			g := p.request("a", 1000, 0, 0).Grants[0]
+			g := h.request("a", 1000, 0, 0).Grants[0]
 			qt.Check(t, g.Tokens < 1000, qt.IsTrue)
 			qt.Check(t, g.RetryAfter > 0, qt.IsTrue)
 			qt.Check(t, g.Unknown, qt.Equals, test.unknown)
@@ -201,56 +202,56 @@
 	}
 }
 
-// TestTokens has tokens that are left over, given back, or too old.
+// TestTokens has tokens that are unused, returned, or expired.
 func TestTokens(t *testing.T) {
-	p := newHarness(t)
-	p.request("a", 0, 0, 0)
-	p.request("a", 0, 0, 0)
-	p.advance(100 * time.Millisecond)
-	p.request("a", 3, 10*time.Millisecond, 0)
-	token, ok := p.client.Take("o", p.now)
+	h := newHarness(t)
+	h.request("a", 0, 0, 0)
+	h.request("a", 0, 0, 0)
+	h.advance(100 * time.Millisecond)
+	h.request("a", 3, 10*time.Millisecond, 0)
+	token, ok := h.client.Take("o", h.now)
 	qt.Assert(t, ok, qt.IsTrue)
-	_, ok = p.client.Take("o", p.now)
+	_, ok = h.client.Take("o", h.now)
 	qt.Assert(t, ok, qt.IsTrue)
-	p.client.ReturnToken(token, p.now)
-	_, ok = p.client.Take("o", p.now)
-	qt.Check(t, ok, qt.IsTrue, qt.Commentf("one was left over"))
-	p.advance(quota.TokenLifetime - 11*time.Millisecond)
-	_, ok = p.client.Take("o", p.now)
-	qt.Check(t, ok, qt.IsTrue, qt.Commentf("one was given back"))
-	_, ok = p.client.Take("o", p.now)
+	h.client.ReturnToken(token, h.now)
+	_, ok = h.client.Take("o", h.now)
+	qt.Check(t, ok, qt.IsTrue, qt.Commentf("one was unused"))
+	h.advance(quota.TokenLifetime - 11*time.Millisecond)
+	_, ok = h.client.Take("o", h.now)
+	qt.Check(t, ok, qt.IsTrue, qt.Commentf("one was returned"))
+	_, ok = h.client.Take("o", h.now)
 	qt.Check(t, ok, qt.IsFalse)
 
-	p.request("a", 0, 0, 0)
-	p.advance(quota.RenewInterval)
-	p.request("a", 1, 0, 0)
-	token, ok = p.client.Take("o", p.now)
+	h.request("a", 0, 0, 0)
+	h.advance(quota.RenewInterval)
+	h.request("a", 1, 0, 0)
+	token, ok = h.client.Take("o", h.now)
 	qt.Assert(t, ok, qt.IsTrue)
-	p.advance(quota.TokenLifetime)
-	p.client.ReturnToken(token, p.now)
-	_, ok = p.client.Take("o", p.now)
+	h.advance(quota.TokenLifetime)
+	h.client.ReturnToken(token, h.now)
+	_, ok = h.client.Take("o", h.now)
 	qt.Check(t, ok, qt.IsFalse, qt.Commentf("too late"))
 }
 
-// TestReturns has tokens returned to their home, which grants them again.
+// TestReturnedTokens has tokens returned to their coordinator, which grants them again.
 func TestReturnedTokens(t *testing.T) {
-	p := newHarness(t)
-	p.request("a", 0, 0, 0)
-	p.request("a", 0, 0, 0)
-	p.advance(100 * time.Millisecond)
-	granted := p.request("a", 50, 0, 0).Grants[0].Tokens
+	h := newHarness(t)
+	h.request("a", 0, 0, 0)
+	h.request("a", 0, 0, 0)
+	h.advance(100 * time.Millisecond)
+	granted := h.request("a", 50, 0, 0).Grants[0].Tokens
 	qt.Assert(t, granted > 1, qt.IsTrue)
-	back := p.client.NextRequest("a", []quota.TokenCount{{Organisation: "o", Tokens: 50}}, p.now)
+	back := h.client.NextRequest("a", []quota.TokenCount{{Organisation: "o", Tokens: 50}}, h.now)
 	qt.Check(t, back.Returned, qt.DeepEquals, []quota.TokenCount{{Organisation: "o", Tokens: granted}})
-	qt.Check(t, p.exchange("a", back, 0, 0).Grants[0].Tokens, qt.Equals, granted)
-	delayed := p.client.NextRequest("a", []quota.TokenCount{{Organisation: "o", Tokens: 50}}, p.now)
+	qt.Check(t, h.exchange("a", back, 0, 0).Grants[0].Tokens, qt.Equals, granted)
+	delayed := h.client.NextRequest("a", []quota.TokenCount{{Organisation: "o", Tokens: 50}}, h.now)
 	qt.Check(t, delayed.Returned, qt.HasLen, 1)
-	p.advance(quota.TokenLifetime/2 + time.Millisecond)
-	grown := p.coordinators["a"].HandleRequest("n", delayed, p.now).Grants[0].Tokens
-	qt.Check(t, grown < granted+8, qt.IsTrue, qt.Commentf("%d: what comes back late is not taken", grown))
+	h.advance(quota.TokenLifetime/2 + time.Millisecond)
+	grown := h.coordinators["a"].HandleRequest("n", delayed, h.now).Grants[0].Tokens
+	qt.Check(t, grown < granted+8, qt.IsTrue, qt.Commentf("%d: tokens returned late are not accepted", grown))
 }
 
-// TestCensus is about the number among which the rights are divided.
+// TestNodeEstimate checks the number of nodes among which rate limits are divided.
 func TestNodeEstimate(t *testing.T) {
 	estimate := quota.NewNodeEstimate(0)
 	estimate.Observe(3, 0)
@@ -271,37 +272,37 @@
 	qt.Check(t, alone.Nodes(10*time.Second), qt.Equals, 1)
 }
 
-// TestLimits has limits change. A bucket keeps no more than its new depth, and one that comes
-// back is empty.
+// TestLimitChanges changes limits. A bucket keeps no more than its new depth, and one that is
+// created again is empty.
 func TestLimitChanges(t *testing.T) {
 	tests := map[string]struct {
 		limits []map[string]quota.Limit
 		want   int
 	}{
-		"same":      {limits: []map[string]quota.Limit{limited(100, 50)}, want: 25},
-		"higher":    {limits: []map[string]quota.Limit{limited(1000, 500)}, want: 25},
-		"lower":     {limits: []map[string]quota.Limit{limited(10, 10)}, want: 5},
-		"none":      {limits: []map[string]quota.Limit{nil}},
-		"come back": {limits: []map[string]quota.Limit{nil, limited(100, 50)}},
+		"same":            {limits: []map[string]quota.Limit{limited(100, 50)}, want: 25},
+		"higher":          {limits: []map[string]quota.Limit{limited(1000, 500)}, want: 25},
+		"lower":           {limits: []map[string]quota.Limit{limited(10, 10)}, want: 5},
+		"none":            {limits: []map[string]quota.Limit{nil}},
+		"none, and again": {limits: []map[string]quota.Limit{nil, limited(100, 50)}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			p := newHarness(t)
-			p.request("a", 0, 0, 0)
+			h := newHarness(t)
+			h.request("a", 0, 0, 0)
 			for range 10 {
-				p.request("a", 0, 0, 0)
-				p.advance(quota.RenewInterval)
+				h.request("a", 0, 0, 0)
+				h.advance(quota.RenewInterval)
 			}
-			p.request("a", 0, 0, 0)
+			h.request("a", 0, 0, 0)
 			for _, l := range test.limits {
-				p.coordinators["a"].SetLimits(l, p.now)
+				h.coordinators["a"].SetLimits(l, h.now)
 			}
-			qt.Check(t, p.request("a", 100, 0, 0).Grants[0].Tokens, qt.Equals, test.want)
+			qt.Check(t, h.request("a", 100, 0, 0).Grants[0].Tokens, qt.Equals, test.want)
 		})
 	}
 }
 
-// TestLate has requests in a rush that their callers send for the second time, with little of
+// TestLateRequests has requests in a surge that callers send for the second time, with little of
 // their time left. They get no token while others are refused.
 func TestLateRequests(t *testing.T) {
 	var l quota.Lateness
@@ -325,12 +326,12 @@
 	}
 	qt.Check(t, l.Late("", time.Second, 0, 40*time.Second), qt.IsFalse)
 
-	p := newHarness(t)
-	limiter := quota.NewLimiter(p.client)
-	limiter.ChooseCoordinator([]string{"a"}, p.now)
+	h := newHarness(t)
+	limiter := quota.NewLimiter(h.client)
+	limiter.ChooseCoordinator([]string{"a"}, h.now)
 	for range 3 {
-		p.exchange("a", limiter.NextRequest("a", p.now), 0, 0)
-		p.advance(quota.RenewInterval)
+		h.exchange("a", limiter.NextRequest("a", h.now), 0, 0)
+		h.advance(quota.RenewInterval)
 	}
 	var granted, refused int
 	count := func(d quota.Decision) {
@@ -341,35 +342,35 @@
 		}
 	}
 	exchange := func() {
-		r := limiter.NextRequest("a", p.now)
-		limiter.HandleResponse("a", r, p.coordinators["a"].HandleRequest("n", r, p.now), p.now, p.now)
+		r := limiter.NextRequest("a", h.now)
+		limiter.HandleResponse("a", r, h.coordinators["a"].HandleRequest("n", r, h.now), h.now, h.now)
 	}
 	for range 100 {
-		limiter.Admit("o", false, p.now, count)
+		limiter.Admit("o", false, h.now, count)
 	}
 	exchange()
 	exchange()
 	qt.Check(t, granted > 0 && refused > 50, qt.IsTrue, qt.Commentf("%d, %d", granted, refused))
-	p.advance(200 * time.Millisecond)
+	h.advance(200 * time.Millisecond)
 	before := refused
-	limiter.Admit("o", true, p.now, count)
+	limiter.Admit("o", true, h.now, count)
 	qt.Check(t, refused, qt.Equals, before+1, qt.Commentf("late"))
 	before = granted
-	limiter.Admit("o", false, p.now, count)
+	limiter.Admit("o", false, h.now, count)
 	exchange()
-	qt.Check(t, granted, qt.Equals, before+1, qt.Commentf("there was a token"))
+	qt.Check(t, granted, qt.Equals, before+1, qt.Commentf("a token was available"))
 	for range 5 {
-		p.advance(quota.RenewInterval)
+		h.advance(quota.RenewInterval)
 		exchange()
 	}
-	limiter.Admit("o", true, p.now, count)
+	limiter.Admit("o", true, h.now, count)
 	exchange()
 	qt.Check(t, granted, qt.Equals, before+2, qt.Commentf("nobody is refused any more"))
 }
 
-// TestLateRequestsByManyNodes has an organisation ask for three times its limit by many nodes,
-// each of which sees few of its requests, a third of them late. All tokens go to those in time
-// while these want more than there are, and late ones get theirs once the rush is over.
+// TestLateRequestsAtManyNodes has an organisation send three times its limit through many nodes,
+// each of which sees few of its requests, a third of them late. Requests that are not late get
+// all tokens while they need more than there are, and late ones get theirs after the surge.
 func TestLateRequestsAtManyNodes(t *testing.T) {
 	const (
 		nodes = 20
@@ -409,10 +410,10 @@
 		return granted
 	}
 	run(5*time.Second, 0)
-	run(time.Second, 3) // what the burst allows
+	run(time.Second, 3) // uses up the burst
 	surge := run(4*time.Second, 3)
-	qt.Check(t, surge[0] > 350, qt.IsTrue, qt.Commentf("%d tokens of 400 for those in time", surge[0]))
-	qt.Check(t, surge[1], qt.Equals, 0, qt.Commentf("tokens for late ones"))
+	qt.Check(t, surge[0] > 350, qt.IsTrue, qt.Commentf("%d tokens of 400 for requests that are not late", surge[0]))
+	qt.Check(t, surge[1], qt.Equals, 0, qt.Commentf("tokens for late requests"))
 	run(time.Second, 0)
 	idle := run(2*time.Second, 0)
 	qt.Check(t, idle, qt.Equals, [2]int{})
@@ -425,5 +426,5 @@
 		})
 	}
 	run(100*time.Millisecond, 0)
-	qt.Check(t, late > 20, qt.IsTrue, qt.Commentf("%d of 40 late ones after the rush", late))
+	qt.Check(t, late > 20, qt.IsTrue, qt.Commentf("%d of 40 late requests after the surge", late))
 }
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -12,33 +12,35 @@
 
 const (
 	// maxWaiting bounds the requests of one organisation that wait for tokens at a node,
-	// and maxWaitingAll those of all.
+	// and maxWaitingAll those of all organisations.
 	maxWaiting    = 1 << 10
 	maxWaitingAll = 1 << 12
-	// refuseFor is how long at most a node refuses without asking once the home has
-	// refused. It bounds the messages that an organisation's rush causes.
+	// maxRefuseTime is the longest time for which a node refuses requests on its own after
+	// the coordinator has refused some. It bounds the messages that a surge causes.
 	maxRefuseTime = 100 * time.Millisecond
-	// lateAfter is how long late requests are refused after the last refusal of others.
+	// lateRefuseTime is how long late requests are refused after the last refusal of others.
 	lateRefuseTime = 300 * time.Millisecond
-	// nearly is the time for which a request waits rather than being refused: the home is
-	// asked again about then.
+	// shortWait is the time up to which a request waits rather than being refused: the
+	// coordinator is asked again after about that time.
 	shortWait = 20 * time.Millisecond
-	// unknownWait is when a caller may come back that was refused as no home has answered.
+	// unknownRetryAfter is when a caller may retry that was refused because no coordinator
+	// has responded.
 	unknownRetryAfter = LeaseDuration / 2
 )
 
-// Decision is what is decided on a request.
+// Decision is the decision on a request.
 type Decision struct {
-	// Granted is whether it may run, with Token.
+	// Granted is whether the request may run, with Token.
 	Granted bool
 	Token   Token
-	// Unknown is whether it may not as nobody knows if the limit is reached; otherwise it is.
+	// Unknown is whether the request is refused because it isn't known if the limit is
+	// reached. A request that is refused otherwise is over the limit.
 	Unknown bool
-	// Wait is when the caller may come back.
+	// RetryAfter is the time after which the caller may retry.
 	RetryAfter time.Duration
 }
 
-// Pending is a request that waits.
+// Pending is a request that waits for a decision.
 type Pending struct {
 	organisation string
 	late         bool
@@ -46,27 +48,27 @@
 	cancelled    bool
 }
 
-// refusal is what is told to the callers of an organisation for which there is no token.
+// refusal is what the callers of an organisation are told for which there is no token.
 type refusal struct {
-	until     time.Duration // when the home is asked again
-	nextRetry time.Duration // when the next caller may come back
+	until     time.Duration // when the coordinator is asked again
+	nextRetry time.Duration // when the next caller may retry
 	retryStep time.Duration
-	// unknown is whether that isn't certain.
+	// unknown is whether it isn't certain that the limit is reached.
 	unknown bool
 }
 
-// Limiter decides on a node's requests: it gathers what to ask a home for, and hands out
-// what it grants in the order of arrival. It is not safe for use by several goroutines at
-// once, and calls the functions that it is given without waiting for anything.
+// Limiter decides on a node's requests. It collects the tokens to request from a coordinator,
+// and hands out granted tokens in the order of arrival. It is not safe for concurrent use. The
+// functions that it is given are called synchronously.
 type Limiter struct {
 	*Client
 	waiting      map[string][]*Pending
-	requested    map[string][]*Pending // of them, in the Ask that is under way
+	requested    map[string][]*Pending // those of the Request in flight
 	waitingCount int
 	refusals     map[string]refusal
 }
 
-// NewLimiter returns a Limiter that asks by the given Client.
+// NewLimiter returns a Limiter that requests tokens by the given Client.
 func NewLimiter(c *Client) *Limiter {
 	return &Limiter{
 		Client:    c,
@@ -76,9 +78,9 @@
 	}
 }
 
-// Admit decides on a request, or has it wait: decide is called then by Answered. It returns
-// nil if it has decided. A late request, whose answer would come after its objective,
-// gets no token while others of its organisation are refused.
+// Admit decides on a request by calling decide, and returns nil. If the request has to wait, it
+// returns a Pending, and HandleResponse calls decide later. A late request, whose response would
+// miss its latency objective, gets no token while others of its organisation are refused.
 func (l *Limiter) Admit(organisation string, late bool, now time.Duration, decide func(Decision)) *Pending {
 	r, refused := l.refusals[organisation]
 	if refused && late && now < r.until+lateRefuseTime {
@@ -121,13 +123,13 @@
 	return p
 }
 
-// unknown is the decision on a request for which there is no room to wait.
+// queueFull is the decision on a request for which there is no room to wait.
 var queueFull = Decision{
 	Unknown:    true,
 	RetryAfter: unknownRetryAfter,
 }
 
-// Cancel has a request not wait any longer. It returns false if it is decided on already.
+// Cancel removes a waiting request. It returns false if the request is decided on already.
 func (l *Limiter) Cancel(p *Pending) bool {
 	if p.cancelled {
 		return false
@@ -140,7 +142,7 @@
 // Waiting returns the number of requests that wait.
 func (l *Limiter) Waiting() int { return l.waitingCount }
 
-// Ask returns the next Ask to a home, for the requests that wait.
+// NextRequest returns the next Request to a coordinator, for the requests that wait.
 func (l *Limiter) NextRequest(coordinator string, now time.Duration) *Request {
 	var wanted []TokenCount
 	for _, name := range slices.Sorted(maps.Keys(l.waiting)) {
@@ -160,7 +162,7 @@
 	return l.Client.NextRequest(coordinator, wanted, now)
 }
 
-// inTimeFirst orders requests that are late after others.
+// lateLast orders late requests after the others.
 func lateLast(a, b *Pending) int {
 	switch {
 	case a.late == b.late:
@@ -171,7 +173,7 @@
 	return -1
 }
 
-// inTime returns how many requests of a list in that order are not late.
+// countInTime returns how many requests of a list in that order are not late.
 func countInTime(list []*Pending) int {
 	n := slices.IndexFunc(list, func(p *Pending) bool { return p.late })
 	if n < 0 {
@@ -180,7 +182,7 @@
 	return n
 }
 
-// uncancelled returns those of the list that still wait.
+// uncancelled returns the requests of a list that still wait.
 func uncancelled(list []*Pending) []*Pending {
 	var kept []*Pending
 	for _, p := range list {
@@ -191,7 +193,7 @@
 	return kept
 }
 
-// Answered takes in the answer to an Ask or a probe that was sent at a time.
+// HandleResponse handles the Response to a Request or a probe that was sent at the given time.
 func (l *Limiter) HandleResponse(coordinator string, r *Request, response *Response, sent, now time.Duration) {
 	l.Client.HandleResponse(coordinator, r, response, sent, now)
 	if len(r.Wanted) == 0 {
@@ -203,7 +205,8 @@
 	l.requeue()
 }
 
-// Unanswered takes in that an Ask or a probe was not answered. Who waits goes on.
+// HandleFailure handles a Request or a probe that got no Response. Requests that wait for it
+// go on waiting.
 func (l *Limiter) HandleFailure(coordinator string, r *Request, now time.Duration) {
 	l.RecordFailure(coordinator, now)
 	if len(r.Wanted) > 0 {
@@ -211,7 +214,7 @@
 	}
 }
 
-// requeue has those wait again that the last Ask has not decided on.
+// requeue has the requests wait again that the last Request has not decided on.
 func (l *Limiter) requeue() {
 	for name, list := range l.requested {
 		delete(l.requested, name)
@@ -221,7 +224,8 @@
 	}
 }
 
-// decide decides on the requests for which a home was asked. Tokens go to those in time first.
+// decide decides on the requests for which tokens were requested. Requests that are not late
+// get tokens first.
 func (l *Limiter) decide(g Grant, now time.Duration) {
 	list := uncancelled(l.requested[g.Organisation])
 	delete(l.requested, g.Organisation)
@@ -238,7 +242,7 @@
 	}
 	switch {
 	case len(list) == 0:
-	case g.RetryAfter <= 0: // nothing is known, or the tokens came too late
+	case g.RetryAfter <= 0: // nothing is known, or the tokens arrived too late
 		l.waiting[g.Organisation] = append(list, l.waiting[g.Organisation]...)
 	default:
 		kept := min(countInTime(list), 1+int((shortWait-g.RetryAfter)/max(g.RetryStep, 1)))
@@ -253,8 +257,8 @@
 	}
 }
 
-// refuse refuses requests and, if some of them are in time, those that come in the next
-// moment.
+// refuse refuses requests and, if some of them are not late, those that arrive shortly after
+// them.
 func (l *Limiter) refuse(list []*Pending, g Grant, now time.Duration) {
 	next := now + g.RetryAfter
 	anyInTime := countInTime(list) > 0
@@ -276,14 +280,14 @@
 	}
 }
 
-// settle tells a request that waits what is decided.
+// settle tells a waiting request the decision on it.
 func (l *Limiter) settle(p *Pending, d Decision) {
 	p.cancelled = true
 	l.waitingCount--
 	p.decide(d)
 }
 
-// Limits takes in which organisations have a limit now: what is kept of others goes.
+// SetLimits sets the organisations that have a limit. The state of others is dropped.
 func (l *Limiter) SetLimits(limits map[string]Limit) {
 	for name := range l.refusals {
 		if _, ok := limits[name]; !ok {
--- a/quota/message.go
+++ b/quota/message.go
@@ -6,59 +6,60 @@
 
 import "time"
 
-// Count is a number of tokens of an organisation.
+// TokenCount is a number of tokens of an organisation.
 type TokenCount struct {
 	Organisation string `msgpack:"o"`
 	Tokens       int    `msgpack:"n"`
-	// Late is how many of the tokens are for late requests: they get what others leave.
+	// Late is how many of the tokens are for late requests, which get what others leave.
 	Late int `msgpack:"l,omitempty"`
 }
 
-// Ask is what a node sends to a home.
+// Request is what a node sends to a coordinator.
 type Request struct {
-	// Start tells the starts of the node's process apart, and grows; Number grows with
-	// each Ask of a start.
+	// Incarnation identifies the start of the node's process and grows with each start.
+	// Sequence grows with each Request of an incarnation.
 	Incarnation uint64 `msgpack:"s"`
 	Sequence    uint64 `msgpack:"q"`
-	// Home and Clock are those of the home's last Answer, and Since is the time from its
-	// arrival to the sending of this Ask, by the node's clock. Home is 0 if there was none.
+	// Coordinator and Clock are those of the coordinator's last Response, and Elapsed is the
+	// time from its arrival to the sending of this Request, by the node's clock. Coordinator
+	// is 0 if there was no Response.
 	Coordinator uint32        `msgpack:"h,omitempty"`
 	Clock       time.Duration `msgpack:"c,omitempty"`
 	Elapsed     time.Duration `msgpack:"e,omitempty"`
-	// Nodes, if above 0, deposits the node's right, which is this part of all. If it is 0,
-	// a right that the home holds of the node is withdrawn, and if it is Unchanged, nothing
-	// is changed.
+	// Nodes, if positive, delegates the node's share, which is one of so many. If it is 0,
+	// the node's share is withdrawn if the coordinator holds it. If it is Unchanged, nothing
+	// changes.
 	Nodes int `msgpack:"p,omitempty"`
-	// Wants are the tokens asked for.
+	// Wanted are the tokens that are requested.
 	Wanted []TokenCount `msgpack:"w,omitempty"`
-	// Returns are tokens of the home's last Answers that are not used, granted less than
-	// half of Life before.
+	// Returned are unused tokens of the coordinator's last Responses, granted less than half
+	// a TokenLifetime before.
 	Returned []TokenCount `msgpack:"r,omitempty"`
 }
 
-// Unchanged stands for Nodes in an Ask that leaves the node's right as it is.
+// Unchanged is the value of Nodes in a Request that leaves the node's share as it is.
 const Unchanged = -1
 
-// Grant is what a home says to a Count that was asked for.
+// Grant is a coordinator's response to a TokenCount that was requested.
 type Grant struct {
 	Organisation string `msgpack:"o"`
 	Tokens       int    `msgpack:"n,omitempty"`
-	// Wait, if some are missing, is the time after which the first of them is likely to be
-	// granted, and Step that from each to the next.
+	// RetryAfter, if tokens are missing, is the time after which the first of them is likely
+	// to be granted, and RetryStep the time from each to the next.
 	RetryAfter time.Duration `msgpack:"w,omitempty"`
 	RetryStep  time.Duration `msgpack:"i,omitempty"`
-	// Unknown is whether the home can't say if the limit is reached. Without a Wait it knows
-	// no limit of the organisation, or holds no rights.
+	// Unknown is whether the coordinator can't tell if the limit is reached. If RetryAfter is
+	// 0, it knows no limit of the organisation, or holds no shares.
 	Unknown bool `msgpack:"u,omitempty"`
 }
 
-// Answer is what a home sends back.
+// Response is what a coordinator sends back.
 type Response struct {
-	// Home tells the starts of the home's process apart.
+	// Coordinator identifies the start of the coordinator's process.
 	Coordinator uint32 `msgpack:"h"`
-	// Clock is a reading of the home's clock.
+	// Clock is a reading of the coordinator's clock.
 	Clock time.Duration `msgpack:"c"`
-	// Nodes is the largest number of nodes that the home has heard of.
+	// Nodes is the largest number of nodes that was reported to the coordinator.
 	Nodes  int     `msgpack:"p,omitempty"`
 	Grants []Grant `msgpack:"g,omitempty"`
 }
--- a/quota/pool.go
+++ b/quota/pool.go
@@ -10,21 +10,21 @@
 	"time"
 )
 
-// pool is a token bucket for each organisation that is filled in proportion to the rights
-// that are held. All buckets are empty at first.
+// pool holds a token bucket for each organisation. Buckets fill in proportion to the shares
+// that are held. All are empty at first.
 type pool struct {
 	bounds        Bounds
-	updatedAt     time.Duration // up to when grown counts
-	held          float64       // of all rights, that is held at that time
-	decisiveSince time.Duration // since when share is mostShare or more, where it is
-	grown         float64       // the integral of share over time, in seconds
+	updatedAt     time.Duration // time up to which grown is computed
+	held          float64       // fraction of all shares that is held at that time
+	decisiveSince time.Duration // since when held has been at least decisiveFraction, if it is
+	grown         float64       // the integral of held over time, in seconds
 	shares        map[string]share
-	sum           float64       // of their parts
-	nextExpiry    time.Duration // no right ends before
+	sum           float64       // of their fractions
+	nextExpiry    time.Duration // no share expires before
 	buckets       map[string]*bucket
 }
 
-// right is the right of one node.
+// share is the share of one node.
 type share struct {
 	fraction float64
 	expires  time.Duration
@@ -32,14 +32,14 @@
 
 // bucket is the token bucket of one organisation.
 type bucket struct {
-	rate, depth float64 // of all rights together
+	rate, depth float64 // with all shares
 	level       float64
-	grownAt     float64       // what the pool's grown was at that level
-	nextRetry   time.Duration // when the last caller that was refused may come back
+	grownAt     float64       // the pool's grown at which level was computed
+	nextRetry   time.Duration // when the last refused caller may retry
 	granted     RateMeter
 }
 
-// setLimits takes in the limits in force. A bucket keeps its level as far as its new depth
+// setLimits sets the active limits. A bucket keeps its level as far as its new depth
 // allows, and a new one is empty.
 func (p *pool) setLimits(limits map[string]Limit, now time.Duration) {
 	p.advance(now)
@@ -58,13 +58,13 @@
 	p.buckets = buckets
 }
 
-// settle brings the level of a bucket up to date.
+// refill brings the level of a bucket up to date.
 func (p *pool) refill(b *bucket) {
 	b.level = min(b.level+(p.grown-b.grownAt)*b.rate, b.depth*p.held)
 	b.grownAt = p.grown
 }
 
-// advance lets time pass. Rights end at their time, however late that is noticed.
+// advance lets time pass. Shares expire at their time, however late that is noticed.
 func (p *pool) advance(now time.Duration) {
 	if now <= p.updatedAt {
 		return
@@ -75,7 +75,7 @@
 	p.grow(now)
 }
 
-// grow fills the buckets up to a time, with the rights that are held now.
+// grow fills the buckets up to a time, with the shares that are held now.
 func (p *pool) grow(to time.Duration) {
 	if to > p.updatedAt {
 		p.grown += p.held * (to - p.updatedAt).Seconds()
@@ -83,7 +83,7 @@
 	}
 }
 
-// expire ends the rights whose time is over.
+// expire drops the shares that have expired.
 func (p *pool) expire(now time.Duration) {
 	var expired []string
 	p.nextExpiry = never
@@ -104,18 +104,18 @@
 // never is later than any reading of the clock.
 const never = time.Duration(1<<63 - 1)
 
-// hold sets the right of a node, or takes it away if its part is 0. Each bucket has first the
-// depth before and then the one after, as a share that goes up must not bring back what was
-// over its edge before.
-func (p *pool) setShare(node string, r share) {
-	p.sum += r.fraction - p.shares[node].fraction
-	if r.fraction > 0 {
-		p.shares[node] = r
+// setShare sets the share of a node, or drops it if its fraction is 0. Each bucket is first
+// limited to the old depth and then to the new one, as a growing fraction must not bring back
+// tokens that overflowed before.
+func (p *pool) setShare(node string, s share) {
+	p.sum += s.fraction - p.shares[node].fraction
+	if s.fraction > 0 {
+		p.shares[node] = s
 	} else {
 		delete(p.shares, node)
 	}
 	if len(p.shares) == 0 {
-		p.sum = 0 // what roundings have left
+		p.sum = 0 // discard rounding errors
 	}
 	before, after := p.held, max(0, min(1, p.sum))
 	if after == before {
@@ -134,20 +134,20 @@
 }
 
 const (
-	// mostShare is the share of all rights with which a home can say that a limit is
-	// reached. With less it doesn't know what is granted elsewhere; the rest may be those
-	// of nodes that are gone.
+	// decisiveFraction is the fraction of all shares with which a coordinator can tell that
+	// a limit is reached. With less it doesn't know what others grant; the rest may be
+	// shares of nodes that have gone.
 	decisiveFraction = 0.8
-	// fill is how long it has to have them: its buckets were empty at first.
+	// fillTime is how long it must have held them, as its buckets were empty at first.
 	fillTime = time.Second
 )
 
-// settled returns whether an empty bucket means that the limit is reached.
+// decisive returns whether an empty bucket means that the limit is reached.
 func (p *pool) decisive(now time.Duration) bool {
 	return p.held >= decisiveFraction && now-p.decisiveSince >= fillTime
 }
 
-// deposit holds a node's right until the given time, in place of what was held of it.
+// delegate holds a node's share until the given time, and replaces the one held before.
 func (p *pool) delegate(node string, fraction float64, until, now time.Duration) {
 	p.advance(now)
 	if until <= now {
@@ -169,7 +169,7 @@
 	p.setShare(node, next)
 }
 
-// withdraw gives a node's right back.
+// withdraw releases a node's share.
 func (p *pool) withdraw(node string, now time.Duration) {
 	p.advance(now)
 	if _, ok := p.shares[node]; ok {
@@ -177,7 +177,8 @@
 	}
 }
 
-// take takes up to n tokens, and returns how many. It returns false if there is no bucket.
+// take takes up to n tokens, and returns how many. It returns false if there is no bucket or
+// no share is held.
 func (p *pool) take(organisation string, n int, now time.Duration) (taken int, ok bool) {
 	p.advance(now)
 	b := p.buckets[organisation]
@@ -191,12 +192,12 @@
 	return taken, true
 }
 
-// spareFor is the time for which a bucket must have tokens for requests in time before late
-// ones get any.
+// spareTime is the time for which a bucket must have tokens for requests that are not late
+// before late ones get any.
 const spareTime = 300 * time.Millisecond
 
-// takeSpare takes up to n tokens that requests in time are not likely to need, and returns
-// how many.
+// takeSpare takes up to n tokens that requests which are not late are unlikely to need, and
+// returns how many.
 func (p *pool) takeSpare(organisation string, n int, now time.Duration) int {
 	b := p.buckets[organisation]
 	if b == nil {
@@ -209,11 +210,11 @@
 	return taken
 }
 
-// tolerance, in tokens, keeps a bucket that is full but for a rounding from lacking its last
-// one.
+// tolerance, in tokens, lets a bucket that is full but for a rounding error grant its last
+// token.
 const tolerance = 1e-9
 
-// put puts tokens back that were taken, as far as there is room.
+// put puts back tokens that were taken, as far as there is room.
 func (p *pool) put(organisation string, n int, now time.Duration) {
 	p.advance(now)
 	if b := p.buckets[organisation]; b != nil {
@@ -224,9 +225,9 @@
 	}
 }
 
-// wait returns when the first of n callers that are refused may come back, and the time
-// from each to the next. Callers that are refused later come after them. If n is 0, all that
-// are refused are late, and nothing is kept for them.
+// wait returns when the first of n refused callers may retry, and the time from each to the
+// next. Callers that are refused later come after them. If n is 0, only late requests are
+// refused, and no time is reserved for them.
 func (p *pool) wait(organisation string, n int, now time.Duration) (first, step time.Duration) {
 	b := p.buckets[organisation]
 	rate := b.rate * p.held
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -15,11 +15,11 @@
 	"sassafrasfront.example/quota"
 )
 
-// sharp are bounds that leave nothing beyond the limits.
+// exact allows nothing beyond the limits.
 var exact = quota.Bounds{Window: 5 * time.Second}
 
-// TestFlappingCut has the links between two halves of the nodes fail and come back time and
-// again in a rush, so that each half finds a home of its own: both together let in no more
+// TestFlappingPartition has the links between two halves of the nodes fail and recover repeatedly
+// during a surge, so that each half uses a coordinator of its own. Both together admit no more
 // than one would.
 func TestFlappingPartition(t *testing.T) {
 	limit := quota.Limit{Rate: 200, Burst: 100}
@@ -42,8 +42,8 @@
 	}
 }
 
-// TestHomesDie has the home end time and again in a rush, each time after it has had time
-// to grant: the successors begin without tokens.
+// TestCoordinatorsCrash has the coordinator crash repeatedly during a surge, each time after it
+// has had time to grant tokens. Its successors begin without tokens.
 func TestCoordinatorsCrash(t *testing.T) {
 	limit := quota.Limit{Rate: 200, Burst: 200}
 	c := newCluster(7, 60, limited(limit.Rate, limit.Burst))
@@ -63,8 +63,8 @@
 	return map[string]quota.Limit{"o": {Rate: rate, Burst: burst}}
 }
 
-// TestLoneNode has all requests of an organisation come by one node of a hundred, in a rush:
-// it gets the whole limit.
+// TestAllRequestsAtOneNode has all requests of an organisation arrive at one of a hundred nodes,
+// in a surge. It gets the whole limit.
 func TestAllRequestsAtOneNode(t *testing.T) {
 	c := newCluster(1, 100, limited(272, 272))
 	lone := func() *simNode { return c.nodes[7] }
@@ -74,13 +74,13 @@
 	first := c.ran("o", 3*time.Second, 3*time.Second+300*time.Millisecond)
 	qt.Check(t, first >= 272, qt.IsTrue, qt.Commentf("%d in the first 300 ms: the burst", first))
 	rest := c.ran("o", 4*time.Second, 13*time.Second)
-	qt.Check(t, float64(rest) >= 0.97*272*9*0.9, qt.IsTrue, qt.Commentf("%d in 9 s, beside a tenth that was given back", rest))
+	qt.Check(t, float64(rest) >= 0.97*272*9*0.9, qt.IsTrue, qt.Commentf("%d in 9 s, apart from a tenth that was returned", rest))
 	qt.Check(t, float64(c.maxInWindow("o", 0, c.now)) <= c.bounds.MaxRequests(quota.Limit{Rate: 272, Burst: 272}), qt.IsTrue)
 	t.Logf("burst %d in 300 ms, then %d in 9 s of %d", first, rest, 272*9)
 }
 
-// TestScattered has the few requests of small organisations come by any node, each by
-// another: all are let in, at once.
+// TestSparseRequests has the few requests of a small organisation arrive at random nodes. All are
+// admitted at once.
 func TestSparseRequests(t *testing.T) {
 	for name, rate := range map[string]float64{"one a second": 1, "eight a second": 8} {
 		t.Run(name, func(t *testing.T) {
@@ -98,8 +98,8 @@
 	}
 }
 
-// TestHomeDies has the home end in the middle of steady requests below the limit. Another
-// one takes its place, and hardly a caller is refused.
+// TestCoordinatorCrashes has the coordinator crash while requests arrive steadily below the limit.
+// Another one replaces it, and hardly any caller is refused.
 func TestCoordinatorCrashes(t *testing.T) {
 	c := newCluster(3, 70, limited(272, 272))
 	c.load("o", 170, 3*time.Second, 13*time.Second, func() *simNode { return c.nodes[c.random.IntN(len(c.nodes))] })
@@ -115,7 +115,7 @@
 	qt.Check(t, c.ran("o", 9*time.Second, 13*time.Second) > 4*140, qt.IsTrue)
 }
 
-// TestPowerLost has all nodes start anew at once. Callers are let in some hundred ms later.
+// TestAllNodesRestart has all nodes restart at once. Callers are admitted some 100 ms later.
 func TestAllNodesRestart(t *testing.T) {
 	c := newCluster(4, 70, limited(272, 272))
 	c.runUntil(5 * time.Second)
@@ -130,7 +130,7 @@
 	qt.Check(t, c.ran("o", 7*time.Second, 10*time.Second) > 3*130, qt.IsTrue)
 }
 
-// TestWaits has callers come back when they are told to. They are let in.
+// TestRetryAfter has callers retry at the time that they were told. They are admitted.
 func TestRetryAfter(t *testing.T) {
 	c := newCluster(5, 20, limited(10, 1))
 	c.runUntil(2 * time.Second)
@@ -148,7 +148,7 @@
 	qt.Check(t, len(c.runs), qt.Equals, before+len(retryAfters))
 }
 
-// scenario is what a drawn world goes through.
+// scenario is a cluster with faults drawn at random.
 type scenario struct {
 	*cluster
 	limit   quota.Limit
@@ -157,10 +157,9 @@
 	joins   bool
 }
 
-// TestAnyWindow draws cuts, restarts, processes that are held up, joins, slow and lost
-// messages, rushes, and a lower limit in their midst. In no window run more requests than
-// the limit allows. In half of the worlds that is without any overage or slack, which would
-// hide small faults.
+// TestAnyWindow draws partitions, restarts, paused processes, joins, delayed and lost messages,
+// surges, and a lower limit during one. In no window run more requests than the limit allows. Half
+// of the clusters have neither overage nor slack, which would hide small faults.
 func TestAnyWindow(t *testing.T) {
 	seeds := 100
 	if testing.Short() {
@@ -182,7 +181,7 @@
 	t.Helper()
 	bound := s.bounds.MaxRequests(limit)
 	if s.bounds.Slack == 0 && limit.Burst < 1 {
-		bound += 1 - limit.Burst // a whole request is let in after a pause
+		bound += 1 - limit.Burst // a whole request is admitted after a pause
 	}
 	qt.Check(t, float64(most) <= bound+1e-6, qt.IsTrue, qt.Commentf("%s: %d in a window, %.1f allowed", what, most, bound))
 	t.Logf("%s: %d nodes, rate %.0f, %d in a window of %.1f", what, len(s.nodes), limit.Rate, most, bound)
@@ -217,12 +216,12 @@
 	return s
 }
 
-// moment draws a moment of the scenario.
+// randomTime draws a time within the scenario.
 func (s *scenario) randomTime() time.Duration {
 	return time.Duration(s.random.Int64N(int64(25 * time.Second)))
 }
 
-// breakLinks has some messages come late or not at all.
+// degradeLinks has some messages arrive late or not at all.
 func (s *scenario) degradeLinks() {
 	lossProbability := s.random.Float64() * 0.03 * float64(s.random.IntN(2))
 	delayProbability := s.random.Float64() * 0.1 * float64(s.random.IntN(2))
@@ -238,8 +237,8 @@
 	}
 }
 
-// rush has three to ten times what the limit allows come by some of the nodes, with pauses
-// in which the burst is saved up.
+// surge sends three to ten times what the limit allows through some of the nodes, with pauses in
+// which the burst is saved up.
 func (s *scenario) surge() {
 	busy := 1 + s.random.IntN(len(s.nodes))
 	rate := max(20, s.limit.Rate*(3+7*s.random.Float64()))
@@ -251,11 +250,11 @@
 	}
 }
 
-// fault brings one fault about.
+// injectFault injects one fault.
 func (s *scenario) injectFault() {
 	n := s.nodes[s.random.IntN(len(s.nodes))]
 	if s.random.IntN(2) == 0 {
-		n = s.byID(s.ids[s.random.IntN(2)]) // a home
+		n = s.byID(s.ids[s.random.IntN(2)]) // a coordinator
 	}
 	lasts := 100*time.Millisecond + time.Duration(s.random.Int64N(int64(6*time.Second)))
 	switch s.random.IntN(6) {
@@ -291,7 +290,7 @@
 	return 0
 }
 
-// cut parts some of the nodes from the others for a time.
+// partition separates some of the nodes from the others for a time.
 func (s *scenario) partition(fraction float64, lasts time.Duration) {
 	separated := make(map[string]bool)
 	for _, n := range s.nodes {
@@ -301,7 +300,7 @@
 	s.after(lasts, func() { s.partitioned = func(_, _ *simNode) bool { return false } })
 }
 
-// flap has the links of some nodes to one fail and come back, time and again.
+// flap has the links between two random groups of nodes fail and recover repeatedly.
 func (s *scenario) flap(n *simNode, lasts time.Duration) {
 	until := s.now + lasts
 	off := quota.LeaseDuration + time.Duration(s.random.Int64N(int64(time.Second)))
@@ -315,7 +314,7 @@
 	turn()
 }
 
-// power has many nodes start anew at once.
+// restartMany has many nodes restart at once.
 func (s *scenario) restartMany() {
 	down := time.Duration(s.random.Int64N(int64(2 * time.Second)))
 	fraction := 0.3 + s.random.Float64()
@@ -326,7 +325,7 @@
 	}
 }
 
-// lowerLimit has the nodes learn of a lower limit, each at another moment.
+// lowerLimit has the nodes learn of a lower limit, each at another time.
 func (s *scenario) lowerLimit() {
 	at := 8*time.Second + s.randomTime()/2
 	for _, n := range s.nodes {
@@ -335,7 +334,7 @@
 		s.after(learns, func() { n.set(map[string]quota.Limit{"o": s.lower}) })
 	}
 	s.after(s.lowered, func() {
-		for _, n := range s.nodes { // those too that have joined meanwhile
+		for _, n := range s.nodes { // including those that have joined meanwhile
 			n.set(map[string]quota.Limit{"o": s.lower})
 		}
 	})
--- a/quota/recent.go
+++ b/quota/rate.go
@@ -6,17 +6,17 @@
 
 import "time"
 
-// recentSpan is the time over which tokens are counted for operators.
+// rateSpan is the length of a span over which tokens are counted for operators.
 const rateSpan = 5 * time.Second
 
-// Recent counts tokens in the present span and the one before it. The zero value has counted
-// none.
+// RateMeter counts tokens in the present span and the previous one. The zero value has
+// counted none.
 type RateMeter struct {
 	span              int64 // the number of the present one
 	current, previous int
 }
 
-// turn goes on to the span of a time.
+// rotate moves on to the span of the given time.
 func (r *RateMeter) rotate(at time.Duration) {
 	switch span := int64(at / rateSpan); {
 	case span == r.span+1:
@@ -36,7 +36,7 @@
 	r.current += n
 }
 
-// Rate returns the tokens a second over about the last span.
+// Rate returns the tokens per second over roughly the last span.
 func (r *RateMeter) Rate(at time.Duration) float64 {
 	r.rotate(at)
 	elapsed := (at % rateSpan).Seconds()
--- a/quota/size_test.go
+++ b/quota/size_test.go
@@ -25,8 +25,8 @@
 	return limits
 }
 
-// TestMessageSize tells what an exchange weighs: it is no matter of the number of
-// organisations or of nodes, but of the tokens that are asked for.
+// TestMessageSize checks the size of messages: it depends on the number of tokens requested, and
+// not on that of organisations or nodes.
 func TestMessageSize(t *testing.T) {
 	for _, wanted := range []int{0, 1, 10} {
 		r := quota.Request{
@@ -51,14 +51,14 @@
 		qt.Assert(t, err, qt.IsNil)
 		back, err := msgpack.Marshal(response)
 		qt.Assert(t, err, qt.IsNil)
-		t.Logf("%d organisations: %d B there, %d B back", wanted, len(request), len(back))
+		t.Logf("%d organisations: request of %d B, response of %d B", wanted, len(request), len(back))
 		qt.Check(t, len(request) <= 80+wanted*20, qt.IsTrue)
 		qt.Check(t, len(back) <= 60+wanted*20, qt.IsTrue)
 	}
 }
 
-// TestExchanges has 70 nodes with nothing to do, and with eleven requests a second each. A node
-// asks as often as it has to for its right, or for its requests, but not for both.
+// TestExchangeRate has 70 nodes without requests, and with eleven requests a second each. A node
+// sends as many messages as it needs for its share or for its requests, but not for both.
 func TestExchangeRate(t *testing.T) {
 	for name, rate := range map[string]float64{"idle": 0, "eleven a second": 11} {
 		const nodes = 70
@@ -70,13 +70,13 @@
 		before := c.exchanges
 		c.runUntil(15 * time.Second)
 		each := float64(c.exchanges-before) / 10 / nodes
-		t.Logf("%s: %.1f exchanges a second and node", name, each)
+		t.Logf("%s: %.1f exchanges per second and node", name, each)
 		qt.Check(t, each <= 5+rate, qt.IsTrue)
 	}
 }
 
-// TestHomeSize bounds what a home keeps: under a megabyte for each thousand organisations,
-// and as much for each thousand nodes.
+// TestCoordinatorSize checks that a coordinator keeps less than a megabyte for each thousand
+// organisations, and as much for each thousand nodes.
 func TestCoordinatorSize(t *testing.T) {
 	for _, size := range []struct{ organisations, nodes int }{{1000, 70}, {10000, 70}, {10000, 1000}, {10000, 18000}} {
 		limits := organisations(size.organisations)
@@ -104,7 +104,7 @@
 	return int64(m.HeapAlloc)
 }
 
-// BenchmarkAnswer takes in an Ask with one want of a node whose right is held.
+// BenchmarkHandleRequest handles a Request for one token of a node whose share is held.
 func BenchmarkHandleRequest(b *testing.B) {
 	for _, nodes := range []int{70, 1000, 18000} {
 		b.Run(fmt.Sprint("nodes ", nodes), func(b *testing.B) {
@@ -126,14 +126,14 @@
 	}
 }
 
-// BenchmarkJoin takes in the right of one more node, which looks through all buckets.
+// BenchmarkJoin adds the share of one more node, which updates all buckets.
 func BenchmarkJoin(b *testing.B) {
 	for _, n := range []int{100, 10000} {
 		b.Run(fmt.Sprint("organisations ", n), func(b *testing.B) {
 			c := quota.NewCoordinator(1, exact, 0)
 			c.SetLimits(organisations(n), 0)
 			for i := range uint64(b.N) {
-				nodes := int(i%2) * 70 // deposited and withdrawn
+				nodes := int(i%2) * 70 // delegated and withdrawn
 				c.HandleRequest("n", &quota.Request{Incarnation: 1, Sequence: i + 1, Coordinator: 1, Nodes: nodes}, 0)
 			}
 		})
