--- a/throttle/limit.go
+++ b/throttle/limit.go
@@ -15,10 +15,10 @@
 	Window = 4 * time.Second
 	// leastRate is the least rate, in requests a second: a limit is known to be over by an
 	// answer alone, so that an upstream that takes none still gets one in each window.
-	leastRate = 0.25
+	minRate = 0.25
 	// late is how late requests may be that could have gone before, without loss of their
 	// turns: timers and processes are held up for some hundredths of a second.
-	late = 50 * time.Millisecond
+	maxLateness = 50 * time.Millisecond
 )
 
 // An upstream bears half as many requests again as it names, and five more, in any window.
@@ -26,41 +26,41 @@
 // questions of the health check are three tenths and one. What is left is for the way between
 // the gate and the upstream.
 const (
-	writtenShare  = 1.1
-	writtenSlack  = 3
-	questionShare = 0.3
+	writtenFactor     = 1.1
+	writtenSlack      = 3
+	healthCheckFactor = 0.3
 )
 
 // Limit bounds the requests to one upstream while it names a limit. The zero value bounds
 // nothing. Its methods may be called from any goroutine.
 type Limiter struct {
-	mu    sync.Mutex
-	named bool
+	mu      sync.Mutex
+	limited bool
 	// own is whether the upstream itself has been heard, and not only other nodes.
-	own   bool
-	rate  float64   // as named, in requests a second
-	since time.Time // when the rate was named first
+	fromUpstream bool
+	rate         float64   // as named, in requests a second
+	since        time.Time // when the rate was named first
 	// heard is when the rate was named last, be it within a lower one.
-	heard   time.Time
-	ended   time.Time // when the last limit was over, zero if there was none
-	written counter
+	observed time.Time
+	ended    time.Time // when the last limit was over, zero if there was none
+	written  counter
 
-	tokens   float64 // of admission
-	filled   time.Time
-	asked    time.Time // the last question of the health check
-	promised time.Time // up to when refused requests were told to come back
-	refused  uint64
+	tokens          float64 // of admission
+	filled          time.Time
+	lastHealthCheck time.Time // the last question of the health check
+	nextRetry       time.Time // up to when refused requests were told to come back
+	refused         uint64
 }
 
 // Name takes in that an answer of the upstream names a limit. Asked is when the request was
 // about to be written that it answers. A higher limit than the one that holds counts if the
 // request was written after that had been named last; of the answers to simultaneous requests
 // the lowest counts.
-func (l *Limiter) ObserveLimit(rate float64, asked time.Time) {
+func (l *Limiter) ObserveLimit(rate float64, sent time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.own = true
-	l.name(rate, asked, time.Now())
+	l.fromUpstream = true
+	l.observe(rate, sent, time.Now())
 }
 
 // Adopt takes in that another node has heard of a limit. It counts until the upstream itself
@@ -68,22 +68,22 @@
 func (l *Limiter) AdoptLimit(rate float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.own && (!l.named || rate < l.rate) {
-		l.name(rate, time.Time{}, time.Now())
+	if !l.fromUpstream && (!l.limited || rate < l.rate) {
+		l.observe(rate, time.Time{}, time.Now())
 	}
 }
 
-func (l *Limiter) name(rate float64, asked, now time.Time) {
-	if l.named && rate > l.rate && asked.Before(l.heard) {
+func (l *Limiter) observe(rate float64, sent, now time.Time) {
+	if l.limited && rate > l.rate && sent.Before(l.observed) {
 		return
 	}
-	l.heard = now
-	if l.named && rate == l.rate {
+	l.observed = now
+	if l.limited && rate == l.rate {
 		return
 	}
 	l.fill(now)
-	if !l.named {
-		l.begin(now)
+	if !l.limited {
+		l.start(now)
 	}
 	l.rate = rate
 	l.since = now
@@ -92,26 +92,26 @@
 
 // begin has a limit count from now on. What the upstream was sent before it named one does not
 // count, but for a limit that was over for less than a window.
-func (l *Limiter) begin(now time.Time) {
+func (l *Limiter) start(now time.Time) {
 	if l.ended.IsZero() || now.Sub(l.ended) >= Window {
 		l.written.clear()
 	}
-	l.named = true
+	l.limited = true
 	l.tokens = 0
 	l.filled = now
-	l.promised = now
+	l.nextRetry = now
 }
 
 // End takes in that an answer names no limit, as Name does.
-func (l *Limiter) ObserveNoLimit(asked time.Time) {
+func (l *Limiter) ObserveNoLimit(sent time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.own = true
-	if !l.named || asked.Before(l.heard) {
+	l.fromUpstream = true
+	if !l.limited || sent.Before(l.observed) {
 		return
 	}
 	now := time.Now()
-	l.named = false
+	l.limited = false
 	l.rate = 0
 	l.since = now
 	l.ended = now
@@ -121,23 +121,25 @@
 func (l *Limiter) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.named, l.own, l.rate = false, false, 0
+	l.limited, l.fromUpstream, l.rate = false, false, 0
 	l.since, l.ended = time.Time{}, time.Time{}
 	l.written.clear()
 }
 
 // pace returns the rate at which requests are admitted, in 1/s. The lock is held.
-func (l *Limiter) pace() float64 { return max(l.rate, leastRate) }
+func (l *Limiter) pace() float64 { return max(l.rate, minRate) }
 
 // depth returns the most tokens that are saved up. The lock is held.
-func (l *Limiter) depth() float64 { return 1 + late.Seconds()*l.pace() }
+func (l *Limiter) depth() float64 { return 1 + maxLateness.Seconds()*l.pace() }
 
 // most returns how many requests may be written in a window. The lock is held.
-func (l *Limiter) most() int { return int(writtenShare*l.pace()*Window.Seconds()) + writtenSlack }
+func (l *Limiter) maxWritten() int {
+	return int(writtenFactor*l.pace()*Window.Seconds()) + writtenSlack
+}
 
 // fill adds the tokens since the last call. The lock is held.
 func (l *Limiter) fill(now time.Time) {
-	if l.named {
+	if l.limited {
 		l.tokens = min(l.depth(), l.tokens+now.Sub(l.filled).Seconds()*l.pace())
 	}
 	l.filled = now
@@ -147,7 +149,7 @@
 func (l *Limiter) Wait(ahead int) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.named {
+	if !l.limited {
 		return 0
 	}
 	now := time.Now()
@@ -157,14 +159,14 @@
 	if missing > 0 {
 		paced = time.Duration(missing / l.pace() * float64(time.Second))
 	}
-	return max(paced, l.written.room(ahead+1, l.most(), now))
+	return max(paced, l.written.wait(ahead+1, l.maxWritten(), now))
 }
 
 // Admit takes the token of a request that is admitted, after a Wait of 0.
 func (l *Limiter) Admit() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.named {
+	if l.limited {
 		l.fill(time.Now())
 		l.tokens--
 	}
@@ -175,12 +177,12 @@
 func (l *Limiter) TryAcquire() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.named {
-		if wait := l.written.room(1, l.most(), time.Now()); wait > 0 {
+	if l.limited {
+		if wait := l.written.wait(1, l.maxWritten(), time.Now()); wait > 0 {
 			return wait
 		}
 	}
-	l.written.open++
+	l.written.pending++
 	return 0
 }
 
@@ -189,7 +191,7 @@
 func (l *Limiter) MarkWritten() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.written.open--
+	l.written.pending--
 	l.written.add(time.Now())
 }
 
@@ -197,7 +199,7 @@
 func (l *Limiter) Cancel() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.written.open--
+	l.written.pending--
 }
 
 // Ask returns 0 if the health check may be asked now, which counts, and otherwise after how
@@ -205,15 +207,15 @@
 func (l *Limiter) TryHealthCheck() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.named {
+	if !l.limited {
 		return 0
 	}
 	now := time.Now()
-	every := time.Duration(float64(time.Second) / (questionShare * l.pace()))
-	if wait := every - now.Sub(l.asked); wait > 0 {
+	every := time.Duration(float64(time.Second) / (healthCheckFactor * l.pace()))
+	if wait := every - now.Sub(l.lastHealthCheck); wait > 0 {
 		return wait
 	}
-	l.asked = now
+	l.lastHealthCheck = now
 	return 0
 }
 
@@ -223,19 +225,19 @@
 func (l *Limiter) RetryAfter(after time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.named {
+	if !l.limited {
 		return after
 	}
 	l.refused++
 	now := time.Now()
 	at := now.Add(after)
-	if l.promised.After(at) {
-		at = l.promised
+	if l.nextRetry.After(at) {
+		at = l.nextRetry
 	}
 	if horizon := now.Add(after + Window); at.After(horizon) {
 		return after + rand.N(Window)
 	}
-	l.promised = at.Add(time.Duration(float64(time.Second) / l.pace()))
+	l.nextRetry = at.Add(time.Duration(float64(time.Second) / l.pace()))
 	return at.Sub(now)
 }
 
@@ -243,7 +245,7 @@
 func (l *Limiter) Rate() (rate float64, named bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.rate, l.named
+	return l.rate, l.limited
 }
 
 // State is how a Limit stands at one instant.
@@ -269,14 +271,14 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := State{
-		Limited: l.named,
+		Limited: l.limited,
 		Rate:    l.rate,
 		Since:   l.since,
-		Adopted: l.named && !l.own,
+		Adopted: l.limited && !l.fromUpstream,
 		Written: l.written.count(time.Now()),
 		Refused: l.refused,
 	}
-	if l.named {
+	if l.limited {
 		s.Used = float64(s.Written) / (l.pace() * Window.Seconds())
 	}
 	return s
--- a/throttle/limit_test.go
+++ b/throttle/limit_test.go
@@ -29,34 +29,34 @@
 }
 
 // TestNamed has words of a limit come in many ways, and tells what holds after them.
-func TestNamed(t *testing.T) {
+func TestObserveLimit(t *testing.T) {
 	tests := map[string]struct {
-		play  func(l *throttle.Limiter)
-		named bool
-		rate  float64
+		play    func(l *throttle.Limiter)
+		limited bool
+		rate    float64
 	}{
 		"nothing": {play: func(*throttle.Limiter) {}},
-		"named":   {play: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()) }, named: true, rate: 5},
-		"lower":   {play: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()); l.ObserveLimit(0.5, time.Now()) }, named: true, rate: 0.5},
-		"higher":  {play: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()); l.ObserveLimit(9, time.Now()) }, named: true, rate: 9},
-		"zero":    {play: func(l *throttle.Limiter) { l.ObserveLimit(0, time.Now()) }, named: true},
+		"named":   {play: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()) }, limited: true, rate: 5},
+		"lower":   {play: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()); l.ObserveLimit(0.5, time.Now()) }, limited: true, rate: 0.5},
+		"higher":  {play: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()); l.ObserveLimit(9, time.Now()) }, limited: true, rate: 9},
+		"zero":    {play: func(l *throttle.Limiter) { l.ObserveLimit(0, time.Now()) }, limited: true},
 		"over":    {play: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()); l.ObserveNoLimit(time.Now()) }},
 		"again": {play: func(l *throttle.Limiter) {
 			l.ObserveLimit(5, time.Now())
 			l.ObserveNoLimit(time.Now())
 			l.ObserveLimit(6, time.Now())
-		}, named: true, rate: 6},
-		"a late end":           {play: func(l *throttle.Limiter) { asked := before(l); l.ObserveNoLimit(asked) }, named: true, rate: 5},
-		"a late higher one":    {play: func(l *throttle.Limiter) { asked := before(l); l.ObserveLimit(9, asked) }, named: true, rate: 5},
-		"a late lower one":     {play: func(l *throttle.Limiter) { asked := before(l); l.ObserveLimit(3, asked) }, named: true, rate: 3},
+		}, limited: true, rate: 6},
+		"a late end":           {play: func(l *throttle.Limiter) { sent := timeBeforeLimit(l); l.ObserveNoLimit(sent) }, limited: true, rate: 5},
+		"a late higher one":    {play: func(l *throttle.Limiter) { sent := timeBeforeLimit(l); l.ObserveLimit(9, sent) }, limited: true, rate: 5},
+		"a late lower one":     {play: func(l *throttle.Limiter) { sent := timeBeforeLimit(l); l.ObserveLimit(3, sent) }, limited: true, rate: 3},
 		"a new start":          {play: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()); l.Reset() }},
-		"from others":          {play: func(l *throttle.Limiter) { l.AdoptLimit(5) }, named: true, rate: 5},
-		"from others, lowest":  {play: func(l *throttle.Limiter) { l.AdoptLimit(5); l.AdoptLimit(3); l.AdoptLimit(7) }, named: true, rate: 3},
-		"others know less":     {play: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()); l.AdoptLimit(2) }, named: true, rate: 5},
+		"from others":          {play: func(l *throttle.Limiter) { l.AdoptLimit(5) }, limited: true, rate: 5},
+		"from others, lowest":  {play: func(l *throttle.Limiter) { l.AdoptLimit(5); l.AdoptLimit(3); l.AdoptLimit(7) }, limited: true, rate: 3},
+		"others know less":     {play: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()); l.AdoptLimit(2) }, limited: true, rate: 5},
 		"others' is over":      {play: func(l *throttle.Limiter) { l.AdoptLimit(5); l.ObserveNoLimit(time.Now()) }},
 		"over, others go on":   {play: func(l *throttle.Limiter) { l.AdoptLimit(5); l.ObserveNoLimit(time.Now()); l.AdoptLimit(5) }},
-		"others, a new start":  {play: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()); l.Reset(); l.AdoptLimit(4) }, named: true, rate: 4},
-		"rises under requests": {play: risesUnderRequests, named: true, rate: 9},
+		"others, a new start":  {play: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()); l.Reset(); l.AdoptLimit(4) }, limited: true, rate: 4},
+		"rises under requests": {play: risesUnderRequests, limited: true, rate: 9},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -64,9 +64,9 @@
 				l := new(throttle.Limiter)
 				test.play(l)
 				s := l.State()
-				qt.Check(t, s.Limited, qt.Equals, test.named)
+				qt.Check(t, s.Limited, qt.Equals, test.limited)
 				qt.Check(t, s.Rate, qt.Equals, test.rate)
-				if !test.named {
+				if !test.limited {
 					qt.Check(t, write(l, 100), qt.Equals, 100)
 				}
 			})
@@ -75,12 +75,12 @@
 }
 
 // before returns a time before a limit is named.
-func before(l *throttle.Limiter) time.Time {
-	asked := time.Now()
+func timeBeforeLimit(l *throttle.Limiter) time.Time {
+	sent := time.Now()
 	time.Sleep(time.Millisecond)
 	l.ObserveLimit(5, time.Now())
 	time.Sleep(time.Millisecond)
-	return asked
+	return sent
 }
 
 // risesUnderRequests has answers that name a higher limit come one after another, each to a request
@@ -88,9 +88,9 @@
 func risesUnderRequests(l *throttle.Limiter) {
 	l.ObserveLimit(5, time.Now())
 	for range 10 {
-		asked := time.Now()
+		sent := time.Now()
 		time.Sleep(10 * time.Millisecond)
-		l.ObserveLimit(9, asked.Add(-5*time.Millisecond))
+		l.ObserveLimit(9, sent.Add(-5*time.Millisecond))
 	}
 }
 
@@ -127,7 +127,7 @@
 
 // TestFalls has a limit fall in the midst of a rush: what was written before counts, until it is a
 // window old.
-func TestFalls(t *testing.T) {
+func TestLimitFalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := new(throttle.Limiter)
 		l.ObserveLimit(50, time.Now())
@@ -147,20 +147,20 @@
 
 // TestShortEnd has a limit be over for a moment, in which much is written: it counts once the
 // limit is back, and does not after a window.
-func TestShortEnd(t *testing.T) {
+func TestLimitEndsBriefly(t *testing.T) {
 	for name, test := range map[string]struct {
-		over  time.Duration
+		ended time.Duration
 		waits bool
 	}{
-		"a moment": {over: time.Second, waits: true},
-		"a window": {over: throttle.Window},
+		"a moment": {ended: time.Second, waits: true},
+		"a window": {ended: throttle.Window},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				l := new(throttle.Limiter)
 				l.ObserveLimit(5, time.Now())
 				l.ObserveNoLimit(time.Now())
-				time.Sleep(test.over)
+				time.Sleep(test.ended)
 				write(l, 200)
 				l.ObserveLimit(5, time.Now())
 				time.Sleep(300 * time.Millisecond) // a token has come
@@ -171,7 +171,7 @@
 }
 
 // TestQuestions asks the health check as often as may be.
-func TestQuestions(t *testing.T) {
+func TestHealthChecks(t *testing.T) {
 	for name, test := range map[string]struct {
 		rate float64
 		most int
@@ -188,14 +188,14 @@
 				if test.rate >= 0 {
 					l.ObserveLimit(test.rate, time.Now())
 				}
-				var asked int
+				var checks int
 				for range 4000 {
 					if l.TryHealthCheck() == 0 {
-						asked++
+						checks++
 					}
 					time.Sleep(time.Millisecond)
 				}
-				qt.Check(t, asked <= test.most && asked >= 1, qt.IsTrue, qt.Commentf("%d", asked))
+				qt.Check(t, checks <= test.most && checks >= 1, qt.IsTrue, qt.Commentf("%d", checks))
 			})
 		})
 	}
@@ -203,7 +203,7 @@
 
 // TestRefuse has many requests be refused at once: each is told a time of its own to come back,
 // within the limit.
-func TestRefuse(t *testing.T) {
+func TestRetryAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := new(throttle.Limiter)
 		qt.Check(t, l.RetryAfter(time.Second), qt.Equals, time.Second, qt.Commentf("no limit"))
@@ -227,7 +227,7 @@
 }
 
 // TestUndo has requests that are let through not be written after all.
-func TestUndo(t *testing.T) {
+func TestCancel(t *testing.T) {
 	l := new(throttle.Limiter)
 	l.ObserveLimit(1, time.Now())
 	for range 100 {
@@ -239,7 +239,7 @@
 
 // BenchmarkTake lets requests through to an upstream that names no limit, as nearly all are, and to
 // one whose limit does not bind.
-func BenchmarkTake(b *testing.B) {
+func BenchmarkTryAcquire(b *testing.B) {
 	for name, rate := range map[string]float64{"none": -1, "named": 1e6} {
 		b.Run(name, func(b *testing.B) {
 			l := new(throttle.Limiter)
--- a/throttle/load_test.go
+++ b/throttle/load_test.go
@@ -23,17 +23,17 @@
 )
 
 const (
-	senders  = 9
-	gates    = 6
-	slots    = 14
-	work     = 170 * time.Millisecond
-	maxTries = 4
-	length   = 20 * time.Second
-	urgent   = "order"
-	ordinary = "view"
+	senders     = 9
+	gates       = 6
+	slots       = 14
+	work        = 170 * time.Millisecond
+	maxAttempts = 4
+	length      = 20 * time.Second
+	urgent      = "order"
+	ordinary    = "view"
 	// mostNeedless is the most requests, as a share, that may be refused though a gate had room all
 	// the while. A sender knows a gate by its last report, and asks four of the six at most.
-	mostNeedless = 0.01
+	maxNeedless = 0.01
 )
 
 // classes are the kinds of requests, as shares of all of them.
@@ -54,15 +54,15 @@
 	pools []*route.Pool[int]
 	limit func(gate int, at time.Duration) float64 // negative for none
 
-	mu       sync.Mutex
-	random   *rand.Rand
-	began    time.Time
-	written  [][]time.Time // by gate
-	sent     map[string]int
-	served   map[string]int
-	bounced  int // refusals by a gate
-	needless int // requests refused while a gate had room from their first try to their last
-	waits    []time.Duration
+	mu          sync.Mutex
+	random      *rand.Rand
+	began       time.Time
+	written     [][]time.Time // by gate
+	sent        map[string]int
+	served      map[string]int
+	refusals    int // refusals by a gate
+	needless    int // requests refused while a gate had room from their first try to their last
+	retryAfters []time.Duration
 }
 
 func newService(seed uint64, limit func(gate int, at time.Duration) float64) *service {
@@ -114,20 +114,20 @@
 
 // attempt sends a request to gates in turn until one runs it, and returns after how long the
 // caller may come back otherwise.
-func (s *service) attempt(from int, class string, until time.Time) (ran bool, wait time.Duration) {
-	before := s.free()
+func (s *service) send(from int, class string, until time.Time) (ran bool, wait time.Duration) {
+	freeBefore := s.free()
 	var tried []int
-	var least time.Duration
-	for range maxTries {
-		var most time.Duration
+	var minRetryAfter time.Duration
+	for range maxAttempts {
+		var maxWait time.Duration
 		if len(tried) > 0 {
-			most = classes[class].objective / 2
+			maxWait = classes[class].objective / 2
 		}
-		use, ok := s.pools[from].PickWithMaxWait(most, 0, func(i int) bool { return slices.Contains(tried, i) })
+		assignment, ok := s.pools[from].PickWithMaxWait(maxWait, 0, func(i int) bool { return slices.Contains(tried, i) })
 		if !ok {
 			break
 		}
-		i := use.Key()
+		i := assignment.Key()
 		tried = append(tried, i)
 		time.Sleep(time.Millisecond)
 		k := s.gates[i].Enter(class, until)
@@ -137,32 +137,32 @@
 			err = verdict.New(verdict.Refused, nil)
 		}
 		if err != nil {
-			use.Done(route.Refused)
+			assignment.Done(route.Refused)
 			s.report(from, i)
 			s.mu.Lock()
-			s.bounced++
+			s.refusals++
 			s.mu.Unlock()
-			if err.RetryAfter > 0 && (least == 0 || err.RetryAfter < least) {
-				least = err.RetryAfter
+			if err.RetryAfter > 0 && (minRetryAfter == 0 || err.RetryAfter < minRetryAfter) {
+				minRetryAfter = err.RetryAfter
 			}
 			continue
 		}
 		s.run(i)
 		k.Release(true)
-		use.Done(route.Succeeded)
+		assignment.Done(route.Succeeded)
 		s.report(from, i)
 		return true, 0
 	}
-	after := s.free()
+	freeAfter := s.free()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := range s.gates {
-		if before[i] && after[i] {
+		if freeBefore[i] && freeAfter[i] {
 			s.needless++
 			break
 		}
 	}
-	return false, retryafter.WhenFull(classes[class].objective, least)
+	return false, retryafter.WhenFull(classes[class].objective, minRetryAfter)
 }
 
 // free returns which gates would let a request start.
@@ -176,21 +176,21 @@
 
 // run has the upstream of a gate run a request, and name its limit in the answer.
 func (s *service) run(gate int) {
-	asked := time.Now()
+	sent := time.Now()
 	s.mu.Lock()
-	s.written[gate] = append(s.written[gate], asked)
+	s.written[gate] = append(s.written[gate], sent)
 	s.mu.Unlock()
 	g := s.gates[gate]
 	g.AdvertisedLimiter.MarkWritten()
 	time.Sleep(work/2 + time.Duration(s.draw(int(work))))
-	before := g.AdvertisedLimiter.State().Rate
+	rateBefore := g.AdvertisedLimiter.State().Rate
 	if l := s.limit(gate, time.Since(s.began)); l >= 0 {
-		g.AdvertisedLimiter.ObserveLimit(l, asked)
+		g.AdvertisedLimiter.ObserveLimit(l, sent)
 	} else {
-		g.AdvertisedLimiter.ObserveNoLimit(asked)
+		g.AdvertisedLimiter.ObserveNoLimit(sent)
 	}
 	g.LimitChanged()
-	if g.AdvertisedLimiter.State().Rate == before {
+	if g.AdvertisedLimiter.State().Rate == rateBefore {
 		return
 	}
 	for from := range senders { // all are told of a change at once
@@ -206,13 +206,13 @@
 	}
 	from := s.draw(senders)
 	until := time.Now().Add(classes[class].deadline)
-	ran, after := s.attempt(from, class, until)
+	ran, retryAfter := s.send(from, class, until)
 	if !ran {
-		time.Sleep(min(after, time.Until(until)/3))
+		time.Sleep(min(retryAfter, time.Until(until)/3))
 		s.mu.Lock()
-		s.waits = append(s.waits, after)
+		s.retryAfters = append(s.retryAfters, retryAfter)
 		s.mu.Unlock()
-		ran, _ = s.attempt(s.draw(senders), class, until)
+		ran, _ = s.send(s.draw(senders), class, until)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -223,7 +223,7 @@
 }
 
 // play sends so many requests a second as rate says at each time.
-func (s *service) play(rate func(at time.Duration) float64) {
+func (s *service) sendAll(rate func(at time.Duration) float64) {
 	var all sync.WaitGroup
 	random := rand.New(rand.NewPCG(4, s.random.Uint64()))
 	for time.Since(s.began) < length {
@@ -261,7 +261,7 @@
 
 // worst returns the largest share of what an upstream bears that one got in a window that begins
 // once its limit had been heard.
-func (s *service) worst(from time.Duration) (share float64) {
+func (s *service) worst(from time.Duration) (ratio float64) {
 	for i, list := range s.written {
 		for j, last := range list {
 			begin := last.Add(-throttle.Window)
@@ -284,22 +284,22 @@
 				lowest = max(lowest, l)
 			}
 			if lowest >= 0 {
-				share = max(share, float64(count)/(overage*lowest*throttle.Window.Seconds()+slack))
+				ratio = max(ratio, float64(count)/(overage*lowest*throttle.Window.Seconds()+slack))
 			}
 		}
 	}
-	return share
+	return ratio
 }
 
 // TestLoads plays services whose upstreams name limits under load.
-func TestLoads(t *testing.T) {
+func TestLimitsUnderLoad(t *testing.T) {
 	tests := map[string]struct {
-		limit        func(gate int, at time.Duration) float64
-		rate         func(at time.Duration) float64
-		served       float64 // least share of the requests
-		used         float64 // least share of the sum of the limits, over the last ten seconds
-		ordered      bool    // whether the urgent class is to be served by a half more often than the other
-		limitedShare float64 // least share of its limit that the first upstream gets
+		limit           func(gate int, at time.Duration) float64
+		rate            func(at time.Duration) float64
+		served          float64 // least share of the requests
+		used            float64 // least share of the sum of the limits, over the last ten seconds
+		ordered         bool    // whether the urgent class is to be served by a half more often than the other
+		limitedFraction float64 // least share of its limit that the first upstream gets
 	}{
 		"one among many": {
 			limit: func(gate int, _ time.Duration) float64 {
@@ -308,9 +308,9 @@
 				}
 				return -1
 			},
-			rate:         func(time.Duration) float64 { return 200 },
-			served:       0.99,
-			limitedShare: 0.5,
+			rate:            func(time.Duration) float64 { return 200 },
+			served:          0.99,
+			limitedFraction: 0.5,
 		},
 		"all": {
 			limit:   func(int, time.Duration) float64 { return 15 },
@@ -366,24 +366,24 @@
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				s := newService(1, test.limit)
-				s.play(test.rate)
+				s.sendAll(test.rate)
 				all := s.share(urgent, ordinary)
 				sent := float64(s.sent[urgent] + s.sent[ordinary])
-				bounced := float64(s.bounced) / sent
+				refusals := float64(s.refusals) / sent
 				needless := float64(s.needless) / sent
 				worst := s.worst(time.Second)
-				t.Logf("served %.3f (urgent %.3f, ordinary %.3f), %.3f of the limits used in ten seconds, worst window %.2f, bounced %.2f and needlessly refused %.4f a request", all, s.share(urgent), s.share(ordinary), s.used(), worst, bounced, needless)
+				t.Logf("served %.3f (urgent %.3f, ordinary %.3f), %.3f of the limits used in ten seconds, worst window %.2f, bounced %.2f and needlessly refused %.4f a request", all, s.share(urgent), s.share(ordinary), s.used(), worst, refusals, needless)
 				qt.Check(t, all >= test.served, qt.IsTrue)
 				qt.Check(t, s.used() >= test.used, qt.IsTrue)
 				qt.Check(t, worst <= 1, qt.IsTrue)
-				qt.Check(t, needless <= mostNeedless, qt.IsTrue)
+				qt.Check(t, needless <= maxNeedless, qt.IsTrue)
 				if test.ordered {
 					qt.Check(t, s.share(urgent) >= 1.5*s.share(ordinary), qt.IsTrue)
 				}
-				if test.limitedShare > 0 {
+				if test.limitedFraction > 0 {
 					got := float64(len(s.written[0])) / (test.limit(0, 0) * length.Seconds())
 					t.Logf("the limited one got %.2f of its limit", got)
-					qt.Check(t, got >= test.limitedShare, qt.IsTrue)
+					qt.Check(t, got >= test.limitedFraction, qt.IsTrue)
 				}
 			})
 		})
--- a/throttle/world_test.go
+++ b/throttle/world_test.go
@@ -23,23 +23,23 @@
 	overage = 1.5
 	slack   = 5
 	// known is how long after a node has passed on an answer with a limit its requests count.
-	known = 500 * time.Millisecond
+	graceTime = 500 * time.Millisecond
 )
 
 // world is a limited upstream with the gate beside it and the nodes that send requests there,
 // played without network.
-type world struct {
+type simulation struct {
 	random *rand.Rand
 
-	mu       sync.Mutex
-	limit    *float64 // that the upstream names now, or nil
-	first    time.Time
-	changes  []change // of the limit
-	gate     *throttle.Limiter
-	started  int       // of the gate's process
-	told     time.Time // when it passed on a limit first
-	nodes    []node
-	arrivals []arrival
+	mu         sync.Mutex
+	advertised *float64 // that the upstream names now, or nil
+	firstLimit time.Time
+	changes    []change // of the limit
+	gate       *throttle.Limiter
+	starts     int       // of the gate's process
+	passedOn   time.Time // when it passed on a limit first
+	nodes      []node
+	arrivals   []arrival
 }
 
 // change is a limit from a moment on. No limit is +Inf.
@@ -50,130 +50,130 @@
 
 // node is what a sender of requests has been told.
 type node struct {
-	told  time.Time // first, zero if nothing
-	knows bool      // whether a limit holds, as far as it knows
-	limit float64
+	toldAt  time.Time // first, zero if nothing
+	limited bool      // whether a limit holds, as far as it knows
+	limit   float64
 }
 
 // arrival is a request or question that has come to the upstream.
 type arrival struct {
-	at   time.Time
-	told time.Time // since when its node knew of a limit, zero if it did not
+	at     time.Time
+	toldAt time.Time // since when its node knew of a limit, zero if it did not
 }
 
 // name has the upstream name a limit, or none if it is negative.
-func (w *world) name(limit float64) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (s *simulation) advertise(limit float64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	c := change{at: time.Now(), limit: limit}
-	w.limit = &limit
+	s.advertised = &limit
 	if limit < 0 {
-		w.limit, c.limit = nil, math.Inf(1)
-	} else if w.first.IsZero() {
-		w.first = c.at
+		s.advertised, c.limit = nil, math.Inf(1)
+	} else if s.firstLimit.IsZero() {
+		s.firstLimit = c.at
 	}
-	w.changes = append(w.changes, c)
+	s.changes = append(s.changes, c)
 }
 
 // restart has another process take the gate's place.
-func (w *world) restart() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.gate = new(throttle.Limiter)
-	w.started++
-	w.told = time.Time{}
+func (s *simulation) restart() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.gate = new(throttle.Limiter)
+	s.starts++
+	s.passedOn = time.Time{}
 }
 
 // draw returns a time up to the given one.
-func (w *world) draw(most time.Duration) time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return time.Duration(w.random.Int64N(int64(most)))
+func (s *simulation) draw(most time.Duration) time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return time.Duration(s.random.Int64N(int64(most)))
 }
 
 // request sends a request from a node to the upstream: the way to the gate, a hold-up between
 // admission and writing, the run and the way back are drawn.
-func (w *world) request(i int) {
-	w.mu.Lock()
-	sender := w.nodes[i]
-	w.mu.Unlock()
-	time.Sleep(w.draw(5 * time.Millisecond))
-	w.mu.Lock()
-	gate, started := w.gate, w.started
-	w.mu.Unlock()
-	if sender.knows {
+func (s *simulation) request(i int) {
+	s.mu.Lock()
+	sender := s.nodes[i]
+	s.mu.Unlock()
+	time.Sleep(s.draw(5 * time.Millisecond))
+	s.mu.Lock()
+	gate, starts := s.gate, s.starts
+	s.mu.Unlock()
+	if sender.limited {
 		gate.AdoptLimit(sender.limit)
 	}
 	if gate.Wait(0) > 0 {
 		return
 	}
 	gate.Admit()
-	if w.draw(10) == 0 {
-		time.Sleep(w.draw(200 * time.Millisecond))
+	if s.draw(10) == 0 {
+		time.Sleep(s.draw(200 * time.Millisecond))
 	}
-	asked := time.Now()
+	sent := time.Now()
 	if gate.TryAcquire() > 0 {
 		return
 	}
-	time.Sleep(w.draw(20 * time.Millisecond))
-	w.mu.Lock()
-	if w.started != started { // it was ended before it wrote
-		w.mu.Unlock()
+	time.Sleep(s.draw(20 * time.Millisecond))
+	s.mu.Lock()
+	if s.starts != starts { // it was ended before it wrote
+		s.mu.Unlock()
 		return
 	}
-	w.arrivals = append(w.arrivals, arrival{at: time.Now(), told: w.nodes[i].told})
-	w.mu.Unlock()
+	s.arrivals = append(s.arrivals, arrival{at: time.Now(), toldAt: s.nodes[i].toldAt})
+	s.mu.Unlock()
 	gate.MarkWritten()
-	time.Sleep(w.draw(300 * time.Millisecond))
-	w.mu.Lock()
-	limit := w.limit
-	ended := w.started != started
-	w.mu.Unlock()
+	time.Sleep(s.draw(300 * time.Millisecond))
+	s.mu.Lock()
+	advertised := s.advertised
+	ended := s.starts != starts
+	s.mu.Unlock()
 	if ended {
 		return
 	}
-	time.Sleep(w.draw(2 * time.Millisecond)) // answers overtake each other
-	if limit != nil {
-		gate.ObserveLimit(*limit, asked)
+	time.Sleep(s.draw(2 * time.Millisecond)) // answers overtake each other
+	if advertised != nil {
+		gate.ObserveLimit(*advertised, sent)
 	} else {
-		gate.ObserveNoLimit(asked)
+		gate.ObserveNoLimit(sent)
 	}
-	s := gate.State()
-	time.Sleep(w.draw(5 * time.Millisecond))
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	n := &w.nodes[i]
+	state := gate.State()
+	time.Sleep(s.draw(5 * time.Millisecond))
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	n := &s.nodes[i]
 	switch {
-	case w.started != started: // the answer is lost with the connection
-	case s.Limited:
-		n.knows, n.limit = true, s.Rate
-		if n.told.IsZero() {
-			n.told = time.Now()
+	case s.starts != starts: // the answer is lost with the connection
+	case state.Limited:
+		n.limited, n.limit = true, state.Rate
+		if n.toldAt.IsZero() {
+			n.toldAt = time.Now()
 		}
-		if w.told.IsZero() {
-			w.told = time.Now()
+		if s.passedOn.IsZero() {
+			s.passedOn = time.Now()
 		}
-	case sender.knows:
-		n.knows = false
+	case sender.limited:
+		n.limited = false
 	}
 }
 
 // question asks the health check, whose answers name no limit.
-func (w *world) question() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.gate.TryHealthCheck() == 0 {
-		w.arrivals = append(w.arrivals, arrival{at: time.Now(), told: w.told})
+func (s *simulation) healthCheck() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.gate.TryHealthCheck() == 0 {
+		s.arrivals = append(s.arrivals, arrival{at: time.Now(), toldAt: s.passedOn})
 	}
 }
 
 // allowed returns the integral of the limit over a window that ends at the given time.
-func (w *world) allowed(end time.Time) float64 {
+func (s *simulation) allowed(end time.Time) float64 {
 	var sum float64
-	for i, c := range w.changes {
+	for i, c := range s.changes {
 		from, to := c.at, end
-		if i+1 < len(w.changes) && w.changes[i+1].at.Before(end) {
-			to = w.changes[i+1].at
+		if i+1 < len(s.changes) && s.changes[i+1].at.Before(end) {
+			to = s.changes[i+1].at
 		}
 		if begin := end.Add(-throttle.Window); from.Before(begin) {
 			from = begin
@@ -187,24 +187,24 @@
 
 // worst returns the largest number of requests in a window beyond what is allowed there, and the
 // largest share of that.
-func (w *world) worst() (over float64, share float64) {
+func (s *simulation) worst() (over float64, ratio float64) {
 	over = math.Inf(-1)
-	slices.SortFunc(w.arrivals, func(a, b arrival) int { return a.at.Compare(b.at) })
-	for i, last := range w.arrivals {
-		if last.at.Before(w.first.Add(throttle.Window)) {
+	slices.SortFunc(s.arrivals, func(a, b arrival) int { return a.at.Compare(b.at) })
+	for i, last := range s.arrivals {
+		if last.at.Before(s.firstLimit.Add(throttle.Window)) {
 			continue
 		}
 		count := 0
-		for _, a := range w.arrivals[:i+1] {
-			if last.at.Sub(a.at) < throttle.Window && !a.told.IsZero() && a.at.Sub(a.told) >= known {
+		for _, a := range s.arrivals[:i+1] {
+			if last.at.Sub(a.at) < throttle.Window && !a.toldAt.IsZero() && a.at.Sub(a.toldAt) >= graceTime {
 				count++
 			}
 		}
-		allowed := overage*w.allowed(last.at) + slack
+		allowed := overage*s.allowed(last.at) + slack
 		over = max(over, float64(count)-allowed)
-		share = max(share, float64(count)/allowed)
+		ratio = max(ratio, float64(count)/allowed)
 	}
-	return over, share
+	return over, ratio
 }
 
 // TestAnyWindow plays worlds of hundreds of nodes in which the limit moves, messages are late and
@@ -224,9 +224,9 @@
 			var most float64
 			for seed := range uint64(12) {
 				synctest.Test(t, func(t *testing.T) {
-					w := play(seed, move)
-					over, share := w.worst()
-					most = max(most, share)
+					s := simulate(seed, move)
+					over, ratio := s.worst()
+					most = max(most, ratio)
 					qt.Check(t, over <= 0, qt.IsTrue, qt.Commentf("seed %d: %.1f more than allowed", seed, over))
 				})
 			}
@@ -236,38 +236,38 @@
 }
 
 // play plays a world for half a minute.
-func play(seed uint64, move func(random *rand.Rand) float64) *world {
-	w := &world{
+func simulate(seed uint64, move func(random *rand.Rand) float64) *simulation {
+	s := &simulation{
 		random: rand.New(rand.NewPCG(1, seed)),
 		gate:   new(throttle.Limiter),
 		nodes:  make([]node, 200),
 	}
-	drawn := rand.New(rand.NewPCG(2, seed))
+	choices := rand.New(rand.NewPCG(2, seed))
 	var all sync.WaitGroup
 	end := time.Now().Add(30 * time.Second)
-	w.name(move(drawn))
+	s.advertise(move(choices))
 	for next := time.Now(); time.Now().Before(end); {
-		time.Sleep(time.Duration(drawn.Int64N(int64(20 * time.Millisecond))))
-		sender := drawn.IntN(len(w.nodes))
-		all.Go(func() { w.request(sender) })
-		if drawn.IntN(4) == 0 {
-			w.question()
+		time.Sleep(time.Duration(choices.Int64N(int64(20 * time.Millisecond))))
+		sender := choices.IntN(len(s.nodes))
+		all.Go(func() { s.request(sender) })
+		if choices.IntN(4) == 0 {
+			s.healthCheck()
 		}
 		if time.Now().Before(next) {
 			continue
 		}
-		next = time.Now().Add(time.Duration(drawn.Int64N(int64(5 * time.Second))))
-		switch drawn.IntN(4) {
+		next = time.Now().Add(time.Duration(choices.Int64N(int64(5 * time.Second))))
+		switch choices.IntN(4) {
 		case 0:
-			w.restart()
+			s.restart()
 		case 1:
-			w.mu.Lock()
-			clear(w.nodes[:len(w.nodes)/2]) // half of the nodes start anew
-			w.mu.Unlock()
+			s.mu.Lock()
+			clear(s.nodes[:len(s.nodes)/2]) // half of the nodes start anew
+			s.mu.Unlock()
 		default:
-			w.name(move(drawn))
+			s.advertise(move(choices))
 		}
 	}
 	all.Wait()
-	return w
+	return s
 }
