--- a/throttle/counter.go
+++ b/throttle/counter.go
@@ -7,8 +7,8 @@
 import "time"
 
 const (
-	// part is the unit in which times of writing are kept. A request counts for up to a part
-	// longer than a window.
+	// bucketLength is the resolution of the times at which requests are written. A request
+	// counts for up to a bucketLength longer than a window.
 	bucketLength = 50 * time.Millisecond
 	bucketCount  = int(Window/bucketLength) + 1
 )
@@ -16,10 +16,10 @@
 // counter counts the requests written in the last window. The zero value has counted none.
 type counter struct {
 	pending     int // about to be written
-	total       int // in all parts
+	total       int // in all buckets
 	counts      [bucketCount]int
 	current     int
-	bucketStart time.Time // of the current part
+	bucketStart time.Time // when the current bucket began
 }
 
 // add counts a request that is written now.
@@ -29,7 +29,7 @@
 	c.total++
 }
 
-// count returns the number of requests that count now.
+// count returns the number of requests that count now, including those about to be written.
 func (c *counter) count(now time.Time) int {
 	c.advance(now)
 	return c.total + c.pending
@@ -41,26 +41,26 @@
 	c.total = 0
 }
 
-// room returns after how long so many more may be written, if a window may have so many at
-// most.
+// wait returns the time after which more further requests may be written, if at most limit may
+// be written in a window.
 func (c *counter) wait(more, limit int, now time.Time) time.Duration {
 	over := c.count(now) + more - limit
 	if over <= 0 {
 		return 0
 	}
-	remaining := bucketLength - now.Sub(c.bucketStart) // of the current part
+	remaining := bucketLength - now.Sub(c.bucketStart) // until the current bucket ends
 	for i := 1; i <= bucketCount; i++ {
 		over -= c.counts[(c.current+i)%bucketCount] // the oldest first
 		if over <= 0 {
 			return remaining + time.Duration(i-1)*bucketLength
 		}
 	}
-	// What is open, or comes before, has yet to be written.
+	// The rest has yet to be written.
 	rest := time.Duration(float64(over) / float64(max(1, limit)) * float64(Window))
 	return remaining + Window + rest
 }
 
-// advance forgets the parts that are out of the window.
+// advance clears the buckets that have left the window.
 func (c *counter) advance(now time.Time) {
 	passed := int(now.Sub(c.bucketStart) / bucketLength)
 	if passed <= 0 {
--- a/throttle/limit.go
+++ b/throttle/limiter.go
@@ -11,51 +11,52 @@
 )
 
 const (
-	// Window is the time over which an upstream counts.
+	// Window is the time over which an upstream counts requests.
 	Window = 4 * time.Second
-	// leastRate is the least rate, in requests a second: a limit is known to be over by an
-	// answer alone, so that an upstream that takes none still gets one in each window.
+	// minRate is the lowest rate of admission, in requests per second. Only a response shows that
+	// a limit has ended, so that an upstream that accepts no requests still gets one in each
+	// window.
 	minRate = 0.25
-	// late is how late requests may be that could have gone before, without loss of their
-	// turns: timers and processes are held up for some hundredths of a second.
+	// maxLateness is how late a request may start without losing its turn: timers and processes
+	// are delayed by some hundredths of a second.
 	maxLateness = 50 * time.Millisecond
 )
 
-// An upstream bears half as many requests again as it names, and five more, in any window.
-// The requests written in a window are a tenth more than it names, and three, at most; the
-// questions of the health check are three tenths and one. What is left is for the way between
-// the gate and the upstream.
+// In any window, an upstream tolerates 1.5 times as many requests as it advertises, and five more.
+// At most 1.1 times as many as it advertises, and three more, are written in a window, and at most
+// 0.3 times as many health checks, and one more, are sent. The rest allows for delays between the
+// gate and the upstream.
 const (
 	writtenFactor     = 1.1
 	writtenSlack      = 3
 	healthCheckFactor = 0.3
 )
 
-// Limit bounds the requests to one upstream while it names a limit. The zero value bounds
-// nothing. Its methods may be called from any goroutine.
+// Limiter limits the requests to one upstream while the upstream advertises a limit. The zero
+// value limits nothing. Its methods may be called from any goroutine.
 type Limiter struct {
 	mu      sync.Mutex
 	limited bool
-	// own is whether the upstream itself has been heard, and not only other nodes.
+	// fromUpstream is whether the upstream itself has responded, and not only other nodes.
 	fromUpstream bool
-	rate         float64   // as named, in requests a second
-	since        time.Time // when the rate was named first
-	// heard is when the rate was named last, be it within a lower one.
+	rate         float64   // as advertised, in requests per second
+	since        time.Time // when the rate was first observed
+	// observed is when a limit was last observed, unless it was ignored.
 	observed time.Time
-	ended    time.Time // when the last limit was over, zero if there was none
+	ended    time.Time // when the last limit ended, zero if none has
 	written  counter
 
-	tokens          float64 // of admission
+	tokens          float64 // for admission
 	filled          time.Time
-	lastHealthCheck time.Time // the last question of the health check
-	nextRetry       time.Time // up to when refused requests were told to come back
+	lastHealthCheck time.Time // when the last health check was sent
+	nextRetry       time.Time // when the next refused request may be retried
 	refused         uint64
 }
 
-// Name takes in that an answer of the upstream names a limit. Asked is when the request was
-// about to be written that it answers. A higher limit than the one that holds counts if the
-// request was written after that had been named last; of the answers to simultaneous requests
-// the lowest counts.
+// ObserveLimit records that a response of the upstream advertises a limit, where sent is when the
+// request that it belongs to was about to be written. A limit higher than the present one is
+// ignored unless the request was written after the present one was last observed: of the responses
+// to concurrent requests, the lowest limit counts.
 func (l *Limiter) ObserveLimit(rate float64, sent time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -63,8 +64,8 @@
 	l.observe(rate, sent, time.Now())
 }
 
-// Adopt takes in that another node has heard of a limit. It counts until the upstream itself
-// has been heard, as after a start of this process.
+// AdoptLimit records a limit that another node has observed. It applies until the upstream itself
+// has responded, as after a start of this process.
 func (l *Limiter) AdoptLimit(rate float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -90,8 +91,8 @@
 	l.tokens = min(l.tokens, l.depth())
 }
 
-// begin has a limit count from now on. What the upstream was sent before it named one does not
-// count, but for a limit that was over for less than a window.
+// start applies a limit from now on. What was written before does not count, unless the previous
+// limit ended less than a window ago.
 func (l *Limiter) start(now time.Time) {
 	if l.ended.IsZero() || now.Sub(l.ended) >= Window {
 		l.written.clear()
@@ -102,7 +103,7 @@
 	l.nextRetry = now
 }
 
-// End takes in that an answer names no limit, as Name does.
+// ObserveNoLimit records that a response advertises no limit, where sent is as in ObserveLimit.
 func (l *Limiter) ObserveNoLimit(sent time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -117,7 +118,7 @@
 	l.ended = now
 }
 
-// Restart says that the upstream has started anew. It has named no limit yet.
+// Reset records that the upstream has restarted. It has not advertised a limit yet.
 func (l *Limiter) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -126,13 +127,13 @@
 	l.written.clear()
 }
 
-// pace returns the rate at which requests are admitted, in 1/s. The lock is held.
+// pace returns the rate at which requests are admitted, in requests per second. The lock is held.
 func (l *Limiter) pace() float64 { return max(l.rate, minRate) }
 
-// depth returns the most tokens that are saved up. The lock is held.
+// depth returns the depth of the token bucket. The lock is held.
 func (l *Limiter) depth() float64 { return 1 + maxLateness.Seconds()*l.pace() }
 
-// most returns how many requests may be written in a window. The lock is held.
+// maxWritten returns how many requests may be written in a window. The lock is held.
 func (l *Limiter) maxWritten() int {
 	return int(writtenFactor*l.pace()*Window.Seconds()) + writtenSlack
 }
@@ -145,7 +146,8 @@
 	l.filled = now
 }
 
-// Wait returns after how long a request may be admitted if the given number goes before it.
+// Wait returns the time after which a request may be admitted if the given number is admitted
+// before it.
 func (l *Limiter) Wait(ahead int) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -162,7 +164,7 @@
 	return max(paced, l.written.wait(ahead+1, l.maxWritten(), now))
 }
 
-// Admit takes the token of a request that is admitted, after a Wait of 0.
+// Admit takes the token of a request that is admitted after Wait has returned 0.
 func (l *Limiter) Admit() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -172,8 +174,9 @@
 	}
 }
 
-// Take counts a request that is about to be written if it may be, and otherwise returns after
-// how long one may. After 0 the caller owes a Done or an Undo.
+// TryAcquire counts a request that is about to be written and returns 0 if it may be written now,
+// and otherwise returns the time after which one may be. After 0, the caller must call MarkWritten
+// or Cancel.
 func (l *Limiter) TryAcquire() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -186,8 +189,8 @@
 	return 0
 }
 
-// Done records that a request has been written, be it in part. Until then it counts at each
-// moment.
+// MarkWritten records that a request has been written, even if only in part. Until then it counts
+// in every window.
 func (l *Limiter) MarkWritten() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -195,15 +198,15 @@
 	l.written.add(time.Now())
 }
 
-// Undo records that a request is not written after all.
+// Cancel records that a request is not written after all.
 func (l *Limiter) Cancel() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.written.pending--
 }
 
-// Ask returns 0 if the health check may be asked now, which counts, and otherwise after how
-// long it may.
+// TryHealthCheck counts a health check and returns 0 if one may be sent now, and otherwise returns
+// the time after which one may be.
 func (l *Limiter) TryHealthCheck() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -219,9 +222,10 @@
 	return 0
 }
 
-// Refuse returns when a request that could be admitted after the given time had better come
-// back: after those that were refused before it, each with the time of a request to itself. The
-// limit is not known to hold for longer than a window, over which later ones are spread.
+// RetryAfter counts a refused request and returns the time after which it should be retried, given
+// the time after which it could be admitted. Refused requests are spread at the rate of the limit.
+// As the limit may not last for longer than a window, those that would be retried later than that
+// are spread over a window at random.
 func (l *Limiter) RetryAfter(after time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -241,28 +245,28 @@
 	return at.Sub(now)
 }
 
-// Rate returns the limit, in requests a second, and whether one is named.
-func (l *Limiter) Rate() (rate float64, named bool) {
+// Rate returns the limit in requests per second, and whether there is one.
+func (l *Limiter) Rate() (rate float64, limited bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.rate, l.limited
 }
 
-// State is how a Limit stands at one instant.
+// State is the state of a Limiter at one instant.
 type State struct {
-	// Named is whether a limit holds, and Rate the requests a second.
+	// Limited is whether a limit applies, and Rate the limit in requests per second.
 	Limited bool
 	Rate    float64
-	// Since is when the upstream named it, or named none any more. It is zero if it never named
-	// one.
+	// Since is when the upstream began to advertise the limit, or to advertise none. It is zero
+	// if it has never advertised one.
 	Since time.Time
-	// Adopted is whether only other nodes have told of it so far.
+	// Adopted is whether the limit is known only from other nodes.
 	Adopted bool
-	// Written is how many requests have been written in the last window, and Used which part
-	// that is of what the limit allows.
+	// Written is the number of requests written in the last window, and Used the fraction that
+	// this is of what the limit allows.
 	Written int
 	Used    float64
-	// Refused is how many requests have been refused for a limit so far.
+	// Refused is the number of requests refused because of a limit so far.
 	Refused uint64
 }
 
--- a/throttle/limit_test.go
+++ b/throttle/limiter_test.go
@@ -14,8 +14,8 @@
 	"sassafrasfront.example/throttle"
 )
 
-// write has as many requests of the given number be admitted and written at once as may be, and
-// returns how many these are.
+// write admits and writes at once as many of the given number of requests as it may, and returns
+// how many these are.
 func write(l *throttle.Limiter, count int) (written int) {
 	for range count {
 		if l.Wait(0) > 0 || l.TryAcquire() > 0 {
@@ -28,7 +28,7 @@
 	return written
 }
 
-// TestNamed has words of a limit come in many ways, and tells what holds after them.
+// TestObserveLimit observes limits in different orders, and checks which one applies then.
 func TestObserveLimit(t *testing.T) {
 	tests := map[string]struct {
 		play    func(l *throttle.Limiter)
@@ -36,27 +36,27 @@
 		rate    float64
 	}{
 		"nothing": {play: func(*throttle.Limiter) {}},
-		"named":   {play: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()) }, limited: true, rate: 5},
+		"a limit": {play: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()) }, limited: true, rate: 5},
 		"lower":   {play: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()); l.ObserveLimit(0.5, time.Now()) }, limited: true, rate: 0.5},
 		"higher":  {play: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()); l.ObserveLimit(9, time.Now()) }, limited: true, rate: 9},
 		"zero":    {play: func(l *throttle.Limiter) { l.ObserveLimit(0, time.Now()) }, limited: true},
 		"over":    {play: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()); l.ObserveNoLimit(time.Now()) }},
-		"again": {play: func(l *throttle.Limiter) {
+		"another after its end": {play: func(l *throttle.Limiter) {
 			l.ObserveLimit(5, time.Now())
 			l.ObserveNoLimit(time.Now())
 			l.ObserveLimit(6, time.Now())
 		}, limited: true, rate: 6},
-		"a late end":           {play: func(l *throttle.Limiter) { sent := timeBeforeLimit(l); l.ObserveNoLimit(sent) }, limited: true, rate: 5},
-		"a late higher one":    {play: func(l *throttle.Limiter) { sent := timeBeforeLimit(l); l.ObserveLimit(9, sent) }, limited: true, rate: 5},
-		"a late lower one":     {play: func(l *throttle.Limiter) { sent := timeBeforeLimit(l); l.ObserveLimit(3, sent) }, limited: true, rate: 3},
-		"a new start":          {play: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()); l.Reset() }},
-		"from others":          {play: func(l *throttle.Limiter) { l.AdoptLimit(5) }, limited: true, rate: 5},
-		"from others, lowest":  {play: func(l *throttle.Limiter) { l.AdoptLimit(5); l.AdoptLimit(3); l.AdoptLimit(7) }, limited: true, rate: 3},
-		"others know less":     {play: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()); l.AdoptLimit(2) }, limited: true, rate: 5},
-		"others' is over":      {play: func(l *throttle.Limiter) { l.AdoptLimit(5); l.ObserveNoLimit(time.Now()) }},
-		"over, others go on":   {play: func(l *throttle.Limiter) { l.AdoptLimit(5); l.ObserveNoLimit(time.Now()); l.AdoptLimit(5) }},
-		"others, a new start":  {play: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()); l.Reset(); l.AdoptLimit(4) }, limited: true, rate: 4},
-		"rises under requests": {play: risesUnderRequests, limited: true, rate: 9},
+		"a delayed end":                           {play: func(l *throttle.Limiter) { sent := timeBeforeLimit(l); l.ObserveNoLimit(sent) }, limited: true, rate: 5},
+		"a delayed higher one":                    {play: func(l *throttle.Limiter) { sent := timeBeforeLimit(l); l.ObserveLimit(9, sent) }, limited: true, rate: 5},
+		"a delayed lower one":                     {play: func(l *throttle.Limiter) { sent := timeBeforeLimit(l); l.ObserveLimit(3, sent) }, limited: true, rate: 3},
+		"a restart":                               {play: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()); l.Reset() }},
+		"from others":                             {play: func(l *throttle.Limiter) { l.AdoptLimit(5) }, limited: true, rate: 5},
+		"from others, lowest":                     {play: func(l *throttle.Limiter) { l.AdoptLimit(5); l.AdoptLimit(3); l.AdoptLimit(7) }, limited: true, rate: 3},
+		"from the upstream, then from others":     {play: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()); l.AdoptLimit(2) }, limited: true, rate: 5},
+		"from others, ended by the upstream":      {play: func(l *throttle.Limiter) { l.AdoptLimit(5); l.ObserveNoLimit(time.Now()) }},
+		"ended by the upstream, then from others": {play: func(l *throttle.Limiter) { l.AdoptLimit(5); l.ObserveNoLimit(time.Now()); l.AdoptLimit(5) }},
+		"a restart, then from others":             {play: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()); l.Reset(); l.AdoptLimit(4) }, limited: true, rate: 4},
+		"rises under requests":                    {play: risesUnderRequests, limited: true, rate: 9},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -74,7 +74,7 @@
 	}
 }
 
-// before returns a time before a limit is named.
+// timeBeforeLimit observes a limit, and returns a time before it.
 func timeBeforeLimit(l *throttle.Limiter) time.Time {
 	sent := time.Now()
 	time.Sleep(time.Millisecond)
@@ -83,8 +83,8 @@
 	return sent
 }
 
-// risesUnderRequests has answers that name a higher limit come one after another, each to a request
-// that was written while others were under way.
+// risesUnderRequests observes a higher limit in one response after another, each to a request that was
+// written while others were in flight.
 func risesUnderRequests(l *throttle.Limiter) {
 	l.ObserveLimit(5, time.Now())
 	for range 10 {
@@ -94,20 +94,20 @@
 	}
 }
 
-// TestPace writes as many requests as may be for ten seconds.
+// TestPace writes as many requests as it may for ten seconds.
 func TestPace(t *testing.T) {
 	tests := map[string]struct {
 		rate        float64
-		every       time.Duration // between two tries
+		every       time.Duration // between two attempts
 		least, most int
 	}{
 		"steady":            {rate: 9, every: time.Millisecond, least: 88, most: 91},
-		"held up at times":  {rate: 9, every: 45 * time.Millisecond, least: 86, most: 91},
+		"delayed at times":  {rate: 9, every: 45 * time.Millisecond, least: 86, most: 91},
 		"below one":         {rate: 0.5, every: time.Millisecond, least: 4, most: 6},
 		"zero":              {rate: 0, every: time.Millisecond, least: 2, most: 3},
 		"a huge number":     {rate: 1e6, every: time.Millisecond, least: 100000, most: 1e7},
 		"many":              {rate: 400, every: 10 * time.Millisecond, least: 3900, most: 4030},
-		"seldom tried":      {rate: 9, every: time.Second, least: 9, most: 20},
+		"rarely tried":      {rate: 9, every: time.Second, least: 9, most: 20},
 		"once in two slots": {rate: 1, every: 2 * time.Second, least: 4, most: 6},
 	}
 	for name, test := range tests {
@@ -125,8 +125,8 @@
 	}
 }
 
-// TestFalls has a limit fall in the midst of a rush: what was written before counts, until it is a
-// window old.
+// TestLimitFalls has a limit fall during a surge. What was written before counts until it is a window
+// old.
 func TestLimitFalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := new(throttle.Limiter)
@@ -145,8 +145,8 @@
 	})
 }
 
-// TestShortEnd has a limit be over for a moment, in which much is written: it counts once the
-// limit is back, and does not after a window.
+// TestLimitEndsBriefly has a limit end for some time, in which many requests are written. They count
+// if the limit is back within a window, and do not otherwise.
 func TestLimitEndsBriefly(t *testing.T) {
 	for name, test := range map[string]struct {
 		ended time.Duration
@@ -163,24 +163,24 @@
 				time.Sleep(test.ended)
 				write(l, 200)
 				l.ObserveLimit(5, time.Now())
-				time.Sleep(300 * time.Millisecond) // a token has come
+				time.Sleep(300 * time.Millisecond) // for a token
 				qt.Check(t, l.Wait(0) > 0, qt.Equals, test.waits)
 			})
 		})
 	}
 }
 
-// TestQuestions asks the health check as often as may be.
+// TestHealthChecks sends health checks as often as it may.
 func TestHealthChecks(t *testing.T) {
 	for name, test := range map[string]struct {
 		rate float64
 		most int
 	}{
-		"none named": {rate: -1, most: 4000},
-		"many":       {rate: 100, most: 121},
-		"few":        {rate: 5, most: 7},
-		"below one":  {rate: 0.5, most: 1},
-		"zero":       {rate: 0, most: 1},
+		"no limit":  {rate: -1, most: 4000},
+		"many":      {rate: 100, most: 121},
+		"few":       {rate: 5, most: 7},
+		"below one": {rate: 0.5, most: 1},
+		"zero":      {rate: 0, most: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -201,8 +201,8 @@
 	}
 }
 
-// TestRefuse has many requests be refused at once: each is told a time of its own to come back,
-// within the limit.
+// TestRetryAfter has many requests refused at once. Each is told a time of its own to retry at, within
+// the limit.
 func TestRetryAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := new(throttle.Limiter)
@@ -226,7 +226,7 @@
 	})
 }
 
-// TestUndo has requests that are let through not be written after all.
+// TestCancel cancels requests that were let through.
 func TestCancel(t *testing.T) {
 	l := new(throttle.Limiter)
 	l.ObserveLimit(1, time.Now())
@@ -237,10 +237,10 @@
 	qt.Check(t, l.State().Written, qt.Equals, 0)
 }
 
-// BenchmarkTake lets requests through to an upstream that names no limit, as nearly all are, and to
-// one whose limit does not bind.
+// BenchmarkTryAcquire lets requests through to an upstream that advertises no limit, as nearly all do,
+// and to one whose limit is not reached.
 func BenchmarkTryAcquire(b *testing.B) {
-	for name, rate := range map[string]float64{"none": -1, "named": 1e6} {
+	for name, rate := range map[string]float64{"none": -1, "a limit": 1e6} {
 		b.Run(name, func(b *testing.B) {
 			l := new(throttle.Limiter)
 			if rate >= 0 {
--- a/throttle/load_test.go
+++ b/throttle/load_test.go
@@ -31,12 +31,12 @@
 	length      = 20 * time.Second
 	urgent      = "order"
 	ordinary    = "view"
-	// mostNeedless is the most requests, as a share, that may be refused though a gate had room all
-	// the while. A sender knows a gate by its last report, and asks four of the six at most.
+	// maxNeedless is the largest fraction of the requests that may be refused although a gate had
+	// room all the time. A sender knows a gate by its last report, and tries at most four of the six.
 	maxNeedless = 0.01
 )
 
-// classes are the kinds of requests, as shares of all of them.
+// classes are the classes of requests, with their fractions of all requests.
 var classes = map[string]struct {
 	class     admit.Class
 	share     float64
@@ -47,8 +47,8 @@
 	ordinary: {class: admit.Class{Name: ordinary, Weight: 1, MaxShare: 1, Priority: 1, Objective: 500 * time.Millisecond}, share: 0.7, objective: 500 * time.Millisecond, deadline: 1200 * time.Millisecond},
 }
 
-// service is one whose upstreams name limits: six gates, and nine nodes that choose among them by
-// reports on answers.
+// service is a service whose upstreams advertise limits: six gates, and nine nodes that choose among
+// them by the load reports on responses.
 type service struct {
 	gates []*admit.Gate
 	pools []*route.Pool[int]
@@ -61,7 +61,7 @@
 	sent        map[string]int
 	served      map[string]int
 	refusals    int // refusals by a gate
-	needless    int // requests refused while a gate had room from their first try to their last
+	needless    int // requests refused while a gate had room from their first attempt to their last
 	retryAfters []time.Duration
 }
 
@@ -96,7 +96,7 @@
 	return s.random.IntN(n)
 }
 
-// report tells a sender the load of a gate.
+// report reports the load of a gate to a sender.
 func (s *service) report(from, gate int) {
 	r := s.gates[gate].Report()
 	s.pools[from].Observe(gate, route.Load{
@@ -112,8 +112,8 @@
 	})
 }
 
-// attempt sends a request to gates in turn until one runs it, and returns after how long the
-// caller may come back otherwise.
+// send sends a request to one gate after another until one runs it. If none does, it returns the time
+// after which the caller may retry.
 func (s *service) send(from int, class string, until time.Time) (ran bool, wait time.Duration) {
 	freeBefore := s.free()
 	var tried []int
@@ -130,10 +130,10 @@
 		i := assignment.Key()
 		tried = append(tried, i)
 		time.Sleep(time.Millisecond)
-		k := s.gates[i].Enter(class, until)
-		err := k.Wait(context.Background())
+		ticket := s.gates[i].Enter(class, until)
+		err := ticket.Wait(context.Background())
 		if err == nil && s.gates[i].AdvertisedLimiter.TryAcquire() > 0 {
-			k.Release(false)
+			ticket.Release(false)
 			err = verdict.New(verdict.Refused, nil)
 		}
 		if err != nil {
@@ -148,7 +148,7 @@
 			continue
 		}
 		s.run(i)
-		k.Release(true)
+		ticket.Release(true)
 		assignment.Done(route.Succeeded)
 		s.report(from, i)
 		return true, 0
@@ -174,7 +174,7 @@
 	return list
 }
 
-// run has the upstream of a gate run a request, and name its limit in the answer.
+// run has the upstream of a gate run a request and advertise its limit in the response.
 func (s *service) run(gate int) {
 	sent := time.Now()
 	s.mu.Lock()
@@ -193,12 +193,12 @@
 	if g.AdvertisedLimiter.State().Rate == rateBefore {
 		return
 	}
-	for from := range senders { // all are told of a change at once
+	for from := range senders { // all learn of a change at once
 		s.report(from, gate)
 	}
 }
 
-// request is a request of a caller, who comes back once.
+// request sends a request of a caller, who retries once.
 func (s *service) request() {
 	class := ordinary
 	if s.draw(100) < int(100*classes[urgent].share) {
@@ -222,7 +222,7 @@
 	}
 }
 
-// play sends so many requests a second as rate says at each time.
+// sendAll sends requests at the given rate per second, which depends on the time.
 func (s *service) sendAll(rate func(at time.Duration) float64) {
 	var all sync.WaitGroup
 	random := rand.New(rand.NewPCG(4, s.random.Uint64()))
@@ -233,7 +233,7 @@
 	all.Wait()
 }
 
-// share returns the part of the requests of some classes that were served.
+// share returns the fraction of the requests of some classes that were served.
 func (s *service) share(names ...string) float64 {
 	var sent, served int
 	for _, name := range names {
@@ -243,8 +243,8 @@
 	return float64(served) / float64(sent)
 }
 
-// used returns how many requests all upstreams got over the last ten seconds, as a part of the
-// sum of the limits.
+// used returns the number of requests that all upstreams got in the last ten seconds, as a fraction
+// of the sum of the limits.
 func (s *service) used() float64 {
 	const span = 10 * time.Second
 	var got, allowed float64
@@ -259,8 +259,8 @@
 	return got / allowed
 }
 
-// worst returns the largest share of what an upstream bears that one got in a window that begins
-// once its limit had been heard.
+// worst returns the largest ratio of the requests that an upstream got in a window to what it
+// tolerates, over the windows that begin at the given time or later.
 func (s *service) worst(from time.Duration) (ratio float64) {
 	for i, list := range s.written {
 		for j, last := range list {
@@ -274,32 +274,32 @@
 					count++
 				}
 			}
-			lowest := -1.0
+			highest := -1.0
 			for at := begin; !at.After(last); at = at.Add(100 * time.Millisecond) {
 				l := s.limit(i, at.Sub(s.began))
 				if l < 0 {
-					lowest = -1
+					highest = -1
 					break
 				}
-				lowest = max(lowest, l)
+				highest = max(highest, l)
 			}
-			if lowest >= 0 {
-				ratio = max(ratio, float64(count)/(overage*lowest*throttle.Window.Seconds()+slack))
+			if highest >= 0 {
+				ratio = max(ratio, float64(count)/(overage*highest*throttle.Window.Seconds()+slack))
 			}
 		}
 	}
 	return ratio
 }
 
-// TestLoads plays services whose upstreams name limits under load.
+// TestLimitsUnderLoad simulates services under load whose upstreams advertise limits.
 func TestLimitsUnderLoad(t *testing.T) {
 	tests := map[string]struct {
 		limit           func(gate int, at time.Duration) float64
 		rate            func(at time.Duration) float64
-		served          float64 // least share of the requests
-		used            float64 // least share of the sum of the limits, over the last ten seconds
-		ordered         bool    // whether the urgent class is to be served by a half more often than the other
-		limitedFraction float64 // least share of its limit that the first upstream gets
+		served          float64 // least fraction of the requests
+		used            float64 // least fraction of the sum of the limits, over the last ten seconds
+		ordered         bool    // whether the urgent class has to be served 1.5 times as often as the other
+		limitedFraction float64 // least fraction of its limit that the first upstream gets
 	}{
 		"one among many": {
 			limit: func(gate int, _ time.Duration) float64 {
@@ -319,7 +319,7 @@
 			used:    0.95,
 			ordered: true,
 		},
-		"all, at half of what they take": {
+		"all, at half of the limits": {
 			limit:  func(int, time.Duration) float64 { return 15 },
 			rate:   func(time.Duration) float64 { return 45 },
 			served: 0.99,
@@ -337,10 +337,10 @@
 				}
 				return 60
 			},
-			used:    0.8, // of the ten seconds, two go by until what came before the fall no longer counts
+			used:    0.8, // in two of the ten seconds, requests from before the fall still count
 			ordered: true,
 		},
-		"half flap": {
+		"half of them flap": {
 			limit: func(gate int, at time.Duration) float64 {
 				if gate%2 == 0 && int(at/(2*time.Second))%2 == 0 {
 					return 8
@@ -350,7 +350,7 @@
 			rate:   func(time.Duration) float64 { return 150 },
 			served: 0.99,
 		},
-		"a herd comes back": {
+		"retries after a low limit": {
 			limit: func(_ int, at time.Duration) float64 {
 				if at > 4*time.Second && at < 8*time.Second {
 					return 1
@@ -372,7 +372,7 @@
 				refusals := float64(s.refusals) / sent
 				needless := float64(s.needless) / sent
 				worst := s.worst(time.Second)
-				t.Logf("served %.3f (urgent %.3f, ordinary %.3f), %.3f of the limits used in ten seconds, worst window %.2f, bounced %.2f and needlessly refused %.4f a request", all, s.share(urgent), s.share(ordinary), s.used(), worst, refusals, needless)
+				t.Logf("served %.3f (urgent %.3f, ordinary %.3f), %.3f of the limits used in ten seconds, worst window %.2f, %.2f refusals by gates and %.4f needless refusals per request", all, s.share(urgent), s.share(ordinary), s.used(), worst, refusals, needless)
 				qt.Check(t, all >= test.served, qt.IsTrue)
 				qt.Check(t, s.used() >= test.used, qt.IsTrue)
 				qt.Check(t, worst <= 1, qt.IsTrue)
--- a/throttle/world_test.go
+++ b/throttle/simulation_test.go
@@ -19,49 +19,50 @@
 )
 
 const (
-	// overage and slack are what may come beyond a limit in any window, as a factor and a count.
+	// overage and slack bound the requests beyond a limit in any window, as a factor and a count.
 	overage = 1.5
 	slack   = 5
-	// known is how long after a node has passed on an answer with a limit its requests count.
+	// graceTime is the time after which the requests of a node count, once it has received a
+	// response with a limit.
 	graceTime = 500 * time.Millisecond
 )
 
-// world is a limited upstream with the gate beside it and the nodes that send requests there,
-// played without network.
+// simulation is an upstream with a limit, the gate beside it and the nodes that send requests
+// there, without a network.
 type simulation struct {
 	random *rand.Rand
 
 	mu         sync.Mutex
-	advertised *float64 // that the upstream names now, or nil
+	advertised *float64 // that the upstream advertises now, or nil
 	firstLimit time.Time
 	changes    []change // of the limit
 	gate       *throttle.Limiter
 	starts     int       // of the gate's process
-	passedOn   time.Time // when it passed on a limit first
+	passedOn   time.Time // when it first passed on a limit
 	nodes      []node
 	arrivals   []arrival
 }
 
-// change is a limit from a moment on. No limit is +Inf.
+// change is a limit that applies from a time on. No limit is +Inf.
 type change struct {
 	at    time.Time
 	limit float64
 }
 
-// node is what a sender of requests has been told.
+// node is what a sender of requests knows about the limit.
 type node struct {
-	toldAt  time.Time // first, zero if nothing
-	limited bool      // whether a limit holds, as far as it knows
+	toldAt  time.Time // when it first received a limit, zero if it has not
+	limited bool      // whether it takes a limit to apply
 	limit   float64
 }
 
-// arrival is a request or question that has come to the upstream.
+// arrival is a request or a health check that has reached the upstream.
 type arrival struct {
 	at     time.Time
-	toldAt time.Time // since when its node knew of a limit, zero if it did not
+	toldAt time.Time // since when its node has known a limit, zero if it has not
 }
 
-// name has the upstream name a limit, or none if it is negative.
+// advertise has the upstream advertise a limit, or none if it is negative.
 func (s *simulation) advertise(limit float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,7 +76,7 @@
 	s.changes = append(s.changes, c)
 }
 
-// restart has another process take the gate's place.
+// restart replaces the gate's process by a new one.
 func (s *simulation) restart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,15 +85,15 @@
 	s.passedOn = time.Time{}
 }
 
-// draw returns a time up to the given one.
+// draw returns a random time below the given one.
 func (s *simulation) draw(most time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return time.Duration(s.random.Int64N(int64(most)))
 }
 
-// request sends a request from a node to the upstream: the way to the gate, a hold-up between
-// admission and writing, the run and the way back are drawn.
+// request sends a request from a node to the upstream. The delay to the gate, the time between
+// admission and writing, the run and the delay back are random.
 func (s *simulation) request(i int) {
 	s.mu.Lock()
 	sender := s.nodes[i]
@@ -117,7 +118,7 @@
 	}
 	time.Sleep(s.draw(20 * time.Millisecond))
 	s.mu.Lock()
-	if s.starts != starts { // it was ended before it wrote
+	if s.starts != starts { // the process ended before it wrote
 		s.mu.Unlock()
 		return
 	}
@@ -132,7 +133,7 @@
 	if ended {
 		return
 	}
-	time.Sleep(s.draw(2 * time.Millisecond)) // answers overtake each other
+	time.Sleep(s.draw(2 * time.Millisecond)) // responses overtake each other
 	if advertised != nil {
 		gate.ObserveLimit(*advertised, sent)
 	} else {
@@ -144,7 +145,7 @@
 	defer s.mu.Unlock()
 	n := &s.nodes[i]
 	switch {
-	case s.starts != starts: // the answer is lost with the connection
+	case s.starts != starts: // the response is lost with the connection
 	case state.Limited:
 		n.limited, n.limit = true, state.Rate
 		if n.toldAt.IsZero() {
@@ -158,7 +159,7 @@
 	}
 }
 
-// question asks the health check, whose answers name no limit.
+// healthCheck sends a health check, whose responses advertise no limit.
 func (s *simulation) healthCheck() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -186,7 +187,7 @@
 }
 
 // worst returns the largest number of requests in a window beyond what is allowed there, and the
-// largest share of that.
+// largest ratio of the two.
 func (s *simulation) worst() (over float64, ratio float64) {
 	over = math.Inf(-1)
 	slices.SortFunc(s.arrivals, func(a, b arrival) int { return a.at.Compare(b.at) })
@@ -207,24 +208,24 @@
 	return over, ratio
 }
 
-// TestAnyWindow plays worlds of hundreds of nodes in which the limit moves, messages are late and
-// the process of the gate and those of nodes start anew: in no window does the upstream get more
-// than it bears from nodes that have been told.
+// TestAnyWindow simulates hundreds of nodes while the limit changes, messages are late, and the
+// processes of the gate and of nodes restart. In no window does the upstream get more requests than
+// it tolerates from nodes that know the limit.
 func TestAnyWindow(t *testing.T) {
-	moves := map[string]func(random *rand.Rand) float64{
-		"any":         func(random *rand.Rand) float64 { return random.Float64() * 40 },
-		"small":       func(random *rand.Rand) float64 { return random.Float64() * 2 },
-		"to a tenth":  func(random *rand.Rand) float64 { return []float64{50, 5}[random.IntN(2)] },
-		"over, again": func(random *rand.Rand) float64 { return []float64{-1, 8}[random.IntN(2)] },
-		"zero":        func(random *rand.Rand) float64 { return []float64{0, 0, 10, -1}[random.IntN(4)] },
-		"steady":      func(*rand.Rand) float64 { return 9 },
+	limits := map[string]func(random *rand.Rand) float64{
+		"any":              func(random *rand.Rand) float64 { return random.Float64() * 40 },
+		"small":            func(random *rand.Rand) float64 { return random.Float64() * 2 },
+		"to a tenth":       func(random *rand.Rand) float64 { return []float64{50, 5}[random.IntN(2)] },
+		"ends and returns": func(random *rand.Rand) float64 { return []float64{-1, 8}[random.IntN(2)] },
+		"zero":             func(random *rand.Rand) float64 { return []float64{0, 0, 10, -1}[random.IntN(4)] },
+		"steady":           func(*rand.Rand) float64 { return 9 },
 	}
-	for name, move := range moves {
+	for name, drawLimit := range limits {
 		t.Run(name, func(t *testing.T) {
 			var most float64
 			for seed := range uint64(12) {
 				synctest.Test(t, func(t *testing.T) {
-					s := simulate(seed, move)
+					s := simulate(seed, drawLimit)
 					over, ratio := s.worst()
 					most = max(most, ratio)
 					qt.Check(t, over <= 0, qt.IsTrue, qt.Commentf("seed %d: %.1f more than allowed", seed, over))
@@ -235,8 +236,8 @@
 	}
 }
 
-// play plays a world for half a minute.
-func simulate(seed uint64, move func(random *rand.Rand) float64) *simulation {
+// simulate runs a simulation for half a minute.
+func simulate(seed uint64, drawLimit func(random *rand.Rand) float64) *simulation {
 	s := &simulation{
 		random: rand.New(rand.NewPCG(1, seed)),
 		gate:   new(throttle.Limiter),
@@ -245,7 +246,7 @@
 	choices := rand.New(rand.NewPCG(2, seed))
 	var all sync.WaitGroup
 	end := time.Now().Add(30 * time.Second)
-	s.advertise(move(choices))
+	s.advertise(drawLimit(choices))
 	for next := time.Now(); time.Now().Before(end); {
 		time.Sleep(time.Duration(choices.Int64N(int64(20 * time.Millisecond))))
 		sender := choices.IntN(len(s.nodes))
@@ -262,10 +263,10 @@
 			s.restart()
 		case 1:
 			s.mu.Lock()
-			clear(s.nodes[:len(s.nodes)/2]) // half of the nodes start anew
+			clear(s.nodes[:len(s.nodes)/2]) // half of the nodes restart
 			s.mu.Unlock()
 		default:
-			s.advertise(move(choices))
+			s.advertise(drawLimit(choices))
 		}
 	}
 	all.Wait()
