--- a/ratelimit/exchange.go
+++ b/ratelimit/exchange.go
@@ -23,7 +23,7 @@
 	// processor is dealt out every 100 ms answers within that.
 	exchangeTimeout = 250 * time.Millisecond
 	// clientsIdle is how long a connection to a home is kept that isn't used.
-	clientsIdle = 30 * time.Second
+	clientIdleTimeout = 30 * time.Second
 	// maxClients bounds the connections to homes.
 	maxClients = 8
 )
@@ -53,9 +53,9 @@
 // pause waits until there may be another question, and returns when one is due in any case.
 func (l *Limiter) pause(ctx context.Context) time.Duration {
 	l.mu.Lock()
-	gap := askGap
-	if l.unsure {
-		gap = unknownGap
+	gap := exchangeGap
+	if l.undecided {
+		gap = undecidedGap
 	}
 	l.mu.Unlock()
 	t := time.NewTimer(gap)
@@ -75,114 +75,114 @@
 // step makes one exchange with a home.
 func (l *Limiter) step(ctx context.Context) {
 	members := l.Members()
-	homes := l.chooseFrom()
+	candidates := l.chooseCandidates()
 	l.mu.Lock()
 	now := l.now()
-	l.census.Observe(members, now)
-	l.limiter.SetNodes(l.census.Nodes(now))
-	ids := make([]string, 0, len(homes)+1)
-	for _, h := range homes {
-		ids = append(ids, h.ID)
+	l.nodeEstimate.Observe(members, now)
+	l.limiter.SetNodes(l.nodeEstimate.Nodes(now))
+	ids := make([]string, 0, len(candidates)+1)
+	for _, candidate := range candidates {
+		ids = append(ids, candidate.ID)
 	}
-	home, probe := l.limiter.ChooseCoordinator(append(ids, l.Hello.Node), now)
+	coordinator, probe := l.limiter.ChooseCoordinator(append(ids, l.Hello.Node), now)
 	if probe != "" && !l.probing {
 		l.probing = true
-		a := l.limiter.ProbeRequest(probe, now)
+		r := l.limiter.ProbeRequest(probe, now)
 		go func() {
-			l.exchange(ctx, probe, a, now)
+			l.exchange(ctx, probe, r, now)
 			l.mu.Lock()
 			l.probing = false
 			l.mu.Unlock()
 		}()
 	}
-	var a *quota.Request
-	if leaves := l.limiter.PreviousHolder(now); leaves != "" {
-		home = leaves
-		a = l.limiter.ProbeRequest(home, now)
+	var r *quota.Request
+	if previous := l.limiter.PreviousHolder(now); previous != "" {
+		coordinator = previous
+		r = l.limiter.ProbeRequest(coordinator, now)
 	} else {
-		a = l.limiter.NextRequest(home, now)
-		l.told(home)
+		r = l.limiter.NextRequest(coordinator, now)
+		l.setCoordinator(coordinator)
 	}
 	l.mu.Unlock()
-	l.exchange(ctx, home, a, now)
+	l.exchange(ctx, coordinator, r, now)
 }
 
 // told logs that another home is asked. The lock is held.
-func (l *Limiter) told(home string) {
-	if home != l.asked {
-		l.Log.Info().Str("home", home).Str("before", l.asked).Int("nodes", l.census.Nodes(l.now())).Msg("home of rate limits")
-		l.asked = home
+func (l *Limiter) setCoordinator(coordinator string) {
+	if coordinator != l.current {
+		l.Log.Info().Str("home", coordinator).Str("before", l.current).Int("nodes", l.nodeEstimate.Nodes(l.now())).Msg("home of rate limits")
+		l.current = coordinator
 	}
 }
 
 // chooseFrom returns the homes to choose from.
-func (l *Limiter) chooseFrom() []Peer {
+func (l *Limiter) chooseCandidates() []Peer {
 	now := l.now()
-	every := homesFor
-	if now < youngFor {
-		every = homesYoung
-	}
-	if l.homes == nil || now-l.homesAt >= every {
-		l.homes = l.Coordinators()
-		l.homesAt = now
-		l.connect(l.homes)
-		ids := make([]string, 0, len(l.homes))
-		for _, h := range l.homes {
-			ids = append(ids, h.ID)
+	interval := candidatesInterval
+	if now < startupTime {
+		interval = startupCandidatesInterval
+	}
+	if l.candidates == nil || now-l.candidatesAt >= interval {
+		l.candidates = l.Coordinators()
+		l.candidatesAt = now
+		l.connect(l.candidates)
+		ids := make([]string, 0, len(l.candidates))
+		for _, candidate := range l.candidates {
+			ids = append(ids, candidate.ID)
 		}
 		l.mu.Lock()
 		l.limiter.Retain(append(ids, l.Hello.Node))
 		l.mu.Unlock()
 	}
-	return l.homes
+	return l.candidates
 }
 
 // connect has a client for each of some nodes.
-func (l *Limiter) connect(homes []Peer) {
-	for _, h := range homes {
-		l.clients.At(h.ID, h.Addr)
+func (l *Limiter) connect(candidates []Peer) {
+	for _, candidate := range candidates {
+		l.clients.At(candidate.ID, candidate.Addr)
 	}
 	l.clients.Retain(maxClients, func(node string) bool {
-		return slices.ContainsFunc(homes, func(h Peer) bool { return h.ID == node })
+		return slices.ContainsFunc(candidates, func(candidate Peer) bool { return candidate.ID == node })
 	})
 }
 
 // exchange sends an Ask and takes its answer in.
-func (l *Limiter) exchange(ctx context.Context, home string, a *quota.Request, sent time.Duration) {
-	answer, err := l.send(ctx, home, a)
+func (l *Limiter) exchange(ctx context.Context, coordinator string, r *quota.Request, sent time.Duration) {
+	response, err := l.send(ctx, coordinator, r)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
 	if err != nil {
 		if ctx.Err() == nil {
-			l.Log.Debug().Err(err).Str("home", home).Msg("home of rate limits not asked")
+			l.Log.Debug().Err(err).Str("home", coordinator).Msg("home of rate limits not asked")
 		}
-		l.unanswered++
-		l.limiter.HandleFailure(home, a, now)
+		l.failed++
+		l.limiter.HandleFailure(coordinator, r, now)
 		return
 	}
-	l.answered++
-	l.census.ObserveReported(answer.Nodes)
-	l.limiter.HandleResponse(home, a, answer, sent, now)
-	l.unsure = false
-	for _, g := range answer.Grants {
-		l.unsure = l.unsure || g.Unknown
+	l.responded++
+	l.nodeEstimate.ObserveReported(response.Nodes)
+	l.limiter.HandleResponse(coordinator, r, response, sent, now)
+	l.undecided = false
+	for _, g := range response.Grants {
+		l.undecided = l.undecided || g.Unknown
 	}
 }
 
 // send sends an Ask to a home, which may be this node.
-func (l *Limiter) send(ctx context.Context, home string, a *quota.Request) (*quota.Response, error) {
-	if home == l.Hello.Node {
-		return l.answer(home, a)
+func (l *Limiter) send(ctx context.Context, coordinator string, r *quota.Request) (*quota.Response, error) {
+	if coordinator == l.Hello.Node {
+		return l.respond(coordinator, r)
 	}
-	c := l.clients.Get(home)
+	c := l.clients.Get(coordinator)
 	if c == nil {
-		return nil, eris.Errorf("no address of %q is known", home)
+		return nil, eris.Errorf("no address of %q is known", coordinator)
 	}
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	answer, err := peer.Ask[*quota.Request, quota.Response](ctx, c, Topic, a)
-	return &answer, err
+	response, err := peer.Ask[*quota.Request, quota.Response](ctx, c, Topic, r)
+	return &response, err
 }
 
 // Topics returns what answers other nodes, by the topics of their control requests.
@@ -196,25 +196,25 @@
 // Handle answers an Ask of another node.
 func (l *Limiter) Handle(from peer.Hello, payload []byte) ([]byte, error) {
 	l.init()
-	a, err := peer.Unpack[quota.Request](payload)
+	r, err := peer.Unpack[quota.Request](payload)
 	if err != nil {
 		return nil, err
 	}
-	answer, err := l.answer(from.Node, &a)
+	response, err := l.respond(from.Node, &r)
 	if err != nil {
 		return nil, err
 	}
-	return msgpack.Marshal(answer)
+	return msgpack.Marshal(response)
 }
 
 // answer answers an Ask as a home.
-func (l *Limiter) answer(from string, a *quota.Request) (*quota.Response, error) {
+func (l *Limiter) respond(from string, r *quota.Request) (*quota.Response, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	answer := l.home.HandleRequest(from, a, l.now())
-	l.answers++
-	if answer == nil {
+	response := l.coordinator.HandleRequest(from, r, l.now())
+	l.served++
+	if response == nil {
 		return nil, eris.New("another has overtaken it")
 	}
-	return answer, nil
+	return response, nil
 }
--- a/ratelimit/limiter.go
+++ b/ratelimit/limiter.go
@@ -24,17 +24,17 @@
 const (
 	// longestWait is how long a request waits for a home: as long as it takes to find out
 	// that one is gone. Its caller may then come back.
-	longestWait = 400 * time.Millisecond
+	maxWait = 400 * time.Millisecond
 	// askGap is the time between an answer and the next question. What arrives meanwhile
 	// goes with it.
-	askGap = 20 * time.Millisecond
+	exchangeGap = 20 * time.Millisecond
 	// unknownGap is askGap after an answer that left requests undecided.
-	unknownGap = 50 * time.Millisecond
+	undecidedGap = 50 * time.Millisecond
 	// homesFor is how long the choice of homes is kept: it takes a look at all nodes. A node
 	// that has started within youngFor is still meeting the others and looks each homesYoung.
-	homesFor   = 500 * time.Millisecond
-	homesYoung = 50 * time.Millisecond
-	youngFor   = 5 * time.Second
+	candidatesInterval        = 500 * time.Millisecond
+	startupCandidatesInterval = 50 * time.Millisecond
+	startupTime               = 5 * time.Second
 )
 
 // Peer is another node.
@@ -64,45 +64,45 @@
 	// Log takes the events.
 	Log zerolog.Logger
 
-	starting sync.Once
+	initOnce sync.Once
 	began    time.Duration // by Clock
 	wake     chan struct{}
 	clients  *peer.Clients // of homes
 	active   atomic.Bool   // whether any organisation has a limit
 
-	mu       sync.Mutex
-	set      *organisation.Set
-	limits   map[string]quota.Limit
-	home     *quota.Coordinator
-	limiter  *quota.Limiter
-	census   *quota.NodeEstimate
-	tallies  map[string]*tally
-	lateness quota.Lateness
-	asked    string // the home that was asked last
-	probing  bool
-	unsure   bool // whether the last answer left requests undecided
+	mu           sync.Mutex
+	set          *organisation.Set
+	limits       map[string]quota.Limit
+	coordinator  *quota.Coordinator
+	limiter      *quota.Limiter
+	nodeEstimate *quota.NodeEstimate
+	tallies      map[string]*tally
+	lateness     quota.Lateness
+	current      string // the home that was asked last
+	probing      bool
+	undecided    bool // whether the last answer left requests undecided
 	// answered, unanswered and answers count exchanges.
-	answered, unanswered, answers uint64
+	responded, failed, served uint64
 
 	// The goroutine of Run owns what follows.
-	homes   []Peer        // to choose from, as of homesAt
-	homesAt time.Duration // when they were chosen
+	candidates   []Peer        // to choose from, as of homesAt
+	candidatesAt time.Duration // when they were chosen
 }
 
 // init makes what the first call needs, by whichever method it comes.
 func (l *Limiter) init() {
-	l.starting.Do(func() {
+	l.initOnce.Do(func() {
 		if l.Clock == nil {
 			l.Clock = boottime.Steady()
 		}
 		l.began = l.Clock()
 		l.wake = make(chan struct{}, 1)
-		l.home = quota.NewCoordinator(rand.Uint32()|1, l.Bounds, 0)
+		l.coordinator = quota.NewCoordinator(rand.Uint32()|1, l.Bounds, 0)
 		l.limiter = quota.NewLimiter(quota.NewClient(uint64(time.Now().UnixMilli()), 0))
-		l.census = quota.NewNodeEstimate(0)
+		l.nodeEstimate = quota.NewNodeEstimate(0)
 		l.tallies = make(map[string]*tally)
 		limits := l.Limits
-		limits.Idle = clientsIdle
+		limits.Idle = clientIdleTimeout
 		l.clients = &peer.Clients{
 			Hello:    l.Hello,
 			Limits:   limits,
@@ -135,7 +135,7 @@
 		}
 	}
 	l.limits = limits
-	l.home.SetLimits(limits, l.now())
+	l.coordinator.SetLimits(limits, l.now())
 	l.limiter.SetLimits(limits)
 	for name := range l.tallies {
 		if _, ok := limits[name]; !ok {
@@ -144,12 +144,12 @@
 	}
 	if was := l.active.Swap(len(limits) > 0); was != (len(limits) > 0) {
 		l.Log.Info().Int("organisations", len(limits)).Msg("rate limits in force")
-		l.rouse()
+		l.wakeUp()
 	}
 }
 
 // rouse has Run look what there is to ask.
-func (l *Limiter) rouse() {
+func (l *Limiter) wakeUp() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
@@ -161,7 +161,7 @@
 	l.init()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.census.ObserveStored(nodes, l.now())
+	l.nodeEstimate.ObserveStored(nodes, l.now())
 }
 
 // Nodes returns the number of nodes among which the rights are divided, or 0 if it isn't
@@ -173,7 +173,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.census.Nodes(l.now())
+	return l.nodeEstimate.Nodes(l.now())
 }
 
 // Pass is the right of one request to run. A nil Pass is one that needs none.
@@ -219,9 +219,9 @@
 	p := l.limiter.Admit(name, l.lateness.Late(r.Class, r.Remaining, r.Objective, now), now, func(d quota.Decision) { decided <- d })
 	l.mu.Unlock()
 	if p != nil {
-		l.rouse()
+		l.wakeUp()
 	}
-	return l.taken(name, limit, l.await(ctx, p, decided))
+	return l.conclude(name, limit, l.await(ctx, p, decided))
 }
 
 // await waits for the decision on a request.
@@ -229,7 +229,7 @@
 	if p == nil {
 		return <-decided
 	}
-	t := time.NewTimer(longestWait)
+	t := time.NewTimer(maxWait)
 	defer t.Stop()
 	select {
 	case d := <-decided:
@@ -250,11 +250,11 @@
 }
 
 // taken counts a decision and says what becomes of the request.
-func (l *Limiter) taken(name string, limit quota.Limit, d quota.Decision) (*Permit, *verdict.Error) {
+func (l *Limiter) conclude(name string, limit quota.Limit, d quota.Decision) (*Permit, *verdict.Error) {
 	l.mu.Lock()
-	t := l.tally(name)
+	t := l.tallyOf(name)
 	t.count(d, l.now())
-	asked := l.asked
+	current := l.current
 	l.mu.Unlock()
 	switch {
 	case d.Granted:
@@ -263,8 +263,8 @@
 			token:   d.Token,
 		}, nil
 	case d.Unknown:
-		return nil, verdict.New(verdict.LimitUnknown, eris.Errorf("home %s can't say yet how much of the limit of organisation %q is left", asked, name)).WithRetryAfter(d.RetryAfter)
+		return nil, verdict.New(verdict.LimitUnknown, eris.Errorf("home %s can't say yet how much of the limit of organisation %q is left", current, name)).WithRetryAfter(d.RetryAfter)
 	default:
-		return nil, verdict.New(verdict.RateLimited, eris.Errorf("organisation %q is beyond %v requests a second and a burst of %v, as home %s says", name, limit.Rate, limit.Burst, asked)).WithRetryAfter(max(d.RetryAfter, time.Millisecond))
+		return nil, verdict.New(verdict.RateLimited, eris.Errorf("organisation %q is beyond %v requests a second and a burst of %v, as home %s says", name, limit.Rate, limit.Burst, current)).WithRetryAfter(max(d.RetryAfter, time.Millisecond))
 	}
 }
--- a/ratelimit/limiter_test.go
+++ b/ratelimit/limiter_test.go
@@ -73,18 +73,18 @@
 
 		time.Sleep(3 * time.Second)
 		var granted int
-		var passes []*ratelimit.Permit
+		var permits []*ratelimit.Permit
 		for granted = 0; ; granted++ {
-			pass, refused := l.Admit(ctx, request)
+			permit, refused := l.Admit(ctx, request)
 			if failure = refused; refused != nil {
 				break
 			}
-			passes = append(passes, pass)
+			permits = append(permits, permit)
 		}
 		qt.Check(t, granted >= 5 && granted < 30, qt.IsTrue, qt.Commentf("%d", granted))
 		qt.Check(t, failure.Cause, qt.Equals, verdict.RateLimited)
 		qt.Check(t, failure.Status(), qt.Equals, 429)
-		passes[len(passes)-1].Refund()
+		permits[len(permits)-1].Refund()
 		time.Sleep(failure.RetryAfter)
 		_, failure = l.Admit(ctx, request)
 		qt.Check(t, failure == nil, qt.IsTrue, qt.Commentf("it comes back when it was told to"))
@@ -117,7 +117,7 @@
 }
 
 // TestHandle has peers send what is no question.
-func TestHandle(t *testing.T) {
+func TestHandleInvalid(t *testing.T) {
 	alone(t, func(t *testing.T, l *ratelimit.Limiter) {
 		for name, payload := range map[string][]byte{
 			"nothing":         nil,
--- a/ratelimit/tally.go
+++ b/ratelimit/tally.go
@@ -37,7 +37,7 @@
 }
 
 // tally returns that of an organisation with a limit. The lock is held.
-func (l *Limiter) tally(name string) *tally {
+func (l *Limiter) tallyOf(name string) *tally {
 	t := l.tallies[name]
 	if t == nil {
 		t = new(tally)
@@ -62,18 +62,18 @@
 
 // Usages returns at most so many of the organisations with a limit, those with most refused
 // first, and then by rate. It asks the home for the rates of all nodes.
-func (l *Limiter) Usages(ctx context.Context, most int) []Usage {
+func (l *Limiter) Usages(ctx context.Context, limit int) []Usage {
 	l.init()
 	list := l.usages()
 	slices.SortStableFunc(list, func(a, b Usage) int {
 		return cmp.Or(cmp.Compare(b.Limited+b.Unknown, a.Limited+a.Unknown), cmp.Compare(b.LocalRate, a.LocalRate))
 	})
-	list = list[:min(len(list), most, maxRates)]
+	list = list[:min(len(list), limit, maxRates)]
 	names := make([]string, 0, len(list))
 	for _, u := range list {
 		names = append(names, u.Organisation)
 	}
-	rates, err := l.ratesOfAll(ctx, names)
+	rates, err := l.totalRates(ctx, names)
 	if err != nil {
 		l.Log.Debug().Err(err).Msg("rates of organisations not told")
 	}
@@ -114,13 +114,13 @@
 )
 
 // ratesOfAll returns the requests a second of some organisations at all nodes.
-func (l *Limiter) ratesOfAll(ctx context.Context, names []string) (rates []float64, err error) {
+func (l *Limiter) totalRates(ctx context.Context, names []string) (rates []float64, err error) {
 	l.mu.Lock()
-	home := l.asked
+	current := l.current
 	l.mu.Unlock()
-	c := l.clients.Get(home)
-	if home == l.Hello.Node || c == nil {
-		return l.rates(names), nil
+	c := l.clients.Get(current)
+	if current == l.Hello.Node || c == nil {
+		return l.grantedRates(names), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
@@ -134,17 +134,17 @@
 	if err != nil {
 		return nil, err
 	}
-	return msgpack.Marshal(l.rates(names[:min(len(names), maxRates)]))
+	return msgpack.Marshal(l.grantedRates(names[:min(len(names), maxRates)]))
 }
 
 // rates returns the requests a second that this node has granted lately.
-func (l *Limiter) rates(names []string) []float64 {
+func (l *Limiter) grantedRates(names []string) []float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
 	list := make([]float64, 0, len(names))
 	for _, name := range names {
-		list = append(list, l.home.Rate(name, now))
+		list = append(list, l.coordinator.Rate(name, now))
 	}
 	return list
 }
@@ -172,13 +172,13 @@
 	defer l.mu.Unlock()
 	now := l.now()
 	s := State{
-		Coordinator: l.asked,
-		Nodes:       l.census.Nodes(now),
+		Coordinator: l.current,
+		Nodes:       l.nodeEstimate.Nodes(now),
 		Waiting:     l.limiter.Waiting(),
-		Answered:    l.answered,
-		Unanswered:  l.unanswered,
-		Served:      l.answers,
+		Answered:    l.responded,
+		Unanswered:  l.failed,
+		Served:      l.served,
 	}
-	s.HeldShares, s.HeldFraction = l.home.HeldShares(now)
+	s.HeldShares, s.HeldFraction = l.coordinator.HeldShares(now)
 	return s
 }
