--- a/ratelimit/exchange.go
+++ b/ratelimit/exchange.go
@@ -17,19 +17,19 @@
 )
 
 const (
-	// Topic is the topic of the control requests to a home.
+	// Topic is the topic of the control requests to a coordinator.
 	Topic = "quota"
-	// exchangeTimeout bounds one exchange with a home. An instance whose share of the
-	// processor is dealt out every 100 ms answers within that.
+	// exchangeTimeout bounds one exchange with a coordinator. An instance whose CPU quota has
+	// a period of 100 ms responds within that.
 	exchangeTimeout = 250 * time.Millisecond
-	// clientsIdle is how long a connection to a home is kept that isn't used.
+	// clientIdleTimeout is how long an unused connection to a coordinator is kept.
 	clientIdleTimeout = 30 * time.Second
-	// maxClients bounds the connections to homes.
+	// maxClients bounds the connections to coordinators.
 	maxClients = 8
 )
 
-// Run asks homes for what the requests need, and keeps the node's right deposited, until
-// ctx ends.
+// Run requests the tokens that requests need from coordinators, and keeps the node's share
+// delegated, until ctx ends.
 func (l *Limiter) Run(ctx context.Context) {
 	l.init()
 	defer l.clients.Close()
@@ -50,7 +50,7 @@
 	}
 }
 
-// pause waits until there may be another question, and returns when one is due in any case.
+// pause waits until the next exchange may begin, and returns the time until one has to.
 func (l *Limiter) pause(ctx context.Context) time.Duration {
 	l.mu.Lock()
 	gap := exchangeGap
@@ -72,7 +72,7 @@
 	return l.limiter.NextRenewal(l.now())
 }
 
-// step makes one exchange with a home.
+// step makes one exchange with a coordinator.
 func (l *Limiter) step(ctx context.Context) {
 	members := l.Members()
 	candidates := l.chooseCandidates()
@@ -107,15 +107,15 @@
 	l.exchange(ctx, coordinator, r, now)
 }
 
-// told logs that another home is asked. The lock is held.
+// setCoordinator records the coordinator in use, and logs a change. The lock is held.
 func (l *Limiter) setCoordinator(coordinator string) {
-	if coordinator != l.current {
-		l.Log.Info().Str("home", coordinator).Str("before", l.current).Int("nodes", l.nodeEstimate.Nodes(l.now())).Msg("home of rate limits")
-		l.current = coordinator
+	if coordinator != l.coordinatorID {
+		l.Log.Info().Str("home", coordinator).Str("before", l.coordinatorID).Int("nodes", l.nodeEstimate.Nodes(l.now())).Msg("coordinator of rate limits changed")
+		l.coordinatorID = coordinator
 	}
 }
 
-// chooseFrom returns the homes to choose from.
+// chooseCandidates returns the nodes to choose a coordinator from.
 func (l *Limiter) chooseCandidates() []Peer {
 	now := l.now()
 	interval := candidatesInterval
@@ -137,7 +137,7 @@
 	return l.candidates
 }
 
-// connect has a client for each of some nodes.
+// connect creates a client for each of the given nodes, and bounds the number of others.
 func (l *Limiter) connect(candidates []Peer) {
 	for _, candidate := range candidates {
 		l.clients.At(candidate.ID, candidate.Addr)
@@ -147,7 +147,7 @@
 	})
 }
 
-// exchange sends an Ask and takes its answer in.
+// exchange sends a Request and handles its Response.
 func (l *Limiter) exchange(ctx context.Context, coordinator string, r *quota.Request, sent time.Duration) {
 	response, err := l.send(ctx, coordinator, r)
 	l.mu.Lock()
@@ -155,7 +155,7 @@
 	now := l.now()
 	if err != nil {
 		if ctx.Err() == nil {
-			l.Log.Debug().Err(err).Str("home", coordinator).Msg("home of rate limits not asked")
+			l.Log.Debug().Err(err).Str("home", coordinator).Msg("request to the coordinator of rate limits failed")
 		}
 		l.failed++
 		l.limiter.HandleFailure(coordinator, r, now)
@@ -170,14 +170,14 @@
 	}
 }
 
-// send sends an Ask to a home, which may be this node.
+// send sends a Request to a coordinator, which may be this node.
 func (l *Limiter) send(ctx context.Context, coordinator string, r *quota.Request) (*quota.Response, error) {
 	if coordinator == l.Hello.Node {
 		return l.respond(coordinator, r)
 	}
 	c := l.clients.Get(coordinator)
 	if c == nil {
-		return nil, eris.Errorf("no address of %q is known", coordinator)
+		return nil, eris.Errorf("address of %q is not known", coordinator)
 	}
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
@@ -185,7 +185,7 @@
 	return &response, err
 }
 
-// Topics returns what answers other nodes, by the topics of their control requests.
+// Topics returns the handlers of control requests from other nodes, by their topics.
 func (l *Limiter) Topics() map[string]func(from peer.Hello, payload []byte) ([]byte, error) {
 	return map[string]func(from peer.Hello, payload []byte) ([]byte, error){
 		Topic:      l.Handle,
@@ -193,7 +193,7 @@
 	}
 }
 
-// Handle answers an Ask of another node.
+// Handle handles a quota.Request of another node.
 func (l *Limiter) Handle(from peer.Hello, payload []byte) ([]byte, error) {
 	l.init()
 	r, err := peer.Unpack[quota.Request](payload)
@@ -207,14 +207,14 @@
 	return msgpack.Marshal(response)
 }
 
-// answer answers an Ask as a home.
+// respond handles a Request as a coordinator.
 func (l *Limiter) respond(from string, r *quota.Request) (*quota.Response, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	response := l.coordinator.HandleRequest(from, r, l.now())
+	response := l.localCoordinator.HandleRequest(from, r, l.now())
 	l.served++
 	if response == nil {
-		return nil, eris.New("another has overtaken it")
+		return nil, eris.New("a later request has overtaken this one")
 	}
 	return response, nil
 }
--- a/ratelimit/limiter.go
+++ b/ratelimit/limiter.go
@@ -22,16 +22,17 @@
 )
 
 const (
-	// longestWait is how long a request waits for a home: as long as it takes to find out
-	// that one is gone. Its caller may then come back.
+	// maxWait is how long a request waits for a coordinator: as long as it takes to detect
+	// that one has failed. Its caller may retry then.
 	maxWait = 400 * time.Millisecond
-	// askGap is the time between an answer and the next question. What arrives meanwhile
-	// goes with it.
+	// exchangeGap is the time between the end of an exchange and the next one. Requests that
+	// arrive meanwhile are sent together.
 	exchangeGap = 20 * time.Millisecond
-	// unknownGap is askGap after an answer that left requests undecided.
+	// undecidedGap is exchangeGap after a response that left requests undecided.
 	undecidedGap = 50 * time.Millisecond
-	// homesFor is how long the choice of homes is kept: it takes a look at all nodes. A node
-	// that has started within youngFor is still meeting the others and looks each homesYoung.
+	// candidatesInterval is the time between two choices of the candidates for coordinator,
+	// which look at all nodes. A node that has started within startupTime is still discovering
+	// the others and uses startupCandidatesInterval.
 	candidatesInterval        = 500 * time.Millisecond
 	startupCandidatesInterval = 50 * time.Millisecond
 	startupTime               = 5 * time.Second
@@ -42,54 +43,54 @@
 	ID, Addr string
 }
 
-// Limiter lets requests in as far as the rate limits of their organisations allow. The
-// exported fields are set before Run.
+// Limiter admits requests as far as the rate limits of their organisations allow. The
+// exported fields must be set before Run.
 type Limiter struct {
-	// Bounds says how far limits may be exceeded.
+	// Bounds defines how far limits may be exceeded.
 	Bounds quota.Bounds
-	// Hello introduces this process to the homes.
+	// Hello introduces this process to the coordinators.
 	Hello peer.Hello
-	// Limits bounds the connections to the homes.
+	// Limits bounds the connections to the coordinators.
 	Limits peer.Limits
-	// Counters, if not nil, counts their traffic.
+	// Counters, if not nil, counts the traffic on them.
 	Counters *peer.Counters
-	// Homes returns the nodes that are to be home, in order: the same at all nodes that
-	// know the same others. This node may be among them.
+	// Coordinators returns the candidates for coordinator in order of preference: the same at
+	// all nodes that know the same others. This node may be among them.
 	Coordinators func() []Peer
-	// Members returns the number of live nodes that are known.
+	// Members returns the number of live nodes that this node knows.
 	Members func() int
-	// Clock goes on while the instance is suspended: a lease or a token ends then as well.
-	// Nil means the runtime's clock.
+	// Clock advances while the instance is suspended, so that leases and tokens expire then as
+	// well. Nil means the runtime's clock.
 	Clock boottime.Clock
-	// Log takes the events.
+	// Log receives the events.
 	Log zerolog.Logger
 
 	initOnce sync.Once
 	began    time.Duration // by Clock
 	wake     chan struct{}
-	clients  *peer.Clients // of homes
+	clients  *peer.Clients // of coordinators
 	active   atomic.Bool   // whether any organisation has a limit
 
-	mu           sync.Mutex
-	set          *organisation.Set
-	limits       map[string]quota.Limit
-	coordinator  *quota.Coordinator
-	limiter      *quota.Limiter
-	nodeEstimate *quota.NodeEstimate
-	tallies      map[string]*tally
-	lateness     quota.Lateness
-	current      string // the home that was asked last
-	probing      bool
-	undecided    bool // whether the last answer left requests undecided
-	// answered, unanswered and answers count exchanges.
+	mu               sync.Mutex
+	set              *organisation.Set
+	limits           map[string]quota.Limit
+	localCoordinator *quota.Coordinator
+	limiter          *quota.Limiter
+	nodeEstimate     *quota.NodeEstimate
+	tallies          map[string]*tally
+	lateness         quota.Lateness
+	coordinatorID    string // the coordinator that was used last
+	probing          bool
+	undecided        bool // whether the last response left requests undecided
+	// responded, failed and served count exchanges.
 	responded, failed, served uint64
 
-	// The goroutine of Run owns what follows.
-	candidates   []Peer        // to choose from, as of homesAt
+	// The following fields belong to the goroutine of Run.
+	candidates   []Peer        // to choose from
 	candidatesAt time.Duration // when they were chosen
 }
 
-// init makes what the first call needs, by whichever method it comes.
+// init sets up what the methods need. The first call of any method calls it.
 func (l *Limiter) init() {
 	l.initOnce.Do(func() {
 		if l.Clock == nil {
@@ -97,7 +98,7 @@
 		}
 		l.began = l.Clock()
 		l.wake = make(chan struct{}, 1)
-		l.coordinator = quota.NewCoordinator(rand.Uint32()|1, l.Bounds, 0)
+		l.localCoordinator = quota.NewCoordinator(rand.Uint32()|1, l.Bounds, 0)
 		l.limiter = quota.NewLimiter(quota.NewClient(uint64(time.Now().UnixMilli()), 0))
 		l.nodeEstimate = quota.NewNodeEstimate(0)
 		l.tallies = make(map[string]*tally)
@@ -114,7 +115,7 @@
 // now returns the time since the first call.
 func (l *Limiter) now() time.Duration { return l.Clock() - l.began }
 
-// Set takes in the organisations in force.
+// Set sets the active organisations.
 func (l *Limiter) Set(s *organisation.Set) {
 	l.init()
 	l.mu.Lock()
@@ -135,7 +136,7 @@
 		}
 	}
 	l.limits = limits
-	l.coordinator.SetLimits(limits, l.now())
+	l.localCoordinator.SetLimits(limits, l.now())
 	l.limiter.SetLimits(limits)
 	for name := range l.tallies {
 		if _, ok := limits[name]; !ok {
@@ -143,12 +144,12 @@
 		}
 	}
 	if was := l.active.Swap(len(limits) > 0); was != (len(limits) > 0) {
-		l.Log.Info().Int("organisations", len(limits)).Msg("rate limits in force")
+		l.Log.Info().Int("organisations", len(limits)).Msg("active rate limits")
 		l.wakeUp()
 	}
 }
 
-// rouse has Run look what there is to ask.
+// wakeUp has Run check whether there is something to request.
 func (l *Limiter) wakeUp() {
 	select {
 	case l.wake <- struct{}{}:
@@ -156,7 +157,7 @@
 	}
 }
 
-// Told takes in the number of nodes that others have left on the platform.
+// SetStoredNodes records the number of nodes that others have stored on the platform.
 func (l *Limiter) SetStoredNodes(nodes int) {
 	l.init()
 	l.mu.Lock()
@@ -164,8 +165,8 @@
 	l.nodeEstimate.ObserveStored(nodes, l.now())
 }
 
-// Nodes returns the number of nodes among which the rights are divided, or 0 if it isn't
-// known or nothing is limited.
+// Nodes returns the number of nodes among which rate limits are divided, or 0 if it isn't
+// known or no organisation has a limit.
 func (l *Limiter) Nodes() int {
 	l.init()
 	if !l.active.Load() {
@@ -176,13 +177,13 @@
 	return l.nodeEstimate.Nodes(l.now())
 }
 
-// Pass is the right of one request to run. A nil Pass is one that needs none.
+// Permit is the permission to run one request. A nil Permit is that of a request that needs none.
 type Permit struct {
 	limiter *Limiter
 	token   quota.Token
 }
 
-// NotRun takes in that the request is known not to have run: another one may.
+// Refund records that the request is known not to have run, so that another one may.
 func (p *Permit) Refund() {
 	if p == nil {
 		return
@@ -192,16 +193,16 @@
 	p.limiter.limiter.ReturnToken(p.token, p.limiter.now())
 }
 
-// Request is what is known of a request that is to be let in.
+// Request describes a request that is to be admitted.
 type Request struct {
 	// Organisation is the name of its organisation, and Class its class.
 	Organisation, Class string
-	// Left is how long its caller waits, and Objective the latency within which the answer
-	// is of full value, or 0.
+	// Remaining is how long its caller waits, and Objective the latency objective of its
+	// response, or 0.
 	Remaining, Objective time.Duration
 }
 
-// Admit lets a request in, or returns why it must not run. It may wait for a short time.
+// Admit admits a request, or returns why it must not run. It may wait for a short time.
 func (l *Limiter) Admit(ctx context.Context, r Request) (*Permit, *verdict.Error) {
 	name := r.Organisation
 	l.init()
@@ -249,12 +250,12 @@
 	return <-decided
 }
 
-// taken counts a decision and says what becomes of the request.
+// conclude counts a decision and returns its result.
 func (l *Limiter) conclude(name string, limit quota.Limit, d quota.Decision) (*Permit, *verdict.Error) {
 	l.mu.Lock()
 	t := l.tallyOf(name)
 	t.count(d, l.now())
-	current := l.current
+	coordinatorID := l.coordinatorID
 	l.mu.Unlock()
 	switch {
 	case d.Granted:
@@ -263,8 +264,8 @@
 			token:   d.Token,
 		}, nil
 	case d.Unknown:
-		return nil, verdict.New(verdict.LimitUnknown, eris.Errorf("home %s can't say yet how much of the limit of organisation %q is left", current, name)).WithRetryAfter(d.RetryAfter)
+		return nil, verdict.New(verdict.LimitUnknown, eris.Errorf("home %s can't say yet how much of the limit of organisation %q is left", coordinatorID, name)).WithRetryAfter(d.RetryAfter)
 	default:
-		return nil, verdict.New(verdict.RateLimited, eris.Errorf("organisation %q is beyond %v requests a second and a burst of %v, as home %s says", name, limit.Rate, limit.Burst, current)).WithRetryAfter(max(d.RetryAfter, time.Millisecond))
+		return nil, verdict.New(verdict.RateLimited, eris.Errorf("organisation %q is beyond %v requests a second and a burst of %v, as home %s says", name, limit.Rate, limit.Burst, coordinatorID)).WithRetryAfter(max(d.RetryAfter, time.Millisecond))
 	}
 }
--- a/ratelimit/limiter_test.go
+++ b/ratelimit/limiter_test.go
@@ -20,7 +20,7 @@
 	"sassafrasfront.example/verdict"
 )
 
-// alone runs a Limiter that is its own home, for f.
+// alone calls f with a Limiter that is its own coordinator.
 func alone(t *testing.T, f func(t *testing.T, l *ratelimit.Limiter)) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &ratelimit.Limiter{
@@ -54,7 +54,7 @@
 	free    = ratelimit.Request{Organisation: "free", Remaining: time.Second}
 )
 
-// TestAdmit lets in what the limit allows, and says why not.
+// TestAdmit checks that requests are admitted within the limit, and why others are refused.
 func TestAdmit(t *testing.T) {
 	alone(t, func(t *testing.T, l *ratelimit.Limiter) {
 		ctx := t.Context()
@@ -66,7 +66,7 @@
 		l.Set(set(t))
 		_, failure := l.Admit(ctx, request)
 		qt.Assert(t, failure, qt.IsNotNil)
-		qt.Check(t, failure.Cause, qt.Equals, verdict.LimitUnknown, qt.Commentf("its right may still be elsewhere"))
+		qt.Check(t, failure.Cause, qt.Equals, verdict.LimitUnknown, qt.Commentf("its share may still be held elsewhere"))
 		qt.Check(t, failure.RetryAfter > 0, qt.IsTrue)
 		_, failure = l.Admit(ctx, free)
 		qt.Check(t, failure == nil, qt.IsTrue)
@@ -87,7 +87,7 @@
 		permits[len(permits)-1].Refund()
 		time.Sleep(failure.RetryAfter)
 		_, failure = l.Admit(ctx, request)
-		qt.Check(t, failure == nil, qt.IsTrue, qt.Commentf("it comes back when it was told to"))
+		qt.Check(t, failure == nil, qt.IsTrue, qt.Commentf("it retries when it was told to"))
 
 		u := l.Usages(ctx, 10)
 		qt.Assert(t, u, qt.HasLen, 1)
@@ -101,7 +101,7 @@
 	})
 }
 
-// TestCallerLeaves has a caller leave while its request waits for a home.
+// TestCallerLeaves has a caller give up while its request waits for a coordinator.
 func TestCallerLeaves(t *testing.T) {
 	alone(t, func(t *testing.T, l *ratelimit.Limiter) {
 		l.Set(set(t))
@@ -116,12 +116,12 @@
 	})
 }
 
-// TestHandle has peers send what is no question.
+// TestHandleInvalid has peers send invalid requests.
 func TestHandleInvalid(t *testing.T) {
 	alone(t, func(t *testing.T, l *ratelimit.Limiter) {
 		for name, payload := range map[string][]byte{
 			"nothing":         nil,
-			"no map":          {0xc0 + 1},
+			"not a map":       {0xc0 + 1},
 			"too long a list": {0xdd, 0xff, 0xff, 0xff, 0xff},
 		} {
 			_, err := l.Handle(peer.Hello{Node: "n2"}, payload)
--- a/ratelimit/tally.go
+++ b/ratelimit/tally.go
@@ -36,32 +36,33 @@
 	}
 }
 
-// tally returns that of an organisation with a limit. The lock is held.
+// tallyOf returns the tally of an organisation with a limit. The lock is held.
 func (l *Limiter) tallyOf(name string) *tally {
 	t := l.tallies[name]
 	if t == nil {
 		t = new(tally)
-		if _, ok := l.limits[name]; ok { // it may have gone since
+		if _, ok := l.limits[name]; ok { // the limit may have been removed since
 			l.tallies[name] = t
 		}
 	}
 	return t
 }
 
-// Usage is what a node knows of an organisation's requests.
+// Usage is what a node knows about an organisation's requests.
 type Usage struct {
 	Organisation string
 	Limit        quota.Limit
-	// Here and All are the requests a second that this node and all nodes have let in
-	// lately. All is 0 if the home does not say.
+	// LocalRate and TotalRate are the requests per second that this node and all nodes have
+	// admitted recently. TotalRate is 0 if the coordinator does not report it.
 	LocalRate, TotalRate float64
-	// Limited and Unknown are the requests that this node has refused: beyond the limit,
-	// or as no home has answered.
+	// Limited and Unknown count the requests that this node has refused because they were over
+	// the limit, or because no coordinator responded.
 	Limited, Unknown uint64
 }
 
-// Usages returns at most so many of the organisations with a limit, those with most refused
-// first, and then by rate. It asks the home for the rates of all nodes.
+// Usages returns the usage of organisations with a limit, up to the given number, where those
+// with the most refused requests and then the highest rates come first. It asks the coordinator
+// for the rates of all nodes.
 func (l *Limiter) Usages(ctx context.Context, limit int) []Usage {
 	l.init()
 	list := l.usages()
@@ -75,7 +76,7 @@
 	}
 	rates, err := l.totalRates(ctx, names)
 	if err != nil {
-		l.Log.Debug().Err(err).Msg("rates of organisations not told")
+		l.Log.Debug().Err(err).Msg("rates of organisations not received")
 	}
 	for i := range min(len(rates), len(list)) {
 		list[i].TotalRate = rates[i]
@@ -83,8 +84,8 @@
 	return list
 }
 
-// usages returns what is known here of the organisations with a limit, in the order of their
-// names.
+// usages returns what this node knows about the organisations with a limit, in the order of
+// their names.
 func (l *Limiter) usages() []Usage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -106,20 +107,20 @@
 }
 
 const (
-	// RatesTopic is the topic of the control requests that ask a home for the rates of all
-	// nodes.
+	// RatesTopic is the topic of the control requests that ask a coordinator for the rates of
+	// all nodes.
 	RatesTopic = "quotaRates"
-	// maxRates bounds the organisations in one.
+	// maxRates bounds the number of organisations in one.
 	maxRates = 1000
 )
 
-// ratesOfAll returns the requests a second of some organisations at all nodes.
+// totalRates returns the requests per second of some organisations at all nodes.
 func (l *Limiter) totalRates(ctx context.Context, names []string) (rates []float64, err error) {
 	l.mu.Lock()
-	current := l.current
+	coordinatorID := l.coordinatorID
 	l.mu.Unlock()
-	c := l.clients.Get(current)
-	if current == l.Hello.Node || c == nil {
+	c := l.clients.Get(coordinatorID)
+	if coordinatorID == l.Hello.Node || c == nil {
 		return l.grantedRates(names), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
@@ -127,7 +128,7 @@
 	return peer.Ask[[]string, []float64](ctx, c, RatesTopic, names)
 }
 
-// HandleRates answers another node that asks for rates.
+// HandleRates handles another node's request for rates.
 func (l *Limiter) HandleRates(_ peer.Hello, payload []byte) ([]byte, error) {
 	l.init()
 	names, err := peer.Unpack[[]string](payload)
@@ -137,48 +138,49 @@
 	return msgpack.Marshal(l.grantedRates(names[:min(len(names), maxRates)]))
 }
 
-// rates returns the requests a second that this node has granted lately.
+// grantedRates returns the requests per second that this node has granted recently.
 func (l *Limiter) grantedRates(names []string) []float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
 	list := make([]float64, 0, len(names))
 	for _, name := range names {
-		list = append(list, l.coordinator.Rate(name, now))
+		list = append(list, l.localCoordinator.Rate(name, now))
 	}
 	return list
 }
 
-// State is what a node knows of rate limits as a whole.
+// State is what a node knows about rate limiting as a whole.
 type State struct {
-	// Home is the home that the node asks.
+	// Coordinator is the coordinator that the node uses.
 	Coordinator string
-	// Nodes is the number of nodes among which the rights are divided.
+	// Nodes is the number of nodes among which rate limits are divided.
 	Nodes int
-	// Rights and Share are the rights that this node holds as a home, and their part of all.
+	// HeldShares is the number of shares that this node holds as a coordinator, and
+	// HeldFraction the fraction that they are of all shares.
 	HeldShares   int
 	HeldFraction float64
-	// Waiting is the number of requests that wait for a home.
+	// Waiting is the number of requests that wait for a coordinator.
 	Waiting int
-	// Answered and Unanswered are the exchanges with homes, and Taken those that this node
-	// has answered as one, since the start.
+	// Answered and Unanswered count the exchanges with coordinators, and Served those that
+	// this node has answered as a coordinator, since the start.
 	Answered, Unanswered, Served uint64
 }
 
-// State returns the present one.
+// State returns the present state.
 func (l *Limiter) State() State {
 	l.init()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
 	s := State{
-		Coordinator: l.current,
+		Coordinator: l.coordinatorID,
 		Nodes:       l.nodeEstimate.Nodes(now),
 		Waiting:     l.limiter.Waiting(),
 		Answered:    l.responded,
 		Unanswered:  l.failed,
 		Served:      l.served,
 	}
-	s.HeldShares, s.HeldFraction = l.coordinator.HeldShares(now)
+	s.HeldShares, s.HeldFraction = l.localCoordinator.HeldShares(now)
 	return s
 }
