--- a/coldstart/limit.go
+++ b/coldstart/limit.go
@@ -12,52 +12,52 @@
 // span is the time over which requests are counted: a second, and as much more as two
 // requests may come closer together on their way to the upstream, which is on the same
 // instance.
-const span = 1020 * time.Millisecond
+const window = 1020 * time.Millisecond
 
 // Limit bounds the requests to one upstream in any second while it is cold. The zero value
 // bounds nothing. Its methods may be called from any goroutine.
 type Limiter struct {
-	mu    sync.Mutex
-	until time.Time // when the upstream is warm
-	sent  []*Permit // the latest requests, as many as are allowed: a ring
-	next  int       // the oldest of them, which the next one replaces
+	mu     sync.Mutex
+	warmAt time.Time // when the upstream is warm
+	recent []*Permit // the latest requests, as many as are allowed: a ring
+	oldest int       // the oldest of them, which the next one replaces
 }
 
 // Sending is a request that Take has let through.
 type Permit struct {
-	limit *Limiter
-	at    time.Time // when it was sent
-	done  bool
+	limiter   *Limiter
+	writtenAt time.Time // when it was sent
+	written   bool
 }
 
 // Done records that the request has been written, be it in part. Until then it counts as
 // sent at each moment: a process may be held up for a tenth of a second between the two, and
 // then sends together what was let through one by one.
-func (s *Permit) MarkWritten() {
-	s.limit.mu.Lock()
-	defer s.limit.mu.Unlock()
-	s.at = time.Now()
-	s.done = true
+func (p *Permit) MarkWritten() {
+	p.limiter.mu.Lock()
+	defer p.limiter.mu.Unlock()
+	p.writtenAt = time.Now()
+	p.written = true
 }
 
 // Set allows the given number of requests in any second while the upstream is cold; 0 means
 // any number. Requests of the last second that are not known, as after a start of this
 // process, are taken to have been as many.
-func (l *Limiter) SetLimit(most int) {
+func (l *Limiter) SetLimit(limit int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if most == len(l.sent) {
+	if limit == len(l.recent) {
 		return
 	}
-	l.sent = make([]*Permit, max(0, most))
-	l.next = 0
+	l.recent = make([]*Permit, max(0, limit))
+	l.oldest = 0
 	unknown := &Permit{
-		limit: l,
-		at:    time.Now(),
-		done:  true,
+		limiter:   l,
+		writtenAt: time.Now(),
+		written:   true,
 	}
-	for i := range l.sent {
-		l.sent[i] = unknown
+	for i := range l.recent {
+		l.recent[i] = unknown
 	}
 }
 
@@ -65,7 +65,7 @@
 func (l *Limiter) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	clear(l.sent)
+	clear(l.recent)
 }
 
 // Turn takes in that the upstream stays cold for the given time. Zero means that it is
@@ -73,7 +73,7 @@
 func (l *Limiter) SetRemaining(remaining time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.until = time.Now().Add(remaining)
+	l.warmAt = time.Now().Add(remaining)
 }
 
 // AtLeast takes in that the upstream stays cold for the given time, or longer: word that
@@ -81,8 +81,8 @@
 func (l *Limiter) ExtendRemaining(remaining time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if until := time.Now().Add(remaining); until.After(l.until) {
-		l.until = until
+	if until := time.Now().Add(remaining); until.After(l.warmAt) {
+		l.warmAt = until
 	}
 }
 
@@ -90,34 +90,34 @@
 func (l *Limiter) Remaining() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return max(0, time.Until(l.until))
+	return max(0, time.Until(l.warmAt))
 }
 
 // binds returns whether the bound holds now. The lock is held.
-func (l *Limiter) binds(now time.Time) bool { return len(l.sent) > 0 && now.Before(l.until) }
+func (l *Limiter) active(now time.Time) bool { return len(l.recent) > 0 && now.Before(l.warmAt) }
 
 // Most returns the number of requests that are allowed in a second now. The second result
 // is false if there is no bound.
-func (l *Limiter) Limit() (most int, bound bool) {
+func (l *Limiter) Limit() (limit int, limited bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.sent), l.binds(time.Now())
+	return len(l.recent), l.active(time.Now())
 }
 
 // Take counts a request that is about to be sent if it may be, and otherwise returns after
 // how long one may. The caller owes the Sending a Done.
-func (l *Limiter) TryAcquire() (sending *Permit, wait time.Duration) {
+func (l *Limiter) TryAcquire() (permit *Permit, wait time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if wait := l.wait(time.Now(), 0); wait > 0 {
 		return nil, wait
 	}
-	s := &Permit{limit: l}
-	if len(l.sent) > 0 {
-		l.sent[l.next] = s
-		l.next = (l.next + 1) % len(l.sent)
+	p := &Permit{limiter: l}
+	if len(l.recent) > 0 {
+		l.recent[l.oldest] = p
+		l.oldest = (l.oldest + 1) % len(l.recent)
 	}
-	return s, 0
+	return p, 0
 }
 
 // Wait returns after how long a request may be sent if the given number goes before it.
@@ -129,21 +129,21 @@
 
 // wait returns what Wait does, by when the upstream is warm at the latest. The lock is held.
 func (l *Limiter) wait(now time.Time, ahead int) time.Duration {
-	if !l.binds(now) {
+	if !l.active(now) {
 		return 0
 	}
-	n := len(l.sent)
+	n := len(l.recent)
 	free := now
-	switch s := l.sent[(l.next+ahead%n)%n]; {
-	case s == nil:
-	case !s.done:
-		free = now.Add(span)
-	case s.at.Add(span).After(now):
-		free = s.at.Add(span)
+	switch p := l.recent[(l.oldest+ahead%n)%n]; {
+	case p == nil:
+	case !p.written:
+		free = now.Add(window)
+	case p.writtenAt.Add(window).After(now):
+		free = p.writtenAt.Add(window)
 	}
-	free = free.Add(time.Duration(ahead/n) * span)
-	if l.until.Before(free) {
-		free = l.until
+	free = free.Add(time.Duration(ahead/n) * window)
+	if l.warmAt.Before(free) {
+		free = l.warmAt
 	}
 	return max(0, free.Sub(now))
 }
--- a/coldstart/limit_test.go
+++ b/coldstart/limit_test.go
@@ -18,60 +18,64 @@
 )
 
 // most is what the tests allow in any second.
-const most = 5
+const limit = 5
 
 // newLimit returns a Limit whose upstream has not been sent anything yet.
-func newLimit() *coldstart.Limiter {
+func newLimiter() *coldstart.Limiter {
 	l := new(coldstart.Limiter)
-	l.SetLimit(most)
+	l.SetLimit(limit)
 	l.Reset()
 	return l
 }
 
 // TestTake counts what is let through of many requests at once.
-func TestTake(t *testing.T) {
+func TestTryAcquire(t *testing.T) {
 	tests := map[string]struct {
 		play func(l *coldstart.Limiter)
 		want int
 	}{
 		"warm":                   {play: func(*coldstart.Limiter) {}, want: 100},
-		"cold":                   {play: func(l *coldstart.Limiter) { l.SetRemaining(time.Minute) }, want: most},
+		"cold":                   {play: func(l *coldstart.Limiter) { l.SetRemaining(time.Minute) }, want: limit},
 		"cold no more":           {play: func(l *coldstart.Limiter) { l.SetRemaining(time.Minute); l.SetRemaining(0) }, want: 100},
 		"its time is over":       {play: func(l *coldstart.Limiter) { l.SetRemaining(time.Second); time.Sleep(time.Second) }, want: 100},
-		"late word":              {play: func(l *coldstart.Limiter) { l.SetRemaining(time.Minute); l.ExtendRemaining(0) }, want: most},
-		"turns cold after three": {play: func(l *coldstart.Limiter) { takeAll(l, 3); l.SetRemaining(time.Minute) }, want: most - 3},
-		"turns cold after many":  {play: func(l *coldstart.Limiter) { takeAll(l, 50); l.SetRemaining(time.Minute) }, want: 0},
-		"after many, long ago":   {play: func(l *coldstart.Limiter) { takeAll(l, 50); time.Sleep(2 * time.Second); l.SetRemaining(time.Minute) }, want: most},
-		"a new start":            {play: func(l *coldstart.Limiter) { takeAll(l, 50); l.SetRemaining(time.Minute); l.Reset() }, want: most},
-		"a new process":          {play: func(l *coldstart.Limiter) { l.SetLimit(0); l.SetLimit(most); l.SetRemaining(time.Minute) }, want: 0},
+		"late word":              {play: func(l *coldstart.Limiter) { l.SetRemaining(time.Minute); l.ExtendRemaining(0) }, want: limit},
+		"turns cold after three": {play: func(l *coldstart.Limiter) { acquireAll(l, 3); l.SetRemaining(time.Minute) }, want: limit - 3},
+		"turns cold after many":  {play: func(l *coldstart.Limiter) { acquireAll(l, 50); l.SetRemaining(time.Minute) }, want: 0},
+		"after many, long ago": {play: func(l *coldstart.Limiter) {
+			acquireAll(l, 50)
+			time.Sleep(2 * time.Second)
+			l.SetRemaining(time.Minute)
+		}, want: limit},
+		"a new start":   {play: func(l *coldstart.Limiter) { acquireAll(l, 50); l.SetRemaining(time.Minute); l.Reset() }, want: limit},
+		"a new process": {play: func(l *coldstart.Limiter) { l.SetLimit(0); l.SetLimit(limit); l.SetRemaining(time.Minute) }, want: 0},
 		"a new process, a second": {play: func(l *coldstart.Limiter) {
 			l.SetLimit(0)
-			l.SetLimit(most)
+			l.SetLimit(limit)
 			l.SetRemaining(time.Minute)
 			time.Sleep(2 * time.Second)
-		}, want: most},
+		}, want: limit},
 		"no bound": {play: func(l *coldstart.Limiter) { l.SetLimit(0); l.SetRemaining(time.Minute) }, want: 100},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				l := newLimit()
+				l := newLimiter()
 				test.play(l)
-				qt.Check(t, takeAll(l, 100), qt.Equals, test.want)
+				qt.Check(t, acquireAll(l, 100), qt.Equals, test.want)
 			})
 		})
 	}
 }
 
 // takeAll takes so many at once, and returns how many were let through.
-func takeAll(l *coldstart.Limiter, count int) (taken int) {
+func acquireAll(l *coldstart.Limiter, count int) (acquired int) {
 	for range count {
-		if s, _ := l.TryAcquire(); s != nil {
-			s.MarkWritten()
-			taken++
+		if p, _ := l.TryAcquire(); p != nil {
+			p.MarkWritten()
+			acquired++
 		}
 	}
-	return taken
+	return acquired
 }
 
 // TestAnySecond has requests come at any times while the upstream turns cold and warm: in
@@ -82,7 +86,7 @@
 		gaps := rapid.SliceOfN(rapid.IntRange(0, 400), 1, 300).Draw(r, "gaps")
 		turns := rapid.SliceOfN(rapid.IntRange(0, 30), 0, 10).Draw(r, "turns")
 		synctest.Test(t, func(t *testing.T) {
-			l := newLimit()
+			l := newLimiter()
 			var sent []time.Time
 			for i, gap := range gaps {
 				time.Sleep(time.Duration(gap) * time.Millisecond)
@@ -91,19 +95,19 @@
 						l.SetRemaining(3 * time.Second)
 					}
 				}
-				_, bound := l.Limit()
-				s, wait := l.TryAcquire()
-				if s == nil {
+				_, limited := l.Limit()
+				p, wait := l.TryAcquire()
+				if p == nil {
 					time.Sleep(wait)
-					if s, _ = l.TryAcquire(); s == nil {
+					if p, _ = l.TryAcquire(); p == nil {
 						r.Fatalf("not let through after %v", wait)
 					}
-					_, bound = l.Limit()
+					_, limited = l.Limit()
 				}
-				s.MarkWritten()
+				p.MarkWritten()
 				now := time.Now()
 				sent = append(sent, now)
-				if n := within(sent, now); bound && n > most {
+				if n := within(sent, now); limited && n > limit {
 					r.Fatalf("%d within a second", n)
 				}
 			}
@@ -127,37 +131,37 @@
 //
 // Seen: 32 in a second where 29 were let through and 30 allowed; the instance's processor
 // was given out by the tenth of a second.
-func TestHeldUp(t *testing.T) {
+func TestPausedProcess(t *testing.T) {
 	for seed := range uint64(50) {
 		synctest.Test(t, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, seed))
-			l := newLimit()
+			l := newLimiter()
 			l.SetRemaining(time.Minute)
 			var mu sync.Mutex
 			var written []time.Time
 			var all sync.WaitGroup
-			held := time.Now() // until when the process is held up
+			pausedUntil := time.Now() // until when the process is held up
 			for range 2000 {
 				time.Sleep(time.Duration(random.IntN(20)) * time.Millisecond)
 				if random.IntN(10) == 0 {
-					held = time.Now().Add(time.Duration(random.IntN(300)) * time.Millisecond)
+					pausedUntil = time.Now().Add(time.Duration(random.IntN(300)) * time.Millisecond)
 				}
-				s, _ := l.TryAcquire()
-				if s == nil {
+				p, _ := l.TryAcquire()
+				if p == nil {
 					continue
 				}
-				until := held
+				until := pausedUntil
 				all.Go(func() {
 					time.Sleep(time.Until(until))
 					mu.Lock()
 					written = append(written, time.Now())
 					mu.Unlock()
-					s.MarkWritten()
+					p.MarkWritten()
 				})
 			}
 			all.Wait()
 			for _, at := range written {
-				qt.Assert(t, within(written, at) <= most, qt.IsTrue, qt.Commentf("seed %d", seed))
+				qt.Assert(t, within(written, at) <= limit, qt.IsTrue, qt.Commentf("seed %d", seed))
 			}
 		})
 	}
@@ -166,26 +170,26 @@
 // TestWait tells when the next ones may be sent, after most of them just now.
 func TestWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLimit()
+		l := newLimiter()
 		l.SetRemaining(time.Minute)
-		takeAll(l, 3)
+		acquireAll(l, 3)
 		time.Sleep(500 * time.Millisecond)
-		takeAll(l, 2)
+		acquireAll(l, 2)
 		first, second := l.Wait(0), l.Wait(3)
 		qt.Check(t, first > 500*time.Millisecond && first < 600*time.Millisecond, qt.IsTrue, qt.Commentf("%v", first))
 		qt.Check(t, second-first, qt.Equals, 500*time.Millisecond)
-		qt.Check(t, l.Wait(most)-first > time.Second, qt.IsTrue)
+		qt.Check(t, l.Wait(limit)-first > time.Second, qt.IsTrue)
 		l.SetRemaining(100 * time.Millisecond)
-		qt.Check(t, l.Wait(2*most), qt.Equals, 100*time.Millisecond, qt.Commentf("it is warm then"))
+		qt.Check(t, l.Wait(2*limit), qt.Equals, 100*time.Millisecond, qt.Commentf("it is warm then"))
 	})
 }
 
 // BenchmarkTake lets requests through to a warm upstream, as nearly all are.
-func BenchmarkTake(b *testing.B) {
+func BenchmarkTryAcquire(b *testing.B) {
 	l := new(coldstart.Limiter)
-	l.SetLimit(most)
+	l.SetLimit(limit)
 	for b.Loop() {
-		s, _ := l.TryAcquire()
-		s.MarkWritten()
+		p, _ := l.TryAcquire()
+		p.MarkWritten()
 	}
 }
