--- a/coldstart/doc.go
+++ b/coldstart/doc.go
@@ -2,14 +2,14 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Package coldstart bounds the requests that an upstream is sent while it is cold.
+// Package coldstart limits the requests that an upstream is sent while it is cold.
 //
-// An upstream that has just started, or has lost its caches, bears so many requests a
-// second and ends at a rate well above that. All its requests pass through the gate beside
-// it, so that the bound of that gate is the bound of all nodes together. It holds in any
-// second, not in seconds of a clock: a bucket that is filled once a second lets twice as
-// many through around the filling. An upstream may turn cold at any moment, with the
-// requests of the last second behind it, so these are counted at all times.
+// An upstream that has just started, or has lost its caches, bears a certain number of requests
+// per second and crashes at a rate well above that. All its requests pass through the gate beside
+// it, so that the limit of that gate is the limit of all nodes together. The limit holds in any
+// interval of one second, and not only in the seconds of a clock: a bucket that is refilled once
+// a second lets twice as many through around the refill. An upstream may turn cold at any time,
+// when it has just got the requests of the last second, so these are counted at all times.
 //
 // The package does no input or output and starts no goroutine.
 package coldstart
--- a/coldstart/limit.go
+++ b/coldstart/limiter.go
@@ -9,30 +9,30 @@
 	"time"
 )
 
-// span is the time over which requests are counted: a second, and as much more as two
-// requests may come closer together on their way to the upstream, which is on the same
+// window is the time over which requests are counted: a second, and the time by which two
+// requests may get closer to each other on their way to the upstream, which is on the same
 // instance.
 const window = 1020 * time.Millisecond
 
-// Limit bounds the requests to one upstream in any second while it is cold. The zero value
-// bounds nothing. Its methods may be called from any goroutine.
+// Limiter limits the requests to one upstream in any second while it is cold. The zero value
+// limits nothing. Its methods may be called from any goroutine.
 type Limiter struct {
 	mu     sync.Mutex
 	warmAt time.Time // when the upstream is warm
-	recent []*Permit // the latest requests, as many as are allowed: a ring
+	recent []*Permit // a ring of the latest requests, as many as are allowed in a second
 	oldest int       // the oldest of them, which the next one replaces
 }
 
-// Sending is a request that Take has let through.
+// Permit is the permission to send one request.
 type Permit struct {
 	limiter   *Limiter
-	writtenAt time.Time // when it was sent
+	writtenAt time.Time // when it was written
 	written   bool
 }
 
-// Done records that the request has been written, be it in part. Until then it counts as
-// sent at each moment: a process may be held up for a tenth of a second between the two, and
-// then sends together what was let through one by one.
+// MarkWritten records that the request has been written, even if only in part. Until then it
+// counts as sent at every moment: a process may be paused for a tenth of a second between the
+// two, and then writes at once what was let through one by one.
 func (p *Permit) MarkWritten() {
 	p.limiter.mu.Lock()
 	defer p.limiter.mu.Unlock()
@@ -40,9 +40,9 @@
 	p.written = true
 }
 
-// Set allows the given number of requests in any second while the upstream is cold; 0 means
-// any number. Requests of the last second that are not known, as after a start of this
-// process, are taken to have been as many.
+// SetLimit sets the number of requests that are allowed in any second while the upstream is cold;
+// 0 means any number. Requests of the last second that are not known, as after a start of this
+// process, are assumed to have been as many.
 func (l *Limiter) SetLimit(limit int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -61,14 +61,14 @@
 	}
 }
 
-// Restart says that the upstream has started anew, and was sent nothing yet.
+// Reset records that the upstream has restarted, and has not been sent any requests yet.
 func (l *Limiter) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	clear(l.recent)
 }
 
-// Turn takes in that the upstream stays cold for the given time. Zero means that it is
+// SetRemaining records that the upstream stays cold for the given time. Zero means that it is
 // warm.
 func (l *Limiter) SetRemaining(remaining time.Duration) {
 	l.mu.Lock()
@@ -76,8 +76,8 @@
 	l.warmAt = time.Now().Add(remaining)
 }
 
-// AtLeast takes in that the upstream stays cold for the given time, or longer: word that
-// may be late.
+// ExtendRemaining records that the upstream stays cold for at least the given time, according to
+// a report that may be outdated.
 func (l *Limiter) ExtendRemaining(remaining time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -93,19 +93,20 @@
 	return max(0, time.Until(l.warmAt))
 }
 
-// binds returns whether the bound holds now. The lock is held.
+// active returns whether the limit applies now. The lock is held.
 func (l *Limiter) active(now time.Time) bool { return len(l.recent) > 0 && now.Before(l.warmAt) }
 
-// Most returns the number of requests that are allowed in a second now. The second result
-// is false if there is no bound.
+// Limit returns the number of requests that are allowed in a second. The second result is false
+// if no limit applies now.
 func (l *Limiter) Limit() (limit int, limited bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.recent), l.active(time.Now())
 }
 
-// Take counts a request that is about to be sent if it may be, and otherwise returns after
-// how long one may. The caller owes the Sending a Done.
+// TryAcquire counts a request that is about to be sent and returns a Permit if it may be sent now,
+// and otherwise returns the time after which one may be. The caller must call MarkWritten on the
+// Permit.
 func (l *Limiter) TryAcquire() (permit *Permit, wait time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -120,14 +121,15 @@
 	return p, 0
 }
 
-// Wait returns after how long a request may be sent if the given number goes before it.
+// Wait returns the time after which a request may be sent if the given number is sent before it.
 func (l *Limiter) Wait(ahead int) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.wait(time.Now(), ahead)
 }
 
-// wait returns what Wait does, by when the upstream is warm at the latest. The lock is held.
+// wait is Wait at the given time. The result is at most the time until the upstream is warm. The
+// lock is held.
 func (l *Limiter) wait(now time.Time, ahead int) time.Duration {
 	if !l.active(now) {
 		return 0
--- a/coldstart/limit_test.go
+++ b/coldstart/limiter_test.go
@@ -17,10 +17,10 @@
 	"sassafrasfront.example/coldstart"
 )
 
-// most is what the tests allow in any second.
+// limit is the number of requests that the tests allow in any second.
 const limit = 5
 
-// newLimit returns a Limit whose upstream has not been sent anything yet.
+// newLimiter returns a Limiter whose upstream has not been sent anything yet.
 func newLimiter() *coldstart.Limiter {
 	l := new(coldstart.Limiter)
 	l.SetLimit(limit)
@@ -28,7 +28,7 @@
 	return l
 }
 
-// TestTake counts what is let through of many requests at once.
+// TestTryAcquire counts how many of many simultaneous requests are let through.
 func TestTryAcquire(t *testing.T) {
 	tests := map[string]struct {
 		play func(l *coldstart.Limiter)
@@ -36,9 +36,9 @@
 	}{
 		"warm":                   {play: func(*coldstart.Limiter) {}, want: 100},
 		"cold":                   {play: func(l *coldstart.Limiter) { l.SetRemaining(time.Minute) }, want: limit},
-		"cold no more":           {play: func(l *coldstart.Limiter) { l.SetRemaining(time.Minute); l.SetRemaining(0) }, want: 100},
-		"its time is over":       {play: func(l *coldstart.Limiter) { l.SetRemaining(time.Second); time.Sleep(time.Second) }, want: 100},
-		"late word":              {play: func(l *coldstart.Limiter) { l.SetRemaining(time.Minute); l.ExtendRemaining(0) }, want: limit},
+		"warm again":             {play: func(l *coldstart.Limiter) { l.SetRemaining(time.Minute); l.SetRemaining(0) }, want: 100},
+		"the cold time is over":  {play: func(l *coldstart.Limiter) { l.SetRemaining(time.Second); time.Sleep(time.Second) }, want: 100},
+		"an outdated report":     {play: func(l *coldstart.Limiter) { l.SetRemaining(time.Minute); l.ExtendRemaining(0) }, want: limit},
 		"turns cold after three": {play: func(l *coldstart.Limiter) { acquireAll(l, 3); l.SetRemaining(time.Minute) }, want: limit - 3},
 		"turns cold after many":  {play: func(l *coldstart.Limiter) { acquireAll(l, 50); l.SetRemaining(time.Minute) }, want: 0},
 		"after many, long ago": {play: func(l *coldstart.Limiter) {
@@ -46,15 +46,15 @@
 			time.Sleep(2 * time.Second)
 			l.SetRemaining(time.Minute)
 		}, want: limit},
-		"a new start":   {play: func(l *coldstart.Limiter) { acquireAll(l, 50); l.SetRemaining(time.Minute); l.Reset() }, want: limit},
-		"a new process": {play: func(l *coldstart.Limiter) { l.SetLimit(0); l.SetLimit(limit); l.SetRemaining(time.Minute) }, want: 0},
-		"a new process, a second": {play: func(l *coldstart.Limiter) {
+		"the upstream restarts": {play: func(l *coldstart.Limiter) { acquireAll(l, 50); l.SetRemaining(time.Minute); l.Reset() }, want: limit},
+		"the gate restarts":     {play: func(l *coldstart.Limiter) { l.SetLimit(0); l.SetLimit(limit); l.SetRemaining(time.Minute) }, want: 0},
+		"the gate restarts, two seconds later": {play: func(l *coldstart.Limiter) {
 			l.SetLimit(0)
 			l.SetLimit(limit)
 			l.SetRemaining(time.Minute)
 			time.Sleep(2 * time.Second)
 		}, want: limit},
-		"no bound": {play: func(l *coldstart.Limiter) { l.SetLimit(0); l.SetRemaining(time.Minute) }, want: 100},
+		"no limit": {play: func(l *coldstart.Limiter) { l.SetLimit(0); l.SetRemaining(time.Minute) }, want: 100},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -67,7 +67,7 @@
 	}
 }
 
-// takeAll takes so many at once, and returns how many were let through.
+// acquireAll sends the given number of requests at once, and returns how many were let through.
 func acquireAll(l *coldstart.Limiter, count int) (acquired int) {
 	for range count {
 		if p, _ := l.TryAcquire(); p != nil {
@@ -78,9 +78,9 @@
 	return acquired
 }
 
-// TestAnySecond has requests come at any times while the upstream turns cold and warm: in
-// no second in which it is cold throughout does it get more than it bears, and a request
-// that is told to wait is let through after that if no other comes.
+// TestAnySecond has requests arrive at any times while the upstream turns cold and warm. In no
+// second in which it is cold throughout does it get more than the limit, and a request that is
+// told to wait is let through after that time if no other arrives.
 func TestAnySecond(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		gaps := rapid.SliceOfN(rapid.IntRange(0, 400), 1, 300).Draw(r, "gaps")
@@ -125,12 +125,12 @@
 	return n
 }
 
-// TestHeldUp has the process held up at times between the moment at which a request is let
-// through and its writing, so that several are written at once: in no second are more
-// written than are allowed.
+// TestPausedProcess pauses the process at times between letting a request through and writing
+// it, so that several requests are written at once. In no second may more than the limit be
+// written.
 //
-// Seen: 32 in a second where 29 were let through and 30 allowed; the instance's processor
-// was given out by the tenth of a second.
+// It guards against a failure where an instance with a CPU quota period of 100 ms wrote 32
+// requests in a second, although it let 29 through and 30 were allowed.
 func TestPausedProcess(t *testing.T) {
 	for seed := range uint64(50) {
 		synctest.Test(t, func(t *testing.T) {
@@ -140,7 +140,7 @@
 			var mu sync.Mutex
 			var written []time.Time
 			var all sync.WaitGroup
-			pausedUntil := time.Now() // until when the process is held up
+			pausedUntil := time.Now() // until when the process is paused
 			for range 2000 {
 				time.Sleep(time.Duration(random.IntN(20)) * time.Millisecond)
 				if random.IntN(10) == 0 {
@@ -167,7 +167,7 @@
 	}
 }
 
-// TestWait tells when the next ones may be sent, after most of them just now.
+// TestWait checks when further requests may be sent after the limit has been reached.
 func TestWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newLimiter()
@@ -184,7 +184,7 @@
 	})
 }
 
-// BenchmarkTake lets requests through to a warm upstream, as nearly all are.
+// BenchmarkTryAcquire lets requests through to a warm upstream, as nearly all are.
 func BenchmarkTryAcquire(b *testing.B) {
 	l := new(coldstart.Limiter)
 	l.SetLimit(limit)
