--- a/serviceconfig/classes.go
+++ b/serviceconfig/classes.go
@@ -16,7 +16,7 @@
 
 // kind is what tells the classes of a service apart. Requests of one priority may
 // run for 55 ms or for 260 ms; their objectives say which can wait.
-type kind struct {
+type classKey struct {
 	priority  int // the lowest number goes first
 	objective time.Duration
 }
@@ -25,10 +25,10 @@
 // and those of organisations, the least urgent first: of those with the same priority, the
 // one with the longest objective. Those that an operator's service may not have any more
 // are left out; such requests have their routes' priority.
-func kinds(t *routes.Table, service string) []kind {
-	var list []kind
+func classKeys(t *routes.Table, service string) []classKey {
+	var list []classKey
 	add := func(priority int, objective time.Duration) {
-		k := kind{
+		k := classKey{
 			priority:  priority,
 			objective: objective,
 		}
@@ -44,7 +44,7 @@
 			}
 		}
 	}
-	slices.SortFunc(list, func(a, b kind) int {
+	slices.SortFunc(list, func(a, b classKey) int {
 		return cmp.Or(-cmp.Compare(a.priority, b.priority), -cmp.Compare(a.objective, b.objective))
 	})
 	return list
@@ -84,12 +84,12 @@
 func classes(t *routes.Table, service string) []operator.Class {
 	weight := 1.0
 	var list []operator.Class
-	var before kind
-	for i, k := range kinds(t, service) {
-		if i > 0 && k.priority != before.priority {
+	var previous classKey
+	for i, k := range classKeys(t, service) {
+		if i > 0 && k.priority != previous.priority {
 			weight *= priorityWeight
 		}
-		before = k
+		previous = k
 		list = append(list, operator.Class{
 			Name:      caller.ClassOf(k.priority, k.objective),
 			Weight:    weight,
@@ -103,12 +103,12 @@
 
 // expectedService returns what a request to a service is expected to take, by the
 // objectives of its routes.
-func expectedService(t *routes.Table, service string) time.Duration {
-	var least time.Duration
-	for _, k := range kinds(t, service) {
-		if least == 0 || k.objective > 0 && k.objective < least {
-			least = k.objective
+func expectedServiceTime(t *routes.Table, service string) time.Duration {
+	var shortest time.Duration
+	for _, k := range classKeys(t, service) {
+		if shortest == 0 || k.objective > 0 && k.objective < shortest {
+			shortest = k.objective
 		}
 	}
-	return time.Duration(servicePart * float64(least))
+	return time.Duration(serviceTimeFraction * float64(shortest))
 }
--- a/serviceconfig/cold.go
+++ b/serviceconfig/cold.go
@@ -19,20 +19,20 @@
 	// up before they are sent, and may come in the next second with that one's. The last
 	// look before an upstream keeps the bound in any case: more is left to it at the cost
 	// of requests that are refused after they were admitted.
-	coldHeldPart = 0.25
+	coldDelayedFraction = 0.25
 )
 
 // coldOf returns the bounds on requests to cold upstreams of a service.
-func coldOf(t *routes.Table, service string, s settings.Settings) operator.Cold {
+func coldLimits(t *routes.Table, service string, s settings.Settings) operator.Cold {
 	c, ok := t.Service(service)
 	if !ok || c.ColdPerSecond == 0 {
 		return operator.Cold{}
 	}
-	pace := s.ColdRatio * c.ColdPerSecond
-	most := max(1, int(pace+s.ColdSlack)-coldReserve)
+	rate := s.ColdRatio * c.ColdPerSecond
+	limit := max(1, int(rate+s.ColdSlack)-coldReserve)
 	return operator.Cold{
-		Pace:  max(1, min(most, int(pace+(1-coldHeldPart)*s.ColdSlack))),
-		Most:  most,
+		Pace:  max(1, min(limit, int(rate+(1-coldDelayedFraction)*s.ColdSlack))),
+		Most:  limit,
 		Lasts: operator.Duration(c.ColdStart),
 	}
 }
--- a/serviceconfig/service.go
+++ b/serviceconfig/service.go
@@ -20,11 +20,11 @@
 	// hedgePart is the part of that which may be spent on requests that are slow rather
 	// than failed, and retryReserve the part that is kept for the failed ones of the
 	// most urgent class.
-	hedgePart    = 0.5
-	retryReserve = 0.5
+	hedgeFraction = 0.5
+	retryReserve  = 0.5
 	// mostTries bounds the sendings of a request. Refusals by gates reach no
 	// upstream, and each costs one exchange between nodes.
-	mostTries = 5
+	maxAttempts = 5
 	// zoneCost is what routing gives to another availability zone. It is several
 	// times the delay between zones, as the bytes are paid for, and far less than a run
 	// at an upstream that is slowed down.
@@ -32,11 +32,11 @@
 	// crossing is what sending to another availability zone costs besides, in usual
 	// service times: bytes between zones are paid for. An upstream in the zone is passed
 	// over that is slowed down by a half or more, or nearly full, and no other.
-	crossing = 0.5
+	zoneCrossingCost = 0.5
 	// servicePart is the part of the least latency objective that a request is
 	// expected to take before any has ended. Operators set objectives at two to
 	// five times the usual service time.
-	servicePart = 0.25
+	serviceTimeFraction = 0.25
 	// queueWait is how long requests of routes without an objective wait, queueLength
 	// the most requests that wait.
 	queueWait   = 60 * time.Millisecond
@@ -52,23 +52,23 @@
 // Service returns what holds for a service of a table of routes at a node with the given
 // settings, where there are so many live nodes.
 func FromTable(t *routes.Table, service string, nodes int, s settings.Settings) operator.Service {
-	fixed := false
+	adaptive := false
 	o := operator.Service{
 		Classes:     classes(t, service),
 		Policy:      "fastest",
 		ZoneCost:    operator.Duration(zoneCost),
-		Crossing:    crossing,
-		ServiceTime: operator.Duration(expectedService(t, service)),
+		Crossing:    zoneCrossingCost,
+		ServiceTime: operator.Duration(expectedServiceTime(t, service)),
 		Queue: operator.Queue{
 			Length:    queueLength,
 			SlotShare: slotShare,
 			Wait:      operator.Duration(queueWait),
 			Hold:      true,
-			Adaptive:  &fixed,
+			Adaptive:  &adaptive,
 		},
-		Cold: coldOf(t, service, s),
+		Cold: coldLimits(t, service, s),
 		Retry: operator.Retry{
-			MaxTries: mostTries,
+			MaxTries: maxAttempts,
 			OnError:  true,
 			Window:   operator.Duration(s.RetryWindow),
 			Share:    budgetSafety * s.RetryRatio,
@@ -76,7 +76,7 @@
 			Reserve:  retryReserve,
 		},
 		Hedge: operator.Hedge{
-			Part: hedgePart,
+			Part: hedgeFraction,
 		},
 	}
 	return o.WithDefaults()
--- a/serviceconfig/service_test.go
+++ b/serviceconfig/service_test.go
@@ -18,7 +18,7 @@
 
 // TestColdOf tells the bounds on requests to cold upstreams: what is admitted and what is
 // sent stay below the rate, its ratio and the slack together.
-func TestColdOf(t *testing.T) {
+func TestColdLimits(t *testing.T) {
 	tests := map[string]struct {
 		perSecond, ratio, slack float64
 		want                    operator.Cold
@@ -41,7 +41,7 @@
 			if test.perSecond > 0 {
 				test.want.Lasts = operator.Duration(3 * time.Second)
 			}
-			qt.Check(t, coldOf(table, "s", settings.Settings{ColdRatio: test.ratio, ColdSlack: test.slack}), qt.Equals, test.want)
+			qt.Check(t, coldLimits(table, "s", settings.Settings{ColdRatio: test.ratio, ColdSlack: test.slack}), qt.Equals, test.want)
 		})
 	}
 }
