--- a/serviceconfig/classes.go
+++ b/serviceconfig/classes.go
@@ -14,17 +14,18 @@
 	"sassafrasfront.example/routes"
 )
 
-// kind is what tells the classes of a service apart. Requests of one priority may
-// run for 55 ms or for 260 ms; their objectives say which can wait.
+// classKey identifies a class of a service. Requests of one priority may run for 55 ms or for
+// 260 ms; their latency objectives tell which can wait.
 type classKey struct {
-	priority  int // the lowest number goes first
+	priority  int // lower numbers are more urgent
 	objective time.Duration
 }
 
-// kinds returns the kinds of the routes that lead to a service, with their own priorities
-// and those of organisations, the least urgent first: of those with the same priority, the
-// one with the longest objective. Those that an operator's service may not have any more
-// are left out; such requests have their routes' priority.
+// classKeys returns the classes of the routes that lead to a service, with their own priorities
+// and those of organisations. The least urgent comes first: the one with the longest objective
+// of those with the same priority. Classes for priorities of organisations beyond the largest
+// number that an operator's service may have are left out; their requests have the priorities of
+// their routes.
 func classKeys(t *routes.Table, service string) []classKey {
 	var list []classKey
 	add := func(priority int, objective time.Duration) {
@@ -50,8 +51,8 @@
 	return list
 }
 
-// keyedObjectives adds the kinds of the routes that lead to a service, and returns the
-// objectives of those whose requests may take an organisation's priority, in order.
+// keyedObjectives adds the classes of the routes that lead to a service, and returns the sorted
+// objectives of those routes whose requests may have an organisation's priority.
 func keyedObjectives(t *routes.Table, service string, add func(priority int, objective time.Duration)) []time.Duration {
 	var keyed []time.Duration
 	for _, r := range t.Routes {
@@ -67,8 +68,8 @@
 	return slices.Compact(keyed)
 }
 
-// organisationPriorities returns the priorities that organisations have in place of their
-// routes', in order.
+// organisationPriorities returns the sorted priorities that organisations have in place of those
+// of their routes.
 func organisationPriorities(t *routes.Table) []int {
 	var list []int
 	for _, o := range t.Organisations {
@@ -80,7 +81,7 @@
 	return slices.Compact(list)
 }
 
-// classes returns a class for each kind of the routes that lead to the service.
+// classes returns the classes of the routes that lead to a service.
 func classes(t *routes.Table, service string) []operator.Class {
 	weight := 1.0
 	var list []operator.Class
@@ -101,8 +102,8 @@
 	return list
 }
 
-// expectedService returns what a request to a service is expected to take, by the
-// objectives of its routes.
+// expectedServiceTime returns the expected service time of requests to a service, based on the
+// latency objectives of its routes.
 func expectedServiceTime(t *routes.Table, service string) time.Duration {
 	var shortest time.Duration
 	for _, k := range classKeys(t, service) {
--- a/serviceconfig/cold.go
+++ b/serviceconfig/cold.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// coldReserve is the number of requests by which the last check before an upstream
-	// stays below the bound in any second: this one's clock and the upstream's tell a second
-	// apart by some milliseconds.
+	// coldReserve is the number of requests by which the final check before an upstream stays
+	// below the limit in any second, as the clocks of this node and the upstream may measure a
+	// second differently by some milliseconds.
 	coldReserve = 1
-	// coldHeldPart is the part of the slack that admission leaves to requests which are held
-	// up before they are sent, and may come in the next second with that one's. The last
-	// look before an upstream keeps the bound in any case: more is left to it at the cost
-	// of requests that are refused after they were admitted.
+	// coldDelayedFraction is the fraction of the slack that admission leaves to requests which
+	// are delayed before they are sent, and may arrive in the next second with that second's
+	// requests. The final check before an upstream enforces the limit in any case. If more is
+	// left to it, more requests are refused after they were admitted.
 	coldDelayedFraction = 0.25
 )
 
-// coldOf returns the bounds on requests to cold upstreams of a service.
+// coldLimits returns the limits on requests to cold upstreams of a service.
 func coldLimits(t *routes.Table, service string, s settings.Settings) operator.Cold {
 	c, ok := t.Service(service)
 	if !ok || c.ColdPerSecond == 0 {
--- a/serviceconfig/doc.go
+++ b/serviceconfig/doc.go
@@ -2,9 +2,9 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Package serviceconfig makes what holds for a service from a table of routes: its classes, how its
-// requests wait and are sent again, and what cold upstreams bear.
+// Package serviceconfig derives the configuration of a service from a table of routes: its classes,
+// how its requests wait and are retried, and the limits of cold upstreams.
 //
-// A table says what callers need, such as priorities and objectives; how upstreams are used
-// for that is decided here. The package does no input or output and starts no goroutine.
+// A table says what callers need, such as priorities and latency objectives; this package decides
+// how upstreams are used for that. It does no input or output and starts no goroutine.
 package serviceconfig
--- a/serviceconfig/service.go
+++ b/serviceconfig/service.go
@@ -13,44 +13,44 @@
 )
 
 const (
-	// budgetSafety is the part of the budget for repeated sendings that is used:
-	// calls that a repeated request makes count as repeated too, and the nodes'
-	// counts of each other differ for a while.
+	// budgetSafety is the fraction of the retry budget that is used: calls that a
+	// retried request makes count as retries too, and the nodes' counts of each
+	// other differ for a while.
 	budgetSafety = 0.6
-	// hedgePart is the part of that which may be spent on requests that are slow rather
-	// than failed, and retryReserve the part that is kept for the failed ones of the
-	// most urgent class.
+	// hedgeFraction is the fraction of that budget that may be used for slow requests
+	// rather than failed ones, and retryReserve the fraction reserved for failed
+	// requests of the most urgent class.
 	hedgeFraction = 0.5
 	retryReserve  = 0.5
-	// mostTries bounds the sendings of a request. Refusals by gates reach no
-	// upstream, and each costs one exchange between nodes.
+	// maxAttempts bounds how many times a request is sent. Refusals by gates do not
+	// reach an upstream, and each costs one exchange between nodes.
 	maxAttempts = 5
-	// zoneCost is what routing gives to another availability zone. It is several
-	// times the delay between zones, as the bytes are paid for, and far less than a run
-	// at an upstream that is slowed down.
+	// zoneCost is the cost of routing to another availability zone. It is several
+	// times the delay between zones, as traffic between them is paid for, and far
+	// less than a run at an upstream that is slowed down.
 	zoneCost = 12 * time.Millisecond
-	// crossing is what sending to another availability zone costs besides, in usual
-	// service times: bytes between zones are paid for. An upstream in the zone is passed
-	// over that is slowed down by a half or more, or nearly full, and no other.
+	// zoneCrossingCost is the additional cost of sending to another availability zone, in
+	// mean service times, as traffic between zones is paid for. An upstream in the zone is
+	// avoided only if it is slowed down by a half or more, or is nearly full.
 	zoneCrossingCost = 0.5
-	// servicePart is the part of the least latency objective that a request is
-	// expected to take before any has ended. Operators set objectives at two to
-	// five times the usual service time.
+	// serviceTimeFraction is the fraction of the shortest latency objective that a
+	// request is expected to take before any has ended. Operators set objectives at
+	// two to five times the usual service time.
 	serviceTimeFraction = 0.25
-	// queueWait is how long requests of routes without an objective wait, queueLength
-	// the most requests that wait.
+	// queueWait is how long requests of routes without an objective wait, and queueLength
+	// the largest number of requests that wait.
 	queueWait   = 60 * time.Millisecond
 	queueLength = 16
-	// slotShare is the part of an upstream's slots that is used. Runs at an upstream
-	// that is nearly full take so much longer that more of them end with fewer at once.
+	// slotShare is the fraction of an upstream's slots that is used. Requests at an upstream
+	// that is nearly full take so much longer that fewer end per second.
 	slotShare = 0.8
-	// priorityWeight is how many times the slots of the next lower priority a
-	// priority gets while requests of both wait.
+	// priorityWeight is the factor by which a priority gets more slots than the
+	// next lower one while requests of both wait.
 	priorityWeight = 4.0
 )
 
-// Service returns what holds for a service of a table of routes at a node with the given
-// settings, where there are so many live nodes.
+// FromTable returns the configuration of a service in a table of routes, at a node with the
+// given settings and number of live nodes.
 func FromTable(t *routes.Table, service string, nodes int, s settings.Settings) operator.Service {
 	adaptive := false
 	o := operator.Service{
--- a/serviceconfig/service_test.go
+++ b/serviceconfig/service_test.go
@@ -16,19 +16,19 @@
 	"sassafrasfront.example/settings"
 )
 
-// TestColdOf tells the bounds on requests to cold upstreams: what is admitted and what is
-// sent stay below the rate, its ratio and the slack together.
+// TestColdLimits checks the limits on requests to cold upstreams. What is admitted and what is
+// sent stay below the rate times the ratio plus the slack.
 func TestColdLimits(t *testing.T) {
 	tests := map[string]struct {
 		perSecond, ratio, slack float64
 		want                    operator.Cold
 	}{
-		"none":          {ratio: 1.5, slack: 8},
-		"with a slack":  {perSecond: 15, ratio: 1.5, slack: 8, want: operator.Cold{Pace: 28, Most: 29}},
-		"without":       {perSecond: 15, ratio: 1, want: operator.Cold{Pace: 14, Most: 14}},
-		"under one":     {perSecond: 0.4, ratio: 1, want: operator.Cold{Pace: 1, Most: 1}},
-		"no ratio":      {perSecond: 15, slack: 8, want: operator.Cold{Pace: 6, Most: 7}},
-		"a large slack": {perSecond: 15, ratio: 1, slack: 100, want: operator.Cold{Pace: 90, Most: 114}},
+		"none":            {ratio: 1.5, slack: 8},
+		"with a slack":    {perSecond: 15, ratio: 1.5, slack: 8, want: operator.Cold{Pace: 28, Most: 29}},
+		"without a slack": {perSecond: 15, ratio: 1, want: operator.Cold{Pace: 14, Most: 14}},
+		"under one":       {perSecond: 0.4, ratio: 1, want: operator.Cold{Pace: 1, Most: 1}},
+		"no ratio":        {perSecond: 15, slack: 8, want: operator.Cold{Pace: 6, Most: 7}},
+		"a large slack":   {perSecond: 15, ratio: 1, slack: 100, want: operator.Cold{Pace: 90, Most: 114}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -46,8 +46,8 @@
 	}
 }
 
-// TestClassesOfOrganisations has classes for the priorities that organisations have, on the
-// routes that need a key only, and no more than a service may have.
+// TestClassesOfOrganisations checks that there are classes for the priorities of organisations
+// only on routes that need a key, and no more than a service may have.
 func TestClassesOfOrganisations(t *testing.T) {
 	priority := func(p int) *int { return &p }
 	organisations := []organisation.Organisation{
