--- a/coldstart/doc.go
+++ b/coldstart/doc.go
@@ -4,7 +4,7 @@
 
 // Package coldstart limits the requests that an upstream is sent while it is cold.
 //
-// An upstream that has just started, or has lost its caches, bears a certain number of requests
+// An upstream that has just started, or has lost its caches, can handle a number of requests
 // per second and crashes at a rate well above that. All its requests pass through the gate beside
 // it, so that the limit of that gate is the limit of all nodes together. The limit holds in any
 // interval of one second, and not only in the seconds of a clock: a bucket that is refilled once
--- a/quota/client.go
+++ b/quota/client.go
@@ -63,7 +63,7 @@
 func (c *Client) SetNodes(n int) { c.nodes = n }
 
 // PreviousHolder returns the coordinator that holds the node's share and has to release it
-// because another one is used now, or "". One that does not respond isn't asked to.
+// because another one is used now, or "" if there is none or if it does not respond.
 func (c *Client) PreviousHolder(now time.Duration) string {
 	if now >= c.holdsUntil || c.holder == c.coordinator || c.avoids(c.holder, now) {
 		return ""
--- a/quota/lease_test.go
+++ b/quota/lease_test.go
@@ -15,7 +15,7 @@
 	"sassafrasfront.example/quota"
 )
 
-// harness is a node and two coordinators, all with the same clock.
+// harness is a node and two coordinators that share a clock.
 type harness struct {
 	t            *testing.T
 	now          time.Duration
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -48,7 +48,7 @@
 	cancelled    bool
 }
 
-// refusal is what the callers of an organisation are told for which there is no token.
+// refusal is how requests of an organisation are refused for which there is no token.
 type refusal struct {
 	until     time.Duration // when the coordinator is asked again
 	nextRetry time.Duration // when the next caller may retry
@@ -280,7 +280,7 @@
 	}
 }
 
-// settle tells a waiting request the decision on it.
+// settle delivers the decision on a waiting request.
 func (l *Limiter) settle(p *Pending, d Decision) {
 	p.cancelled = true
 	l.waitingCount--
--- a/quota/message.go
+++ b/quota/message.go
@@ -26,7 +26,7 @@
 	Coordinator uint32        `msgpack:"h,omitempty"`
 	Clock       time.Duration `msgpack:"c,omitempty"`
 	Elapsed     time.Duration `msgpack:"e,omitempty"`
-	// Nodes, if positive, delegates the node's share, which is one of so many. If it is 0,
+	// Nodes, if positive, delegates the node's share, 1/Nodes of every rate limit. If it is 0,
 	// the node's share is withdrawn if the coordinator holds it. If it is Unchanged, nothing
 	// changes.
 	Nodes int `msgpack:"p,omitempty"`
--- a/route/assignment.go
+++ b/route/assignment.go
@@ -12,7 +12,7 @@
 const (
 	// Unknown says nothing about the upstream, as for a request that its caller cancelled.
 	Unknown Outcome = iota
-	// Succeeded means that the upstream answered.
+	// Succeeded means that the upstream responded.
 	Succeeded
 	// Refused means that the node beside the upstream refused the request.
 	Refused
