--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -12,33 +12,35 @@
 
 const (
 	// maxWaiting bounds the requests of one organisation that wait for tokens at a node,
-	// and maxWaitingAll those of all.
+	// and maxWaitingAll those of all organisations.
 	maxWaiting    = 1 << 10
 	maxWaitingAll = 1 << 12
-	// refuseFor is how long at most a node refuses without asking once the home has
-	// refused. It bounds the messages that an organisation's rush causes.
-	refuseFor = 100 * time.Millisecond
-	// lateAfter is how long late requests are refused after the last refusal of others.
-	lateAfter = 300 * time.Millisecond
-	// nearly is the time for which a request waits rather than being refused: the home is
-	// asked again about then.
-	nearly = 20 * time.Millisecond
-	// unknownWait is when a caller may come back that was refused as no home has answered.
-	unknownWait = LeaseDuration / 2
+	// maxRefuseTime is the longest time for which a node refuses requests on its own after
+	// the coordinator has refused some. It bounds the messages that a surge causes.
+	maxRefuseTime = 100 * time.Millisecond
+	// lateRefuseTime is how long late requests are refused after the last refusal of others.
+	lateRefuseTime = 300 * time.Millisecond
+	// shortWait is the time up to which a request waits rather than being refused: the
+	// coordinator is asked again after about that time.
+	shortWait = 20 * time.Millisecond
+	// unknownRetryAfter is when a caller may retry that was refused because no coordinator
+	// has responded.
+	unknownRetryAfter = LeaseDuration / 2
 )
 
-// Decision is what is decided on a request.
+// Decision is the decision on a request.
 type Decision struct {
-	// Granted is whether it may run, with Token.
+	// Granted is whether the request may run, with Token.
 	Granted bool
 	Token   Token
-	// Unknown is whether it may not as nobody knows if the limit is reached; otherwise it is.
+	// Unknown is whether the request is refused because it isn't known if the limit is
+	// reached. A request that is refused otherwise is over the limit.
 	Unknown bool
-	// Wait is when the caller may come back.
+	// RetryAfter is the time after which the caller may retry.
 	RetryAfter time.Duration
 }
 
-// Pending is a request that waits.
+// Pending is a request that waits for a decision.
 type Pending struct {
 	organisation string
 	late         bool
@@ -46,45 +48,45 @@
 	cancelled    bool
 }
 
-// refusal is what is told to the callers of an organisation for which there is no token.
+// refusal is how requests of an organisation are refused for which there is no token.
 type refusal struct {
-	until time.Duration // when the home is asked again
-	next  time.Duration // when the next caller may come back
-	step  time.Duration
-	// unknown is whether that isn't certain.
+	until     time.Duration // when the coordinator is asked again
+	nextRetry time.Duration // when the next caller may retry
+	retryStep time.Duration
+	// unknown is whether it isn't certain that the limit is reached.
 	unknown bool
 }
 
-// Limiter decides on a node's requests: it gathers what to ask a home for, and hands out
-// what it grants in the order of arrival. It is not safe for use by several goroutines at
-// once, and calls the functions that it is given without waiting for anything.
+// Limiter decides on a node's requests. It collects the tokens to request from a coordinator,
+// and hands out granted tokens in the order of arrival. It is not safe for concurrent use. The
+// functions that it is given are called synchronously.
 type Limiter struct {
 	*Client
-	waiting  map[string][]*Pending
-	asked    map[string][]*Pending // of them, in the Ask that is under way
-	count    int
-	refusals map[string]refusal
+	waiting      map[string][]*Pending
+	requested    map[string][]*Pending // those of the Request in flight
+	waitingCount int
+	refusals     map[string]refusal
 }
 
-// NewLimiter returns a Limiter that asks by the given Client.
+// NewLimiter returns a Limiter that requests tokens by the given Client.
 func NewLimiter(c *Client) *Limiter {
 	return &Limiter{
-		Client:   c,
-		waiting:  make(map[string][]*Pending),
-		asked:    make(map[string][]*Pending),
-		refusals: make(map[string]refusal),
+		Client:    c,
+		waiting:   make(map[string][]*Pending),
+		requested: make(map[string][]*Pending),
+		refusals:  make(map[string]refusal),
 	}
 }
 
-// Admit decides on a request, or has it wait: decide is called then by Answered. It returns
-// nil if it has decided. A late request, whose answer would come after its objective,
-// gets no token while others of its organisation are refused.
+// Admit decides on a request by calling decide, and returns nil. If the request has to wait, it
+// returns a Pending, and HandleResponse calls decide later. A late request, whose response would
+// miss its latency objective, gets no token while others of its organisation are refused.
 func (l *Limiter) Admit(organisation string, late bool, now time.Duration, decide func(Decision)) *Pending {
 	r, refused := l.refusals[organisation]
-	if refused && late && now < r.until+lateAfter {
+	if refused && late && now < r.until+lateRefuseTime {
 		decide(Decision{
 			Unknown:    r.unknown,
-			RetryAfter: max(r.next-now, r.step),
+			RetryAfter: max(r.nextRetry-now, r.retryStep),
 		})
 		return nil
 	}
@@ -98,17 +100,17 @@
 	if refused && now < r.until {
 		decide(Decision{
 			Unknown:    r.unknown,
-			RetryAfter: max(r.next-now, r.step),
+			RetryAfter: max(r.nextRetry-now, r.retryStep),
 		})
-		r.next += r.step
+		r.nextRetry += r.retryStep
 		l.refusals[organisation] = r
 		return nil
 	}
-	if refused && now >= r.until+lateAfter {
+	if refused && now >= r.until+lateRefuseTime {
 		delete(l.refusals, organisation)
 	}
-	if l.count >= maxWaitingAll || len(l.waiting[organisation]) >= maxWaiting {
-		decide(unknown)
+	if l.waitingCount >= maxWaitingAll || len(l.waiting[organisation]) >= maxWaiting {
+		decide(queueFull)
 		return nil
 	}
 	p := &Pending{
@@ -117,51 +119,51 @@
 		decide:       decide,
 	}
 	l.waiting[organisation] = append(l.waiting[organisation], p)
-	l.count++
+	l.waitingCount++
 	return p
 }
 
-// unknown is the decision on a request for which there is no room to wait.
-var unknown = Decision{
+// queueFull is the decision on a request for which there is no room to wait.
+var queueFull = Decision{
 	Unknown:    true,
-	RetryAfter: unknownWait,
+	RetryAfter: unknownRetryAfter,
 }
 
-// Cancel has a request not wait any longer. It returns false if it is decided on already.
+// Cancel removes a waiting request. It returns false if the request is decided on already.
 func (l *Limiter) Cancel(p *Pending) bool {
 	if p.cancelled {
 		return false
 	}
 	p.cancelled = true
-	l.count--
+	l.waitingCount--
 	return true
 }
 
 // Waiting returns the number of requests that wait.
-func (l *Limiter) Waiting() int { return l.count }
+func (l *Limiter) Waiting() int { return l.waitingCount }
 
-// Ask returns the next Ask to a home, for the requests that wait.
-func (l *Limiter) NextRequest(home string, now time.Duration) *Request {
-	var wants []TokenCount
+// NextRequest returns the next Request to a coordinator, for the requests that wait.
+func (l *Limiter) NextRequest(coordinator string, now time.Duration) *Request {
+	var wanted []TokenCount
 	for _, name := range slices.Sorted(maps.Keys(l.waiting)) {
 		list := uncancelled(l.waiting[name])
 		delete(l.waiting, name)
 		if len(list) == 0 {
 			continue
 		}
-		slices.SortStableFunc(list, inTimeFirst)
-		l.asked[name] = list
-		wants = append(wants, TokenCount{
+		slices.SortStableFunc(list, lateLast)
+		l.requested[name] = list
+		wanted = append(wanted, TokenCount{
 			Organisation: name,
 			Tokens:       len(list),
-			Late:         len(list) - inTime(list),
+			Late:         len(list) - countInTime(list),
 		})
 	}
-	return l.Client.NextRequest(home, wants, now)
+	return l.Client.NextRequest(coordinator, wanted, now)
 }
 
-// inTimeFirst orders requests that are late after others.
-func inTimeFirst(a, b *Pending) int {
+// lateLast orders late requests after the others.
+func lateLast(a, b *Pending) int {
 	switch {
 	case a.late == b.late:
 		return 0
@@ -171,8 +173,8 @@
 	return -1
 }
 
-// inTime returns how many requests of a list in that order are not late.
-func inTime(list []*Pending) int {
+// countInTime returns how many requests of a list in that order are not late.
+func countInTime(list []*Pending) int {
 	n := slices.IndexFunc(list, func(p *Pending) bool { return p.late })
 	if n < 0 {
 		return len(list)
@@ -180,7 +182,7 @@
 	return n
 }
 
-// uncancelled returns those of the list that still wait.
+// uncancelled returns the requests of a list that still wait.
 func uncancelled(list []*Pending) []*Pending {
 	var kept []*Pending
 	for _, p := range list {
@@ -191,40 +193,42 @@
 	return kept
 }
 
-// Answered takes in the answer to an Ask or a probe that was sent at a time.
-func (l *Limiter) HandleResponse(home string, a *Request, answer *Response, sent, now time.Duration) {
-	l.Client.HandleResponse(home, a, answer, sent, now)
-	if len(a.Wanted) == 0 {
+// HandleResponse handles the Response to a Request or a probe that was sent at the given time.
+func (l *Limiter) HandleResponse(coordinator string, r *Request, response *Response, sent, now time.Duration) {
+	l.Client.HandleResponse(coordinator, r, response, sent, now)
+	if len(r.Wanted) == 0 {
 		return
 	}
-	for _, g := range answer.Grants {
+	for _, g := range response.Grants {
 		l.decide(g, now)
 	}
 	l.requeue()
 }
 
-// Unanswered takes in that an Ask or a probe was not answered. Who waits goes on.
-func (l *Limiter) HandleFailure(home string, a *Request, now time.Duration) {
-	l.RecordFailure(home, now)
-	if len(a.Wanted) > 0 {
+// HandleFailure handles a Request or a probe that got no Response. Requests that wait for it
+// go on waiting.
+func (l *Limiter) HandleFailure(coordinator string, r *Request, now time.Duration) {
+	l.RecordFailure(coordinator, now)
+	if len(r.Wanted) > 0 {
 		l.requeue()
 	}
 }
 
-// requeue has those wait again that the last Ask has not decided on.
+// requeue has the requests wait again that the last Request has not decided on.
 func (l *Limiter) requeue() {
-	for name, list := range l.asked {
-		delete(l.asked, name)
+	for name, list := range l.requested {
+		delete(l.requested, name)
 		if list = uncancelled(list); len(list) > 0 {
 			l.waiting[name] = append(list, l.waiting[name]...)
 		}
 	}
 }
 
-// decide decides on the requests for which a home was asked. Tokens go to those in time first.
+// decide decides on the requests for which tokens were requested. Requests that are not late
+// get tokens first.
 func (l *Limiter) decide(g Grant, now time.Duration) {
-	list := uncancelled(l.asked[g.Organisation])
-	delete(l.asked, g.Organisation)
+	list := uncancelled(l.requested[g.Organisation])
+	delete(l.requested, g.Organisation)
 	for len(list) > 0 {
 		t, ok := l.Take(g.Organisation, now)
 		if !ok {
@@ -238,26 +242,26 @@
 	}
 	switch {
 	case len(list) == 0:
-	case g.RetryAfter <= 0: // nothing is known, or the tokens came too late
+	case g.RetryAfter <= 0: // nothing is known, or the tokens arrived too late
 		l.waiting[g.Organisation] = append(list, l.waiting[g.Organisation]...)
 	default:
-		soon := min(inTime(list), 1+int((nearly-g.RetryAfter)/max(g.RetryStep, 1)))
-		if g.RetryAfter > nearly {
-			soon = 0
+		kept := min(countInTime(list), 1+int((shortWait-g.RetryAfter)/max(g.RetryStep, 1)))
+		if g.RetryAfter > shortWait {
+			kept = 0
 		}
-		l.waiting[g.Organisation] = append(slices.Clone(list[:soon]), l.waiting[g.Organisation]...)
-		g.RetryAfter += g.RetryStep * time.Duration(soon)
-		if soon < len(list) {
-			l.refuse(list[soon:], g, now)
+		l.waiting[g.Organisation] = append(slices.Clone(list[:kept]), l.waiting[g.Organisation]...)
+		g.RetryAfter += g.RetryStep * time.Duration(kept)
+		if kept < len(list) {
+			l.refuse(list[kept:], g, now)
 		}
 	}
 }
 
-// refuse refuses requests and, if some of them are in time, those that come in the next
-// moment.
+// refuse refuses requests and, if some of them are not late, those that arrive shortly after
+// them.
 func (l *Limiter) refuse(list []*Pending, g Grant, now time.Duration) {
 	next := now + g.RetryAfter
-	others := inTime(list) > 0
+	anyInTime := countInTime(list) > 0
 	for _, p := range list {
 		l.settle(p, Decision{
 			Unknown:    g.Unknown,
@@ -265,25 +269,25 @@
 		})
 		next += g.RetryStep
 	}
-	if !others {
+	if !anyInTime {
 		return
 	}
 	l.refusals[g.Organisation] = refusal{
-		until:   now + min(g.RetryAfter, refuseFor),
-		next:    next,
-		step:    g.RetryStep,
-		unknown: g.Unknown,
+		until:     now + min(g.RetryAfter, maxRefuseTime),
+		nextRetry: next,
+		retryStep: g.RetryStep,
+		unknown:   g.Unknown,
 	}
 }
 
-// settle tells a request that waits what is decided.
+// settle delivers the decision on a waiting request.
 func (l *Limiter) settle(p *Pending, d Decision) {
 	p.cancelled = true
-	l.count--
+	l.waitingCount--
 	p.decide(d)
 }
 
-// Limits takes in which organisations have a limit now: what is kept of others goes.
+// SetLimits sets the organisations that have a limit. The state of others is dropped.
 func (l *Limiter) SetLimits(limits map[string]Limit) {
 	for name := range l.refusals {
 		if _, ok := limits[name]; !ok {
--- a/quota/pool.go
+++ b/quota/pool.go
@@ -10,36 +10,36 @@
 	"time"
 )
 
-// pool is a token bucket for each organisation that is filled in proportion to the rights
-// that are held. All buckets are empty at first.
+// pool holds a token bucket for each organisation. Buckets fill in proportion to the shares
+// that are held. All are empty at first.
 type pool struct {
-	bounds  Bounds
-	at      time.Duration // up to when grown counts
-	share   float64       // of all rights, that is held at that time
-	whole   time.Duration // since when share is mostShare or more, where it is
-	grown   float64       // the integral of share over time, in seconds
-	rights  map[string]right
-	sum     float64       // of their parts
-	soonest time.Duration // no right ends before
-	buckets map[string]*bucket
+	bounds        Bounds
+	updatedAt     time.Duration // time up to which grown is computed
+	held          float64       // fraction of all shares that is held at that time
+	decisiveSince time.Duration // since when held has been at least decisiveFraction, if it is
+	grown         float64       // the integral of held over time, in seconds
+	shares        map[string]share
+	sum           float64       // of their fractions
+	nextExpiry    time.Duration // no share expires before
+	buckets       map[string]*bucket
 }
 
-// right is the right of one node.
-type right struct {
-	part  float64
-	until time.Duration
+// share is the share of one node.
+type share struct {
+	fraction float64
+	expires  time.Duration
 }
 
 // bucket is the token bucket of one organisation.
 type bucket struct {
-	rate, depth float64 // of all rights together
+	rate, depth float64 // with all shares
 	level       float64
-	seen        float64       // what the pool's grown was at that level
-	promised    time.Duration // when the last caller that was refused may come back
+	grownAt     float64       // the pool's grown at which level was computed
+	nextRetry   time.Duration // when the last refused caller may retry
 	granted     RateMeter
 }
 
-// setLimits takes in the limits in force. A bucket keeps its level as far as its new depth
+// setLimits sets the active limits. A bucket keeps its level as far as its new depth
 // allows, and a new one is empty.
 func (p *pool) setLimits(limits map[string]Limit, now time.Duration) {
 	p.advance(now)
@@ -47,189 +47,190 @@
 	for name, l := range limits {
 		b := p.buckets[name]
 		if b == nil {
-			b = &bucket{seen: p.grown}
+			b = &bucket{grownAt: p.grown}
 		}
-		p.settle(b)
-		b.rate = l.Rate * p.bounds.pace()
+		p.refill(b)
+		b.rate = l.Rate * p.bounds.fillFactor()
 		b.depth = p.bounds.depth(l)
-		p.settle(b)
+		p.refill(b)
 		buckets[name] = b
 	}
 	p.buckets = buckets
 }
 
-// settle brings the level of a bucket up to date.
-func (p *pool) settle(b *bucket) {
-	b.level = min(b.level+(p.grown-b.seen)*b.rate, b.depth*p.share)
-	b.seen = p.grown
+// refill brings the level of a bucket up to date.
+func (p *pool) refill(b *bucket) {
+	b.level = min(b.level+(p.grown-b.grownAt)*b.rate, b.depth*p.held)
+	b.grownAt = p.grown
 }
 
-// advance lets time pass. Rights end at their time, however late that is noticed.
+// advance lets time pass. Shares expire at their time, however late that is noticed.
 func (p *pool) advance(now time.Duration) {
-	if now <= p.at {
+	if now <= p.updatedAt {
 		return
 	}
-	if p.soonest <= now && len(p.rights) > 0 {
+	if p.nextExpiry <= now && len(p.shares) > 0 {
 		p.expire(now)
 	}
 	p.grow(now)
 }
 
-// grow fills the buckets up to a time, with the rights that are held now.
+// grow fills the buckets up to a time, with the shares that are held now.
 func (p *pool) grow(to time.Duration) {
-	if to > p.at {
-		p.grown += p.share * (to - p.at).Seconds()
-		p.at = to
+	if to > p.updatedAt {
+		p.grown += p.held * (to - p.updatedAt).Seconds()
+		p.updatedAt = to
 	}
 }
 
-// expire ends the rights whose time is over.
+// expire drops the shares that have expired.
 func (p *pool) expire(now time.Duration) {
-	var over []string
-	p.soonest = never
-	for name, r := range p.rights {
-		if r.until <= now {
-			over = append(over, name)
+	var expired []string
+	p.nextExpiry = never
+	for name, r := range p.shares {
+		if r.expires <= now {
+			expired = append(expired, name)
 		} else {
-			p.soonest = min(p.soonest, r.until)
+			p.nextExpiry = min(p.nextExpiry, r.expires)
 		}
 	}
-	slices.SortFunc(over, func(a, b string) int { return cmp.Compare(p.rights[a].until, p.rights[b].until) })
-	for _, name := range over {
-		p.grow(p.rights[name].until)
-		p.hold(name, right{})
+	slices.SortFunc(expired, func(a, b string) int { return cmp.Compare(p.shares[a].expires, p.shares[b].expires) })
+	for _, name := range expired {
+		p.grow(p.shares[name].expires)
+		p.setShare(name, share{})
 	}
 }
 
 // never is later than any reading of the clock.
 const never = time.Duration(1<<63 - 1)
 
-// hold sets the right of a node, or takes it away if its part is 0. Each bucket has first the
-// depth before and then the one after, as a share that goes up must not bring back what was
-// over its edge before.
-func (p *pool) hold(node string, r right) {
-	p.sum += r.part - p.rights[node].part
-	if r.part > 0 {
-		p.rights[node] = r
+// setShare sets the share of a node, or drops it if its fraction is 0. Each bucket is first
+// limited to the old depth and then to the new one, as a growing fraction must not bring back
+// tokens that overflowed before.
+func (p *pool) setShare(node string, s share) {
+	p.sum += s.fraction - p.shares[node].fraction
+	if s.fraction > 0 {
+		p.shares[node] = s
 	} else {
-		delete(p.rights, node)
+		delete(p.shares, node)
 	}
-	if len(p.rights) == 0 {
-		p.sum = 0 // what roundings have left
+	if len(p.shares) == 0 {
+		p.sum = 0 // discard rounding errors
 	}
-	before, after := p.share, max(0, min(1, p.sum))
+	before, after := p.held, max(0, min(1, p.sum))
 	if after == before {
 		return
 	}
 	for _, b := range p.buckets {
-		p.settle(b)
+		p.refill(b)
 	}
-	p.share = after
-	if before < mostShare && after >= mostShare {
-		p.whole = p.at
+	p.held = after
+	if before < decisiveFraction && after >= decisiveFraction {
+		p.decisiveSince = p.updatedAt
 	}
 	for _, b := range p.buckets {
-		p.settle(b)
+		p.refill(b)
 	}
 }
 
 const (
-	// mostShare is the share of all rights with which a home can say that a limit is
-	// reached. With less it doesn't know what is granted elsewhere; the rest may be those
-	// of nodes that are gone.
-	mostShare = 0.8
-	// fill is how long it has to have them: its buckets were empty at first.
-	fill = time.Second
+	// decisiveFraction is the fraction of all shares with which a coordinator can tell that
+	// a limit is reached. With less it doesn't know what others grant; the rest may be
+	// shares of nodes that have gone.
+	decisiveFraction = 0.8
+	// fillTime is how long it must have held them, as its buckets were empty at first.
+	fillTime = time.Second
 )
 
-// settled returns whether an empty bucket means that the limit is reached.
-func (p *pool) settled(now time.Duration) bool {
-	return p.share >= mostShare && now-p.whole >= fill
+// decisive returns whether an empty bucket means that the limit is reached.
+func (p *pool) decisive(now time.Duration) bool {
+	return p.held >= decisiveFraction && now-p.decisiveSince >= fillTime
 }
 
-// deposit holds a node's right until the given time, in place of what was held of it.
-func (p *pool) deposit(node string, part float64, until, now time.Duration) {
+// delegate holds a node's share until the given time, and replaces the one held before.
+func (p *pool) delegate(node string, fraction float64, until, now time.Duration) {
 	p.advance(now)
 	if until <= now {
 		p.withdraw(node, now)
 		return
 	}
-	next := right{
-		part:  part,
-		until: until,
+	next := share{
+		fraction: fraction,
+		expires:  until,
 	}
-	if len(p.rights) == 0 {
-		p.soonest = until
+	if len(p.shares) == 0 {
+		p.nextExpiry = until
 	}
-	p.soonest = min(p.soonest, until)
-	if p.rights[node].part == part {
-		p.rights[node] = next
+	p.nextExpiry = min(p.nextExpiry, until)
+	if p.shares[node].fraction == fraction {
+		p.shares[node] = next
 		return
 	}
-	p.hold(node, next)
+	p.setShare(node, next)
 }
 
-// withdraw gives a node's right back.
+// withdraw releases a node's share.
 func (p *pool) withdraw(node string, now time.Duration) {
 	p.advance(now)
-	if _, ok := p.rights[node]; ok {
-		p.hold(node, right{})
+	if _, ok := p.shares[node]; ok {
+		p.setShare(node, share{})
 	}
 }
 
-// take takes up to n tokens, and returns how many. It returns false if there is no bucket.
+// take takes up to n tokens, and returns how many. It returns false if there is no bucket or
+// no share is held.
 func (p *pool) take(organisation string, n int, now time.Duration) (taken int, ok bool) {
 	p.advance(now)
 	b := p.buckets[organisation]
-	if b == nil || p.share == 0 {
+	if b == nil || p.held == 0 {
 		return 0, false
 	}
-	p.settle(b)
+	p.refill(b)
 	taken = max(0, min(n, int(b.level+tolerance)))
 	b.level = max(0, b.level-float64(taken))
 	b.granted.Add(taken, now)
 	return taken, true
 }
 
-// spareFor is the time for which a bucket must have tokens for requests in time before late
-// ones get any.
-const spareFor = 300 * time.Millisecond
+// spareTime is the time for which a bucket must have tokens for requests that are not late
+// before late ones get any.
+const spareTime = 300 * time.Millisecond
 
-// takeSpare takes up to n tokens that requests in time are not likely to need, and returns
-// how many.
+// takeSpare takes up to n tokens that requests which are not late are unlikely to need, and
+// returns how many.
 func (p *pool) takeSpare(organisation string, n int, now time.Duration) int {
 	b := p.buckets[organisation]
 	if b == nil {
 		return 0
 	}
 	p.advance(now)
-	p.settle(b)
-	needed := min(b.depth/2, b.rate*spareFor.Seconds()) * p.share
+	p.refill(b)
+	needed := min(b.depth/2, b.rate*spareTime.Seconds()) * p.held
 	taken, _ := p.take(organisation, min(n, int(b.level-needed+tolerance)), now)
 	return taken
 }
 
-// tolerance, in tokens, keeps a bucket that is full but for a rounding from lacking its last
-// one.
+// tolerance, in tokens, lets a bucket that is full but for a rounding error grant its last
+// token.
 const tolerance = 1e-9
 
-// put puts tokens back that were taken, as far as there is room.
+// put puts back tokens that were taken, as far as there is room.
 func (p *pool) put(organisation string, n int, now time.Duration) {
 	p.advance(now)
 	if b := p.buckets[organisation]; b != nil {
-		p.settle(b)
+		p.refill(b)
 		b.level += float64(n)
-		p.settle(b)
+		p.refill(b)
 		b.granted.Add(-n, now)
 	}
 }
 
-// wait returns when the first of n callers that are refused may come back, and the time
-// from each to the next. Callers that are refused later come after them. If n is 0, all that
-// are refused are late, and nothing is kept for them.
+// wait returns when the first of n refused callers may retry, and the time from each to the
+// next. Callers that are refused later come after them. If n is 0, only late requests are
+// refused, and no time is reserved for them.
 func (p *pool) wait(organisation string, n int, now time.Duration) (first, step time.Duration) {
 	b := p.buckets[organisation]
-	rate := b.rate * p.share
+	rate := b.rate * p.held
 	if rate <= 0 {
 		return p.bounds.Window, 0
 	}
@@ -237,10 +238,10 @@
 		return time.Duration(min(tokens/rate, p.bounds.Window.Seconds()) * float64(time.Second))
 	}
 	step = seconds(1)
-	at := max(now+seconds(max(0, 1-b.level)), b.promised+step)
+	at := max(now+seconds(max(0, 1-b.level)), b.nextRetry+step)
 	at = min(at, now+p.bounds.Window)
 	if n > 0 {
-		b.promised = min(at+step*time.Duration(min(n-1, maxCount)), now+p.bounds.Window)
+		b.nextRetry = min(at+step*time.Duration(min(n-1, maxCount)), now+p.bounds.Window)
 	}
 	return at - now, step
 }
--- a/route/limited_test.go
+++ b/route/limited_test.go
@@ -14,8 +14,8 @@
 	"sassafrasfront.example/route"
 )
 
-// TestLimitedUpstream has one of two upstreams name a limit, and tells how many of ten requests in a
-// row it is sent, by each policy that goes by loads.
+// TestLimitedUpstream has one of two upstreams advertise a rate limit, and counts how many of ten
+// consecutive requests it is sent, with each policy that considers loads.
 func TestLimitedUpstream(t *testing.T) {
 	const work = 100 * time.Millisecond
 	other := route.Load{Running: 4, Slots: 8, ServiceTime: work, Slowdown: 1}
@@ -24,13 +24,13 @@
 		after       time.Duration
 		least, most int
 	}{
-		"unused":               {limited: route.Load{Slots: 8, ServiceTime: work, Slowdown: 1, Limited: true, Limit: 10}, least: 1, most: 4},
-		"its turn is far":      {limited: route.Load{Slots: 8, ServiceTime: work, Slowdown: 1, Limited: true, Limit: 10, LimitWait: time.Second}},
-		"its turn has come":    {limited: route.Load{Slots: 8, ServiceTime: work, Slowdown: 1, Limited: true, Limit: 10, LimitWait: time.Second}, after: time.Second, least: 1, most: 4},
-		"used up":              {limited: route.Load{Slots: 8, ServiceTime: work, Slowdown: 1, Limited: true, Limit: 10, LimitUsed: 1}, most: 3},
-		"takes none":           {limited: route.Load{Slots: 8, ServiceTime: work, Slowdown: 1, Limited: true, LimitWait: 4 * time.Second}},
-		"limit does not bind":  {limited: route.Load{Slots: 8, ServiceTime: work, Slowdown: 1, Limited: true, Limit: 1e6}, least: 3, most: 10},
-		"no limit, for a look": {limited: route.Load{Slots: 8, ServiceTime: work, Slowdown: 1}, least: 3, most: 10},
+		"unused":              {limited: route.Load{Slots: 8, ServiceTime: work, Slowdown: 1, Limited: true, Limit: 10}, least: 1, most: 4},
+		"a long wait":         {limited: route.Load{Slots: 8, ServiceTime: work, Slowdown: 1, Limited: true, Limit: 10, LimitWait: time.Second}},
+		"the wait is over":    {limited: route.Load{Slots: 8, ServiceTime: work, Slowdown: 1, Limited: true, Limit: 10, LimitWait: time.Second}, after: time.Second, least: 1, most: 4},
+		"used up":             {limited: route.Load{Slots: 8, ServiceTime: work, Slowdown: 1, Limited: true, Limit: 10, LimitUsed: 1}, most: 3},
+		"a limit of zero":     {limited: route.Load{Slots: 8, ServiceTime: work, Slowdown: 1, Limited: true, LimitWait: 4 * time.Second}},
+		"limit does not bind": {limited: route.Load{Slots: 8, ServiceTime: work, Slowdown: 1, Limited: true, Limit: 1e6}, least: 3, most: 10},
+		"no limit":            {limited: route.Load{Slots: 8, ServiceTime: work, Slowdown: 1}, least: 3, most: 10},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -44,9 +44,9 @@
 					p.Observe(1, other)
 					var sent int
 					for range 10 {
-						use, ok := p.Pick(nil)
+						assignment, ok := p.Pick(nil)
 						qt.Assert(t, ok, qt.IsTrue)
-						if use.Key() == 0 {
+						if assignment.Key() == 0 {
 							sent++
 						}
 					}
@@ -57,8 +57,9 @@
 	}
 }
 
-// TestPickWithin passes over upstreams where a request would wait for too long for its turn.
-func TestPickWithin(t *testing.T) {
+// TestPickWithMaxWait checks that upstreams are skipped where a request would wait too long for
+// the rate limit.
+func TestPickWithMaxWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &route.Pool[int]{Policy: route.Fastest{}}
 		p.SetTargets(map[int]route.Target{0: {Slots: 8}, 1: {Slots: 8}})
@@ -66,18 +67,18 @@
 			p.Observe(i, route.Load{Slots: 8, Limited: true, Limit: 1, LimitWait: free})
 		}
 		for name, test := range map[string]struct {
-			most time.Duration
-			ok   bool
+			maxWait time.Duration
+			ok      bool
 		}{
-			"no bound":     {ok: true},
-			"long enough":  {most: 2 * time.Second, ok: true},
-			"not for both": {most: 500 * time.Millisecond},
+			"no bound":           {ok: true},
+			"long enough":        {maxWait: 2 * time.Second, ok: true},
+			"too short for both": {maxWait: 500 * time.Millisecond},
 		} {
-			use, ok := p.PickWithMaxWait(test.most, 0, nil)
+			assignment, ok := p.PickWithMaxWait(test.maxWait, 0, nil)
 			qt.Check(t, ok, qt.Equals, test.ok, qt.Commentf("%s", name))
 			if ok {
-				qt.Check(t, use.Key(), qt.Equals, 0, qt.Commentf("%s", name))
-				use.Done(route.Refused)
+				qt.Check(t, assignment.Key(), qt.Equals, 0, qt.Commentf("%s", name))
+				assignment.Done(route.Refused)
 				p.Observe(0, route.Load{Slots: 8, Limited: true, Limit: 1, LimitWait: time.Second})
 			}
 		}
