--- a/control/bootstrap.go
+++ b/control/bootstrap.go
@@ -25,11 +25,11 @@
 	rand.Shuffle(len(contacts), func(i, j int) { contacts[i], contacts[j] = contacts[j], contacts[i] })
 	first := slices.Contains(contacts, c.Self.Addr)
 	for n := 0; ctx.Err() == nil; n++ {
-		learnt := c.LearnFrom(ctx, contacts) || c.API != nil && c.learnFromLeases(ctx)
+		fetched := c.LearnFrom(ctx, contacts) || c.API != nil && c.bootstrapFromLeases(ctx)
 		if first {
 			contacts = c.UnknownAddresses(contacts)
 		}
-		if first && len(contacts) == 0 || !first && (learnt || !c.Alone()) {
+		if first && len(contacts) == 0 || !first && (fetched || !c.Alone()) {
 			return
 		}
 		pause := objectapi.Backoff(n, nil)
@@ -42,7 +42,7 @@
 
 // learnFromLeases learns from a contact of the representative of this node's zone,
 // or of another zone's, and returns whether one answered.
-func (c *Control) learnFromLeases(ctx context.Context) bool {
+func (c *Control) bootstrapFromLeases(ctx context.Context) bool {
 	s, ok := c.readLease(ctx, c.Self.Zone)
 	if ok && c.LearnFrom(ctx, s.Contacts) {
 		return true
@@ -70,14 +70,14 @@
 			continue
 		}
 		var p *peer.Client
-		var end func()
-		if !c.do(func() { p, end = c.visit(addr) }) {
+		var release func()
+		if !c.do(func() { p, release = c.temporaryClient(addr) }) {
 			return false
 		}
 		ctx, cancel := context.WithTimeout(ctx, 4*compareTimeout)
-		err := c.learnBy(ctx, p)
+		err := c.fetchState(ctx, p)
 		cancel()
-		end()
+		release()
 		if err == nil {
 			c.Log.Info().Str("peer", addr).Msg("learnt from a first peer")
 			return true
--- a/control/bootstrap_test.go
+++ b/control/bootstrap_test.go
@@ -14,10 +14,10 @@
 )
 
 // emptyBook is a book of contacts in which nobody ever stands.
-var emptyBook = listed(func() []string { return nil })
+var emptyDirectory = staticDirectory(func() []string { return nil })
 
 // knows waits until a node knows as many live nodes as given.
-func (c *cluster) knows(n *testNode, nodes int) {
+func (c *cluster) waitKnows(n *testNode, nodes int) {
 	c.t.Helper()
 	n.init()
 	for began := time.Now(); ; time.Sleep(10 * time.Millisecond) {
@@ -35,7 +35,7 @@
 // TestManyStarts has nodes start at once beside an empty book, with first peers of which one is
 // gone: all find each other. What that costs is counted in a played world, as it depends here on how
 // busy the machine is.
-func TestManyStarts(t *testing.T) {
+func TestSimultaneousStarts(t *testing.T) {
 	const nodes = 24
 	tests := map[string]struct {
 		first int // how many of the nodes are first peers
@@ -46,7 +46,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			c := newCluster(t)
-			c.directory = emptyBook
+			c.directory = emptyDirectory
 			var listeners []net.Listener
 			contacts := []string{"127.0.0.1:1"} // nobody is there
 			for i := range nodes {
@@ -62,7 +62,7 @@
 				})
 			}
 			for _, n := range c.nodes {
-				c.knows(n, nodes)
+				c.waitKnows(n, nodes)
 			}
 		})
 	}
@@ -70,28 +70,28 @@
 
 // TestFirstPeersMeet has a first peer be met by others while the other first peer is away: they
 // find each other once it is back.
-func TestFirstPeersMeet(t *testing.T) {
+func TestFirstPeersDiscoverEachOther(t *testing.T) {
 	c := newCluster(t)
-	c.directory = emptyBook
+	c.directory = emptyDirectory
 	late := c.listener()
 	lateAddr := late.Addr().String()
 	qt.Assert(t, late.Close(), qt.IsNil)
 	listener := c.listener()
 	contacts := []string{listener.Addr().String(), lateAddr}
-	withBook := func(contacts ...string) func(*Control) {
+	options := func(contacts ...string) func(*Control) {
 		return func(k *Control) {
 			k.API = nil
 			k.Contacts = contacts
 		}
 	}
-	a := c.addAtWith(listener, "a", "z1", withBook(contacts...))
-	x := c.addAtWith(c.listener(), "x", "z1", withBook(contacts[0]))
-	c.knows(a, 2)
+	a := c.addAtWith(listener, "a", "z1", options(contacts...))
+	x := c.addAtWith(c.listener(), "x", "z1", options(contacts[0]))
+	c.waitKnows(a, 2)
 	time.Sleep(300 * time.Millisecond) // some more tries fail
 	late, err := net.Listen("tcp", lateAddr)
 	qt.Assert(t, err, qt.IsNil)
-	b := c.addAtWith(late, "b", "z2", withBook())
+	b := c.addAtWith(late, "b", "z2", options())
 	for _, n := range []*testNode{a, b, x} {
-		c.knows(n, 3)
+		c.waitKnows(n, 3)
 	}
 }
--- a/control/candidates.go
+++ b/control/candidates.go
@@ -18,25 +18,25 @@
 // platform come after those that can.
 func (c *Control) zoneRank() (rank, zone int) {
 	ids := c.candidateIDs()
-	seeing := slices.DeleteFunc(slices.Clone(ids), c.blind)
+	reachable := slices.DeleteFunc(slices.Clone(ids), c.platformUnreachable)
 	switch {
-	case c.self.PlatformUnreachable && len(seeing) > 0:
-		return len(seeing), len(ids) + 1
+	case c.self.PlatformUnreachable && len(reachable) > 0:
+		return len(reachable), len(ids) + 1
 	case c.self.PlatformUnreachable:
 		return member.RendezvousRank(c.self.Zone, c.self.ID, ids), len(ids) + 1
 	}
-	return member.RendezvousRank(c.self.Zone, c.self.ID, seeing), len(ids) + 1
+	return member.RendezvousRank(c.self.Zone, c.self.ID, reachable), len(ids) + 1
 }
 
 // blind returns whether a node is known not to reach the platform.
-func (c *Control) blind(id string) bool {
+func (c *Control) platformUnreachable(id string) bool {
 	r, _ := c.members.Set.Get(id)
 	return r.PlatformUnreachable
 }
 
 // candidateIDs returns the other live nodes of the zone that are not suspected.
 func (c *Control) candidateIDs() []string {
-	near, _ := c.split()
+	near, _ := c.splitByZone()
 	now := time.Now()
 	var ids []string
 	for _, r := range near {
@@ -49,13 +49,13 @@
 
 const (
 	// suspicion is how long a node that did not answer is suspected.
-	suspicion = time.Minute
+	suspicionTimeout = time.Minute
 	// topicCandidates tells a node which nodes are suspected.
 	topicCandidates = "candidates"
 )
 
 // suspicions names nodes that did not answer.
-type suspicions struct {
+type suspectList struct {
 	Nodes []string `msgpack:"nodes"`
 }
 
@@ -64,7 +64,7 @@
 	for _, id := range ids {
 		if id != c.self.ID {
 			now := time.Now()
-			c.suspects[id] = now.Add(suspicion)
+			c.suspects[id] = now.Add(suspicionTimeout)
 			c.searches.StartUnresponsive(id, now)
 		}
 	}
@@ -102,7 +102,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	_, err := peer.Ask[suspicions, struct{}](ctx, p, topicCandidates, suspicions{Nodes: silent})
+	_, err := peer.Ask[suspectList, struct{}](ctx, p, topicCandidates, suspectList{Nodes: silent})
 	return err
 }
 
--- a/control/control.go
+++ b/control/control.go
@@ -125,47 +125,47 @@
 	// the state.
 	Published func(*Snapshot)
 
-	starting   sync.Once
-	jobs       chan func()
-	done       chan struct{}
-	snapshot   atomic.Pointer[Snapshot]
-	represents atomic.Pointer[representative.Representative]
-	proofs     atomic.Pointer[freshness.Proofs]
+	initOnce       sync.Once
+	jobs           chan func()
+	done           chan struct{}
+	snapshot       atomic.Pointer[Snapshot]
+	representative atomic.Pointer[representative.Representative]
+	proofs         atomic.Pointer[freshness.Proofs]
 	// compareSoon is whether the next comparison does not wait for its turn.
 	compareSoon atomic.Bool
 
 	// The goroutine of Run owns what follows.
-	self       member.Record
-	members    reconcile.Exchange[member.Record]
-	configs    reconcile.Exchange[acceptance.Config]
-	reports    reconcile.Exchange[quarantine.Report]
-	byService  map[string]map[string]member.Record
-	table      *routes.Table                 // in force, or nil
-	rollouts   map[string]rollout.LocalState // by service
-	evacuated  evacuation.Set
-	zonesKnown evacuation.State
-	live       int // live nodes, this one included
-	near       int // those in the node's own zone, without this one
-	dirty      map[string]bool
-	neighbours neighbour.Set
-	clients    map[string]*peer.Client
-	reads      *configsync.State // of the table, if there is a Template
-	heard      chan struct{}
-	fresh      *tableFreshness // of the table, if there is a Clock
-	placed     time.Time       // when lastPlace was found
-	lastPlace  configsync.Role
-	pace       publishPace
-	fetching   bool // whether a table is being fetched
-	comparing  bool
-	suspects   map[string]time.Time // until when, by node
-	searches   rejoin.Searches
-	searching  int // addresses that are being asked at
-	random     *rand.Rand
+	self           member.Record
+	members        reconcile.Exchange[member.Record]
+	configs        reconcile.Exchange[acceptance.Config]
+	reports        reconcile.Exchange[quarantine.Report]
+	byService      map[string]map[string]member.Record
+	table          *routes.Table                 // in force, or nil
+	rollouts       map[string]rollout.LocalState // by service
+	evacuated      evacuation.Set
+	zoneState      evacuation.State
+	live           int // live nodes, this one included
+	zonePeers      int // those in the node's own zone, without this one
+	dirty          map[string]bool
+	neighbours     neighbour.Set
+	clients        map[string]*peer.Client
+	reads          *configsync.State // of the table, if there is a Template
+	nextChanged    chan struct{}
+	freshness      *tableFreshness // of the table, if there is a Clock
+	lastRoleAt     time.Time       // when lastPlace was found
+	lastRole       configsync.Role
+	publishLimiter publishLimiter
+	fetching       bool // whether a table is being fetched
+	comparing      bool
+	suspects       map[string]time.Time // until when, by node
+	searches       rejoin.Searches
+	activeSearches int // addresses that are being asked at
+	random         *rand.Rand
 }
 
 // init makes the state once.
 func (c *Control) init() {
-	c.starting.Do(func() {
+	c.initOnce.Do(func() {
 		c.Timing = c.Timing.withDefaults()
 		c.jobs = make(chan func(), jobQueue)
 		c.done = make(chan struct{})
@@ -205,11 +205,11 @@
 			Services:  map[string]*entry.Service{},
 			Sequences: map[string]uint64{},
 		})
-		c.heard = make(chan struct{}, 1)
+		c.nextChanged = make(chan struct{}, 1)
 		if c.ServiceConfig != nil {
 			c.reads = configsync.New(cmp.Or(c.MaxPropagationDelay, defaultWithin), time.Now(), c.random)
 		}
-		c.initFresh()
+		c.initFreshness()
 		c.self = c.Self.NextIncarnation(member.Record{}, time.Now())
 		c.members.Put(c.self)
 	})
@@ -231,7 +231,7 @@
 // Represents returns whether this node holds its zone's lease, as far as it
 // knows.
 func (c *Control) IsRepresentative() bool {
-	r := c.represents.Load()
+	r := c.representative.Load()
 	return r != nil && r.HoldsLease()
 }
 
@@ -251,7 +251,7 @@
 		work.Go(func() { newSweeper(c).runAsFirst(ctx) })
 	} else {
 		r := c.newRepresentative()
-		c.represents.Store(r)
+		c.representative.Store(r)
 		work.Go(func() { r.Run(ctx) })
 	}
 	push := time.NewTicker(c.Timing.Push)
@@ -270,16 +270,16 @@
 		case f := <-c.jobs:
 			f()
 		case <-push.C:
-			c.publishInPace()
+			c.publishLimited()
 			c.push(ctx)
-			c.search(ctx)
+			c.startSearches(ctx)
 			if c.compareSoon.Swap(false) {
 				c.compare(ctx)
 			}
 		case <-compare.C:
 			c.compare(ctx)
 		case <-turnover.C:
-			c.turnOver()
+			c.rotateNeighbours()
 		case <-expire.C:
 			c.expire()
 		}
@@ -287,19 +287,19 @@
 }
 
 // publishInPace does what publish does, unless that has taken too much of the time lately.
-func (c *Control) publishInPace() {
+func (c *Control) publishLimited() {
 	began := time.Now()
-	if len(c.dirty) > 0 && !c.pace.due(began) {
+	if len(c.dirty) > 0 && !c.publishLimiter.allow(began) {
 		return
 	}
 	c.publish()
-	c.pace.took(began, time.Now())
+	c.publishLimiter.record(began, time.Now())
 }
 
 // publish makes a new snapshot if something has changed.
 func (c *Control) publish() {
-	c.enforceZones(time.Now()) // some are retained for a time only
-	c.endPreference(time.Now())
+	c.applyZones(time.Now()) // some are retained for a time only
+	c.endPreferences(time.Now())
 	last := c.snapshot.Load().Evacuated
 	if len(c.dirty) > 0 || c.evacuated.At != last.At || !c.evacuated.SameZones(last) {
 		c.rebuild()
@@ -350,12 +350,12 @@
 
 // memberChanged takes in a change of a member's record.
 func (c *Control) memberChanged(old, r member.Record) {
-	c.index(old, r)
+	c.indexMember(old, r)
 	if r.ID != c.self.ID {
-		c.searchChanged(old, r)
+		c.updateSearch(old, r)
 	}
 	if r.Live() && !wasLive(old) && r.ID != c.self.ID {
-		c.neighbours.Consider(r, c.known())
+		c.neighbours.Consider(r, c.nodeCounts())
 	}
 	if r.ID == c.self.ID && c.self.GossipVersion().Less(r.GossipVersion()) {
 		// Somebody knows a later word than this node's own: one from before its
@@ -386,7 +386,7 @@
 		return
 	}
 	if zone, ok := r.Stood(); ok {
-		c.stoodChanged(r, zone)
+		c.seenChanged(r, zone)
 		return
 	}
 	c.dirty[r.Name] = true
@@ -407,12 +407,12 @@
 
 // farewell bounds the last push of a node that stops: some of its neighbours may
 // be gone, and the process has to end in time.
-const farewell = 400 * time.Millisecond
+const leaveTimeout = 400 * time.Millisecond
 
 // leave tells a few peers that the node has left.
 func (c *Control) leave() {
 	c.setSelf(c.self.WithState(member.Left))
-	ctx, cancel := context.WithTimeout(context.Background(), farewell)
+	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
 	c.push(ctx).Wait()
 	for _, client := range c.clients {
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -219,7 +219,7 @@
 }
 
 // TestChangesReachAllAndStatusSaysSo follows a service through its life.
-func TestChangesReachAllAndStatusSaysSo(t *testing.T) {
+func TestChangesReachAllNodesAndStatus(t *testing.T) {
 	c := newCluster(t)
 	c.grow(9)
 	first := c.apply("a", `{"hosts":["a.example"]}`)
@@ -259,7 +259,7 @@
 
 // TestStatusSeesLateMembers starts nodes after the status said that all have the
 // configuration.
-func TestStatusSeesLateMembers(t *testing.T) {
+func TestStatusCountsLateMembers(t *testing.T) {
 	c := newCluster(t)
 	having := func(want int) func() bool {
 		return func() bool {
@@ -397,8 +397,8 @@
 	c.grow(4)
 	c.apply("a", `{"hosts":["a.example"]}`)
 	c.allHave("a", 1)
-	victim := c.nodes[3]
-	victim.Announce(member.Upstream{Service: "a", Slots: 5, State: member.Up})
+	removed := c.nodes[3]
+	removed.Announce(member.Upstream{Service: "a", Slots: 5, State: member.Up})
 	knows := func() bool {
 		for _, n := range c.nodes {
 			if s := n.Snapshot().Services["a"]; s == nil || len(s.Members) != 1 {
@@ -411,13 +411,13 @@
 	n := c.nodes[0]
 	var before uint64
 	n.do(func() {
-		r, _ := n.members.Set.Get(victim.Self.ID)
+		r, _ := n.members.Set.Get(removed.Self.ID)
 		before = r.Incarnation
 		n.members.Put(r.Tombstone())
 	})
 	c.eventually("a higher incarnation", func() bool {
 		var now uint64
-		n.do(func() { r, _ := n.members.Set.Get(victim.Self.ID); now = r.Incarnation })
+		n.do(func() { r, _ := n.members.Set.Get(removed.Self.ID); now = r.Incarnation })
 		return now > before && knows()
 	})
 }
@@ -436,22 +436,22 @@
 	}
 	c.eventually("nine upstreams", members(9))
 	// A node that is cut off: it neither answers nor hears.
-	mute := c.nodes[8]
-	mute.do(func() {
-		for _, p := range mute.clients {
+	isolated := c.nodes[8]
+	isolated.do(func() {
+		for _, p := range isolated.clients {
 			p.Close()
 		}
-		mute.neighbours.Clear()
+		isolated.neighbours.Clear()
 	})
 	silent := make(chan struct{})
 	defer close(silent)
-	go mute.do(func() { <-silent })
+	go isolated.do(func() { <-silent })
 	c.eventually("eight upstreams", members(8))
 }
 
 // TestZoneRestartsWithoutAStampede starts a whole zone at once and counts the
 // calls on the platform.
-func TestZoneRestartsWithoutAStampede(t *testing.T) {
+func TestZoneRestartBoundsPlatformCalls(t *testing.T) {
 	c := newCluster(t)
 	c.grow(3)
 	c.apply("a", `{"hosts":["a.example"]}`)
@@ -531,12 +531,12 @@
 
 // TestWorkAfterTheEnd has a representative's work go on for a moment after the control
 // goroutine has ended.
-func TestWorkAfterTheEnd(t *testing.T) {
+func TestRequestsAfterStop(t *testing.T) {
 	c := newCluster(t)
 	c.grow(2)
 	n := c.nodes[0]
 	n.stop()
-	newSweeper(n.Control).check(context.Background(), c.nodes[1].Self)
+	newSweeper(n.Control).probe(context.Background(), c.nodes[1].Self)
 	n.probeCandidates(context.Background())
 	qt.Check(t, n.LearnFrom(context.Background(), []string{c.nodes[1].Self.Addr}), qt.IsFalse)
 	_, err := n.Handle(context.Background(), peer.Hello{}, &peer.Request{ID: 1, Topic: topicRoots})
@@ -545,10 +545,10 @@
 
 // TestIslandIsFound has a representative that knows nobody and that nobody knows, as
 // the others learnt of each other by their settings.
-func TestIslandIsFound(t *testing.T) {
+func TestIsolatedRepresentativeIsFound(t *testing.T) {
 	c := newCluster(t)
-	island := c.add("island", "z0")
-	c.eventually("the island has the lease", island.IsRepresentative)
+	isolated := c.add("island", "z0")
+	c.eventually("the island has the lease", isolated.IsRepresentative)
 	// The others learn from each other, and so never ask for the representative's
 	// contacts.
 	a, b := c.listener(), c.listener()
--- a/control/digest_test.go
+++ b/control/digest_test.go
@@ -18,7 +18,7 @@
 
 // between returns a client by which one state reaches another, and what counts its traffic.
 // Both run until the test ends.
-func between(t *testing.T, one, other *Control) (*peer.Client, *peer.Counters) {
+func connect(t *testing.T, one, other *Control) (*peer.Client, *peer.Counters) {
 	ctx, cancel := context.WithCancel(context.Background())
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
@@ -89,7 +89,7 @@
 					other.members.Put(r)
 				}
 			}
-			client, counters := between(t, one, other)
+			client, counters := connect(t, one, other)
 			qt.Assert(t, one.members.Reconcile(context.Background(), client), qt.IsNil)
 			qt.Assert(t, one.members.Reconcile(context.Background(), client), qt.IsNil, qt.Commentf("which finds nothing, after what was told"))
 			var a, b uint64
@@ -110,7 +110,7 @@
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			fresh, old := sizedAs("fresh", 6), sized(max(n, 6))
 			fresh.members.Put(recordOf(99999, 6, 1))
-			client, _ := between(t, fresh, old)
+			client, _ := connect(t, fresh, old)
 			for range 2 {
 				qt.Assert(t, fresh.members.Reconcile(context.Background(), client), qt.IsNil)
 			}
--- a/control/era.go
+++ b/control/era.go
@@ -18,7 +18,7 @@
 }
 
 // eraRose returns when the platform's present era was first seen, by the calendar clock.
-func (c *Control) eraRose(now time.Time) time.Time {
+func (c *Control) eraSeenAt(now time.Time) time.Time {
 	if c.reads == nil || c.reads.EraSeenAt().IsZero() {
 		return now
 	}
--- a/control/era_test.go
+++ b/control/era_test.go
@@ -50,7 +50,7 @@
 // TestEvacuationOverEras has the platform come back from a copy that is older than an
 // evacuation, one node see that, and the others hear of it: the zone stays evacuated at all
 // nodes, one that starts then as well, until it has been written again and removed.
-func TestEvacuationOverEras(t *testing.T) {
+func TestEvacuationAcrossEras(t *testing.T) {
 	c := newCluster(t)
 	list := c.tableNodes(6)
 	first := list[0].Self.Addr
@@ -128,7 +128,7 @@
 
 // TestRetainedZoneIsGivenUp has a zone that was lost, and not written again, come back after its
 // time.
-func TestRetainedZoneIsGivenUp(t *testing.T) {
+func TestRetainedZoneExpires(t *testing.T) {
 	c := newCluster(t)
 	list := c.tableNodes(3)
 	const left = 600 * time.Millisecond
@@ -187,7 +187,7 @@
 // TestTableOverEras has a lower version of a table come from the copy: it changes nothing, also
 // for a node that heard of nothing else before, and a higher one binds though its revision is
 // lower than those before.
-func TestTableOverEras(t *testing.T) {
+func TestTableAcrossEras(t *testing.T) {
 	c := newCluster(t)
 	list := c.tableNodes(4)
 	first := list[0].Self.Addr
--- a/control/evacuation.go
+++ b/control/evacuation.go
@@ -18,7 +18,7 @@
 func (c *Control) ApplyEvacuation(s evacuation.Set) {
 	c.init()
 	c.do(func() {
-		last := c.zonesKnown.Latest()
+		last := c.zoneState.Latest()
 		if s.SameZones(last) && s.At.Era == last.At.Era {
 			return // a later revision of the same is no news to anybody
 		}
@@ -37,14 +37,14 @@
 		return
 	}
 	now := time.Now()
-	if before, restored := c.zonesKnown.Update(s, now); restored {
-		c.configs.Put(acceptance.FromRetained(before, c.eraRose(now)))
+	if before, restored := c.zoneState.Update(s, now); restored {
+		c.configs.Put(acceptance.FromRetained(before, c.eraSeenAt(now)))
 	}
 	if c.reads != nil {
 		c.reads.SetZones(s.At)
 	}
-	c.tellStood()
-	c.enforceZones(now)
+	c.shareSeenZones()
+	c.applyZones(now)
 }
 
 // retainedChanged takes in the zones that were in force when an era of the platform ended.
@@ -56,39 +56,39 @@
 		return
 	}
 	now := time.Now()
-	c.zonesKnown.Retain(s, r.At, now)
-	c.tellStood()
-	c.enforceZones(now)
+	c.zoneState.Retain(s, r.At, now)
+	c.shareSeenZones()
+	c.applyZones(now)
 }
 
 // tellStood has other nodes know of the zones that need not be retained any more. One that has
 // started since, or has missed the moment, would retain them otherwise.
-func (c *Control) tellStood() {
-	for _, zone := range c.zonesKnown.SeenAgain() {
-		c.configs.Put(acceptance.FromStood(zone, c.zonesKnown.Latest().At.Era))
+func (c *Control) shareSeenZones() {
+	for _, zone := range c.zoneState.SeenAgain() {
+		c.configs.Put(acceptance.FromStood(zone, c.zoneState.Latest().At.Era))
 	}
 }
 
 // stoodChanged takes in that a zone has stood on the platform in an era.
-func (c *Control) stoodChanged(r acceptance.Config, zone string) {
+func (c *Control) seenChanged(r acceptance.Config, zone string) {
 	delete(c.configs.Outbox, r.Name)
-	c.zonesKnown.MarkSeen(zone, r.Era)
-	c.enforceZones(time.Now())
+	c.zoneState.MarkSeen(zone, r.Era)
+	c.applyZones(time.Now())
 }
 
 // zoneNames returns the names of the records of evacuated zones, that of the zones as they were
 // read last: who takes them in that order never puts zones in force that have been removed.
-func (c *Control) zoneNames() []string {
+func (c *Control) zoneRecordNames() []string {
 	var names []string
-	for _, zone := range c.zonesKnown.SeenAgain() {
+	for _, zone := range c.zoneState.SeenAgain() {
 		names = append(names, acceptance.StoodName(zone))
 	}
 	return append(names, acceptance.Retained, acceptance.Evacuated)
 }
 
 // enforceZones puts the evacuated zones in force as they now are.
-func (c *Control) enforceZones(now time.Time) {
-	s := c.zonesKnown.Active(now)
+func (c *Control) applyZones(now time.Time) {
+	s := c.zoneState.Active(now)
 	if s.At == c.evacuated.At && s.SameZones(c.evacuated) {
 		return
 	}
@@ -96,7 +96,7 @@
 	for name := range c.byService {
 		c.dirty[name] = true
 	}
-	retained := slices.DeleteFunc(slices.Clone(s.Zones), c.zonesKnown.Latest().Has)
+	retained := slices.DeleteFunc(slices.Clone(s.Zones), c.zoneState.Latest().Has)
 	c.Log.Info().Uint64("era", s.At.Era).Uint64("revision", s.At.Revision).Strs("zones", s.Zones).Strs("retained", retained).Int("upstreams", c.upstreamsIn(s)).Msg("evacuated zones in force")
 }
 
--- a/control/evacuation_test.go
+++ b/control/evacuation_test.go
@@ -77,9 +77,9 @@
 	list := c.tableNodes(6)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	p := &fakePlatform{version: 1, away: make(map[string]bool)}
+	p := &fakePlatform{version: 1, refused: make(map[string]bool)}
 	for _, id := range ids(list[:5]) {
-		p.away[id] = true
+		p.refused[id] = true
 	}
 	for _, n := range list[:5] {
 		go p.follow(ctx, n)
--- a/control/freshness_test.go
+++ b/control/freshness_test.go
@@ -25,7 +25,7 @@
 )
 
 // freshWithin is the bound that the nodes of these tests have.
-const freshWithin = 1500 * time.Millisecond
+const maxStaleness = 1500 * time.Millisecond
 
 // freshNodes starts nodes whose clocks show different times.
 func (c *cluster) freshNodes(count int) (list []*testNode) {
@@ -41,7 +41,7 @@
 			k.MaxPropagationDelay = 500 * time.Millisecond
 			k.ServiceConfig = func(*routes.Table, string, int) operator.Service { return operator.Service{}.WithDefaults() }
 			k.Clock = func() time.Duration { return time.Since(start) + time.Duration(i)*time.Hour }
-			k.MaxStaleness = freshWithin
+			k.MaxStaleness = maxStaleness
 		})
 		list = append(list, n)
 	}
@@ -54,19 +54,19 @@
 // TestProofsReachAll has a platform that answers one of six nodes: all know how fresh their
 // table is by that one's reads. It then answers none: nobody takes the table for younger than
 // the last read that was answered, and all know that it is too old.
-func TestProofsReachAll(t *testing.T) {
+func TestFreshnessProofsReachAllNodes(t *testing.T) {
 	c := newCluster(t)
 	list := c.freshNodes(6)
-	p := &fakePlatform{version: 1, away: make(map[string]bool)}
+	p := &fakePlatform{version: 1, refused: make(map[string]bool)}
 	for _, n := range list[1:] {
-		p.away[n.Self.ID] = true
+		p.refused[n.Self.ID] = true
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	for _, n := range list {
 		go p.follow(ctx, n)
 	}
-	const youngEnough = freshWithin / 2
+	const youngEnough = maxStaleness / 2
 	check := func(n *testNode) freshness.Age {
 		asked := time.Now()
 		age := n.TableAge(1)
@@ -84,32 +84,32 @@
 			})
 		}
 	}
-	p.turnAway(list[0].Self.ID)
+	p.refuse(list[0].Self.ID)
 	for _, n := range list {
-		c.eventually("all know that it is old", func() bool { return check(n).Time > freshWithin })
+		c.eventually("all know that it is old", func() bool { return check(n).Time > maxStaleness })
 	}
 }
 
 // TestNewsAndProof has news with and without a proof: nodes of a version that has none read
 // the news in it, and the other way round.
-func TestNewsAndProof(t *testing.T) {
-	news := configsync.ReadStatus{Round: 3, Version: 5, Age: time.Second}
-	payload := mustPack(newsAndProof{ReadStatus: news, Proof: freshness.Message{Clock: 1, Now: 4, Version: 5, At: 2}})
+func TestReadStatusEncoding(t *testing.T) {
+	status := configsync.ReadStatus{Round: 3, Version: 5, Age: time.Second}
+	payload := mustPack(statusAndProof{ReadStatus: status, Proof: freshness.Message{Clock: 1, Now: 4, Version: 5, At: 2}})
 	var plain configsync.ReadStatus
 	qt.Assert(t, msgpack.Unmarshal(payload, &plain), qt.IsNil)
-	qt.Check(t, plain, qt.Equals, news)
-	back, err := peer.Unpack[newsAndProof](payload)
+	qt.Check(t, plain, qt.Equals, status)
+	back, err := peer.Unpack[statusAndProof](payload)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Check(t, back.ReadStatus, qt.Equals, news)
+	qt.Check(t, back.ReadStatus, qt.Equals, status)
 	qt.Check(t, back.Proof.At, qt.Equals, time.Duration(2))
-	back, err = peer.Unpack[newsAndProof](mustPack(news))
+	back, err = peer.Unpack[statusAndProof](mustPack(status))
 	qt.Assert(t, err, qt.IsNil)
-	qt.Check(t, back, qt.Equals, newsAndProof{ReadStatus: news})
+	qt.Check(t, back, qt.Equals, statusAndProof{ReadStatus: status})
 }
 
 // TestFreshen has a node hear of reads all the while, but of no proof that it can use: as the
 // one that it has gets old, it asks others, and then the platform, each now and then.
-func TestFreshen(t *testing.T) {
+func TestRefreshOfOldProof(t *testing.T) {
 	var now time.Duration
 	c := &Control{
 		ServiceConfig:       func(*routes.Table, string, int) operator.Service { return operator.Service{} },
@@ -135,30 +135,30 @@
 		{at: 1500 * time.Millisecond, want: configsync.Wait},
 	}
 	c.snapshot.Store(&Snapshot{Table: &routes.Table{Version: 1}})
-	c.fresh.SetVersion(1)
+	c.freshness.SetVersion(1)
 	for _, step := range steps {
 		now = step.at
 		if step.confirm {
-			c.fresh.ObserveRead(now)
+			c.freshness.ObserveRead(now)
 		}
-		qt.Check(t, c.freshen(configsync.Wait, time.Now()), qt.Equals, step.want, qt.Commentf("at %v", step.at))
-		qt.Check(t, c.freshen(configsync.Watch, time.Now()), qt.Equals, configsync.Watch)
+		qt.Check(t, c.refreshAction(configsync.Wait, time.Now()), qt.Equals, step.want, qt.Commentf("at %v", step.at))
+		qt.Check(t, c.refreshAction(configsync.Watch, time.Now()), qt.Equals, configsync.Watch)
 	}
 	now = time.Minute
 	later := time.Now().Add(2 * time.Hour)
-	qt.Check(t, c.freshen(configsync.Wait, later), qt.Equals, configsync.Ask, qt.Commentf("it hears of no read: that is not its turn"))
+	qt.Check(t, c.refreshAction(configsync.Wait, later), qt.Equals, configsync.Ask, qt.Commentf("it hears of no read: that is not its turn"))
 }
 
 // TestAloneStaysFresh has a node that hears nobody and is answered by the platform all the
 // while: its watches, which grow, never let the proof come near the bound.
-func TestAloneStaysFresh(t *testing.T) {
+func TestIsolatedNodeKeepsProofFresh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &Control{
 			Self:                member.Record{ID: "a", Zone: "z", State: member.Idle},
 			ServiceConfig:       func(*routes.Table, string, int) operator.Service { return operator.Service{}.WithDefaults() },
-			MaxPropagationDelay: freshWithin / 2,
+			MaxPropagationDelay: maxStaleness / 2,
 			Clock:               boottime.Steady(),
-			MaxStaleness:        freshWithin,
+			MaxStaleness:        maxStaleness,
 			Budget:              watch.NewBudget(1e6, 1),
 			Published:           func(*Snapshot) {},
 		}
@@ -168,11 +168,11 @@
 		defer cancel()
 		all.Go(func() { c.Run(ctx) })
 		all.Go(func() { (&fakePlatform{version: 1}).follow(ctx, &testNode{Control: c}) })
-		time.Sleep(freshWithin)
+		time.Sleep(maxStaleness)
 		for range 1000 {
-			time.Sleep(freshWithin / 50)
+			time.Sleep(maxStaleness / 50)
 			age := c.TableAge(1)
-			qt.Assert(t, age.Known && age.Time < 6*freshWithin/10, qt.IsTrue, qt.Commentf("%v", age))
+			qt.Assert(t, age.Known && age.Time < 6*maxStaleness/10, qt.IsTrue, qt.Commentf("%v", age))
 		}
 	})
 }
@@ -187,9 +187,9 @@
 		c := &Control{
 			Self:                member.Record{ID: "a", Zone: "z", State: member.Idle},
 			ServiceConfig:       func(*routes.Table, string, int) operator.Service { return operator.Service{}.WithDefaults() },
-			MaxPropagationDelay: freshWithin / 2,
+			MaxPropagationDelay: maxStaleness / 2,
 			Clock:               clock,
-			MaxStaleness:        freshWithin,
+			MaxStaleness:        maxStaleness,
 			Budget:              watch.NewBudget(1e6, 1),
 			Published:           func(*Snapshot) {},
 		}
--- a/control/introduce.go
+++ b/control/introduce.go
@@ -17,24 +17,24 @@
 const (
 	// introduceNear and introduceFar are the numbers of members that a first peer names, in the
 	// asker's zone and elsewhere.
-	introduceNear = 8
-	introduceFar  = 4
+	introduceSameZone   = 8
+	introduceOtherZones = 4
 	// introduceFrom is the number of members from which a node that starts learns the state of
 	// one in its own zone rather than of the first peer. All that start ask the same few
 	// first peers: with a whole state for each, their links are busy for as long as there are
 	// nodes, and most of the bytes cross zones.
-	introduceFrom = 64
+	introduceMinMembers = 64
 	// introduceTries is the number of members in its zone that a node tries to learn from.
-	introduceTries = 2
+	introduceAttempts = 2
 )
 
 // introduction is a question for members, with the record of who asks.
-type introduction struct {
+type introduceRequest struct {
 	Self member.Record `msgpack:"self"`
 }
 
 // introduced is the answer to an introduction.
-type introduced struct {
+type introduceReply struct {
 	// Members is the number of live members that are known.
 	Members int `msgpack:"members"`
 	// Records are some of them, those in the asker's zone first.
@@ -42,26 +42,26 @@
 }
 
 // introduce answers an introduction.
-func (c *Control) introduce(q introduction) introduced {
+func (c *Control) introduce(q introduceRequest) introduceReply {
 	if c.live <= 1 {
 		c.TriggerComparison() // the asker may know more than its own record
 	}
 	c.members.PutAll([]member.Record{q.Self})
-	reply := introduced{Members: c.live}
-	var near, far []member.Record
+	reply := introduceReply{Members: c.live}
+	var sameZone, otherZones []member.Record
 	for r := range c.members.Set.All {
 		switch {
 		case !r.Live() || r.ID == q.Self.ID || r.ID == c.self.ID:
 		case r.Zone == q.Self.Zone:
-			near = append(near, r)
+			sameZone = append(sameZone, r)
 		default:
-			far = append(far, r)
+			otherZones = append(otherZones, r)
 		}
 	}
 	for _, l := range []struct {
 		list []member.Record
 		most int
-	}{{near, introduceNear}, {far, introduceFar}} {
+	}{{sameZone, introduceSameZone}, {otherZones, introduceOtherZones}} {
 		c.random.Shuffle(len(l.list), func(i, j int) { l.list[i], l.list[j] = l.list[j], l.list[i] })
 		reply.Records = append(reply.Records, l.list[:min(l.most, len(l.list))]...)
 	}
@@ -69,10 +69,10 @@
 }
 
 // introduceTo introduces this node to another and takes in the members that it names.
-func (c *Control) introduceTo(ctx context.Context, p *peer.Client) (introduced, error) {
-	var q introduction
+func (c *Control) introduceTo(ctx context.Context, p *peer.Client) (introduceReply, error) {
+	var q introduceRequest
 	c.do(func() { q.Self = c.self })
-	reply, err := peer.Ask[introduction, introduced](ctx, p, topicIntroduce, q)
+	reply, err := peer.Ask[introduceRequest, introduceReply](ctx, p, topicIntroduce, q)
 	if err == nil {
 		c.do(func() { c.members.PutAll(reply.Records) })
 	}
@@ -81,29 +81,29 @@
 
 // learnBy learns from a first peer, or, where there are many nodes, from one in the own zone that
 // it names.
-func (c *Control) learnBy(ctx context.Context, p *peer.Client) error {
+func (c *Control) fetchState(ctx context.Context, p *peer.Client) error {
 	reply, err := c.introduceTo(ctx, p)
 	if err != nil {
 		return err
 	}
-	if reply.Members < introduceFrom {
+	if reply.Members < introduceMinMembers {
 		return c.compareWith(ctx, p)
 	}
 	tried := 0
 	for _, r := range reply.Records {
-		if r.Zone != c.Self.Zone || tried == introduceTries {
+		if r.Zone != c.Self.Zone || tried == introduceAttempts {
 			break
 		}
 		tried++
 		var near *peer.Client
-		var end func()
-		if !c.do(func() { near, end = c.visit(r.Addr) }) {
+		var release func()
+		if !c.do(func() { near, release = c.temporaryClient(r.Addr) }) {
 			return errStopped
 		}
 		limited, cancel := context.WithTimeout(ctx, compareTimeout)
 		err := c.compareWith(limited, near)
 		cancel()
-		end()
+		release()
 		if err == nil {
 			return nil
 		}
--- a/control/introduce_test.go
+++ b/control/introduce_test.go
@@ -48,7 +48,7 @@
 // TestStartBytesOfFirstPeer has nodes start that all know the same first peer: where there are many
 // nodes they learn the state of others in their zone, which it names, and what it sends to each
 // does not grow with the members. Where it knows few, or nobody there answers, it tells all itself.
-func TestStartBytesOfFirstPeer(t *testing.T) {
+func TestFirstPeerBytesPerStart(t *testing.T) {
 	tests := map[string]struct {
 		members int
 		silent  bool // whether the members in the zone don't answer
--- a/control/neighbours.go
+++ b/control/neighbours.go
@@ -50,7 +50,7 @@
 // visit returns a client to learn from the node at an address, and what ends that. The connection
 // is then closed at once, unless it is to a neighbour: where all that start visit the same few
 // nodes, these have a connection for each that is there at the same moment, and no more.
-func (c *Control) visit(addr string) (p *peer.Client, end func()) {
+func (c *Control) temporaryClient(addr string) (p *peer.Client, release func()) {
 	if p := c.clients[addr]; p != nil {
 		return p, func() {}
 	}
@@ -79,8 +79,8 @@
 }
 
 // turnOver replaces one neighbour and fills up their number.
-func (c *Control) turnOver() {
-	near, far := c.split()
+func (c *Control) rotateNeighbours() {
+	near, far := c.splitByZone()
 	c.neighbours.TurnOver(func(r member.Record) bool {
 		now, ok := c.members.Set.Get(r.ID)
 		return ok && now.Live() && now.Addr == r.Addr
@@ -88,15 +88,15 @@
 }
 
 // known returns how many other live nodes there are.
-func (c *Control) known() neighbour.NodeCounts {
+func (c *Control) nodeCounts() neighbour.NodeCounts {
 	return neighbour.NodeCounts{
-		Near: c.near,
-		Far:  c.live - c.near - 1,
+		Near: c.zonePeers,
+		Far:  c.live - c.zonePeers - 1,
 	}
 }
 
 // split returns the other live nodes, by whether they are in the node's zone.
-func (c *Control) split() (near, far []member.Record) {
+func (c *Control) splitByZone() (near, far []member.Record) {
 	for r := range c.members.Set.All {
 		switch {
 		case r.ID == c.self.ID || !r.Live():
@@ -134,7 +134,7 @@
 // targets returns neighbours to talk to, n of them if there are as many.
 func (c *Control) targets(n int, choose func() []member.Record) (list []target) {
 	if c.neighbours.Len() < min(n, c.live-1) {
-		c.turnOver()
+		c.rotateNeighbours()
 	}
 	for _, r := range choose() {
 		list = append(list, target{
--- a/control/pace.go
+++ b/control/pace.go
@@ -10,22 +10,22 @@
 	// publishShare is the part of the time that new snapshots may take, after changes of
 	// members. Each costs the size of the services that have changed, and while many nodes
 	// start some have changed at any moment.
-	publishShare = 0.05
+	maxPublishShare = 0.05
 	// longestPace bounds the wait for the next one. Gates refuse what comes to an upstream
 	// that drains, so that a snapshot that is late costs an exchange and no request.
-	longestPace = time.Second
+	maxPublishWait = time.Second
 )
 
 // publishPace bounds the time spent on new snapshots. The zero value allows one at once.
-type publishPace struct {
+type publishLimiter struct {
 	next time.Time
 }
 
 // due returns whether there may be another snapshot now.
-func (p *publishPace) due(now time.Time) bool { return !now.Before(p.next) }
+func (p *publishLimiter) allow(now time.Time) bool { return !now.Before(p.next) }
 
 // took takes in when the making of one began and ended.
-func (p *publishPace) took(began, ended time.Time) {
-	wait := time.Duration(float64(ended.Sub(began)) / publishShare)
-	p.next = began.Add(min(wait, longestPace))
+func (p *publishLimiter) record(began, ended time.Time) {
+	wait := time.Duration(float64(ended.Sub(began)) / maxPublishShare)
+	p.next = began.Add(min(wait, maxPublishWait))
 }
--- a/control/pace_test.go
+++ b/control/pace_test.go
@@ -14,7 +14,7 @@
 // TestPublishPace has members change all the time, as while many nodes start, where a snapshot
 // takes the longer the more members a service has: the time spent on snapshots stays bounded,
 // and none waits for long.
-func TestPublishPace(t *testing.T) {
+func TestPublishLimiter(t *testing.T) {
 	const tick = 50 * time.Millisecond
 	tests := map[string]struct {
 		cost  time.Duration // of one snapshot
@@ -28,15 +28,15 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			var p publishPace
+			var p publishLimiter
 			var spent time.Duration
 			snapshots := 0
 			start := time.Unix(1e9, 0)
 			for now := start; now.Sub(start) < 10*time.Second; now = now.Add(tick) {
-				if !p.due(now) {
+				if !p.allow(now) {
 					continue
 				}
-				p.took(now, now.Add(test.cost))
+				p.record(now, now.Add(test.cost))
 				spent += test.cost
 				snapshots++
 			}
--- a/control/quarantine_test.go
+++ b/control/quarantine_test.go
@@ -15,13 +15,13 @@
 )
 
 // printOf returns the fingerprint of a request with the given number.
-func printOf(i int) quarantine.Fingerprint {
+func fingerprintOf(i int) quarantine.Fingerprint {
 	return quarantine.NewFingerprint("caller", "GET", "h.example", fmt.Sprint("/", i)).WithBody(nil)
 }
 
 // endOf returns the report that an upstream has ended with a request at hand.
-func endOf(start string, i int) quarantine.Report {
-	return quarantine.NewCrashReport(start, []quarantine.Fingerprint{printOf(i)}, quarantine.Fingerprint{})
+func crashReport(start string, i int) quarantine.Report {
+	return quarantine.NewCrashReport(start, []quarantine.Fingerprint{fingerprintOf(i)}, quarantine.Fingerprint{})
 }
 
 // TestReportsReachAll has nodes report ends of upstreams, one after the other: all nodes
@@ -37,25 +37,25 @@
 		}
 		return true
 	})
-	standing := func(s quarantine.State) func() bool {
+	allInState := func(s quarantine.State) func() bool {
 		return func() bool {
 			for _, n := range c.nodes {
 				n.init() // which sets the field
-				if n.Quarantine.Assess(printOf(1)).State != s {
+				if n.Quarantine.Assess(fingerprintOf(1)).State != s {
 					return false
 				}
 			}
 			return true
 		}
 	}
-	c.nodes[0].Report(endOf("a", 1))
-	c.eventually("all have seen one end", standing(quarantine.SeenAtCrash))
-	c.nodes[5].Report(endOf("b", 1))
-	c.eventually("all have seen two", standing(quarantine.Isolated))
+	c.nodes[0].Report(crashReport("a", 1))
+	c.eventually("all have seen one end", allInState(quarantine.SeenAtCrash))
+	c.nodes[5].Report(crashReport("b", 1))
+	c.eventually("all have seen two", allInState(quarantine.Isolated))
 	c.add("late", "z0", c.nodes[0].Self.Addr)
-	c.eventually("so has one that starts late", standing(quarantine.Isolated))
-	c.nodes[3].Report(quarantine.NewCompletionReport(printOf(1)))
-	c.eventually("all know that it ran", standing(quarantine.Unsuspected))
+	c.eventually("so has one that starts late", allInState(quarantine.Isolated))
+	c.nodes[3].Report(quarantine.NewCompletionReport(fingerprintOf(1)))
+	c.eventually("all know that it ran", allInState(quarantine.Unsuspected))
 }
 
 // knows returns whether a node knows the given number of live nodes.
@@ -69,24 +69,24 @@
 // used: it keeps the newest, and does not grow.
 func TestReportsAreBounded(t *testing.T) {
 	c := sized(60)
-	first := endOf("first", 0)
+	first := crashReport("first", 0)
 	first.At -= time.Minute.Milliseconds()
 	c.reports.Put(first)
 	for i := range 2 * quarantine.MaxReports {
-		r := endOf(fmt.Sprint(i), i)
+		r := crashReport(fmt.Sprint(i), i)
 		r.At += int64(i)
 		c.reports.Put(r)
 	}
 	qt.Check(t, c.reports.Set.Len(), qt.Equals, quarantine.MaxReports)
 	c.reports.Put(first)
 	qt.Check(t, c.reports.Set.Len(), qt.Equals, quarantine.MaxReports)
-	qt.Check(t, c.Quarantine.Assess(printOf(0)).State, qt.Equals, quarantine.Unsuspected, qt.Commentf("an old report does not come back"))
-	qt.Check(t, c.Quarantine.Assess(printOf(2*quarantine.MaxReports-1)).State, qt.Equals, quarantine.SeenAtCrash)
+	qt.Check(t, c.Quarantine.Assess(fingerprintOf(0)).State, qt.Equals, quarantine.Unsuspected, qt.Commentf("an old report does not come back"))
+	qt.Check(t, c.Quarantine.Assess(fingerprintOf(2*quarantine.MaxReports-1)).State, qt.Equals, quarantine.SeenAtCrash)
 
 	before := c.reports.Set.RootHash()
-	future := endOf("future", 1)
+	future := crashReport("future", 1)
 	future.At += time.Hour.Milliseconds()
-	past := endOf("past", 1)
+	past := crashReport("past", 1)
 	past.At -= 2 * quarantine.ReportLifetime.Milliseconds()
 	for _, r := range []quarantine.Report{{}, future, past} {
 		c.reports.Put(r)
--- a/control/reads.go
+++ b/control/reads.go
@@ -21,22 +21,22 @@
 // The topics of the reads of the platform.
 const (
 	// topicNews tells of the latest read, unasked.
-	topicNews = "news"
+	topicReadStatus = "news"
 	// topicAskNews asks for the latest read that the receiver knows.
-	topicAskNews = "askNews"
+	topicAskReadStatus = "askNews"
 	// topicTable asks for the table of routes, the evacuated zones and the roll-outs in force.
 	topicTable = "table"
 )
 
 const (
 	// askNews is the number of neighbours that a node asks which heard no news.
-	askNews = 2
+	queryNeighbours = 2
 	// newsTimeout bounds the telling of news and what comes of it: the rest of the time
 	// in which a change is to be in force is for a read of the node's own.
-	newsTimeout = 500 * time.Millisecond
+	readStatusTimeout = 500 * time.Millisecond
 	// placeEvery is how long a node's place among the others is kept: finding it takes
 	// a look at each.
-	placeEvery = 300 * time.Millisecond
+	roleInterval = 300 * time.Millisecond
 )
 
 // Next returns what the node is to do next about the platform, and after how long. A
@@ -46,9 +46,9 @@
 	c.do(func() {
 		now := time.Now()
 		var at time.Time
-		action, at = c.reads.Next(c.place(now), now)
-		action = c.freshen(action, now)
-		after, watchFor = at.Sub(now), c.freshWatch(c.reads.WatchTimeout())
+		action, at = c.reads.Next(c.role(now), now)
+		action = c.refreshAction(action, now)
+		after, watchFor = at.Sub(now), c.limitWatch(c.reads.WatchTimeout())
 	})
 	return action, after, watchFor
 }
@@ -56,14 +56,14 @@
 // Leads returns whether this node reads the platform for all, as far as it knows.
 func (c *Control) IsLeader() (leads bool) {
 	c.init()
-	c.do(func() { leads = c.place(time.Now()).IsLeader })
+	c.do(func() { leads = c.role(time.Now()).IsLeader })
 	return leads
 }
 
 // Heard returns a channel that has a value when Next may have another answer.
 func (c *Control) NextChanged() <-chan struct{} {
 	c.init()
-	return c.heard
+	return c.nextChanged
 }
 
 // Read takes in the node's own read of the platform: whether the platform answered,
@@ -72,27 +72,27 @@
 	c.init()
 	c.do(func() {
 		c.reads.ReadDone(answered, age, time.Now())
-		c.sighted(answered)
-		c.passNews()
+		c.recordPlatformAnswer(answered)
+		c.forwardStatus()
 	})
 }
 
 // AskNews asks a few neighbours for their news.
 func (c *Control) QueryNeighbours(ctx context.Context) {
 	c.do(func() {
-		for _, t := range c.targets(askNews, func() []member.Record { return c.neighbours.Sample(askNews) }) {
+		for _, t := range c.targets(queryNeighbours, func() []member.Record { return c.neighbours.Sample(queryNeighbours) }) {
 			go func() {
-				ctx, cancel := context.WithTimeout(ctx, newsTimeout)
+				ctx, cancel := context.WithTimeout(ctx, readStatusTimeout)
 				defer cancel()
-				asked := c.reading()
-				news, err := peer.Ask[struct{}, newsAndProof](ctx, t.Client, topicAskNews, struct{}{})
+				sent := c.clockReading()
+				status, err := peer.Ask[struct{}, statusAndProof](ctx, t.Client, topicAskReadStatus, struct{}{})
 				if err != nil {
 					c.Log.Debug().Err(err).Str("peer", t.ID).Msg("news not told")
 					return
 				}
 				c.do(func() {
-					c.proofReplied(asked, news.Proof)
-					c.hearNews(t.ID, news)
+					c.applyProofReply(sent, status.Proof)
+					c.receiveStatus(t.ID, status)
 				})
 			}()
 		}
@@ -103,12 +103,12 @@
 // live nodes that are not suspected and that the platform answers. Its order is that
 // of representatives in the first zone, so that where there is one zone, the leader is
 // its first node.
-func (c *Control) place(now time.Time) configsync.Role {
-	if now.Sub(c.placed) < placeEvery {
-		return c.lastPlace
+func (c *Control) role(now time.Time) configsync.Role {
+	if now.Sub(c.lastRoleAt) < roleInterval {
+		return c.lastRole
 	}
 	zone := c.self.Zone
-	var all, seeing []string
+	var all, reachable []string
 	for r := range c.members.Set.All {
 		if r.ID == c.self.ID || !r.Live() || now.Before(c.suspects[r.ID]) {
 			continue
@@ -116,61 +116,61 @@
 		zone = min(zone, r.Zone)
 		all = append(all, r.ID)
 		if !r.PlatformUnreachable {
-			seeing = append(seeing, r.ID)
+			reachable = append(reachable, r.ID)
 		}
 	}
-	noneSees := c.self.PlatformUnreachable && len(seeing) == 0
-	if noneSees {
-		seeing = all
+	noneReachable := c.self.PlatformUnreachable && len(reachable) == 0
+	if noneReachable {
+		reachable = all
 	}
-	first := member.RendezvousRank(zone, c.self.ID, seeing) == 0
-	c.placed = now
-	c.lastPlace = configsync.Role{
-		IsLeader:  first && (!c.self.PlatformUnreachable || noneSees),
-		WouldLead: first && c.self.PlatformUnreachable && !noneSees,
+	first := member.RendezvousRank(zone, c.self.ID, reachable) == 0
+	c.lastRoleAt = now
+	c.lastRole = configsync.Role{
+		IsLeader:  first && (!c.self.PlatformUnreachable || noneReachable),
+		WouldLead: first && c.self.PlatformUnreachable && !noneReachable,
 		Nodes:     c.live,
 	}
-	return c.lastPlace
+	return c.lastRole
 }
 
 // hearNews takes in news from another node.
-func (c *Control) hearNews(from string, news newsAndProof) {
+func (c *Control) receiveStatus(from string, status statusAndProof) {
 	era := c.reads.Era()
-	if c.reads.Receive(news.ReadStatus, time.Now()) {
+	if c.reads.Receive(status.ReadStatus, time.Now()) {
 		c.fetchTable(from)
 	}
 	if later := c.reads.Era(); later > era && c.EraAdvanced != nil {
 		go c.EraAdvanced(later)
 	}
-	c.hearProof(from, news.Proof)
-	c.passNews()
+	c.receiveProof(from, status.Proof)
+	c.forwardStatus()
 	c.wake()
 }
 
 // wake has the node look at Next again.
 func (c *Control) wake() {
 	select {
-	case c.heard <- struct{}{}:
+	case c.nextChanged <- struct{}{}:
 	default:
 	}
 }
 
 // passNews tells a few neighbours of the latest read, if that has not been done.
-func (c *Control) passNews() {
-	news, ok := c.reads.PendingStatus(time.Now())
+func (c *Control) forwardStatus() {
+	status, ok := c.reads.PendingStatus(time.Now())
 	if !ok {
 		return
 	}
-	payload, err := msgpack.Marshal(c.tell(news))
+	payload, err := msgpack.Marshal(c.withProof(status))
 	if err != nil {
 		c.Log.Error().Err(err).Msg("news not encoded")
 		return
 	}
 	for _, t := range c.targets(neighbour.MaxNeighbours, c.neighbours.ForReadStatus) {
 		go func() {
-			ctx, cancel := context.WithTimeout(context.Background(), newsTimeout)
+			ctx, cancel := context.WithTimeout(context.Background(), readStatusTimeout)
 			defer cancel()
-			if _, err := t.Request(ctx, topicNews, payload, true); err != nil {
+			if _, err := t.Request(ctx, topicReadStatus, payload, true); err != nil {
 				c.do(func() { c.dropNeighbour(t.ID) })
 			}
 		}()
@@ -187,7 +187,7 @@
 	p := c.client(r.Addr)
 	c.fetching = true
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), newsTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), readStatusTimeout)
 		defer cancel()
 		reply, err := peer.Ask[struct{}, reconcile.Records[acceptance.Config]](ctx, p, topicTable, struct{}{})
 		if err != nil {
@@ -197,7 +197,7 @@
 			c.fetching = false
 			c.configs.PutAll(reply.Records)
 			c.publish()
-			c.passNews()
+			c.forwardStatus()
 		})
 	}()
 }
@@ -209,17 +209,17 @@
 		return nil, false, nil
 	}
 	switch topic {
-	case topicNews:
-		news, err := peer.Unpack[newsAndProof](payload)
+	case topicReadStatus:
+		status, err := peer.Unpack[statusAndProof](payload)
 		if err != nil {
 			return nil, true, err
 		}
-		c.hearNews(from.Node, news)
+		c.receiveStatus(from.Node, status)
 		return nil, true, nil
-	case topicAskNews:
-		return c.tell(c.reads.Status(time.Now())), true, nil
+	case topicAskReadStatus:
+		return c.withProof(c.reads.Status(time.Now())), true, nil
 	case topicTable:
-		return reconcile.Records[acceptance.Config]{Records: c.configs.Get(append(append(c.rolloutNames(), acceptance.Whole), c.zoneNames()...))}, true, nil
+		return reconcile.Records[acceptance.Config]{Records: c.configs.Get(append(append(c.rolloutNames(), acceptance.Whole), c.zoneRecordNames()...))}, true, nil
 	}
 	return nil, false, nil
 }
--- a/control/rejoin.go
+++ b/control/rejoin.go
@@ -15,13 +15,13 @@
 const (
 	// searchTimeout bounds the question to one address, and searchesAtOnce how many are asked at
 	// the same time.
-	searchTimeout  = time.Second
-	searchesAtOnce = 4
+	searchTimeout = time.Second
+	maxSearches   = 4
 )
 
 // searchChanged takes in a change of a member's record: a node that is gone is searched for, at the
 // address of its last start, until it is live again.
-func (c *Control) searchChanged(old, r member.Record) {
+func (c *Control) updateSearch(old, r member.Record) {
 	switch {
 	case r.Live() && r.Incarnation != old.Incarnation:
 		c.searches.Stop(r.ID)
@@ -34,20 +34,20 @@
 
 // search asks at some addresses whether nodes that are gone have started again. Each that has
 // learns of this node, and compares its state with it.
-func (c *Control) search(ctx context.Context) {
-	for _, id := range c.searches.Due(time.Now(), c.live, searchesAtOnce-c.searching) {
+func (c *Control) startSearches(ctx context.Context) {
+	for _, id := range c.searches.Due(time.Now(), c.live, maxSearches-c.activeSearches) {
 		r, ok := c.members.Set.Get(id)
 		if !ok || c.addressTaken(r) {
 			c.searches.Stop(id)
 			continue
 		}
-		c.searching++
+		c.activeSearches++
 		go func() {
-			found := c.searchAt(ctx, r)
+			found := c.probeAddress(ctx, r)
 			c.do(func() {
-				c.searching--
+				c.activeSearches--
 				if found {
-					c.found(r)
+					c.nodeFound(r)
 				}
 			})
 		}()
@@ -56,7 +56,7 @@
 
 // found takes in that a node answers at the address of a record. One whose record says that it is
 // gone is searched for until another record comes.
-func (c *Control) found(r member.Record) {
+func (c *Control) nodeFound(r member.Record) {
 	now, ok := c.members.Set.Get(r.ID)
 	if !ok || !now.Live() {
 		return
@@ -64,7 +64,7 @@
 	c.searches.Stop(r.ID)
 	if _, suspected := c.suspects[r.ID]; suspected {
 		delete(c.suspects, r.ID)
-		c.neighbours.Consider(now, c.known())
+		c.neighbours.Consider(now, c.nodeCounts())
 	}
 }
 
@@ -80,13 +80,13 @@
 
 // searchAt introduces this node at the address of one that is gone, and returns whether it answers
 // there.
-func (c *Control) searchAt(ctx context.Context, r member.Record) bool {
+func (c *Control) probeAddress(ctx context.Context, r member.Record) bool {
 	var p *peer.Client
-	var end func()
-	if !c.do(func() { p, end = c.visit(r.Addr) }) {
+	var release func()
+	if !c.do(func() { p, release = c.temporaryClient(r.Addr) }) {
 		return false
 	}
-	defer end()
+	defer release()
 	ctx, cancel := context.WithTimeout(ctx, searchTimeout)
 	defer cancel()
 	reply, err := c.introduceTo(ctx, p)
--- a/control/rejoin_test.go
+++ b/control/rejoin_test.go
@@ -17,20 +17,20 @@
 // TestStartsKnowingNobody guards against a node that is never told anything: it starts again at its
 // address while the platform is away, without first peers, when all others take it for gone or
 // silent.
-func TestStartsKnowingNobody(t *testing.T) {
+func TestRestartWithoutContacts(t *testing.T) {
 	tests := map[string]struct {
 		nodes int
 		stop  func(c *cluster, n *testNode) // returns once the others have drawn their conclusions
 	}{
-		"it left and all have heard": {nodes: 4, stop: left},
-		"the only other has heard":   {nodes: 2, stop: left},
-		"all have heard of many":     {nodes: 24, stop: left},
-		"it was killed":              {nodes: 12, stop: killed},
+		"it left and all have heard": {nodes: 4, stop: stopAndWait},
+		"the only other has heard":   {nodes: 2, stop: stopAndWait},
+		"all have heard of many":     {nodes: 24, stop: stopAndWait},
+		"it was killed":              {nodes: 12, stop: killAndWait},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			c := newCluster(t)
-			c.directory = emptyBook
+			c.directory = emptyDirectory
 			start := func(id, zone, addr string, contacts ...string) *testNode {
 				l, err := net.Listen("tcp", addr)
 				qt.Assert(t, err, qt.IsNil)
@@ -44,13 +44,13 @@
 				start(fmt.Sprint("n", i), fmt.Sprint("z", i%2), "127.0.0.1:0", first.Self.Addr)
 			}
 			for _, n := range c.nodes {
-				c.knows(n, test.nodes)
+				c.waitKnows(n, test.nodes)
 			}
 			test.stop(c, first)
 			again := start("n0", "z0", first.Self.Addr)
 			c.nodes = c.nodes[1:]
 			for _, n := range c.nodes {
-				c.knows(n, test.nodes)
+				c.waitKnows(n, test.nodes)
 			}
 			qt.Check(t, again.Alone(), qt.IsFalse)
 		})
@@ -59,7 +59,7 @@
 
 // left stops a node and waits until all others have heard that it has left, and none compares with
 // it any more.
-func left(c *cluster, n *testNode) {
+func stopAndWait(c *cluster, n *testNode) {
 	n.stop()
 	c.eventually("all have heard", func() bool {
 		return c.others(n, func(o *testNode) bool {
@@ -70,7 +70,7 @@
 }
 
 // killed ends a node without a word and waits until all others suspect it or have removed it.
-func killed(c *cluster, n *testNode) {
+func killAndWait(c *cluster, n *testNode) {
 	n.kill()
 	c.eventually("all suspect it", func() bool {
 		return c.others(n, func(o *testNode) bool {
--- a/control/release_test.go
+++ b/control/release_test.go
@@ -16,7 +16,7 @@
 
 // TestConnectionsOfMet has a node meet others at its start, of which some become neighbours: it
 // keeps no connection to the rest.
-func TestConnectionsOfMet(t *testing.T) {
+func TestConnectionsAreReleased(t *testing.T) {
 	tests := map[string]struct {
 		members int
 		met     int // which of them it has met, as far as they stay no neighbours
@@ -47,7 +47,7 @@
 
 // TestVisits has a node learn from others: it keeps the connection of one that has become a
 // neighbour, and that of no other, not even for a moment.
-func TestVisits(t *testing.T) {
+func TestTemporaryClient(t *testing.T) {
 	tests := map[string]struct {
 		neighbour, client bool // whether the visited node is a neighbour, or has a client already
 		kept              bool
@@ -74,20 +74,20 @@
 						ID:   "first",
 						Zone: c.Self.Zone,
 						Addr: addr,
-					}, c.known())
+					}, c.nodeCounts())
 				}
 			})
 			var p *peer.Client
-			var end func()
-			c.do(func() { p, end = c.visit(addr) })
-			_, err := peer.Ask[struct{}, roots](ctx, p, topicRoots, struct{}{})
+			var release func()
+			c.do(func() { p, release = c.temporaryClient(addr) })
+			_, err := peer.Ask[struct{}, rootHashes](ctx, p, topicRoots, struct{}{})
 			qt.Assert(t, err, qt.IsNil)
 			qt.Check(t, counters.BytesOut.Load() > 0, qt.IsTrue)
-			end()
+			release()
 			var kept bool
 			c.do(func() { kept = c.clients[addr] == p })
 			qt.Check(t, kept, qt.Equals, test.kept)
-			_, err = peer.Ask[struct{}, roots](ctx, p, topicRoots, struct{}{})
+			_, err = peer.Ask[struct{}, rootHashes](ctx, p, topicRoots, struct{}{})
 			qt.Check(t, err == nil, qt.Equals, test.kept)
 		})
 	}
--- a/control/represent.go
+++ b/control/represent.go
@@ -17,7 +17,7 @@
 // newRepresentative returns what represents this node's zone at the platform.
 func (c *Control) newRepresentative() *representative.Representative {
 	return &representative.Representative{
-		Node:          represented{c},
+		Node:          representativeNode{c},
 		Zone:          c.Self.Zone,
 		API:           c.API,
 		Lease:         c.Timing.Lease,
@@ -28,27 +28,27 @@
 }
 
 // represented is the control state as the representative of a zone sees it.
-type represented struct {
+type representativeNode struct {
 	c *Control
 }
 
 // Self implements representative.Node.
-func (r represented) Self() (self member.Record) {
+func (r representativeNode) Self() (self member.Record) {
 	r.c.do(func() { self = r.c.self })
 	return self
 }
 
 // Rank implements representative.Node.
-func (r represented) Rank() (rank, nodes int) {
+func (r representativeNode) Rank() (rank, nodes int) {
 	r.c.do(func() { rank, nodes = r.c.zoneRank() })
 	return rank, nodes
 }
 
 // ProbeCandidates implements representative.Node.
-func (r represented) ProbeCandidates(ctx context.Context) { r.c.probeCandidates(ctx) }
+func (r representativeNode) ProbeCandidates(ctx context.Context) { r.c.probeCandidates(ctx) }
 
 // Knows implements representative.Node.
-func (r represented) Knows(id string) (known bool) {
+func (r representativeNode) Knows(id string) (known bool) {
 	r.c.do(func() {
 		m, ok := r.c.members.Set.Get(id)
 		known = r.c.live > 1 && (ok && m.Live() || id == "")
@@ -57,16 +57,16 @@
 }
 
 // LearnFrom implements representative.Node.
-func (r represented) LearnFrom(ctx context.Context, addrs []string) bool {
+func (r representativeNode) LearnFrom(ctx context.Context, addrs []string) bool {
 	return r.c.LearnFrom(ctx, addrs)
 }
 
 // Addresses implements representative.Node. Neighbours go first: one that does not answer is
 // soon none.
-func (r represented) Addresses(n int) (list []string) {
+func (r representativeNode) Addresses(n int) (list []string) {
 	c := r.c
 	c.do(func() {
-		near, _ := c.split()
+		near, _ := c.splitByZone()
 		c.random.Shuffle(len(near), func(i, j int) { near[i], near[j] = near[j], near[i] })
 		list = append(list, c.self.Addr)
 		for _, m := range append(slices.Clone(c.neighbours.All()), near...) {
@@ -79,21 +79,21 @@
 }
 
 // Others implements representative.Node.
-func (r represented) ZonePeers() (near []member.Record) {
-	r.c.do(func() { near, _ = r.c.split() })
+func (r representativeNode) ZonePeers() (near []member.Record) {
+	r.c.do(func() { near, _ = r.c.splitByZone() })
 	return near
 }
 
 // Nodes implements representative.Node.
-func (r represented) ZoneSize() (n int) {
-	r.c.do(func() { n = r.c.near + 1 })
+func (r representativeNode) ZoneSize() (n int) {
+	r.c.do(func() { n = r.c.zonePeers + 1 })
 	return n
 }
 
 // OtherZones implements representative.Node.
-func (r represented) OtherZones() (zones []string) {
+func (r representativeNode) OtherZones() (zones []string) {
 	r.c.do(func() {
-		_, far := r.c.split()
+		_, far := r.c.splitByZone()
 		for _, m := range far {
 			zones = append(zones, m.Zone)
 		}
@@ -103,10 +103,10 @@
 }
 
 // Sweep implements representative.Node.
-func (r represented) Sweep(ctx context.Context) { newSweeper(r.c).run(ctx) }
+func (r representativeNode) Sweep(ctx context.Context) { newSweeper(r.c).run(ctx) }
 
 // InForce implements representative.Node.
-func (r represented) ActiveServices() map[string]bool {
+func (r representativeNode) ActiveServices() map[string]bool {
 	names := make(map[string]bool)
 	r.c.do(func() {
 		for config := range r.c.configs.Set.All {
@@ -119,7 +119,7 @@
 }
 
 // HostOwner implements representative.Node.
-func (r represented) HostOwner(host string) string {
+func (r representativeNode) HostOwner(host string) string {
 	if s := r.c.Snapshot().Lookup(host); s != nil {
 		return s.Name
 	}
@@ -127,12 +127,12 @@
 }
 
 // PutInForce implements representative.Node.
-func (r represented) ApplyConfig(config acceptance.Config) {
+func (r representativeNode) ApplyConfig(config acceptance.Config) {
 	r.c.do(func() { r.c.configs.Put(config) })
 }
 
 // Sequence implements representative.Node.
-func (r represented) Sequence(service string) (sequence uint64) {
+func (r representativeNode) Sequence(service string) (sequence uint64) {
 	r.c.do(func() {
 		config, _ := r.c.configs.Set.Get(service)
 		sequence = config.Sequence
@@ -141,15 +141,15 @@
 }
 
 // SequenceAt implements representative.Node.
-func (r represented) SequenceAt(ctx context.Context, m member.Record, service string) (uint64, error) {
+func (r representativeNode) SequenceAt(ctx context.Context, m member.Record, service string) (uint64, error) {
 	var p *peer.Client
 	r.c.do(func() { p = r.c.client(m.Addr) })
-	reply, err := peer.Ask[haveQuery, haveReply](ctx, p, topicHave, haveQuery{Service: service})
+	reply, err := peer.Ask[sequenceQuery, sequenceReply](ctx, p, topicSequence, sequenceQuery{Service: service})
 	return reply.Sequence, err
 }
 
 // Upstreams implements representative.Node.
-func (r represented) Upstreams(service string) (n int) {
+func (r representativeNode) Upstreams(service string) (n int) {
 	r.c.do(func() {
 		for _, m := range r.c.byService[service] {
 			if m.Zone == r.c.self.Zone {
--- a/control/rollouts.go
+++ b/control/rollouts.go
@@ -15,7 +15,7 @@
 
 // preferFor is how long after a roll-out is completed its version goes before others: the
 // former version's upstreams stop at once, and nodes hear of each only then.
-const preferFor = 30 * time.Second
+const preferencePeriod = 30 * time.Second
 
 // Orders takes in the orders to roll versions out, as they were read from the platform at a
 // Point. Whole is whether those that are not among them have been withdrawn.
@@ -73,9 +73,9 @@
 
 // endPreference has completed versions no longer go before others once nothing is left of
 // the former ones.
-func (c *Control) endPreference(now time.Time) {
+func (c *Control) endPreferences(now time.Time) {
 	for name, r := range c.rollouts {
-		if r.Preferred && now.Sub(r.Changed) >= preferFor {
+		if r.Preferred && now.Sub(r.Changed) >= preferencePeriod {
 			r.Preferred = false
 			c.rollouts[name] = r
 			c.dirty[name] = true
@@ -112,21 +112,21 @@
 }
 
 // trial is what a service's version on trial gets.
-type trial struct {
-	known bool
-	state rollout.LocalState
-	share float64
-	inUse map[string]bool // upstreams of the version that get it
+type canaryState struct {
+	known    bool
+	state    rollout.LocalState
+	share    float64
+	selected map[string]bool // upstreams of the version that get it
 }
 
 // unknownOrder returns whether an upstream is on trial by an order that this node has not heard
 // of, as the node beside it says.
-func (t trial) unknownOrder(r member.Record) bool {
+func (t canaryState) unknownOrder(r member.Record) bool {
 	return r.Canary && (!t.known || r.Software != t.state.Order.Version)
 }
 
 // standing returns what an upstream may get.
-func (t trial) standing(r member.Record) rollout.Eligibility {
+func (t canaryState) standing(r member.Record) rollout.Eligibility {
 	s := rollout.Unrestricted
 	switch {
 	case t.unknownOrder(r):
@@ -134,7 +134,7 @@
 	case t.known:
 		s = t.state.Eligibility(r.Software)
 	}
-	if s == rollout.OnTrial && !t.inUse[r.ID] {
+	if s == rollout.OnTrial && !t.selected[r.ID] {
 		return rollout.Withheld
 	}
 	return s
@@ -142,8 +142,8 @@
 
 // onTrial returns what a service's version on trial gets now: the upstreams that are in use
 // are the same at all nodes that know the same ones.
-func (c *Control) onTrial(service string) trial {
-	t := trial{inUse: make(map[string]bool)}
+func (c *Control) canary(service string) canaryState {
+	t := canaryState{selected: make(map[string]bool)}
 	if c.Exposure == 0 {
 		return t
 	}
@@ -163,9 +163,9 @@
 		ids, phase = unknown, rollout.Trial
 	}
 	for _, id := range member.RendezvousTop(service, ids, c.Exposure.UpstreamCount(phase, len(ids))) {
-		t.inUse[id] = true
+		t.selected[id] = true
 	}
-	if len(t.inUse) > 0 {
+	if len(t.selected) > 0 {
 		t.share = c.Exposure.Share(phase)
 	}
 	return t
--- a/control/rollouts_test.go
+++ b/control/rollouts_test.go
@@ -18,7 +18,7 @@
 
 // TestMembersOnTrial has a service with ten upstreams of one version and ten of another, which its
 // nodes say are on trial or not, at a node that has heard of an order or not.
-func TestMembersOnTrial(t *testing.T) {
+func TestCanaryMembers(t *testing.T) {
 	order := func(version string, p rollout.Phase) *rollout.State {
 		s := rollout.State{Order: rollout.Order{Service: "s", Version: version, Duration: time.Second, At: objectapi.Point{Revision: 5}}}
 		s = s.WithPhase(p, "", "n", time.Now())
@@ -83,6 +83,6 @@
 	s := rollout.State{Order: rollout.Order{Service: "s", Version: "v2"}}
 	c.configs.Put(acceptance.FromRollout(s.WithPhase(rollout.Completed, "", "n", time.Now())))
 	qt.Check(t, c.withMembers("s", operator.Service{}).CanaryShare, qt.Equals, 1.0)
-	c.endPreference(time.Now().Add(preferFor))
+	c.endPreferences(time.Now().Add(preferencePeriod))
 	qt.Check(t, c.withMembers("s", operator.Service{}).CanaryShare, qt.Equals, 0.0)
 }
--- a/control/size_test.go
+++ b/control/size_test.go
@@ -117,7 +117,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			c := sized(n)
 			for b.Loop() {
-				c.split()
+				c.splitByZone()
 			}
 		})
 	}
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -79,7 +79,7 @@
 	}
 	next.Ready = len(next.Sequences) > 0 || c.table != nil
 	c.snapshot.Store(next)
-	c.tableInForce(next.Table)
+	c.tableApplied(next.Table)
 	c.Published(next)
 }
 
@@ -103,10 +103,10 @@
 		Name:   name,
 		Config: config,
 	}
-	trial := c.onTrial(name)
-	s.CanaryShare = trial.share
+	canary := c.canary(name)
+	s.CanaryShare = canary.share
 	for _, r := range c.byService[name] {
-		if c.evacuated.Has(r.Zone) || trial.standing(r) == rollout.Withheld {
+		if c.evacuated.Has(r.Zone) || canary.standing(r) == rollout.Withheld {
 			continue
 		}
 		s.Members = append(s.Members, entry.Member{
@@ -115,7 +115,7 @@
 			Zone:   r.Zone,
 			Region: r.Region,
 			Slots:  r.Slots,
-			Canary: trial.inUse[r.ID],
+			Canary: canary.selected[r.ID],
 		})
 	}
 	sort.Slice(s.Members, func(i, j int) bool { return s.Members[i].ID < s.Members[j].ID })
@@ -136,7 +136,7 @@
 }
 
 // index takes a change of a member's record into what the snapshot is made of.
-func (c *Control) index(old, r member.Record) {
+func (c *Control) indexMember(old, r member.Record) {
 	if wasLive(old) {
 		c.countLive(old, -1)
 	}
@@ -160,6 +160,6 @@
 func (c *Control) countLive(r member.Record, n int) {
 	c.live += n
 	if r.Zone == c.self.Zone && r.ID != c.self.ID {
-		c.near += n
+		c.zonePeers += n
 	}
 }
--- a/control/spread.go
+++ b/control/spread.go
@@ -32,7 +32,7 @@
 )
 
 // roots are the hashes over all of a node's state.
-type roots struct {
+type rootHashes struct {
 	Members uint64 `msgpack:"members"`
 	Configs uint64 `msgpack:"configs"`
 	// Reports are those of requests that end upstreams. It is 0 if there are none, or
@@ -42,17 +42,17 @@
 
 // The topics beside those of the exchangers.
 const (
-	topicRoots = "roots"
-	topicHave  = "have"
+	topicRoots    = "roots"
+	topicSequence = "have"
 )
 
 // haveQuery asks for the sequence in force of a service.
-type haveQuery struct {
+type sequenceQuery struct {
 	Service string `msgpack:"service"`
 }
 
 // haveReply tells it.
-type haveReply struct {
+type sequenceReply struct {
 	Sequence uint64 `msgpack:"sequence"`
 }
 
@@ -78,21 +78,21 @@
 	switch topic {
 	case topicRoots:
 		return c.roots(), nil
-	case topicHave:
-		q, err := peer.Unpack[haveQuery](payload)
+	case topicSequence:
+		q, err := peer.Unpack[sequenceQuery](payload)
 		if err != nil {
 			return nil, err
 		}
 		config, _ := c.configs.Set.Get(q.Service)
-		return haveReply{Sequence: config.Sequence}, nil
+		return sequenceReply{Sequence: config.Sequence}, nil
 	case topicIntroduce:
-		q, err := peer.Unpack[introduction](payload)
+		q, err := peer.Unpack[introduceRequest](payload)
 		if err != nil {
 			return nil, err
 		}
 		return c.introduce(q), nil
 	case topicCandidates:
-		q, err := peer.Unpack[suspicions](payload)
+		q, err := peer.Unpack[suspectList](payload)
 		if err != nil {
 			return nil, err
 		}
@@ -114,8 +114,8 @@
 	return nil, eris.Errorf("unknown topic %q", topic)
 }
 
-func (c *Control) roots() roots {
-	return roots{
+func (c *Control) roots() rootHashes {
+	return rootHashes{
 		Members: c.members.Set.RootHash(),
 		Configs: c.configs.Set.RootHash(),
 		Reports: c.reports.Set.RootHash(),
@@ -155,7 +155,7 @@
 	if len(c.members.Outbox)+len(c.configs.Outbox)+len(c.reports.Outbox) == 0 {
 		return nil, nil
 	}
-	targets := c.targets(neighbour.MaxNeighbours, func() []member.Record { return c.neighbours.ForChange(c.known()) })
+	targets := c.targets(neighbour.MaxNeighbours, func() []member.Record { return c.neighbours.ForChange(c.nodeCounts()) })
 	if len(targets) == 0 {
 		return nil, nil
 	}
@@ -199,7 +199,7 @@
 // still on. A comparison that finds no difference has a small and fixed cost,
 // so it is made even while the budget is spent.
 func (c *Control) compare(ctx context.Context) {
-	targets := c.targets(neighbour.MaxNeighbours, func() []member.Record { return c.neighbours.ForComparison(compareTries, c.known()) })
+	targets := c.targets(neighbour.MaxNeighbours, func() []member.Record { return c.neighbours.ForComparison(compareTries, c.nodeCounts()) })
 	if c.comparing || len(targets) == 0 {
 		return
 	}
@@ -222,11 +222,11 @@
 
 // compareWith makes the state the same as a peer's.
 func (c *Control) compareWith(ctx context.Context, p *peer.Client) error {
-	theirs, err := peer.Ask[struct{}, roots](ctx, p, topicRoots, struct{}{})
+	theirs, err := peer.Ask[struct{}, rootHashes](ctx, p, topicRoots, struct{}{})
 	if err != nil {
 		return err
 	}
-	var own roots
+	var own rootHashes
 	c.do(func() { own = c.roots() })
 	// Members come first: they are small, and nothing can be sent without them. A
 	// table of thousands of routes takes a slow link most of a second, and a node that
--- a/control/sweeper_test.go
+++ b/control/sweeper_test.go
@@ -17,7 +17,7 @@
 // TestNobodyAskedIsNoSilence guards against a node that is removed for one question which it
 // did not answer, as it had missed another one long ago: in between the sweeper was not the first
 // of its zone, and asked nobody.
-func TestNobodyAskedIsNoSilence(t *testing.T) {
+func TestSilenceResetWhileNotProbing(t *testing.T) {
 	tests := map[string]struct {
 		between bool // whether another node was the zone's first in between
 		removed bool
@@ -45,15 +45,15 @@
 				n.suspect([]string{silent.ID, other.ID})
 			})
 			s := newSweeper(n.Control)
-			s.liveness.MarkSilent(silent.ID, time.Now().Add(-2*time.Hour))
+			s.detector.MarkSilent(silent.ID, time.Now().Add(-2*time.Hour))
 			if test.between {
 				n.do(func() { delete(n.suspects, other.ID) })
 				qt.Assert(t, n.IsFirstInZone(), qt.IsFalse)
-				s.turn(context.Background())
+				s.roundIfFirst(context.Background())
 				n.do(func() { n.suspect([]string{other.ID}) })
 			}
 			qt.Assert(t, n.IsFirstInZone(), qt.IsTrue)
-			s.turn(context.Background())
+			s.roundIfFirst(context.Background())
 			var live bool
 			n.do(func() {
 				r, _ := n.members.Set.Get(silent.ID)
--- a/control/table.go
+++ b/control/table.go
@@ -26,17 +26,17 @@
 // that another node takes their place: a partition may part them from the platform
 // alone. Other nodes keep it to
 // themselves, or all of them would speak at once when the platform is away.
-func (c *Control) sighted(answered bool) {
+func (c *Control) recordPlatformAnswer(answered bool) {
 	if answered == !c.self.PlatformUnreachable {
 		return
 	}
 	rank, _ := c.zoneRank()
-	if !answered && rank > 0 && !c.place(time.Now()).IsLeader {
+	if !answered && rank > 0 && !c.role(time.Now()).IsLeader {
 		return
 	}
 	c.Log.Info().Bool("platformAnswers", answered).Msg("sight of the platform")
 	c.setSelf(c.self.WithPlatformUnreachable(!answered))
-	c.placed = time.Time{}
+	c.lastRoleAt = time.Time{}
 	c.push(context.Background())
 }
 
--- a/control/table_test.go
+++ b/control/table_test.go
@@ -21,8 +21,8 @@
 
 // tableNode starts a node that follows a table of routes and finds others by a
 // book.
-func (c *cluster) tableNode(id, zone string, book func() []string) *testNode {
-	c.directory = listed(book)
+func (c *cluster) tableNode(id, zone string, addresses func() []string) *testNode {
+	c.directory = staticDirectory(addresses)
 	listener := c.listener()
 	n := c.addAtWith(listener, id, zone, func(k *Control) {
 		k.API = nil
@@ -33,29 +33,29 @@
 }
 
 // listed is a book of contacts in which nobody writes.
-type listed func() []string
+type staticDirectory func() []string
 
 // Addresses implements contact.Directory.
-func (l listed) Addresses(context.Context) []string { return l() }
+func (l staticDirectory) Addresses(context.Context) []string { return l() }
 
 // Register implements contact.Directory.
-func (l listed) Register(context.Context) {}
+func (l staticDirectory) Register(context.Context) {}
 
 // Met implements contact.Directory.
-func (l listed) Met(context.Context, string, bool) {}
+func (l staticDirectory) Met(context.Context, string, bool) {}
 
 // tableNodes starts nodes a, b and so on that find each other by one book, and
 // waits until all have met.
 func (c *cluster) tableNodes(count int) (list []*testNode) {
 	var mu sync.Mutex // of addrs
 	var addrs []string
-	book := func() []string {
+	addresses := func() []string {
 		mu.Lock()
 		defer mu.Unlock()
 		return append([]string(nil), addrs...)
 	}
 	for i := range count {
-		n := c.tableNode(string(rune('a'+i)), "z", book)
+		n := c.tableNode(string(rune('a'+i)), "z", addresses)
 		mu.Lock()
 		addrs = append(addrs, n.Self.Addr)
 		mu.Unlock()
@@ -76,7 +76,7 @@
 
 // TestMeet starts two pairs of nodes, each of which knows of no other at first.
 // They must find each other once the book has them.
-func TestMeet(t *testing.T) {
+func TestNodesMeetByDirectory(t *testing.T) {
 	c := newCluster(t)
 	var list []*testNode
 	books := [][]string{nil, nil, nil, nil}
@@ -138,22 +138,22 @@
 func TestFirstOfZoneRemovesSilentNode(t *testing.T) {
 	c := newCluster(t)
 	list := c.tableNodes(4)
-	mute := list[3]
-	mute.do(func() {
-		for _, p := range mute.clients {
+	isolated := list[3]
+	isolated.do(func() {
+		for _, p := range isolated.clients {
 			p.Close()
 		}
-		mute.neighbours.Clear()
+		isolated.neighbours.Clear()
 	})
 	silent := make(chan struct{})
 	defer close(silent)
-	go mute.do(func() { <-silent })
+	go isolated.do(func() { <-silent })
 	c.eventually("three are left", func() bool { return list[0].liveNodes() == 3 })
 }
 
 // TestBlindFirstOfZoneIsReplaced has the platform stop answering a zone's first node, then
 // its successor as well, then every node, and answer all of them again.
-func TestBlindFirstOfZoneIsReplaced(t *testing.T) {
+func TestUnreachablePlatformReplacesFirstOfZone(t *testing.T) {
 	c := newCluster(t)
 	list := c.tableNodes(3)
 	firsts := func() (ids []string) {
@@ -192,7 +192,7 @@
 type fakePlatform struct {
 	mu      sync.Mutex
 	version uint64
-	away    map[string]bool // by node
+	refused map[string]bool // by node
 	reads   int
 	last    time.Time // when it answered last
 }
@@ -202,10 +202,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.reads++
-	if !p.away[node] {
+	if !p.refused[node] {
 		p.last = time.Now()
 	}
-	return p.version, !p.away[node]
+	return p.version, !p.refused[node]
 }
 
 // lastAnswered returns when a read was answered last.
@@ -216,10 +216,10 @@
 }
 
 // turnAway has it refuse a node.
-func (p *fakePlatform) turnAway(node string) {
+func (p *fakePlatform) refuse(node string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.away[node] = true
+	p.refused[node] = true
 }
 
 // change changes the table.
@@ -234,7 +234,7 @@
 func (p *fakePlatform) follow(ctx context.Context, n *testNode) {
 	for ctx.Err() == nil {
 		action, after, watchFor := n.NextAction()
-		sent := n.reading()
+		sent := n.clockReading()
 		switch action {
 		case configsync.Wait:
 			select {
@@ -264,7 +264,7 @@
 
 // TestReadsOfOneReachAll has nodes follow a platform that turns some of them away. A
 // change that any node can read comes into force everywhere.
-func TestReadsOfOneReachAll(t *testing.T) {
+func TestOneNodesReadsReachAll(t *testing.T) {
 	tests := map[string]func(leader string, all []*testNode) []string{
 		"all are served":           func(string, []*testNode) []string { return nil },
 		"the leader is not":        func(leader string, _ []*testNode) []string { return []string{leader} },
@@ -272,11 +272,11 @@
 		"only the leader is":       func(leader string, all []*testNode) []string { return without(ids(all), leader) },
 		"all but two, not the two": func(_ string, all []*testNode) []string { return ids(all[:2]) },
 	}
-	for name, turnAway := range tests {
+	for name, refused := range tests {
 		t.Run(name, func(t *testing.T) {
 			c := newCluster(t)
 			list := c.tableNodes(6)
-			p := &fakePlatform{version: 1, away: make(map[string]bool)}
+			p := &fakePlatform{version: 1, refused: make(map[string]bool)}
 			ctx, cancel := context.WithCancel(context.Background())
 			var all sync.WaitGroup
 			defer all.Wait()
@@ -284,7 +284,7 @@
 			for _, n := range list {
 				all.Go(func() { p.follow(ctx, n) })
 			}
-			inForce := func(version uint64) func() bool {
+			active := func(version uint64) func() bool {
 				return func() bool {
 					for _, n := range list {
 						if s := n.Snapshot(); s.Table == nil || s.Table.Version < version {
@@ -294,12 +294,12 @@
 					return true
 				}
 			}
-			c.eventually("the first is in force", inForce(1))
+			c.eventually("the first is in force", active(1))
 			var leader string
 			c.eventually("there is a leader", func() bool {
 				for _, n := range list {
 					n.do(func() {
-						if n.place(time.Now()).IsLeader {
+						if n.role(time.Now()).IsLeader {
 							leader = n.Self.ID
 						}
 					})
@@ -307,12 +307,12 @@
 				return leader != ""
 			})
 			p.mu.Lock()
-			for _, id := range turnAway(leader, list) {
-				p.away[id] = true
+			for _, id := range refused(leader, list) {
+				p.refused[id] = true
 			}
 			p.mu.Unlock()
 			for range 3 {
-				c.eventually("a change is in force", inForce(p.change()))
+				c.eventually("a change is in force", active(p.change()))
 			}
 		})
 	}
