--- a/control/bootstrap.go
+++ b/control/bootstrap.go
@@ -16,12 +16,12 @@
 	"sassafrasfront.example/peer"
 )
 
-// bootstrap learns from a first peer. It goes on until one has answered, or this
-// node has met others in another way. The first node of a system goes on for
-// long, so as a representative it asks seldom. A node that is itself a first peer goes on until
-// it knows the other ones: others may have met it before.
+// bootstrap fetches the state of a first peer. It retries until one has answered or this node
+// has met others in another way. The first node of a system retries for a long time, so a
+// representative does so seldom. A node that is itself a first peer retries until it knows the
+// other first peers, because other nodes may have met them before.
 func (c *Control) bootstrap(ctx context.Context) {
-	contacts := slices.Clone(c.Contacts) // others have the same ones
+	contacts := slices.Clone(c.Contacts) // others have the same contacts
 	rand.Shuffle(len(contacts), func(i, j int) { contacts[i], contacts[j] = contacts[j], contacts[i] })
 	first := slices.Contains(contacts, c.Self.Addr)
 	for n := 0; ctx.Err() == nil; n++ {
@@ -40,7 +40,7 @@
 	}
 }
 
-// learnFromLeases learns from a contact of the representative of this node's zone,
+// bootstrapFromLeases fetches the state of a contact of the representative of this node's zone,
 // or of another zone's, and returns whether one answered.
 func (c *Control) bootstrapFromLeases(ctx context.Context) bool {
 	s, ok := c.readLease(ctx, c.Self.Zone)
@@ -49,7 +49,7 @@
 	}
 	l, err := c.API.List(ctx, operator.KindRepresentative)
 	if err != nil {
-		c.Log.Debug().Err(err).Msg("leases not read")
+		c.Log.Debug().Err(err).Msg("failed to list leases")
 		return false
 	}
 	rand.Shuffle(len(l.Items), func(i, j int) { l.Items[i], l.Items[j] = l.Items[j], l.Items[i] })
@@ -62,7 +62,8 @@
 	return false
 }
 
-// LearnFrom learns from each of some addresses until one answers, and returns whether one did.
+// LearnFrom tries the addresses in turn until it has fetched the state of one node, and returns
+// whether one answered.
 func (c *Control) LearnFrom(ctx context.Context, addrs []string) bool {
 	c.init()
 	for _, addr := range addrs {
@@ -79,10 +80,10 @@
 		cancel()
 		release()
 		if err == nil {
-			c.Log.Info().Str("peer", addr).Msg("learnt from a first peer")
+			c.Log.Info().Str("peer", addr).Msg("state fetched from a peer")
 			return true
 		}
-		c.Log.Debug().Err(err).Str("peer", addr).Msg("not learnt from a first peer")
+		c.Log.Debug().Err(err).Str("peer", addr).Msg("failed to fetch state from a peer")
 	}
 	return false
 }
@@ -91,27 +92,27 @@
 func (c *Control) readLease(ctx context.Context, zone string) (operator.Representative, bool) {
 	o, err := c.API.Get(ctx, operator.KindRepresentative, zone)
 	if err != nil {
-		c.Log.Debug().Err(err).Str("zone", zone).Msg("lease not read")
+		c.Log.Debug().Err(err).Str("zone", zone).Msg("failed to read lease")
 		return operator.Representative{}, false
 	}
 	s, err := objectapi.SpecOf[operator.Representative](o)
 	if err != nil {
-		c.Log.Warn().Err(err).Str("zone", zone).Msg("lease can't be read")
+		c.Log.Warn().Err(err).Str("zone", zone).Msg("invalid lease object")
 	}
 	return s, err == nil
 }
 
-// Alone returns whether this node knows no other.
+// Alone returns whether the node is isolated: it knows no other node.
 func (c *Control) Alone() (alone bool) {
 	c.init()
 	c.do(func() { alone = c.live <= 1 })
 	return alone
 }
 
-// Nodes returns the number of live nodes that traffic knows.
+// Nodes returns the number of live nodes in the current snapshot.
 func (c *Control) Nodes() int { return c.Snapshot().Members }
 
-// Members returns the live nodes that this one knows, itself included.
+// Members returns the live nodes that this node knows, itself included.
 func (c *Control) Members() (list []member.Record) {
 	c.init()
 	c.do(func() {
@@ -124,7 +125,7 @@
 	return list
 }
 
-// Unknown returns those of some addresses that no known node has.
+// UnknownAddresses returns the addresses that belong to no known node.
 func (c *Control) UnknownAddresses(addrs []string) []string {
 	c.init()
 	known := make(map[string]bool)
--- a/control/bootstrap_test.go
+++ b/control/bootstrap_test.go
@@ -13,10 +13,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// emptyBook is a book of contacts in which nobody ever stands.
+// emptyDirectory is a contact directory without entries.
 var emptyDirectory = staticDirectory(func() []string { return nil })
 
-// knows waits until a node knows as many live nodes as given.
+// waitKnows waits until a node knows at least the given number of live nodes.
 func (c *cluster) waitKnows(n *testNode, nodes int) {
 	c.t.Helper()
 	n.init()
@@ -27,18 +27,18 @@
 			return
 		}
 		if time.Since(began) > 10*time.Second {
-			c.t.Fatalf("%s knows %d nodes of %d", n.Self.ID, live, nodes)
+			c.t.Fatalf("%s knows %d of %d nodes", n.Self.ID, live, nodes)
 		}
 	}
 }
 
-// TestManyStarts has nodes start at once beside an empty book, with first peers of which one is
-// gone: all find each other. What that costs is counted in a played world, as it depends here on how
-// busy the machine is.
+// TestSimultaneousStarts starts nodes at once with an empty contact directory and with first peers
+// of which one does not exist. All nodes must find each other. The cost is checked in a simulation,
+// because here it depends on how busy the machine is.
 func TestSimultaneousStarts(t *testing.T) {
 	const nodes = 24
 	tests := map[string]struct {
-		first int // how many of the nodes are first peers
+		first int // number of nodes that are first peers
 	}{
 		"three first peers": {first: 3},
 		"one":               {first: 1},
@@ -48,7 +48,7 @@
 			c := newCluster(t)
 			c.directory = emptyDirectory
 			var listeners []net.Listener
-			contacts := []string{"127.0.0.1:1"} // nobody is there
+			contacts := []string{"127.0.0.1:1"} // no node listens there
 			for i := range nodes {
 				listeners = append(listeners, c.listener())
 				if i < test.first {
@@ -68,8 +68,8 @@
 	}
 }
 
-// TestFirstPeersMeet has a first peer be met by others while the other first peer is away: they
-// find each other once it is back.
+// TestFirstPeersDiscoverEachOther has other nodes meet a first peer while the second first peer is
+// not running. The two must find each other once the second one has started.
 func TestFirstPeersDiscoverEachOther(t *testing.T) {
 	c := newCluster(t)
 	c.directory = emptyDirectory
@@ -87,7 +87,7 @@
 	a := c.addAtWith(listener, "a", "z1", options(contacts...))
 	x := c.addAtWith(c.listener(), "x", "z1", options(contacts[0]))
 	c.waitKnows(a, 2)
-	time.Sleep(300 * time.Millisecond) // some more tries fail
+	time.Sleep(300 * time.Millisecond) // some more attempts fail
 	late, err := net.Listen("tcp", lateAddr)
 	qt.Assert(t, err, qt.IsNil)
 	b := c.addAtWith(late, "b", "z2", options())
--- a/control/candidates.go
+++ b/control/candidates.go
@@ -13,9 +13,8 @@
 	"sassafrasfront.example/peer"
 )
 
-// zoneRank returns this node's place among the live nodes of its zone, and
-// their number. Nodes that are suspected don't count. Those that can't reach the
-// platform come after those that can.
+// zoneRank returns this node's rank among the live nodes of its zone, and their number. Suspected
+// nodes are ignored. Nodes that cannot reach the platform rank after those that can.
 func (c *Control) zoneRank() (rank, zone int) {
 	ids := c.candidateIDs()
 	reachable := slices.DeleteFunc(slices.Clone(ids), c.platformUnreachable)
@@ -28,7 +27,7 @@
 	return member.RendezvousRank(c.self.Zone, c.self.ID, reachable), len(ids) + 1
 }
 
-// blind returns whether a node is known not to reach the platform.
+// platformUnreachable returns whether a node has announced that it cannot reach the platform.
 func (c *Control) platformUnreachable(id string) bool {
 	r, _ := c.members.Set.Get(id)
 	return r.PlatformUnreachable
@@ -48,18 +47,18 @@
 }
 
 const (
-	// suspicion is how long a node that did not answer is suspected.
+	// suspicionTimeout is how long a node that did not answer is suspected.
 	suspicionTimeout = time.Minute
-	// topicCandidates tells a node which nodes are suspected.
+	// topicCandidates tells a candidate which nodes are suspected.
 	topicCandidates = "candidates"
 )
 
-// suspicions names nodes that did not answer.
+// suspectList names nodes that did not answer.
 type suspectList struct {
 	Nodes []string `msgpack:"nodes"`
 }
 
-// suspect takes in that some nodes did not answer.
+// suspect records that some nodes did not answer.
 func (c *Control) suspect(ids []string) {
 	for _, id := range ids {
 		if id != c.self.ID {
@@ -70,10 +69,9 @@
 	}
 }
 
-// probeCandidates asks the candidates in their order for a sign
-// of life until one answers, and tells it of those before it that did not. All
-// candidates may have died at once, and the nodes after them would not know
-// that it is their turn. A few nodes of each zone do so in each period, so the
+// probeCandidates probes the candidates in their order until one answers, and tells it which of
+// those before it did not. All candidates may have failed at once, and the nodes after them would
+// not know that they are to take over. Only a few nodes of each zone probe in each period, so the
 // cost does not grow with the zone.
 func (c *Control) probeCandidates(ctx context.Context) {
 	var ids []string
@@ -89,7 +87,7 @@
 	c.do(func() { c.suspect(silent) })
 }
 
-// askCandidate tells a node who is suspected. An error means that it is silent.
+// askCandidate tells a node which nodes are suspected. An error means that it did not answer.
 func (c *Control) askCandidate(ctx context.Context, id string, silent []string) error {
 	var p *peer.Client
 	c.do(func() {
@@ -106,9 +104,9 @@
 	return err
 }
 
-// First returns the first n nodes in the order of rendezvous hashing for a subject, of those
-// that are live and stay, as far as this node knows. It may be among them. Suspected nodes
-// are, too: each node suspects others, and all are to choose alike.
+// RendezvousTop returns the first n nodes in the order of rendezvous hashing for a subject, among
+// the known nodes that are live and not draining. It may include this node. Suspected nodes are
+// included: each node has its own suspects, and all nodes must choose the same ones.
 func (c *Control) RendezvousTop(subject string, n int) []member.Record {
 	c.init()
 	var list []member.Record
--- a/control/release_test.go
+++ b/control/clients_test.go
@@ -14,12 +14,12 @@
 	"sassafrasfront.example/peer"
 )
 
-// TestConnectionsOfMet has a node meet others at its start, of which some become neighbours: it
-// keeps no connection to the rest.
+// TestConnectionsAreReleased has a node meet others when it starts, of which some become
+// neighbours. It must keep no connection to the rest.
 func TestConnectionsAreReleased(t *testing.T) {
 	tests := map[string]struct {
 		members int
-		met     int // which of them it has met, as far as they stay no neighbours
+		met     int // number of members that the node has met
 	}{
 		"as many as neighbours": {members: 10, met: 3},
 		"many":                  {members: 1000, met: 3},
@@ -45,17 +45,17 @@
 	}
 }
 
-// TestVisits has a node learn from others: it keeps the connection of one that has become a
-// neighbour, and that of no other, not even for a moment.
+// TestTemporaryClient has a node fetch the state of others. It must keep the connection to one that
+// has become a neighbour, and close all others at once.
 func TestTemporaryClient(t *testing.T) {
 	tests := map[string]struct {
-		neighbour, client bool // whether the visited node is a neighbour, or has a client already
+		neighbour, client bool // whether the other node is a neighbour, or already has a client
 		kept              bool
 	}{
-		"another node":          {},
-		"a neighbour":           {neighbour: true, kept: true},
-		"one that is talked to": {client: true, kept: true},
-		"both":                  {neighbour: true, client: true, kept: true},
+		"another node":         {},
+		"a neighbour":          {neighbour: true, kept: true},
+		"a node with a client": {client: true, kept: true},
+		"both":                 {neighbour: true, client: true, kept: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/control/control.go
+++ b/control/control.go
@@ -35,10 +35,10 @@
 	"sassafrasfront.example/watch"
 )
 
-// Timing are the periods of the control work. The zero value of a field stands
+// Timing holds the intervals of the control work. The zero value of a field stands
 // for its default.
 type Timing struct {
-	// Push is the time for which changes are gathered before they are pushed.
+	// Push is the time for which changes are collected before they are pushed.
 	// The default is 50 ms.
 	Push time.Duration
 	// Compare is the time between comparisons with a neighbour. The default is
@@ -49,17 +49,16 @@
 	Turnover time.Duration
 	// Lease is the duration of a representative's lease. The default is 15 s.
 	Lease time.Duration
-	// Bridge is the time after which a representative looks for nodes of other zones
-	// that it has lost. The default is 60 s.
+	// ZoneDiscovery is the interval at which a representative looks for nodes of other zones
+	// that it does not know, as after a partition. The default is 60 s.
 	ZoneDiscovery time.Duration
-	// Patience is the time of silence after which a node is removed. The
+	// SilenceTimeout is the time without an answer after which a node is removed. The
 	// default is 3 min.
 	SilenceTimeout time.Duration
-	// Sweep is the time in which a representative asks all nodes of its zone for a sign
-	// of life. The default is 60 s.
+	// Sweep is the time in which all nodes of a zone are probed once. The default is 60 s.
 	Sweep time.Duration
-	// Takeover is the wait of a representative for each of those that come before it
-	// in accepting a change. The default is 300 ms.
+	// TakeoverDelay is how long a representative waits for each representative that ranks
+	// before it when a change is to be accepted. The default is 300 ms.
 	TakeoverDelay time.Duration
 }
 
@@ -80,48 +79,48 @@
 	return t
 }
 
-// Control is a node's control state. The exported fields are set before Run.
+// Control is a node's control state. The exported fields must be set before Run.
 type Control struct {
 	// Self is this node's record. Its incarnation and version are set by Run.
 	Self member.Record
-	// API is the platform. Nil means that there is none.
+	// API is the platform, or nil if there is none.
 	API objectapi.API
-	// Contacts are peer addresses to learn from at the start, if any.
+	// Contacts are the peer addresses, if any, that the node fetches its first state from.
 	Contacts []string
-	// Template, if not nil, says that the configuration is one table of routes,
-	// given by Configure. It returns what holds for a service of a table, given
-	// the number of live nodes.
+	// ServiceConfig, if not nil, selects a configuration that is one table of routes, set by
+	// ApplyTable. It returns the configuration of one of the table's services, given the
+	// number of live nodes.
 	ServiceConfig func(t *routes.Table, service string, nodes int) operator.Service
-	// Within is the time within which a change of that table has to be in force
-	// everywhere. Zero means 2 s.
+	// MaxPropagationDelay is the time within which a new table must be active on all
+	// nodes. Zero means 2 s.
 	MaxPropagationDelay time.Duration
-	// Clock, if not nil, is a clock that goes on while the instance is suspended. With it
-	// nodes tell each other how fresh that table is, so that each knows whether it has every
-	// change that is older than FreshWithin.
+	// Clock, if not nil, is a clock that keeps running while the instance is suspended. Nodes
+	// use it to tell each other how fresh their tables are, so that each knows whether its
+	// table includes every change that is older than MaxStaleness.
 	Clock        boottime.Clock
 	MaxStaleness time.Duration
-	// EraHeard, if not nil, is called when another node tells of a later era of the
-	// platform, by a goroutine of its own.
+	// EraAdvanced, if not nil, is called on its own goroutine when another node reports a
+	// later era of the platform.
 	EraAdvanced func(era uint64)
-	// Exposure bounds what a version gets that an operator has ordered to be rolled out. Zero
-	// means that no orders are read.
+	// Exposure bounds the traffic of a version that is being rolled out by an operator's order.
+	// Zero means that no orders are read.
 	Exposure rollout.Exposure
-	// Topics, if not nil, answer the control requests of other parts of the node, by topic.
-	// They are called by many goroutines, and must not wait.
+	// Topics, if not nil, handle the control requests of other parts of the node, by topic.
+	// They are called concurrently and must not block.
 	Topics map[string]func(from peer.Hello, payload []byte) ([]byte, error)
-	// Quarantine, if not nil, takes in what nodes report of requests that end upstreams.
+	// Quarantine, if not nil, indexes the reports of requests that crash upstreams.
 	Quarantine *quarantine.Index
-	// Timing are the periods of the work.
+	// Timing holds the intervals of the control work.
 	Timing Timing
-	// Budget is what comparisons and pushes of records cost.
+	// Budget limits the bytes spent on comparisons and pushes of records.
 	Budget *watch.Budget
-	// Limits bounds the control connections.
+	// Limits are the limits of the control connections.
 	Limits peer.Limits
-	// Counters, if not nil, counts their traffic.
+	// Counters, if not nil, counts the traffic of these connections.
 	Counters *peer.Counters
-	// Log takes the events.
+	// Log receives the log events.
 	Log zerolog.Logger
-	// Published is called with each new snapshot, by the goroutine that owns
+	// Published is called with each new snapshot, on the goroutine that owns
 	// the state.
 	Published func(*Snapshot)
 
@@ -131,39 +130,39 @@
 	snapshot       atomic.Pointer[Snapshot]
 	representative atomic.Pointer[representative.Representative]
 	proofs         atomic.Pointer[freshness.Proofs]
-	// compareSoon is whether the next comparison does not wait for its turn.
+	// compareSoon requests a comparison at the next push.
 	compareSoon atomic.Bool
 
-	// The goroutine of Run owns what follows.
+	// The following fields are owned by the goroutine of Run.
 	self           member.Record
 	members        reconcile.Exchange[member.Record]
 	configs        reconcile.Exchange[acceptance.Config]
 	reports        reconcile.Exchange[quarantine.Report]
 	byService      map[string]map[string]member.Record
-	table          *routes.Table                 // in force, or nil
+	table          *routes.Table                 // the active table, or nil
 	rollouts       map[string]rollout.LocalState // by service
 	evacuated      evacuation.Set
 	zoneState      evacuation.State
-	live           int // live nodes, this one included
-	zonePeers      int // those in the node's own zone, without this one
+	live           int // live nodes, this node included
+	zonePeers      int // those of the node's own zone, without this node
 	dirty          map[string]bool
 	neighbours     neighbour.Set
 	clients        map[string]*peer.Client
-	reads          *configsync.State // of the table, if there is a Template
+	reads          *configsync.State // of the table; nil unless ServiceConfig is set
 	nextChanged    chan struct{}
-	freshness      *tableFreshness // of the table, if there is a Clock
-	lastRoleAt     time.Time       // when lastPlace was found
+	freshness      *tableFreshness // of the table; nil unless Clock is set
+	lastRoleAt     time.Time       // when lastRole was determined
 	lastRole       configsync.Role
 	publishLimiter publishLimiter
-	fetching       bool // whether a table is being fetched
+	fetching       bool // whether a fetch of a table is in progress
 	comparing      bool
-	suspects       map[string]time.Time // until when, by node
+	suspects       map[string]time.Time // the end of the suspicion, by node
 	searches       rejoin.Searches
-	activeSearches int // addresses that are being asked at
+	activeSearches int // searches in progress
 	random         *rand.Rand
 }
 
-// init makes the state once.
+// init initialises the state on the first call.
 func (c *Control) init() {
 	c.initOnce.Do(func() {
 		c.Timing = c.Timing.withDefaults()
@@ -207,7 +206,7 @@
 		})
 		c.nextChanged = make(chan struct{}, 1)
 		if c.ServiceConfig != nil {
-			c.reads = configsync.New(cmp.Or(c.MaxPropagationDelay, defaultWithin), time.Now(), c.random)
+			c.reads = configsync.New(cmp.Or(c.MaxPropagationDelay, defaultPropagationDelay), time.Now(), c.random)
 		}
 		c.initFreshness()
 		c.self = c.Self.NextIncarnation(member.Record{}, time.Now())
@@ -215,33 +214,33 @@
 	})
 }
 
-// defaultWithin is the usual time within which a change is in force everywhere.
-const defaultWithin = 2 * time.Second
+// defaultPropagationDelay is the default of MaxPropagationDelay.
+const defaultPropagationDelay = 2 * time.Second
 
-// jobQueue is the number of jobs that may wait for the goroutine that owns the
+// jobQueue is the number of jobs that may be queued for the goroutine that owns the
 // state.
 const jobQueue = 256
 
-// Snapshot returns what is known and in force now.
+// Snapshot returns the current snapshot.
 func (c *Control) Snapshot() *Snapshot {
 	c.init()
 	return c.snapshot.Load()
 }
 
-// Represents returns whether this node holds its zone's lease, as far as it
+// IsRepresentative returns whether this node holds its zone's lease, as far as it
 // knows.
 func (c *Control) IsRepresentative() bool {
 	r := c.representative.Load()
 	return r != nil && r.HoldsLease()
 }
 
-// Run keeps the state until ctx ends. It then tells a few peers that the node
+// Run maintains the state until ctx ends. It then tells a few peers that the node
 // has left.
 func (c *Control) Run(ctx context.Context) {
 	c.init()
 	var work sync.WaitGroup
 	defer work.Wait()
-	defer close(c.done) // which lets the work end that waits for this goroutine
+	defer close(c.done) // unblocks work that waits for this goroutine
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	if c.API != nil || len(c.Contacts) > 0 {
@@ -286,7 +285,7 @@
 	}
 }
 
-// publishInPace does what publish does, unless that has taken too much of the time lately.
+// publishLimited calls publish, unless publishing has used up its share of the time.
 func (c *Control) publishLimited() {
 	began := time.Now()
 	if len(c.dirty) > 0 && !c.publishLimiter.allow(began) {
@@ -296,9 +295,9 @@
 	c.publishLimiter.record(began, time.Now())
 }
 
-// publish makes a new snapshot if something has changed.
+// publish builds a new snapshot if something has changed.
 func (c *Control) publish() {
-	c.applyZones(time.Now()) // some are retained for a time only
+	c.applyZones(time.Now()) // retained zones expire
 	c.endPreferences(time.Now())
 	last := c.snapshot.Load().Evacuated
 	if len(c.dirty) > 0 || c.evacuated.At != last.At || !c.evacuated.SameZones(last) {
@@ -306,11 +305,11 @@
 	}
 }
 
-// errStopped is the failure of what is asked of a state whose goroutine has ended.
+// errStopped is returned for requests after the goroutine that owns the state has ended.
 var errStopped = eris.New("control stopped")
 
-// do has f run by the goroutine that owns the state, and waits for it. It
-// returns false if that goroutine has ended.
+// do runs f on the goroutine that owns the state and waits for it. It returns false
+// if that goroutine has ended.
 func (c *Control) do(f func()) bool {
 	ran := make(chan struct{})
 	select {
@@ -326,7 +325,7 @@
 	}
 }
 
-// Announce says what the node's upstream is now.
+// Announce sets the state of the node's upstream and pushes it.
 func (c *Control) Announce(u member.Upstream) {
 	c.init()
 	c.do(func() {
@@ -338,8 +337,8 @@
 	})
 }
 
-// CompareSoon has the state compared with a neighbour's at the next push, and not only when that is
-// due.
+// TriggerComparison schedules a comparison with a neighbour for the next push instead of the next
+// regular comparison.
 func (c *Control) TriggerComparison() { c.compareSoon.Store(true) }
 
 // setSelf replaces the node's own record.
@@ -348,7 +347,7 @@
 	c.members.Put(r)
 }
 
-// memberChanged takes in a change of a member's record.
+// memberChanged handles a change of a member's record.
 func (c *Control) memberChanged(old, r member.Record) {
 	c.indexMember(old, r)
 	if r.ID != c.self.ID {
@@ -358,17 +357,17 @@
 		c.neighbours.Consider(r, c.nodeCounts())
 	}
 	if r.ID == c.self.ID && c.self.GossipVersion().Less(r.GossipVersion()) {
-		// Somebody knows a later word than this node's own: one from before its
-		// restart, or its tombstone.
-		c.Log.Info().Str("heard", string(r.State)).Msg("taking a higher incarnation")
+		// Another node has a later record of this node: one from before its restart,
+		// or its tombstone.
+		c.Log.Info().Str("heard", string(r.State)).Msg("newer record of this node received; taking a higher incarnation")
 		c.setSelf(c.self.NextIncarnation(r, time.Now()))
 	}
 }
 
-// wasLive returns whether a record was there and live.
+// wasLive returns whether a record existed and was live.
 func wasLive(old member.Record) bool { return old.ID != "" && old.Live() }
 
-// configChanged takes in a change of a configuration.
+// configChanged handles a change of a configuration record.
 func (c *Control) configChanged(_, r acceptance.Config) {
 	switch r.Name {
 	case acceptance.Whole:
@@ -393,8 +392,8 @@
 	c.Log.Info().Str("service", r.Name).Uint64("sequence", r.Sequence).Bool("deleted", r.Deleted).Msg("configuration in force")
 }
 
-// expire drops the records of nodes that are gone for long, and reports that count no
-// more.
+// expire removes expired reports, and the records of nodes that left or were removed long
+// ago.
 func (c *Control) expire() {
 	now := time.Now()
 	c.expireReports(now)
@@ -405,8 +404,8 @@
 	}
 }
 
-// farewell bounds the last push of a node that stops: some of its neighbours may
-// be gone, and the process has to end in time.
+// leaveTimeout bounds the last push of a node that stops: some of its neighbours may
+// have gone away, and the process must exit in time.
 const leaveTimeout = 400 * time.Millisecond
 
 // leave tells a few peers that the node has left.
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -28,23 +28,23 @@
 	"sassafrasfront.example/watch"
 )
 
-// cluster is some nodes' control states, connected over loopback, and a
-// platform stand-in.
+// cluster is a set of control states connected over loopback, and a fake
+// platform.
 type cluster struct {
 	t     *testing.T
 	store *objectstore.Server
 	api   *objectapi.Client
 	nodes []*testNode
-	// directory, if not nil, is the book by which nodes that are added find others.
+	// directory, if not nil, is the contact directory of the nodes that are added.
 	directory contact.Directory
 }
 
-// testNode is one control state with its peer server.
+// testNode is a control state with its peer server.
 type testNode struct {
 	*Control
 	client *objectapi.Client
 	stop   func()
-	kill   func() // ends it without a word to others
+	kill   func() // ends the node without notice to others
 }
 
 func newCluster(t *testing.T) *cluster {
@@ -61,24 +61,24 @@
 	return c
 }
 
-// add starts a node. It takes a new address each time.
+// add starts a node on a new address.
 func (c *cluster) add(id, zone string, contacts ...string) *testNode {
 	return c.addAt(c.listener(), id, zone, contacts...)
 }
 
-// listener opens a new address.
+// listener opens a listener on a new address.
 func (c *cluster) listener() net.Listener {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(c.t, err, qt.IsNil)
 	return listener
 }
 
-// addAt starts a node at an address.
+// addAt starts a node on the address of a listener.
 func (c *cluster) addAt(listener net.Listener, id, zone string, contacts ...string) *testNode {
 	return c.addAtWith(listener, id, zone, func(k *Control) { k.Contacts = contacts })
 }
 
-// addAtWith starts a node at an address once set has completed it.
+// addAtWith starts a node on the address of a listener, after set has configured it.
 func (c *cluster) addAtWith(listener net.Listener, id, zone string, set func(*Control)) *testNode {
 	client := &objectapi.Client{
 		Caller: objectapi.Caller{
@@ -136,7 +136,7 @@
 	n.kill = func() {
 		stopServing()
 		all.Wait()
-		// Neither its farewell nor its pushes reach anybody.
+		// Neither its last push nor other pushes reach any node.
 		n.do(func() {
 			n.Timing.Push, n.Timing.Compare = time.Hour, time.Hour
 			n.neighbours.Clear()
@@ -149,7 +149,7 @@
 	return n
 }
 
-// grow adds nodes spread over three zones.
+// grow adds n nodes, spread over three zones.
 func (c *cluster) grow(n int) {
 	for i := range n {
 		c.add(fmt.Sprint("n", len(c.nodes)), fmt.Sprint("z", i%3))
@@ -182,7 +182,7 @@
 	c.t.Fatal("never: " + what)
 }
 
-// allHave waits until all nodes have a sequence of the service in force.
+// allHave waits until all nodes have the given sequence of a service active.
 func (c *cluster) allHave(service string, sequence uint64) {
 	c.t.Helper()
 	c.eventually(fmt.Sprintf("sequence %d of %s everywhere", sequence, service), func() bool {
@@ -195,7 +195,7 @@
 	})
 }
 
-// apply writes a Service as an operator does.
+// apply writes a Service object as an operator does.
 func (c *cluster) apply(name, spec string) *objectapi.Object {
 	c.t.Helper()
 	o := objectapi.NewObject(operator.KindService, name, json.RawMessage(spec))
@@ -218,13 +218,13 @@
 	return s
 }
 
-// TestChangesReachAllAndStatusSaysSo follows a service through its life.
+// TestChangesReachAllNodesAndStatus creates, updates, deletes and re-creates a service.
 func TestChangesReachAllNodesAndStatus(t *testing.T) {
 	c := newCluster(t)
 	c.grow(9)
 	first := c.apply("a", `{"hosts":["a.example"]}`)
 	c.allHave("a", 1)
-	c.eventually("status of all zones", func() bool {
+	c.eventually("the status lists all zones", func() bool {
 		s := c.status("a")
 		having := 0
 		for _, z := range s.Zones {
@@ -234,7 +234,7 @@
 	})
 
 	bad := c.apply("a", `{"hosts":["a.example"],"retry":{"share":7}}`)
-	c.eventually("refusal", func() bool {
+	c.eventually("the refusal is in the status", func() bool {
 		s := c.status("a")
 		return s.Phase == operator.PhaseRefused && s.Observed == bad.Metadata.ResourceVersion
 	})
@@ -243,7 +243,7 @@
 	qt.Check(t, s.Faults[0].Field, qt.Equals, "retry.share")
 	qt.Check(t, s.Sequence, qt.Equals, uint64(1))
 	for _, n := range c.nodes {
-		qt.Check(t, n.Snapshot().Hosts["a.example"], qt.IsNotNil, qt.Commentf("an invalid edit must not touch what is in force"))
+		qt.Check(t, n.Snapshot().Hosts["a.example"], qt.IsNotNil, qt.Commentf("an invalid edit must not change the active service"))
 	}
 
 	present, err := c.api.Get(context.Background(), operator.KindService, "a")
@@ -257,7 +257,7 @@
 	c.allHave("a", 3)
 }
 
-// TestStatusSeesLateMembers starts nodes after the status said that all have the
+// TestStatusCountsLateMembers starts nodes after the status reports that all nodes have the
 // configuration.
 func TestStatusCountsLateMembers(t *testing.T) {
 	c := newCluster(t)
@@ -272,9 +272,9 @@
 	}
 	c.grow(3)
 	c.apply("a", `{"hosts":["a.example"]}`)
-	c.eventually("three in the status", having(3))
+	c.eventually("the status counts three nodes", having(3))
 	c.grow(3)
-	c.eventually("six in the status", having(6))
+	c.eventually("the status counts six nodes", having(6))
 }
 
 func TestHostOfAnotherServiceIsRefused(t *testing.T) {
@@ -283,12 +283,12 @@
 	c.apply("a", `{"hosts":["x.example"]}`)
 	c.allHave("a", 1)
 	c.apply("b", `{"hosts":["x.example"]}`)
-	c.eventually("refusal", func() bool { return c.status("b").Phase == operator.PhaseRefused })
+	c.eventually("the refusal is in the status", func() bool { return c.status("b").Phase == operator.PhaseRefused })
 	qt.Check(t, c.nodes[0].Snapshot().Hosts["x.example"].Name, qt.Equals, "a")
 }
 
-// TestOutage turns the platform off or makes it hang. Announcements and a node
-// that is born then must come through, and a configuration must not revert.
+// TestOutage makes the platform unavailable or unresponsive. Announcements must still reach all
+// nodes, a node that starts must be served, and no configuration may revert.
 func TestOutage(t *testing.T) {
 	tests := map[string]objectstore.Faults{
 		"down":  {Down: true},
@@ -303,7 +303,7 @@
 			c.allHave("a", 1)
 			c.store.SetFaults(faults)
 			c.nodes[1].Announce(member.Upstream{Service: "a", Slots: 10, State: member.Up})
-			c.eventually("the announcement everywhere", func() bool {
+			c.eventually("all nodes have the announcement", func() bool {
 				for _, n := range c.nodes {
 					if s := n.Snapshot().Services["a"]; s == nil || len(s.Members) != 1 {
 						return false
@@ -321,8 +321,8 @@
 	}
 }
 
-// TestOldValuesDoNotRevert gives a node an old configuration and an old record,
-// as a peer does that comes back after long.
+// TestOldValuesDoNotRevert gives a node an old configuration, as a peer does that returns after a
+// long time.
 func TestOldValuesDoNotRevert(t *testing.T) {
 	c := newCluster(t)
 	c.grow(3)
@@ -339,15 +339,15 @@
 	qt.Check(t, n.Snapshot().Services["a"].Config.Policy, qt.Equals, "random")
 }
 
-// TestRestartOfAllButOne stops all nodes but one and starts others, while the
-// platform is down: what the one knows comes to all.
+// TestRestartOfAllButOne stops all nodes but one and starts others while the platform is down. They
+// must fetch the state of the remaining node.
 func TestRestartOfAllButOne(t *testing.T) {
 	c := newCluster(t)
 	c.grow(6)
 	c.apply("a", `{"hosts":["a.example"]}`)
 	c.apply("a", `{"hosts":["a.example"],"policy":"random"}`)
 	c.eventually("accepted", func() bool { return c.nodes[0].Snapshot().Services["a"] != nil })
-	c.eventually("latest", func() bool { return c.nodes[0].Snapshot().Services["a"].Config.Policy == "random" })
+	c.eventually("the latest configuration is active", func() bool { return c.nodes[0].Snapshot().Services["a"].Config.Policy == "random" })
 	sequence := c.nodes[0].Snapshot().Sequences["a"]
 	c.store.SetFaults(objectstore.Faults{Down: true})
 	for _, n := range c.nodes[1:] {
@@ -360,8 +360,8 @@
 	c.allHave("a", sequence)
 }
 
-// TestRepresentativeDies kills representatives one after another. Another node of the zone
-// takes over, and changes are accepted again.
+// TestRepresentativeDies stops representatives one after another. Each time another node of the zone
+// must take over and accept changes.
 func TestRepresentativeDies(t *testing.T) {
 	c := newCluster(t)
 	for i := range 8 {
@@ -390,8 +390,8 @@
 	}
 }
 
-// TestWrongRemovalIsUndone writes the tombstone of a live node, which then
-// announces itself again.
+// TestWrongRemovalIsUndone writes a tombstone for a live node, which must then
+// announce itself again.
 func TestWrongRemovalIsUndone(t *testing.T) {
 	c := newCluster(t)
 	c.grow(4)
@@ -407,7 +407,7 @@
 		}
 		return true
 	}
-	c.eventually("the upstream everywhere", knows)
+	c.eventually("all nodes know the upstream", knows)
 	n := c.nodes[0]
 	var before uint64
 	n.do(func() {
@@ -422,7 +422,7 @@
 	})
 }
 
-// TestSilentNodeIsRemoved stops a node without a word.
+// TestSilentNodeIsRemoved disconnects a node without notice.
 func TestSilentNodeIsRemoved(t *testing.T) {
 	c := newCluster(t)
 	c.grow(9)
@@ -435,7 +435,7 @@
 		return func() bool { return len(c.nodes[0].Snapshot().Services["a"].Members) == want }
 	}
 	c.eventually("nine upstreams", members(9))
-	// A node that is cut off: it neither answers nor hears.
+	// A node that is cut off: it neither sends nor receives.
 	isolated := c.nodes[8]
 	isolated.do(func() {
 		for _, p := range isolated.clients {
@@ -449,8 +449,8 @@
 	c.eventually("eight upstreams", members(8))
 }
 
-// TestZoneRestartsWithoutAStampede starts a whole zone at once and counts the
-// calls on the platform.
+// TestZoneRestartBoundsPlatformCalls starts a whole zone at once and counts the
+// calls to the platform.
 func TestZoneRestartBoundsPlatformCalls(t *testing.T) {
 	c := newCluster(t)
 	c.grow(3)
@@ -468,8 +468,8 @@
 	qt.Check(t, calls < 10*nodes, qt.IsTrue, qt.Commentf("%d calls", calls))
 }
 
-// TestPartitionHeals has two halves that know nothing of each other, and that
-// only the platform joins.
+// TestPartitionHeals starts two groups of nodes that know nothing of each other and share
+// only the platform.
 func TestPartitionHeals(t *testing.T) {
 	c := newCluster(t)
 	for i := range 3 {
@@ -478,7 +478,7 @@
 	for i := range 3 {
 		c.add(fmt.Sprint("b", i), "z1")
 	}
-	c.eventually("all know all", func() bool {
+	c.eventually("all nodes know each other", func() bool {
 		for _, n := range c.nodes {
 			if n.Snapshot().Members != 6 {
 				var live int
@@ -492,8 +492,8 @@
 	})
 }
 
-// TestLateZoneHearsChangesByPush starts a zone after the others have all their
-// neighbours. Comparisons are off, so only pushes bring the change.
+// TestLateZoneHearsChangesByPush starts a zone after the nodes of other zones have filled up
+// their neighbours. Comparisons are disabled, so that only pushes can deliver the change.
 func TestLateZoneHearsChangesByPush(t *testing.T) {
 	c := newCluster(t)
 	for i := range 24 {
@@ -505,7 +505,7 @@
 		c.add(fmt.Sprint("late", i), "z2")
 	}
 	c.allHave("a", 1)
-	c.eventually("all know all", func() bool {
+	c.eventually("all nodes know each other", func() bool {
 		for _, n := range c.nodes {
 			var live int
 			n.do(func() { live = n.live })
@@ -516,10 +516,10 @@
 		return true
 	})
 	for _, n := range c.nodes {
-		n.do(func() { n.comparing = true }) // holds all further comparisons off
+		n.do(func() { n.comparing = true }) // disables further comparisons
 	}
 	c.apply("a", `{"hosts":["a.example"],"policy":"random"}`)
-	c.eventually("some node of the late zone has it", func() bool {
+	c.eventually("a node of the late zone has the change", func() bool {
 		for _, n := range c.nodes[24:] {
 			if n.Snapshot().Sequences["a"] == 2 && !n.IsRepresentative() {
 				return true
@@ -529,8 +529,8 @@
 	})
 }
 
-// TestWorkAfterTheEnd has a representative's work go on for a moment after the control
-// goroutine has ended.
+// TestRequestsAfterStop has the work of a representative continue after the goroutine
+// that owns the control state has ended.
 func TestRequestsAfterStop(t *testing.T) {
 	c := newCluster(t)
 	c.grow(2)
@@ -543,14 +543,14 @@
 	qt.Check(t, err, qt.IsNotNil)
 }
 
-// TestIslandIsFound has a representative that knows nobody and that nobody knows, as
-// the others learnt of each other by their settings.
+// TestIsolatedRepresentativeIsFound has a representative that knows no other node and is not known
+// to any, because the others found each other by their settings.
 func TestIsolatedRepresentativeIsFound(t *testing.T) {
 	c := newCluster(t)
 	isolated := c.add("island", "z0")
-	c.eventually("the island has the lease", isolated.IsRepresentative)
-	// The others learn from each other, and so never ask for the representative's
-	// contacts.
+	c.eventually("the isolated node holds the lease", isolated.IsRepresentative)
+	// The others fetch state from each other and therefore never ask for the
+	// representative's contacts.
 	a, b := c.listener(), c.listener()
 	c.addAt(a, "n0", "z0", b.Addr().String())
 	c.addAt(b, "n1", "z0", a.Addr().String())
@@ -558,7 +558,7 @@
 	c.allHave("a", 1)
 }
 
-// TestBadRequestsAreRefused sends the control goroutine what it can't read.
+// TestBadRequestsAreRefused sends invalid requests to the control state.
 func TestBadRequestsAreRefused(t *testing.T) {
 	c := newCluster(t)
 	n := c.add("n", "z")
--- a/control/digest_test.go
+++ b/control/digest_test.go
@@ -16,8 +16,8 @@
 	"sassafrasfront.example/peer"
 )
 
-// between returns a client by which one state reaches another, and what counts its traffic.
-// Both run until the test ends.
+// connect returns a client through which one state reaches another, and the counters of its
+// traffic. It runs both states until the test ends.
 func connect(t *testing.T, one, other *Control) (*peer.Client, *peer.Counters) {
 	ctx, cancel := context.WithCancel(context.Background())
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -50,18 +50,18 @@
 	return client, counters
 }
 
-// TestComparisonBytes compares the states of two nodes of which each has changes that the other
-// has not heard of, as while many nodes start or come back. One comparison finds them all, and
-// what crosses grows with them and with some bytes a member, whichever part of the members has
-// changed: not with the whole state.
+// TestComparisonBytes compares the states of two nodes that each have changes unknown to the
+// other, as while many nodes start or return. One comparison must find all of them. The bytes sent
+// may grow with the changes, and by a few bytes for each member, whichever members have changed,
+// but not with the size of the whole state.
 func TestComparisonBytes(t *testing.T) {
 	const (
-		perMember = 12  // a digest, and the framing
+		perMember = 12  // a digest and the framing
 		perChange = 450 // the newer record, and the older one or its digest
 		fixed     = 3000
 	)
 	tests := map[string]struct {
-		members, changed int // changed at each of the two
+		members, changed int // changed on each of the two nodes
 	}{
 		"100, a few changed":    {members: 100, changed: 3},
 		"100, most changed":     {members: 100, changed: 45},
@@ -91,11 +91,11 @@
 			}
 			client, counters := connect(t, one, other)
 			qt.Assert(t, one.members.Reconcile(context.Background(), client), qt.IsNil)
-			qt.Assert(t, one.members.Reconcile(context.Background(), client), qt.IsNil, qt.Commentf("which finds nothing, after what was told"))
+			qt.Assert(t, one.members.Reconcile(context.Background(), client), qt.IsNil, qt.Commentf("finds no difference after the first comparison"))
 			var a, b uint64
 			one.do(func() { a = one.members.Set.RootHash() })
 			other.do(func() { b = other.members.Set.RootHash() })
-			qt.Check(t, a, qt.Equals, b, qt.Commentf("they are the same then"))
+			qt.Check(t, a, qt.Equals, b, qt.Commentf("the states must be equal"))
 			crossed := int(counters.BytesIn.Load() + counters.BytesOut.Load())
 			most := fixed + perMember*test.members + perChange*2*test.changed
 			qt.Check(t, crossed <= most, qt.IsTrue, qt.Commentf("%d bytes, bound %d", crossed, most))
@@ -103,8 +103,7 @@
 	}
 }
 
-// TestComparisonOfNewNode has a node that has met no other learn all that there is, and tell of
-// itself.
+// TestComparisonOfNewNode has a node that has met no other fetch all records and send its own.
 func TestComparisonOfNewNode(t *testing.T) {
 	for _, n := range []int{10, 1000, 5000} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
--- a/control/doc.go
+++ b/control/doc.go
@@ -2,17 +2,17 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Package control keeps a node's view of the system: which nodes there are,
-// and which configuration is in force.
+// Package control maintains a node's view of the system: the known nodes and the
+// active configuration.
 //
-// One goroutine owns all of that state. It publishes immutable snapshots, which
-// traffic reads without waiting, also while the platform hangs. Everything that
-// waits, such as exchanges with peers and calls to the platform, runs in other
-// goroutines that hand their results to the one that owns the state.
+// One goroutine owns this state. It publishes immutable snapshots, which the data path
+// reads without blocking, even while the platform hangs. Everything that
+// blocks, such as requests to peers and calls to the platform, runs on other
+// goroutines that hand their results to the owner.
 //
-// What a node learns it pushes to a few random nodes, and once a second it
-// compares its state with one of its neighbours. One node of each availability
+// A node pushes what it learns to a few random nodes, and once a second compares its
+// state with a neighbour's (anti-entropy). One node of each availability
 // zone, its representative, talks to the platform: it accepts configurations, removes
-// nodes that are gone and writes statuses. It holds a lease that saves
-// calls; nothing breaks when two nodes think they hold it.
+// failed nodes and writes statuses. It holds a lease, which only
+// saves calls: the system stays correct while two nodes believe that they hold it.
 package control
--- a/control/era.go
+++ b/control/era.go
@@ -6,8 +6,8 @@
 
 import "time"
 
-// EraSeen takes in that the platform names an era to this node. Restored is whether it had
-// answered it before.
+// ObserveEra records that the platform reports an era to this node. Restored is whether the
+// platform had answered this node before.
 func (c *Control) ObserveEra(era uint64, restored bool) {
 	c.init()
 	c.do(func() {
@@ -17,7 +17,7 @@
 	})
 }
 
-// eraRose returns when the platform's present era was first seen, by the calendar clock.
+// eraSeenAt returns when the platform's current era was first seen, by the wall clock.
 func (c *Control) eraSeenAt(now time.Time) time.Time {
 	if c.reads == nil || c.reads.EraSeenAt().IsZero() {
 		return now
--- a/control/era_test.go
+++ b/control/era_test.go
@@ -18,25 +18,25 @@
 	"sassafrasfront.example/routes"
 )
 
-// zonesAt returns the zones that were read at a point.
+// zonesAt returns the zones as read at a point.
 func zonesAt(era, revision uint64, zones ...string) evacuation.Set {
 	return evacuation.New(objectapi.Point{Era: era, Revision: revision}, zones...)
 }
 
-// readZones has a node read the platform.
+// readZones simulates a read of the platform by a node.
 func (n *testNode) readZones(s evacuation.Set) {
 	n.ObserveEra(s.At.Era, true)
 	n.ApplyEvacuation(s)
 	n.RecordRead(true, 0)
 }
 
-// configRoot returns the hash over the configurations that a node knows.
+// configRoot returns the hash over the configurations known to a node.
 func (n *testNode) configRoot() (root uint64) {
 	n.do(func() { root = n.configs.Set.RootHash() })
 	return root
 }
 
-// waitZones waits until some zones are in force at all nodes, as they were read at a point.
+// waitZones waits until the given zones, read at the given point, are active on all nodes.
 func (c *cluster) waitZones(nodes []*testNode, want evacuation.Set) {
 	c.t.Helper()
 	for _, n := range nodes {
@@ -47,9 +47,9 @@
 	}
 }
 
-// TestEvacuationOverEras has the platform come back from a copy that is older than an
-// evacuation, one node see that, and the others hear of it: the zone stays evacuated at all
-// nodes, one that starts then as well, until it has been written again and removed.
+// TestEvacuationAcrossEras has the platform restored from a backup that is older than an
+// evacuation. One node sees that and the others learn it from that node. The zone must stay
+// evacuated on all nodes, including one that starts then, until it is written again and removed.
 func TestEvacuationAcrossEras(t *testing.T) {
 	c := newCluster(t)
 	list := c.tableNodes(6)
@@ -61,7 +61,7 @@
 
 	list[3].readZones(zonesAt(2, 870))
 	c.waitZones(list, zonesAt(2, 870, "z"))
-	c.eventually("the node is told of the era", func() bool { return heard.Load() == 2 })
+	c.eventually("the node learns of the era", func() bool { return heard.Load() == 2 })
 	late := c.tableNode("late", "y", func() []string { return []string{first} })
 	list = append(list, late)
 	c.waitZones(list, zonesAt(2, 870, "z"))
@@ -71,7 +71,7 @@
 	time.Sleep(100 * time.Millisecond)
 	c.waitZones(list, zonesAt(2, 870, "z"))
 
-	list[1].readZones(zonesAt(3, 865)) // a second time, before it has been written again
+	list[1].readZones(zonesAt(3, 865)) // restored again, before the zone has been written again
 	c.waitZones(list, zonesAt(3, 865, "z"))
 	list[4].readZones(zonesAt(3, 866, "y"))
 	c.waitZones(list, zonesAt(3, 866, "y", "z"))
@@ -81,15 +81,15 @@
 	c.waitZones(list, zonesAt(3, 871))
 }
 
-// TestRemovedAfterRestoreStaysRemoved guards against a zone that is evacuated once more at nodes
-// which did not see it stand there: the platform loses an evacuation, the operator writes it
-// again and removes it, and some nodes hear of neither but of what was in force before.
+// TestRemovedAfterRestoreStaysRemoved guards against a zone that is evacuated again on nodes that
+// did not see it on the platform after a restore. The platform loses an evacuation, the operator
+// writes it again and removes it, and some nodes only learn of the zones that were active before.
 func TestRemovedAfterRestoreStaysRemoved(t *testing.T) {
 	tests := map[string]func(c *cluster, list []*testNode) *testNode{
 		"a node that starts": func(c *cluster, list []*testNode) *testNode {
 			return c.tableNode("late", "y", func() []string { return []string{list[0].Self.Addr} })
 		},
-		"a node that starts and reads first": func(c *cluster, list []*testNode) *testNode {
+		"a node that starts and reads before it joins": func(c *cluster, list []*testNode) *testNode {
 			var joins atomic.Bool
 			late := c.tableNode("late", "y", func() []string {
 				if joins.Load() {
@@ -117,7 +117,7 @@
 			c.waitZones(list, zonesAt(2, 872))
 			late := start(c, list)
 			c.eventually("it has met the others", func() bool { return late.liveNodes() == 4 })
-			c.eventually("it knows what they know", func() bool { return late.configRoot() == list[0].configRoot() })
+			c.eventually("it has the same configurations", func() bool { return late.configRoot() == list[0].configRoot() })
 			for _, n := range append(list, late) {
 				n.do(n.publish)
 				qt.Check(t, n.Snapshot().Evacuated.Zones, qt.HasLen, 0, qt.Commentf("%s", n.Self.ID))
@@ -126,8 +126,8 @@
 	}
 }
 
-// TestRetainedZoneIsGivenUp has a zone that was lost, and not written again, come back after its
-// time.
+// TestRetainedZoneExpires checks that a zone that was lost, and not written again, receives traffic
+// again after the retention period.
 func TestRetainedZoneExpires(t *testing.T) {
 	c := newCluster(t)
 	list := c.tableNodes(3)
@@ -143,9 +143,9 @@
 	qt.Check(t, time.Since(began) >= left, qt.IsTrue)
 }
 
-// TestNodeFromEarlierEra has a node that was apart since before the platform came back join the
-// others: what it tells of the earlier era reverts nothing, and of what was in force then it is
-// believed as far as it knew more.
+// TestNodeFromEarlierEra has a node join that was isolated since before the platform was restored.
+// Its state of the earlier era must revert nothing. Of the zones active then, the others only
+// accept what was read later than their own.
 func TestNodeFromEarlierEra(t *testing.T) {
 	tests := map[string]struct {
 		knew evacuation.Set
@@ -184,9 +184,9 @@
 	}
 }
 
-// TestTableOverEras has a lower version of a table come from the copy: it changes nothing, also
-// for a node that heard of nothing else before, and a higher one binds though its revision is
-// lower than those before.
+// TestTableAcrossEras restores a backup with a lower version of a table. That must change nothing,
+// not even on a node that has seen no other version. A higher version must be applied although
+// its revision is lower than the earlier ones.
 func TestTableAcrossEras(t *testing.T) {
 	c := newCluster(t)
 	list := c.tableNodes(4)
@@ -199,7 +199,7 @@
 	all := func(version uint64) {
 		t.Helper()
 		for _, n := range list {
-			c.eventually(fmt.Sprint("in force: ", version), func() bool { s := n.Snapshot(); return s.Table != nil && s.Table.Version == version })
+			c.eventually(fmt.Sprint("active version: ", version), func() bool { s := n.Snapshot(); return s.Table != nil && s.Table.Version == version })
 		}
 	}
 	list[0].ApplyTable(table(7))
--- a/control/evacuation.go
+++ b/control/evacuation.go
@@ -13,27 +13,27 @@
 	"sassafrasfront.example/objectapi"
 )
 
-// Evacuate takes in the evacuated zones as they were read from the platform, unless they
-// are the same as before in this era, or from an earlier Point than those known.
+// ApplyEvacuation applies the evacuated zones that were read from the platform. It ignores zones
+// that are the same as before in this era, and zones from an earlier Point than the known ones.
 func (c *Control) ApplyEvacuation(s evacuation.Set) {
 	c.init()
 	c.do(func() {
 		last := c.zoneState.Latest()
 		if s.SameZones(last) && s.At.Era == last.At.Era {
-			return // a later revision of the same is no news to anybody
+			return // the zones are unchanged
 		}
 		c.configs.Put(acceptance.FromZones(s))
 		c.publish()
 	})
 }
 
-// zonesChanged takes in evacuated zones as a node has read them. Like a table of routes they
-// are fetched by those who hear of them, and not pushed.
+// zonesChanged handles evacuated zones that a node has read. Like a table of routes they are
+// not pushed: nodes fetch them once they have received the read status.
 func (c *Control) zonesChanged(r acceptance.Config) {
 	delete(c.configs.Outbox, acceptance.Evacuated)
 	s, err := r.Zones()
 	if err != nil {
-		c.Log.Error().Err(err).Uint64("era", r.Era).Uint64("revision", r.Sequence).Msg("evacuated zones can't be read, the old ones stay")
+		c.Log.Error().Err(err).Uint64("era", r.Era).Uint64("revision", r.Sequence).Msg("invalid record of evacuated zones; keeping the previous zones")
 		return
 	}
 	now := time.Now()
@@ -47,12 +47,12 @@
 	c.applyZones(now)
 }
 
-// retainedChanged takes in the zones that were in force when an era of the platform ended.
+// retainedChanged handles the zones that were evacuated when an era of the platform ended.
 func (c *Control) retainedChanged(r acceptance.Config) {
 	delete(c.configs.Outbox, acceptance.Retained)
 	s, err := r.Zones()
 	if err != nil {
-		c.Log.Error().Err(err).Uint64("era", r.Era).Uint64("revision", r.Sequence).Msg("zones of an earlier era can't be read")
+		c.Log.Error().Err(err).Uint64("era", r.Era).Uint64("revision", r.Sequence).Msg("invalid record of retained zones")
 		return
 	}
 	now := time.Now()
@@ -61,23 +61,23 @@
 	c.applyZones(now)
 }
 
-// tellStood has other nodes know of the zones that need not be retained any more. One that has
-// started since, or has missed the moment, would retain them otherwise.
+// shareSeenZones tells other nodes which zones no longer need to be retained. A node that has
+// started since, or that missed the read, would retain them otherwise.
 func (c *Control) shareSeenZones() {
 	for _, zone := range c.zoneState.SeenAgain() {
 		c.configs.Put(acceptance.FromStood(zone, c.zoneState.Latest().At.Era))
 	}
 }
 
-// stoodChanged takes in that a zone has stood on the platform in an era.
+// seenChanged handles a record that a zone was seen on the platform in an era.
 func (c *Control) seenChanged(r acceptance.Config, zone string) {
 	delete(c.configs.Outbox, r.Name)
 	c.zoneState.MarkSeen(zone, r.Era)
 	c.applyZones(time.Now())
 }
 
-// zoneNames returns the names of the records of evacuated zones, that of the zones as they were
-// read last: who takes them in that order never puts zones in force that have been removed.
+// zoneRecordNames returns the names of the records of evacuated zones. The latest read comes last:
+// a node that applies the records in this order never evacuates a zone that has been removed.
 func (c *Control) zoneRecordNames() []string {
 	var names []string
 	for _, zone := range c.zoneState.SeenAgain() {
@@ -86,7 +86,7 @@
 	return append(names, acceptance.Retained, acceptance.Evacuated)
 }
 
-// enforceZones puts the evacuated zones in force as they now are.
+// applyZones updates the active set of evacuated zones.
 func (c *Control) applyZones(now time.Time) {
 	s := c.zoneState.Active(now)
 	if s.At == c.evacuated.At && s.SameZones(c.evacuated) {
@@ -100,7 +100,7 @@
 	c.Log.Info().Uint64("era", s.At.Era).Uint64("revision", s.At.Revision).Strs("zones", s.Zones).Strs("retained", retained).Int("upstreams", c.upstreamsIn(s)).Msg("evacuated zones in force")
 }
 
-// upstreamsIn returns the number of upstreams that would take requests in evacuated zones.
+// upstreamsIn returns the number of upstreams in evacuated zones that accept requests.
 func (c *Control) upstreamsIn(s evacuation.Set) (n int) {
 	for _, members := range c.byService {
 		for _, r := range members {
@@ -112,7 +112,7 @@
 	return n
 }
 
-// Left returns the number of upstreams that would take requests in each evacuated zone.
+// RemainingUpstreams returns the number of upstreams that accept requests in each evacuated zone.
 func (c *Control) RemainingUpstreams() map[string]int {
 	c.init()
 	left := make(map[string]int)
--- a/control/evacuation_test.go
+++ b/control/evacuation_test.go
@@ -18,9 +18,9 @@
 	"sassafrasfront.example/routes"
 )
 
-// TestEvacuationReachesAll has one node read from the platform that a zone is evacuated: all
-// nodes know, one that starts later as well, and the upstreams of the zone are no members
-// any more. What was read of an earlier revision changes nothing.
+// TestEvacuationReachesAll has one node read from the platform that a zone is evacuated. All nodes
+// must learn it, including one that starts later, and drop the upstreams of the zone from the
+// members. A read of an earlier revision must change nothing.
 func TestEvacuationReachesAll(t *testing.T) {
 	c := newCluster(t)
 	list := c.tableNodes(6)
@@ -52,26 +52,26 @@
 		n.RecordRead(true, 0)
 	}
 	read(list[2], evacuation.New(objectapi.Point{Revision: 50}, "z"))
-	c.eventually("none is", all(0, "z"))
+	c.eventually("none is a member", all(0, "z"))
 	qt.Check(t, list[0].RemainingUpstreams(), qt.DeepEquals, map[string]int{"z": 6})
 
 	late := c.tableNode("late", "y", func() []string { return []string{list[0].Self.Addr} })
-	c.eventually("one that starts late knows", func() bool { return late.Snapshot().Evacuated.Has("z") })
+	c.eventually("a node that starts late learns it", func() bool { return late.Snapshot().Evacuated.Has("z") })
 	late.Announce(member.Upstream{Service: "s", Slots: 1, State: member.Up})
 	list = append(list, late)
-	c.eventually("its own zone is not evacuated", all(1, "z"))
+	c.eventually("only the upstream of another zone is a member", all(1, "z"))
 
 	read(list[0], evacuation.New(objectapi.Point{Revision: 40}))
 	time.Sleep(100 * time.Millisecond)
-	qt.Check(t, all(1, "z")(), qt.IsTrue, qt.Commentf("read from an earlier revision"))
+	qt.Check(t, all(1, "z")(), qt.IsTrue, qt.Commentf("a read of an earlier revision changes nothing"))
 	read(list[0], evacuation.New(objectapi.Point{Revision: 60}, "y", "z"))
-	c.eventually("both", all(0, "y", "z"))
+	c.eventually("both zones are evacuated", all(0, "y", "z"))
 	read(list[4], evacuation.New(objectapi.Point{Revision: 70}))
-	c.eventually("taken back", all(7))
+	c.eventually("the evacuations are withdrawn", all(7))
 }
 
-// TestEvacuationWithoutPlatform has the platform answer one node only, which is not the
-// leader: what it reads reaches the others by news, within the time of a change.
+// TestEvacuationWithoutPlatform has the platform answer only one node, which is not the leader. What
+// it reads must reach the others by read statuses.
 func TestEvacuationWithoutPlatform(t *testing.T) {
 	c := newCluster(t)
 	list := c.tableNodes(6)
@@ -84,7 +84,7 @@
 	for _, n := range list[:5] {
 		go p.follow(ctx, n)
 	}
-	go func() { // as fakePlatform.follow does, with a zone
+	go func() { // like fakePlatform.follow, with a zone
 		for ctx.Err() == nil {
 			if action, after, _ := list[5].NextAction(); action == configsync.Wait {
 				time.Sleep(min(after, 20*time.Millisecond))
@@ -95,6 +95,6 @@
 		}
 	}()
 	for _, n := range list {
-		c.eventually("it knows", func() bool { return n.Snapshot().Evacuated.Has("z") })
+		c.eventually("the node learns it", func() bool { return n.Snapshot().Evacuated.Has("z") })
 	}
 }
--- a/control/spread.go
+++ b/control/exchange.go
@@ -22,7 +22,7 @@
 )
 
 const (
-	// compareCost is what a comparison that finds no difference costs, in
+	// compareCost is the cost of a comparison that finds no difference, in
 	// bytes.
 	compareCost = 150
 	// pushBatch is the number of records in one push message.
@@ -31,32 +31,32 @@
 	compareTimeout = 5 * time.Second
 )
 
-// roots are the hashes over all of a node's state.
+// rootHashes are the hashes over a node's whole state.
 type rootHashes struct {
 	Members uint64 `msgpack:"members"`
 	Configs uint64 `msgpack:"configs"`
-	// Reports are those of requests that end upstreams. It is 0 if there are none, or
-	// if the node does not know of them.
+	// Reports is the hash over the reports of requests that crash upstreams. It is 0 if there
+	// are none, or if the node's version does not have them.
 	Reports uint64 `msgpack:"reports,omitempty"`
 }
 
-// The topics beside those of the exchangers.
+// The topics besides those of the exchanges.
 const (
 	topicRoots    = "roots"
 	topicSequence = "have"
 )
 
-// haveQuery asks for the sequence in force of a service.
+// sequenceQuery asks for the active sequence of a service.
 type sequenceQuery struct {
 	Service string `msgpack:"service"`
 }
 
-// haveReply tells it.
+// sequenceReply is the reply to a sequenceQuery.
 type sequenceReply struct {
 	Sequence uint64 `msgpack:"sequence"`
 }
 
-// Handle answers a control request of a peer.
+// Handle handles a control request of a peer.
 func (c *Control) Handle(_ context.Context, from peer.Hello, r *peer.Request) ([]byte, error) {
 	c.init()
 	if f := c.Topics[r.Topic]; f != nil {
@@ -73,7 +73,7 @@
 	return msgpack.Marshal(reply)
 }
 
-// handle answers a request within the goroutine that owns the state.
+// handle handles a request on the goroutine that owns the state.
 func (c *Control) handle(from peer.Hello, topic string, payload []byte) (any, error) {
 	switch topic {
 	case topicRoots:
@@ -123,7 +123,7 @@
 }
 
 // push sends the changes since the last push to a few neighbours. The returned
-// group ends when they are written.
+// group is done when all are written.
 func (c *Control) push(ctx context.Context) *sync.WaitGroup {
 	targets, messages := c.takeOutbox()
 	all := new(sync.WaitGroup)
@@ -142,15 +142,15 @@
 	return all
 }
 
-// message is an encoded push.
+// message is an encoded push message.
 type message struct {
 	topic   string
 	payload []byte
 }
 
-// takeOutbox returns the changes to push and whom to push them to. Changes of
-// configurations always go; reports of requests and changes of members wait while
-// the budget is spent, and comparisons carry them meanwhile.
+// takeOutbox returns the changes to push and the neighbours to push them to. Changes of
+// configurations are always pushed. Reports about requests and changes of members wait while the
+// budget is spent; comparisons carry them meanwhile.
 func (c *Control) takeOutbox() ([]target, []message) {
 	if len(c.members.Outbox)+len(c.configs.Outbox)+len(c.reports.Outbox) == 0 {
 		return nil, nil
@@ -169,7 +169,7 @@
 	return targets, messages
 }
 
-// batches empties an outbox into messages, as far as afford allows.
+// batches empties an outbox into messages, as long as afford returns true.
 func batches[R gossip.Record](e *reconcile.Exchange[R], afford func(n int) bool) []message {
 	var list []message
 	for keys := range slices.Chunk(slices.Collect(maps.Keys(e.Outbox)), pushBatch) {
@@ -195,9 +195,9 @@
 // compareTries is the number of neighbours that are tried for one comparison.
 const compareTries = 3
 
-// compare compares the state with one neighbour's, unless a comparison is
-// still on. A comparison that finds no difference has a small and fixed cost,
-// so it is made even while the budget is spent.
+// compare compares the state with that of one neighbour, unless a comparison is in
+// progress. A comparison that finds no difference has a small and fixed cost, so it is
+// made even while the budget is spent.
 func (c *Control) compare(ctx context.Context) {
 	targets := c.targets(neighbour.MaxNeighbours, func() []member.Record { return c.neighbours.ForComparison(compareTries, c.nodeCounts()) })
 	if c.comparing || len(targets) == 0 {
@@ -220,7 +220,7 @@
 	}()
 }
 
-// compareWith makes the state the same as a peer's.
+// compareWith reconciles the state with a peer's.
 func (c *Control) compareWith(ctx context.Context, p *peer.Client) error {
 	theirs, err := peer.Ask[struct{}, rootHashes](ctx, p, topicRoots, struct{}{})
 	if err != nil {
@@ -228,8 +228,8 @@
 	}
 	var own rootHashes
 	c.do(func() { own = c.roots() })
-	// Members come first: they are small, and nothing can be sent without them. A
-	// table of thousands of routes takes a slow link most of a second, and a node that
+	// Members come first: they are small, and requests can't be routed without them. A
+	// table of thousands of routes takes most of a second on a slow link, and a node that
 	// starts reads it from the platform meanwhile.
 	if own.Members != theirs.Members {
 		if err := c.members.Reconcile(ctx, p); err != nil {
--- a/control/freshness.go
+++ b/control/freshness.go
@@ -6,42 +6,42 @@
 
 import (
 	"context"
-	"sassafrasfront.example/peer"
 	"time"
 
 	"sassafrasfront.example/configsync"
 	"sassafrasfront.example/freshness"
+	"sassafrasfront.example/peer"
 	"sassafrasfront.example/routes"
 )
 
-// newsAndProof is the news of a read with the teller's proof of how fresh its table is. The proof
-// stands by itself: it may be that of another read.
+// statusAndProof is the status of a read with the sender's proof of how fresh its table is. The
+// proof is independent of the status: it may come from another read.
 type statusAndProof struct {
 	configsync.ReadStatus
 	Proof freshness.Message `msgpack:"proof"`
 }
 
-// The ages of a node's proof from which it looks for a younger one, as parts of
-// FreshWithin.
+// The ages of a node's proof at which it asks for a younger one, as fractions of
+// MaxStaleness.
 const (
-	// freshAskPart is from when it asks others, and freshReadPart from when it reads the
-	// platform though it has heard of a read: it hears others, but they don't hear it.
+	// At proofAskFraction a node asks others. At proofReadFraction it reads the platform even
+	// if it has received read statuses: its connection to the others may work in one direction only.
 	proofAskFraction  = 0.45
 	proofReadFraction = 0.6
-	// freshRetryPart is the least time between two such questions or reads, as a part of it.
+	// proofRetryFraction is the minimum time between two such attempts.
 	proofRetryFraction = 0.1
 )
 
-// tableFreshness is what a node knows of how fresh its table is. The goroutine that owns the
-// rest of the control state owns it. Times are readings of the clock.
+// tableFreshness is the state of the freshness of the node's table. It is owned by the goroutine
+// that owns the rest of the control state. Times are readings of Clock.
 type tableFreshness struct {
 	*freshness.State
 	started     time.Duration   // when the node started
-	lastAttempt time.Duration   // when others were asked, or the platform, for an old proof last
-	asking      map[string]bool // the nodes that are being asked for their clock
+	lastAttempt time.Duration   // when others or the platform were last asked because the proof was old
+	asking      map[string]bool // nodes with a request for their proof in progress
 }
 
-// initFresh makes c.fresh if there is a clock.
+// initFreshness sets c.freshness if there is a clock.
 func (c *Control) initFreshness() {
 	c.proofs.Store(new(freshness.Proofs))
 	if c.Clock == nil {
@@ -56,7 +56,7 @@
 	}
 }
 
-// reading returns what the clock shows, or 0 if there is none.
+// clockReading returns the reading of the clock, or 0 if there is none.
 func (c *Control) clockReading() time.Duration {
 	if c.Clock == nil {
 		return 0
@@ -64,26 +64,26 @@
 	return c.Clock()
 }
 
-// TableAge returns for how long a table with the version may have been out of date.
+// TableAge returns the time for which a table of the given version may have been out of date.
 func (c *Control) TableAge(version uint64) freshness.Age {
 	c.init()
 	return c.proofs.Load().Age(version, c.clockReading())
 }
 
-// Overdue returns whether the proof is so old that something is to be done about it.
+// ProofOverdue returns whether the freshness proof is so old that a younger one is needed.
 func (c *Control) ProofOverdue() bool {
 	age := c.TableAge(c.snapshotVersion())
 	return !age.Known || age.Time >= c.stalenessFraction(proofAskFraction)
 }
 
-// freshPart returns a part of the time within which a change has to be known.
+// stalenessFraction returns a fraction of MaxStaleness.
 func (c *Control) stalenessFraction(p float64) time.Duration {
 	return time.Duration(p * float64(c.MaxStaleness))
 }
 
-// Confirm takes in that the platform answered a read of the table which was sent at the
-// given reading of the clock. What it found has been given to Configure. It confirms nothing
-// where the platform has come back from a copy that may lack the latest table.
+// ConfirmRead records that the platform answered a read of the table that was sent at the given
+// reading of the clock. The result must have been passed to ApplyTable before. The read confirms
+// nothing if the platform was restored from a backup that may lack the latest table.
 func (c *Control) ConfirmRead(sent time.Duration) {
 	c.init()
 	c.do(func() {
@@ -95,13 +95,13 @@
 	})
 }
 
-// publishProofs lets traffic see the proofs.
+// publishProofs makes the proofs available to TableAge.
 func (c *Control) publishProofs() {
 	p := c.freshness.Proofs()
 	c.proofs.Store(&p)
 }
 
-// tableInForce takes in the table that traffic sees.
+// tableApplied records the version of the table in the current snapshot.
 func (c *Control) tableApplied(t *routes.Table) {
 	if c.freshness == nil || t == nil {
 		return
@@ -110,7 +110,7 @@
 	c.publishProofs()
 }
 
-// tell returns news together with this node's proof.
+// withProof returns a read status together with this node's proof.
 func (c *Control) withProof(status configsync.ReadStatus) statusAndProof {
 	if c.freshness == nil {
 		return statusAndProof{ReadStatus: status}
@@ -121,7 +121,7 @@
 	}
 }
 
-// hearProof takes in another node's proof, and asks that node if its clock is not known.
+// receiveProof records another node's proof. If that node's clock is not known, it asks the node.
 func (c *Control) receiveProof(from string, p freshness.Message) {
 	if c.freshness == nil {
 		return
@@ -140,7 +140,7 @@
 		sent := c.Clock()
 		reply, err := peer.Ask[struct{}, statusAndProof](ctx, client, topicAskReadStatus, struct{}{})
 		if err != nil {
-			c.Log.Debug().Err(err).Str("peer", from).Msg("clock not told")
+			c.Log.Debug().Err(err).Str("peer", from).Msg("failed to request a freshness proof")
 		}
 		c.do(func() {
 			delete(c.freshness.asking, from)
@@ -149,7 +149,7 @@
 	}()
 }
 
-// proofReplied takes in a proof from the reply to a question that was asked at the given
+// applyProofReply records a proof from the reply to a request that was sent at the given
 // reading of the clock.
 func (c *Control) applyProofReply(sent time.Duration, p freshness.Message) {
 	if c.freshness == nil {
@@ -159,8 +159,8 @@
 	c.publishProofs()
 }
 
-// freshen returns what to do in place of waiting if the proof gets old. A node that has not
-// heard of a read reads when it is its turn, as where the proof is young.
+// refreshAction returns the action to take in place of waiting if the proof is getting old. A node
+// that has received no read status reads in its regular turn, as if the proof were young.
 func (c *Control) refreshAction(action configsync.Action, now time.Time) configsync.Action {
 	if c.freshness == nil || action != configsync.Wait {
 		return action
@@ -180,13 +180,13 @@
 	return configsync.Ask
 }
 
-// freshWatchPart is the longest watch of the platform, as a part of the time within which a
-// change has to be known. A watch that ends without a change proves no more than that there
-// was none when it began, so that a node that hears nobody would know of nothing younger
-// than two of its watches.
+// proofWatchFraction is the maximum duration of a watch of the platform, as a fraction of
+// MaxStaleness. A watch that ends without a change only proves that there was none when it
+// began. A node that receives nothing from others therefore has no proof younger than two of
+// its watches.
 const proofWatchFraction = 0.2
 
-// freshWatch returns how long a watch is to stay open that would last for d.
+// limitWatch returns how long a watch of duration d may stay open.
 func (c *Control) limitWatch(d time.Duration) time.Duration {
 	if c.freshness == nil {
 		return d
@@ -194,7 +194,7 @@
 	return min(d, c.stalenessFraction(proofWatchFraction))
 }
 
-// snapshotVersion returns the version of the table that traffic sees, or 0.
+// snapshotVersion returns the version of the table in the current snapshot, or 0.
 func (c *Control) snapshotVersion() uint64 {
 	if t := c.snapshot.Load().Table; t != nil {
 		return t.Version
--- a/control/freshness_test.go
+++ b/control/freshness_test.go
@@ -6,7 +6,6 @@
 
 import (
 	"context"
-	"sassafrasfront.example/peer"
 	"sync"
 	"testing"
 	"testing/synctest"
@@ -20,14 +19,15 @@
 	"sassafrasfront.example/internal/boottime"
 	"sassafrasfront.example/member"
 	"sassafrasfront.example/operator"
+	"sassafrasfront.example/peer"
 	"sassafrasfront.example/routes"
 	"sassafrasfront.example/watch"
 )
 
-// freshWithin is the bound that the nodes of these tests have.
+// maxStaleness is the bound of the nodes in these tests.
 const maxStaleness = 1500 * time.Millisecond
 
-// freshNodes starts nodes whose clocks show different times.
+// freshNodes starts nodes whose clocks have different readings.
 func (c *cluster) freshNodes(count int) (list []*testNode) {
 	start := time.Now()
 	for i := range count {
@@ -51,9 +51,9 @@
 	return list
 }
 
-// TestProofsReachAll has a platform that answers one of six nodes: all know how fresh their
-// table is by that one's reads. It then answers none: nobody takes the table for younger than
-// the last read that was answered, and all know that it is too old.
+// TestFreshnessProofsReachAllNodes has a platform that answers one of six nodes. All nodes must know
+// from its reads how fresh their table is. When the platform answers none, no node may assume a
+// younger table than the last answered read, and all must learn that the table is too old.
 func TestFreshnessProofsReachAllNodes(t *testing.T) {
 	c := newCluster(t)
 	list := c.freshNodes(6)
@@ -72,13 +72,13 @@
 		age := n.TableAge(1)
 		if age.Known {
 			least := asked.Sub(p.lastAnswered())
-			qt.Check(t, age.Time >= least, qt.IsTrue, qt.Commentf("%s takes it for %v old, it is %v at least", n.Self.ID, age, least))
+			qt.Check(t, age.Time >= least, qt.IsTrue, qt.Commentf("%s assumes an age of %v, the actual age is at least %v", n.Self.ID, age, least))
 		}
 		return age
 	}
 	for range 5 {
 		for _, n := range list {
-			c.eventually("all know how fresh it is", func() bool {
+			c.eventually("all nodes know how fresh the table is", func() bool {
 				age := check(n)
 				return age.Known && age.Time < youngEnough
 			})
@@ -86,12 +86,12 @@
 	}
 	p.refuse(list[0].Self.ID)
 	for _, n := range list {
-		c.eventually("all know that it is old", func() bool { return check(n).Time > maxStaleness })
+		c.eventually("all nodes know that the table is too old", func() bool { return check(n).Time > maxStaleness })
 	}
 }
 
-// TestNewsAndProof has news with and without a proof: nodes of a version that has none read
-// the news in it, and the other way round.
+// TestReadStatusEncoding checks that nodes of a version without proofs decode a read status that
+// has one, and the other way round.
 func TestReadStatusEncoding(t *testing.T) {
 	status := configsync.ReadStatus{Round: 3, Version: 5, Age: time.Second}
 	payload := mustPack(statusAndProof{ReadStatus: status, Proof: freshness.Message{Clock: 1, Now: 4, Version: 5, At: 2}})
@@ -107,8 +107,8 @@
 	qt.Check(t, back, qt.Equals, statusAndProof{ReadStatus: status})
 }
 
-// TestFreshen has a node hear of reads all the while, but of no proof that it can use: as the
-// one that it has gets old, it asks others, and then the platform, each now and then.
+// TestRefreshOfOldProof has a node receive read statuses but no usable proof. As its own proof gets
+// old, it must ask others and then read the platform, at a limited rate.
 func TestRefreshOfOldProof(t *testing.T) {
 	var now time.Duration
 	c := &Control{
@@ -146,11 +146,11 @@
 	}
 	now = time.Minute
 	later := time.Now().Add(2 * time.Hour)
-	qt.Check(t, c.refreshAction(configsync.Wait, later), qt.Equals, configsync.Ask, qt.Commentf("it hears of no read: that is not its turn"))
+	qt.Check(t, c.refreshAction(configsync.Wait, later), qt.Equals, configsync.Ask, qt.Commentf("without read statuses the node waits for its regular turn"))
 }
 
-// TestAloneStaysFresh has a node that hears nobody and is answered by the platform all the
-// while: its watches, which grow, never let the proof come near the bound.
+// TestIsolatedNodeKeepsProofFresh has a node that hears from no other and that the platform always
+// answers. Its watches, which grow longer, must never let the proof come near the bound.
 func TestIsolatedNodeKeepsProofFresh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &Control{
@@ -177,9 +177,9 @@
 	})
 }
 
-// TestConfirmAfterRestore has the platform come back from a copy that may lack the latest
-// table: reads confirm nothing until operators have had the time to write it again, and what
-// was confirmed before gets older meanwhile.
+// TestConfirmAfterRestore restores the platform from a backup that may lack the latest table. Reads
+// must confirm nothing until operators have had time to write it again, and the age of the last
+// proof must grow meanwhile.
 func TestConfirmAfterRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
@@ -214,7 +214,7 @@
 	})
 }
 
-// TestNoTable asks a node that follows no table of routes how old that is.
+// TestNoTable asks for the age of the table on a node that has none.
 func TestNoTable(t *testing.T) {
 	qt.Check(t, new(Control).TableAge(1).Known, qt.IsFalse)
 }
--- a/control/introduce.go
+++ b/control/introduce.go
@@ -11,40 +11,40 @@
 	"sassafrasfront.example/peer"
 )
 
-// topicIntroduce asks a first peer for some members, and tells it of the asker.
+// topicIntroduce asks a first peer for some members, and gives it the sender's record.
 const topicIntroduce = "introduce"
 
 const (
-	// introduceNear and introduceFar are the numbers of members that a first peer names, in the
-	// asker's zone and elsewhere.
+	// introduceSameZone and introduceOtherZones are the numbers of members that a first peer
+	// returns, of the sender's zone and of other zones.
 	introduceSameZone   = 8
 	introduceOtherZones = 4
-	// introduceFrom is the number of members from which a node that starts learns the state of
-	// one in its own zone rather than of the first peer. All that start ask the same few
-	// first peers: with a whole state for each, their links are busy for as long as there are
-	// nodes, and most of the bytes cross zones.
+	// introduceMinMembers is the number of members from which a starting node fetches the state
+	// of a member of its own zone instead of the first peer's. All starting nodes ask the same
+	// few first peers: if these sent their whole state to each, the load on their links would
+	// grow with the number of nodes, and most of the bytes would cross zones.
 	introduceMinMembers = 64
-	// introduceTries is the number of members in its zone that a node tries to learn from.
+	// introduceAttempts is the number of members of its zone that a node tries.
 	introduceAttempts = 2
 )
 
-// introduction is a question for members, with the record of who asks.
+// introduceRequest asks for members, and has the record of the sender.
 type introduceRequest struct {
 	Self member.Record `msgpack:"self"`
 }
 
-// introduced is the answer to an introduction.
+// introduceReply is the reply to an introduceRequest.
 type introduceReply struct {
-	// Members is the number of live members that are known.
+	// Members is the number of live members known to the receiver.
 	Members int `msgpack:"members"`
-	// Records are some of them, those in the asker's zone first.
+	// Records are some of them, those of the sender's zone first.
 	Records []member.Record `msgpack:"records"`
 }
 
-// introduce answers an introduction.
+// introduce handles an introduceRequest.
 func (c *Control) introduce(q introduceRequest) introduceReply {
 	if c.live <= 1 {
-		c.TriggerComparison() // the asker may know more than its own record
+		c.TriggerComparison() // the sender may know more than its own record
 	}
 	c.members.PutAll([]member.Record{q.Self})
 	reply := introduceReply{Members: c.live}
@@ -68,7 +68,7 @@
 	return reply
 }
 
-// introduceTo introduces this node to another and takes in the members that it names.
+// introduceTo introduces this node to another and records the members that it returns.
 func (c *Control) introduceTo(ctx context.Context, p *peer.Client) (introduceReply, error) {
 	var q introduceRequest
 	c.do(func() { q.Self = c.self })
@@ -79,8 +79,8 @@
 	return reply, err
 }
 
-// learnBy learns from a first peer, or, where there are many nodes, from one in the own zone that
-// it names.
+// fetchState fetches the state of a first peer. Where there are many nodes, it fetches that of a
+// member of the same zone, which the first peer returns.
 func (c *Control) fetchState(ctx context.Context, p *peer.Client) error {
 	reply, err := c.introduceTo(ctx, p)
 	if err != nil {
@@ -107,7 +107,7 @@
 		if err == nil {
 			return nil
 		}
-		c.Log.Debug().Err(err).Str("peer", r.ID).Msg("not learnt from a member that was named")
+		c.Log.Debug().Err(err).Str("peer", r.ID).Msg("failed to fetch state from a member of the zone")
 	}
 	return c.compareWith(ctx, p)
 }
--- a/control/introduce_test.go
+++ b/control/introduce_test.go
@@ -15,8 +15,8 @@
 	"sassafrasfront.example/peer"
 )
 
-// serve has a state answer others until the test ends, and returns its address and what counts
-// the bytes that it sends.
+// serve runs a state that answers peers until the test ends, and returns its address and the
+// counters of its traffic.
 func serve(t *testing.T, c *Control) (string, *peer.Counters) {
 	ctx, cancel := context.WithCancel(context.Background())
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -45,19 +45,20 @@
 	return listener.Addr().String(), counters
 }
 
-// TestStartBytesOfFirstPeer has nodes start that all know the same first peer: where there are many
-// nodes they learn the state of others in their zone, which it names, and what it sends to each
-// does not grow with the members. Where it knows few, or nobody there answers, it tells all itself.
+// TestFirstPeerBytesPerStart starts nodes that all know the same first peer. Where there are many
+// nodes they must fetch the state of members of their zone, and the bytes that the first peer sends
+// to each must not grow with the members. Where it knows few members, or none of them answers, the
+// first peer sends the whole state.
 func TestFirstPeerBytesPerStart(t *testing.T) {
 	tests := map[string]struct {
 		members int
-		silent  bool // whether the members in the zone don't answer
-		whole   bool // whether the first peer tells the whole state
+		silent  bool // whether the members of the zone do not answer
+		whole   bool // whether the first peer sends the whole state
 	}{
-		"a few":                    {members: 30, whole: true},
-		"1000":                     {members: 1000},
-		"3000":                     {members: 3000},
-		"1000, and nobody answers": {members: 1000, silent: true, whole: true},
+		"a few":                       {members: 30, whole: true},
+		"1000":                        {members: 1000},
+		"3000":                        {members: 3000},
+		"1000, none of which answers": {members: 1000, silent: true, whole: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/control/neighbours.go
+++ b/control/neighbours.go
@@ -12,7 +12,7 @@
 	"sassafrasfront.example/peer"
 )
 
-// maxClients bounds the control connections that are kept.
+// maxClients is the number of control connections that are kept.
 const maxClients = 64
 
 // client returns the client for control requests to an address.
@@ -30,7 +30,7 @@
 	return p
 }
 
-// newClient returns a client for control requests to an address that is not kept.
+// newClient returns a client for control requests to an address, without keeping it.
 func (c *Control) newClient(addr string) *peer.Client {
 	limits := c.Limits
 	limits.Idle = 30 * time.Second
@@ -47,9 +47,10 @@
 	}
 }
 
-// visit returns a client to learn from the node at an address, and what ends that. The connection
-// is then closed at once, unless it is to a neighbour: where all that start visit the same few
-// nodes, these have a connection for each that is there at the same moment, and no more.
+// temporaryClient returns a client to fetch the state of the node at an address, and a function
+// that releases it. The release closes the connection at once, unless it is to a neighbour. Many
+// starting nodes connect to the same few nodes, which then hold one connection for each node that
+// is connected at that moment, and no more.
 func (c *Control) temporaryClient(addr string) (p *peer.Client, release func()) {
 	if p := c.clients[addr]; p != nil {
 		return p, func() {}
@@ -68,7 +69,7 @@
 	}
 }
 
-// release closes the connection to an address in a moment, unless a neighbour has it.
+// release closes the connection to an address after a delay, unless it is a neighbour's.
 func (c *Control) release(addr string) {
 	p := c.clients[addr]
 	if p == nil || c.neighbours.HasAddress(addr) {
@@ -78,7 +79,7 @@
 	delete(c.clients, addr)
 }
 
-// turnOver replaces one neighbour and fills up their number.
+// rotateNeighbours replaces one neighbour and fills up the number of neighbours.
 func (c *Control) rotateNeighbours() {
 	near, far := c.splitByZone()
 	c.neighbours.TurnOver(func(r member.Record) bool {
@@ -87,7 +88,7 @@
 	}, c.unsuspected(near), c.unsuspected(far))
 }
 
-// known returns how many other live nodes there are.
+// nodeCounts returns the numbers of other live nodes.
 func (c *Control) nodeCounts() neighbour.NodeCounts {
 	return neighbour.NodeCounts{
 		Near: c.zonePeers,
@@ -95,7 +96,7 @@
 	}
 }
 
-// split returns the other live nodes, by whether they are in the node's zone.
+// splitByZone returns the other live nodes, those of the node's own zone first.
 func (c *Control) splitByZone() (near, far []member.Record) {
 	for r := range c.members.Set.All {
 		switch {
@@ -125,13 +126,14 @@
 	return good
 }
 
-// target is a neighbour to talk to.
+// target is a neighbour to send requests to.
 type target struct {
 	member.Record
 	*peer.Client
 }
 
-// targets returns neighbours to talk to, n of them if there are as many.
+// targets returns the neighbours that choose selects. It first fills up the neighbours if there
+// are fewer than n, or fewer than there could be.
 func (c *Control) targets(n int, choose func() []member.Record) (list []target) {
 	if c.neighbours.Len() < min(n, c.live-1) {
 		c.rotateNeighbours()
@@ -145,7 +147,7 @@
 	return list
 }
 
-// dropNeighbour forgets a neighbour that does not answer, and suspects it for a
+// dropNeighbour removes a neighbour that does not answer, and suspects it for a
 // while.
 func (c *Control) dropNeighbour(id string) {
 	c.neighbours.Remove(id)
--- a/control/pace_test.go
+++ b/control/publish_test.go
@@ -11,14 +11,14 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestPublishPace has members change all the time, as while many nodes start, where a snapshot
-// takes the longer the more members a service has: the time spent on snapshots stays bounded,
-// and none waits for long.
+// TestPublishLimiter has members change all the time, as while many nodes start. A snapshot takes
+// longer with more members of a service. The time spent on snapshots must stay bounded, and
+// none may be delayed for long.
 func TestPublishLimiter(t *testing.T) {
 	const tick = 50 * time.Millisecond
 	tests := map[string]struct {
 		cost  time.Duration // of one snapshot
-		most  float64       // share of the time
+		most  float64       // fraction of the time
 		least int           // snapshots in ten seconds
 	}{
 		"12 members":                      {cost: 30 * time.Microsecond, most: 0.001, least: 200},
--- a/control/quarantine.go
+++ b/control/quarantine.go
@@ -12,8 +12,8 @@
 	"sassafrasfront.example/reconcile"
 )
 
-// Report tells all nodes, this one included, what it has seen of some requests. It
-// returns at once.
+// Report sends a report about some requests to all nodes, this one included. It
+// does not block.
 func (c *Control) Report(r quarantine.Report) {
 	c.init()
 	c.Quarantine.Add(r)
@@ -23,7 +23,7 @@
 	})
 }
 
-// newReports returns the exchanger of reports of requests.
+// newReports returns the exchange of reports about requests.
 func (c *Control) newReports() reconcile.Exchange[quarantine.Report] {
 	return reconcile.Exchange[quarantine.Report]{
 		Topic:   "quarantine",
@@ -33,17 +33,17 @@
 	}
 }
 
-// acceptReport returns whether a report is taken in.
+// acceptReport returns whether a report is valid and may be stored.
 func (c *Control) acceptReport(r quarantine.Report) bool {
 	now := time.Now()
 	if err := r.Check(now); err != nil {
-		c.Log.Warn().Err(err).Msg("report of requests refused")
+		c.Log.Warn().Err(err).Msg("rejected an invalid report of requests")
 		return false
 	}
 	return !r.Expired(now) && !c.Quarantine.Full(r)
 }
 
-// reportChanged takes in a report, and drops the oldest one if there are too many.
+// reportChanged stores a report, and removes the oldest ones if there are too many.
 func (c *Control) reportChanged(_, r quarantine.Report) {
 	c.Quarantine.Add(r)
 	for range c.Quarantine.Excess() {
@@ -52,14 +52,14 @@
 	}
 }
 
-// dropReport forgets a report.
+// dropReport removes a report.
 func (c *Control) dropReport(r quarantine.Report) {
 	c.reports.Set.Remove(r.Name)
 	delete(c.reports.Outbox, r.Name)
 	c.Quarantine.Remove(r.Name)
 }
 
-// expireReports drops the reports that count no more.
+// expireReports removes the expired reports.
 func (c *Control) expireReports(now time.Time) {
 	for r := range c.reports.Set.All {
 		if r.Expired(now) {
--- a/control/quarantine_test.go
+++ b/control/quarantine_test.go
@@ -14,18 +14,18 @@
 	"sassafrasfront.example/quarantine"
 )
 
-// printOf returns the fingerprint of a request with the given number.
+// fingerprintOf returns the fingerprint of a request with the given number.
 func fingerprintOf(i int) quarantine.Fingerprint {
 	return quarantine.NewFingerprint("caller", "GET", "h.example", fmt.Sprint("/", i)).WithBody(nil)
 }
 
-// endOf returns the report that an upstream has ended with a request at hand.
+// crashReport returns the report that an upstream crashed with the request in flight.
 func crashReport(start string, i int) quarantine.Report {
 	return quarantine.NewCrashReport(start, []quarantine.Fingerprint{fingerprintOf(i)}, quarantine.Fingerprint{})
 }
 
-// TestReportsReachAll has nodes report ends of upstreams, one after the other: all nodes
-// know of each, and so does one that starts later. A run clears the request everywhere.
+// TestReportsReachAll has nodes report crashes of upstreams, one after another. All nodes must
+// learn of each, including one that starts later. A completed request clears it on all nodes.
 func TestReportsReachAll(t *testing.T) {
 	c := newCluster(t)
 	c.grow(9)
@@ -40,7 +40,7 @@
 	allInState := func(s quarantine.State) func() bool {
 		return func() bool {
 			for _, n := range c.nodes {
-				n.init() // which sets the field
+				n.init() // sets the field
 				if n.Quarantine.Assess(fingerprintOf(1)).State != s {
 					return false
 				}
@@ -49,24 +49,24 @@
 		}
 	}
 	c.nodes[0].Report(crashReport("a", 1))
-	c.eventually("all have seen one end", allInState(quarantine.SeenAtCrash))
+	c.eventually("all nodes know of one crash", allInState(quarantine.SeenAtCrash))
 	c.nodes[5].Report(crashReport("b", 1))
-	c.eventually("all have seen two", allInState(quarantine.Isolated))
+	c.eventually("all nodes know of two crashes", allInState(quarantine.Isolated))
 	c.add("late", "z0", c.nodes[0].Self.Addr)
-	c.eventually("so has one that starts late", allInState(quarantine.Isolated))
+	c.eventually("so does a node that starts late", allInState(quarantine.Isolated))
 	c.nodes[3].Report(quarantine.NewCompletionReport(fingerprintOf(1)))
-	c.eventually("all know that it ran", allInState(quarantine.Unsuspected))
+	c.eventually("all nodes know that the request completed", allInState(quarantine.Unsuspected))
 }
 
-// knows returns whether a node knows the given number of live nodes.
+// knows returns whether a node knows at least the given number of live nodes.
 func knows(n *testNode, live int) (all bool) {
-	n.init() // before Run there is nothing that do could hand its work to
+	n.init() // do must not be called on an uninitialised state
 	n.do(func() { all = n.live >= live })
 	return all
 }
 
-// TestReportsAreBounded gives a node more reports than it keeps, and some that can't be
-// used: it keeps the newest, and does not grow.
+// TestReportsAreBounded gives a node more reports than it may keep, and some invalid ones. It must
+// keep the newest and no more.
 func TestReportsAreBounded(t *testing.T) {
 	c := sized(60)
 	first := crashReport("first", 0)
@@ -80,7 +80,7 @@
 	qt.Check(t, c.reports.Set.Len(), qt.Equals, quarantine.MaxReports)
 	c.reports.Put(first)
 	qt.Check(t, c.reports.Set.Len(), qt.Equals, quarantine.MaxReports)
-	qt.Check(t, c.Quarantine.Assess(fingerprintOf(0)).State, qt.Equals, quarantine.Unsuspected, qt.Commentf("an old report does not come back"))
+	qt.Check(t, c.Quarantine.Assess(fingerprintOf(0)).State, qt.Equals, quarantine.Unsuspected, qt.Commentf("an old report is not accepted again"))
 	qt.Check(t, c.Quarantine.Assess(fingerprintOf(2*quarantine.MaxReports-1)).State, qt.Equals, quarantine.SeenAtCrash)
 
 	before := c.reports.Set.RootHash()
--- a/control/reads.go
+++ b/control/reads.go
@@ -18,28 +18,28 @@
 	"sassafrasfront.example/reconcile"
 )
 
-// The topics of the reads of the platform.
+// The topics about the nodes' reads of the platform.
 const (
-	// topicNews tells of the latest read, unasked.
+	// topicReadStatus sends the status of the latest read, unsolicited.
 	topicReadStatus = "news"
-	// topicAskNews asks for the latest read that the receiver knows.
+	// topicAskReadStatus asks for the status of the latest read known to the receiver.
 	topicAskReadStatus = "askNews"
-	// topicTable asks for the table of routes, the evacuated zones and the roll-outs in force.
+	// topicTable asks for the table of routes, the evacuated zones and the active roll-outs.
 	topicTable = "table"
 )
 
 const (
-	// askNews is the number of neighbours that a node asks which heard no news.
+	// queryNeighbours is the number of neighbours that a node asks if it has received no read
+	// status.
 	queryNeighbours = 2
-	// newsTimeout bounds the telling of news and what comes of it: the rest of the time
-	// in which a change is to be in force is for a read of the node's own.
+	// readStatusTimeout bounds the sending of a read status and the requests that follow from it.
+	// The rest of MaxPropagationDelay is left for a read of the node's own.
 	readStatusTimeout = 500 * time.Millisecond
-	// placeEvery is how long a node's place among the others is kept: finding it takes
-	// a look at each.
+	// roleInterval is how long the node's role is cached: determining it visits every member.
 	roleInterval = 300 * time.Millisecond
 )
 
-// Next returns what the node is to do next about the platform, and after how long. A
+// NextAction returns what the node is to do next about the platform, and after which delay. A
 // Watch is to stay open for the third result.
 func (c *Control) NextAction() (action configsync.Action, after, watchFor time.Duration) {
 	c.init()
@@ -53,21 +53,22 @@
 	return action, after, watchFor
 }
 
-// Leads returns whether this node reads the platform for all, as far as it knows.
+// IsLeader returns whether this node reads the platform for all nodes, as far as it knows.
 func (c *Control) IsLeader() (leads bool) {
 	c.init()
 	c.do(func() { leads = c.role(time.Now()).IsLeader })
 	return leads
 }
 
-// Heard returns a channel that has a value when Next may have another answer.
+// NextChanged returns a channel that receives a value when the result of NextAction may have
+// changed.
 func (c *Control) NextChanged() <-chan struct{} {
 	c.init()
 	return c.nextChanged
 }
 
-// Read takes in the node's own read of the platform: whether the platform answered,
-// and how long ago what it said held.
+// RecordRead records the node's own read of the platform: whether the platform answered, and
+// how old the information in its answer is.
 func (c *Control) RecordRead(answered bool, age time.Duration) {
 	c.init()
 	c.do(func() {
@@ -77,7 +78,7 @@
 	})
 }
 
-// AskNews asks a few neighbours for their news.
+// QueryNeighbours asks a few neighbours for the status of their latest read.
 func (c *Control) QueryNeighbours(ctx context.Context) {
 	c.do(func() {
 		for _, t := range c.targets(queryNeighbours, func() []member.Record { return c.neighbours.Sample(queryNeighbours) }) {
@@ -87,7 +88,7 @@
 				sent := c.clockReading()
 				status, err := peer.Ask[struct{}, statusAndProof](ctx, t.Client, topicAskReadStatus, struct{}{})
 				if err != nil {
-					c.Log.Debug().Err(err).Str("peer", t.ID).Msg("news not told")
+					c.Log.Debug().Err(err).Str("peer", t.ID).Msg("failed to request the read status")
 					return
 				}
 				c.do(func() {
@@ -99,10 +100,9 @@
 	})
 }
 
-// place returns the node's place among the others. The leader is the first of the
-// live nodes that are not suspected and that the platform answers. Its order is that
-// of representatives in the first zone, so that where there is one zone, the leader is
-// its first node.
+// role returns the node's role among the nodes. The leader is the first of the live nodes that
+// are not suspected and can reach the platform. The order is that of the representatives of the
+// first zone, so that with only one zone its first node is the leader.
 func (c *Control) role(now time.Time) configsync.Role {
 	if now.Sub(c.lastRoleAt) < roleInterval {
 		return c.lastRole
@@ -133,7 +133,7 @@
 	return c.lastRole
 }
 
-// hearNews takes in news from another node.
+// receiveStatus handles a read status from another node.
 func (c *Control) receiveStatus(from string, status statusAndProof) {
 	era := c.reads.Era()
 	if c.reads.Receive(status.ReadStatus, time.Now()) {
@@ -147,7 +147,7 @@
 	c.wake()
 }
 
-// wake has the node look at Next again.
+// wake makes the node call NextAction again.
 func (c *Control) wake() {
 	select {
 	case c.nextChanged <- struct{}{}:
@@ -155,7 +155,7 @@
 	}
 }
 
-// passNews tells a few neighbours of the latest read, if that has not been done.
+// forwardStatus sends the status of the latest read to a few neighbours, if that has not been done.
 func (c *Control) forwardStatus() {
 	status, ok := c.reads.PendingStatus(time.Now())
 	if !ok {
@@ -163,7 +163,7 @@
 	}
 	payload, err := msgpack.Marshal(c.withProof(status))
 	if err != nil {
-		c.Log.Error().Err(err).Msg("news not encoded")
+		c.Log.Error().Err(err).Msg("failed to encode the read status")
 		return
 	}
 	for _, t := range c.targets(neighbour.MaxNeighbours, c.neighbours.ForReadStatus) {
@@ -177,8 +177,8 @@
 	}
 }
 
-// fetchTable asks a node that has a later table of routes for it. News of it is
-// passed on once it is in force here.
+// fetchTable fetches the table of routes of a node that has a later one. The read status that
+// announced it is forwarded once the table is active here.
 func (c *Control) fetchTable(from string) {
 	r, ok := c.members.Set.Get(from)
 	if !ok || c.fetching {
@@ -191,7 +191,7 @@
 		defer cancel()
 		reply, err := peer.Ask[struct{}, reconcile.Records[acceptance.Config]](ctx, p, topicTable, struct{}{})
 		if err != nil {
-			c.Log.Debug().Err(err).Str("peer", from).Msg("table not fetched")
+			c.Log.Debug().Err(err).Str("peer", from).Msg("failed to fetch the table")
 		}
 		c.do(func() {
 			c.fetching = false
@@ -202,8 +202,8 @@
 	}()
 }
 
-// handleReads answers a request about the reads of the platform. The second result is
-// false if it is none.
+// handleReads handles the requests about reads of the platform. The second result is
+// false for other topics.
 func (c *Control) handleReads(from peer.Hello, topic string, payload []byte) (reply any, ok bool, err error) {
 	if c.reads == nil {
 		return nil, false, nil
--- a/control/rejoin.go
+++ b/control/rejoin.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// searchTimeout bounds the question to one address, and searchesAtOnce how many are asked at
-	// the same time.
+	// searchTimeout bounds the request to one address, and maxSearches the number of concurrent
+	// requests.
 	searchTimeout = time.Second
 	maxSearches   = 4
 )
 
-// searchChanged takes in a change of a member's record: a node that is gone is searched for, at the
-// address of its last start, until it is live again.
+// updateSearch starts or ends the search for a member whose record has changed. A node that has
+// left or was removed is searched for at its last address until it is live again.
 func (c *Control) updateSearch(old, r member.Record) {
 	switch {
 	case r.Live() && r.Incarnation != old.Incarnation:
@@ -32,8 +32,9 @@
 	}
 }
 
-// search asks at some addresses whether nodes that are gone have started again. Each that has
-// learns of this node, and compares its state with it.
+// startSearches asks at the addresses of nodes that have left, were removed or do not answer
+// whether they have started again. A node that answers learns of this node and compares its
+// state with it.
 func (c *Control) startSearches(ctx context.Context) {
 	for _, id := range c.searches.Due(time.Now(), c.live, maxSearches-c.activeSearches) {
 		r, ok := c.members.Set.Get(id)
@@ -54,8 +55,8 @@
 	}
 }
 
-// found takes in that a node answers at the address of a record. One whose record says that it is
-// gone is searched for until another record comes.
+// nodeFound records that a node answers at the address of a record. The search goes on while the
+// node's record says that it has left or was removed, until a newer record arrives.
 func (c *Control) nodeFound(r member.Record) {
 	now, ok := c.members.Set.Get(r.ID)
 	if !ok || !now.Live() {
@@ -68,7 +69,7 @@
 	}
 }
 
-// addressTaken returns whether another live node has the address of one that is gone.
+// addressTaken returns whether another live node has the address of the record.
 func (c *Control) addressTaken(r member.Record) bool {
 	for o := range c.members.Set.All {
 		if o.ID != r.ID && o.Addr == r.Addr && o.Live() {
@@ -78,8 +79,8 @@
 	return false
 }
 
-// searchAt introduces this node at the address of one that is gone, and returns whether it answers
-// there.
+// probeAddress introduces this node at the address of the record, and returns whether a node
+// answers.
 func (c *Control) probeAddress(ctx context.Context, r member.Record) bool {
 	var p *peer.Client
 	var release func()
@@ -91,7 +92,7 @@
 	defer cancel()
 	reply, err := c.introduceTo(ctx, p)
 	if err != nil {
-		c.Log.Debug().Err(err).Str("peer", r.ID).Msg("node that is gone not found")
+		c.Log.Debug().Err(err).Str("peer", r.ID).Msg("node not found at its last address")
 		return false
 	}
 	c.Log.Info().Str("peer", r.ID).Str("address", r.Addr).Int("members", reply.Members).Msg("node found again")
--- a/control/rejoin_test.go
+++ b/control/rejoin_test.go
@@ -14,18 +14,18 @@
 	"sassafrasfront.example/member"
 )
 
-// TestStartsKnowingNobody guards against a node that is never told anything: it starts again at its
-// address while the platform is away, without first peers, when all others take it for gone or
-// silent.
+// TestRestartWithoutContacts guards against a node that is never contacted again. It restarts on its
+// address during an outage of the platform, without first peers, when all others regard it as
+// removed or silent.
 func TestRestartWithoutContacts(t *testing.T) {
 	tests := map[string]struct {
 		nodes int
-		stop  func(c *cluster, n *testNode) // returns once the others have drawn their conclusions
+		stop  func(c *cluster, n *testNode) // returns once the other nodes have noticed
 	}{
-		"it left and all have heard": {nodes: 4, stop: stopAndWait},
-		"the only other has heard":   {nodes: 2, stop: stopAndWait},
-		"all have heard of many":     {nodes: 24, stop: stopAndWait},
-		"it was killed":              {nodes: 12, stop: killAndWait},
+		"it left and all know":                  {nodes: 4, stop: stopAndWait},
+		"it left and the only other node knows": {nodes: 2, stop: stopAndWait},
+		"it left a large cluster and all know":  {nodes: 24, stop: stopAndWait},
+		"it was killed":                         {nodes: 12, stop: killAndWait},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -57,11 +57,11 @@
 	}
 }
 
-// left stops a node and waits until all others have heard that it has left, and none compares with
-// it any more.
+// stopAndWait stops a node and waits until all other nodes know that it has left and have dropped
+// it from their neighbours.
 func stopAndWait(c *cluster, n *testNode) {
 	n.stop()
-	c.eventually("all have heard", func() bool {
+	c.eventually("all nodes know that it has left", func() bool {
 		return c.others(n, func(o *testNode) bool {
 			r, ok := o.members.Set.Get(n.Self.ID)
 			return (!ok || r.State == member.Left) && !o.neighbours.HasAddress(n.Self.Addr)
@@ -69,10 +69,10 @@
 	})
 }
 
-// killed ends a node without a word and waits until all others suspect it or have removed it.
+// killAndWait kills a node and waits until all other nodes suspect it or have removed it.
 func killAndWait(c *cluster, n *testNode) {
 	n.kill()
-	c.eventually("all suspect it", func() bool {
+	c.eventually("all nodes suspect or have removed it", func() bool {
 		return c.others(n, func(o *testNode) bool {
 			_, suspected := o.suspects[n.Self.ID]
 			r, _ := o.members.Set.Get(n.Self.ID)
@@ -81,7 +81,7 @@
 	})
 }
 
-// others returns whether f, called by the goroutine that owns its state, is true of all nodes but n.
+// others returns whether f, called on the goroutine that owns the state, holds for all nodes but n.
 func (c *cluster) others(n *testNode, f func(o *testNode) bool) bool {
 	for _, o := range c.nodes {
 		good := o == n
--- a/control/represent.go
+++ b/control/represent.go
@@ -14,7 +14,7 @@
 	"sassafrasfront.example/representative"
 )
 
-// newRepresentative returns what represents this node's zone at the platform.
+// newRepresentative returns the representative of this node's zone.
 func (c *Control) newRepresentative() *representative.Representative {
 	return &representative.Representative{
 		Node:          representativeNode{c},
@@ -27,7 +27,7 @@
 	}
 }
 
-// represented is the control state as the representative of a zone sees it.
+// representativeNode implements representative.Node.
 type representativeNode struct {
 	c *Control
 }
@@ -61,8 +61,8 @@
 	return r.c.LearnFrom(ctx, addrs)
 }
 
-// Addresses implements representative.Node. Neighbours go first: one that does not answer is
-// soon none.
+// Addresses implements representative.Node. Neighbours come first, because a neighbour that
+// does not answer is soon replaced.
 func (r representativeNode) Addresses(n int) (list []string) {
 	c := r.c
 	c.do(func() {
--- a/control/rollouts.go
+++ b/control/rollouts.go
@@ -13,12 +13,12 @@
 	"sassafrasfront.example/rollout"
 )
 
-// preferFor is how long after a roll-out is completed its version goes before others: the
-// former version's upstreams stop at once, and nodes hear of each only then.
+// preferencePeriod is how long the new version is preferred after a roll-out is completed. The
+// upstreams of the former version all stop at once, and nodes learn of each stop with a delay.
 const preferencePeriod = 30 * time.Second
 
-// Orders takes in the orders to roll versions out, as they were read from the platform at a
-// Point. Whole is whether those that are not among them have been withdrawn.
+// ApplyOrders applies the roll-out orders that were read from the platform at a Point. Whole is
+// whether orders that are not among them have been withdrawn.
 func (c *Control) ApplyOrders(found []rollout.StoredOrder, at objectapi.Point, whole bool) {
 	c.init()
 	c.do(func() {
@@ -40,7 +40,7 @@
 	})
 }
 
-// Decide takes in a decision of this node on a roll-out.
+// SetRolloutState applies a decision of this node on a roll-out.
 func (c *Control) SetRolloutState(s rollout.State) {
 	c.init()
 	c.do(func() {
@@ -49,11 +49,11 @@
 	})
 }
 
-// rolloutChanged takes in how far a roll-out is. It is pushed on at once.
+// rolloutChanged handles the state of a roll-out. It is pushed on at once.
 func (c *Control) rolloutChanged(r acceptance.Config) {
 	s, err := r.Rollout()
 	if err != nil {
-		c.Log.Error().Err(err).Str("record", r.Name).Msg("roll-out can't be read, what was known stays")
+		c.Log.Error().Err(err).Str("record", r.Name).Msg("invalid roll-out record; keeping the previous state")
 		return
 	}
 	now := time.Now()
@@ -71,8 +71,8 @@
 	c.Log.Info().Str("service", s.Order.Service).Str("version", s.Order.Version).Stringer("phase", s.Phase).Str("reason", s.Reason).Str("decidedBy", s.Node).Uint64("era", s.Order.At.Era).Uint64("revision", s.Order.At.Revision).Msg("roll-out")
 }
 
-// endPreference has completed versions no longer go before others once nothing is left of
-// the former ones.
+// endPreferences ends the preference of completed versions once the upstreams of the former
+// version are gone.
 func (c *Control) endPreferences(now time.Time) {
 	for name, r := range c.rollouts {
 		if r.Preferred && now.Sub(r.Changed) >= preferencePeriod {
@@ -92,8 +92,8 @@
 	return names
 }
 
-// Versions returns how many upstreams of a service take requests, by the version of their
-// software. Those whose version is not known have none.
+// UpstreamsByVersion returns the numbers and slots of the upstreams of a service that accept
+// requests, by software version. Upstreams of unknown version are under the empty string.
 func (c *Control) UpstreamsByVersion(service string) map[string]rollout.VersionCapacity {
 	c.init()
 	sizes := make(map[string]rollout.VersionCapacity)
@@ -111,21 +111,21 @@
 	return sizes
 }
 
-// trial is what a service's version on trial gets.
+// canaryState is the share of a service's traffic and the upstreams of its canary version.
 type canaryState struct {
 	known    bool
 	state    rollout.LocalState
 	share    float64
-	selected map[string]bool // upstreams of the version that get it
+	selected map[string]bool // canary upstreams that receive traffic
 }
 
-// unknownOrder returns whether an upstream is on trial by an order that this node has not heard
-// of, as the node beside it says.
+// unknownOrder returns whether an upstream's own node marks it as a canary by an order that this
+// node has not received.
 func (t canaryState) unknownOrder(r member.Record) bool {
 	return r.Canary && (!t.known || r.Software != t.state.Order.Version)
 }
 
-// standing returns what an upstream may get.
+// standing returns the traffic that an upstream may get.
 func (t canaryState) standing(r member.Record) rollout.Eligibility {
 	s := rollout.Unrestricted
 	switch {
@@ -140,8 +140,8 @@
 	return s
 }
 
-// onTrial returns what a service's version on trial gets now: the upstreams that are in use
-// are the same at all nodes that know the same ones.
+// canary returns the current state of a service's canary. Nodes that know the same upstreams
+// select the same ones.
 func (c *Control) canary(service string) canaryState {
 	t := canaryState{selected: make(map[string]bool)}
 	if c.Exposure == 0 {
--- a/control/rollouts_test.go
+++ b/control/rollouts_test.go
@@ -16,8 +16,8 @@
 	"sassafrasfront.example/rollout"
 )
 
-// TestMembersOnTrial has a service with ten upstreams of one version and ten of another, which its
-// nodes say are on trial or not, at a node that has heard of an order or not.
+// TestCanaryMembers has a service with ten upstreams each of two versions, which their own nodes
+// mark as canaries or not, on a node that has received an order or not.
 func TestCanaryMembers(t *testing.T) {
 	order := func(version string, p rollout.Phase) *rollout.State {
 		s := rollout.State{Order: rollout.Order{Service: "s", Version: version, Duration: time.Second, At: objectapi.Point{Revision: 5}}}
@@ -26,23 +26,23 @@
 	}
 	tests := map[string]struct {
 		known    *rollout.State
-		flagged  bool // whether the nodes of v2 say that it is on trial
+		flagged  bool // whether the nodes of v2 mark it as a canary
 		ordinary int
 		trial    int
 		share    float64
 	}{
-		"no order":                           {ordinary: 20},
-		"an order that was not heard of":     {flagged: true, ordinary: 10, trial: 3, share: 0.03},
-		"on trial":                           {known: order("v2", rollout.Trial), flagged: true, ordinary: 10, trial: 3, share: 0.03},
-		"on trial, its nodes have not heard": {known: order("v2", rollout.Trial), ordinary: 10, trial: 3, share: 0.03},
-		"widened":                            {known: order("v2", rollout.Widened), flagged: true, ordinary: 10, trial: 3, share: 0.175},
-		"moved":                              {known: order("v2", rollout.Moved), flagged: true, ordinary: 10, trial: 5, share: 0.5},
-		"emptied":                            {known: order("v2", rollout.Emptied), flagged: true, ordinary: 10, trial: 10, share: 1},
-		"stopped":                            {known: order("v2", rollout.Stopped), flagged: true, ordinary: 10},
-		"rolled back":                        {known: order("v2", rollout.RolledBack), ordinary: 10},
-		"completed just now":                 {known: order("v2", rollout.Completed), ordinary: 10, trial: 10, share: 1},
-		"another order, the last was done":   {known: order("v1", rollout.Completed), flagged: true, ordinary: 10, trial: 3, share: 0.03},
-		"another order, the last was undone": {known: order("v0", rollout.RolledBack), flagged: true, ordinary: 10, trial: 3, share: 0.03},
+		"no order":                              {ordinary: 20},
+		"an order that was not received":        {flagged: true, ordinary: 10, trial: 3, share: 0.03},
+		"canary":                                {known: order("v2", rollout.Trial), flagged: true, ordinary: 10, trial: 3, share: 0.03},
+		"canary, unknown to its own nodes":      {known: order("v2", rollout.Trial), ordinary: 10, trial: 3, share: 0.03},
+		"widened":                               {known: order("v2", rollout.Widened), flagged: true, ordinary: 10, trial: 3, share: 0.175},
+		"moved":                                 {known: order("v2", rollout.Moved), flagged: true, ordinary: 10, trial: 5, share: 0.5},
+		"emptied":                               {known: order("v2", rollout.Emptied), flagged: true, ordinary: 10, trial: 10, share: 1},
+		"stopped":                               {known: order("v2", rollout.Stopped), flagged: true, ordinary: 10},
+		"rolled back":                           {known: order("v2", rollout.RolledBack), ordinary: 10},
+		"completed just now":                    {known: order("v2", rollout.Completed), ordinary: 10, trial: 10, share: 1},
+		"another order, the last one completed": {known: order("v1", rollout.Completed), flagged: true, ordinary: 10, trial: 3, share: 0.03},
+		"another order, the last one rolled back": {known: order("v0", rollout.RolledBack), flagged: true, ordinary: 10, trial: 3, share: 0.03},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -73,7 +73,7 @@
 	}
 }
 
-// TestPreferenceEnds has the versions of a service be alike again some time after a roll-out.
+// TestPreferenceEnds checks that a completed version is preferred for a limited time only.
 func TestPreferenceEnds(t *testing.T) {
 	c := sized(6)
 	c.Exposure = 0.1
--- a/control/size_test.go
+++ b/control/size_test.go
@@ -19,10 +19,10 @@
 	"sassafrasfront.example/watch"
 )
 
-// sized returns a state with n members and n/6 services. Nothing runs it.
+// sized returns a state with n members and n/6 services. It is not running.
 func sized(n int) *Control { return sizedAs("self", n) }
 
-// sizedAs does what sized does, for a node of the given name.
+// sizedAs is like sized, for a node of the given name.
 func sizedAs(name string, n int) *Control {
 	c := &Control{
 		Self:      member.Record{ID: name, Zone: "z0", Region: "r0", Addr: "10.0.0.1:8081"},
@@ -65,9 +65,9 @@
 	return acceptance.FromAccepted(serviceName(i), operator.Accepted{Sequence: sequence, Service: s, At: time.Now()})
 }
 
-// BenchmarkState reports the memory of a node's whole control state, the sizes
-// of its records on the wire, and times the taking in of one member's change
-// with the snapshot that follows.
+// BenchmarkState reports the memory of a node's whole control state and the sizes of its records on
+// the wire. It measures the time to apply one member's change, including the snapshot
+// that follows.
 func BenchmarkState(b *testing.B) {
 	for _, n := range []int{1000, 6000, 18000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -94,8 +94,8 @@
 	}
 }
 
-// BenchmarkConfigChange times the taking in of one change of a configuration
-// with the snapshot that follows.
+// BenchmarkConfigChange measures the time to apply one change of a configuration, including
+// the snapshot that follows.
 func BenchmarkConfigChange(b *testing.B) {
 	for _, n := range []int{1000, 6000, 18000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -111,7 +111,7 @@
 	}
 }
 
-// BenchmarkSplit times the walk over all members by which neighbours are chosen.
+// BenchmarkSplit measures the walk over all members by which neighbours are chosen.
 func BenchmarkSplit(b *testing.B) {
 	for _, n := range []int{1000, 6000, 18000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -17,20 +17,20 @@
 	"sassafrasfront.example/routes"
 )
 
-// Snapshot is a node's view at one moment. It is an immutable value.
+// Snapshot is a node's view of the system at one moment. It is immutable.
 type Snapshot struct {
-	// Services are the services in force by name.
+	// Services are the active services, by name.
 	Services map[string]*entry.Service
-	// Hosts are the services by host. If two services have a host, the one
-	// whose name comes first has it.
+	// Hosts are the services by host. If several services have a host, it belongs to the one
+	// whose name sorts first.
 	Hosts map[string]*entry.Service
-	// Sequences are those of the configurations held, deleted ones included.
+	// Sequences are those of the known configurations, deleted ones included.
 	Sequences map[string]uint64
-	// Members is the number of live nodes known.
+	// Members is the number of known live nodes.
 	Members int
-	// Table is the table of routes in force, if there is one.
+	// Table is the active table of routes, or nil.
 	Table *routes.Table
-	// Evacuated are the zones whose upstreams get no requests.
+	// Evacuated are the zones whose upstreams receive no requests.
 	Evacuated evacuation.Set
 	// Rollouts are the latest orders to roll a version out, by service.
 	Rollouts map[string]rollout.LocalState
@@ -83,21 +83,21 @@
 	c.Published(next)
 }
 
-// service returns a service in force with its members, or nil if it is deleted.
+// service returns an active service with its members, or nil if it is deleted.
 func (c *Control) service(config acceptance.Config) *entry.Service {
 	if config.Deleted {
 		return nil
 	}
 	parsed, err := config.Service()
 	if err != nil {
-		c.Log.Error().Err(err).Str("service", config.Name).Msg("configuration can't be read")
+		c.Log.Error().Err(err).Str("service", config.Name).Msg("invalid configuration record")
 		return c.snapshot.Load().Services[config.Name]
 	}
 	return c.withMembers(config.Name, parsed)
 }
 
-// withMembers returns a service with its members, without those in evacuated zones and those
-// whose version is not to be used.
+// withMembers returns a service with its members, leaving out those in evacuated zones and those
+// whose version is withheld.
 func (c *Control) withMembers(name string, config operator.Service) *entry.Service {
 	s := &entry.Service{
 		Name:   name,
@@ -135,7 +135,7 @@
 	return hosts
 }
 
-// index takes a change of a member's record into what the snapshot is made of.
+// indexMember updates the indexes from which snapshots are built.
 func (c *Control) indexMember(old, r member.Record) {
 	if wasLive(old) {
 		c.countLive(old, -1)
@@ -156,7 +156,7 @@
 	}
 }
 
-// countLive adds n to the counts that a live node is part of.
+// countLive adds n to the counts of live nodes that include r.
 func (c *Control) countLive(r member.Record, n int) {
 	c.live += n
 	if r.Zone == c.self.Zone && r.ID != c.self.ID {
--- a/control/sweeper.go
+++ b/control/sweeper.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	// removeEvery and removeShare bound the removals: a node removes no more than
-	// this part of those that it knows in that time, as a part of the network that is
-	// cut off looks like many dead nodes.
+	// removalWindow and maxRemovalShare bound the removals: within the window, a node removes
+	// at most this fraction of the nodes that it knows, because a network partition looks
+	// like many failed nodes.
 	removalWindow   = 10 * time.Minute
 	maxRemovalShare = 0.05
 )
 
-// sweeper removes the nodes of a zone that are silent for long. One node of each
-// zone sweeps: its representative, or its first node where there are no representatives.
+// sweeper probes the nodes of a zone and removes those that have been silent for too long. One node
+// of each zone sweeps: its representative, or its first node where there are no representatives.
 type sweeper struct {
 	*Control
 	detector member.FailureDetector
@@ -40,7 +40,7 @@
 	}
 }
 
-// runAsFirst sweeps while this node is its zone's first node, until ctx ends.
+// runAsFirst sweeps while this node is the first node of its zone, until ctx ends.
 func (s *sweeper) runAsFirst(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep.For(ctx, s.Timing.Sweep)
@@ -48,7 +48,7 @@
 	}
 }
 
-// turn makes a round if this node is its zone's first node.
+// roundIfFirst makes a round if this node is the first node of its zone.
 func (s *sweeper) roundIfFirst(ctx context.Context) {
 	if !s.IsFirstInZone() {
 		s.detector.Reset()
@@ -64,8 +64,8 @@
 	}
 }
 
-// round asks the nodes of the zone in turn for a sign of life, and removes those
-// that are silent for long.
+// round probes the nodes of the zone in turn, and removes those that have been silent for too
+// long.
 func (s *sweeper) round(ctx context.Context) {
 	var near []member.Record
 	s.do(func() { near, _ = s.splitByZone() })
@@ -82,7 +82,7 @@
 	sleep.For(ctx, pause)
 }
 
-// check asks one node for a sign of life.
+// probe sends a request to one node and records whether it answered.
 func (s *sweeper) probe(ctx context.Context, r member.Record) {
 	var p *peer.Client
 	s.do(func() { p = s.client(r.Addr) })
@@ -95,7 +95,7 @@
 	}
 }
 
-// remove removes the nodes that are due.
+// remove removes the nodes that the failure detector selects.
 func (s *sweeper) remove(known int) {
 	for _, id := range s.detector.TakeRemovals(known, time.Now()) {
 		s.do(func() {
--- a/control/sweeper_test.go
+++ b/control/sweeper_test.go
@@ -14,16 +14,16 @@
 	"sassafrasfront.example/member"
 )
 
-// TestNobodyAskedIsNoSilence guards against a node that is removed for one question which it
-// did not answer, as it had missed another one long ago: in between the sweeper was not the first
-// of its zone, and asked nobody.
+// TestSilenceResetWhileNotProbing guards against a node that is removed after one missed probe
+// because it had missed another one long ago. In between, the sweeper's node was not the first of
+// its zone and probed no node.
 func TestSilenceResetWhileNotProbing(t *testing.T) {
 	tests := map[string]struct {
-		between bool // whether another node was the zone's first in between
+		between bool // whether another node was the first of the zone in between
 		removed bool
 	}{
-		"asked all the time":  {removed: true},
-		"not asked meanwhile": {between: true},
+		"probed all the time":   {removed: true},
+		"not probed in between": {between: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -37,7 +37,7 @@
 			silent := member.Record{ID: "silent", Zone: "z", Addr: closed.Addr().String(), State: member.Idle, Incarnation: 1}
 			other := member.Record{ID: "other", Zone: "z", Addr: closed.Addr().String(), State: member.Idle, Incarnation: 1}
 			for member.RendezvousRank("z", "a", []string{other.ID}) == 0 {
-				other.ID += "x" // until it comes before a
+				other.ID += "x" // until it ranks before a
 			}
 			n.init()
 			n.do(func() {
--- a/control/table.go
+++ b/control/table.go
@@ -12,20 +12,18 @@
 	"sassafrasfront.example/routes"
 )
 
-// FirstOfZone returns whether this node is the one of its zone that looks after the
-// platform most closely, as far as it knows. It is the first of the zone's live
-// nodes in the order of representatives.
+// IsFirstInZone returns whether this node is the first of the live nodes of its zone in the order
+// of representatives, as far as it knows. The first node reads the platform most often.
 func (c *Control) IsFirstInZone() bool {
 	c.init()
 	var rank int
 	return c.do(func() { rank, _ = c.zoneRank() }) && rank == 0
 }
 
-// sighted takes in whether the platform answered this node. The first node of a zone and
-// the leader of all nodes, if the platform does not answer them, tell the others, so
-// that another node takes their place: a partition may part them from the platform
-// alone. Other nodes keep it to
-// themselves, or all of them would speak at once when the platform is away.
+// recordPlatformAnswer records whether the platform answered this node. If it does not answer the
+// first node of a zone, or the leader of all nodes, that node tells the others, so that another
+// node takes over: a partition may separate it from the platform only. Other nodes announce
+// nothing, because all of them would do so at once during an outage of the platform.
 func (c *Control) recordPlatformAnswer(answered bool) {
 	if answered == !c.self.PlatformUnreachable {
 		return
@@ -34,13 +32,13 @@
 	if !answered && rank > 0 && !c.role(time.Now()).IsLeader {
 		return
 	}
-	c.Log.Info().Bool("platformAnswers", answered).Msg("sight of the platform")
+	c.Log.Info().Bool("platformAnswers", answered).Msg("platform reachability changed")
 	c.setSelf(c.self.WithPlatformUnreachable(!answered))
 	c.lastRoleAt = time.Time{}
 	c.push(context.Background())
 }
 
-// Configure takes in a table of routes, unless a later one is in force.
+// ApplyTable applies a table of routes, unless a later one is active.
 func (c *Control) ApplyTable(t *routes.Table) {
 	c.init()
 	record := acceptance.FromTable(t)
@@ -50,14 +48,14 @@
 	})
 }
 
-// tableChanged takes in a table of routes. It is not taken back: the exchanger
-// accepts higher sequences only. It is not pushed: others fetch it from one of those
-// that tell them of it, so that a table of thousands of routes comes to each but once.
+// tableChanged handles a new table of routes. A table never reverts, because the exchange accepts
+// higher sequences only. It is not pushed: a node fetches it from one of those that announce it,
+// so that a table of thousands of routes is sent to each node only once.
 func (c *Control) tableChanged(r acceptance.Config) {
 	delete(c.configs.Outbox, acceptance.Whole)
 	t, err := r.Table()
 	if err != nil {
-		c.Log.Error().Err(err).Uint64("version", r.Sequence).Msg("configuration can't be read")
+		c.Log.Error().Err(err).Uint64("version", r.Sequence).Msg("invalid table of routes")
 		return
 	}
 	if c.table != nil {
@@ -75,7 +73,7 @@
 	c.Log.Info().Uint64("version", t.Version).Int("routes", len(t.Routes)).Int("services", len(t.Services)).Msg("configuration in force")
 }
 
-// rebuildFromTable puts a service into the next snapshot as the table has it.
+// rebuildFromTable updates a service of the next snapshot from the table.
 func (c *Control) rebuildFromTable(next *Snapshot, name string) {
 	if c.table == nil {
 		return
--- a/control/table_test.go
+++ b/control/table_test.go
@@ -19,8 +19,8 @@
 	"sassafrasfront.example/routes"
 )
 
-// tableNode starts a node that follows a table of routes and finds others by a
-// book.
+// tableNode starts a node that follows a table of routes and finds others by a contact
+// directory.
 func (c *cluster) tableNode(id, zone string, addresses func() []string) *testNode {
 	c.directory = staticDirectory(addresses)
 	listener := c.listener()
@@ -32,7 +32,7 @@
 	return n
 }
 
-// listed is a book of contacts in which nobody writes.
+// staticDirectory is a contact directory that ignores registrations.
 type staticDirectory func() []string
 
 // Addresses implements contact.Directory.
@@ -44,7 +44,7 @@
 // Met implements contact.Directory.
 func (l staticDirectory) Met(context.Context, string, bool) {}
 
-// tableNodes starts nodes a, b and so on that find each other by one book, and
+// tableNodes starts nodes a, b and so on that find each other by one contact directory, and
 // waits until all have met.
 func (c *cluster) tableNodes(count int) (list []*testNode) {
 	var mu sync.Mutex // of addrs
@@ -67,15 +67,15 @@
 	return list
 }
 
-// liveNodes returns the number of live nodes that n knows, itself included.
+// liveNodes returns the number of live nodes known to n, itself included.
 func (n *testNode) liveNodes() (live int) {
 	n.init()
 	n.do(func() { live = n.live })
 	return live
 }
 
-// TestMeet starts two pairs of nodes, each of which knows of no other at first.
-// They must find each other once the book has them.
+// TestNodesMeetByDirectory starts two pairs of nodes that do not know each other. They must find
+// each other once the directory lists all of them.
 func TestNodesMeetByDirectory(t *testing.T) {
 	c := newCluster(t)
 	var list []*testNode
@@ -113,7 +113,7 @@
 	}
 }
 
-// TestTableNeverReverts hands nodes tables in any order.
+// TestTableNeverReverts applies tables on two nodes in mixed order.
 func TestTableNeverReverts(t *testing.T) {
 	c := newCluster(t)
 	first := c.tableNode("a", "z", func() []string { return nil })
@@ -129,12 +129,12 @@
 		second.ApplyTable(table(v - 1))
 	}
 	for _, n := range []*testNode{first, second} {
-		c.eventually("the latest is in force", func() bool { s := n.Snapshot(); return s.Table != nil && s.Table.Version == 7 })
+		c.eventually("the latest table is active", func() bool { s := n.Snapshot(); return s.Table != nil && s.Table.Version == 7 })
 	}
 	qt.Check(t, first.Snapshot().Services["s"], qt.IsNotNil)
 }
 
-// TestFirstOfZoneRemovesSilentNode has a node fall silent where there are no representatives.
+// TestFirstOfZoneRemovesSilentNode disconnects a node where there are no representatives.
 func TestFirstOfZoneRemovesSilentNode(t *testing.T) {
 	c := newCluster(t)
 	list := c.tableNodes(4)
@@ -148,11 +148,11 @@
 	silent := make(chan struct{})
 	defer close(silent)
 	go isolated.do(func() { <-silent })
-	c.eventually("three are left", func() bool { return list[0].liveNodes() == 3 })
+	c.eventually("three nodes are left", func() bool { return list[0].liveNodes() == 3 })
 }
 
-// TestBlindFirstOfZoneIsReplaced has the platform stop answering a zone's first node, then
-// its successor as well, then every node, and answer all of them again.
+// TestUnreachablePlatformReplacesFirstOfZone has the platform stop answering the first node of a
+// zone, then its successor, then all nodes, and answer all of them again.
 func TestUnreachablePlatformReplacesFirstOfZone(t *testing.T) {
 	c := newCluster(t)
 	list := c.tableNodes(3)
@@ -170,34 +170,34 @@
 	first := firsts()[0]
 	for _, n := range list {
 		if n.Self.ID != first {
-			n.RecordRead(false, 0) // it is not the first of its zone, and tells nobody
+			n.RecordRead(false, 0) // not the first of its zone, so it announces nothing
 		}
 	}
 	qt.Check(t, firsts(), qt.DeepEquals, []string{first})
 	node(first).RecordRead(false, 0)
-	c.eventually("another first node", func() bool { return one() && firsts()[0] != first })
+	c.eventually("a second first node", func() bool { return one() && firsts()[0] != first })
 	second := firsts()[0]
 	node(second).RecordRead(false, 0)
-	c.eventually("a third one", func() bool { return one() && firsts()[0] != first && firsts()[0] != second })
+	c.eventually("a third first node", func() bool { return one() && firsts()[0] != first && firsts()[0] != second })
 	node(firsts()[0]).RecordRead(false, 0)
-	c.eventually("all are blind, and one of them goes on asking", one)
+	c.eventually("the platform answers no node, and one of them keeps asking", one)
 	for _, n := range list {
 		n.RecordRead(true, 0)
 	}
-	c.eventually("the first again", func() bool { return one() && firsts()[0] == first })
+	c.eventually("the original first node again", func() bool { return one() && firsts()[0] == first })
 }
 
-// fakePlatform is a platform with one table of routes, which it gives to the nodes that
-// it does not turn away.
+// fakePlatform is a platform with one table of routes, which it returns to all nodes except those
+// that it refuses.
 type fakePlatform struct {
 	mu      sync.Mutex
 	version uint64
-	refused map[string]bool // by node
+	refused map[string]bool // by node id
 	reads   int
-	last    time.Time // when it answered last
+	last    time.Time // when a read was last answered
 }
 
-// read returns the version, or false.
+// read returns the version, and whether the node is answered.
 func (p *fakePlatform) read(node string) (uint64, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -208,21 +208,21 @@
 	return p.version, !p.refused[node]
 }
 
-// lastAnswered returns when a read was answered last.
+// lastAnswered returns when a read was last answered.
 func (p *fakePlatform) lastAnswered() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.last
 }
 
-// turnAway has it refuse a node.
+// refuse makes the platform refuse a node.
 func (p *fakePlatform) refuse(node string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.refused[node] = true
 }
 
-// change changes the table.
+// change changes the table and returns its version.
 func (p *fakePlatform) change() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -230,7 +230,7 @@
 	return p.version
 }
 
-// follow has a node do what Next says until ctx ends.
+// follow has a node take the actions of NextAction until ctx ends.
 func (p *fakePlatform) follow(ctx context.Context, n *testNode) {
 	for ctx.Err() == nil {
 		action, after, watchFor := n.NextAction()
@@ -262,17 +262,17 @@
 	}
 }
 
-// TestReadsOfOneReachAll has nodes follow a platform that turns some of them away. A
-// change that any node can read comes into force everywhere.
+// TestOneNodesReadsReachAll has nodes follow a platform that refuses some of them. A change that
+// any node can read must become active on all of them.
 func TestOneNodesReadsReachAll(t *testing.T) {
 	tests := map[string]func(leader string, all []*testNode) []string{
-		"all are served":           func(string, []*testNode) []string { return nil },
-		"the leader is not":        func(leader string, _ []*testNode) []string { return []string{leader} },
-		"only the last node is":    func(_ string, all []*testNode) []string { return ids(all[:len(all)-1]) },
-		"only the leader is":       func(leader string, all []*testNode) []string { return without(ids(all), leader) },
-		"all but two, not the two": func(_ string, all []*testNode) []string { return ids(all[:2]) },
+		"no node is refused":                func(string, []*testNode) []string { return nil },
+		"the leader is refused":             func(leader string, _ []*testNode) []string { return []string{leader} },
+		"all but the last node are refused": func(_ string, all []*testNode) []string { return ids(all[:len(all)-1]) },
+		"all but the leader are refused":    func(leader string, all []*testNode) []string { return without(ids(all), leader) },
+		"two nodes are refused":             func(_ string, all []*testNode) []string { return ids(all[:2]) },
 	}
-	for name, refused := range tests {
+	for name, refusedNodes := range tests {
 		t.Run(name, func(t *testing.T) {
 			c := newCluster(t)
 			list := c.tableNodes(6)
@@ -294,7 +294,7 @@
 					return true
 				}
 			}
-			c.eventually("the first is in force", active(1))
+			c.eventually("the first table is active", active(1))
 			var leader string
 			c.eventually("there is a leader", func() bool {
 				for _, n := range list {
@@ -307,18 +307,18 @@
 				return leader != ""
 			})
 			p.mu.Lock()
-			for _, id := range refused(leader, list) {
+			for _, id := range refusedNodes(leader, list) {
 				p.refused[id] = true
 			}
 			p.mu.Unlock()
 			for range 3 {
-				c.eventually("a change is in force", active(p.change()))
+				c.eventually("a change is active", active(p.change()))
 			}
 		})
 	}
 }
 
-// ids returns the names of nodes.
+// ids returns the ids of nodes.
 func ids(nodes []*testNode) (list []string) {
 	for _, n := range nodes {
 		list = append(list, n.Self.ID)
