--- a/member/liveness.go
+++ b/member/liveness.go
@@ -58,8 +58,8 @@
 		a, b := l.silent[list[i]], l.silent[list[j]]
 		return a.Before(b) || a.Equal(b) && list[i] < list[j]
 	})
-	room := max(1, int(l.MaxRemovalShare*float64(known))) - len(l.removed)
-	list = list[:max(0, min(len(list), room))]
+	remaining := max(1, int(l.MaxRemovalShare*float64(known))) - len(l.removed)
+	list = list[:max(0, min(len(list), remaining))]
 	for _, id := range list {
 		delete(l.silent, id)
 		l.removed = append(l.removed, now)
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -16,7 +16,7 @@
 	"sassafrasfront.example/member"
 )
 
-func TestRanks(t *testing.T) {
+func TestRecordOrder(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := member.Record{ID: "a", State: member.Up, Incarnation: 5, Version: 3}
 	tests := map[string]struct {
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestLiveness(t *testing.T) {
+func TestFailureDetector(t *testing.T) {
 	start := time.Unix(1000, 0)
 	tests := map[string]struct {
 		known, silent int
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestOrder(t *testing.T) {
+func TestRendezvousOrder(t *testing.T) {
 	ids := []string{"a", "b", "c", "d"}
 	order := member.RendezvousOrder("zone", ids)
 	qt.Check(t, order, qt.HasLen, 4)
@@ -77,14 +77,14 @@
 	for n := range len(ids) + 2 {
 		qt.Check(t, member.RendezvousTop("zone", ids, n), qt.DeepEquals, order[:min(n, len(ids))])
 	}
-	less := member.RendezvousOrder("zone", []string{"d", "a", "b"})
+	fewer := member.RendezvousOrder("zone", []string{"d", "a", "b"})
 	var want []string
 	for _, id := range order {
 		if id != "c" {
 			want = append(want, id)
 		}
 	}
-	qt.Check(t, less, qt.DeepEquals, want)
+	qt.Check(t, fewer, qt.DeepEquals, want)
 }
 
 // TestWrongRemovalHeals has a node that is removed while cut off. Whatever the
@@ -92,14 +92,14 @@
 func TestWrongRemovalHeals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		own := member.Record{ID: "a", State: member.Up, Incarnation: 1, Version: 1}
-		words := []member.Record{own, own.WithState(member.Draining)}
-		stone := words[1].Tombstone()
-		back := words[1].NextIncarnation(stone, time.Unix(0, 1))
-		words = append(words, stone, back, back.WithState(member.Up))
-		last := words[len(words)-1]
+		records := []member.Record{own, own.WithState(member.Draining)}
+		tombstone := records[1].Tombstone()
+		back := records[1].NextIncarnation(tombstone, time.Unix(0, 1))
+		records = append(records, tombstone, back, back.WithState(member.Up))
+		last := records[len(records)-1]
 		var s gossip.Set[member.Record]
-		for _, i := range rapid.SliceOf(rapid.IntRange(0, len(words)-1)).Draw(t, "deliveries") {
-			s.Put(words[i])
+		for _, i := range rapid.SliceOf(rapid.IntRange(0, len(records)-1)).Draw(t, "deliveries") {
+			s.Put(records[i])
 		}
 		s.Put(last)
 		got, _ := s.Get("a")
--- a/member/wire_test.go
+++ b/member/wire_test.go
@@ -14,7 +14,7 @@
 )
 
 // wide is a record as a node of a fleet has it.
-var wide = member.Record{
+var typicalRecord = member.Record{
 	ID:          "sidecar-glenorchy-154",
 	Addr:        "10.128.3.38:8146",
 	Zone:        "glenorchy",
@@ -31,22 +31,22 @@
 // TestWire has records come back as they were, from a later version of the program as well, and
 // be small: each crosses to each node some four times.
 func TestWire(t *testing.T) {
-	data, err := msgpack.Marshal(wide)
+	data, err := msgpack.Marshal(typicalRecord)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, len(data) <= 110, qt.IsTrue, qt.Commentf("%d bytes", len(data)))
 	var got member.Record
 	qt.Assert(t, msgpack.Unmarshal(data, &got), qt.IsNil)
-	qt.Check(t, got, qt.Equals, wide)
+	qt.Check(t, got, qt.Equals, typicalRecord)
 
-	list, err := msgpack.Marshal([]member.Record{wide, {ID: "b"}})
+	list, err := msgpack.Marshal([]member.Record{typicalRecord, {ID: "b"}})
 	qt.Assert(t, err, qt.IsNil)
 	var both []member.Record
 	qt.Assert(t, msgpack.Unmarshal(list, &both), qt.IsNil)
-	qt.Check(t, both, qt.DeepEquals, []member.Record{wide, {ID: "b"}})
+	qt.Check(t, both, qt.DeepEquals, []member.Record{typicalRecord, {ID: "b"}})
 }
 
 // TestWireOfOthers decodes records with more fields, too few, and none at all.
-func TestWireOfOthers(t *testing.T) {
+func TestWireCompatibility(t *testing.T) {
 	fields := func(n int) []any {
 		list := []any{"a", "", "", "", "", 1, "up", uint64(1), uint64(1), "", false, false, int64(1), "more", []int{1}}
 		return list[:n]
