--- a/member/liveness.go
+++ b/member/detector.go
@@ -9,27 +9,27 @@
 	"time"
 )
 
-// Liveness decides which silent nodes are removed. A cut-off part of the
-// network looks like many dead nodes, so the removals are slow and bounded. The
-// exported fields are set before the first call. It is not safe for use by
-// several goroutines at once.
+// FailureDetector decides which silent nodes are removed. A network partition
+// looks like many failed nodes, so removals are delayed and limited. The
+// exported fields must be set before the first call. It is not safe for concurrent
+// use.
 type FailureDetector struct {
-	// Patience is the time of silence after which a node may be removed.
+	// SilenceTimeout is the time without an answer after which a node may be removed.
 	SilenceTimeout time.Duration
-	// Every is the time over which MaxShare of the nodes may be removed.
+	// RemovalWindow is the time to which MaxRemovalShare applies.
 	RemovalWindow time.Duration
-	// MaxShare is the largest part of the nodes that is removed within Every;
-	// one node always may.
+	// MaxRemovalShare is the maximum fraction of the nodes that is removed within
+	// RemovalWindow. One node may always be removed.
 	MaxRemovalShare float64
 
-	silent  map[string]time.Time // since when
+	silent  map[string]time.Time // start of the silence, by node
 	removed []time.Time
 }
 
-// Heard records that the node gave a sign of life.
+// MarkAlive records that a node answered.
 func (l *FailureDetector) MarkAlive(id string) { delete(l.silent, id) }
 
-// Missed records that the node gave no sign when asked.
+// MarkSilent records that a node did not answer a probe.
 func (l *FailureDetector) MarkSilent(id string, now time.Time) {
 	if l.silent == nil {
 		l.silent = make(map[string]time.Time)
@@ -39,11 +39,11 @@
 	}
 }
 
-// Silent returns the number of nodes that are silent now.
+// SilentCount returns the number of silent nodes.
 func (l *FailureDetector) SilentCount() int { return len(l.silent) }
 
-// Due returns the nodes to remove now, those silent for longest first, given
-// the number of nodes that are known. They count as removed.
+// TakeRemovals returns the nodes to remove now, those silent for longest first, given
+// the number of known nodes. They count as removed.
 func (l *FailureDetector) TakeRemovals(known int, now time.Time) []string {
 	for len(l.removed) > 0 && now.Sub(l.removed[0]) >= l.RemovalWindow {
 		l.removed = l.removed[1:]
@@ -67,8 +67,8 @@
 	return list
 }
 
-// Forget drops what is known of a node that is no longer there.
+// Forget drops the state of a node.
 func (l *FailureDetector) Forget(id string) { delete(l.silent, id) }
 
-// Reset drops all silence that is known: a node that is asked no longer may be well.
+// Reset drops the state of all nodes: a node that is no longer probed may be alive.
 func (l *FailureDetector) Reset() { clear(l.silent) }
--- a/member/doc.go
+++ b/member/doc.go
@@ -2,13 +2,13 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Package member holds what nodes know of each other: one record for each node
-// with its upstream, written by that node alone, and the rules by which records
-// change and go.
+// Package member holds the membership records of nodes: one record for each node
+// with its upstream, written by that node only, and the rules by which records
+// change and expire.
 //
-// A node takes a new, higher incarnation each time it starts. Within it, it
-// counts the versions of its record. Whoever hears two versions keeps the newer
-// one, so records may be lost, repeated and reordered on the way. A record goes
-// only by a tombstone that a representative writes after the node was silent for long;
-// a node that reads its own tombstone takes a higher incarnation and is back.
+// A node takes a new, higher incarnation each time it starts. Within an incarnation it
+// numbers the versions of its record. Of two versions every node keeps the newer
+// one, so records may be lost, duplicated and reordered in transit. A node that has
+// been silent for too long is removed by a tombstone, which a representative writes.
+// A node that receives its own tombstone takes a higher incarnation and is live again.
 package member
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -22,11 +22,11 @@
 	tests := map[string]struct {
 		older, newer member.Record
 	}{
-		"next version":              {older: r, newer: r.WithState(member.Draining)},
-		"tombstone":                 {older: r.WithState(member.Draining), newer: r.Tombstone()},
-		"back after the tombstone":  {older: r.Tombstone(), newer: r.NextIncarnation(r.Tombstone(), now)},
-		"restart":                   {older: r, newer: r.NextIncarnation(member.Record{}, now)},
-		"restart with a slow clock": {older: r, newer: r.NextIncarnation(r, time.Unix(0, 1))},
+		"next version":                         {older: r, newer: r.WithState(member.Draining)},
+		"tombstone":                            {older: r.WithState(member.Draining), newer: r.Tombstone()},
+		"next incarnation after the tombstone": {older: r.Tombstone(), newer: r.NextIncarnation(r.Tombstone(), now)},
+		"restart":                              {older: r, newer: r.NextIncarnation(member.Record{}, now)},
+		"restart with a slow clock":            {older: r, newer: r.NextIncarnation(r, time.Unix(0, 1))},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -44,11 +44,11 @@
 		heard         bool
 		want          int
 	}{
-		"not long enough":             {known: 100, silent: 3, after: time.Minute},
+		"before the timeout":          {known: 100, silent: 3, after: time.Minute},
 		"a few":                       {known: 100, silent: 3, after: 5 * time.Minute, want: 3},
-		"back in time":                {known: 100, silent: 3, after: 5 * time.Minute, heard: true, want: 2},
-		"a zone at once: only a part": {known: 100, silent: 100, after: 5 * time.Minute, want: 5},
-		"few nodes: one may go":       {known: 3, silent: 3, after: 5 * time.Minute, want: 1},
+		"one answers again in time":   {known: 100, silent: 3, after: 5 * time.Minute, heard: true, want: 2},
+		"a whole zone: limited share": {known: 100, silent: 100, after: 5 * time.Minute, want: 5},
+		"few nodes: at least one":     {known: 3, silent: 3, after: 5 * time.Minute, want: 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -62,7 +62,7 @@
 			}
 			qt.Check(t, l.TakeRemovals(test.known, start.Add(test.after)), qt.HasLen, test.want)
 			qt.Check(t, len(l.TakeRemovals(test.known, start.Add(test.after+time.Second))) == 0, qt.IsTrue,
-				qt.Commentf("nothing more within the same time"))
+				qt.Commentf("no more removals within the window"))
 		})
 	}
 }
@@ -87,8 +87,8 @@
 	qt.Check(t, fewer, qt.DeepEquals, want)
 }
 
-// TestWrongRemovalHeals has a node that is removed while cut off. Whatever the
-// order of the deliveries, every set ends with the node's own latest word.
+// TestWrongRemovalHeals has a node removed during a partition. Whatever the order of
+// the deliveries, every set must end with the node's latest record.
 func TestWrongRemovalHeals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		own := member.Record{ID: "a", State: member.Up, Incarnation: 1, Version: 1}
@@ -104,7 +104,7 @@
 		s.Put(last)
 		got, _ := s.Get("a")
 		if got != last {
-			t.Fatalf("ends with %v", got)
+			t.Fatalf("the set ends with %v", got)
 		}
 	})
 }
--- a/member/record.go
+++ b/member/record.go
@@ -10,61 +10,61 @@
 	"sassafrasfront.example/gossip"
 )
 
-// State is what a node says of itself and its upstream.
+// State is the state of a node and its upstream, as announced by the node.
 type State string
 
 const (
-	// Up means that the upstream takes requests.
+	// Up means that the upstream accepts requests.
 	Up State = "up"
-	// Idle means that the node has no upstream, or one that is down. It is an
-	// entry all the same.
+	// Idle means that the node has no upstream, or one that is down. The node still
+	// accepts requests from callers.
 	Idle State = "idle"
-	// Draining means that the upstream or the node is leaving.
+	// Draining means that the upstream or the node is shutting down.
 	Draining State = "draining"
-	// Left means that the node has stopped in good order.
+	// Left means that the node has shut down regularly.
 	Left State = "left"
-	// Removed means that a representative took the node for gone.
+	// Removed means that the node was declared failed by a representative.
 	Removed State = "removed"
 )
 
-// Record is what is known of one node. It is an immutable value.
+// Record is the membership record of one node. It is immutable.
 type Record struct {
-	// ID is the node's name. It stays the same over restarts.
+	// ID is the node's name. It does not change on restart.
 	ID string `json:"id"`
-	// Addr is where the node takes peer connections.
+	// Addr is the address at which the node accepts peer connections.
 	Addr string `json:"addr"`
-	// Zone and Region are where it is.
+	// Zone and Region are the node's location.
 	Zone   string `json:"zone"`
 	Region string `json:"region"`
-	// Service is the service of its upstream, or empty.
+	// Service is the service of the node's upstream, or empty.
 	Service string `json:"service,omitempty"`
-	// Slots is the number of requests that its upstream runs at once.
+	// Slots is the number of requests that the upstream processes concurrently.
 	Slots int `json:"slots,omitempty"`
-	// State is what the node says of itself.
+	// State is the announced state.
 	State State `json:"state"`
-	// Incarnation grows with each start of the node.
+	// Incarnation increases with each start of the node.
 	Incarnation uint64 `json:"incarnation"`
-	// Version grows with each change within an incarnation.
+	// Version increases with each change within an incarnation.
 	Version uint64 `json:"version"`
-	// Software is the version of the upstream's software, or empty where it is of no
-	// concern or not known yet.
+	// Software is the version of the upstream's software, or empty if it is not used or not
+	// known yet.
 	Software string `json:"software,omitempty"`
-	// Trial is whether an operator has ordered a roll-out of that version which is not
-	// completed, as the node itself has heard.
+	// Canary is whether an operator has ordered a roll-out of that version which is not
+	// completed, as far as the node itself knows.
 	Canary bool `json:"trial,omitempty"`
-	// Blind is whether the node was to look after the platform for others and can't
+	// PlatformUnreachable is whether the node was to read the platform for others but cannot
 	// reach it.
 	PlatformUnreachable bool `json:"blind,omitempty"`
-	// At is when the record was written, in seconds since 1970.
+	// WrittenAt is when the record was written, in seconds since 1970.
 	WrittenAt int64 `json:"at"`
 }
 
-// Keep is how long a record of a node that is gone is kept after it was
-// written. Nodes whose clocks differ drop it at different times, and until
-// then may hand it to each other; it is not taken in again.
+// TombstoneRetention is how long the record of a node that has left or was removed is kept
+// after it was written. Nodes whose clocks differ drop it at different times. One that has
+// dropped it does not accept it again from a node that has not.
 const TombstoneRetention = time.Hour
 
-// Expired returns whether the record is of a node that is gone for long.
+// Expired returns whether the node has left or was removed more than TombstoneRetention ago.
 func (r Record) Expired(now time.Time) bool {
 	return !r.Live() && now.Sub(time.Unix(r.WrittenAt, 0)) > TombstoneRetention
 }
@@ -72,7 +72,7 @@
 // Key implements gossip.Record.
 func (r Record) Key() string { return r.ID }
 
-// Rank implements gossip.Record.
+// GossipVersion implements gossip.Record.
 func (r Record) GossipVersion() gossip.Version {
 	return gossip.Version{
 		Major: r.Incarnation,
@@ -80,10 +80,10 @@
 	}
 }
 
-// Live returns whether the node is there, as far as is known.
+// Live returns whether the node is live, as far as is known.
 func (r Record) Live() bool { return r.State != Left && r.State != Removed }
 
-// Takes returns whether the node's upstream takes requests.
+// AcceptsRequests returns whether the node's upstream accepts requests.
 func (r Record) AcceptsRequests() bool { return r.State == Up && r.Service != "" }
 
 // WithState returns the next version of r, with the given state.
@@ -94,7 +94,7 @@
 	return r
 }
 
-// Upstream is what a node says of its upstream. Its fields are as in Record.
+// Upstream is the announced state of a node's upstream. Its fields are as in Record.
 type Upstream struct {
 	Service  string
 	Slots    int
@@ -103,7 +103,7 @@
 	Canary   bool
 }
 
-// Upstream returns what r says of the upstream.
+// Upstream returns the part of r that describes the upstream.
 func (r Record) Upstream() Upstream {
 	return Upstream{
 		Service:  r.Service,
@@ -123,16 +123,16 @@
 	return r.WithState(u.State)
 }
 
-// WithBlind returns the next version of r, which can't reach the platform, or can
-// again.
+// WithPlatformUnreachable returns the next version of r, with the given reachability of the
+// platform.
 func (r Record) WithPlatformUnreachable(blind bool) Record {
 	r.PlatformUnreachable = blind
 	return r.WithState(r.State)
 }
 
-// Reborn returns r as of a new incarnation, which is higher than its present
-// one and that of the record heard of it, and otherwise counts the nanoseconds
-// since 1970 at the given time.
+// NextIncarnation returns r with a new incarnation, which is the given time in nanoseconds
+// since 1970, or more if that does not exceed the incarnations of r and of the record
+// received of the node.
 func (r Record) NextIncarnation(heard Record, now time.Time) Record {
 	r.Incarnation = max(uint64(now.UnixNano()), heard.Incarnation+1, r.Incarnation+1)
 	r.Version = 1
@@ -141,9 +141,9 @@
 	return r
 }
 
-// Tombstone returns the record by which a representative removes the node. It comes
-// after all that the node has said, and before anything that the node says in
-// its next incarnation.
+// Tombstone returns the record by which a representative removes the node. It orders
+// after all records of the present incarnation, and before those of the
+// next one.
 func (r Record) Tombstone() Record {
 	r.State = Removed
 	r.WrittenAt = time.Now().Unix()
@@ -151,5 +151,5 @@
 	return r
 }
 
-// tombstoneVersion comes after every version that a node reaches.
+// tombstoneVersion is higher than any version that a node reaches.
 const tombstoneVersion = 1 << 62
--- a/member/order.go
+++ b/member/rendezvous.go
@@ -11,10 +11,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Order returns the ids in the order of rendezvous hashing for the given
-// subject: every node that knows the same ids finds the same order, different
-// subjects have different orders, and one id more or less leaves the order of
-// the others. See D. Thaler and C. Ravishankar, Using name-based mappings to
+// RendezvousOrder returns the ids in the order of rendezvous hashing for the given
+// subject. Every node with the same ids computes the same order, different
+// subjects have different orders, and adding or removing an id does not change the
+// order of the others. See D. Thaler and C. Ravishankar, Using name-based mappings to
 // increase hit rates, 1998. doi:10.1109/90.663936.
 func RendezvousOrder(subject string, ids []string) []string {
 	weight := make(map[string]uint64, len(ids))
@@ -29,12 +29,11 @@
 	return list
 }
 
-// weightOf returns the weight of an id for a subject, by which the order goes: the heaviest
-// comes first.
+// weightOf returns the weight of an id for a subject. The id with the highest weight comes first.
 func weightOf(subject, id string) uint64 { return xxhash.Sum64String(subject + "\x00" + id) }
 
-// RankOf returns the place of id in the order for a subject, from 0, without
-// sorting. An id that is not among the ids gets the place it would have.
+// RendezvousRank returns the index of id in the order for a subject, without
+// sorting. For an id that is not among the ids it returns the index that it would have.
 func RendezvousRank(subject, id string, ids []string) int {
 	own := weightOf(subject, id)
 	var rank int
@@ -47,7 +46,7 @@
 	return rank
 }
 
-// First returns the first n ids in the order for a subject, without sorting.
+// RendezvousTop returns the first n ids in the order for a subject, without sorting.
 func RendezvousTop(subject string, ids []string, n int) []string {
 	type weighed struct {
 		id     string
--- a/member/wire.go
+++ b/member/wire.go
@@ -9,12 +9,12 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// wireFields is the number of fields of a record on the wire. Records of later versions of the
-// program may have more, which are passed over.
+// wireFields is the number of fields of a record on the wire. Records of later program versions
+// may have more, which are ignored.
 const wireFields = 13
 
-// wire returns the fields in their order on the wire. Their names are left out: records are most
-// of what nodes tell each other while many start.
+// wire returns the fields in wire order. They are sent without names, because records are most
+// of the traffic between nodes while many start.
 func (r *Record) wire() []any {
 	return []any{&r.ID, &r.Addr, &r.Zone, &r.Region, &r.Service, &r.Slots, &r.State, &r.Incarnation, &r.Version, &r.Software, &r.Canary, &r.PlatformUnreachable, &r.WrittenAt}
 }
@@ -34,7 +34,7 @@
 		return err
 	}
 	if n < wireFields {
-		return eris.Errorf("record of %d fields, not %d", n, wireFields)
+		return eris.Errorf("record has %d fields, want at least %d", n, wireFields)
 	}
 	if err := d.DecodeMulti(r.wire()...); err != nil {
 		return err
--- a/member/wire_test.go
+++ b/member/wire_test.go
@@ -13,7 +13,7 @@
 	"sassafrasfront.example/member"
 )
 
-// wide is a record as a node of a fleet has it.
+// typicalRecord is a record with fields of typical length.
 var typicalRecord = member.Record{
 	ID:          "sidecar-glenorchy-154",
 	Addr:        "10.128.3.38:8146",
@@ -28,8 +28,8 @@
 	WrittenAt:   1765000000,
 }
 
-// TestWire has records come back as they were, from a later version of the program as well, and
-// be small: each crosses to each node some four times.
+// TestWire checks that records decode as they were encoded, and that they are small: each record is
+// sent to each node about four times.
 func TestWire(t *testing.T) {
 	data, err := msgpack.Marshal(typicalRecord)
 	qt.Assert(t, err, qt.IsNil)
@@ -45,7 +45,7 @@
 	qt.Check(t, both, qt.DeepEquals, []member.Record{typicalRecord, {ID: "b"}})
 }
 
-// TestWireOfOthers decodes records with more fields, too few, and none at all.
+// TestWireCompatibility decodes records with more fields, fewer fields, and none.
 func TestWireCompatibility(t *testing.T) {
 	fields := func(n int) []any {
 		list := []any{"a", "", "", "", "", 1, "up", uint64(1), uint64(1), "", false, false, int64(1), "more", []int{1}}
@@ -55,11 +55,11 @@
 		value any
 		good  bool
 	}{
-		"as many":    {value: fields(13), good: true},
-		"more":       {value: fields(15), good: true},
-		"fewer":      {value: fields(12)},
-		"none":       {value: []any{}},
-		"not a list": {value: map[string]any{"id": "a"}},
+		"same number of fields": {value: fields(13), good: true},
+		"more":                  {value: fields(15), good: true},
+		"fewer fields":          {value: fields(12)},
+		"none":                  {value: []any{}},
+		"not a list":            {value: map[string]any{"id": "a"}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
