--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -120,7 +120,7 @@
 	qt.Check(t, s.Len(), qt.Equals, 1)
 }
 
-func TestFromGoesThroughAll(t *testing.T) {
+func TestScanReturnsAllRecords(t *testing.T) {
 	var s set
 	for i := range 1000 {
 		s.Put(record{fmt.Sprint(i), gossip.Version{Major: 1}})
--- a/gossip/set.go
+++ b/gossip/set.go
@@ -151,7 +151,7 @@
 // if there is no such group.
 func (s *Set[R]) Digests(groups []int) []uint64 {
 	var list []uint64
-	s.in(groups, func(r R) { list = append(list, hash(r)) })
+	s.each(groups, func(r R) { list = append(list, hash(r)) })
 	return list
 }
 
@@ -162,7 +162,7 @@
 	for _, d := range digests {
 		theirs[d] = true
 	}
-	s.in(groups, func(r R) {
+	s.each(groups, func(r R) {
 		d := hash(r)
 		if !theirs[d] {
 			records = append(records, r)
@@ -183,7 +183,7 @@
 	for _, d := range digests {
 		wanted[d] = true
 	}
-	s.in(groups, func(r R) {
+	s.each(groups, func(r R) {
 		if wanted[hash(r)] {
 			records = append(records, r)
 		}
@@ -192,7 +192,7 @@
 }
 
 // in calls f with each record in some groups.
-func (s *Set[R]) in(groups []int, f func(R)) {
+func (s *Set[R]) each(groups []int, f func(R)) {
 	for _, g := range groups {
 		for _, leaf := range s.leaves[g<<groupBits : (g+1)<<groupBits] {
 			for _, r := range leaf {
