--- a/gossip/doc.go
+++ b/gossip/doc.go
@@ -2,14 +2,14 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Package gossip keeps sets of versioned records the same at many nodes.
+// Package gossip implements sets of versioned records that many nodes keep consistent.
 //
-// A Set holds records by key, the newest version of each, and a tree of hashes
-// over them. Two nodes find where their sets differ by comparing hashes from the
-// root down, and then exchange just the records that differ. The order in which
-// records arrive, and how often, makes no difference to what a set holds.
+// A Set holds the newest version of each record by key, and a hash tree
+// over the records. Two nodes find the differences between their sets by comparing hashes
+// from the root down, and then exchange only the records that differ. The contents of a
+// set do not depend on the order of the records' arrival, nor on duplicates.
 //
-// The package does no input or output and starts no goroutine. It is the
+// The package does no input or output and starts no goroutine. It implements the
 // anti-entropy of A. Demers et al., Epidemic algorithms for replicated database
 // maintenance, 1987. doi:10.1145/41840.41841.
 package gossip
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -24,7 +24,7 @@
 
 type set = gossip.Set[record]
 
-// exchange makes a and b the same, the way two nodes do it.
+// exchange reconciles a and b, as two nodes do.
 func exchange(a, b *set) (moved int) {
 	if a.RootHash() == b.RootHash() {
 		return 0
@@ -45,9 +45,9 @@
 	return moved
 }
 
-// TestSetsConverge drives three sets with random deliveries, repetitions and
-// losses, and checks after each step that no version went down, and at the end
-// that exchanges make them the same.
+// TestSetsConverge applies random deliveries, duplicates and losses to three sets. After each
+// step no version may have decreased, and in the end exchanges must make the sets
+// equal.
 func TestSetsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sets := []*set{{}, {}, {}}
@@ -155,7 +155,7 @@
 	}
 }
 
-// BenchmarkExchange makes two sets of the given size the same that differ in
+// BenchmarkExchange reconciles two sets of the given size that differ in
 // eight records.
 func BenchmarkExchange(b *testing.B) {
 	for _, n := range []int{1000, 6000, 18000} {
--- a/gossip/rounds_test.go
+++ b/gossip/rounds_test.go
@@ -10,10 +10,10 @@
 	"testing"
 )
 
-// BenchmarkRounds reports how many rounds of pushes a change takes until the
-// pushes die out, what part of the nodes they reach, and how many rounds of
-// comparisons with one random node each then reach the rest. Each node pushes
-// what is new to it once, to four random nodes.
+// BenchmarkRounds reports how many rounds of pushes a change takes until no node
+// pushes it any more, which percentage of the nodes they reach, and how many rounds of
+// comparisons, each with one random node, it takes to reach the rest. Each node pushes
+// a change that is new to it once, to four random nodes.
 func BenchmarkRounds(b *testing.B) {
 	const fanOut = 4
 	for _, n := range []int{1000, 6000, 18000} {
@@ -33,7 +33,7 @@
 	}
 }
 
-// spread spreads one change from one node.
+// spread simulates the spreading of one change from one node.
 func spread(n, fanOut int) (pushRounds, compareRounds, pushed int) {
 	has := make([]bool, n)
 	has[0] = true
--- a/gossip/set.go
+++ b/gossip/set.go
@@ -15,9 +15,9 @@
 	// groupBits is the binary logarithm of the number of children of an inner
 	// node of the hash tree. The tree has a root, groups and leaves.
 	groupBits = 6
-	// Groups is the number of children of the root, and of each group.
+	// GroupCount is the number of children of the root, and of each group.
 	GroupCount = 1 << groupBits
-	// Leaves is the number of leaves.
+	// LeafCount is the number of leaves.
 	LeafCount = GroupCount * GroupCount
 )
 
@@ -27,21 +27,21 @@
 	Minor uint64 `msgpack:"i"`
 }
 
-// Less returns whether v comes before w.
+// Less returns whether v is older than w.
 func (v Version) Less(w Version) bool {
 	return v.Major < w.Major || v.Major == w.Major && v.Minor < w.Minor
 }
 
-// Record is what a Set holds.
+// Record is an element of a Set.
 type Record interface {
 	// Key identifies the record.
 	Key() string
-	// Rank orders its versions.
+	// GossipVersion is the record's version. The newer version replaces the older one.
 	GossipVersion() Version
 }
 
 // Set holds the newest version of each record. The zero value is empty. It is
-// not safe for use by several goroutines at once.
+// not safe for concurrent use.
 type Set[R Record] struct {
 	leaves [LeafCount]map[string]R
 	hashes [LeafCount]uint64
@@ -50,7 +50,7 @@
 	count  int
 }
 
-// leafOf returns the leaf that holds a key.
+// leafOf returns the index of the leaf that holds a key.
 func leafOf(key string) int {
 	return int(xxhash.Sum64String(key) >> (64 - 2*groupBits))
 }
@@ -65,7 +65,7 @@
 	return xxhash.Sum64(b)
 }
 
-// Put takes in a record if it is newer than the one held under its key, and
+// Put stores a record if it is newer than the one stored under its key, and
 // returns whether it was.
 func (s *Set[R]) Put(r R) bool {
 	key := r.Key()
@@ -87,7 +87,7 @@
 	return true
 }
 
-// Remove drops the record under a key. It may come back from another node.
+// Remove removes the record under a key. Another node may still send it again.
 func (s *Set[R]) Remove(key string) {
 	i := leafOf(key)
 	if old, ok := s.leaves[i][key]; ok {
@@ -97,7 +97,7 @@
 	}
 }
 
-// toggle adds the hash h to the hashes above leaf i, or takes it out again.
+// toggle adds the hash h to leaf i and the hashes above it, or removes it again.
 func (s *Set[R]) toggle(i int, h uint64) {
 	s.hashes[i] ^= h
 	s.groups[i>>groupBits] ^= h
@@ -113,15 +113,15 @@
 // Len returns the number of records.
 func (s *Set[R]) Len() int { return s.count }
 
-// Root returns the hash over all records. Two sets that hold the same records
-// have the same hash, and two that don't have different ones but for a chance
-// of 2⁻⁶⁴.
+// RootHash returns the hash over all records. Two sets with the same records have
+// the same hash. Two sets with different records have different hashes, except with a
+// probability of 2⁻⁶⁴.
 func (s *Set[R]) RootHash() uint64 { return s.root }
 
-// Group returns the hashes of all groups.
+// GroupHashes returns the hashes of all groups.
 func (s *Set[R]) GroupHashes() []uint64 { return slices.Clone(s.groups[:]) }
 
-// Leaf returns the hashes of the leaves of group g. It panics if there is no
+// LeafHashes returns the hashes of the leaves of group g. It panics if there is no
 // such group.
 func (s *Set[R]) LeafHashes(g int) []uint64 {
 	return slices.Clone(s.hashes[g<<groupBits : (g+1)<<groupBits])
@@ -138,7 +138,7 @@
 	}
 }
 
-// Versions returns the version of each record in a leaf.
+// Versions returns the versions of the records in a leaf.
 func (s *Set[R]) Versions(leaf int) map[string]Version {
 	m := make(map[string]Version, len(s.leaves[leaf]))
 	for key, r := range s.leaves[leaf] {
@@ -147,7 +147,7 @@
 	return m
 }
 
-// Digests returns the hash of each record in some groups, over its key and version. It panics
+// Digests returns the hashes of the records in the groups, each over key and version. It panics
 // if there is no such group.
 func (s *Set[R]) Digests(groups []int) []uint64 {
 	var list []uint64
@@ -155,8 +155,8 @@
 	return list
 }
 
-// Beyond returns the records in some groups whose digests are not among the given ones, and of
-// these the digests that no record there has. It panics if there is no such group.
+// DiffDigests returns the records in the groups whose digests are not among the given ones, and
+// the given digests that match no record in the groups. It panics if there is no such group.
 func (s *Set[R]) DiffDigests(groups []int, digests []uint64) (records []R, unknown []uint64) {
 	theirs := make(map[uint64]bool, len(digests))
 	for _, d := range digests {
@@ -177,7 +177,7 @@
 	return records, unknown
 }
 
-// Of returns the records in some groups that have one of the given digests.
+// WithDigests returns the records in the groups that have one of the given digests.
 func (s *Set[R]) WithDigests(groups []int, digests []uint64) (records []R) {
 	wanted := make(map[uint64]bool, len(digests))
 	for _, d := range digests {
@@ -191,7 +191,7 @@
 	return records
 }
 
-// in calls f with each record in some groups.
+// each calls f with each record in the groups.
 func (s *Set[R]) each(groups []int, f func(R)) {
 	for _, g := range groups {
 		for _, leaf := range s.leaves[g<<groupBits : (g+1)<<groupBits] {
@@ -203,7 +203,7 @@
 }
 
 // Newer returns the records in a leaf that are newer than the given versions,
-// or are not among them.
+// or not among them.
 func (s *Set[R]) Newer(leaf int, than map[string]Version) []R {
 	var list []R
 	for key, r := range s.leaves[leaf] {
@@ -214,8 +214,8 @@
 	return list
 }
 
-// From returns the records of the leaves from the given one on, until there are
-// at least n, and the leaf to go on from, which is Leaves at the end.
+// Scan returns the records of the leaves from the given one on, until there are
+// at least n, and the next leaf to scan, which is LeafCount at the end.
 func (s *Set[R]) Scan(leaf, n int) ([]R, int) {
 	var list []R
 	for ; leaf < LeafCount && len(list) < n; leaf++ {
@@ -226,8 +226,8 @@
 	return list, leaf
 }
 
-// Differing returns the indexes at which two lists of hashes differ. A list
-// that is too short differs in what it lacks.
+// Differing returns the indexes at which two lists of hashes differ. Elements
+// missing from the shorter list differ.
 func Differing(a, b []uint64) []int {
 	var list []int
 	for i := range max(len(a), len(b)) {
