--- a/neighbour/crossing.go
+++ b/neighbour/crossing.go
@@ -17,32 +17,32 @@
 	// expected none crosses in 0.03% of the cases; the comparisons of the next seconds then find
 	// it. A fixed number keeps the bytes between zones for each change from growing with the
 	// nodes.
-	crossings = 8.0
+	crossZoneSenders = 8.0
 	// fanOut is the number of nodes that a change or news is passed on to.
 	fanOut = 4
 )
 
 // crosses draws whether this node takes something to another zone, given how many others of its
 // own there are.
-func (s *Set) crosses(known NodeCounts) bool {
-	return s.Random.Float64()*float64(known.Near+1) < crossings
+func (s *Set) sendsToOtherZone(known NodeCounts) bool {
+	return s.Random.Float64()*float64(known.Near+1) < crossZoneSenders
 }
 
 // ForChange returns the neighbours that a change is pushed to.
 func (s *Set) ForChange(known NodeCounts) []member.Record {
-	if s.crosses(known) {
-		return s.nearAndFar(1)
+	if s.sendsToOtherZone(known) {
+		return s.selectFanOut(1)
 	}
-	return s.nearAndFar(0)
+	return s.selectFanOut(0)
 }
 
 // ForNews returns the neighbours that news of a read is passed on to. Each node tells one
 // elsewhere: it is some 40 bytes, and its way is that of a configuration.
-func (s *Set) ForReadStatus() []member.Record { return s.nearAndFar(1) }
+func (s *Set) ForReadStatus() []member.Record { return s.selectFanOut(1) }
 
 // nearAndFar returns fanOut neighbours, the given number of them in other zones. Where there
 // are too few of one kind, there are more of the other.
-func (s *Set) nearAndFar(elsewhere int) []member.Record {
+func (s *Set) selectFanOut(elsewhere int) []member.Record {
 	own := fanOut - elsewhere
 	var list, rest []member.Record
 	for _, r := range s.Sample(MaxNeighbours) {
@@ -65,7 +65,7 @@
 // tried: those of the own zone first, unless the node draws otherwise.
 func (s *Set) ForComparison(n int, known NodeCounts) []member.Record {
 	list := s.Sample(MaxNeighbours)
-	if !s.crosses(known) {
+	if !s.sendsToOtherZone(known) {
 		slices.SortStableFunc(list, func(a, b member.Record) int { return s.distance(a) - s.distance(b) })
 	}
 	return list[:min(n, len(list))]
--- a/neighbour/crossing_test.go
+++ b/neighbour/crossing_test.go
@@ -16,7 +16,7 @@
 // TestFewCross counts how often a node of a zone of some size pushes a change to another zone,
 // or compares its state with one there: all together some eight times, whatever the size,
 // and each of them in small zones. News goes to one elsewhere each time.
-func TestFewCross(t *testing.T) {
+func TestCrossZoneTraffic(t *testing.T) {
 	tests := map[string]struct {
 		near, far   int
 		least, most float64 // of the draws of one node
--- a/neighbour/set.go
+++ b/neighbour/set.go
@@ -96,9 +96,9 @@
 func (s *Set) Consider(r member.Record, known NodeCounts) {
 	s.Remove(r.ID)
 	own := r.Zone == s.Zone
-	quota, of := far, known.Far
+	quota, total := far, known.Far
 	if own {
-		quota, of = near, known.Near
+		quota, total = near, known.Near
 	}
 	var places []int // of the neighbours of that kind
 	for i, o := range s.list {
@@ -109,7 +109,7 @@
 	switch {
 	case len(places) < quota:
 		s.list = append(s.list, r)
-	case s.Random.IntN(max(of, 1)) < quota:
+	case s.Random.IntN(max(total, 1)) < quota:
 		s.list[places[s.Random.IntN(len(places))]] = r
 	}
 }
