--- a/neighbour/crossing.go
+++ b/neighbour/crosszone.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	// crossings is how many of the nodes of a zone are expected to push a record to another
-	// zone, or to compare their state with one there, of all that do so at about the same time.
-	// Each that does takes it to nodes there, which pass it on among themselves. With eight
-	// expected none crosses in 0.03% of the cases; the comparisons of the next seconds then find
-	// it. A fixed number keeps the bytes between zones for each change from growing with the
-	// nodes.
+	// crossZoneSenders is the expected number of nodes of a zone that send a record to another
+	// zone, or compare their state with a node there, out of those that do so at about the same
+	// time. The nodes that receive the record pass it on within their zone. With an expected
+	// number of eight, no node sends in 0.03% of the cases; the comparisons of the next seconds
+	// then deliver the record. A fixed number keeps the cross-zone bytes of a change from growing
+	// with the number of nodes.
 	crossZoneSenders = 8.0
-	// fanOut is the number of nodes that a change or news is passed on to.
+	// fanOut is the number of nodes that a change or a read status is sent to.
 	fanOut = 4
 )
 
-// crosses draws whether this node takes something to another zone, given how many others of its
-// own there are.
+// sendsToOtherZone decides at random whether this node sends to another zone, given the number of
+// other nodes in its zone.
 func (s *Set) sendsToOtherZone(known NodeCounts) bool {
 	return s.Random.Float64()*float64(known.Near+1) < crossZoneSenders
 }
 
-// ForChange returns the neighbours that a change is pushed to.
+// ForChange returns the neighbours to push a change to.
 func (s *Set) ForChange(known NodeCounts) []member.Record {
 	if s.sendsToOtherZone(known) {
 		return s.selectFanOut(1)
@@ -36,12 +36,12 @@
 	return s.selectFanOut(0)
 }
 
-// ForNews returns the neighbours that news of a read is passed on to. Each node tells one
-// elsewhere: it is some 40 bytes, and its way is that of a configuration.
+// ForReadStatus returns the neighbours to forward a read status to. Each node sends it to one node
+// of another zone: it has about 40 bytes and travels like a configuration.
 func (s *Set) ForReadStatus() []member.Record { return s.selectFanOut(1) }
 
-// nearAndFar returns fanOut neighbours, the given number of them in other zones. Where there
-// are too few of one kind, there are more of the other.
+// selectFanOut returns fanOut neighbours, the given number of them in other zones. If there are too
+// few in one kind of zone, more of the other are selected.
 func (s *Set) selectFanOut(elsewhere int) []member.Record {
 	own := fanOut - elsewhere
 	var list, rest []member.Record
@@ -61,8 +61,8 @@
 	return append(list, rest[:min(missing, len(rest))]...)
 }
 
-// ForComparison returns the first n neighbours to compare with, in the order in which they are
-// tried: those of the own zone first, unless the node draws otherwise.
+// ForComparison returns up to n neighbours to compare with, in the order in which to try them:
+// those of the node's own zone first, unless the node sends to another zone.
 func (s *Set) ForComparison(n int, known NodeCounts) []member.Record {
 	list := s.Sample(MaxNeighbours)
 	if !s.sendsToOtherZone(known) {
@@ -71,7 +71,7 @@
 	return list[:min(n, len(list))]
 }
 
-// distance returns 0 for a neighbour of the own zone, and 1 for another.
+// distance returns 0 for a neighbour of the node's own zone, and 1 for any other.
 func (s *Set) distance(r member.Record) int {
 	if r.Zone == s.Zone {
 		return 0
--- a/neighbour/crossing_test.go
+++ b/neighbour/crosszone_test.go
@@ -13,22 +13,23 @@
 	"sassafrasfront.example/member"
 )
 
-// TestFewCross counts how often a node of a zone of some size pushes a change to another zone,
-// or compares its state with one there: all together some eight times, whatever the size,
-// and each of them in small zones. News goes to one elsewhere each time.
+// TestCrossZoneTraffic counts how often a node, in zones of different sizes, pushes a change to
+// another zone or compares its state with a node there. The expected number for a whole zone is
+// eight whatever its size, and in small zones every node does so. A read status is sent to
+// one node of another zone each time.
 func TestCrossZoneTraffic(t *testing.T) {
 	tests := map[string]struct {
 		near, far   int
-		least, most float64 // of the draws of one node
-		targets     int     // that it passes something on to
+		least, most float64 // bounds of the fraction of one node's pushes
+		targets     int     // number of receivers
 	}{
-		"alone":               {far: 20, least: 1, most: 1, targets: fanOut},
-		"one other":           {near: 1, far: 20, least: 1, most: 1, targets: fanOut},
-		"a small zone":        {near: 7, far: 20, least: 1, most: 1, targets: fanOut},
-		"one zone only":       {near: 20, targets: fanOut},
-		"twenty-five":         {near: 24, far: 50, least: 0.28, most: 0.36, targets: fanOut},
-		"a hundred":           {near: 99, far: 200, least: 0.06, most: 0.1, targets: fanOut},
-		"a thousand in zones": {near: 999, far: 2000, least: 0.004, most: 0.013, targets: fanOut},
+		"no other node in the zone": {far: 20, least: 1, most: 1, targets: fanOut},
+		"one other node":            {near: 1, far: 20, least: 1, most: 1, targets: fanOut},
+		"a small zone":              {near: 7, far: 20, least: 1, most: 1, targets: fanOut},
+		"one zone only":             {near: 20, targets: fanOut},
+		"a zone of 25":              {near: 24, far: 50, least: 0.28, most: 0.36, targets: fanOut},
+		"a zone of 100":             {near: 99, far: 200, least: 0.06, most: 0.1, targets: fanOut},
+		"a zone of 1000":            {near: 999, far: 2000, least: 0.004, most: 0.013, targets: fanOut},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -71,7 +72,7 @@
 	}
 }
 
-// outside returns how many of the nodes are in another zone.
+// outside returns the number of nodes that are in another zone.
 func outside(list []member.Record) (n int) {
 	for _, t := range list {
 		if t.Zone != "here" {
--- a/neighbour/set.go
+++ b/neighbour/set.go
@@ -12,30 +12,30 @@
 )
 
 const (
-	// near and far are the numbers of neighbours in the node's own zone and elsewhere.
+	// near and far are the numbers of neighbours in the node's own zone and in other zones.
 	near = 7
 	far  = 5
-	// Most is the number of neighbours.
+	// MaxNeighbours is the maximum number of neighbours.
 	MaxNeighbours = near + far
 )
 
-// Set is the neighbours of one node. The exported fields are set before the first call. One
-// goroutine calls its methods.
+// Set is the set of neighbours of a node. The exported fields must be set before the first call. It
+// is not safe for concurrent use.
 type Set struct {
 	// Zone is the node's own zone.
 	Zone string
-	// Random is where draws come from.
+	// Random is the source of random numbers.
 	Random *rand.Rand
 
 	list []member.Record
 }
 
-// Known is the numbers of other live nodes that are known, in the own zone and elsewhere.
+// NodeCounts holds the numbers of other live nodes in the node's own zone and in other zones.
 type NodeCounts struct {
 	Near, Far int
 }
 
-// All returns the neighbours. The caller does not change them.
+// All returns the neighbours. The caller must not modify the slice.
 func (s *Set) All() []member.Record { return s.list }
 
 // Len returns the number of neighbours.
@@ -51,11 +51,11 @@
 	s.list = slices.DeleteFunc(s.list, func(r member.Record) bool { return r.ID == id })
 }
 
-// Clear removes all.
+// Clear removes all neighbours.
 func (s *Set) Clear() { s.list = nil }
 
-// TurnOver replaces one neighbour, and those that don't stay, by some of the candidates in the
-// own zone and elsewhere, and fills up their number. It changes the order of the candidates.
+// TurnOver replaces one random neighbour, and those for which stays returns false, by candidates of
+// the node's own zone and of other zones, and fills up the set. It reorders the candidates.
 func (s *Set) TurnOver(stays func(r member.Record) bool, nearby, elsewhere []member.Record) {
 	s.list = slices.DeleteFunc(s.list, func(r member.Record) bool { return !stays(r) })
 	if len(s.list) > 0 {
@@ -66,7 +66,7 @@
 	s.fill(elsewhere, far-s.count(false))
 }
 
-// count returns the number of neighbours in the own zone, or of the others.
+// count returns the number of neighbours in the node's own zone, or in other zones.
 func (s *Set) count(own bool) (n int) {
 	for _, r := range s.list {
 		if (r.Zone == s.Zone) == own {
@@ -76,7 +76,7 @@
 	return n
 }
 
-// fill adds n of some candidates.
+// fill adds up to n of the candidates, at random.
 func (s *Set) fill(list []member.Record, n int) {
 	s.Random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	for _, r := range list {
@@ -90,9 +90,9 @@
 	}
 }
 
-// Consider makes a node that has come up a neighbour, with the chance that each
-// node of its kind has. Without it, nodes that start late would be nobody's
-// neighbours for some time, and changes would reach them by comparisons only.
+// Consider makes a node that has started a neighbour, with the same probability as any
+// other node of its own zone, or of other zones. Otherwise nodes that start late would be
+// neighbours of no node for some time, and changes would reach them by comparisons only.
 func (s *Set) Consider(r member.Record, known NodeCounts) {
 	s.Remove(r.ID)
 	own := r.Zone == s.Zone
@@ -100,7 +100,7 @@
 	if own {
 		quota, total = near, known.Near
 	}
-	var places []int // of the neighbours of that kind
+	var places []int // indexes of the neighbours of that kind of zone
 	for i, o := range s.list {
 		if (o.Zone == s.Zone) == own {
 			places = append(places, i)
@@ -114,7 +114,7 @@
 	}
 }
 
-// Some returns n neighbours at most, in random order.
+// Sample returns up to n neighbours in random order.
 func (s *Set) Sample(n int) []member.Record {
 	s.Random.Shuffle(len(s.list), func(i, j int) { s.list[i], s.list[j] = s.list[j], s.list[i] })
 	return slices.Clone(s.list[:min(n, len(s.list))])
--- a/neighbour/set_test.go
+++ b/neighbour/set_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// TestLateStarts has nodes come up one after another: the first and the last are neighbours of as
-// many nodes, and no node has more than Most.
+// TestLateStarts starts nodes one after another. The first and the last must be neighbours of
+// equally many nodes, and no node may have more than MaxNeighbours neighbours.
 func TestLateStarts(t *testing.T) {
 	tests := map[string]struct{ own, elsewhere int }{
 		"few":              {own: 5, elsewhere: 3},
@@ -70,7 +70,7 @@
 	}
 }
 
-// TestTurnOver has neighbours go, and others take their places.
+// TestTurnOver removes and replaces neighbours.
 func TestTurnOver(t *testing.T) {
 	s := &Set{
 		Zone:   "here",
@@ -94,7 +94,7 @@
 	}
 	qt.Check(t, kept >= MaxNeighbours-1, qt.IsTrue, qt.Commentf("%d kept", kept))
 	s.TurnOver(func(r member.Record) bool { return r.Zone == "here" }, nearby, nil)
-	qt.Check(t, s.Len(), qt.Equals, near, qt.Commentf("nobody elsewhere is left"))
+	qt.Check(t, s.Len(), qt.Equals, near, qt.Commentf("no neighbour in other zones is left"))
 	gone := s.All()[0]
 	s.Remove(gone.ID)
 	qt.Check(t, s.HasAddress(gone.Addr), qt.IsFalse)
