--- a/representative/acceptor.go
+++ b/representative/acceptor.go
@@ -93,7 +93,7 @@
 	if a.settled(in) {
 		return
 	}
-	turn := a.turn(in.Name)
+	turn := a.takeoverDelay(in.Name)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.pending[in.Name] = pendingIntent{
@@ -116,12 +116,12 @@
 
 // zonesFor is how long the list of zones is used before it is made anew: that
 // takes a walk over all members, and a list of services asks for it often.
-const zonesFor = time.Second
+const zonesCacheTime = time.Second
 
 // turn returns how long this representative leaves an intent to those before it.
-func (a *acceptor) turn(name string) time.Duration {
+func (a *acceptor) takeoverDelay(name string) time.Duration {
 	a.mu.Lock()
-	fresh := time.Since(a.zonesAt) < zonesFor
+	fresh := time.Since(a.zonesAt) < zonesCacheTime
 	zones := a.zones
 	a.mu.Unlock()
 	if !fresh {
@@ -135,11 +135,11 @@
 }
 
 // acceptTick is how often the acceptor looks for what is due.
-const acceptTick = 50 * time.Millisecond
+const acceptInterval = 50 * time.Millisecond
 
 // run accepts what is due until ctx ends.
 func (a *acceptor) run(ctx context.Context) {
-	tick := time.NewTicker(acceptTick)
+	tick := time.NewTicker(acceptInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -151,7 +151,7 @@
 		for _, p := range a.takeDue() {
 			if err := a.accept(ctx, p); err != nil {
 				a.Log.Warn().Err(err).Str("service", p.Name).Msg("accepting failed, trying again")
-				a.again(p, err)
+				a.retry(p, err)
 			}
 		}
 	}
@@ -175,7 +175,7 @@
 }
 
 // again keeps an intent that could not be accepted, unless a newer one has come.
-func (a *acceptor) again(p pendingIntent, err error) {
+func (a *acceptor) retry(p pendingIntent, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.pending[p.Name].Source > p.Source {
--- a/representative/lease.go
+++ b/representative/lease.go
@@ -115,7 +115,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			l.giveBack()
+			l.release()
 			return
 		case <-tick.C:
 		}
@@ -147,7 +147,7 @@
 }
 
 // giveBack frees the lease, so that the next representative need not wait.
-func (l *lease) giveBack() {
+func (l *lease) release() {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	next := l.spec
--- a/representative/reporter.go
+++ b/representative/reporter.go
@@ -33,10 +33,10 @@
 	reportTries = 8
 	// reportFor is how long a representative goes on asking for a configuration that
 	// not all have, or that the zone's later members may lack.
-	reportFor = 30 * time.Second
-	reportAsk = 250 * time.Millisecond
+	reportPeriod = 30 * time.Second
+	askInterval  = 250 * time.Millisecond
 	// reportLook is how often it looks for new members once all have it.
-	reportLook = time.Second
+	memberInterval = time.Second
 )
 
 // reporter writes the statuses of services, as far as this zone is concerned.
@@ -86,7 +86,7 @@
 		reportKey: key,
 		accepted:  spec,
 		due:       time.Now().Add(rand.N(reportWindow)),
-		until:     time.Now().Add(reportFor),
+		until:     time.Now().Add(reportPeriod),
 	}
 }
 
@@ -106,13 +106,13 @@
 			Faults:   f,
 		},
 		due:   time.Now(),
-		until: time.Now().Add(reportFor),
+		until: time.Now().Add(reportPeriod),
 	}
 }
 
 // run writes what is due until ctx ends.
 func (r *reporter) run(ctx context.Context) {
-	tick := time.NewTicker(reportAsk / 5)
+	tick := time.NewTicker(askInterval / 5)
 	defer tick.Stop()
 	for {
 		select {
@@ -143,23 +143,23 @@
 // representative that has just started may not know all members yet.
 func (r *reporter) write(ctx context.Context, p *report) {
 	if p.members > 0 && p.members == r.Node.ZoneSize() {
-		r.settle(p, nil, reportLook)
+		r.settle(p, nil, memberInterval)
 		return
 	}
 	next := p.status
-	wait := reportLook
+	wait := memberInterval
 	p.members = r.Node.ZoneSize()
 	if p.accepted != nil {
 		zone := r.ask(ctx, p.name, p.accepted.Sequence)
 		next = statusOf(p.accepted, r.Zone, zone)
 		if zone.Having < zone.Asked {
-			wait = reportAsk
+			wait = askInterval
 			p.members = 0
 		}
 	}
 	err := r.merge(ctx, p.name, next)
 	if err != nil {
-		wait = reportAsk
+		wait = askInterval
 		p.members = 0
 	}
 	r.settle(p, err, wait)
--- a/representative/work.go
+++ b/representative/work.go
@@ -25,7 +25,7 @@
 
 // minBridge is how often a representative looks for other zones while it knows of
 // none.
-const minBridge = 2 * time.Second
+const minDiscovery = 2 * time.Second
 
 func newWork(of *Representative) *work {
 	r := newReporter(of)
@@ -59,7 +59,7 @@
 	all.Go(func() { w.acceptor.run(ctx) })
 	all.Go(func() { w.reporter.run(ctx) })
 	all.Go(func() { w.Node.Sweep(ctx) })
-	all.Go(func() { w.bridge(ctx) })
+	all.Go(func() { w.discoverZones(ctx) })
 	all.Go(func() { w.sweepClaims(ctx) })
 	all.Wait()
 }
@@ -85,7 +85,7 @@
 func (w *work) sweepClaims(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep.For(ctx, claimSweep/2+rand.N(claimSweep))
-		if ctx.Err() != nil || w.acceptor.turn(operator.KindClaim) > 0 {
+		if ctx.Err() != nil || w.acceptor.takeoverDelay(operator.KindClaim) > 0 {
 			continue
 		}
 		if n, err := claim.Sweep(ctx, w.API, time.Now()); err != nil {
@@ -99,19 +99,19 @@
 // bridge compares the state with a node of each zone now and then, by the
 // contacts that the representatives leave on the platform. It joins what a cut has
 // parted, and zones that start at the same time.
-func (w *work) bridge(ctx context.Context) {
+func (w *work) discoverZones(ctx context.Context) {
 	for ctx.Err() == nil {
-		known := w.bridgeOnce(ctx)
+		known := w.discoverOnce(ctx)
 		pause := w.ZoneDiscovery
 		if known == 0 {
-			pause = min(pause, minBridge)
+			pause = min(pause, minDiscovery)
 		}
 		sleep.For(ctx, pause/2+rand.N(pause/2))
 	}
 }
 
 // bridgeOnce returns the number of other zones that it found a node of.
-func (w *work) bridgeOnce(ctx context.Context) int {
+func (w *work) discoverOnce(ctx context.Context) int {
 	l, err := w.API.List(ctx, operator.KindRepresentative)
 	if err != nil {
 		w.Log.Debug().Err(err).Msg("leases not read")
