--- a/representative/acceptor.go
+++ b/representative/acceptor.go
@@ -16,22 +16,22 @@
 	"sassafrasfront.example/operator"
 )
 
-// acceptor makes operators' intents the configuration in force. All representatives
+// acceptor accepts operators' intents as the active configuration. Every representative
 // may accept any intent. The first in the order for the service does so at
-// once, and each of the others waits a little longer, and finds it done.
+// once. Each of the others waits a little longer and usually finds it accepted.
 type acceptor struct {
 	*Representative
 	reporter *reporter
 
 	mu      sync.Mutex
 	pending map[string]pendingIntent
-	sources map[string]uint64 // the newest source known to be accepted
+	sources map[string]uint64 // the newest accepted source, by service
 	wake    chan struct{}
 	zones   []string // other zones with live nodes, as of zonesAt
 	zonesAt time.Time
 }
 
-// pendingIntent is an intent that is due at a time.
+// pendingIntent is an intent that is to be accepted at a given time.
 type pendingIntent struct {
 	acceptance.Intent
 	due      time.Time
@@ -48,34 +48,34 @@
 	}
 }
 
-// listed takes in a list of all Service objects. Services in force that are not
-// on it have been deleted.
+// listed handles a list of all Service objects. Active services that are not
+// in the list have been deleted.
 func (a *acceptor) listed(l *objectapi.List) {
 	gone := a.Node.ActiveServices()
 	for _, o := range l.Items {
-		a.consider(acceptance.IntentOf(o))
+		a.schedule(acceptance.IntentOf(o))
 		delete(gone, o.Metadata.Name)
 	}
 	for name := range gone {
-		a.consider(acceptance.Intent{
+		a.schedule(acceptance.Intent{
 			Name:   name,
 			Source: objectapi.ParseVersion(l.Metadata.ResourceVersion),
 		})
 	}
 }
 
-// changed takes in a change of a Service object.
+// changed handles a change of a Service object.
 func (a *acceptor) changed(e objectapi.Event) {
 	in := acceptance.IntentOf(e.Object)
 	if e.Type == objectapi.Deleted {
 		in.Spec = nil
 	}
-	a.consider(in)
+	a.schedule(in)
 }
 
-// learn takes in an Accepted object: its configuration is put in force here and
-// reported, and the intent that it comes from is done.
-func (a *acceptor) learn(o *objectapi.Object) error {
+// apply handles an Accepted object: it applies the configuration on this node, has it
+// reported, and marks its intent as done.
+func (a *acceptor) apply(o *objectapi.Object) error {
 	spec, err := objectapi.SpecOf[operator.Accepted](o)
 	if err != nil {
 		return err
@@ -87,18 +87,18 @@
 	return nil
 }
 
-// consider has an intent accepted when it is this representative's turn, unless it is
-// known to be done.
-func (a *acceptor) consider(in acceptance.Intent) {
+// schedule has an intent accepted after this representative's delay, unless it is known
+// to be done.
+func (a *acceptor) schedule(in acceptance.Intent) {
 	if a.settled(in) {
 		return
 	}
-	turn := a.takeoverDelay(in.Name)
+	delay := a.takeoverDelay(in.Name)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.pending[in.Name] = pendingIntent{
 		Intent: in,
-		due:    time.Now().Add(turn),
+		due:    time.Now().Add(delay),
 	}
 	select {
 	case a.wake <- struct{}{}:
@@ -106,7 +106,7 @@
 	}
 }
 
-// settled returns whether an intent, or a newer one for the same service, is
+// settled returns whether an intent, or a newer one of the same service, is
 // accepted or pending.
 func (a *acceptor) settled(in acceptance.Intent) bool {
 	a.mu.Lock()
@@ -114,11 +114,11 @@
 	return in.Source <= a.sources[in.Name] || in.Source <= a.pending[in.Name].Source
 }
 
-// zonesFor is how long the list of zones is used before it is made anew: that
-// takes a walk over all members, and a list of services asks for it often.
+// zonesCacheTime is how long the list of zones is cached. Building it visits all members, and a
+// list of services needs it for each service.
 const zonesCacheTime = time.Second
 
-// turn returns how long this representative leaves an intent to those before it.
+// takeoverDelay returns how long this representative leaves an intent to those that rank before it.
 func (a *acceptor) takeoverDelay(name string) time.Duration {
 	a.mu.Lock()
 	fresh := time.Since(a.zonesAt) < zonesCacheTime
@@ -134,10 +134,10 @@
 	return time.Duration(member.RendezvousRank(name, a.Zone, zones)) * a.TakeoverDelay
 }
 
-// acceptTick is how often the acceptor looks for what is due.
+// acceptInterval is the interval at which the acceptor looks for intents to accept.
 const acceptInterval = 50 * time.Millisecond
 
-// run accepts what is due until ctx ends.
+// run accepts intents when their time has come, until ctx ends.
 func (a *acceptor) run(ctx context.Context) {
 	tick := time.NewTicker(acceptInterval)
 	defer tick.Stop()
@@ -150,14 +150,14 @@
 		}
 		for _, p := range a.takeDue() {
 			if err := a.accept(ctx, p); err != nil {
-				a.Log.Warn().Err(err).Str("service", p.Name).Msg("accepting failed, trying again")
+				a.Log.Warn().Err(err).Str("service", p.Name).Msg("failed to accept an intent; retrying")
 				a.retry(p, err)
 			}
 		}
 	}
 }
 
-// takeDue removes and returns the intents that are due and not done.
+// takeDue removes and returns the intents whose time has come, and drops those that are done.
 func (a *acceptor) takeDue() []pendingIntent {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -174,7 +174,7 @@
 	return list
 }
 
-// again keeps an intent that could not be accepted, unless a newer one has come.
+// retry reschedules an intent that could not be accepted, unless a newer one is pending.
 func (a *acceptor) retry(p pendingIntent, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -186,7 +186,7 @@
 	a.pending[p.Name] = p
 }
 
-// accept accepts one intent and says so in its status.
+// accept accepts one intent and has the result reported in its status.
 func (a *acceptor) accept(ctx context.Context, p pendingIntent) error {
 	if f := a.hostsTaken(p.Intent); len(f) > 0 {
 		a.done(p.Name, p.Source)
@@ -205,18 +205,18 @@
 	if result.Object == nil {
 		return nil
 	}
-	return a.learn(result.Object)
+	return a.apply(result.Object)
 }
 
-// done records that nothing more is to be done about an intent.
+// done records that an intent needs no further action.
 func (a *acceptor) done(name string, source uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.sources[name] = max(a.sources[name], source)
 }
 
-// hostsTaken returns the faults of an intent whose hosts another service in
-// force has.
+// hostsTaken returns a fault for each host of an intent that belongs to another active
+// service.
 func (a *acceptor) hostsTaken(in acceptance.Intent) operator.Faults {
 	s, err := operator.ParseService(in.Spec)
 	if in.Spec == nil || err != nil {
--- a/representative/lease.go
+++ b/representative/lease.go
@@ -14,20 +14,20 @@
 	"sassafrasfront.example/operator"
 )
 
-// contactCount is the number of addresses in a lease.
+// contactCount is the maximum number of addresses in a lease.
 const contactCount = 8
 
-// lease is the lease of this node's zone as this node last saw it.
+// lease is the lease of this node's zone as last read or written by this node.
 type lease struct {
 	*Representative
 	object *objectapi.Object
 	spec   operator.Representative
-	since  time.Time // when the present number of renewals was first seen
+	since  time.Time // when the current number of renewals was first seen
 }
 
 // acquire takes the lease if there is none, or if it has not been renewed for
-// its duration, as this node's clock measures it. It returns whether this node
-// holds it now.
+// its duration, as measured by this node's clock. It returns whether this node
+// now holds it.
 func (l *lease) acquire(ctx context.Context) bool {
 	o, err := l.API.Get(ctx, operator.KindRepresentative, l.Zone)
 	switch {
@@ -35,12 +35,12 @@
 		l.object = nil
 		return l.write(ctx)
 	case err != nil:
-		l.Log.Debug().Err(err).Msg("lease not read")
+		l.Log.Debug().Err(err).Msg("failed to read lease")
 		return false
 	}
 	spec, err := objectapi.SpecOf[operator.Representative](o)
 	if err != nil {
-		l.Log.Error().Err(err).Msg("lease can't be read")
+		l.Log.Error().Err(err).Msg("invalid lease object")
 		return false
 	}
 	if l.object == nil || o.Metadata.ResourceVersion != l.object.Metadata.ResourceVersion {
@@ -48,11 +48,11 @@
 	}
 	l.object = o
 	l.spec = spec
-	if l.meet(ctx) {
-		return false // with what it has learnt, it may not be this node's turn
+	if l.fetchFromContacts(ctx) {
+		return false // with the fetched state, this node may rank lower
 	}
-	// A holder that left in good order, or this node before its restart, is not
-	// waited for.
+	// If the holder has released the lease, or is this node before its restart, the
+	// lease is free at once.
 	free := spec.Holder == "" || spec.Holder == l.Node.Self().ID
 	if !free && time.Since(l.since) < spec.Duration.Std() {
 		return false
@@ -60,14 +60,14 @@
 	return l.write(ctx)
 }
 
-// meet learns from the contacts in the lease if this node knows nobody, or does
-// not know the holder, and returns whether one answered. Without it, a node that
-// took the lease before it knew the others could go on apart from them.
-func (l *lease) meet(ctx context.Context) bool {
+// fetchFromContacts fetches the state of a contact in the lease if this node knows no other
+// node, or does not know the holder, and returns whether one answered. Otherwise a node that
+// took the lease before it knew the others could remain separated from them.
+func (l *lease) fetchFromContacts(ctx context.Context) bool {
 	return !l.Node.Knows(l.spec.Holder) && l.Node.LearnFrom(ctx, l.spec.Contacts)
 }
 
-// write takes or renews the lease, and returns whether that succeeded.
+// write takes or renews the lease, and returns whether it succeeded.
 func (l *lease) write(ctx context.Context) bool {
 	self := l.Node.Self()
 	next := operator.Representative{
@@ -77,7 +77,7 @@
 		Duration:    operator.Duration(l.Lease),
 		Contacts:    l.Node.Addresses(contactCount),
 	}
-	// A node that knows few others keeps the addresses that are there.
+	// A node that knows few others keeps the addresses of the previous lease.
 	for _, addr := range l.spec.Contacts {
 		if len(next.Contacts) < contactCount && !slices.Contains(next.Contacts, addr) {
 			next.Contacts = append(next.Contacts, addr)
@@ -89,7 +89,7 @@
 	}
 	written, err := objectapi.Put(ctx, l.API, o)
 	if err != nil {
-		l.Log.Debug().Err(err).Msg("lease not written")
+		l.Log.Debug().Err(err).Msg("failed to write lease")
 		return false
 	}
 	l.object = written
@@ -98,11 +98,11 @@
 	return true
 }
 
-// hold does the representative's work and renews the lease until it is lost to another
-// node or ctx ends. While the platform is down the work goes on: it does no
-// harm, as all that it writes it writes conditionally.
+// hold does the representative's work and renews the lease until another node holds it
+// or ctx ends. The work continues while the platform is down. That does no
+// harm, because all writes are conditional.
 func (l *lease) hold(ctx context.Context) {
-	l.Log.Info().Msg("representative of the zone")
+	l.Log.Info().Msg("became representative of the zone")
 	l.holds.Store(true)
 	defer l.holds.Store(false)
 	work, cancel := context.WithCancel(ctx)
@@ -126,19 +126,19 @@
 	}
 }
 
-// renew renews the lease. It returns false if another node holds it now.
+// renew renews the lease. It returns false if another node now holds it.
 func (l *lease) renew(ctx context.Context) bool {
 	if l.write(ctx) {
 		return true
 	}
 	o, err := l.API.Get(ctx, operator.KindRepresentative, l.Zone)
 	if err != nil {
-		l.Log.Debug().Err(err).Msg("lease not read")
+		l.Log.Debug().Err(err).Msg("failed to read lease")
 		return true
 	}
 	spec, err := objectapi.SpecOf[operator.Representative](o)
 	if err != nil {
-		l.Log.Error().Err(err).Msg("lease can't be read")
+		l.Log.Error().Err(err).Msg("invalid lease object")
 		return true
 	}
 	l.object = o
@@ -146,7 +146,7 @@
 	return spec.Holder == l.Node.Self().ID
 }
 
-// giveBack frees the lease, so that the next representative need not wait.
+// release frees the lease, so that the next representative need not wait until it expires.
 func (l *lease) release() {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -154,6 +154,6 @@
 	next.Holder = ""
 	o := objectapi.NewObject(operator.KindRepresentative, l.Zone, next)
 	if _, err := l.API.Update(ctx, o.WithVersion(l.object.Metadata.ResourceVersion)); err != nil {
-		l.Log.Debug().Err(err).Msg("lease not given back, the next representative waits for its end")
+		l.Log.Debug().Err(err).Msg("failed to release lease; the next representative has to wait until it expires")
 	}
 }
--- a/representative/reporter.go
+++ b/representative/reporter.go
@@ -20,49 +20,50 @@
 )
 
 const (
-	// sample is the number of nodes of the zone that are asked whether they
-	// have a configuration. In a smaller zone all are asked.
-	sample = 16
-	// askTimeout bounds the wait for their answers.
+	// sampleSize is the number of nodes of the zone that are asked whether they
+	// have a configuration. In a smaller zone all nodes are asked.
+	sampleSize = 16
+	// askTimeout bounds the wait for their replies.
 	askTimeout = time.Second
 	// reportWindow is the time over which the representatives of all zones spread
 	// their writes of a status.
 	reportWindow = 500 * time.Millisecond
-	// reportTries bounds the tries of one write of a status against other
-	// representatives.
+	// reportTries is the maximum number of attempts to write a status while other
+	// representatives write it too.
 	reportTries = 8
-	// reportFor is how long a representative goes on asking for a configuration that
-	// not all have, or that the zone's later members may lack.
+	// reportPeriod is how long a representative keeps asking for a configuration that
+	// some nodes do not have, or that members which join later may not have.
 	reportPeriod = 30 * time.Second
-	askInterval  = 250 * time.Millisecond
-	// reportLook is how often it looks for new members once all have it.
+	// askInterval is the minimum interval at which it asks while some nodes do not have it.
+	askInterval = 250 * time.Millisecond
+	// memberInterval is the minimum interval at which it looks for new members once all have it.
 	memberInterval = time.Second
 )
 
-// reporter writes the statuses of services, as far as this zone is concerned.
+// reporter writes this zone's part of the statuses of services.
 type reporter struct {
 	*Representative
 
 	mu      sync.Mutex
 	pending map[reportKey]*report
-	written map[string]uint64 // the sequence last reported in full
+	written map[string]uint64 // the last sequence whose report is complete, by service
 }
 
-// reportKey tells reports apart. What is in force and what was refused are
-// reported on their own, as the one goes on while the other comes.
+// reportKey identifies a report. The active configuration and a refused intent are
+// reported separately, because both may be pending at the same time.
 type reportKey struct {
 	name    string
 	refused bool
 }
 
-// report is what is to be said of one service.
+// report is a pending status of one service.
 type report struct {
 	reportKey
-	accepted *operator.Accepted      // of a report of what is in force
-	status   *operator.ServiceStatus // of a report of a refusal
+	accepted *operator.Accepted      // of a report on the active configuration
+	status   *operator.ServiceStatus // of a report on a refusal
 	due      time.Time
 	until    time.Time
-	members  int // of the zone, when all that were asked had it; 0 before
+	members  int // size of the zone when all nodes that were asked had it; 0 before
 }
 
 func newReporter(of *Representative) *reporter {
@@ -73,7 +74,7 @@
 	}
 }
 
-// accepted has the rollout of an accepted configuration reported.
+// accepted schedules reports on the roll-out of an accepted configuration.
 func (r *reporter) accepted(name string, spec *operator.Accepted) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -90,7 +91,7 @@
 	}
 }
 
-// refused has the refusal of an intent reported.
+// refused schedules a report of the refusal of an intent.
 func (r *reporter) refused(in acceptance.Intent, f operator.Faults) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -110,7 +111,7 @@
 	}
 }
 
-// run writes what is due until ctx ends.
+// run writes reports when their time has come, until ctx ends.
 func (r *reporter) run(ctx context.Context) {
 	tick := time.NewTicker(askInterval / 5)
 	defer tick.Stop()
@@ -138,8 +139,8 @@
 	return list
 }
 
-// write asks how far the zone is and writes the status. The report stays
-// pending for a while after all that were asked have the configuration: a
+// write asks how many nodes of the zone have the configuration and writes the status. The
+// report stays pending for a while after all that were asked have it, because a
 // representative that has just started may not know all members yet.
 func (r *reporter) write(ctx context.Context, p *report) {
 	if p.members > 0 && p.members == r.Node.ZoneSize() {
@@ -165,8 +166,8 @@
 	r.settle(p, err, wait)
 }
 
-// settle keeps a report for later, or ends it when its time is over. One that
-// could not be written is kept in any case.
+// settle reschedules a report, or ends it when its period is over. A report that
+// could not be written is always kept.
 func (r *reporter) settle(p *report, err error, wait time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -198,7 +199,7 @@
 	return s
 }
 
-// merge writes a status, keeping what other zones say of the same sequence.
+// merge writes a status, keeping what other zones have written about the same sequence.
 func (r *reporter) merge(ctx context.Context, name string, next *operator.ServiceStatus) error {
 	var err error
 	for range reportTries {
@@ -227,9 +228,9 @@
 	return err
 }
 
-// mergeStatus returns what follows from two statuses, and whether that differs
-// from the old one. The later intent has the say on phase and faults, the higher
-// sequence on what is in force.
+// mergeStatus merges two statuses, and returns whether the result differs
+// from the old one. The later intent determines phase and faults, the higher
+// sequence the active configuration.
 func mergeStatus(old, next operator.ServiceStatus) (operator.ServiceStatus, bool) {
 	merged := old
 	changed := false
@@ -256,7 +257,7 @@
 	return merged, changed
 }
 
-// ask returns how far this zone has a configuration.
+// ask returns how many nodes of this zone have a configuration.
 func (r *reporter) ask(ctx context.Context, name string, sequence uint64) operator.ZoneStatus {
 	near := r.Node.ZonePeers()
 	z := operator.ZoneStatus{
@@ -266,7 +267,7 @@
 		Upstreams: r.Node.Upstreams(name),
 	}
 	rand.Shuffle(len(near), func(i, j int) { near[i], near[j] = near[j], near[i] })
-	near = near[:min(len(near), sample)]
+	near = near[:min(len(near), sampleSize)]
 	z.Asked = len(near) + 1
 	if r.Node.Sequence(name) >= sequence {
 		z.Having++
@@ -275,7 +276,7 @@
 	return z
 }
 
-// askAll returns how many of the nodes have the sequence, or a higher one.
+// askAll returns how many of the nodes have the sequence or a higher one.
 func (r *reporter) askAll(ctx context.Context, nodes []member.Record, name string, sequence uint64) int {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
@@ -285,7 +286,7 @@
 		all.Go(func() {
 			theirs, err := r.Node.SequenceAt(ctx, m, name)
 			if err != nil {
-				r.Log.Debug().Err(err).Str("peer", m.ID).Str("service", name).Msg("sequence not told")
+				r.Log.Debug().Err(err).Str("peer", m.ID).Str("service", name).Msg("failed to request the sequence")
 				return
 			}
 			if theirs >= sequence {
--- a/representative/status_test.go
+++ b/representative/status_test.go
@@ -12,8 +12,8 @@
 	"sassafrasfront.example/operator"
 )
 
-// TestMergeStatus has two representatives write the status of one service in any order: the later
-// intent has the say on phase and faults, and each zone on itself.
+// TestMergeStatus has two representatives write the status of a service in either order: the later
+// intent determines phase and faults, and each zone its own counts.
 func TestMergeStatus(t *testing.T) {
 	accepted := operator.ServiceStatus{
 		Phase:    operator.PhaseAccepted,
@@ -37,11 +37,11 @@
 		sequence  uint64
 		having    map[string]int
 	}{
-		"the same again":       {old: accepted, next: accepted, phase: operator.PhaseAccepted, sequence: 4, having: map[string]int{"z1": 2}},
-		"another zone":         {old: accepted, next: zone2, changed: true, phase: operator.PhaseAccepted, sequence: 4, having: map[string]int{"z1": 2, "z2": 1}},
-		"more of the zone":     {old: accepted, next: further, changed: true, phase: operator.PhaseAccepted, sequence: 4, having: map[string]int{"z1": 3}},
-		"a later refusal":      {old: accepted, next: refused, changed: true, phase: operator.PhaseRefused, sequence: 4, having: map[string]int{"z1": 2}},
-		"an earlier one, late": {old: refused, next: accepted, changed: true, phase: operator.PhaseRefused, sequence: 4, having: map[string]int{"z1": 2}},
+		"the same again":                    {old: accepted, next: accepted, phase: operator.PhaseAccepted, sequence: 4, having: map[string]int{"z1": 2}},
+		"another zone":                      {old: accepted, next: zone2, changed: true, phase: operator.PhaseAccepted, sequence: 4, having: map[string]int{"z1": 2, "z2": 1}},
+		"more nodes of the zone":            {old: accepted, next: further, changed: true, phase: operator.PhaseAccepted, sequence: 4, having: map[string]int{"z1": 3}},
+		"a later refusal":                   {old: accepted, next: refused, changed: true, phase: operator.PhaseRefused, sequence: 4, having: map[string]int{"z1": 2}},
+		"an earlier intent after a refusal": {old: refused, next: accepted, changed: true, phase: operator.PhaseRefused, sequence: 4, having: map[string]int{"z1": 2}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/representative/work.go
+++ b/representative/work.go
@@ -16,14 +16,14 @@
 	"sassafrasfront.example/operator"
 )
 
-// work is what the representative of a zone does while it holds the lease.
+// work is the work of a zone's representative while it holds the lease.
 type work struct {
 	*Representative
 	acceptor *acceptor
 	reporter *reporter
 }
 
-// minBridge is how often a representative looks for other zones while it knows of
+// minDiscovery is the interval at which a representative looks for other zones while it knows
 // none.
 const minDiscovery = 2 * time.Second
 
@@ -50,7 +50,7 @@
 		API:     w.API,
 		Kind:    operator.KindAccepted,
 		Listed:  w.acceptedListed,
-		Changed: func(e objectapi.Event) { w.learnAccepted(e.Object) },
+		Changed: func(e objectapi.Event) { w.applyAccepted(e.Object) },
 		Failed:  failed,
 	}
 	var all sync.WaitGroup
@@ -66,22 +66,22 @@
 
 func (w *work) acceptedListed(l *objectapi.List) {
 	for _, o := range l.Items {
-		w.learnAccepted(o)
+		w.applyAccepted(o)
 	}
 }
 
-// learnAccepted takes in an Accepted object of the platform.
-func (w *work) learnAccepted(o *objectapi.Object) {
-	if err := w.acceptor.learn(o); err != nil {
-		w.Log.Error().Err(err).Msg("accepted object can't be read")
+// applyAccepted handles an Accepted object of the platform.
+func (w *work) applyAccepted(o *objectapi.Object) {
+	if err := w.acceptor.apply(o); err != nil {
+		w.Log.Error().Err(err).Msg("invalid Accepted object")
 	}
 }
 
-// claimSweep is the time between two deletions of claims whose time is over.
+// claimSweep is the mean interval between deletions of expired claims.
 const claimSweep = time.Hour
 
-// sweepClaims deletes the claims whose time is over, now and then. The representative
-// of the zone that comes first does so for all.
+// sweepClaims periodically deletes expired claims. Only the representative
+// of the first zone does so.
 func (w *work) sweepClaims(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep.For(ctx, claimSweep/2+rand.N(claimSweep))
@@ -89,16 +89,16 @@
 			continue
 		}
 		if n, err := claim.Sweep(ctx, w.API, time.Now()); err != nil {
-			w.Log.Warn().Err(err).Msg("sweep of claims failed")
+			w.Log.Warn().Err(err).Msg("failed to delete expired claims")
 		} else if n > 0 {
-			w.Log.Info().Int("deleted", n).Msg("claims swept")
+			w.Log.Info().Int("deleted", n).Msg("expired claims deleted")
 		}
 	}
 }
 
-// bridge compares the state with a node of each zone now and then, by the
-// contacts that the representatives leave on the platform. It joins what a cut has
-// parted, and zones that start at the same time.
+// discoverZones periodically compares the state with one node of each zone, using the
+// contacts in the leases of the representatives. It reunites the nodes after a network
+// partition, and zones that start at the same time.
 func (w *work) discoverZones(ctx context.Context) {
 	for ctx.Err() == nil {
 		known := w.discoverOnce(ctx)
@@ -110,11 +110,11 @@
 	}
 }
 
-// bridgeOnce returns the number of other zones that it found a node of.
+// discoverOnce returns the number of other zones of which a node answered.
 func (w *work) discoverOnce(ctx context.Context) int {
 	l, err := w.API.List(ctx, operator.KindRepresentative)
 	if err != nil {
-		w.Log.Debug().Err(err).Msg("leases not read")
+		w.Log.Debug().Err(err).Msg("failed to list leases")
 		return 0
 	}
 	var found int
