--- a/rejoin/searches.go
+++ b/rejoin/searches.go
@@ -41,22 +41,22 @@
 
 // search is that for one node.
 type search struct {
-	id    string
-	due   time.Time
-	pause time.Duration
-	drawn bool // whether only drawn nodes search for it
+	id     string
+	due    time.Time
+	pause  time.Duration
+	shared bool // whether only drawn nodes search for it
 }
 
 // Gone begins to search for a node that all others take for gone, since the given time, unless this
 // node does so already. Some of them search.
 func (s *Searches) StartRemoved(id string, since time.Duration, now time.Time) {
-	s.begin(id, true, time.Duration(ageShare*float64(since)), now)
+	s.start(id, true, time.Duration(ageShare*float64(since)), now)
 }
 
 // Silent begins to search for a node that has not answered this one, unless it does so already.
-func (s *Searches) StartUnresponsive(id string, now time.Time) { s.begin(id, false, 0, now) }
+func (s *Searches) StartUnresponsive(id string, now time.Time) { s.start(id, false, 0, now) }
 
-func (s *Searches) begin(id string, drawn bool, pause time.Duration, now time.Time) {
+func (s *Searches) start(id string, drawn bool, pause time.Duration, now time.Time) {
 	if id == s.Self || s.list[id] != nil {
 		return
 	}
@@ -64,16 +64,16 @@
 		s.list = make(map[string]*search)
 	}
 	f := &search{
-		id:    id,
-		pause: min(max(pause, firstPause), longestPause),
-		drawn: drawn,
+		id:     id,
+		pause:  min(max(pause, firstPause), longestPause),
+		shared: drawn,
 	}
 	s.list[id] = f
-	s.put(f, now)
+	s.schedule(f, now)
 }
 
 // put sets when a search is due next.
-func (s *Searches) put(f *search, now time.Time) {
+func (s *Searches) schedule(f *search, now time.Time) {
 	f.due = now.Add(f.pause/2 + time.Duration(s.Random.Int64N(int64(f.pause))))
 	if len(s.list) == 1 || f.due.Before(s.next) {
 		s.next = f.due
@@ -100,7 +100,7 @@
 	}
 	slices.SortFunc(due, func(a, b *search) int { return cmp.Or(a.due.Compare(b.due), cmp.Compare(a.id, b.id)) })
 	for _, f := range due {
-		searches := !f.drawn || s.drawn(f.id, live)
+		searches := !f.shared || s.selected(f.id, live)
 		if searches && len(ids) == most {
 			break
 		}
@@ -108,7 +108,7 @@
 			ids = append(ids, f.id)
 		}
 		f.pause = min(longestPause, time.Duration(growth*float64(f.pause)))
-		s.put(f, now)
+		s.schedule(f, now)
 	}
 	s.next = now.Add(longestPause)
 	for _, f := range s.list {
@@ -121,7 +121,7 @@
 
 // drawn returns whether this node is among those that search for another. Each node finds its own
 // place without a look at the others, and keeps it while the number of live nodes stays.
-func (s *Searches) drawn(id string, live int) bool {
+func (s *Searches) selected(id string, live int) bool {
 	draw := float64(xxhash.Sum64String(s.Self+"\x00"+id)) / (1 << 64)
 	return draw*float64(live) < searchers
 }
--- a/rejoin/searches_test.go
+++ b/rejoin/searches_test.go
@@ -80,7 +80,7 @@
 				count := 0
 				for n := range live {
 					s := Searches{Self: fmt.Sprint("n", n)}
-					if s.drawn(fmt.Sprint("gone", i), live) {
+					if s.selected(fmt.Sprint("gone", i), live) {
 						count++
 					}
 				}
