--- a/rejoin/doc.go
+++ b/rejoin/doc.go
@@ -2,10 +2,10 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Package rejoin decides when a node asks at the addresses of nodes that are gone whether they have
+// Package rejoin decides when a node asks at the last addresses of absent nodes whether they have
 // started again.
 //
 // A node that starts learns of others from its first peers or from the platform. Without first
-// peers, and while the platform is away, it knows no address at all; only nodes that knew it before
-// can find it. Those that take it for gone would not ask there otherwise.
+// peers, and during an outage of the platform, it knows no address at all. Only nodes that knew it
+// before can find it, and these would otherwise send nothing to a node that left or was removed.
 package rejoin
--- a/rejoin/searches.go
+++ b/rejoin/searches.go
@@ -14,49 +14,50 @@
 )
 
 const (
-	// searchers is how many nodes are expected to search for each that is gone. Each draws for
-	// itself, so that with eight expected none does in 0.03% of the cases.
-	searchers = 8
-	// firstPause is the mean time after which a node that is gone is asked for, and from one time to
-	// the next until it grows: by growth each time, up to longestPause.
+	// expectedSearchers is the expected number of nodes that search for an absent node. Each node decides
+	// for itself, so with an expected number of eight, no node searches in 0.03% of the cases.
+	expectedSearchers = 8
+	// firstPause is the mean time before the first request to an absent node. The pause is
+	// multiplied by growth after each request, up to longestPause.
 	firstPause   = 500 * time.Millisecond
 	growth       = 1.4
 	longestPause = 30 * time.Second
-	// ageShare is the part of the time for which a node has been gone that passes until it is asked
-	// for, by one that hears of it late.
-	ageShare = 0.25
+	// ageFraction is the fraction of the time since a node left or was removed that a node which
+	// learns of it late waits before its first request.
+	ageFraction = 0.25
 )
 
-// Searches are the nodes that are gone and that this one searches for. The exported fields are set
-// before the first call. One goroutine calls its methods.
+// Searches holds the absent nodes that a node searches for. The exported fields must be set before
+// the first call. It is not safe for concurrent use.
 type Searches struct {
-	// Self is this node's id.
+	// Self is the id of the searching node.
 	Self string
-	// Random is where draws come from.
+	// Random is the source of random numbers.
 	Random *rand.Rand
 
-	list map[string]*search // by node
-	next time.Time          // no search is due before
+	list map[string]*search // by node id
+	next time.Time          // no search is due before this time
 }
 
-// search is that for one node.
+// search is the search for one node.
 type search struct {
 	id     string
 	due    time.Time
 	pause  time.Duration
-	shared bool // whether only drawn nodes search for it
+	shared bool // whether only selected nodes search for it
 }
 
-// Gone begins to search for a node that all others take for gone, since the given time, unless this
-// node does so already. Some of them search.
-func (s *Searches) StartRemoved(id string, since time.Duration, now time.Time) {
-	s.start(id, true, time.Duration(ageShare*float64(since)), now)
+// StartRemoved starts to search for a node that left or was removed the given time ago, unless a
+// search is in progress. Only a selection of the nodes that know of it send requests.
+func (s *Searches) StartRemoved(id string, age time.Duration, now time.Time) {
+	s.start(id, true, time.Duration(ageFraction*float64(age)), now)
 }
 
-// Silent begins to search for a node that has not answered this one, unless it does so already.
+// StartUnresponsive starts to search for a node that does not answer this one, unless a search is in
+// progress.
 func (s *Searches) StartUnresponsive(id string, now time.Time) { s.start(id, false, 0, now) }
 
-func (s *Searches) start(id string, drawn bool, pause time.Duration, now time.Time) {
+func (s *Searches) start(id string, shared bool, pause time.Duration, now time.Time) {
 	if id == s.Self || s.list[id] != nil {
 		return
 	}
@@ -66,13 +67,13 @@
 	f := &search{
 		id:     id,
 		pause:  min(max(pause, firstPause), longestPause),
-		shared: drawn,
+		shared: shared,
 	}
 	s.list[id] = f
 	s.schedule(f, now)
 }
 
-// put sets when a search is due next.
+// schedule sets the time of the next request of a search.
 func (s *Searches) schedule(f *search, now time.Time) {
 	f.due = now.Add(f.pause/2 + time.Duration(s.Random.Int64N(int64(f.pause))))
 	if len(s.list) == 1 || f.due.Before(s.next) {
@@ -80,15 +81,15 @@
 	}
 }
 
-// End ends the search for a node: it has been found, or its record is dropped.
+// Stop ends the search for a node that was found, or whose record was dropped.
 func (s *Searches) Stop(id string) { delete(s.list, id) }
 
-// Len returns the number of nodes that are searched for.
+// Len returns the number of searches.
 func (s *Searches) Len() int { return len(s.list) }
 
-// Due returns the nodes that are to be asked for now, given how many nodes are live, and at most as
-// many as most says; the others stay due. Those for which others are drawn are left out.
-func (s *Searches) Due(now time.Time, live, most int) (ids []string) {
+// Due returns up to limit nodes to send requests to now, given the number of live nodes. Further
+// nodes remain due. It leaves out nodes for which this node is not selected.
+func (s *Searches) Due(now time.Time, live, limit int) (ids []string) {
 	if len(s.list) == 0 || now.Before(s.next) {
 		return nil
 	}
@@ -101,7 +102,7 @@
 	slices.SortFunc(due, func(a, b *search) int { return cmp.Or(a.due.Compare(b.due), cmp.Compare(a.id, b.id)) })
 	for _, f := range due {
 		searches := !f.shared || s.selected(f.id, live)
-		if searches && len(ids) == most {
+		if searches && len(ids) == limit {
 			break
 		}
 		if searches {
@@ -119,9 +120,9 @@
 	return ids
 }
 
-// drawn returns whether this node is among those that search for another. Each node finds its own
-// place without a look at the others, and keeps it while the number of live nodes stays.
+// selected returns whether this node is one of those that search for the given node. Each node
+// decides without asking the others, and alike as long as the number of live nodes is the same.
 func (s *Searches) selected(id string, live int) bool {
 	draw := float64(xxhash.Sum64String(s.Self+"\x00"+id)) / (1 << 64)
-	return draw*float64(live) < searchers
+	return draw*float64(live) < expectedSearchers
 }
--- a/rejoin/searches_test.go
+++ b/rejoin/searches_test.go
@@ -13,23 +13,23 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestFoundInTime has a node of many go and come back later: others ask for it soon after, by a
-// cost that does not grow with their number.
+// TestFoundInTime has one of many nodes leave and come back. Other nodes must ask for it soon after,
+// at a cost that does not grow with their number.
 func TestFoundInTime(t *testing.T) {
 	tests := map[string]struct {
 		live   int
 		away   time.Duration
 		silent bool
 		within time.Duration
-		asked  int // times, in all, while it is away
+		asked  int // maximum number of requests while it is away
 	}{
-		"the only other, at once":  {live: 1, within: 1500 * time.Millisecond},
-		"the only other, later":    {live: 1, away: 20 * time.Second, within: 10 * time.Second, asked: 20},
-		"few, at once":             {live: 3, within: time.Second},
-		"few, after minutes":       {live: 11, away: 5 * time.Minute, within: 45 * time.Second, asked: 11 * 30},
-		"many, after seconds":      {live: 1000, away: 5 * time.Second, within: 5 * time.Second, asked: 20 * 12},
-		"many, after most of Keep": {live: 1000, away: 50 * time.Minute, within: 45 * time.Second, asked: 20 * 130},
-		"one that it knows silent": {live: 1000, away: 5 * time.Second, silent: true, within: 5 * time.Second},
+		"the only other, at once":     {live: 1, within: 1500 * time.Millisecond},
+		"the only other, later":       {live: 1, away: 20 * time.Second, within: 10 * time.Second, asked: 20},
+		"few, at once":                {live: 3, within: time.Second},
+		"few, after minutes":          {live: 11, away: 5 * time.Minute, within: 45 * time.Second, asked: 11 * 30},
+		"many, after seconds":         {live: 1000, away: 5 * time.Second, within: 5 * time.Second, asked: 20 * 12},
+		"many, after most of an hour": {live: 1000, away: 50 * time.Minute, within: 45 * time.Second, asked: 20 * 130},
+		"an unresponsive node":        {live: 1000, away: 5 * time.Second, silent: true, within: 5 * time.Second},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -39,7 +39,7 @@
 			for i := range nodes {
 				nodes[i] = &Searches{Self: fmt.Sprint("n", i), Random: random}
 				if test.silent && i > 0 {
-					continue // only one has asked it in vain
+					continue // only one node found it unresponsive
 				}
 				if test.silent {
 					nodes[i].StartUnresponsive("gone", begin)
@@ -63,14 +63,14 @@
 					qt.Check(t, now.Sub(begin.Add(test.away)) <= test.within, qt.IsTrue, qt.Commentf("found after %v", now.Sub(begin.Add(test.away))))
 					return
 				}
-				qt.Assert(t, now.Sub(begin) < test.away+2*longestPause, qt.IsTrue, qt.Commentf("not asked"))
+				qt.Assert(t, now.Sub(begin) < test.away+2*longestPause, qt.IsTrue, qt.Commentf("no request was due"))
 			}
 		})
 	}
 }
 
-// TestSearchers draws who searches: nobody does for one of a thousand nodes at most, and the mean is
-// the same for any number of nodes.
+// TestSearchers counts the nodes selected to search: at most one of a thousand absent nodes may have
+// none, and the mean must be the same for any number of nodes.
 func TestSearchers(t *testing.T) {
 	for _, live := range []int{8, 100, 2000} {
 		t.Run(fmt.Sprint(live), func(t *testing.T) {
@@ -90,12 +90,12 @@
 				}
 			}
 			qt.Check(t, none <= gone/1000, qt.IsTrue, qt.Commentf("%d", none))
-			qt.Check(t, float64(all)/gone > searchers-1 && float64(all)/gone < searchers+1, qt.IsTrue, qt.Commentf("%d", all))
+			qt.Check(t, float64(all)/gone > expectedSearchers-1 && float64(all)/gone < expectedSearchers+1, qt.IsTrue, qt.Commentf("%d", all))
 		})
 	}
 }
 
-// TestDue bounds what is asked for at once, and ends searches.
+// TestDue checks the bound on the number of requests at once, and that Stop ends searches.
 func TestDue(t *testing.T) {
 	s := Searches{Self: "self", Random: rand.New(rand.NewPCG(1, 2))}
 	now := time.Unix(1e9, 0)
