--- a/reconcile/digest.go
+++ b/reconcile/digest.go
@@ -40,7 +40,7 @@
 }
 
 // beyond answers a digestQuery.
-func (e *Exchange[R]) beyond(q digestQuery) digestReply[R] {
+func (e *Exchange[R]) replyToDigests(q digestQuery) digestReply[R] {
 	list, unknown := e.Set.DiffDigests(q.Groups, q.Digests)
 	n := min(len(list), bulkRecords)
 	return digestReply[R]{
@@ -53,12 +53,12 @@
 // withDigests makes some groups of the set and a peer's the same. What crosses is a
 // digest for each record in these groups, and the records that differ: while everybody
 // starts all groups differ everywhere, each by a few records.
-func (e *Exchange[R]) withDigests(ctx context.Context, p *peer.Client, groups []int) error {
+func (e *Exchange[R]) reconcileGroups(ctx context.Context, p *peer.Client, groups []int) error {
 	slices.Sort(groups)
 	for more := true; more; {
 		q := digestQuery{Groups: groups}
 		e.Do(func() { q.Digests = e.Set.Digests(groups) })
-		reply, err := peer.Ask[digestQuery, digestReply[R]](ctx, p, e.Topic+askDigests, q)
+		reply, err := peer.Ask[digestQuery, digestReply[R]](ctx, p, e.Topic+digestsSuffix, q)
 		if err != nil {
 			return err
 		}
@@ -72,7 +72,7 @@
 		})
 		more = reply.More && after > before
 		if len(wanted) > 0 {
-			if err := tell(ctx, p, e.Topic, wanted); err != nil {
+			if err := send(ctx, p, e.Topic, wanted); err != nil {
 				return err
 			}
 		}
--- a/reconcile/exchange.go
+++ b/reconcile/exchange.go
@@ -28,7 +28,7 @@
 	// the records in the groups that differ: they are then fewer than the leaves, so that a
 	// digest of each record costs less than the hashes of all leaves, and one exchange
 	// finds all that differs.
-	mostByDigest = gossip.LeafCount
+	maxDigests = gossip.LeafCount
 )
 
 // Exchange is a set of records with what is needed to keep it the same as other nodes'. The
@@ -111,11 +111,11 @@
 
 // The last parts of the topics.
 const (
-	askGroups   = ".groups"
-	askLeaves   = ".leaves"
-	askVersions = ".versions"
-	askBulk     = ".bulk"
-	askDigests  = ".digests"
+	groupsSuffix   = ".groups"
+	leavesSuffix   = ".leaves"
+	versionsSuffix = ".versions"
+	bulkSuffix     = ".bulk"
+	digestsSuffix  = ".digests"
 	// TellRecords is that of Records.
 	RecordsSuffix = ".records"
 )
@@ -124,27 +124,27 @@
 // if the topic is not the exchanger's.
 func (e *Exchange[R]) Handle(topic string, payload []byte) (reply any, ok bool, err error) {
 	switch topic {
-	case e.Topic + askGroups:
+	case e.Topic + groupsSuffix:
 		return hashes{Hashes: e.Set.GroupHashes()}, true, nil
-	case e.Topic + askLeaves:
+	case e.Topic + leavesSuffix:
 		q, err := peer.Unpack[leafQuery](payload)
 		if err != nil || q.Group < 0 || q.Group >= gossip.GroupCount {
 			return nil, true, eris.Errorf("bad group: %v", err)
 		}
 		return hashes{Hashes: e.Set.LeafHashes(q.Group)}, true, nil
-	case e.Topic + askVersions:
+	case e.Topic + versionsSuffix:
 		q, err := peer.Unpack[versionsQuery](payload)
 		if err != nil {
 			return nil, true, err
 		}
 		return e.versions(q), true, nil
-	case e.Topic + askDigests:
+	case e.Topic + digestsSuffix:
 		q, err := peer.Unpack[digestQuery](payload)
 		if err != nil || !validGroups(q.Groups) {
 			return nil, true, eris.Errorf("bad digests: %v", err)
 		}
-		return e.beyond(q), true, nil
-	case e.Topic + askBulk:
+		return e.replyToDigests(q), true, nil
+	case e.Topic + bulkSuffix:
 		q, err := peer.Unpack[bulkQuery](payload)
 		if err != nil || q.From < 0 {
 			return nil, true, eris.Errorf("bad leaf: %v", err)
@@ -200,7 +200,7 @@
 		own = e.Set.GroupHashes()
 		held = e.Set.Len()
 	})
-	theirs, err := peer.Ask[struct{}, hashes](ctx, p, e.Topic+askGroups, struct{}{})
+	theirs, err := peer.Ask[struct{}, hashes](ctx, p, e.Topic+groupsSuffix, struct{}{})
 	if err != nil {
 		return err
 	}
@@ -210,8 +210,8 @@
 		return nil
 	case held < fewRecords:
 		return e.fetchAll(ctx, p)
-	case held <= mostByDigest:
-		return e.withDigests(ctx, p, groups)
+	case held <= maxDigests:
+		return e.reconcileGroups(ctx, p, groups)
 	}
 	leaves, err := e.differingLeaves(ctx, p, groups)
 	if err != nil || len(leaves) == 0 {
@@ -223,7 +223,7 @@
 			q.Leaves[leaf] = e.Set.Versions(leaf)
 		}
 	})
-	reply, err := peer.Ask[versionsQuery, versionsReply[R]](ctx, p, e.Topic+askVersions, q)
+	reply, err := peer.Ask[versionsQuery, versionsReply[R]](ctx, p, e.Topic+versionsSuffix, q)
 	if err != nil {
 		return err
 	}
@@ -235,14 +235,14 @@
 	if len(wanted) == 0 {
 		return nil
 	}
-	return tell(ctx, p, e.Topic, wanted)
+	return send(ctx, p, e.Topic, wanted)
 }
 
 // differingLeaves returns leaves in which the set and a peer's differ.
 func (e *Exchange[R]) differingLeaves(ctx context.Context, p *peer.Client, groups []int) ([]int, error) {
 	var leaves []int
 	for _, g := range groups[:min(len(groups), maxGroups)] {
-		theirs, err := peer.Ask[leafQuery, hashes](ctx, p, e.Topic+askLeaves, leafQuery{Group: g})
+		theirs, err := peer.Ask[leafQuery, hashes](ctx, p, e.Topic+leavesSuffix, leafQuery{Group: g})
 		if err != nil {
 			return nil, err
 		}
@@ -265,7 +265,7 @@
 		}
 	})
 	for from := 0; from < gossip.LeafCount; {
-		reply, err := peer.Ask[bulkQuery, bulkReply[R]](ctx, p, e.Topic+askBulk, bulkQuery{From: from})
+		reply, err := peer.Ask[bulkQuery, bulkReply[R]](ctx, p, e.Topic+bulkSuffix, bulkQuery{From: from})
 		if err != nil {
 			return err
 		}
@@ -278,11 +278,11 @@
 	if len(own) == 0 {
 		return nil
 	}
-	return tell(ctx, p, e.Topic, own)
+	return send(ctx, p, e.Topic, own)
 }
 
 // tell sends records to a peer.
-func tell[R gossip.Record](ctx context.Context, p *peer.Client, topic string, list []R) error {
+func send[R gossip.Record](ctx context.Context, p *peer.Client, topic string, list []R) error {
 	payload, err := msgpack.Marshal(Records[R]{Records: list})
 	if err != nil {
 		return eris.Wrap(err, "encode records")
