--- a/reconcile/digest.go
+++ b/reconcile/digest.go
@@ -14,22 +14,22 @@
 
 // The messages of a comparison by digests.
 type (
-	// digestQuery tells which records the sender has in some groups, each by its digest.
+	// digestQuery has the digests of the sender's records in some groups.
 	digestQuery struct {
 		Groups  []int    `msgpack:"groups"`
 		Digests []uint64 `msgpack:"digests"`
 	}
-	// digestReply has records of these groups that the sender of the query has not, and the
-	// digests of those that the receiver has not.
+	// digestReply has the receiver's records in these groups that the sender does not have, and
+	// the digests of the sender's records that the receiver does not have.
 	digestReply[R gossip.Record] struct {
 		Records []R      `msgpack:"records"`
 		Unknown []uint64 `msgpack:"unknown"`
-		// More is whether there are more such records.
+		// More is whether there are further such records.
 		More bool `msgpack:"more,omitempty"`
 	}
 )
 
-// validGroups returns whether groups are some of a set's, each once.
+// validGroups returns whether the groups are in range and strictly increasing.
 func validGroups(groups []int) bool {
 	for i, g := range groups {
 		if g < 0 || g >= gossip.GroupCount || i > 0 && g <= groups[i-1] {
@@ -39,7 +39,7 @@
 	return true
 }
 
-// beyond answers a digestQuery.
+// replyToDigests handles a digestQuery.
 func (e *Exchange[R]) replyToDigests(q digestQuery) digestReply[R] {
 	list, unknown := e.Set.DiffDigests(q.Groups, q.Digests)
 	n := min(len(list), bulkRecords)
@@ -50,9 +50,9 @@
 	}
 }
 
-// withDigests makes some groups of the set and a peer's the same. What crosses is a
-// digest for each record in these groups, and the records that differ: while everybody
-// starts all groups differ everywhere, each by a few records.
+// reconcileGroups reconciles some groups of the set with a peer's. It transfers a
+// digest for each record in these groups, and the records that differ: while many nodes
+// start, all groups differ everywhere, each by a few records.
 func (e *Exchange[R]) reconcileGroups(ctx context.Context, p *peer.Client, groups []int) error {
 	slices.Sort(groups)
 	for more := true; more; {
@@ -68,7 +68,7 @@
 			before = e.Set.Len()
 			e.PutAll(reply.Records)
 			after = e.Set.Len()
-			wanted = e.Set.WithDigests(groups, reply.Unknown) // unless newer ones have come just now
+			wanted = e.Set.WithDigests(groups, reply.Unknown) // those not replaced by newer ones meanwhile
 		})
 		more = reply.More && after > before
 		if len(wanted) > 0 {
--- a/reconcile/exchange.go
+++ b/reconcile/exchange.go
@@ -15,42 +15,42 @@
 )
 
 const (
-	// maxGroups and maxLeaves bound what one comparison goes into. What is left
-	// is found by the next one.
+	// maxGroups and maxLeaves bound the work of one comparison. The remaining differences
+	// are found by the next one.
 	maxGroups = 16
 	maxLeaves = 128
-	// fewRecords is the number of records below which a node has nearly none of what
-	// others have, as at its start. It fetches all of a peer's, in turn.
+	// fewRecords is the number of records below which a node has almost none of the records of
+	// other nodes, as when it starts. It then fetches all records of a peer in batches.
 	fewRecords = 16
-	// bulkRecords is the number of records fetched at once.
+	// bulkRecords is the target number of records in a batch.
 	bulkRecords = 500
-	// mostByDigest is the number of records up to which a comparison is by the digests of
-	// the records in the groups that differ: they are then fewer than the leaves, so that a
-	// digest of each record costs less than the hashes of all leaves, and one exchange
-	// finds all that differs.
+	// maxDigests is the number of records up to which sets are compared by the digests of
+	// the records in the groups that differ. There are then fewer records than leaves, so a
+	// digest of each record costs less than the hashes of all leaves, and one round trip
+	// finds all differences.
 	maxDigests = gossip.LeafCount
 )
 
-// Exchange is a set of records with what is needed to keep it the same as other nodes'. The
-// goroutine that owns the state calls its methods, but for With. The exported functions are
-// set before the first call.
+// Exchange is a set of records that is reconciled with those of other nodes. Its methods must be
+// called on the goroutine that owns the state, except for Reconcile. The exported functions must
+// be set before the first call.
 type Exchange[R gossip.Record] struct {
-	// Topic is the first part of the topics of its messages.
+	// Topic is the prefix of the topics of its messages.
 	Topic string
-	// Accept returns whether a record may be taken in.
+	// Accept returns whether a record may be stored.
 	Accept func(R) bool
-	// Changed is called with each record that is new, and the one that it replaces, if any.
+	// Changed is called with each new record and the record that it replaces, if any.
 	Changed func(old, r R)
-	// Do has a function called by the goroutine that owns the state, and waits for it. It
-	// returns false if that has ended.
+	// Do runs a function on the goroutine that owns the state, and waits for it. It
+	// returns false if that goroutine has ended.
 	Do func(f func()) bool
 	// Set holds the records.
 	Set gossip.Set[R]
-	// Outbox holds the changes to push, by key. Who pushes them takes them out.
+	// Outbox holds the changes to push, by key. The owner removes those that it has pushed.
 	Outbox map[string]R
 }
 
-// Put takes in a record if it is new. It is then pushed on.
+// Put stores a record if it is new, and adds it to the Outbox.
 func (e *Exchange[R]) Put(r R) {
 	if !e.Accept(r) {
 		return
@@ -66,62 +66,62 @@
 	e.Changed(old, r)
 }
 
-// PutAll takes in records as Put does.
+// PutAll stores records as Put does.
 func (e *Exchange[R]) PutAll(list []R) {
 	for _, r := range list {
 		e.Put(r)
 	}
 }
 
-// The messages of a comparison. A request names what the sender has, and the
-// reply what the receiver has.
+// The messages of a comparison. A request describes the records of the sender, and the
+// reply those of the receiver.
 type (
 	// leafQuery asks for the hashes of a group's leaves.
 	leafQuery struct {
 		Group int `msgpack:"group"`
 	}
-	// hashes are those of groups or leaves.
+	// hashes holds the hashes of groups or leaves.
 	hashes struct {
 		Hashes []uint64 `msgpack:"hashes"`
 	}
-	// versionsQuery tells the sender's versions in some leaves.
+	// versionsQuery has the sender's versions in some leaves.
 	versionsQuery struct {
 		Leaves map[int]map[string]gossip.Version `msgpack:"leaves"`
 	}
-	// versionsReply has the records that are newer at the receiver, and the
-	// keys of those that are newer at the sender.
+	// versionsReply has the records that are newer on the receiver, and the
+	// keys of those that are newer on the sender.
 	versionsReply[R gossip.Record] struct {
 		Newer  []R      `msgpack:"newer"`
 		Wanted []string `msgpack:"wanted"`
 	}
-	// bulkQuery asks for all records from a leaf on.
+	// bulkQuery asks for the records from a leaf on.
 	bulkQuery struct {
 		From int `msgpack:"from"`
 	}
-	// bulkReply has some of them, and the leaf to go on from.
+	// bulkReply has a batch of them, and the leaf to continue from.
 	bulkReply[R gossip.Record] struct {
 		Records []R `msgpack:"records"`
 		Next    int `msgpack:"next"`
 	}
-	// Records are sent unasked, or because they were wanted.
+	// Records are sent unsolicited, or because the receiver lacks them.
 	Records[R gossip.Record] struct {
 		Records []R `msgpack:"records"`
 	}
 )
 
-// The last parts of the topics.
+// The suffixes of the topics.
 const (
 	groupsSuffix   = ".groups"
 	leavesSuffix   = ".leaves"
 	versionsSuffix = ".versions"
 	bulkSuffix     = ".bulk"
 	digestsSuffix  = ".digests"
-	// TellRecords is that of Records.
+	// RecordsSuffix is the suffix of the topic of Records.
 	RecordsSuffix = ".records"
 )
 
-// Handle answers a request of a peer's comparison. The second result is false
-// if the topic is not the exchanger's.
+// Handle handles a request of a peer's comparison. The second result is false
+// if the topic is not one of the Exchange's.
 func (e *Exchange[R]) Handle(topic string, payload []byte) (reply any, ok bool, err error) {
 	switch topic {
 	case e.Topic + groupsSuffix:
@@ -129,7 +129,7 @@
 	case e.Topic + leavesSuffix:
 		q, err := peer.Unpack[leafQuery](payload)
 		if err != nil || q.Group < 0 || q.Group >= gossip.GroupCount {
-			return nil, true, eris.Errorf("bad group: %v", err)
+			return nil, true, eris.Errorf("invalid group: %v", err)
 		}
 		return hashes{Hashes: e.Set.LeafHashes(q.Group)}, true, nil
 	case e.Topic + versionsSuffix:
@@ -141,13 +141,13 @@
 	case e.Topic + digestsSuffix:
 		q, err := peer.Unpack[digestQuery](payload)
 		if err != nil || !validGroups(q.Groups) {
-			return nil, true, eris.Errorf("bad digests: %v", err)
+			return nil, true, eris.Errorf("invalid digest query: %v", err)
 		}
 		return e.replyToDigests(q), true, nil
 	case e.Topic + bulkSuffix:
 		q, err := peer.Unpack[bulkQuery](payload)
 		if err != nil || q.From < 0 {
-			return nil, true, eris.Errorf("bad leaf: %v", err)
+			return nil, true, eris.Errorf("invalid leaf: %v", err)
 		}
 		list, next := e.Set.Scan(q.From, bulkRecords)
 		return bulkReply[R]{Records: list, Next: next}, true, nil
@@ -162,7 +162,7 @@
 	return nil, false, nil
 }
 
-// versions compares the versions in some leaves with the ones held.
+// versions handles a versionsQuery.
 func (e *Exchange[R]) versions(q versionsQuery) versionsReply[R] {
 	var reply versionsReply[R]
 	for leaf, theirs := range q.Leaves {
@@ -191,8 +191,8 @@
 	return list
 }
 
-// With makes the set and a peer's the same, as far as one round goes. It is called by a
-// goroutine that does not own the state.
+// Reconcile makes one round of reconciliation with a peer's set. It must not be called on the
+// goroutine that owns the state.
 func (e *Exchange[R]) Reconcile(ctx context.Context, p *peer.Client) error {
 	var own []uint64
 	var held int
@@ -255,8 +255,8 @@
 	return leaves[:min(len(leaves), maxLeaves)], nil
 }
 
-// fetchAll fetches all records of a peer, for a node that has few, and tells it
-// its own if they are few.
+// fetchAll fetches all records of a peer, for a node with few records, and sends the node's
+// own records if they fit into one batch.
 func (e *Exchange[R]) fetchAll(ctx context.Context, p *peer.Client) error {
 	var own []R
 	e.Do(func() {
@@ -270,7 +270,7 @@
 			return err
 		}
 		if reply.Next <= from {
-			return eris.Errorf("peer goes on from leaf %d after %d", reply.Next, from)
+			return eris.Errorf("peer continues at leaf %d after leaf %d", reply.Next, from)
 		}
 		e.Do(func() { e.PutAll(reply.Records) })
 		from = reply.Next
@@ -281,7 +281,7 @@
 	return send(ctx, p, e.Topic, own)
 }
 
-// tell sends records to a peer.
+// send sends records to a peer.
 func send[R gossip.Record](ctx context.Context, p *peer.Client, topic string, list []R) error {
 	payload, err := msgpack.Marshal(Records[R]{Records: list})
 	if err != nil {
