--- a/watch/budget_test.go
+++ b/watch/budget_test.go
@@ -16,7 +16,7 @@
 
 // TestCostIsTheSameForAnyNumberOfCallers asks for a report with each of few
 // and of many answers.
-func TestCostIsTheSameForAnyNumberOfCallers(t *testing.T) {
+func TestCostIsIndependentOfCallers(t *testing.T) {
 	spent := make(map[int]uint64)
 	for _, perSecond := range []int{1000, 10000} {
 		synctest.Test(t, func(t *testing.T) {
