--- a/watch/budget.go
+++ b/watch/budget.go
@@ -12,21 +12,21 @@
 	"golang.org/x/time/rate"
 )
 
-// Budget bounds the bytes spent on watching. The zero value allows none.
+// Budget limits the rate of bytes spent on monitoring (a token bucket). The zero value allows none.
 type Budget struct {
 	limiter  *rate.Limiter
-	Messages atomic.Uint64 // messages spent on
-	Bytes    atomic.Uint64 // bytes spent
-	Denied   atomic.Uint64 // messages left out
+	Messages atomic.Uint64 // messages allowed
+	Bytes    atomic.Uint64 // bytes of the messages allowed
+	Denied   atomic.Uint64 // messages denied
 }
 
-// NewBudget returns a budget of the given bytes per second, of which as many
-// seconds as given can be saved up.
+// NewBudget returns a budget of the given bytes per second, with a burst of the bytes of the
+// given number of seconds.
 func NewBudget(bytesPerSecond, seconds int) *Budget {
 	return &Budget{limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), seconds*bytesPerSecond)}
 }
 
-// Take spends n bytes on one message, and returns whether they were there.
+// Take spends n bytes on one message, and returns whether the budget allowed it.
 func (b *Budget) Take(n int) bool {
 	if b.limiter == nil || !b.limiter.AllowN(time.Now(), n) {
 		b.Denied.Add(1)
@@ -37,24 +37,24 @@
 	return true
 }
 
-// Pacer spaces the messages to each of many receivers. The exported fields are
+// Pacer limits the rate of messages to each of many receivers. The exported fields must be
 // set before the first call.
 type Pacer[K comparable] struct {
-	// Budget is what the messages cost.
+	// Budget is charged for the messages.
 	Budget *Budget
-	// Every is the least time between two messages to one receiver.
+	// MinInterval is the minimum time between two messages to one receiver.
 	MinInterval time.Duration
-	// Size is what one message costs, in bytes.
+	// MessageBytes is the cost of one message.
 	MessageBytes int
 
 	mu   sync.Mutex
 	last map[K]time.Time
 }
 
-// maxReceivers bounds what a Pacer remembers.
+// maxReceivers bounds the number of receivers that a Pacer tracks.
 const maxReceivers = 4096
 
-// Due returns whether a message may go to the receiver now, and spends it.
+// Allow returns whether a message may be sent to the receiver now, and charges the budget for it.
 func (p *Pacer[K]) Allow(receiver K) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/watch/budget_test.go
+++ b/watch/budget_test.go
@@ -14,8 +14,8 @@
 	"sassafrasfront.example/watch"
 )
 
-// TestCostIsTheSameForAnyNumberOfCallers asks for a report with each of few
-// and of many answers.
+// TestCostIsIndependentOfCallers requests a load report with each response, for few
+// and for many responses.
 func TestCostIsIndependentOfCallers(t *testing.T) {
 	spent := make(map[int]uint64)
 	for _, perSecond := range []int{1000, 10000} {
--- a/watch/doc.go
+++ b/watch/doc.go
@@ -2,10 +2,10 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Package watch bounds and counts what watching upstreams and nodes costs.
+// Package watch limits and counts the cost of monitoring upstreams and nodes.
 //
-// All watching of one node, which is load reports on answers, pings and
-// exchanges of digests, draws on one Budget of bytes per second. The cost is
-// therefore the same however many callers there are; what there is no budget
-// for is left out, and nothing waits for it.
+// All monitoring traffic of a node, which is load reports on responses, pings and
+// exchanges of digests, is charged to one Budget of bytes per second. The cost is
+// therefore independent of the number of callers. A message that exceeds the budget
+// is left out; nothing waits for it.
 package watch
