--- a/evacuation/state_test.go
+++ b/evacuation/state_test.go
@@ -89,7 +89,7 @@
 
 // TestStoodElsewhere guards against a zone that is evacuated once more at a node which did not see
 // it stand on the platform after that had lost it: others have seen it there, and it is removed.
-func TestStoodElsewhere(t *testing.T) {
+func TestSeenByOthers(t *testing.T) {
 	tests := map[string]struct {
 		era   uint64 // in which z stood
 		first bool   // whether the node hears of that before all else
