--- a/evacuation/evacuation_test.go
+++ b/evacuation/evacuation_test.go
@@ -16,7 +16,7 @@
 	"sassafrasfront.example/objectapi"
 )
 
-// fakeStore is a platform that lists objects.
+// fakeStore is a platform that lists the given objects.
 type fakeStore struct {
 	objectapi.Polled
 	names   []string
@@ -47,7 +47,7 @@
 	return nil, errors.New("not asked for")
 }
 
-// TestRead tells what is read from a platform.
+// TestRead checks the zones that are read from a platform.
 func TestRead(t *testing.T) {
 	tests := map[string]struct {
 		store *fakeStore
@@ -57,7 +57,7 @@
 		"none":           {store: &fakeStore{version: "7"}, want: evacuation.New(objectapi.Point{Revision: 7})},
 		"one":            {store: &fakeStore{version: "8", names: []string{"z"}}, want: evacuation.New(objectapi.Point{Revision: 8}, "z")},
 		"two":            {store: &fakeStore{version: "9", names: []string{"z", "a"}}, want: evacuation.New(objectapi.Point{Revision: 9}, "a", "z")},
-		"away":           {store: &fakeStore{failure: errors.New("away")}, fails: true},
+		"unavailable":    {store: &fakeStore{failure: errors.New("away")}, fails: true},
 		"not a revision": {store: &fakeStore{version: "x", names: []string{"z"}}, fails: true},
 	}
 	for name, test := range tests {
@@ -85,7 +85,7 @@
 	}
 }
 
-// TestEncode has a Set come back as it was, and other bytes refused.
+// TestEncode checks that a Set decodes as it was encoded, and that invalid data are refused.
 func TestEncode(t *testing.T) {
 	s := evacuation.New(objectapi.Point{Revision: 9}, "b", "a", "b")
 	got, err := evacuation.Decode(s.Encode())
--- a/evacuation/set.go
+++ b/evacuation/set.go
@@ -13,17 +13,17 @@
 	"sassafrasfront.example/objectapi"
 )
 
-// Set is the evacuated zones as they were at one Point of the platform. It is an
-// immutable value; the zero value says that no zone has ever been.
+// Set is the set of evacuated zones at one Point of the platform. It is
+// immutable. The zero value means that no zone has ever been evacuated.
 type Set struct {
-	// At is the Point at which the zones were first found so.
+	// At is the Point at which this set of zones was first read.
 	At objectapi.Point `json:"at"`
 	// Zones are the evacuated availability zones, sorted.
 	Zones []string `json:"zones"`
 }
 
-// Named returns the zones that objects read at a Point are named for. What an object says
-// beside its name does not count, so one that can't be decoded holds for its zone all the same.
+// FromObjects returns the zones named by objects read at a Point. Only the names of the
+// objects are used, so an object that can't be decoded still evacuates its zone.
 func FromObjects(items []*objectapi.Object, at objectapi.Point) Set {
 	zones := make([]string, len(items))
 	for i, o := range items {
@@ -45,23 +45,23 @@
 // Has returns whether a zone is evacuated.
 func (s Set) Has(zone string) bool { return slices.Contains(s.Zones, zone) }
 
-// Same returns whether both have the same zones, whenever that was.
+// SameZones returns whether both sets have the same zones, at any Points.
 func (s Set) SameZones(o Set) bool { return slices.Equal(s.Zones, o.Zones) }
 
 // Encode returns s as JSON.
 func (s Set) Encode() []byte {
 	data, err := json.Marshal(s)
 	if err != nil {
-		panic("evacuation: set can't be encoded: " + err.Error()) // it has strings and a number
+		panic("evacuation: set can't be encoded: " + err.Error()) // strings and numbers can always be encoded
 	}
 	return data
 }
 
-// Decode returns the Set that Encode has encoded.
+// Decode decodes the result of Encode.
 func Decode(data []byte) (Set, error) {
 	var s Set
 	if err := json.Unmarshal(data, &s); err != nil {
-		return Set{}, eris.Wrap(err, "evacuated zones")
+		return Set{}, eris.Wrap(err, "decode evacuated zones")
 	}
 	return New(s.At, s.Zones...), nil
 }
--- a/evacuation/state.go
+++ b/evacuation/state.go
@@ -6,26 +6,26 @@
 
 import "time"
 
-// RetainFor is how long zones stay evacuated that the platform has lost by coming back from a
-// copy, unless their operator writes them again, or removes them. Without it requests would
-// go to zones that are out of service for as long as the operator takes; what is not written
-// again by then was dropped.
+// RetentionPeriod is how long zones stay evacuated that the platform has lost by a restore from a
+// backup, unless their operator writes them again, or removes them. Without it, requests would
+// be sent to zones that are out of service until the operator has reacted. Zones that are not
+// written again within the period are no longer evacuated.
 const RetentionPeriod = 30 * time.Second
 
-// State is what one node knows of evacuated zones. The zero value knows of none. It is not
-// safe for use by several goroutines at once.
+// State is a node's state of the evacuated zones. The zero value has none. It is not
+// safe for concurrent use.
 type State struct {
-	latest Set               // as read last
-	seen   map[string]uint64 // the latest era in which each zone has stood on the platform
-	before Set               // what was in force at the end of an earlier era
-	until  time.Time         // when before counts no more
+	latest Set               // the latest set that was read
+	seen   map[string]uint64 // the latest era in which each zone was seen on the platform
+	before Set               // the zones active at the end of an earlier era
+	until  time.Time         // the end of the retention period of before
 }
 
-// Listed returns the latest Set that was read.
+// Latest returns the latest Set that was read.
 func (s *State) Latest() Set { return s.latest }
 
-// Take takes in a Set that is later than the one read before. If it is the first one of its
-// era, Take returns what was in force until now, which is to be retained.
+// Update replaces the latest Set by a later one. If that is the first one of its era, Update
+// returns the zones active until now, which are to be retained.
 func (s *State) Update(n Set, now time.Time) (before Set, restored bool) {
 	if s.latest.At.Era < n.At.Era {
 		before, restored = s.Active(now), s.latest.At.Revision > 0
@@ -37,7 +37,7 @@
 	return before, restored
 }
 
-// Stood takes in that a zone has stood on the platform in an era.
+// MarkSeen records that a zone was seen on the platform in an era.
 func (s *State) MarkSeen(zone string, era uint64) {
 	if s.seen == nil {
 		s.seen = make(map[string]uint64)
@@ -45,8 +45,8 @@
 	s.seen[zone] = max(s.seen[zone], era)
 }
 
-// WrittenAgain returns those of the zones to be retained that have stood on the platform in the
-// present era, sorted: a node that has not read them there must not retain them either.
+// SeenAgain returns the retained zones that have been seen on the platform in the current era,
+// sorted. A node that has not read them there must not retain them either.
 func (s *State) SeenAgain() (zones []string) {
 	if s.before.At.Era >= s.latest.At.Era {
 		return nil
@@ -59,13 +59,14 @@
 	return zones
 }
 
-// hasStood returns whether a zone has stood on the platform in the present era.
+// seenInEra returns whether a zone has been seen on the platform in the current era.
 func (s *State) seenInEra(zone string) bool {
 	era, ok := s.seen[zone]
 	return ok && era == s.latest.At.Era
 }
 
-// Retain takes in what was in force when an era ended, and when its successor was first seen.
+// Retain sets the zones that were active when an era ended, and the time when its successor was
+// first seen.
 func (s *State) Retain(before Set, seen, now time.Time) {
 	s.before = before
 	if seen.After(now) {
@@ -74,8 +75,8 @@
 	s.until = now.Add(RetentionPeriod - now.Sub(seen))
 }
 
-// InForce returns the zones that are evacuated: those read last, and of those that were
-// before the platform came back from a copy the ones that have not stood there since.
+// Active returns the evacuated zones: those of the latest Set, and those active before a restore
+// of the platform that have not been seen there since.
 func (s *State) Active(now time.Time) Set {
 	return New(s.latest.At, append(s.retained(now), s.latest.Zones...)...)
 }
