--- a/control/candidates.go
+++ b/control/candidates.go
@@ -78,7 +78,7 @@
 	c.do(func() { ids = member.RendezvousOrder(c.self.Zone, c.candidateIDs()) })
 	var silent []string
 	for _, id := range ids {
-		err := c.askCandidate(ctx, id, silent)
+		err := c.probeCandidate(ctx, id, silent)
 		if err == nil || ctx.Err() != nil {
 			break
 		}
@@ -87,8 +87,8 @@
 	c.do(func() { c.suspect(silent) })
 }
 
-// askCandidate tells a node which nodes are suspected. An error means that it did not answer.
-func (c *Control) askCandidate(ctx context.Context, id string, silent []string) error {
+// probeCandidate tells a node which nodes are suspected. An error means that it did not answer.
+func (c *Control) probeCandidate(ctx context.Context, id string, silent []string) error {
 	var p *peer.Client
 	c.do(func() {
 		if r, ok := c.members.Set.Get(id); ok {
--- a/control/introduce.go
+++ b/control/introduce.go
@@ -59,11 +59,11 @@
 		}
 	}
 	for _, l := range []struct {
-		list []member.Record
-		most int
+		list  []member.Record
+		limit int
 	}{{sameZone, introduceSameZone}, {otherZones, introduceOtherZones}} {
 		c.random.Shuffle(len(l.list), func(i, j int) { l.list[i], l.list[j] = l.list[j], l.list[i] })
-		reply.Records = append(reply.Records, l.list[:min(l.most, len(l.list))]...)
+		reply.Records = append(reply.Records, l.list[:min(l.limit, len(l.list))]...)
 	}
 	return reply
 }
@@ -95,13 +95,13 @@
 			break
 		}
 		tried++
-		var near *peer.Client
+		var memberClient *peer.Client
 		var release func()
-		if !c.do(func() { near, release = c.temporaryClient(r.Addr) }) {
+		if !c.do(func() { memberClient, release = c.temporaryClient(r.Addr) }) {
 			return errStopped
 		}
 		limited, cancel := context.WithTimeout(ctx, compareTimeout)
-		err := c.compareWith(limited, near)
+		err := c.compareWith(limited, memberClient)
 		cancel()
 		release()
 		if err == nil {
--- a/control/reads.go
+++ b/control/reads.go
@@ -29,9 +29,9 @@
 )
 
 const (
-	// queryNeighbours is the number of neighbours that a node asks if it has received no read
+	// queriedNeighbours is the number of neighbours that a node asks if it has received no read
 	// status.
-	queryNeighbours = 2
+	queriedNeighbours = 2
 	// readStatusTimeout bounds the sending of a read status and the requests that follow from it.
 	// The rest of MaxPropagationDelay is left for a read of the node's own.
 	readStatusTimeout = 500 * time.Millisecond
@@ -54,10 +54,10 @@
 }
 
 // IsLeader returns whether this node reads the platform for all nodes, as far as it knows.
-func (c *Control) IsLeader() (leads bool) {
+func (c *Control) IsLeader() (leader bool) {
 	c.init()
-	c.do(func() { leads = c.role(time.Now()).IsLeader })
-	return leads
+	c.do(func() { leader = c.role(time.Now()).IsLeader })
+	return leader
 }
 
 // NextChanged returns a channel that receives a value when the result of NextAction may have
@@ -81,7 +81,7 @@
 // QueryNeighbours asks a few neighbours for the status of their latest read.
 func (c *Control) QueryNeighbours(ctx context.Context) {
 	c.do(func() {
-		for _, t := range c.targets(queryNeighbours, func() []member.Record { return c.neighbours.Sample(queryNeighbours) }) {
+		for _, t := range c.targets(queriedNeighbours, func() []member.Record { return c.neighbours.Sample(queriedNeighbours) }) {
 			go func() {
 				ctx, cancel := context.WithTimeout(ctx, readStatusTimeout)
 				defer cancel()
--- a/control/represent.go
+++ b/control/represent.go
@@ -78,13 +78,13 @@
 	return list
 }
 
-// Others implements representative.Node.
+// ZonePeers implements representative.Node.
 func (r representativeNode) ZonePeers() (near []member.Record) {
 	r.c.do(func() { near, _ = r.c.splitByZone() })
 	return near
 }
 
-// Nodes implements representative.Node.
+// ZoneSize implements representative.Node.
 func (r representativeNode) ZoneSize() (n int) {
 	r.c.do(func() { n = r.c.zonePeers + 1 })
 	return n
@@ -105,7 +105,7 @@
 // Sweep implements representative.Node.
 func (r representativeNode) Sweep(ctx context.Context) { newSweeper(r.c).run(ctx) }
 
-// InForce implements representative.Node.
+// ActiveServices implements representative.Node.
 func (r representativeNode) ActiveServices() map[string]bool {
 	names := make(map[string]bool)
 	r.c.do(func() {
@@ -126,7 +126,7 @@
 	return ""
 }
 
-// PutInForce implements representative.Node.
+// ApplyConfig implements representative.Node.
 func (r representativeNode) ApplyConfig(config acceptance.Config) {
 	r.c.do(func() { r.c.configs.Put(config) })
 }
--- a/control/rollouts.go
+++ b/control/rollouts.go
@@ -125,8 +125,8 @@
 	return r.Canary && (!t.known || r.Software != t.state.Order.Version)
 }
 
-// standing returns the traffic that an upstream may get.
-func (t canaryState) standing(r member.Record) rollout.Eligibility {
+// eligibility returns which requests an upstream may receive.
+func (t canaryState) eligibility(r member.Record) rollout.Eligibility {
 	s := rollout.Unrestricted
 	switch {
 	case t.unknownOrder(r):
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -106,7 +106,7 @@
 	canary := c.canary(name)
 	s.CanaryShare = canary.share
 	for _, r := range c.byService[name] {
-		if c.evacuated.Has(r.Zone) || canary.standing(r) == rollout.Withheld {
+		if c.evacuated.Has(r.Zone) || canary.eligibility(r) == rollout.Withheld {
 			continue
 		}
 		s.Members = append(s.Members, entry.Member{
