--- a/control/quarantine_test.go
+++ b/control/quarantine_test.go
@@ -14,18 +14,18 @@
 	"sassafrasfront.example/quarantine"
 )
 
-// printOf returns the fingerprint of a request with the given number.
-func printOf(i int) quarantine.Fingerprint {
+// fingerprintOf returns the fingerprint of a request with the given number.
+func fingerprintOf(i int) quarantine.Fingerprint {
 	return quarantine.NewFingerprint("caller", "GET", "h.example", fmt.Sprint("/", i)).WithBody(nil)
 }
 
-// endOf returns the report that an upstream has ended with a request at hand.
-func endOf(start string, i int) quarantine.Report {
-	return quarantine.NewCrashReport(start, []quarantine.Fingerprint{printOf(i)}, quarantine.Fingerprint{})
+// crashReport returns the report that an upstream crashed with the request in flight.
+func crashReport(start string, i int) quarantine.Report {
+	return quarantine.NewCrashReport(start, []quarantine.Fingerprint{fingerprintOf(i)}, quarantine.Fingerprint{})
 }
 
-// TestReportsReachAll has nodes report ends of upstreams, one after the other: all nodes
-// know of each, and so does one that starts later. A run clears the request everywhere.
+// TestReportsReachAll has nodes report crashes of upstreams, one after another. All nodes must
+// learn of each, including one that starts later. A completed request clears it on all nodes.
 func TestReportsReachAll(t *testing.T) {
 	c := newCluster(t)
 	c.grow(9)
@@ -37,56 +37,56 @@
 		}
 		return true
 	})
-	standing := func(s quarantine.State) func() bool {
+	allInState := func(s quarantine.State) func() bool {
 		return func() bool {
 			for _, n := range c.nodes {
-				n.init() // which sets the field
-				if n.Quarantine.Assess(printOf(1)).State != s {
+				n.init() // sets the field
+				if n.Quarantine.Assess(fingerprintOf(1)).State != s {
 					return false
 				}
 			}
 			return true
 		}
 	}
-	c.nodes[0].Report(endOf("a", 1))
-	c.eventually("all have seen one end", standing(quarantine.SeenAtCrash))
-	c.nodes[5].Report(endOf("b", 1))
-	c.eventually("all have seen two", standing(quarantine.Isolated))
+	c.nodes[0].Report(crashReport("a", 1))
+	c.eventually("all nodes know of one crash", allInState(quarantine.SeenAtCrash))
+	c.nodes[5].Report(crashReport("b", 1))
+	c.eventually("all nodes know of two crashes", allInState(quarantine.Isolated))
 	c.add("late", "z0", c.nodes[0].Self.Addr)
-	c.eventually("so has one that starts late", standing(quarantine.Isolated))
-	c.nodes[3].Report(quarantine.NewCompletionReport(printOf(1)))
-	c.eventually("all know that it ran", standing(quarantine.Unsuspected))
+	c.eventually("so does a node that starts late", allInState(quarantine.Isolated))
+	c.nodes[3].Report(quarantine.NewCompletionReport(fingerprintOf(1)))
+	c.eventually("all nodes know that the request completed", allInState(quarantine.Unsuspected))
 }
 
-// knows returns whether a node knows the given number of live nodes.
+// knows returns whether a node knows at least the given number of live nodes.
 func knows(n *testNode, live int) (all bool) {
-	n.init() // before Run there is nothing that do could hand its work to
+	n.init() // do must not be called on an uninitialised state
 	n.do(func() { all = n.live >= live })
 	return all
 }
 
-// TestReportsAreBounded gives a node more reports than it keeps, and some that can't be
-// used: it keeps the newest, and does not grow.
+// TestReportsAreBounded gives a node more reports than it may keep, and some invalid ones. It must
+// keep the newest and no more.
 func TestReportsAreBounded(t *testing.T) {
 	c := sized(60)
-	first := endOf("first", 0)
+	first := crashReport("first", 0)
 	first.At -= time.Minute.Milliseconds()
 	c.reports.Put(first)
 	for i := range 2 * quarantine.MaxReports {
-		r := endOf(fmt.Sprint(i), i)
+		r := crashReport(fmt.Sprint(i), i)
 		r.At += int64(i)
 		c.reports.Put(r)
 	}
 	qt.Check(t, c.reports.Set.Len(), qt.Equals, quarantine.MaxReports)
 	c.reports.Put(first)
 	qt.Check(t, c.reports.Set.Len(), qt.Equals, quarantine.MaxReports)
-	qt.Check(t, c.Quarantine.Assess(printOf(0)).State, qt.Equals, quarantine.Unsuspected, qt.Commentf("an old report does not come back"))
-	qt.Check(t, c.Quarantine.Assess(printOf(2*quarantine.MaxReports-1)).State, qt.Equals, quarantine.SeenAtCrash)
+	qt.Check(t, c.Quarantine.Assess(fingerprintOf(0)).State, qt.Equals, quarantine.Unsuspected, qt.Commentf("an old report is not accepted again"))
+	qt.Check(t, c.Quarantine.Assess(fingerprintOf(2*quarantine.MaxReports-1)).State, qt.Equals, quarantine.SeenAtCrash)
 
 	before := c.reports.Set.RootHash()
-	future := endOf("future", 1)
+	future := crashReport("future", 1)
 	future.At += time.Hour.Milliseconds()
-	past := endOf("past", 1)
+	past := crashReport("past", 1)
 	past.At -= 2 * quarantine.ReportLifetime.Milliseconds()
 	for _, r := range []quarantine.Report{{}, future, past} {
 		c.reports.Put(r)
--- a/control/reads.go
+++ b/control/reads.go
@@ -18,97 +18,97 @@
 	"sassafrasfront.example/reconcile"
 )
 
-// The topics of the reads of the platform.
+// The topics about the nodes' reads of the platform.
 const (
-	// topicNews tells of the latest read, unasked.
-	topicNews = "news"
-	// topicAskNews asks for the latest read that the receiver knows.
-	topicAskNews = "askNews"
-	// topicTable asks for the table of routes, the evacuated zones and the roll-outs in force.
+	// topicReadStatus sends the status of the latest read, unsolicited.
+	topicReadStatus = "news"
+	// topicAskReadStatus asks for the status of the latest read known to the receiver.
+	topicAskReadStatus = "askNews"
+	// topicTable asks for the table of routes, the evacuated zones and the active roll-outs.
 	topicTable = "table"
 )
 
 const (
-	// askNews is the number of neighbours that a node asks which heard no news.
-	askNews = 2
-	// newsTimeout bounds the telling of news and what comes of it: the rest of the time
-	// in which a change is to be in force is for a read of the node's own.
-	newsTimeout = 500 * time.Millisecond
-	// placeEvery is how long a node's place among the others is kept: finding it takes
-	// a look at each.
-	placeEvery = 300 * time.Millisecond
+	// queriedNeighbours is the number of neighbours that a node asks if it has received no read
+	// status.
+	queriedNeighbours = 2
+	// readStatusTimeout bounds the sending of a read status and the requests that follow from it.
+	// The rest of MaxPropagationDelay is left for a read of the node's own.
+	readStatusTimeout = 500 * time.Millisecond
+	// roleInterval is how long the node's role is cached: determining it visits every member.
+	roleInterval = 300 * time.Millisecond
 )
 
-// Next returns what the node is to do next about the platform, and after how long. A
+// NextAction returns what the node is to do next about the platform, and after which delay. A
 // Watch is to stay open for the third result.
 func (c *Control) NextAction() (action configsync.Action, after, watchFor time.Duration) {
 	c.init()
 	c.do(func() {
 		now := time.Now()
 		var at time.Time
-		action, at = c.reads.Next(c.place(now), now)
-		action = c.freshen(action, now)
-		after, watchFor = at.Sub(now), c.freshWatch(c.reads.WatchTimeout())
+		action, at = c.reads.Next(c.role(now), now)
+		action = c.refreshAction(action, now)
+		after, watchFor = at.Sub(now), c.limitWatch(c.reads.WatchTimeout())
 	})
 	return action, after, watchFor
 }
 
-// Leads returns whether this node reads the platform for all, as far as it knows.
-func (c *Control) IsLeader() (leads bool) {
+// IsLeader returns whether this node reads the platform for all nodes, as far as it knows.
+func (c *Control) IsLeader() (leader bool) {
 	c.init()
-	c.do(func() { leads = c.place(time.Now()).IsLeader })
-	return leads
+	c.do(func() { leader = c.role(time.Now()).IsLeader })
+	return leader
 }
 
-// Heard returns a channel that has a value when Next may have another answer.
+// NextChanged returns a channel that receives a value when the result of NextAction may have
+// changed.
 func (c *Control) NextChanged() <-chan struct{} {
 	c.init()
-	return c.heard
+	return c.nextChanged
 }
 
-// Read takes in the node's own read of the platform: whether the platform answered,
-// and how long ago what it said held.
+// RecordRead records the node's own read of the platform: whether the platform answered, and
+// how old the information in its answer is.
 func (c *Control) RecordRead(answered bool, age time.Duration) {
 	c.init()
 	c.do(func() {
 		c.reads.ReadDone(answered, age, time.Now())
-		c.sighted(answered)
-		c.passNews()
+		c.recordPlatformAnswer(answered)
+		c.forwardStatus()
 	})
 }
 
-// AskNews asks a few neighbours for their news.
+// QueryNeighbours asks a few neighbours for the status of their latest read.
 func (c *Control) QueryNeighbours(ctx context.Context) {
 	c.do(func() {
-		for _, t := range c.targets(askNews, func() []member.Record { return c.neighbours.Sample(askNews) }) {
+		for _, t := range c.targets(queriedNeighbours, func() []member.Record { return c.neighbours.Sample(queriedNeighbours) }) {
 			go func() {
-				ctx, cancel := context.WithTimeout(ctx, newsTimeout)
+				ctx, cancel := context.WithTimeout(ctx, readStatusTimeout)
 				defer cancel()
-				asked := c.reading()
-				news, err := peer.Ask[struct{}, newsAndProof](ctx, t.Client, topicAskNews, struct{}{})
+				sent := c.clockReading()
+				status, err := peer.Ask[struct{}, statusAndProof](ctx, t.Client, topicAskReadStatus, struct{}{})
 				if err != nil {
-					c.Log.Debug().Err(err).Str("peer", t.ID).Msg("news not told")
+					c.Log.Debug().Err(err).Str("peer", t.ID).Msg("failed to request the read status")
 					return
 				}
 				c.do(func() {
-					c.proofReplied(asked, news.Proof)
-					c.hearNews(t.ID, news)
+					c.applyProofReply(sent, status.Proof)
+					c.receiveStatus(t.ID, status)
 				})
 			}()
 		}
 	})
 }
 
-// place returns the node's place among the others. The leader is the first of the
-// live nodes that are not suspected and that the platform answers. Its order is that
-// of representatives in the first zone, so that where there is one zone, the leader is
-// its first node.
-func (c *Control) place(now time.Time) configsync.Role {
-	if now.Sub(c.placed) < placeEvery {
-		return c.lastPlace
+// role returns the node's role among the nodes. The leader is the first of the live nodes that
+// are not suspected and can reach the platform. The order is that of the representatives of the
+// first zone, so that with only one zone its first node is the leader.
+func (c *Control) role(now time.Time) configsync.Role {
+	if now.Sub(c.lastRoleAt) < roleInterval {
+		return c.lastRole
 	}
 	zone := c.self.Zone
-	var all, seeing []string
+	var all, reachable []string
 	for r := range c.members.Set.All {
 		if r.ID == c.self.ID || !r.Live() || now.Before(c.suspects[r.ID]) {
 			continue
@@ -116,69 +116,69 @@
 		zone = min(zone, r.Zone)
 		all = append(all, r.ID)
 		if !r.PlatformUnreachable {
-			seeing = append(seeing, r.ID)
+			reachable = append(reachable, r.ID)
 		}
 	}
-	noneSees := c.self.PlatformUnreachable && len(seeing) == 0
-	if noneSees {
-		seeing = all
+	noneReachable := c.self.PlatformUnreachable && len(reachable) == 0
+	if noneReachable {
+		reachable = all
 	}
-	first := member.RendezvousRank(zone, c.self.ID, seeing) == 0
-	c.placed = now
-	c.lastPlace = configsync.Role{
-		IsLeader:  first && (!c.self.PlatformUnreachable || noneSees),
-		WouldLead: first && c.self.PlatformUnreachable && !noneSees,
+	first := member.RendezvousRank(zone, c.self.ID, reachable) == 0
+	c.lastRoleAt = now
+	c.lastRole = configsync.Role{
+		IsLeader:  first && (!c.self.PlatformUnreachable || noneReachable),
+		WouldLead: first && c.self.PlatformUnreachable && !noneReachable,
 		Nodes:     c.live,
 	}
-	return c.lastPlace
+	return c.lastRole
 }
 
-// hearNews takes in news from another node.
-func (c *Control) hearNews(from string, news newsAndProof) {
+// receiveStatus handles a read status from another node.
+func (c *Control) receiveStatus(from string, status statusAndProof) {
 	era := c.reads.Era()
-	if c.reads.Receive(news.ReadStatus, time.Now()) {
+	if c.reads.Receive(status.ReadStatus, time.Now()) {
 		c.fetchTable(from)
 	}
 	if later := c.reads.Era(); later > era && c.EraAdvanced != nil {
 		go c.EraAdvanced(later)
 	}
-	c.hearProof(from, news.Proof)
-	c.passNews()
+	c.receiveProof(from, status.Proof)
+	c.forwardStatus()
 	c.wake()
 }
 
-// wake has the node look at Next again.
+// wake makes the node call NextAction again.
 func (c *Control) wake() {
 	select {
-	case c.heard <- struct{}{}:
+	case c.nextChanged <- struct{}{}:
 	default:
 	}
 }
 
-// passNews tells a few neighbours of the latest read, if that has not been done.
-func (c *Control) passNews() {
-	news, ok := c.reads.PendingStatus(time.Now())
+// forwardStatus sends the status of the latest read to a few neighbours, if that has not been done.
+func (c *Control) forwardStatus() {
+	status, ok := c.reads.PendingStatus(time.Now())
 	if !ok {
 		return
 	}
-	payload, err := msgpack.Marshal(c.tell(news))
+	payload, err := msgpack.Marshal(c.withProof(status))
 	if err != nil {
-		c.Log.Error().Err(err).Msg("news not encoded")
+		c.Log.Error().Err(err).Msg("failed to encode the read status")
 		return
 	}
 	for _, t := range c.targets(neighbour.MaxNeighbours, c.neighbours.ForReadStatus) {
 		go func() {
-			ctx, cancel := context.WithTimeout(context.Background(), newsTimeout)
+			ctx, cancel := context.WithTimeout(context.Background(), readStatusTimeout)
 			defer cancel()
-			if _, err := t.Request(ctx, topicNews, payload, true); err != nil {
+			if _, err := t.Request(ctx, topicReadStatus, payload, true); err != nil {
 				c.do(func() { c.dropNeighbour(t.ID) })
 			}
 		}()
 	}
 }
 
-// fetchTable asks a node that has a later table of routes for it. News of it is
-// passed on once it is in force here.
+// fetchTable fetches the table of routes of a node that has a later one. The read status that
+// announced it is forwarded once the table is active here.
 func (c *Control) fetchTable(from string) {
 	r, ok := c.members.Set.Get(from)
 	if !ok || c.fetching {
@@ -187,39 +187,39 @@
 	p := c.client(r.Addr)
 	c.fetching = true
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), newsTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), readStatusTimeout)
 		defer cancel()
 		reply, err := peer.Ask[struct{}, reconcile.Records[acceptance.Config]](ctx, p, topicTable, struct{}{})
 		if err != nil {
-			c.Log.Debug().Err(err).Str("peer", from).Msg("table not fetched")
+			c.Log.Debug().Err(err).Str("peer", from).Msg("failed to fetch the table")
 		}
 		c.do(func() {
 			c.fetching = false
 			c.configs.PutAll(reply.Records)
 			c.publish()
-			c.passNews()
+			c.forwardStatus()
 		})
 	}()
 }
 
-// handleReads answers a request about the reads of the platform. The second result is
-// false if it is none.
+// handleReads handles the requests about reads of the platform. The second result is
+// false for other topics.
 func (c *Control) handleReads(from peer.Hello, topic string, payload []byte) (reply any, ok bool, err error) {
 	if c.reads == nil {
 		return nil, false, nil
 	}
 	switch topic {
-	case topicNews:
-		news, err := peer.Unpack[newsAndProof](payload)
+	case topicReadStatus:
+		status, err := peer.Unpack[statusAndProof](payload)
 		if err != nil {
 			return nil, true, err
 		}
-		c.hearNews(from.Node, news)
+		c.receiveStatus(from.Node, status)
 		return nil, true, nil
-	case topicAskNews:
-		return c.tell(c.reads.Status(time.Now())), true, nil
+	case topicAskReadStatus:
+		return c.withProof(c.reads.Status(time.Now())), true, nil
 	case topicTable:
-		return reconcile.Records[acceptance.Config]{Records: c.configs.Get(append(append(c.rolloutNames(), acceptance.Whole), c.zoneNames()...))}, true, nil
+		return reconcile.Records[acceptance.Config]{Records: c.configs.Get(append(append(c.rolloutNames(), acceptance.Whole), c.zoneRecordNames()...))}, true, nil
 	}
 	return nil, false, nil
 }
--- a/control/rejoin.go
+++ b/control/rejoin.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// searchTimeout bounds the question to one address, and searchesAtOnce how many are asked at
-	// the same time.
-	searchTimeout  = time.Second
-	searchesAtOnce = 4
+	// searchTimeout bounds the request to one address, and maxSearches the number of concurrent
+	// requests.
+	searchTimeout = time.Second
+	maxSearches   = 4
 )
 
-// searchChanged takes in a change of a member's record: a node that is gone is searched for, at the
-// address of its last start, until it is live again.
-func (c *Control) searchChanged(old, r member.Record) {
+// updateSearch starts or ends the search for a member whose record has changed. A node that has
+// left or was removed is searched for at its last address until it is live again.
+func (c *Control) updateSearch(old, r member.Record) {
 	switch {
 	case r.Live() && r.Incarnation != old.Incarnation:
 		c.searches.Stop(r.ID)
@@ -32,31 +32,32 @@
 	}
 }
 
-// search asks at some addresses whether nodes that are gone have started again. Each that has
-// learns of this node, and compares its state with it.
-func (c *Control) search(ctx context.Context) {
-	for _, id := range c.searches.Due(time.Now(), c.live, searchesAtOnce-c.searching) {
+// startSearches asks at the addresses of nodes that have left, were removed or do not answer
+// whether they have started again. A node that answers learns of this node and compares its
+// state with it.
+func (c *Control) startSearches(ctx context.Context) {
+	for _, id := range c.searches.Due(time.Now(), c.live, maxSearches-c.activeSearches) {
 		r, ok := c.members.Set.Get(id)
 		if !ok || c.addressTaken(r) {
 			c.searches.Stop(id)
 			continue
 		}
-		c.searching++
+		c.activeSearches++
 		go func() {
-			found := c.searchAt(ctx, r)
+			found := c.probeAddress(ctx, r)
 			c.do(func() {
-				c.searching--
+				c.activeSearches--
 				if found {
-					c.found(r)
+					c.nodeFound(r)
 				}
 			})
 		}()
 	}
 }
 
-// found takes in that a node answers at the address of a record. One whose record says that it is
-// gone is searched for until another record comes.
-func (c *Control) found(r member.Record) {
+// nodeFound records that a node answers at the address of a record. The search goes on while the
+// node's record says that it has left or was removed, until a newer record arrives.
+func (c *Control) nodeFound(r member.Record) {
 	now, ok := c.members.Set.Get(r.ID)
 	if !ok || !now.Live() {
 		return
@@ -64,11 +65,11 @@
 	c.searches.Stop(r.ID)
 	if _, suspected := c.suspects[r.ID]; suspected {
 		delete(c.suspects, r.ID)
-		c.neighbours.Consider(now, c.known())
+		c.neighbours.Consider(now, c.nodeCounts())
 	}
 }
 
-// addressTaken returns whether another live node has the address of one that is gone.
+// addressTaken returns whether another live node has the address of the record.
 func (c *Control) addressTaken(r member.Record) bool {
 	for o := range c.members.Set.All {
 		if o.ID != r.ID && o.Addr == r.Addr && o.Live() {
@@ -78,20 +79,20 @@
 	return false
 }
 
-// searchAt introduces this node at the address of one that is gone, and returns whether it answers
-// there.
-func (c *Control) searchAt(ctx context.Context, r member.Record) bool {
+// probeAddress introduces this node at the address of the record, and returns whether a node
+// answers.
+func (c *Control) probeAddress(ctx context.Context, r member.Record) bool {
 	var p *peer.Client
-	var end func()
-	if !c.do(func() { p, end = c.visit(r.Addr) }) {
+	var release func()
+	if !c.do(func() { p, release = c.temporaryClient(r.Addr) }) {
 		return false
 	}
-	defer end()
+	defer release()
 	ctx, cancel := context.WithTimeout(ctx, searchTimeout)
 	defer cancel()
 	reply, err := c.introduceTo(ctx, p)
 	if err != nil {
-		c.Log.Debug().Err(err).Str("peer", r.ID).Msg("node that is gone not found")
+		c.Log.Debug().Err(err).Str("peer", r.ID).Msg("node not found at its last address")
 		return false
 	}
 	c.Log.Info().Str("peer", r.ID).Str("address", r.Addr).Int("members", reply.Members).Msg("node found again")
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -16,17 +16,17 @@
 	"sassafrasfront.example/member"
 )
 
-func TestRanks(t *testing.T) {
+func TestRecordOrder(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := member.Record{ID: "a", State: member.Up, Incarnation: 5, Version: 3}
 	tests := map[string]struct {
 		older, newer member.Record
 	}{
-		"next version":              {older: r, newer: r.WithState(member.Draining)},
-		"tombstone":                 {older: r.WithState(member.Draining), newer: r.Tombstone()},
-		"back after the tombstone":  {older: r.Tombstone(), newer: r.NextIncarnation(r.Tombstone(), now)},
-		"restart":                   {older: r, newer: r.NextIncarnation(member.Record{}, now)},
-		"restart with a slow clock": {older: r, newer: r.NextIncarnation(r, time.Unix(0, 1))},
+		"next version":                         {older: r, newer: r.WithState(member.Draining)},
+		"tombstone":                            {older: r.WithState(member.Draining), newer: r.Tombstone()},
+		"next incarnation after the tombstone": {older: r.Tombstone(), newer: r.NextIncarnation(r.Tombstone(), now)},
+		"restart":                              {older: r, newer: r.NextIncarnation(member.Record{}, now)},
+		"restart with a slow clock":            {older: r, newer: r.NextIncarnation(r, time.Unix(0, 1))},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestLiveness(t *testing.T) {
+func TestFailureDetector(t *testing.T) {
 	start := time.Unix(1000, 0)
 	tests := map[string]struct {
 		known, silent int
@@ -44,11 +44,11 @@
 		heard         bool
 		want          int
 	}{
-		"not long enough":             {known: 100, silent: 3, after: time.Minute},
+		"before the timeout":          {known: 100, silent: 3, after: time.Minute},
 		"a few":                       {known: 100, silent: 3, after: 5 * time.Minute, want: 3},
-		"back in time":                {known: 100, silent: 3, after: 5 * time.Minute, heard: true, want: 2},
-		"a zone at once: only a part": {known: 100, silent: 100, after: 5 * time.Minute, want: 5},
-		"few nodes: one may go":       {known: 3, silent: 3, after: 5 * time.Minute, want: 1},
+		"one answers again in time":   {known: 100, silent: 3, after: 5 * time.Minute, heard: true, want: 2},
+		"a whole zone: limited share": {known: 100, silent: 100, after: 5 * time.Minute, want: 5},
+		"few nodes: at least one":     {known: 3, silent: 3, after: 5 * time.Minute, want: 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -62,12 +62,12 @@
 			}
 			qt.Check(t, l.TakeRemovals(test.known, start.Add(test.after)), qt.HasLen, test.want)
 			qt.Check(t, len(l.TakeRemovals(test.known, start.Add(test.after+time.Second))) == 0, qt.IsTrue,
-				qt.Commentf("nothing more within the same time"))
+				qt.Commentf("no more removals within the window"))
 		})
 	}
 }
 
-func TestOrder(t *testing.T) {
+func TestRendezvousOrder(t *testing.T) {
 	ids := []string{"a", "b", "c", "d"}
 	order := member.RendezvousOrder("zone", ids)
 	qt.Check(t, order, qt.HasLen, 4)
@@ -77,34 +77,34 @@
 	for n := range len(ids) + 2 {
 		qt.Check(t, member.RendezvousTop("zone", ids, n), qt.DeepEquals, order[:min(n, len(ids))])
 	}
-	less := member.RendezvousOrder("zone", []string{"d", "a", "b"})
+	fewer := member.RendezvousOrder("zone", []string{"d", "a", "b"})
 	var want []string
 	for _, id := range order {
 		if id != "c" {
 			want = append(want, id)
 		}
 	}
-	qt.Check(t, less, qt.DeepEquals, want)
+	qt.Check(t, fewer, qt.DeepEquals, want)
 }
 
-// TestWrongRemovalHeals has a node that is removed while cut off. Whatever the
-// order of the deliveries, every set ends with the node's own latest word.
+// TestWrongRemovalHeals has a node removed during a partition. Whatever the order of
+// the deliveries, every set must end with the node's latest record.
 func TestWrongRemovalHeals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		own := member.Record{ID: "a", State: member.Up, Incarnation: 1, Version: 1}
-		words := []member.Record{own, own.WithState(member.Draining)}
-		stone := words[1].Tombstone()
-		back := words[1].NextIncarnation(stone, time.Unix(0, 1))
-		words = append(words, stone, back, back.WithState(member.Up))
-		last := words[len(words)-1]
+		records := []member.Record{own, own.WithState(member.Draining)}
+		tombstone := records[1].Tombstone()
+		back := records[1].NextIncarnation(tombstone, time.Unix(0, 1))
+		records = append(records, tombstone, back, back.WithState(member.Up))
+		last := records[len(records)-1]
 		var s gossip.Set[member.Record]
-		for _, i := range rapid.SliceOf(rapid.IntRange(0, len(words)-1)).Draw(t, "deliveries") {
-			s.Put(words[i])
+		for _, i := range rapid.SliceOf(rapid.IntRange(0, len(records)-1)).Draw(t, "deliveries") {
+			s.Put(records[i])
 		}
 		s.Put(last)
 		got, _ := s.Get("a")
 		if got != last {
-			t.Fatalf("ends with %v", got)
+			t.Fatalf("the set ends with %v", got)
 		}
 	})
 }
--- a/watch/budget_test.go
+++ b/watch/budget_test.go
@@ -14,9 +14,9 @@
 	"sassafrasfront.example/watch"
 )
 
-// TestCostIsTheSameForAnyNumberOfCallers asks for a report with each of few
-// and of many answers.
-func TestCostIsTheSameForAnyNumberOfCallers(t *testing.T) {
+// TestCostIsIndependentOfCallers requests a load report with each response, for few
+// and for many responses.
+func TestCostIsIndependentOfCallers(t *testing.T) {
 	spent := make(map[int]uint64)
 	for _, perSecond := range []int{1000, 10000} {
 		synctest.Test(t, func(t *testing.T) {
