--- a/upstream/announcement.go
+++ b/upstream/announcement.go
@@ -48,9 +48,9 @@
 
 // The bounds of an announcement.
 const (
-	maxSlots        = 10000
-	maxConnections  = 100000
-	maxAnnouncement = 4 << 10
+	maxSlots             = 10000
+	maxConnections       = 100000
+	maxAnnouncementBytes = 4 << 10
 )
 
 // Check returns the faults of a.
@@ -59,7 +59,7 @@
 	for i := range f {
 		f[i].Field = "service"
 	}
-	add := func(ok bool, field, format string, args ...any) {
+	check := func(ok bool, field, format string, args ...any) {
 		if !ok {
 			f = append(f, operator.Fault{
 				Field:   field,
@@ -68,10 +68,10 @@
 		}
 	}
 	host, _, err := net.SplitHostPort(a.Address)
-	add(err == nil && net.ParseIP(host) != nil, "address", "%q is not an IP number and port", a.Address)
-	add(a.Slots >= 1 && a.Slots <= maxSlots, "slots", "%d is not within 1 and %d", a.Slots, maxSlots)
-	add(a.Connections >= 0 && a.Connections <= maxConnections, "connections", "%d is not within 0 and %d", a.Connections, maxConnections)
-	add(a.StartMillis >= 0, "born", "%d is below 0", a.StartMillis)
+	check(err == nil && net.ParseIP(host) != nil, "address", "%q is not an IP number and port", a.Address)
+	check(a.Slots >= 1 && a.Slots <= maxSlots, "slots", "%d is not within 1 and %d", a.Slots, maxSlots)
+	check(a.Connections >= 0 && a.Connections <= maxConnections, "connections", "%d is not within 0 and %d", a.Connections, maxConnections)
+	check(a.StartMillis >= 0, "born", "%d is below 0", a.StartMillis)
 	return f
 }
 
@@ -101,13 +101,13 @@
 	// that can be used.
 	Refused func(reason error)
 
-	mu      sync.Mutex
-	current *Announcement
-	heard   time.Time // when the current start announced itself last
-	past    past
+	mu           sync.Mutex
+	current      *Announcement
+	lastReceived time.Time // when the current start announced itself last
+	pastStarts   startSet
 	// replaced are the starts that others came after and that have not left, by name, as
 	// they announced themselves last.
-	replaced map[string]*Announcement
+	superseded map[string]*Announcement
 }
 
 // Check returns the faults of an announcement, of which one is a service that is
@@ -152,7 +152,7 @@
 }
 
 func (h *Announcements) put(w http.ResponseWriter, r *http.Request) {
-	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAnnouncement))
+	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAnnouncementBytes))
 	d.DisallowUnknownFields()
 	a := new(Announcement)
 	if err := d.Decode(a); err != nil {
@@ -177,16 +177,16 @@
 func (h *Announcements) Set(a *Announcement) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if a != nil && h.late(a) {
+	if a != nil && h.outdated(a) {
 		return
 	}
 	old := h.current
 	if old != nil && a != nil && !old.SameStart(a) && (old.Sequence != 0 || old.StartMillis != 0) {
-		h.past.add(old.StartID, old.StartMillis)
-		if h.replaced == nil {
-			h.replaced = make(map[string]*Announcement)
+		h.pastStarts.add(old.StartID, old.StartMillis)
+		if h.superseded == nil {
+			h.superseded = make(map[string]*Announcement)
 		}
-		h.replaced[old.StartID] = old
+		h.superseded[old.StartID] = old
 	}
 	if a != nil && a.StartMillis == 0 && old != nil && old.SameStart(a) {
 		b := *a
@@ -194,7 +194,7 @@
 		a = &b
 	}
 	h.current = a
-	h.heard = time.Now()
+	h.lastReceived = time.Now()
 	if old == nil || a == nil || !old.same(a) {
 		h.Changed(a)
 	}
@@ -205,10 +205,10 @@
 
 // WithStart returns a copy of a that is of another start, whose announcements have
 // no order yet.
-func (a *Announcement) WithStart(start string, born int64) *Announcement {
+func (a *Announcement) WithStart(start string, startMillis int64) *Announcement {
 	b := *a
 	b.StartID = start
-	b.StartMillis = born
+	b.StartMillis = startMillis
 	b.Sequence = 0
 	b.ColdRemaining = 0
 	return &b
@@ -228,25 +228,25 @@
 // taken its place here: that was a late one of a start that is over. It returns false, and
 // changes nothing, if the other one does not hold any more, or if the start is not known to have
 // had the address, or has left.
-func (h *Announcements) Restore(start string, born int64, other *Announcement) bool {
+func (h *Announcements) Restore(start string, startMillis int64, other *Announcement) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	a, c := h.replaced[start], h.current
-	if a == nil || c == nil || !c.SameStart(other) || a.Address != c.Address || !a.SameStart(a.WithStart(start, born)) {
+	a, c := h.superseded[start], h.current
+	if a == nil || c == nil || !c.SameStart(other) || a.Address != c.Address || !a.SameStart(a.WithStart(start, startMillis)) {
 		return false
 	}
-	delete(h.replaced, start)
-	h.past.remove(a.StartID, a.StartMillis)
-	h.past.add(c.StartID, c.StartMillis)
+	delete(h.superseded, start)
+	h.pastStarts.remove(a.StartID, a.StartMillis)
+	h.pastStarts.add(c.StartID, c.StartMillis)
 	h.current = a
-	h.heard = time.Now()
+	h.lastReceived = time.Now()
 	h.Changed(a)
 	return true
 }
 
 // late returns whether the announcement comes too late to count.
-func (h *Announcements) late(a *Announcement) bool {
-	if h.past.has(a.StartID, a.StartMillis) {
+func (h *Announcements) outdated(a *Announcement) bool {
+	if h.pastStarts.has(a.StartID, a.StartMillis) {
 		return true
 	}
 	c := h.current
@@ -261,7 +261,7 @@
 		// Another start may follow one that goes; of this one a late word is likely.
 		return c.StartID == a.StartID
 	}
-	return h.StaleAfter == 0 || time.Since(h.heard) < h.StaleAfter
+	return h.StaleAfter == 0 || time.Since(h.lastReceived) < h.StaleAfter
 }
 
 // same returns whether b says the same as a, but for what changes with time.
@@ -275,19 +275,19 @@
 // Leave takes in that a start of the upstream gets no more requests. It goes on
 // with those that it has. Later announcements of that start are ignored. A born of
 // 0 means that it does not say when it began: it is the present one then.
-func (h *Announcements) Leave(start string, born int64) {
+func (h *Announcements) Leave(start string, startMillis int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	c := h.current
 	present := c != nil && c.StartID == start
-	if present && born == 0 {
-		born = c.StartMillis
+	if present && startMillis == 0 {
+		startMillis = c.StartMillis
 	}
 	if start != "" {
-		h.past.add(start, born)
-		delete(h.replaced, start)
+		h.pastStarts.add(start, startMillis)
+		delete(h.superseded, start)
 	}
-	if !present || c.Draining || born < c.StartMillis {
+	if !present || c.Draining || startMillis < c.StartMillis {
 		return
 	}
 	a := *c
@@ -298,31 +298,31 @@
 
 // past are the starts that have left, or that another came after. The zero value
 // holds none.
-type past map[startKey]bool
+type startSet map[startKey]bool
 
 // startKey names a start.
 type startKey struct {
-	name string
-	born int64
+	id          string
+	startMillis int64
 }
 
 // add notes that nothing more that a start says counts.
-func (p *past) add(name string, born int64) {
+func (p *startSet) add(id string, startMillis int64) {
 	if *p == nil {
-		*p = make(past)
+		*p = make(startSet)
 	}
-	(*p)[startKey{name: name, born: born}] = true
-	(*p)[startKey{name: name}] = true
+	(*p)[startKey{id: id, startMillis: startMillis}] = true
+	(*p)[startKey{id: id}] = true
 }
 
 // remove takes a start out of those that are past.
-func (p past) remove(name string, born int64) {
-	delete(p, startKey{name: name, born: born})
-	delete(p, startKey{name: name})
+func (p startSet) remove(id string, startMillis int64) {
+	delete(p, startKey{id: id, startMillis: startMillis})
+	delete(p, startKey{id: id})
 }
 
 // has returns whether a start is past. One that does not tell when it began is, if
 // any of its name is.
-func (p past) has(name string, born int64) bool {
-	return p[startKey{name: name, born: born}]
+func (p startSet) has(id string, startMillis int64) bool {
+	return p[startKey{id: id, startMillis: startMillis}]
 }
--- a/upstream/conn.go
+++ b/upstream/conn.go
@@ -25,19 +25,19 @@
 // conn is a connection to the upstream. It carries one request at a time.
 type conn struct {
 	net.Conn
-	reader    *bufio.Reader
-	writer    *bufio.Writer
-	allowed   int64 // bytes that may still be read
-	sent      atomic.Int64
-	begun     atomic.Bool // whether the writing of the request has begun
-	ended     bool        // whether a read has failed
-	crossed   bool        // whether an answer to another request was read
-	idleSince time.Time
-	mostIdle  time.Duration // as the upstream told last, 0 if it did not
-	patient   bool          // whether the bound on silence is lifted
-	unacked   int           // bytes, as the connection ended before its answer
-	requests  int           // how many have been sent on it
-	taken     time.Time     // when the latest of them began
+	reader          *bufio.Reader
+	writer          *bufio.Writer
+	readLimit       int64 // bytes that may still be read
+	bytesSent       atomic.Int64
+	writeStarted    atomic.Bool // whether the writing of the request has begun
+	readFailed      bool        // whether a read has failed
+	responseSkipped bool        // whether an answer to another request was read
+	idleSince       time.Time
+	keepAlive       time.Duration // as the upstream told last, 0 if it did not
+	noAckTimeout    bool          // whether the bound on silence is lifted
+	unacked         int           // bytes, as the connection ended before its answer
+	requests        int           // how many have been sent on it
+	startedAt       time.Time     // when the latest of them began
 }
 
 // errUnusable is an answer that is in order and can't be passed on.
@@ -48,15 +48,15 @@
 
 // Read implements io.Reader within the allowed number of bytes.
 func (c *conn) Read(p []byte) (int, error) {
-	if c.allowed <= 0 {
+	if c.readLimit <= 0 {
 		return 0, errHeadTooLarge
 	}
-	if int64(len(p)) > c.allowed {
-		p = p[:c.allowed]
+	if int64(len(p)) > c.readLimit {
+		p = p[:c.readLimit]
 	}
 	n, err := c.Conn.Read(p)
-	c.allowed -= int64(n)
-	c.ended = c.ended || err != nil
+	c.readLimit -= int64(n)
+	c.readFailed = c.readFailed || err != nil
 	return n, err
 }
 
@@ -67,40 +67,40 @@
 
 // Write implements io.Writer.
 func (w countingWriter) Write(p []byte) (int, error) {
-	if w.sent.Load()+int64(len(p)) > promptBytes {
-		w.bePatient()
+	if w.bytesSent.Load()+int64(len(p)) > promptAckBytes {
+		w.disableAckTimeout()
 	}
-	w.begun.Store(true)
+	w.writeStarted.Store(true)
 	n, err := w.Conn.Write(p)
-	w.sent.Add(int64(n))
+	w.bytesSent.Add(int64(n))
 	return n, err
 }
 
 // promptBytes is how much of a request any upstream's kernel takes at once. More may wait until
 // the upstream reads it, unacknowledged, which may be after its answer.
-const promptBytes = 4 << 10
+const promptAckBytes = 4 << 10
 
 // bePatient lifts the bound on silence. It is not set again: the upstream may answer a request
 // and read the rest of its body later.
-func (c *conn) bePatient() {
-	if c.patient {
+func (c *conn) disableAckTimeout() {
+	if c.noAckTimeout {
 		return
 	}
-	c.patient = true
+	c.noAckTimeout = true
 	_ = tcp.SetSilence(c.Conn, 0) // it fails on a connection that is closed only
 }
 
 // kill makes every read and write fail.
-func (c *conn) kill() {
+func (c *conn) abort() {
 	_ = c.SetDeadline(time.Unix(1, 0))
 }
 
 // begin makes the connection ready for the next request.
 func (c *conn) begin() {
-	c.sent.Store(0)
-	c.begun.Store(false)
+	c.bytesSent.Store(0)
+	c.writeStarted.Store(false)
 	c.requests++
-	c.taken = time.Now()
+	c.startedAt = time.Now()
 }
 
 // write writes the whole request.
@@ -114,8 +114,8 @@
 // readHead reads the head of the final answer. Informational answers say that the upstream is at
 // work, however many there are; those beyond informBytes are left out.
 func (c *conn) readHead(r *http.Request, inform func(int, http.Header)) (*http.Response, error) {
-	for informed := int64(0); informed < floodBytes; informed += maxHead - c.allowed {
-		c.allowed = maxHead
+	for informed := int64(0); informed < maxInfoBytes; informed += maxHeadBytes - c.readLimit {
+		c.readLimit = maxHeadBytes
 		response, err := http.ReadResponse(c.reader, r)
 		if err != nil {
 			return nil, err
@@ -124,13 +124,13 @@
 		case response.StatusCode == http.StatusSwitchingProtocols:
 			return nil, fmt.Errorf("%w: protocols switched unasked", errUnusable)
 		case response.StatusCode >= 200:
-			c.allowed = unlimited
+			c.readLimit = unlimited
 			return response, nil
-		case inform != nil && informed < informBytes && response.StatusCode != http.StatusContinue:
+		case inform != nil && informed < maxForwardedInfoBytes && response.StatusCode != http.StatusContinue:
 			inform(response.StatusCode, response.Header)
 		}
 	}
-	return nil, fmt.Errorf("%w: %d bytes of informational ones", errUnusable, int64(floodBytes))
+	return nil, fmt.Errorf("%w: %d bytes of informational ones", errUnusable, int64(maxInfoBytes))
 }
 
 // failure returns the verdict on a request whose answer's head could not be
@@ -149,15 +149,15 @@
 		err = context.Cause(ctx)
 	}
 	switch {
-	case certain && c.sent.Load() == 0, !c.begun.Load():
+	case certain && c.bytesSent.Load() == 0, !c.writeStarted.Load():
 		return verdict.New(verdict.UpstreamDialFailed, err)
 	case ctx.Err() != nil:
 		e := *verdict.As(err, verdict.CallerGone)
-		e.Err = c.unanswered(e.Err)
+		e.Err = c.unansweredError(e.Err)
 		return &e
 	case writeErr != nil && isBodyError(writeErr):
 		return verdict.As(writeErr, verdict.BodyLost)
-	case c.ended || isNetworkError(err):
+	case c.readFailed || isNetworkError(err):
 		return verdict.New(verdict.UpstreamLost, err)
 	}
 	if errors.Is(err, errHeadTooLarge) || errors.Is(err, errUnusable) {
@@ -183,7 +183,7 @@
 // quiet returns whether the idle connection is open and has nothing to read: a
 // server that closed it, or that spoke out of turn, makes it unfit for a
 // request.
-func (c *conn) quiet() bool {
+func (c *conn) usable() bool {
 	s, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return true
--- a/upstream/health.go
+++ b/upstream/health.go
@@ -40,7 +40,7 @@
 		Timeout: timeout,
 	}
 	defer p.Close()
-	return p.ask(ctx, addr, path)
+	return p.check(ctx, addr, path)
 }
 
 // Poller asks a health check time and again over one connection. The exported
@@ -68,7 +68,7 @@
 // Poll asks once. An upstream that does not answer is passed over: the requests
 // that it is sent say more than its health check.
 func (p *Poller) Poll(ctx context.Context, addr, path string) {
-	h, err := p.ask(ctx, addr, path)
+	h, err := p.check(ctx, addr, path)
 	if err != nil && h.StartID == "" {
 		return
 	}
@@ -84,13 +84,13 @@
 }
 
 // ask makes one call.
-func (p *Poller) ask(ctx context.Context, addr, path string) (HealthStatus, error) {
+func (p *Poller) check(ctx context.Context, addr, path string) (HealthStatus, error) {
 	if p.conn == nil || p.addr != addr {
 		if err := p.dial(ctx, addr); err != nil {
 			return HealthStatus{}, eris.Wrap(err, "health check")
 		}
 	}
-	asked := time.Now()
+	sentAt := time.Now()
 	response, body, err := p.exchange(addr, path)
 	if err != nil {
 		p.Close()
@@ -98,12 +98,12 @@
 	}
 	h := HealthStatus{
 		StartID:     response.Header.Get(p.Names.Instance),
-		StartMillis: bornOf(body, p.Names.StartMillis),
+		StartMillis: parseStartMillis(body, p.Names.StartMillis),
 	}
-	h.ColdRemaining = coldOf(response, p.Names.Cold)
-	h.Notice = noticeOf(response.Header, p.Names)
+	h.ColdRemaining = parseCold(response, p.Names.Cold)
+	h.Notice = parseNotice(response.Header, p.Names)
 	h.Notice.FromHealthCheck = true
-	h.Notice.SentAt = asked
+	h.Notice.SentAt = sentAt
 	if text := response.Header.Get(p.Names.Load); text != "" {
 		if h.Load, err = ParseLoad(text); err != nil {
 			return h, err
@@ -126,7 +126,7 @@
 // coldOf returns how much longer an upstream is cold, as the field of an answer says in
 // milliseconds. Without the field it is warm, but only if it calls itself healthy: one that
 // does not may leave out more than that.
-func coldOf(r *http.Response, field string) time.Duration {
+func parseCold(r *http.Response, field string) time.Duration {
 	if field == "" {
 		return 0
 	}
@@ -146,7 +146,7 @@
 
 // bornOf returns when the upstream's start began, which a field of the body may
 // say, or 0. A body that is none of this form is nothing's fault: few are.
-func bornOf(body []byte, field string) int64 {
+func parseStartMillis(body []byte, field string) int64 {
 	if field == "" || len(body) == 0 || body[0] != '{' {
 		return 0
 	}
@@ -154,19 +154,19 @@
 	if json.Unmarshal(body, &fields) != nil {
 		return 0
 	}
-	born, err := strconv.ParseInt(string(fields[field]), 10, 64)
+	millis, err := strconv.ParseInt(string(fields[field]), 10, 64)
 	if err != nil {
 		return 0
 	}
-	return max(0, born)
+	return max(0, millis)
 }
 
 const (
 	// maxHealthBody is what is read of the body of a health check, in bytes.
-	maxHealthBody = 4 << 10
+	maxHealthBodyBytes = 4 << 10
 	// healthBuffer is the size of the buffer for its answer, in bytes. The answers
 	// have a few fields.
-	healthBuffer = 1 << 10
+	healthBufferBytes = 1 << 10
 )
 
 // dial opens the connection.
@@ -179,7 +179,7 @@
 	}
 	p.conn = c
 	p.addr = addr
-	p.reader = bufio.NewReaderSize(c, healthBuffer)
+	p.reader = bufio.NewReaderSize(c, healthBufferBytes)
 	return nil
 }
 
@@ -195,11 +195,11 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxHealthBody+1))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxHealthBodyBytes+1))
 	if err != nil {
 		return nil, nil, err
 	}
-	if len(body) > maxHealthBody || response.Close {
+	if len(body) > maxHealthBodyBytes || response.Close {
 		p.Close() // it can't be used again
 	}
 	return response, body, nil
--- a/upstream/health_test.go
+++ b/upstream/health_test.go
@@ -28,49 +28,49 @@
 // questions are asked, and the connection is kept where it may be.
 func TestPoller(t *testing.T) {
 	tests := map[string]struct {
-		answer      http.HandlerFunc
-		told        int
+		handler     http.HandlerFunc
+		reports     int
 		connections int64
 	}{
 		"kept": {
-			answer:      func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("Load", "3,0,8,100") },
-			told:        3,
+			handler:     func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("Load", "3,0,8,100") },
+			reports:     3,
 			connections: 1,
 		},
 		"with a body": {
-			answer: func(w http.ResponseWriter, _ *http.Request) {
+			handler: func(w http.ResponseWriter, _ *http.Request) {
 				w.Header().Set("Load", "3,0,8,100")
 				_, _ = io.WriteString(w, "ok")
 			},
-			told:        3,
+			reports:     3,
 			connections: 1,
 		},
 		"closed each time": {
-			answer: func(w http.ResponseWriter, _ *http.Request) {
+			handler: func(w http.ResponseWriter, _ *http.Request) {
 				w.Header().Set("Load", "3,0,8,100")
 				w.Header().Set("Connection", "close")
 			},
-			told:        3,
+			reports:     3,
 			connections: 3,
 		},
 		"broken off": {
-			answer:      func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
+			handler:     func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 			connections: 3,
 		},
 		"failing, with a load": {
-			answer: func(w http.ResponseWriter, _ *http.Request) {
+			handler: func(w http.ResponseWriter, _ *http.Request) {
 				w.Header().Set("Instance-Id", "i-1")
 				w.Header().Set("Load", "3,0,8,100")
 				w.WriteHeader(http.StatusServiceUnavailable)
 			},
-			told:        3,
+			reports:     3,
 			connections: 1,
 		},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			var connections atomic.Int64
-			s := httptest.NewUnstartedServer(test.answer)
+			s := httptest.NewUnstartedServer(test.handler)
 			s.Config.ConnState = func(_ net.Conn, state http.ConnState) {
 				if state == http.StateNew {
 					connections.Add(1)
@@ -78,12 +78,12 @@
 			}
 			s.Start()
 			defer s.Close()
-			var told int
+			var reports int
 			p := &upstream.Poller{
 				Names:   healthNames,
 				Timeout: time.Second,
 				LoadReported: func(l upstream.Load) {
-					told++
+					reports++
 					qt.Check(t, l.Slots, qt.Equals, 8)
 				},
 			}
@@ -91,7 +91,7 @@
 			for range 3 {
 				p.Poll(context.Background(), s.Listener.Addr().String(), "/healthz")
 			}
-			qt.Check(t, told, qt.Equals, test.told)
+			qt.Check(t, reports, qt.Equals, test.reports)
 			qt.Check(t, connections.Load(), qt.Equals, test.connections)
 		})
 	}
@@ -129,16 +129,16 @@
 			defer s.Close()
 			names := healthNames
 			names.Cold = "Cold-Ms"
-			var told []time.Duration
+			var reported []time.Duration
 			p := &upstream.Poller{
 				Names:        names,
 				Timeout:      time.Second,
 				LoadReported: func(upstream.Load) {},
-				ColdReported: func(d time.Duration) { told = append(told, d) },
+				ColdReported: func(d time.Duration) { reported = append(reported, d) },
 			}
 			defer p.Close()
 			p.Poll(context.Background(), s.Listener.Addr().String(), "/healthz")
-			qt.Check(t, told, qt.DeepEquals, test.want)
+			qt.Check(t, reported, qt.DeepEquals, test.want)
 		})
 	}
 }
@@ -175,7 +175,7 @@
 }
 
 // TestHealthTellsTheBirth has one row for each body that a health check may have.
-func TestHealthTellsTheBirth(t *testing.T) {
+func TestHealthStartTime(t *testing.T) {
 	tests := map[string]struct {
 		body string
 		want int64
--- a/upstream/load.go
+++ b/upstream/load.go
@@ -26,7 +26,7 @@
 	// connections as an upstream may announce.
 	maxCount = maxConnections
 	// maxPercent is the largest slowdown that is believed, in percent: a thousandfold.
-	maxPercent = 100000
+	maxSlowdownPercent = 100000
 )
 
 // ParseLoad reads "running,waiting,slots" or "running,waiting,slots,percent",
@@ -46,7 +46,7 @@
 	}
 	if len(parts) > 3 {
 		percent, err := strconv.ParseFloat(strings.TrimSpace(parts[3]), 64)
-		if err != nil || !(percent > 0 && percent <= maxPercent) { // NaN is none either
+		if err != nil || !(percent > 0 && percent <= maxSlowdownPercent) { // NaN is none either
 			return l, eris.Errorf("load %q: %q is not a percentage", text, parts[3])
 		}
 		l.Slowdown = percent / 100
--- a/upstream/notice.go
+++ b/upstream/notice.go
@@ -50,7 +50,7 @@
 }
 
 // noticeOf returns what an answer says, by the names of its fields.
-func noticeOf(h http.Header, names FieldNames) (n Notice) {
+func parseNotice(h http.Header, names FieldNames) (n Notice) {
 	if names.Limit != "" {
 		if values := h.Values(names.Limit); len(values) > 0 {
 			n.Limit, n.Err = ParseLimit(values[0])
--- a/upstream/notice_test.go
+++ b/upstream/notice_test.go
@@ -27,7 +27,7 @@
 }
 
 // TestNoticesOfAnswers tells which answers are words of the upstream on the requests that it wants.
-func TestNoticesOfAnswers(t *testing.T) {
+func TestNoticesOfResponses(t *testing.T) {
 	names := FieldNames{
 		RequestID:        "Request-Id",
 		ExpectedInstance: "Expected",
@@ -118,7 +118,7 @@
 			if test.leaving != "-" {
 				h.Set(names.Leaving, test.leaving)
 			}
-			got := noticeOf(h, names)
+			got := parseNotice(h, names)
 			if test.fault == "" {
 				qt.Check(t, got.Err, qt.IsNil)
 			} else {
--- a/upstream/prober.go
+++ b/upstream/prober.go
@@ -12,8 +12,8 @@
 const (
 	// probeFailures is the number of failed probes in a row after which the
 	// upstream counts as down.
-	probeFailures = 3
-	defaultEvery  = time.Second
+	probeFailures        = 3
+	defaultProbeInterval = time.Second
 )
 
 // Prober watches whether the upstream accepts connections. That is a hint: the
@@ -29,11 +29,11 @@
 
 // Run probes until ctx ends.
 func (p *Prober) Run(ctx context.Context) {
-	every := p.Interval
-	if every == 0 {
-		every = defaultEvery
+	interval := p.Interval
+	if interval == 0 {
+		interval = defaultProbeInterval
 	}
-	tick := time.NewTicker(every)
+	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	up := true
 	var failures int
@@ -61,7 +61,7 @@
 	if dial == nil {
 		dial = dialTCP
 	}
-	ctx, cancel := context.WithTimeout(ctx, defaultDial)
+	ctx, cancel := context.WithTimeout(ctx, defaultDialTimeout)
 	defer cancel()
 	c, err := dial(ctx, p.Transport.Addr)
 	if err != nil {
--- a/upstream/answer_test.go
+++ b/upstream/response_test.go
@@ -31,27 +31,27 @@
 }
 
 // TestNamedAnswers has one row for each thing that an answer's fields say.
-func TestNamedAnswers(t *testing.T) {
+func TestResponseFields(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\nTest-Id: 1\r\nTest-Signature: s\r\nContent-Length: 4\r\n\r\nmine"
 	tests := map[string]struct {
-		answer string
-		want   verdict.Cause
-		body   string
-		status int
-		reused bool
+		response string
+		want     verdict.Cause
+		body     string
+		status   int
+		reused   bool
 	}{
-		"whole":                      {answer: ok, body: "mine", status: 200, reused: true},
-		"late answer in front":       {answer: "HTTP/1.1 200 OK\r\nTest-Id: 0\r\nTest-Signature: s\r\nContent-Length: 5\r\n\r\nother" + ok, body: "mine", status: 200},
-		"late chunked one in front":  {answer: "HTTP/1.1 200 OK\r\nTest-Id: 0\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nother\r\n0\r\n\r\n" + ok, body: "mine", status: 200},
-		"late large one in front":    {answer: "HTTP/1.1 200 OK\r\nTest-Id: 0\r\nContent-Length: 2000000\r\n\r\n" + strings.Repeat("x", 2000000) + ok, body: "mine", status: 200},
-		"late one without an end":    {answer: "HTTP/1.1 200 OK\r\nTest-Id: 0\r\n\r\n" + ok, want: verdict.AnswerMalformed},
-		"second answer behind":       {answer: ok + ok, body: "mine", status: 200},
-		"success without signature":  {answer: "HTTP/1.1 200 OK\r\nTest-Id: 1\r\nContent-Length: 4\r\n\r\nmine", want: verdict.AnswerMalformed},
-		"failure without signature":  {answer: "HTTP/1.1 500 No\r\nTest-Id: 1\r\nContent-Length: 0\r\n\r\n", status: 500, reused: true},
-		"full":                       {answer: "HTTP/1.1 503 No\r\nTest-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", want: verdict.UpstreamRefused},
-		"too many":                   {answer: "HTTP/1.1 429 No\r\nTest-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", want: verdict.UpstreamRefused},
-		"503 that may have run":      {answer: "HTTP/1.1 503 No\r\nTest-Id: 1\r\nContent-Length: 0\r\n\r\n", want: verdict.AnswerMalformed},
-		"another upstream's address": {answer: "HTTP/1.1 421 No\r\nTest-Instance: x\r\nContent-Length: 0\r\n\r\n", want: verdict.WrongUpstream},
+		"whole":                      {response: ok, body: "mine", status: 200, reused: true},
+		"late answer in front":       {response: "HTTP/1.1 200 OK\r\nTest-Id: 0\r\nTest-Signature: s\r\nContent-Length: 5\r\n\r\nother" + ok, body: "mine", status: 200},
+		"late chunked one in front":  {response: "HTTP/1.1 200 OK\r\nTest-Id: 0\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nother\r\n0\r\n\r\n" + ok, body: "mine", status: 200},
+		"late large one in front":    {response: "HTTP/1.1 200 OK\r\nTest-Id: 0\r\nContent-Length: 2000000\r\n\r\n" + strings.Repeat("x", 2000000) + ok, body: "mine", status: 200},
+		"late one without an end":    {response: "HTTP/1.1 200 OK\r\nTest-Id: 0\r\n\r\n" + ok, want: verdict.AnswerMalformed},
+		"second answer behind":       {response: ok + ok, body: "mine", status: 200},
+		"success without signature":  {response: "HTTP/1.1 200 OK\r\nTest-Id: 1\r\nContent-Length: 4\r\n\r\nmine", want: verdict.AnswerMalformed},
+		"failure without signature":  {response: "HTTP/1.1 500 No\r\nTest-Id: 1\r\nContent-Length: 0\r\n\r\n", status: 500, reused: true},
+		"full":                       {response: "HTTP/1.1 503 No\r\nTest-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", want: verdict.UpstreamRefused},
+		"too many":                   {response: "HTTP/1.1 429 No\r\nTest-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", want: verdict.UpstreamRefused},
+		"503 that may have run":      {response: "HTTP/1.1 503 No\r\nTest-Id: 1\r\nContent-Length: 0\r\n\r\n", want: verdict.AnswerMalformed},
+		"another upstream's address": {response: "HTTP/1.1 421 No\r\nTest-Instance: x\r\nContent-Length: 0\r\n\r\n", want: verdict.WrongUpstream},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -65,7 +65,7 @@
 						return
 					}
 					_, _ = io.Copy(io.Discard, r.Body)
-					_, _ = io.WriteString(c, test.answer)
+					_, _ = io.WriteString(c, test.response)
 				}
 			})
 			transport := &upstream.Transport{Addr: addr, MaxIdleConns: 1, Names: testNames}
--- a/upstream/slowread_test.go
+++ b/upstream/slowread_test.go
@@ -27,12 +27,12 @@
 func TestUpstreamReadsLate(t *testing.T) {
 	const pause = 800 * time.Millisecond // beyond the bound on silence
 	tests := map[string]struct {
-		body  int
-		again bool // whether the connection has carried a large body before
+		body   int
+		reused bool // whether the connection has carried a large body before
 	}{
 		"a body that is written before the answer is read": {body: 60 << 10},
 		"a larger body": {body: 256 << 10},
-		"a request behind a body that is read on later": {again: true},
+		"a request behind a body that is read on later": {reused: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -68,7 +68,7 @@
 				_, err := io.Copy(io.Discard, response.Body)
 				qt.Assert(t, err, qt.IsNil)
 			}
-			if test.again {
+			if test.reused {
 				send(request(context.Background(), "POST", strings.Repeat("x", 60<<10), "Early", "1"))
 			}
 			send(request(context.Background(), "POST", strings.Repeat("x", test.body)))
@@ -79,16 +79,16 @@
 // TestLongWork guards against the loss of requests whose upstream says time and again that it is at
 // work on them. What never stops saying so, without a pause, is no answer.
 func TestLongWork(t *testing.T) {
-	const word = "HTTP/1.1 102 Processing\r\n\r\n"
+	const informational = "HTTP/1.1 102 Processing\r\n\r\n"
 	tests := map[string]struct {
-		words    int
+		count    int
 		want     verdict.Cause
 		informed int // at least
 	}{
-		"as many as once were borne": {words: 7, informed: 7},
-		"one for each second":        {words: 600, informed: 600},
-		"more than are passed on":    {words: 10000, informed: 2000},
-		"without an end":             {words: 100000, want: verdict.AnswerInvalid, informed: 2000},
+		"as many as once were borne": {count: 7, informed: 7},
+		"one for each second":        {count: 600, informed: 600},
+		"more than are passed on":    {count: 10000, informed: 2000},
+		"without an end":             {count: 100000, want: verdict.AnswerInvalid, informed: 2000},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -96,7 +96,7 @@
 				if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
 					return
 				}
-				_, _ = io.WriteString(c, strings.Repeat(word, test.words)+"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+				_, _ = io.WriteString(c, strings.Repeat(informational, test.count)+"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 				_, _ = io.Copy(io.Discard, c)
 			})
 			tr := &upstream.Transport{
@@ -107,7 +107,7 @@
 				qt.Check(t, status, qt.Equals, http.StatusProcessing)
 				informed++
 			})
-			qt.Check(t, informed >= test.informed && informed <= test.words, qt.IsTrue, qt.Commentf("%d", informed))
+			qt.Check(t, informed >= test.informed && informed <= test.count, qt.IsTrue, qt.Commentf("%d", informed))
 			if test.want != "" {
 				qt.Assert(t, failure != nil, qt.IsTrue)
 				qt.Check(t, failure.Cause, qt.Equals, test.want)
@@ -123,7 +123,7 @@
 
 // TestEarlyAnswer guards against answers that are held back until the upstream has read the body of
 // their request, which it may do later, or never.
-func TestEarlyAnswer(t *testing.T) {
+func TestEarlyResponse(t *testing.T) {
 	for name, size := range map[string]int{
 		"within one frame": 6 << 10,
 		"medium":           60 << 10,
@@ -131,14 +131,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			ours, theirs := net.Pipe() // which has no room for what is not read
-			answered := make(chan struct{})
+			responseRead := make(chan struct{})
 			go func() {
 				defer theirs.Close()
 				if _, err := http.ReadRequest(bufio.NewReaderSize(theirs, 1<<10)); err != nil {
 					return
 				}
 				_, _ = io.WriteString(theirs, "HTTP/1.1 413 Too Large\r\nContent-Length: 2\r\n\r\nok")
-				<-answered
+				<-responseRead
 			}()
 			tr := &upstream.Transport{
 				Addr: "upstream",
@@ -147,7 +147,7 @@
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
 			response, failure := tr.Send(request(ctx, "POST", strings.Repeat("x", size)), nil)
-			defer close(answered)
+			defer close(responseRead)
 			qt.Assert(t, failure == nil, qt.IsTrue, qt.Commentf("%v", failure))
 			qt.Check(t, response.StatusCode, qt.Equals, http.StatusRequestEntityTooLarge)
 			body, err := io.ReadAll(response.Body)
--- a/upstream/transport.go
+++ b/upstream/transport.go
@@ -26,26 +26,26 @@
 
 const (
 	// maxHead bounds the head of an answer, in bytes.
-	maxHead = 64 << 10
+	maxHeadBytes = 64 << 10
 	// informBytes bounds the informational answers to one request that are passed on, in
 	// bytes.
-	informBytes = 64 << 10
+	maxForwardedInfoBytes = 64 << 10
 	// floodBytes is from how many bytes of informational answers on the upstream is taken to
 	// send nothing else.
-	floodBytes = 1 << 20
+	maxInfoBytes = 1 << 20
 	// defaultDial bounds the opening of a connection.
-	defaultDial = time.Second
+	defaultDialTimeout = time.Second
 	// defaultIdle is how long an idle connection is kept. It is shorter than
 	// the five seconds after which common servers close theirs.
-	defaultIdle = 4 * time.Second
+	defaultIdleTimeout = 4 * time.Second
 	// idleShare is the part of the time for which an upstream keeps idle connections within
 	// which one is used again.
-	idleShare = 0.9
+	keepAliveShare = 0.9
 	// silence is how long what was sent may be without an acknowledgement by the
 	// upstream's kernel. The upstream is on the same instance, so that a fraction
 	// of a millisecond is usual; callers have 250 ms and more. It does not bind
 	// requests over promptBytes, which may wait until the upstream reads them.
-	silence = 200 * time.Millisecond
+	ackTimeout = 200 * time.Millisecond
 )
 
 // The headers with which an upstream says that it has not run a request. A
@@ -83,18 +83,18 @@
 	// Dial opens a connection. Nil means TCP, bounded by 1 s.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
 
-	mu   sync.Mutex
-	open int
-	free chan struct{} // closed when a connection is closed or becomes idle
-	idle []*conn       // the latest used last
-	busy map[*conn]struct{}
+	mu        sync.Mutex
+	open      int
+	available chan struct{} // closed when a connection is closed or becomes idle
+	idle      []*conn       // the latest used last
+	busy      map[*conn]struct{}
 }
 
 // Send writes the request and returns the head of the answer. The request's
 // context cancels it: the connection is then closed. Inform, if not nil, is
 // called with each informational answer. The caller closes the answer's body.
 func (t *Transport) Send(r *http.Request, inform func(status int, h http.Header)) (*http.Response, *verdict.Error) {
-	c, err := t.take(r.Context())
+	c, err := t.getConn(r.Context())
 	if err != nil {
 		return nil, verdict.As(err, verdict.UpstreamDialFailed)
 	}
@@ -102,38 +102,38 @@
 	if t.Permit != nil {
 		var refused *verdict.Error
 		if done, refused = t.Permit(); refused != nil {
-			t.put(c)
+			t.putConn(c)
 			return nil, refused
 		}
 	}
 	c.begin()
-	stop := context.AfterFunc(r.Context(), c.kill)
-	asked := time.Now()
+	stop := context.AfterFunc(r.Context(), c.abort)
+	sentAt := time.Now()
 	written := make(chan error, 1)
 	write := func() {
 		err := c.write(r)
 		done()
 		written <- err
 	}
-	if r.Body == nil || r.ContentLength >= 0 && r.ContentLength <= promptBytes {
+	if r.Body == nil || r.ContentLength >= 0 && r.ContentLength <= promptAckBytes {
 		write()
 	} else {
 		go write()
 	}
-	response, err := t.readAnswer(c, r, inform)
+	response, err := t.readResponse(c, r, inform)
 	if err != nil {
 		stop()
-		c.countUnacknowledged()
+		c.recordUnacknowledged()
 		t.discard(c)
 		if errors.Is(err, syscall.ETIMEDOUT) {
 			t.CloseIdle() // whatever silenced one connection may have silenced those as well
 		}
 		return nil, c.failure(r.Context(), err, written)
 	}
-	c.mostIdle = keepAliveOf(response)
-	t.observe(response)
+	c.keepAlive = parseKeepAlive(response)
+	t.reportLoad(response)
 	refused := t.refusal(response)
-	t.notice(response, asked, refused)
+	t.reportNotice(response, sentAt, refused)
 	if refused != nil {
 		stop()
 		t.discard(c)
@@ -145,7 +145,7 @@
 		conn:       c,
 		stop:       stop,
 		written:    written,
-		reusable:   !response.Close && !r.Close && !c.crossed,
+		reusable:   !response.Close && !r.Close && !c.responseSkipped,
 	}
 	return response, nil
 }
@@ -153,7 +153,7 @@
 // refusal returns the failure that an answer stands for, if it says that the
 // upstream has not run the request.
 func (t *Transport) refusal(r *http.Response) *verdict.Error {
-	if refused := t.namedRefusal(r); refused != nil {
+	if refused := t.refusalByFields(r); refused != nil {
 		return refused
 	}
 	v, ok := verdict.Parse(r.Header.Get(VerdictHeader))
@@ -161,7 +161,7 @@
 		return nil
 	}
 	e := verdict.New(verdict.UpstreamRefused, nil)
-	e = e.WithRetryAfter(retryAfter(r))
+	e = e.WithRetryAfter(parseRetryAfter(r))
 	if r.Header.Get(GivenUpHeader) == "true" {
 		e = e.WithGivenUp()
 	}
@@ -170,7 +170,7 @@
 
 // take returns an idle connection that is still good, or opens one. It waits
 // while the upstream has as many connections as it may.
-func (t *Transport) take(ctx context.Context) (*conn, error) {
+func (t *Transport) getConn(ctx context.Context) (*conn, error) {
 	for {
 		t.mu.Lock()
 		c := t.popIdle()
@@ -184,13 +184,13 @@
 			t.mu.Unlock()
 			return t.dial(ctx)
 		}
-		if t.free == nil {
-			t.free = make(chan struct{})
+		if t.available == nil {
+			t.available = make(chan struct{})
 		}
-		free := t.free
+		available := t.available
 		t.mu.Unlock()
 		select {
-		case <-free:
+		case <-available:
 		case <-ctx.Done():
 			return nil, notSent(context.Cause(ctx))
 		}
@@ -213,7 +213,7 @@
 	for len(t.idle) > 0 {
 		c := t.idle[len(t.idle)-1]
 		t.idle = t.idle[:len(t.idle)-1]
-		if time.Since(c.idleSince) < t.maxIdle(c) && c.quiet() {
+		if time.Since(c.idleSince) < t.maxIdle(c) && c.usable() {
 			return c
 		}
 		t.closeLocked(c)
@@ -223,11 +223,11 @@
 
 // maxIdle returns how long a connection may be idle.
 func (t *Transport) maxIdle(c *conn) time.Duration {
-	most := cmp.Or(t.IdleTimeout, defaultIdle)
-	if c.mostIdle > 0 {
-		most = min(most, time.Duration(idleShare*float64(c.mostIdle)))
+	idle := cmp.Or(t.IdleTimeout, defaultIdleTimeout)
+	if c.keepAlive > 0 {
+		idle = min(idle, time.Duration(keepAliveShare*float64(c.keepAlive)))
 	}
-	return most
+	return idle
 }
 
 // dial opens a connection that is already counted.
@@ -240,7 +240,7 @@
 	if err != nil {
 		t.mu.Lock()
 		t.open--
-		t.signal()
+		t.signalWaiters()
 		t.mu.Unlock()
 		return nil, notSent(fmt.Errorf("%w: %w", ErrUnreachable, err))
 	}
@@ -270,21 +270,21 @@
 }
 
 func dialTCP(ctx context.Context, addr string) (net.Conn, error) {
-	return tcp.Dialer(defaultDial, silence).DialContext(ctx, "tcp", addr)
+	return tcp.Dialer(defaultDialTimeout, ackTimeout).DialContext(ctx, "tcp", addr)
 }
 
 // put takes a connection back whose answer has been read to its end.
-func (t *Transport) put(c *conn) {
+func (t *Transport) putConn(c *conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.idle) >= t.MaxIdleConns || t.surplus() || c.reader.Buffered() > 0 {
+	if len(t.idle) >= t.MaxIdleConns || t.overLimit() || c.reader.Buffered() > 0 {
 		t.closeLocked(c)
 		return
 	}
 	c.idleSince = time.Now()
 	delete(t.busy, c)
 	t.idle = append(t.idle, c)
-	t.signal()
+	t.signalWaiters()
 }
 
 // discard closes a connection.
@@ -298,18 +298,18 @@
 	_ = c.Close()
 	delete(t.busy, c)
 	t.open--
-	t.signal()
+	t.signalWaiters()
 }
 
-func (t *Transport) signal() {
-	if t.free != nil {
-		close(t.free)
-		t.free = nil
+func (t *Transport) signalWaiters() {
+	if t.available != nil {
+		close(t.available)
+		t.available = nil
 	}
 }
 
 // surplus returns whether more connections are open than may be. The lock is held.
-func (t *Transport) surplus() bool { return t.MaxConns > 0 && t.open > t.MaxConns }
+func (t *Transport) overLimit() bool { return t.MaxConns > 0 && t.open > t.MaxConns }
 
 // Resize changes the largest numbers of open and of idle connections. A connection with a
 // request on it stays open until that has ended.
@@ -318,19 +318,19 @@
 	defer t.mu.Unlock()
 	t.MaxConns = connections
 	t.MaxIdleConns = warm
-	for len(t.idle) > 0 && (len(t.idle) > warm || t.surplus()) {
+	for len(t.idle) > 0 && (len(t.idle) > warm || t.overLimit()) {
 		c := t.idle[0]
 		t.idle = t.idle[1:]
 		t.closeLocked(c)
 	}
-	t.signal()
+	t.signalWaiters()
 }
 
 const (
 	// probeEvery is the time between two questions to the kernel of an upstream that may be
 	// gone, and probeCount how many of them in a row may be without an answer.
-	probeEvery = time.Second
-	probeCount = 3
+	probeInterval = time.Second
+	probeCount    = 3
 )
 
 // Probe has the kernel find out whether the other end of each connection with a request on it
@@ -339,7 +339,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for c := range t.busy {
-		_ = tcp.Probe(c.Conn, probeEvery, probeCount) // it fails on a connection that has ended only
+		_ = tcp.Probe(c.Conn, probeInterval, probeCount) // it fails on a connection that has ended only
 	}
 }
 
@@ -369,7 +369,7 @@
 	stop      func() bool
 	written   chan error
 	reusable  bool
-	done      bool
+	finished  bool
 }
 
 // Read implements io.Reader. A body that is cut ends in a *verdict.Error.
@@ -394,10 +394,10 @@
 // finish gives the connection back once. Whole says that the answer was read
 // to its end.
 func (b *body) finish(whole bool) {
-	if b.done {
+	if b.finished {
 		return
 	}
-	b.done = true
+	b.finished = true
 	if alive := b.stop(); !whole || !alive || !b.reusable {
 		b.transport.discard(b.conn)
 		return
@@ -412,12 +412,12 @@
 
 // writtenWithin is how long a connection whose answer has been read stays open for the end of its
 // request, which another goroutine writes.
-const writtenWithin = 10 * time.Millisecond
+const requestWriteTimeout = 10 * time.Millisecond
 
 // releaseWritten gives the connection back once the whole request has been written, if that is
 // soon.
 func (b *body) releaseWritten() {
-	late := time.AfterFunc(writtenWithin, b.conn.kill)
+	late := time.AfterFunc(requestWriteTimeout, b.conn.abort)
 	err := <-b.written
 	if !late.Stop() && err == nil {
 		err = context.DeadlineExceeded
@@ -431,7 +431,7 @@
 		b.transport.discard(b.conn)
 		return
 	}
-	b.transport.put(b.conn)
+	b.transport.putConn(b.conn)
 }
 
 // unlimited lifts the bound on what is read from a connection.
--- a/upstream/transport_test.go
+++ b/upstream/transport_test.go
@@ -64,20 +64,20 @@
 }
 
 // stuck is a connection on which nothing can be written until its deadline has passed.
-type stuck struct {
+type blockedConn struct {
 	net.Conn
-	late chan struct{}
+	deadlineSet chan struct{}
 }
 
 // SetDeadline implements net.Conn.
-func (s stuck) SetDeadline(t time.Time) error {
-	close(s.late)
+func (s blockedConn) SetDeadline(t time.Time) error {
+	close(s.deadlineSet)
 	return s.Conn.SetDeadline(t)
 }
 
 // Write implements net.Conn.
-func (s stuck) Write(p []byte) (int, error) {
-	<-s.late
+func (s blockedConn) Write(p []byte) (int, error) {
+	<-s.deadlineSet
 	return s.Conn.Write(p)
 }
 
@@ -95,15 +95,15 @@
 		"the caller leaves before the writing": {
 			dial: func(context.Context, string) (net.Conn, error) {
 				c, _ := net.Pipe()
-				return stuck{Conn: c, late: make(chan struct{})}, nil
+				return blockedConn{Conn: c, deadlineSet: make(chan struct{})}, nil
 			},
 		},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			tr := &upstream.Transport{Addr: "upstream", Dial: test.dial}
-			ctx, leave := context.WithCancelCause(context.Background())
-			leave(verdict.New(verdict.CallerGone, nil))
+			ctx, cancel := context.WithCancelCause(context.Background())
+			cancel(verdict.New(verdict.CallerGone, nil))
 			_, failure := tr.Send(request(ctx, "GET", ""), nil)
 			qt.Assert(t, failure != nil, qt.IsTrue)
 			qt.Check(t, failure.Cause, qt.Equals, verdict.UpstreamDialFailed)
@@ -161,33 +161,33 @@
 }
 
 // TestAnswers has one row for each way in which an upstream answers or fails.
-func TestAnswers(t *testing.T) {
+func TestResponses(t *testing.T) {
 	tests := map[string]struct {
-		answer string // written after the request is read
-		unread bool   // the connection is closed before the request is read
-		want   verdict.Cause
-		cut    bool
-		status int
-		body   string
-		reused bool
+		response string // written after the request is read
+		unread   bool   // the connection is closed before the request is read
+		want     verdict.Cause
+		cut      bool
+		status   int
+		body     string
+		reused   bool
 	}{
-		"whole":                  {answer: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", status: 200, body: "ok", reused: true},
-		"chunked":                {answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", status: 200, body: "ok", reused: true},
-		"until close":            {answer: "HTTP/1.1 200 OK\r\n\r\nok", status: 200, body: "ok"},
-		"no content":             {answer: "HTTP/1.1 204 No Content\r\n\r\n", status: 204, reused: true},
-		"not modified":           {answer: "HTTP/1.1 304 Not Modified\r\nContent-Length: 10\r\n\r\n", status: 304, reused: true},
-		"asks to close":          {answer: "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", status: 200, body: "ok"},
-		"early hints first":      {answer: "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", status: 200, reused: true},
-		"more than one answer":   {answer: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n\r\n", status: 200, body: "ok"},
-		"cut body":               {answer: "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", status: 200, body: "ok", cut: true},
-		"cut chunk":              {answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nok", status: 200, body: "ok", cut: true},
+		"whole":                  {response: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", status: 200, body: "ok", reused: true},
+		"chunked":                {response: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", status: 200, body: "ok", reused: true},
+		"until close":            {response: "HTTP/1.1 200 OK\r\n\r\nok", status: 200, body: "ok"},
+		"no content":             {response: "HTTP/1.1 204 No Content\r\n\r\n", status: 204, reused: true},
+		"not modified":           {response: "HTTP/1.1 304 Not Modified\r\nContent-Length: 10\r\n\r\n", status: 304, reused: true},
+		"asks to close":          {response: "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", status: 200, body: "ok"},
+		"early hints first":      {response: "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", status: 200, reused: true},
+		"more than one answer":   {response: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n\r\n", status: 200, body: "ok"},
+		"cut body":               {response: "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", status: 200, body: "ok", cut: true},
+		"cut chunk":              {response: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nok", status: 200, body: "ok", cut: true},
 		"no answer":              {want: verdict.UpstreamLost},
-		"cut head":               {answer: "HTTP/1.1 200 OK\r\nCont", want: verdict.UpstreamLost},
-		"garbage":                {answer: "220 mail.example ESMTP\r\n\r\n", want: verdict.AnswerMalformed},
-		"huge head":              {answer: "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 1<<17) + "\r\n\r\n", want: verdict.AnswerInvalid},
-		"switches protocols":     {answer: "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n", want: verdict.AnswerInvalid},
-		"says that it did not":   {answer: "HTTP/1.1 503 No\r\nSassafras-Verdict: notRun\r\nRetry-After: 2\r\nContent-Length: 0\r\n\r\n", want: verdict.UpstreamRefused},
-		"plain 503 is an answer": {answer: "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", status: 503, reused: true},
+		"cut head":               {response: "HTTP/1.1 200 OK\r\nCont", want: verdict.UpstreamLost},
+		"garbage":                {response: "220 mail.example ESMTP\r\n\r\n", want: verdict.AnswerMalformed},
+		"huge head":              {response: "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 1<<17) + "\r\n\r\n", want: verdict.AnswerInvalid},
+		"switches protocols":     {response: "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n", want: verdict.AnswerInvalid},
+		"says that it did not":   {response: "HTTP/1.1 503 No\r\nSassafras-Verdict: notRun\r\nRetry-After: 2\r\nContent-Length: 0\r\n\r\n", want: verdict.UpstreamRefused},
+		"plain 503 is an answer": {response: "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", status: 503, reused: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -195,7 +195,7 @@
 				if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
 					return
 				}
-				_, _ = io.WriteString(c, test.answer)
+				_, _ = io.WriteString(c, test.response)
 				if test.reused {
 					_, _ = io.Copy(io.Discard, c)
 				}
@@ -327,7 +327,7 @@
 
 // TestConnectionsStayWithinTheAnnouncedNumber sends more requests at once than
 // the upstream takes connections.
-func TestConnectionsStayWithinTheAnnouncedNumber(t *testing.T) {
+func TestConnectionLimit(t *testing.T) {
 	var now, most atomic.Int32
 	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		if n := now.Add(1); n > most.Load() {
@@ -387,13 +387,13 @@
 }
 
 // silenced is a connection that the kernel gives up once it is told to.
-type silenced struct {
+type timingOutConn struct {
 	net.Conn
-	silent *atomic.Bool
+	timeOut *atomic.Bool
 }
 
-func (s silenced) Read(p []byte) (int, error) {
-	if s.silent.Load() {
+func (s timingOutConn) Read(p []byte) (int, error) {
+	if s.timeOut.Load() {
 		return 0, &net.OpError{Op: "read", Err: syscall.ETIMEDOUT}
 	}
 	return s.Conn.Read(p)
@@ -401,7 +401,7 @@
 
 // TestSilenceEndsIdleConnections has one connection time out: the idle ones, which
 // were as likely silenced, get no request.
-func TestSilenceEndsIdleConnections(t *testing.T) {
+func TestTimeoutClosesIdleConnections(t *testing.T) {
 	var both sync.WaitGroup
 	both.Add(2)
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -417,7 +417,7 @@
 		MaxIdleConns: 2,
 		Dial: func(_ context.Context, addr string) (net.Conn, error) {
 			c, err := net.Dial("tcp", addr)
-			return silenced{Conn: c, silent: &silent}, err
+			return timingOutConn{Conn: c, timeOut: &silent}, err
 		},
 	}
 	send := func(header ...string) *verdict.Error {
--- a/upstream/unanswered.go
+++ b/upstream/unanswered.go
@@ -43,7 +43,7 @@
 
 // countUnacknowledged notes what the upstream's kernel has not acknowledged, while the connection
 // is open.
-func (c *conn) countUnacknowledged() {
+func (c *conn) recordUnacknowledged() {
 	n, err := tcp.Unacknowledged(c.Conn)
 	if err != nil {
 		n = -1
@@ -52,10 +52,10 @@
 }
 
 // unanswered returns how far the request had come that was given up on for a reason.
-func (c *conn) unanswered(reason error) error {
+func (c *conn) unansweredError(reason error) error {
 	return &UnansweredError{
-		Elapsed:        time.Since(c.taken),
-		Written:        c.sent.Load(),
+		Elapsed:        time.Since(c.startedAt),
+		Written:        c.bytesSent.Load(),
 		Unacknowledged: c.unacked,
 		PriorRequests:  c.requests - 1,
 		Err:            reason,
--- a/upstream/unanswered_test.go
+++ b/upstream/unanswered_test.go
@@ -23,16 +23,16 @@
 // used one: the failure says how far it had come.
 func TestUnanswered(t *testing.T) {
 	tests := map[string]struct {
-		before int
+		priorRequests int
 	}{
 		"a new connection":  {},
-		"a used connection": {before: 2},
+		"a used connection": {priorRequests: 2},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			read := make(chan struct{})
 			addr := raw(t, func(_ int, c net.Conn) {
-				for range test.before {
+				for range test.priorRequests {
 					readRequest(c)
 					_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 				}
@@ -41,16 +41,16 @@
 				_, _ = io.Copy(io.Discard, c)
 			})
 			tr := &upstream.Transport{Addr: addr, MaxIdleConns: 1}
-			for range test.before {
+			for range test.priorRequests {
 				response, failure := tr.Send(request(context.Background(), "GET", ""), nil)
 				qt.Assert(t, failure == nil, qt.IsTrue)
 				_, err := io.Copy(io.Discard, response.Body)
 				qt.Assert(t, err, qt.IsNil)
 			}
-			ctx, leave := context.WithCancelCause(context.Background())
+			ctx, cancel := context.WithCancelCause(context.Background())
 			go func() {
 				<-read
-				leave(verdict.New(verdict.TimedOut, io.ErrNoProgress))
+				cancel(verdict.New(verdict.TimedOut, io.ErrNoProgress))
 			}()
 			_, failure := tr.Send(request(ctx, "GET", ""), nil)
 			qt.Assert(t, failure != nil, qt.IsTrue)
@@ -60,7 +60,7 @@
 			qt.Assert(t, ok, qt.IsTrue)
 			qt.Check(t, got.Written > 0, qt.IsTrue)
 			qt.Check(t, got.Unacknowledged >= 0, qt.IsTrue)
-			qt.Check(t, got.PriorRequests, qt.Equals, test.before)
+			qt.Check(t, got.PriorRequests, qt.Equals, test.priorRequests)
 		})
 	}
 }
