--- a/upstream/announcement.go
+++ b/upstream/announcement.go
@@ -15,45 +15,43 @@
 	"sassafrasfront.example/operator"
 )
 
-// Announcement is what an upstream says of itself. It is an immutable value.
+// Announcement describes an upstream, as the upstream reports it. It is an immutable value.
 type Announcement struct {
 	// Service is the name of the service that the upstream belongs to.
 	Service string `json:"service"`
-	// Address is where it takes requests, as an IP number and port.
+	// Address is where it accepts requests, as an IP address and port.
 	Address string `json:"address"`
-	// Slots is the number of requests that it runs at once.
+	// Slots is the number of requests that it runs concurrently.
 	Slots int `json:"slots"`
-	// Connections is the number of connections that it takes. Zero means as
-	// many as it has slots.
+	// Connections is the number of connections that it accepts. Zero means as many as Slots.
 	Connections int `json:"connections"`
-	// Version is the version of its software. Empty means that it is not known, or of no
-	// concern.
+	// Version is the version of its software. It is empty if it is unknown or irrelevant.
 	Version string `json:"version,omitempty"`
-	// Draining is whether it wants no new requests.
+	// Draining reports whether it accepts no new requests.
 	Draining bool `json:"draining"`
-	// Start tells one start of the upstream from another, together with Born. When
-	// either changes, the upstream is taken to be cold.
+	// StartID identifies, together with StartMillis, one start of the upstream process. When
+	// either changes, the upstream is considered cold.
 	StartID string `json:"start"`
-	// Born is when the start began by the upstream's clock, in milliseconds since
-	// 1970, where an upstream may start again under the Start that it had. Zero
-	// means that it does not say.
+	// StartMillis is the time at which the process started by the upstream's clock, in
+	// milliseconds since 1970. It is needed where an upstream may restart under the same
+	// StartID. Zero means unknown.
 	StartMillis int64 `json:"born,omitempty"`
-	// Cold is how much longer the upstream stays slow after its start. Zero
-	// means that it does not say.
+	// ColdRemaining is how much longer the upstream stays slow after its start. Zero means
+	// unknown.
 	ColdRemaining time.Duration `json:"cold,omitempty"`
-	// Sequence grows with each announcement of a start, so that a late one can
-	// be told. Zero means that there is no order.
+	// Sequence increases with each announcement of a start, so that a delayed one can be
+	// recognised. Zero means that the announcements are not ordered.
 	Sequence uint64 `json:"sequence,omitempty"`
 }
 
-// The bounds of an announcement.
+// Limits on the fields of an announcement and on its size in bytes.
 const (
 	maxSlots             = 10000
 	maxConnections       = 100000
 	maxAnnouncementBytes = 4 << 10
 )
 
-// Check returns the faults of a.
+// Check returns the validation faults of a.
 func (a Announcement) Check() operator.Faults {
 	f := operator.CheckName(a.Service)
 	for i := range f {
@@ -68,62 +66,61 @@
 		}
 	}
 	host, _, err := net.SplitHostPort(a.Address)
-	check(err == nil && net.ParseIP(host) != nil, "address", "%q is not an IP number and port", a.Address)
-	check(a.Slots >= 1 && a.Slots <= maxSlots, "slots", "%d is not within 1 and %d", a.Slots, maxSlots)
-	check(a.Connections >= 0 && a.Connections <= maxConnections, "connections", "%d is not within 0 and %d", a.Connections, maxConnections)
-	check(a.StartMillis >= 0, "born", "%d is below 0", a.StartMillis)
+	check(err == nil && net.ParseIP(host) != nil, "address", "%q is not an IP address and port", a.Address)
+	check(a.Slots >= 1 && a.Slots <= maxSlots, "slots", "%d is not between 1 and %d", a.Slots, maxSlots)
+	check(a.Connections >= 0 && a.Connections <= maxConnections, "connections", "%d is not between 0 and %d", a.Connections, maxConnections)
+	check(a.StartMillis >= 0, "born", "%d is negative", a.StartMillis)
 	return f
 }
 
-// SameStart returns whether a and b are of one start of an upstream, as far as they
-// say. Where only one of them tells when it began, the name alone decides.
+// SameStart returns whether a and b come from the same start of an upstream. If only one of
+// them has a start time, only the StartIDs are compared.
 func (a *Announcement) SameStart(b *Announcement) bool {
 	return a.StartID == b.StartID && (a.StartMillis == b.StartMillis || a.StartMillis == 0 || b.StartMillis == 0)
 }
 
-// Announcements is the http.Handler through which the upstream announces
-// itself, at /v1/upstream: PUT announces, GET shows what holds, and DELETE
-// withdraws. The exported fields are set before the first request.
+// Announcements is the http.Handler with which the upstream registers itself, at
+// /v1/upstream: PUT sets the announcement, GET returns the current one, and DELETE
+// withdraws it. The exported fields are set before the first request.
 type Announcements struct {
-	// Changed is called with each announcement, and with nil for a withdrawal.
+	// Changed is called with each changed announcement, and with nil after a withdrawal.
 	Changed func(*Announcement)
-	// Patience is after how long without an announcement the start that holds may
-	// be over, so that one whose Born is earlier may be the present one: the
-	// upstream's clock may have been set back between the two. Zero means never.
+	// StaleAfter is the time without an announcement after which the current start may have
+	// ended. From then on an announcement with an earlier start time is accepted: the
+	// upstream's clock may have been set back between the two starts. Zero means never.
 	StaleAfter time.Duration
-	// Known, if not nil, returns whether there is such a service, as far as this
-	// node can tell.
+	// IsKnownService, if not nil, returns whether the service exists, as far as this node
+	// knows.
 	IsKnownService func(service string) bool
-	// Cold, if not nil, is called with how much longer the upstream is cold, with each
-	// announcement that says so.
+	// ColdReported, if not nil, is called with the remaining cold time of each announcement
+	// that has one.
 	ColdReported func(remaining time.Duration)
-	// Refused, if not nil, is called with why an announcement names no upstream
-	// that can be used.
+	// Refused, if not nil, is called with the reason why an announcement describes no usable
+	// upstream.
 	Refused func(reason error)
 
 	mu           sync.Mutex
 	current      *Announcement
-	lastReceived time.Time // when the current start announced itself last
+	lastReceived time.Time // when the last announcement of the current start arrived
 	pastStarts   startSet
-	// replaced are the starts that others came after and that have not left, by name, as
-	// they announced themselves last.
+	// superseded holds, by StartID, the last announcements of the starts that were superseded by
+	// another and have not left.
 	superseded map[string]*Announcement
 }
 
-// Check returns the faults of an announcement, of which one is a service that is
-// not known.
+// Check returns the validation faults of an announcement. An unknown service is one.
 func (h *Announcements) Check(a *Announcement) operator.Faults {
 	f := a.Check()
 	if h.IsKnownService != nil && !h.IsKnownService(a.Service) {
 		f = append(f, operator.Fault{
 			Field:   "service",
-			Message: fmt.Sprintf("%q is not known", a.Service),
+			Message: fmt.Sprintf("%q is not a known service", a.Service),
 		})
 	}
 	return f
 }
 
-// Current returns what holds, or nil.
+// Current returns the current announcement, or nil.
 func (h *Announcements) Current() *Announcement {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -170,10 +167,10 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Set replaces the announcement as a PUT does, or withdraws it if a is nil. An
-// announcement that is older than the one that holds, or of a start that has
-// left or that another has come after, changes nothing; nor does one that says
-// the same. A heartbeat may arrive long after its sender has crashed.
+// Set replaces the announcement as a PUT does, or withdraws it if a is nil. An announcement has
+// no effect if it is older than the current one, or if its start has left or was superseded by
+// another: a heartbeat may arrive long after its sender has crashed. Changed is not called if
+// the announcement is the same as before.
 func (h *Announcements) Set(a *Announcement) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -203,8 +200,7 @@
 	}
 }
 
-// WithStart returns a copy of a that is of another start, whose announcements have
-// no order yet.
+// WithStart returns a copy of a for another start, whose announcements are not ordered yet.
 func (a *Announcement) WithStart(start string, startMillis int64) *Announcement {
 	b := *a
 	b.StartID = start
@@ -214,20 +210,20 @@
 	return &b
 }
 
-// Offer sets the announcement unless one holds already.
+// SetIfAbsent sets the announcement unless there is a current one.
 func (h *Announcements) SetIfAbsent(a *Announcement) {
 	h.mu.Lock()
-	known := h.current != nil
+	present := h.current != nil
 	h.mu.Unlock()
-	if !known {
+	if !present {
 		h.Set(a)
 	}
 }
 
-// Restore takes in that a start answers at the address of another one, whose announcement had
-// taken its place here: that was a late one of a start that is over. It returns false, and
-// changes nothing, if the other one does not hold any more, or if the start is not known to have
-// had the address, or has left.
+// Restore makes a start current again that was found to respond at the address of another start,
+// whose announcement had superseded it: that announcement was a delayed one of a start that has
+// ended. It returns false, and changes nothing, if the other start is no longer current, if the
+// restored start is not known to have used the address, or if it has left.
 func (h *Announcements) Restore(start string, startMillis int64, other *Announcement) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -244,7 +240,7 @@
 	return true
 }
 
-// late returns whether the announcement comes too late to count.
+// outdated returns whether the announcement is outdated and has to be ignored.
 func (h *Announcements) outdated(a *Announcement) bool {
 	if h.pastStarts.has(a.StartID, a.StartMillis) {
 		return true
@@ -258,13 +254,14 @@
 	case a.StartMillis == 0 || c.StartMillis == 0 || a.StartMillis > c.StartMillis:
 		return false
 	case c.Draining:
-		// Another start may follow one that goes; of this one a late word is likely.
+		// Another start may follow one that drains; an announcement with the same StartID is
+		// probably a delayed one of that start.
 		return c.StartID == a.StartID
 	}
 	return h.StaleAfter == 0 || time.Since(h.lastReceived) < h.StaleAfter
 }
 
-// same returns whether b says the same as a, but for what changes with time.
+// same returns whether a and b differ only in the fields that change with each announcement.
 func (a *Announcement) same(b *Announcement) bool {
 	x, y := *a, *b
 	x.Sequence, y.Sequence = 0, 0
@@ -272,9 +269,9 @@
 	return x == y
 }
 
-// Leave takes in that a start of the upstream gets no more requests. It goes on
-// with those that it has. Later announcements of that start are ignored. A born of
-// 0 means that it does not say when it began: it is the present one then.
+// Leave records that a start of the upstream gets no more requests. It still finishes those
+// that it is running. Later announcements of that start are ignored. A start time of 0 means
+// unknown: it is then taken for the current start.
 func (h *Announcements) Leave(start string, startMillis int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -296,17 +293,17 @@
 	h.Changed(&a)
 }
 
-// past are the starts that have left, or that another came after. The zero value
-// holds none.
+// startSet is the set of starts that have left or were superseded. The zero value is an empty set.
 type startSet map[startKey]bool
 
-// startKey names a start.
+// startKey identifies a start.
 type startKey struct {
 	id          string
 	startMillis int64
 }
 
-// add notes that nothing more that a start says counts.
+// add marks a start as past. It is also marked without its start time, for announcements that
+// have none.
 func (p *startSet) add(id string, startMillis int64) {
 	if *p == nil {
 		*p = make(startSet)
@@ -315,14 +312,14 @@
 	(*p)[startKey{id: id}] = true
 }
 
-// remove takes a start out of those that are past.
+// remove removes a start from the set.
 func (p startSet) remove(id string, startMillis int64) {
 	delete(p, startKey{id: id, startMillis: startMillis})
 	delete(p, startKey{id: id})
 }
 
-// has returns whether a start is past. One that does not tell when it began is, if
-// any of its name is.
+// has returns whether a start is past. A start without a start time is past if any start with
+// its StartID is.
 func (p startSet) has(id string, startMillis int64) bool {
 	return p[startKey{id: id, startMillis: startMillis}]
 }
--- a/upstream/conn.go
+++ b/upstream/conn.go
@@ -29,22 +29,22 @@
 	writer          *bufio.Writer
 	readLimit       int64 // bytes that may still be read
 	bytesSent       atomic.Int64
-	writeStarted    atomic.Bool // whether the writing of the request has begun
+	writeStarted    atomic.Bool // whether writing the request has started
 	readFailed      bool        // whether a read has failed
-	responseSkipped bool        // whether an answer to another request was read
+	responseSkipped bool        // whether a response to another request was read
 	idleSince       time.Time
-	keepAlive       time.Duration // as the upstream told last, 0 if it did not
-	noAckTimeout    bool          // whether the bound on silence is lifted
-	unacked         int           // bytes, as the connection ended before its answer
-	requests        int           // how many have been sent on it
-	startedAt       time.Time     // when the latest of them began
+	keepAlive       time.Duration // the keep-alive timeout in the last response, or 0
+	noAckTimeout    bool          // whether the acknowledgement timeout is disabled
+	unacked         int           // unacknowledged bytes when reading the response failed
+	requests        int           // number of requests sent on the connection
+	startedAt       time.Time     // when the last of them started
 }
 
-// errUnusable is an answer that is in order and can't be passed on.
-var errUnusable = eris.New("unusable answer")
+// errUnusable marks a response that is well-formed but can't be passed on.
+var errUnusable = eris.New("unusable response")
 
-// errHeadTooLarge ends a connection whose answer's head is over the limit.
-var errHeadTooLarge = eris.New("head of the answer is too large")
+// errHeadTooLarge closes a connection whose response has a head above the limit.
+var errHeadTooLarge = eris.New("head of the response is too large")
 
 // Read implements io.Reader within the allowed number of bytes.
 func (c *conn) Read(p []byte) (int, error) {
@@ -60,7 +60,7 @@
 	return n, err
 }
 
-// countingWriter counts what the kernel took of the request.
+// countingWriter counts the bytes of the request that the kernel accepted.
 type countingWriter struct {
 	*conn
 }
@@ -76,26 +76,26 @@
 	return n, err
 }
 
-// promptBytes is how much of a request any upstream's kernel takes at once. More may wait until
-// the upstream reads it, unacknowledged, which may be after its answer.
+// promptAckBytes is the number of bytes of a request that any upstream's kernel acknowledges at once.
+// The rest may stay unacknowledged until the upstream reads it, which may be after its response.
 const promptAckBytes = 4 << 10
 
-// bePatient lifts the bound on silence. It is not set again: the upstream may answer a request
-// and read the rest of its body later.
+// disableAckTimeout removes the acknowledgement timeout. It is not set again: the upstream may respond to a
+// request and read the rest of its body later.
 func (c *conn) disableAckTimeout() {
 	if c.noAckTimeout {
 		return
 	}
 	c.noAckTimeout = true
-	_ = tcp.SetSilence(c.Conn, 0) // it fails on a connection that is closed only
+	_ = tcp.SetSilence(c.Conn, 0) // fails only if the connection is closed
 }
 
-// kill makes every read and write fail.
+// abort makes all pending and later reads and writes fail.
 func (c *conn) abort() {
 	_ = c.SetDeadline(time.Unix(1, 0))
 }
 
-// begin makes the connection ready for the next request.
+// begin prepares the connection for the next request.
 func (c *conn) begin() {
 	c.bytesSent.Store(0)
 	c.writeStarted.Store(false)
@@ -111,8 +111,8 @@
 	return c.writer.Flush()
 }
 
-// readHead reads the head of the final answer. Informational answers say that the upstream is at
-// work, however many there are; those beyond informBytes are left out.
+// readHead reads the head of the final response. Informational responses show that the upstream is
+// still working, however many there are; those beyond maxForwardedInfoBytes are dropped.
 func (c *conn) readHead(r *http.Request, inform func(int, http.Header)) (*http.Response, error) {
 	for informed := int64(0); informed < maxInfoBytes; informed += maxHeadBytes - c.readLimit {
 		c.readLimit = maxHeadBytes
@@ -122,7 +122,7 @@
 		}
 		switch {
 		case response.StatusCode == http.StatusSwitchingProtocols:
-			return nil, fmt.Errorf("%w: protocols switched unasked", errUnusable)
+			return nil, fmt.Errorf("%w: unrequested protocol switch", errUnusable)
 		case response.StatusCode >= 200:
 			c.readLimit = unlimited
 			return response, nil
@@ -130,13 +130,12 @@
 			inform(response.StatusCode, response.Header)
 		}
 	}
-	return nil, fmt.Errorf("%w: %d bytes of informational ones", errUnusable, int64(maxInfoBytes))
+	return nil, fmt.Errorf("%w: %d bytes of informational responses", errUnusable, int64(maxInfoBytes))
 }
 
-// failure returns the verdict on a request whose answer's head could not be
-// read. The connection is closed by now. The writing may go on, waiting for
-// the caller's body; what it has sent is then not known for certain, but that it
-// had not begun to.
+// failure returns the verdict on a request whose response's head could not be read. The connection
+// is already closed. The write may still be blocked on the caller's body; how much of the request
+// it has sent is then unknown, except for whether it has started.
 func (c *conn) failure(ctx context.Context, err error, written chan error) *verdict.Error {
 	var writeErr error
 	certain := true
@@ -166,23 +165,21 @@
 	return verdict.New(verdict.AnswerMalformed, err)
 }
 
-// isBodyError returns whether writing failed because the body of the request
-// could not be read.
+// isBodyError returns whether a write failed because the body of the request could not be read.
 func isBodyError(err error) bool {
 	_, ok := errors.AsType[*verdict.Error](err)
 	return ok
 }
 
-// isNetworkError returns whether the connection failed, rather than what came
-// over it.
+// isNetworkError returns whether the connection itself failed, as opposed to the parsing of what
+// was read from it.
 func isNetworkError(err error) bool {
 	_, ok := errors.AsType[net.Error](err)
 	return ok || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
 }
 
-// quiet returns whether the idle connection is open and has nothing to read: a
-// server that closed it, or that spoke out of turn, makes it unfit for a
-// request.
+// usable returns whether the idle connection is open and has no data to read. A connection that the
+// server has closed, or on which it sent unsolicited data, must not be used for a request.
 func (c *conn) usable() bool {
 	s, ok := c.Conn.(syscall.Conn)
 	if !ok {
--- a/upstream/doc.go
+++ b/upstream/doc.go
@@ -2,13 +2,12 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Package upstream speaks to the one back end that a node stands beside: it
-// sends requests to it over HTTP/1.1, takes its announcements, and watches
-// whether it accepts connections.
+// Package upstream talks to the one back end beside which a node runs: it sends requests to it
+// over HTTP/1.1, receives its announcements, and probes whether it accepts connections.
 //
-// The Transport here exists because the one of net/http sends some requests
-// twice by itself when a reused connection closes: GETs, and any request with
-// an Idempotency-Key header whose body can be had again. A request given to
-// this Transport is written at most once, and each failure says whether the
-// upstream may have run it. Framing, chunking and parsing are net/http's.
+// The Transport of net/http is not used because it retries some requests when a reused connection
+// closes: GETs, and any request with an Idempotency-Key header whose body can be obtained again.
+// A request given to this package's Transport is written at most once, and each failure says
+// whether the upstream may have run the request. Framing, chunking and parsing are those of
+// net/http.
 package upstream
--- a/upstream/health.go
+++ b/upstream/health.go
@@ -18,22 +18,22 @@
 	"github.com/rotisserie/eris"
 )
 
-// Healthy is what an upstream's health check says.
+// HealthStatus is the result of an upstream's health check.
 type HealthStatus struct {
-	// Start is the start of the upstream that answers, if it says.
+	// StartID identifies the start of the upstream that responded. It is empty if unknown.
 	StartID string
-	// Born is when that start began, as in Announcement, if it says.
+	// StartMillis is the start time, as in Announcement, or 0 if unknown.
 	StartMillis int64
-	// Load is what it tells of its load.
+	// Load is the reported load.
 	Load Load
-	// Cold is how much longer it is cold, or unknownCold.
+	// ColdRemaining is how much longer the upstream is cold, or unknownCold.
 	ColdRemaining time.Duration
-	// Notice is what it says of the requests that it wants.
+	// Notice is the reported limit and leaving state.
 	Notice Notice
 }
 
-// Health asks the health check of the upstream at addr once. An error means that
-// the upstream is not there, or does not call itself healthy.
+// Health calls the health check of the upstream at addr once. An error means that the upstream
+// can't be reached or reports that it is not healthy.
 func Health(ctx context.Context, addr, path string, names FieldNames, timeout time.Duration) (HealthStatus, error) {
 	p := &Poller{
 		Names:   names,
@@ -43,30 +43,28 @@
 	return p.check(ctx, addr, path)
 }
 
-// Poller asks a health check time and again over one connection. The exported
-// fields are set before the first call, and its methods are called by one
-// goroutine.
+// Poller calls a health check repeatedly over one connection. The exported fields are set before
+// the first call, and its methods must be called from one goroutine.
 type Poller struct {
 	// Names are the header fields that the upstream uses.
 	Names FieldNames
-	// Timeout bounds one question.
+	// Timeout bounds one health check.
 	Timeout time.Duration
-	// Observed is called with the load that an answer tells.
+	// LoadReported is called with the load that a response carries.
 	LoadReported func(Load)
-	// Cold, if not nil, is called with how much longer the upstream is cold, as an answer
-	// tells.
+	// ColdReported, if not nil, is called with the remaining cold time that a response carries.
 	ColdReported func(remaining time.Duration)
-	// Noticed, if not nil, is called with what an answer says of the requests that a start of
-	// the upstream wants.
+	// NoticeReceived, if not nil, is called with the notice that a response carries and the
+	// StartID of the upstream that sent it.
 	NoticeReceived func(start string, n Notice)
 
-	conn   net.Conn // kept between questions, nil if there is none
-	addr   string   // where it leads
+	conn   net.Conn // kept between health checks, or nil
+	addr   string   // its remote address
 	reader *bufio.Reader
 }
 
-// Poll asks once. An upstream that does not answer is passed over: the requests
-// that it is sent say more than its health check.
+// Poll calls the health check once. A failed check is ignored: the outcomes of the requests that
+// are sent to the upstream are better evidence.
 func (p *Poller) Poll(ctx context.Context, addr, path string) {
 	h, err := p.check(ctx, addr, path)
 	if err != nil && h.StartID == "" {
@@ -83,7 +81,7 @@
 	}
 }
 
-// ask makes one call.
+// check performs one health check.
 func (p *Poller) check(ctx context.Context, addr, path string) (HealthStatus, error) {
 	if p.conn == nil || p.addr != addr {
 		if err := p.dial(ctx, addr); err != nil {
@@ -116,16 +114,15 @@
 }
 
 const (
-	// maxCold is the longest time for which an upstream is believed to be cold.
+	// maxCold is the longest cold time that is accepted from an upstream.
 	maxCold = time.Hour
-	// unknownCold stands for a time that is not told or can't be read: what was known before
-	// then holds.
+	// unknownCold means that the time is missing or invalid. The previous value then stays.
 	unknownCold time.Duration = -1
 )
 
-// coldOf returns how much longer an upstream is cold, as the field of an answer says in
-// milliseconds. Without the field it is warm, but only if it calls itself healthy: one that
-// does not may leave out more than that.
+// parseCold returns how much longer an upstream is cold, from a field of a response that is in
+// milliseconds. An upstream without the field is warm only if it reports that it is healthy: an
+// unhealthy one may omit the field for other reasons.
 func parseCold(r *http.Response, field string) time.Duration {
 	if field == "" {
 		return 0
@@ -138,14 +135,14 @@
 		return unknownCold
 	}
 	ms, err := strconv.ParseFloat(text, 64)
-	if err != nil || !(ms >= 0 && ms <= float64(maxCold.Milliseconds())) { // NaN is none either
+	if err != nil || !(ms >= 0 && ms <= float64(maxCold.Milliseconds())) { // also excludes NaN
 		return unknownCold
 	}
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// bornOf returns when the upstream's start began, which a field of the body may
-// say, or 0. A body that is none of this form is nothing's fault: few are.
+// parseStartMillis returns the start time of the upstream from a field of the health check's body, or 0. A
+// body of another form is not an error: most health checks have one.
 func parseStartMillis(body []byte, field string) int64 {
 	if field == "" || len(body) == 0 || body[0] != '{' {
 		return 0
@@ -162,14 +159,13 @@
 }
 
 const (
-	// maxHealthBody is what is read of the body of a health check, in bytes.
+	// maxHealthBodyBytes bounds what is read of the body of a health check, in bytes.
 	maxHealthBodyBytes = 4 << 10
-	// healthBuffer is the size of the buffer for its answer, in bytes. The answers
-	// have a few fields.
+	// healthBufferBytes is the size of the read buffer, in bytes. The responses have few fields.
 	healthBufferBytes = 1 << 10
 )
 
-// dial opens the connection.
+// dial opens a new connection.
 func (p *Poller) dial(ctx context.Context, addr string) error {
 	p.Close()
 	d := net.Dialer{Timeout: p.Timeout}
@@ -183,9 +179,9 @@
 	return nil
 }
 
-// exchange sends one question and reads the answer whole. A client of the library
-// hands each over between three goroutines: it took 15 us and 51 allocations for a
-// question where this takes 10 us and 15 (BenchmarkPoll).
+// exchange sends one request and reads the whole response. It does not use http.Client, which passes
+// each request between three goroutines: that took 15 us and 51 allocations for a health check
+// where this takes 10 us and 15 (BenchmarkPoll).
 func (p *Poller) exchange(addr, path string) (*http.Response, []byte, error) {
 	_ = p.conn.SetDeadline(time.Now().Add(p.Timeout))
 	if _, err := io.WriteString(p.conn, "GET "+path+" HTTP/1.1\r\nHost: "+addr+"\r\n\r\n"); err != nil {
@@ -200,7 +196,7 @@
 		return nil, nil, err
 	}
 	if len(body) > maxHealthBodyBytes || response.Close {
-		p.Close() // it can't be used again
+		p.Close() // it can't be reused
 	}
 	return response, body, nil
 }
--- a/upstream/health_test.go
+++ b/upstream/health_test.go
@@ -24,15 +24,15 @@
 	Load:     "Load",
 }
 
-// TestPoller has one row for each way in which a health check may answer. Three
-// questions are asked, and the connection is kept where it may be.
+// TestPoller sends three health checks, and checks that the load is reported and that the
+// connection is reused where possible.
 func TestPoller(t *testing.T) {
 	tests := map[string]struct {
 		handler     http.HandlerFunc
 		reports     int
 		connections int64
 	}{
-		"kept": {
+		"connection kept": {
 			handler:     func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("Load", "3,0,8,100") },
 			reports:     3,
 			connections: 1,
@@ -53,7 +53,7 @@
 			reports:     3,
 			connections: 3,
 		},
-		"broken off": {
+		"aborted": {
 			handler:     func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 			connections: 3,
 		},
@@ -97,14 +97,14 @@
 	}
 }
 
-// TestPollCold tells what is taken from what a health check says of being cold.
+// TestPollCold checks which cold times are accepted from a health check.
 func TestPollCold(t *testing.T) {
 	tests := map[string]struct {
 		header string
 		status int
 		want   []time.Duration
 	}{
-		"nothing said":      {want: []time.Duration{0}},
+		"no field":          {want: []time.Duration{0}},
 		"cold":              {header: "1500", want: []time.Duration{1500 * time.Millisecond}},
 		"with a fraction":   {header: " 0.5", want: []time.Duration{500 * time.Microsecond}},
 		"cold and draining": {header: "20", status: 503, want: []time.Duration{20 * time.Millisecond}},
@@ -112,7 +112,7 @@
 		"not a number":      {header: "soon"},
 		"below zero":        {header: "-5"},
 		"too long":          {header: "1e30"},
-		"no number at all":  {header: "NaN"},
+		"NaN":               {header: "NaN"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -143,7 +143,7 @@
 	}
 }
 
-// BenchmarkPoll asks an upstream on loopback, which answers with fixed bytes.
+// BenchmarkPoll polls an upstream on loopback that sends a fixed response.
 func BenchmarkPoll(b *testing.B) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(b, err, qt.IsNil)
@@ -174,14 +174,14 @@
 	}
 }
 
-// TestHealthTellsTheBirth has one row for each body that a health check may have.
+// TestHealthStartTime checks which bodies of a health check yield a start time.
 func TestHealthStartTime(t *testing.T) {
 	tests := map[string]struct {
 		body string
 		want int64
 	}{
-		"told":       {`{"born":1700000000000}`, 1700000000000},
-		"with more":  {`{"more":{"born":1},"born":5}`, 5},
+		"present":    {`{"born":1700000000000}`, 1700000000000},
+		"other too":  {`{"more":{"born":1},"born":5}`, 5},
 		"no body":    {"", 0},
 		"words":      {"ok", 0},
 		"a list":     {"[1]", 0},
--- a/upstream/load.go
+++ b/upstream/load.go
@@ -11,31 +11,30 @@
 	"github.com/rotisserie/eris"
 )
 
-// Load is what an upstream tells of itself on its answers.
+// Load is the load that an upstream reports with its responses.
 type Load struct {
-	// Running and Waiting count its requests, and Slots is how many it runs at
-	// once.
+	// Running and Waiting count its requests, and Slots is how many it runs concurrently.
 	Running, Waiting, Slots int
-	// Slowdown is how many times longer than usual work takes there now. It is
-	// 1 if the upstream does not tell.
+	// Slowdown is the ratio of the current to the usual duration of a request. It is 1 if the
+	// upstream does not report it.
 	Slowdown float64
 }
 
 const (
-	// maxCount is the largest count of requests or slots that is believed: as many
-	// connections as an upstream may announce.
+	// maxCount is the largest accepted count of requests or slots: the largest number of
+	// connections that an upstream may announce.
 	maxCount = maxConnections
-	// maxPercent is the largest slowdown that is believed, in percent: a thousandfold.
+	// maxSlowdownPercent is the largest accepted slowdown, in percent: a factor of 1000.
 	maxSlowdownPercent = 100000
 )
 
-// ParseLoad reads "running,waiting,slots" or "running,waiting,slots,percent",
-// where percent is the present duration of work and 100 the usual one.
+// ParseLoad parses "running,waiting,slots" or "running,waiting,slots,percent", where percent is
+// the current duration of a request relative to the usual one, which is 100.
 func ParseLoad(text string) (Load, error) {
 	l := Load{Slowdown: 1}
 	parts := strings.Split(text, ",")
 	if len(parts) < 3 {
-		return l, eris.Errorf("load %q has fewer than three figures", text)
+		return l, eris.Errorf("load %q has fewer than three fields", text)
 	}
 	for i, to := range []*int{&l.Running, &l.Waiting, &l.Slots} {
 		n, err := strconv.Atoi(strings.TrimSpace(parts[i]))
@@ -46,7 +45,7 @@
 	}
 	if len(parts) > 3 {
 		percent, err := strconv.ParseFloat(strings.TrimSpace(parts[3]), 64)
-		if err != nil || !(percent > 0 && percent <= maxSlowdownPercent) { // NaN is none either
+		if err != nil || !(percent > 0 && percent <= maxSlowdownPercent) { // also excludes NaN
 			return l, eris.Errorf("load %q: %q is not a percentage", text, parts[3])
 		}
 		l.Slowdown = percent / 100
--- a/upstream/names.go
+++ b/upstream/names.go
@@ -4,45 +4,45 @@
 
 package upstream
 
-// Names are the header fields that callers, nodes and upstreams use. An empty
-// name means that there is no such field. It is an immutable value; the zero
-// value stands for DefaultNames.
+// FieldNames holds the names of the header fields that callers, nodes and upstreams use. An empty
+// name means that there is no such field. It is an immutable value; the zero value stands for
+// DefaultFieldNames.
 type FieldNames struct {
-	// RequestID names a request. An answer echoes it.
+	// RequestID carries the id of a request. A response echoes it.
 	RequestID string
-	// Timeout bears the remaining time of a request, in milliseconds.
+	// Timeout carries the remaining time of a request, in milliseconds.
 	Timeout string
-	// CallerService bears the service that a request comes from.
+	// CallerService carries the name of the service that a request comes from.
 	CallerService string
-	// Organisation bears the name of the organisation on whose behalf a request is sent.
+	// Organisation carries the name of the organisation on whose behalf a request is sent.
 	Organisation string
-	// Expected bears the start of the upstream that a request is meant for. An
-	// upstream of another start does not run it and answers 421.
+	// ExpectedInstance carries the StartID of the upstream that a request is meant for. An
+	// upstream with another one does not run it and responds with status 421.
 	ExpectedInstance string
-	// Instance bears the start of the upstream that answers.
+	// Instance carries the StartID of the upstream that responds.
 	Instance string
-	// NotRun on an answer says that the request has not been run.
+	// NotRun on a response means that the request has not been run.
 	NotRun string
-	// Signature is a field that each success of an upstream has.
+	// Signature is a field that every successful response of an upstream has.
 	Signature string
-	// Load bears the load of the upstream that answers; see ParseLoad.
+	// Load carries the load of the upstream that responds; see ParseLoad.
 	Load string
-	// Limit is the field of an answer that names how many requests a second the upstream takes
-	// from all nodes together; see ParseLimit. Without it there is no such limit.
+	// Limit carries the number of requests per second that the upstream accepts from all nodes
+	// together; see ParseLimit. Without it there is no such limit.
 	Limit string
-	// Leaving is the field of an answer that says, by "1", that the upstream leaves.
+	// Leaving is "1" on a response if the upstream is leaving.
 	Leaving string
-	// Born is the field of the health check's body, a JSON object, that says when the
-	// upstream's start began; see Announcement.
+	// StartMillis is the member of the health check's JSON body that holds the start time of
+	// the upstream; see Announcement.
 	StartMillis string
-	// Cold is the field of the health check's answer that says how much longer the upstream
-	// is cold, in milliseconds. Without it the upstream is warm.
+	// Cold is the field of the health check's response that holds the remaining cold time, in
+	// milliseconds. Without it the upstream is warm.
 	Cold string
 	// FractionalRetryAfter is whether Retry-After may have a fraction.
 	FractionalRetryAfter bool
 }
 
-// DefaultNames are the product's own.
+// DefaultFieldNames are the names that are used unless others are configured.
 var DefaultFieldNames = FieldNames{
 	RequestID: "X-Request-Id",
 	Timeout:   "Sassafras-Timeout-Ms",
@@ -58,6 +58,6 @@
 	return n
 }
 
-// MakesIDs returns whether a request without an id is given one. Where
-// upstreams know only ids that callers have sent, it is not.
+// GeneratesRequestIDs returns whether a request without an id is assigned one. It is not if the
+// field is not the default one: upstreams then only accept ids that callers have sent.
 func (n FieldNames) GeneratesRequestIDs() bool { return n.RequestID == DefaultFieldNames.RequestID }
--- a/upstream/notice.go
+++ b/upstream/notice.go
@@ -14,42 +14,42 @@
 	"github.com/rotisserie/eris"
 )
 
-// Notice is what an answer of an upstream says of the requests that the upstream wants. It
-// is an immutable value.
+// Notice is the request limit and the leaving state that an upstream reports with a response. It is
+// an immutable value.
 type Notice struct {
-	// Limited is whether it names a limit, and Limit the requests a second that it takes from
-	// all nodes together.
+	// Limited is whether there is a limit, and Limit the number of requests per second that the
+	// upstream accepts from all nodes together.
 	Limited bool
 	Limit   float64
-	// Leaving is whether the upstream leaves and wants no new requests.
+	// Leaving is whether the upstream is leaving and accepts no new requests.
 	Leaving bool
-	// Health is whether it is an answer of the health check, which may leave out what other
-	// answers say.
+	// FromHealthCheck is whether it comes from the health check, whose responses may omit fields
+	// that other responses have.
 	FromHealthCheck bool
-	// Asked is when the request was about to be written. Of two answers, the one whose request
-	// was written after the other had been read is the later word; the order in which the
-	// answers to simultaneous requests are read says nothing.
+	// SentAt is the time just before the request was written. Of two responses, the one whose
+	// request was written after the other response had been read is the newer; the order in which
+	// the responses to concurrent requests are read is arbitrary.
 	SentAt time.Time
-	// Fault is why a part of it can't be read, or nil. What was known before then holds.
+	// Err is the reason why a field can't be parsed, or nil. The previous value then stays.
 	Err error
 }
 
-// maxLimit is the largest limit that is told from none, in requests a second.
+// maxLimit is the largest accepted limit, in requests per second. Higher ones are reduced to it.
 const maxLimit = 1e6
 
-// ParseLimit reads a limit, a decimal number of requests a second. One that is larger than
-// any upstream takes counts as 1e6.
+// ParseLimit parses a limit, a decimal number of requests per second. A limit above any upstream's
+// capacity is reduced to 1e6.
 func ParseLimit(text string) (float64, error) {
 	limit, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	switch {
 	case err != nil && math.IsInf(limit, 1): // out of range
-	case err != nil || !(limit >= 0) || math.IsInf(limit, 0): // NaN is none either
-		return 0, eris.Errorf("limit %q is not a number of requests a second", text)
+	case err != nil || !(limit >= 0) || math.IsInf(limit, 0): // also excludes NaN
+		return 0, eris.Errorf("limit %q is not a number of requests per second", text)
 	}
 	return min(limit, maxLimit), nil
 }
 
-// noticeOf returns what an answer says, by the names of its fields.
+// parseNotice returns the notice in the header of a response.
 func parseNotice(h http.Header, names FieldNames) (n Notice) {
 	if names.Limit != "" {
 		if values := h.Values(names.Limit); len(values) > 0 {
--- a/upstream/notice_test.go
+++ b/upstream/notice_test.go
@@ -13,7 +13,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// FuzzParseLimit reads limits of any form: what is read is a number that can be kept to.
+// FuzzParseLimit checks that whatever is accepted as a limit is within the bounds.
 func FuzzParseLimit(f *testing.F) {
 	for _, text := range []string{"7.6", "0", "-1", "1e999", "NaN", "", "0x1p-2", "1_000"} {
 		f.Add(text)
@@ -26,7 +26,8 @@
 	})
 }
 
-// TestNoticesOfAnswers tells which answers are words of the upstream on the requests that it wants.
+// TestNoticesOfResponses checks from which responses a notice is taken: not from those of other
+// upstreams, and not from those that may be and carry neither a limit nor leaving.
 func TestNoticesOfResponses(t *testing.T) {
 	names := FieldNames{
 		RequestID:        "Request-Id",
@@ -41,15 +42,15 @@
 		fields []string
 		want   []Notice
 	}{
-		"a success":                       {status: 200, fields: []string{"Signature", "s"}, want: []Notice{{}}},
-		"a success with a limit":          {status: 200, fields: []string{"Signature", "s", "Limit", "5"}, want: []Notice{{Limited: true, Limit: 5}}},
-		"a failure":                       {status: 500, fields: []string{"Limit", "5"}, want: []Notice{{Limited: true, Limit: 5}}},
-		"a refusal":                       {status: 503, fields: []string{"Not-Run", "1", "Limit", "5"}, want: []Notice{{Limited: true, Limit: 5}}},
-		"another upstream's":              {status: 421, fields: []string{"Limit", "5"}},
-		"not signed, and says nothing":    {status: 200},
-		"not signed, with a limit":        {status: 200, fields: []string{"Limit", "5"}, want: []Notice{{Limited: true, Limit: 5}}},
-		"a refusal that is not its own":   {status: 503},
-		"not signed, says that it leaves": {status: 200, fields: []string{"Leaving", "1"}, want: []Notice{{Leaving: true}}},
+		"a success":                    {status: 200, fields: []string{"Signature", "s"}, want: []Notice{{}}},
+		"a success with a limit":       {status: 200, fields: []string{"Signature", "s", "Limit", "5"}, want: []Notice{{Limited: true, Limit: 5}}},
+		"a failure":                    {status: 500, fields: []string{"Limit", "5"}, want: []Notice{{Limited: true, Limit: 5}}},
+		"a refusal":                    {status: 503, fields: []string{"Not-Run", "1", "Limit", "5"}, want: []Notice{{Limited: true, Limit: 5}}},
+		"another upstream's":           {status: 421, fields: []string{"Limit", "5"}},
+		"not signed, without a notice": {status: 200},
+		"not signed, with a limit":     {status: 200, fields: []string{"Limit", "5"}, want: []Notice{{Limited: true, Limit: 5}}},
+		"an unconfirmed refusal":       {status: 503},
+		"not signed, leaving":          {status: 200, fields: []string{"Leaving", "1"}, want: []Notice{{Leaving: true}}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -80,34 +81,34 @@
 	}
 }
 
-// TestNoticeOf reads what an answer may say of the requests that the upstream wants.
+// TestNoticeOf checks the parsing of the limit and leaving fields.
 func TestNoticeOf(t *testing.T) {
 	names := FieldNames{
 		Limit:   "Server-Limit",
 		Leaving: "Server-Leaving",
 	}
 	tests := map[string]struct {
-		limit, leaving string // "-" is left out
+		limit, leaving string // "-" means absent
 		want           Notice
 		fault          string
 	}{
-		"nothing":            {limit: "-", leaving: "-"},
-		"a limit":            {limit: "7.6", leaving: "-", want: Notice{Limited: true, Limit: 7.6}},
-		"with spaces":        {limit: " 7.6 ", leaving: "-", want: Notice{Limited: true, Limit: 7.6}},
-		"below one":          {limit: "0.25", leaving: "-", want: Notice{Limited: true, Limit: 0.25}},
-		"zero":               {limit: "0", leaving: "-", want: Notice{Limited: true}},
-		"a huge number":      {limit: "1e300", leaving: "-", want: Notice{Limited: true, Limit: maxLimit}},
-		"out of range":       {limit: "1e999", leaving: "-", want: Notice{Limited: true, Limit: maxLimit}},
-		"below zero":         {limit: "-1", leaving: "-", fault: `limit "-1" is .*`},
-		"no number":          {limit: "NaN", leaving: "-", fault: `limit "NaN" is .*`},
-		"infinite":           {limit: "Inf", leaving: "-", fault: `limit "Inf" is .*`},
-		"a word":             {limit: "few", leaving: "-", fault: `limit "few" is .*`},
-		"empty":              {limit: "", leaving: "-", fault: `limit "" is .*`},
-		"leaving":            {limit: "-", leaving: "1", want: Notice{Leaving: true}},
-		"not leaving":        {limit: "-", leaving: "0"},
-		"leaving, a word":    {limit: "-", leaving: "soon", fault: `leaving "soon" is .*`},
-		"both":               {limit: "5", leaving: "1", want: Notice{Limited: true, Limit: 5, Leaving: true}},
-		"limit not readable": {limit: "x", leaving: "1", want: Notice{Leaving: true}, fault: `limit "x" is .*`},
+		"nothing":         {limit: "-", leaving: "-"},
+		"a limit":         {limit: "7.6", leaving: "-", want: Notice{Limited: true, Limit: 7.6}},
+		"with spaces":     {limit: " 7.6 ", leaving: "-", want: Notice{Limited: true, Limit: 7.6}},
+		"below one":       {limit: "0.25", leaving: "-", want: Notice{Limited: true, Limit: 0.25}},
+		"zero":            {limit: "0", leaving: "-", want: Notice{Limited: true}},
+		"a huge number":   {limit: "1e300", leaving: "-", want: Notice{Limited: true, Limit: maxLimit}},
+		"out of range":    {limit: "1e999", leaving: "-", want: Notice{Limited: true, Limit: maxLimit}},
+		"below zero":      {limit: "-1", leaving: "-", fault: `limit "-1" is .*`},
+		"no number":       {limit: "NaN", leaving: "-", fault: `limit "NaN" is .*`},
+		"infinite":        {limit: "Inf", leaving: "-", fault: `limit "Inf" is .*`},
+		"a word":          {limit: "few", leaving: "-", fault: `limit "few" is .*`},
+		"empty":           {limit: "", leaving: "-", fault: `limit "" is .*`},
+		"leaving":         {limit: "-", leaving: "1", want: Notice{Leaving: true}},
+		"not leaving":     {limit: "-", leaving: "0"},
+		"leaving, a word": {limit: "-", leaving: "soon", fault: `leaving "soon" is .*`},
+		"both":            {limit: "5", leaving: "1", want: Notice{Limited: true, Limit: 5, Leaving: true}},
+		"invalid limit":   {limit: "x", leaving: "1", want: Notice{Leaving: true}, fault: `limit "x" is .*`},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/upstream/prober.go
+++ b/upstream/prober.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// probeFailures is the number of failed probes in a row after which the
-	// upstream counts as down.
+	// probeFailures is the number of consecutive failed probes after which the upstream is
+	// considered down.
 	probeFailures        = 3
 	defaultProbeInterval = time.Second
 )
 
-// Prober watches whether the upstream accepts connections. That is a hint: the
-// requests themselves say more. The exported fields are set before Run.
+// Prober watches whether the upstream accepts connections. That is only a hint: the outcomes of
+// the requests are better evidence. The exported fields are set before Run.
 type Prober struct {
 	// Transport dials the upstream.
 	Transport *Transport
-	// Every is the time between probes. Zero means 1 s.
+	// Interval is the time between probes. Zero means 1 s.
 	Interval time.Duration
 	// Changed is called when the upstream goes down or comes up again.
 	Changed func(up bool)
--- a/upstream/response.go
+++ b/upstream/response.go
@@ -16,14 +16,15 @@
 	"sassafrasfront.example/verdict"
 )
 
-// maxCrossed bounds the answers to other requests that are skipped ahead of the right one.
+// maxSkippedResponses bounds the number of responses to other requests that are skipped before the right
+// one.
 const maxSkippedResponses = 4
 
-// errCrossed ends a connection whose answers can't be told apart.
-var errUnmatchedResponses = eris.New("answers to other requests, and no end of them")
+// errUnmatchedResponses closes a connection whose responses can't be assigned to requests.
+var errUnmatchedResponses = eris.New("responses can't be matched to requests")
 
-// readAnswer reads the head of the answer to r. Answers that name another
-// request are skipped: an upstream may send one twice, and late.
+// readResponse reads the head of the response to r. Responses that carry the id of another request
+// are skipped: an upstream may send a response twice, or late.
 func (t *Transport) readResponse(c *conn, r *http.Request, inform func(int, http.Header)) (*http.Response, error) {
 	names := t.Names
 	id := ""
@@ -44,7 +45,7 @@
 		}
 		c.responseSkipped = true
 		if response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
-			return nil, errUnmatchedResponses // it ends with the connection
+			return nil, errUnmatchedResponses // its body ends with the connection
 		}
 		if _, err := io.Copy(io.Discard, response.Body); err != nil || response.Close {
 			return nil, errUnmatchedResponses
@@ -53,7 +54,7 @@
 	return nil, errUnmatchedResponses
 }
 
-// observe hands on the load that an answer tells.
+// reportLoad reports the load that a response carries.
 func (t *Transport) reportLoad(r *http.Response) {
 	if t.Names.Load == "" || t.LoadReported == nil {
 		return
@@ -65,9 +66,10 @@
 	}
 }
 
-// notice hands on what an answer says of the requests that the upstream wants, given the failure
-// that it stands for, if any. That of another upstream at the same address is left out, and so is
-// one that may not be the upstream's and says nothing: it ends no limit.
+// reportNotice reports the limit and the leaving state that a response carries. The failure is the one
+// that the response represents, if any. A response of another upstream at the same address is
+// ignored, and so is one that may not be the upstream's and carries neither a limit nor leaving:
+// it must not lift a limit.
 func (t *Transport) reportNotice(r *http.Response, sentAt time.Time, failure *verdict.Error) {
 	if t.NoticeReceived == nil || failure != nil && failure.Cause == verdict.WrongUpstream {
 		return
@@ -80,9 +82,9 @@
 	t.NoticeReceived(n)
 }
 
-// namedRefusal returns the failure that an answer stands for by the fields of
-// Names: that the request has not run, that the answer breaks a promise, or that
-// it is no answer of the upstream's.
+// refusalByFields returns the failure that a response represents according to the fields of
+// FieldNames: the request has not run, the response violates the protocol, or it was not sent by
+// the upstream.
 func (t *Transport) refusalByFields(r *http.Response) *verdict.Error {
 	names := t.Names
 	switch {
@@ -91,17 +93,16 @@
 	case names.NotRun != "" && r.Header.Get(names.NotRun) != "":
 		return verdict.New(verdict.UpstreamRefused, nil).WithRetryAfter(parseRetryAfter(r))
 	case names.NotRun != "" && impliesNotRun(r.StatusCode):
-		// The status says to a caller that the request has not run, and the
-		// upstream does not say so.
-		return verdict.New(verdict.AnswerMalformed, eris.Errorf("status %d without word that the request has not run", r.StatusCode))
+		// A caller reads the status as a guarantee that the request has not run, which the
+		// upstream did not confirm.
+		return verdict.New(verdict.AnswerMalformed, eris.Errorf("status %d without confirmation that the request has not run", r.StatusCode))
 	case names.Signature != "" && r.StatusCode/100 == 2 && r.Header.Get(names.Signature) == "":
-		return verdict.New(verdict.AnswerMalformed, eris.New("success without a signature"))
+		return verdict.New(verdict.AnswerMalformed, eris.New("successful status without a signature"))
 	}
 	return nil
 }
 
-// promises returns whether a caller takes the status as a promise that its
-// request has not run.
+// impliesNotRun returns whether callers read the status as a guarantee that the request has not run.
 func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -110,8 +111,8 @@
 	return false
 }
 
-// keepAliveOf returns how long the upstream keeps an idle connection, as an answer says in whole
-// seconds, or 0. See RFC 2068, section 19.7.1.1.
+// parseKeepAlive returns the time for which the upstream keeps an idle connection, from the
+// Keep-Alive field of a response in whole seconds, or 0. See RFC 2068, section 19.7.1.1.
 func parseKeepAlive(r *http.Response) time.Duration {
 	for parameter := range strings.SplitSeq(r.Header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(parameter), "=")
@@ -125,7 +126,7 @@
 	return 0
 }
 
-// retryAfter returns the wait that an answer asks for, or 0.
+// parseRetryAfter returns the delay of the Retry-After field of a response, or 0.
 func parseRetryAfter(r *http.Response) time.Duration {
 	s, err := strconv.ParseFloat(strings.TrimSpace(r.Header.Get("Retry-After")), 64)
 	if err != nil || s <= 0 || s > time.Hour.Seconds() {
--- a/upstream/response_test.go
+++ b/upstream/response_test.go
@@ -30,7 +30,7 @@
 	Load:             "Test-Load",
 }
 
-// TestNamedAnswers has one row for each thing that an answer's fields say.
+// TestResponseFields checks how the fields of a response decide on the result of a request.
 func TestResponseFields(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\nTest-Id: 1\r\nTest-Signature: s\r\nContent-Length: 4\r\n\r\nmine"
 	tests := map[string]struct {
@@ -40,18 +40,18 @@
 		status   int
 		reused   bool
 	}{
-		"whole":                      {response: ok, body: "mine", status: 200, reused: true},
-		"late answer in front":       {response: "HTTP/1.1 200 OK\r\nTest-Id: 0\r\nTest-Signature: s\r\nContent-Length: 5\r\n\r\nother" + ok, body: "mine", status: 200},
-		"late chunked one in front":  {response: "HTTP/1.1 200 OK\r\nTest-Id: 0\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nother\r\n0\r\n\r\n" + ok, body: "mine", status: 200},
-		"late large one in front":    {response: "HTTP/1.1 200 OK\r\nTest-Id: 0\r\nContent-Length: 2000000\r\n\r\n" + strings.Repeat("x", 2000000) + ok, body: "mine", status: 200},
-		"late one without an end":    {response: "HTTP/1.1 200 OK\r\nTest-Id: 0\r\n\r\n" + ok, want: verdict.AnswerMalformed},
-		"second answer behind":       {response: ok + ok, body: "mine", status: 200},
-		"success without signature":  {response: "HTTP/1.1 200 OK\r\nTest-Id: 1\r\nContent-Length: 4\r\n\r\nmine", want: verdict.AnswerMalformed},
-		"failure without signature":  {response: "HTTP/1.1 500 No\r\nTest-Id: 1\r\nContent-Length: 0\r\n\r\n", status: 500, reused: true},
-		"full":                       {response: "HTTP/1.1 503 No\r\nTest-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", want: verdict.UpstreamRefused},
-		"too many":                   {response: "HTTP/1.1 429 No\r\nTest-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", want: verdict.UpstreamRefused},
-		"503 that may have run":      {response: "HTTP/1.1 503 No\r\nTest-Id: 1\r\nContent-Length: 0\r\n\r\n", want: verdict.AnswerMalformed},
-		"another upstream's address": {response: "HTTP/1.1 421 No\r\nTest-Instance: x\r\nContent-Length: 0\r\n\r\n", want: verdict.WrongUpstream},
+		"whole":                        {response: ok, body: "mine", status: 200, reused: true},
+		"late response first":          {response: "HTTP/1.1 200 OK\r\nTest-Id: 0\r\nTest-Signature: s\r\nContent-Length: 5\r\n\r\nother" + ok, body: "mine", status: 200},
+		"late chunked response first":  {response: "HTTP/1.1 200 OK\r\nTest-Id: 0\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nother\r\n0\r\n\r\n" + ok, body: "mine", status: 200},
+		"late large response first":    {response: "HTTP/1.1 200 OK\r\nTest-Id: 0\r\nContent-Length: 2000000\r\n\r\n" + strings.Repeat("x", 2000000) + ok, body: "mine", status: 200},
+		"late response without an end": {response: "HTTP/1.1 200 OK\r\nTest-Id: 0\r\n\r\n" + ok, want: verdict.AnswerMalformed},
+		"duplicate response after":     {response: ok + ok, body: "mine", status: 200},
+		"success without signature":    {response: "HTTP/1.1 200 OK\r\nTest-Id: 1\r\nContent-Length: 4\r\n\r\nmine", want: verdict.AnswerMalformed},
+		"failure without signature":    {response: "HTTP/1.1 500 No\r\nTest-Id: 1\r\nContent-Length: 0\r\n\r\n", status: 500, reused: true},
+		"503, not run":                 {response: "HTTP/1.1 503 No\r\nTest-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", want: verdict.UpstreamRefused},
+		"429, not run":                 {response: "HTTP/1.1 429 No\r\nTest-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", want: verdict.UpstreamRefused},
+		"503 that may have run":        {response: "HTTP/1.1 503 No\r\nTest-Id: 1\r\nContent-Length: 0\r\n\r\n", want: verdict.AnswerMalformed},
+		"another upstream's address":   {response: "HTTP/1.1 421 No\r\nTest-Instance: x\r\nContent-Length: 0\r\n\r\n", want: verdict.WrongUpstream},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -93,17 +93,17 @@
 		want upstream.Load
 		ok   bool
 	}{
-		"three figures": {"3,1,8", upstream.Load{Running: 3, Waiting: 1, Slots: 8, Slowdown: 1}, true},
-		"with speed":    {"3,1,8,400", upstream.Load{Running: 3, Waiting: 1, Slots: 8, Slowdown: 4}, true},
-		"more to come":  {"3,1,8,100,7", upstream.Load{Running: 3, Waiting: 1, Slots: 8, Slowdown: 1}, true},
-		"too few":       {"3,1", upstream.Load{}, false},
-		"negative":      {"-3,1,8", upstream.Load{}, false},
-		"no speed":      {"3,1,8,0", upstream.Load{}, false},
-		"words":         {"a,b,c", upstream.Load{}, false},
-		"not a number":  {"1,2,3,NaN", upstream.Load{}, false},
-		"infinite":      {"1,2,3,+Inf", upstream.Load{}, false},
-		"beyond belief": {"1,2,3,1e300", upstream.Load{}, false},
-		"many slots":    {"1,2,300000000000", upstream.Load{}, false},
+		"three fields":         {"3,1,8", upstream.Load{Running: 3, Waiting: 1, Slots: 8, Slowdown: 1}, true},
+		"with slowdown":        {"3,1,8,400", upstream.Load{Running: 3, Waiting: 1, Slots: 8, Slowdown: 4}, true},
+		"additional field":     {"3,1,8,100,7", upstream.Load{Running: 3, Waiting: 1, Slots: 8, Slowdown: 1}, true},
+		"too few":              {"3,1", upstream.Load{}, false},
+		"negative":             {"-3,1,8", upstream.Load{}, false},
+		"zero slowdown":        {"3,1,8,0", upstream.Load{}, false},
+		"words":                {"a,b,c", upstream.Load{}, false},
+		"not a number":         {"1,2,3,NaN", upstream.Load{}, false},
+		"infinite":             {"1,2,3,+Inf", upstream.Load{}, false},
+		"implausible slowdown": {"1,2,3,1e300", upstream.Load{}, false},
+		"implausible slots":    {"1,2,300000000000", upstream.Load{}, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -116,8 +116,7 @@
 	}
 }
 
-// FuzzParseLoad has any text come as a load: what is taken is a load that can be
-// reckoned with.
+// FuzzParseLoad checks that whatever is accepted as a load is within the bounds.
 func FuzzParseLoad(f *testing.F) {
 	f.Add("3,1,8,400")
 	f.Add("1,2,3,NaN")
--- a/upstream/slowread_test.go
+++ b/upstream/slowread_test.go
@@ -22,17 +22,17 @@
 	"sassafrasfront.example/verdict"
 )
 
-// TestUpstreamReadsLate guards against the loss of requests whose bodies fill the receive window of a
-// working upstream, which reads on only after a while.
+// TestUpstreamReadsLate guards against the loss of requests whose bodies fill the receive window of
+// a healthy upstream that pauses before it reads on.
 func TestUpstreamReadsLate(t *testing.T) {
-	const pause = 800 * time.Millisecond // beyond the bound on silence
+	const pause = 800 * time.Millisecond // longer than the acknowledgement timeout
 	tests := map[string]struct {
 		body   int
 		reused bool // whether the connection has carried a large body before
 	}{
-		"a body that is written before the answer is read": {body: 60 << 10},
+		"a body that is written before the response is read": {body: 60 << 10},
 		"a larger body": {body: 256 << 10},
-		"a request behind a body that is read on later": {reused: true},
+		"a request after a body that is read late": {reused: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -76,8 +76,8 @@
 	}
 }
 
-// TestLongWork guards against the loss of requests whose upstream says time and again that it is at
-// work on them. What never stops saying so, without a pause, is no answer.
+// TestLongWork guards against the loss of requests for which the upstream repeatedly sends
+// 102 Processing. An endless stream of these without a pause is a failure.
 func TestLongWork(t *testing.T) {
 	const informational = "HTTP/1.1 102 Processing\r\n\r\n"
 	tests := map[string]struct {
@@ -85,10 +85,10 @@
 		want     verdict.Cause
 		informed int // at least
 	}{
-		"as many as once were borne": {count: 7, informed: 7},
-		"one for each second":        {count: 600, informed: 600},
-		"more than are passed on":    {count: 10000, informed: 2000},
-		"without an end":             {count: 100000, want: verdict.AnswerInvalid, informed: 2000},
+		"a few":                          {count: 7, informed: 7},
+		"one per second for ten minutes": {count: 600, informed: 600},
+		"more than are forwarded":        {count: 10000, informed: 2000},
+		"endless":                        {count: 100000, want: verdict.AnswerInvalid, informed: 2000},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -121,8 +121,8 @@
 	}
 }
 
-// TestEarlyAnswer guards against answers that are held back until the upstream has read the body of
-// their request, which it may do later, or never.
+// TestEarlyResponse guards against responses that are held back until the upstream has read the body of
+// the request, which may happen later or never.
 func TestEarlyResponse(t *testing.T) {
 	for name, size := range map[string]int{
 		"within one frame": 6 << 10,
@@ -130,7 +130,7 @@
 		"large":            1 << 20,
 	} {
 		t.Run(name, func(t *testing.T) {
-			ours, theirs := net.Pipe() // which has no room for what is not read
+			ours, theirs := net.Pipe() // has no buffer
 			responseRead := make(chan struct{})
 			go func() {
 				defer theirs.Close()
@@ -157,8 +157,8 @@
 	}
 }
 
-// TestResetUnsent has the upstream reset the connection before anything of a request with a body has
-// been written: it has not run.
+// TestResetUnsent checks that a request has not run if the upstream resets the connection before
+// any of it has been written.
 func TestResetUnsent(t *testing.T) {
 	for name, size := range map[string]int{"none": 0, "medium": 60 << 10, "large": 1 << 20} {
 		t.Run(name, func(t *testing.T) {
@@ -175,9 +175,9 @@
 	}
 }
 
-// TestProbe guards against requests that wait to their deadlines at an upstream that has gone
-// without a word, after another start has announced itself: nothing is written to it any more,
-// so that its kernel has to be asked.
+// TestProbe guards against requests that wait until their deadlines for an upstream that vanished
+// without closing its connections and was replaced by another start. Nothing more is written to
+// it, so only keep-alive probes can detect that.
 func TestProbe(t *testing.T) {
 	began := make(chan struct{})
 	end := make(chan struct{})
--- a/upstream/transport.go
+++ b/upstream/transport.go
@@ -25,36 +25,36 @@
 )
 
 const (
-	// maxHead bounds the head of an answer, in bytes.
+	// maxHeadBytes bounds the head of a response, in bytes.
 	maxHeadBytes = 64 << 10
-	// informBytes bounds the informational answers to one request that are passed on, in
+	// maxForwardedInfoBytes bounds the informational responses that are passed on for one request, in
 	// bytes.
 	maxForwardedInfoBytes = 64 << 10
-	// floodBytes is from how many bytes of informational answers on the upstream is taken to
-	// send nothing else.
+	// maxInfoBytes is the number of bytes of informational responses after which a request
+	// fails because a final response is not expected any more.
 	maxInfoBytes = 1 << 20
-	// defaultDial bounds the opening of a connection.
+	// defaultDialTimeout bounds the time to open a connection.
 	defaultDialTimeout = time.Second
-	// defaultIdle is how long an idle connection is kept. It is shorter than
-	// the five seconds after which common servers close theirs.
+	// defaultIdleTimeout is how long an idle connection is kept. It is shorter than the five seconds
+	// after which common servers close theirs.
 	defaultIdleTimeout = 4 * time.Second
-	// idleShare is the part of the time for which an upstream keeps idle connections within
-	// which one is used again.
+	// keepAliveShare is the fraction of the upstream's keep-alive timeout for which an idle
+	// connection may be reused.
 	keepAliveShare = 0.9
-	// silence is how long what was sent may be without an acknowledgement by the
-	// upstream's kernel. The upstream is on the same instance, so that a fraction
-	// of a millisecond is usual; callers have 250 ms and more. It does not bind
-	// requests over promptBytes, which may wait until the upstream reads them.
+	// ackTimeout bounds the time for which sent data may stay unacknowledged by the upstream's
+	// kernel. The upstream runs on the same instance, where a fraction of a millisecond is
+	// usual, and callers wait at least 250 ms. The bound does not apply to requests above
+	// promptAckBytes, which may stay unacknowledged until the upstream reads them.
 	ackTimeout = 200 * time.Millisecond
 )
 
-// The headers with which an upstream says that it has not run a request. A
-// caller gets them too.
+// The header fields with which an upstream reports that it has not run a request. They are passed
+// on to the caller.
 const (
-	// VerdictHeader bears the verdict. An upstream that answers 503 with the
-	// verdict notRun has not run the request.
+	// VerdictHeader carries the verdict. An upstream that responds with status 503 with the verdict notRun
+	// has not run the request.
 	VerdictHeader = "Sassafras-Verdict"
-	// GivenUpHeader, if it is "true", says that the tries have been spent.
+	// GivenUpHeader is "true" if all attempts are used up.
 	GivenUpHeader = "Sassafras-Given-Up"
 )
 
@@ -63,22 +63,21 @@
 type Transport struct {
 	// Addr is the address of the upstream.
 	Addr string
-	// Connections is the largest number of open connections. Zero means no
-	// bound.
+	// MaxConns is the largest number of open connections. Zero means unlimited.
 	MaxConns int
-	// Warm is the largest number of idle connections that are kept.
+	// MaxIdleConns is the largest number of idle connections that are kept.
 	MaxIdleConns int
-	// Idle is how long an idle connection is kept. Zero means 4 s.
+	// IdleTimeout is how long an idle connection is kept. Zero means 4 s.
 	IdleTimeout time.Duration
 	// Names are the header fields that the upstream uses.
 	Names FieldNames
-	// Observed, if not nil, is called with the load that an answer tells.
+	// LoadReported, if not nil, is called with the load that a response carries.
 	LoadReported func(Load)
-	// Noticed, if not nil, is called with what an answer says of the requests that the
-	// upstream wants, before the answer is passed on.
+	// NoticeReceived, if not nil, is called with the notice that a response carries, before the
+	// response is returned.
 	NoticeReceived func(Notice)
-	// Permit, if not nil, is called when a request is about to be written, and says why
-	// it must not be. Otherwise it returns what to call when the request has been written.
+	// Permit, if not nil, is called just before a request is written. It returns the reason why
+	// the request must not be written, or a function to call after it has been written.
 	Permit func() (written func(), refused *verdict.Error)
 	// Dial opens a connection. Nil means TCP, bounded by 1 s.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
@@ -86,13 +85,13 @@
 	mu        sync.Mutex
 	open      int
 	available chan struct{} // closed when a connection is closed or becomes idle
-	idle      []*conn       // the latest used last
+	idle      []*conn       // the most recently used last
 	busy      map[*conn]struct{}
 }
 
-// Send writes the request and returns the head of the answer. The request's
-// context cancels it: the connection is then closed. Inform, if not nil, is
-// called with each informational answer. The caller closes the answer's body.
+// Send writes the request and returns the head of the response. The request's context cancels it:
+// the connection is then closed. The function inform, if not nil, is called with each informational
+// response. The caller must close the response's body.
 func (t *Transport) Send(r *http.Request, inform func(status int, h http.Header)) (*http.Response, *verdict.Error) {
 	c, err := t.getConn(r.Context())
 	if err != nil {
@@ -126,7 +125,7 @@
 		c.recordUnacknowledged()
 		t.discard(c)
 		if errors.Is(err, syscall.ETIMEDOUT) {
-			t.CloseIdle() // whatever silenced one connection may have silenced those as well
+			t.CloseIdle() // the cause of the timeout may affect these as well
 		}
 		return nil, c.failure(r.Context(), err, written)
 	}
@@ -150,8 +149,8 @@
 	return response, nil
 }
 
-// refusal returns the failure that an answer stands for, if it says that the
-// upstream has not run the request.
+// refusal returns the failure that a response represents, if any, such as that the upstream has not
+// run the request.
 func (t *Transport) refusal(r *http.Response) *verdict.Error {
 	if refused := t.refusalByFields(r); refused != nil {
 		return refused
@@ -168,8 +167,8 @@
 	return e
 }
 
-// take returns an idle connection that is still good, or opens one. It waits
-// while the upstream has as many connections as it may.
+// getConn returns a usable idle connection, or opens a new one. It blocks while MaxConns connections
+// are open and none is idle.
 func (t *Transport) getConn(ctx context.Context) (*conn, error) {
 	for {
 		t.mu.Lock()
@@ -197,9 +196,9 @@
 	}
 }
 
-// ErrUnreachable is in the failure of a request for which no connection to the upstream could
-// be opened. A request may also end unsent for its caller's reasons, or with a connection
-// that was open before; neither says that the upstream is gone.
+// ErrUnreachable is wrapped by the failure of a request for which no connection to the upstream
+// could be opened. A request may also fail unsent because its caller cancelled it or because an
+// open connection broke; neither means that the upstream is gone.
 var ErrUnreachable = eris.New("dial upstream")
 
 // notSent returns the failure of a request that ended before it was written.
@@ -207,8 +206,8 @@
 	return verdict.New(verdict.UpstreamDialFailed, err)
 }
 
-// popIdle returns the idle connection used last that is still good, or nil,
-// and closes those that are not.
+// popIdle returns the most recently used idle connection that is still usable, or nil, and closes
+// the unusable ones. The lock is held.
 func (t *Transport) popIdle() *conn {
 	for len(t.idle) > 0 {
 		c := t.idle[len(t.idle)-1]
@@ -221,7 +220,7 @@
 	return nil
 }
 
-// maxIdle returns how long a connection may be idle.
+// maxIdle returns how long a connection may stay idle.
 func (t *Transport) maxIdle(c *conn) time.Duration {
 	idle := cmp.Or(t.IdleTimeout, defaultIdleTimeout)
 	if c.keepAlive > 0 {
@@ -230,7 +229,7 @@
 	return idle
 }
 
-// dial opens a connection that is already counted.
+// dial opens a connection that is already included in t.open.
 func (t *Transport) dial(ctx context.Context) (*conn, error) {
 	dial := t.Dial
 	if dial == nil {
@@ -256,7 +255,7 @@
 	return c, nil
 }
 
-// Reach opens a connection and closes it again. An error says why there is none.
+// CheckReachable opens a connection and closes it again. The error says why that failed.
 func (t *Transport) CheckReachable(ctx context.Context) error {
 	dial := t.Dial
 	if dial == nil {
@@ -273,7 +272,7 @@
 	return tcp.Dialer(defaultDialTimeout, ackTimeout).DialContext(ctx, "tcp", addr)
 }
 
-// put takes a connection back whose answer has been read to its end.
+// putConn returns a connection to the pool after its response has been read completely.
 func (t *Transport) putConn(c *conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -308,11 +307,11 @@
 	}
 }
 
-// surplus returns whether more connections are open than may be. The lock is held.
+// overLimit returns whether more than MaxConns connections are open. The lock is held.
 func (t *Transport) overLimit() bool { return t.MaxConns > 0 && t.open > t.MaxConns }
 
-// Resize changes the largest numbers of open and of idle connections. A connection with a
-// request on it stays open until that has ended.
+// Resize changes the limits on open and on idle connections. A connection that carries a request
+// stays open until the request has ended.
 func (t *Transport) Resize(connections, warm int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -327,19 +326,19 @@
 }
 
 const (
-	// probeEvery is the time between two questions to the kernel of an upstream that may be
-	// gone, and probeCount how many of them in a row may be without an answer.
+	// probeInterval is the interval of the keep-alive probes that the kernel sends to an upstream
+	// that may be gone, and probeCount how many of them may be lost in a row.
 	probeInterval = time.Second
 	probeCount    = 3
 )
 
-// Probe has the kernel find out whether the other end of each connection with a request on it
-// is still there. Those of an upstream that is gone end.
+// ProbeBusyConns enables TCP keep-alive probes on each connection that carries a request, so that
+// the connections to an upstream that is gone are closed.
 func (t *Transport) ProbeBusyConns() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for c := range t.busy {
-		_ = tcp.Probe(c.Conn, probeInterval, probeCount) // it fails on a connection that has ended only
+		_ = tcp.Probe(c.Conn, probeInterval, probeCount) // fails only if the connection is closed
 	}
 }
 
@@ -353,15 +352,15 @@
 	t.idle = nil
 }
 
-// Open returns the number of open connections.
+// OpenConns returns the number of open connections.
 func (t *Transport) OpenConns() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.open
 }
 
-// body is the body of an answer. Its connection goes back to the transport at
-// its end, or is closed if it is left early.
+// body is the body of a response. Its connection is returned to the pool after the body has been
+// read, or closed if the body is closed before.
 type body struct {
 	io.ReadCloser
 	transport *Transport
@@ -372,7 +371,7 @@
 	finished  bool
 }
 
-// Read implements io.Reader. A body that is cut ends in a *verdict.Error.
+// Read implements io.Reader. A truncated body ends in a *verdict.Error.
 func (b *body) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err == nil {
@@ -391,8 +390,7 @@
 	return nil
 }
 
-// finish gives the connection back once. Whole says that the answer was read
-// to its end.
+// finish releases the connection once. The argument is whether the response was read completely.
 func (b *body) finish(whole bool) {
 	if b.finished {
 		return
@@ -410,12 +408,12 @@
 	}
 }
 
-// writtenWithin is how long a connection whose answer has been read stays open for the end of its
-// request, which another goroutine writes.
+// requestWriteTimeout is how long a connection whose response has been read waits for the rest of its
+// request to be written by another goroutine.
 const requestWriteTimeout = 10 * time.Millisecond
 
-// releaseWritten gives the connection back once the whole request has been written, if that is
-// soon.
+// releaseWritten releases the connection after the whole request has been written. The connection
+// is closed if that takes longer than requestWriteTimeout.
 func (b *body) releaseWritten() {
 	late := time.AfterFunc(requestWriteTimeout, b.conn.abort)
 	err := <-b.written
@@ -425,7 +423,7 @@
 	b.release(err)
 }
 
-// release gives the connection back whose request has been written, or closes it if that failed.
+// release returns the connection to the pool, or closes it if writing its request failed.
 func (b *body) release(err error) {
 	if err != nil {
 		b.transport.discard(b.conn)
@@ -434,5 +432,5 @@
 	b.transport.putConn(b.conn)
 }
 
-// unlimited lifts the bound on what is read from a connection.
+// unlimited disables the bound on what is read from a connection.
 const unlimited = math.MaxInt64
--- a/upstream/transport_test.go
+++ b/upstream/transport_test.go
@@ -26,8 +26,7 @@
 	"sassafrasfront.example/verdict"
 )
 
-// raw starts a listener that plays each connection with play, and returns its
-// address.
+// raw starts a listener that serves each connection with play, and returns its address.
 func raw(t *testing.T, play func(n int, c net.Conn)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -63,7 +62,7 @@
 	return r
 }
 
-// stuck is a connection on which nothing can be written until its deadline has passed.
+// blockedConn is a connection on which writes block until a deadline is set.
 type blockedConn struct {
 	net.Conn
 	deadlineSet chan struct{}
@@ -81,8 +80,8 @@
 	return s.Conn.Write(p)
 }
 
-// TestUnsent tells the failures of requests of which nothing was written apart: only where no
-// connection could be opened the upstream can't be reached.
+// TestUnsent checks that the failure of an unsent request wraps ErrUnreachable only if no
+// connection could be opened.
 func TestUnsent(t *testing.T) {
 	tests := map[string]struct {
 		dial        func(ctx context.Context, addr string) (net.Conn, error)
@@ -92,7 +91,7 @@
 			dial:        func(context.Context, string) (net.Conn, error) { return nil, syscall.ECONNREFUSED },
 			unreachable: true,
 		},
-		"the caller leaves before the writing": {
+		"cancelled before the write": {
 			dial: func(context.Context, string) (net.Conn, error) {
 				c, _ := net.Pipe()
 				return blockedConn{Conn: c, deadlineSet: make(chan struct{})}, nil
@@ -113,9 +112,9 @@
 	}
 }
 
-// TestNeverWrittenTwice gives the upstream a connection that answers once and
-// is then reused for the request of the row. The upstream reads that request
-// and closes. net/http's Transport sends some of these again by itself.
+// TestNeverWrittenTwice guards against requests that are sent again after the upstream has read
+// them: the upstream responds once on a connection, reads the reused connection's next request and
+// closes it. The Transport of net/http retries some of these requests.
 func TestNeverWrittenTwice(t *testing.T) {
 	tests := map[string]*http.Request{
 		"GET":                       request(context.Background(), "GET", ""),
@@ -160,7 +159,7 @@
 	}
 }
 
-// TestAnswers has one row for each way in which an upstream answers or fails.
+// TestResponses checks the result of a request for each kind of response or failure of the upstream.
 func TestResponses(t *testing.T) {
 	tests := map[string]struct {
 		response string // written after the request is read
@@ -171,23 +170,23 @@
 		body     string
 		reused   bool
 	}{
-		"whole":                  {response: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", status: 200, body: "ok", reused: true},
-		"chunked":                {response: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", status: 200, body: "ok", reused: true},
-		"until close":            {response: "HTTP/1.1 200 OK\r\n\r\nok", status: 200, body: "ok"},
-		"no content":             {response: "HTTP/1.1 204 No Content\r\n\r\n", status: 204, reused: true},
-		"not modified":           {response: "HTTP/1.1 304 Not Modified\r\nContent-Length: 10\r\n\r\n", status: 304, reused: true},
-		"asks to close":          {response: "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", status: 200, body: "ok"},
-		"early hints first":      {response: "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", status: 200, reused: true},
-		"more than one answer":   {response: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n\r\n", status: 200, body: "ok"},
-		"cut body":               {response: "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", status: 200, body: "ok", cut: true},
-		"cut chunk":              {response: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nok", status: 200, body: "ok", cut: true},
-		"no answer":              {want: verdict.UpstreamLost},
-		"cut head":               {response: "HTTP/1.1 200 OK\r\nCont", want: verdict.UpstreamLost},
-		"garbage":                {response: "220 mail.example ESMTP\r\n\r\n", want: verdict.AnswerMalformed},
-		"huge head":              {response: "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 1<<17) + "\r\n\r\n", want: verdict.AnswerInvalid},
-		"switches protocols":     {response: "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n", want: verdict.AnswerInvalid},
-		"says that it did not":   {response: "HTTP/1.1 503 No\r\nSassafras-Verdict: notRun\r\nRetry-After: 2\r\nContent-Length: 0\r\n\r\n", want: verdict.UpstreamRefused},
-		"plain 503 is an answer": {response: "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", status: 503, reused: true},
+		"whole":                   {response: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", status: 200, body: "ok", reused: true},
+		"chunked":                 {response: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", status: 200, body: "ok", reused: true},
+		"until close":             {response: "HTTP/1.1 200 OK\r\n\r\nok", status: 200, body: "ok"},
+		"no content":              {response: "HTTP/1.1 204 No Content\r\n\r\n", status: 204, reused: true},
+		"not modified":            {response: "HTTP/1.1 304 Not Modified\r\nContent-Length: 10\r\n\r\n", status: 304, reused: true},
+		"asks to close":           {response: "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", status: 200, body: "ok"},
+		"early hints first":       {response: "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", status: 200, reused: true},
+		"more than one response":  {response: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n\r\n", status: 200, body: "ok"},
+		"cut body":                {response: "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", status: 200, body: "ok", cut: true},
+		"cut chunk":               {response: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nok", status: 200, body: "ok", cut: true},
+		"no response":             {want: verdict.UpstreamLost},
+		"cut head":                {response: "HTTP/1.1 200 OK\r\nCont", want: verdict.UpstreamLost},
+		"garbage":                 {response: "220 mail.example ESMTP\r\n\r\n", want: verdict.AnswerMalformed},
+		"huge head":               {response: "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 1<<17) + "\r\n\r\n", want: verdict.AnswerInvalid},
+		"switches protocols":      {response: "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n", want: verdict.AnswerInvalid},
+		"reports not run":         {response: "HTTP/1.1 503 No\r\nSassafras-Verdict: notRun\r\nRetry-After: 2\r\nContent-Length: 0\r\n\r\n", want: verdict.UpstreamRefused},
+		"plain 503 is a response": {response: "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", status: 503, reused: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -233,8 +232,8 @@
 	qt.Check(t, failed.Verdict(), qt.Equals, verdict.NotRun)
 }
 
-// TestClosedIdleConnectionIsNotUsed has the server close its idle connections;
-// the next request must go over a new one and succeed.
+// TestClosedIdleConnectionIsNotUsed checks that a request succeeds on a new connection after the
+// server has closed the idle ones.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	defer s.Close()
@@ -249,21 +248,20 @@
 	}
 }
 
-// TestAbortedRequestDoesNotReuseItsConnection cancels a request and leaves an
-// answer unread, and expects new connections each time.
-// TestKeepAliveOfUpstream has an upstream tell how long it keeps idle connections. One that has been
-// idle for nearly so long is not used again, as the upstream may be closing it.
+// TestKeepAliveOfUpstream guards against requests that are lost because the upstream closes an idle
+// connection as it is reused: a connection that was idle for nearly as long as the upstream's
+// Keep-Alive field allows is not reused.
 func TestKeepAliveOfUpstream(t *testing.T) {
 	tests := map[string]struct {
 		field       string
 		idle        time.Duration
 		connections int64
 	}{
-		"not told":       {idle: 950 * time.Millisecond, connections: 1},
+		"no field":       {idle: 950 * time.Millisecond, connections: 1},
 		"used within it": {field: "timeout=1, max=100", idle: 10 * time.Millisecond, connections: 1},
-		"nearly over":    {field: "timeout=1, max=100", idle: 950 * time.Millisecond, connections: 2},
+		"almost expired": {field: "timeout=1, max=100", idle: 950 * time.Millisecond, connections: 2},
 		"longer":         {field: "max=100, timeout=60", idle: 950 * time.Millisecond, connections: 1},
-		"no number":      {field: "timeout=soon", idle: 950 * time.Millisecond, connections: 1},
+		"not a number":   {field: "timeout=soon", idle: 950 * time.Millisecond, connections: 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -294,6 +292,8 @@
 	}
 }
 
+// TestAbortedRequestDoesNotReuseItsConnection cancels a request and leaves a response unread, and
+// expects a new connection each time.
 func TestAbortedRequestDoesNotReuseItsConnection(t *testing.T) {
 	var mu sync.Mutex
 	used := make(map[string]int)
@@ -325,8 +325,7 @@
 	qt.Check(t, transport.OpenConns(), qt.Equals, 0)
 }
 
-// TestConnectionsStayWithinTheAnnouncedNumber sends more requests at once than
-// the upstream takes connections.
+// TestConnectionLimit sends more concurrent requests than the upstream accepts connections.
 func TestConnectionLimit(t *testing.T) {
 	var now, most atomic.Int32
 	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
@@ -386,7 +385,7 @@
 	}
 }
 
-// silenced is a connection that the kernel gives up once it is told to.
+// timingOutConn is a connection whose reads time out once timeOut is set.
 type timingOutConn struct {
 	net.Conn
 	timeOut *atomic.Bool
@@ -399,8 +398,8 @@
 	return s.Conn.Read(p)
 }
 
-// TestSilenceEndsIdleConnections has one connection time out: the idle ones, which
-// were as likely silenced, get no request.
+// TestTimeoutClosesIdleConnections guards against requests on idle connections to an upstream that
+// does not respond any more: after one connection has timed out, the idle ones are closed as well.
 func TestTimeoutClosesIdleConnections(t *testing.T) {
 	var both sync.WaitGroup
 	both.Add(2)
@@ -411,13 +410,13 @@
 		}
 	}))
 	defer server.Close()
-	var silent atomic.Bool
+	var timeOut atomic.Bool
 	transport := &upstream.Transport{
 		Addr:         server.Listener.Addr().String(),
 		MaxIdleConns: 2,
 		Dial: func(_ context.Context, addr string) (net.Conn, error) {
 			c, err := net.Dial("tcp", addr)
-			return timingOutConn{Conn: c, timeOut: &silent}, err
+			return timingOutConn{Conn: c, timeOut: &timeOut}, err
 		},
 	}
 	send := func(header ...string) *verdict.Error {
@@ -434,9 +433,9 @@
 	}
 	all.Wait()
 	qt.Assert(t, transport.OpenConns(), qt.Equals, 2)
-	silent.Store(true)
+	timeOut.Store(true)
 	qt.Check(t, send().Cause, qt.Equals, verdict.UpstreamLost)
 	qt.Check(t, transport.OpenConns(), qt.Equals, 0)
-	silent.Store(false)
+	timeOut.Store(false)
 	qt.Check(t, send() == nil, qt.IsTrue)
 }
--- a/upstream/unanswered.go
+++ b/upstream/unanswered.go
@@ -11,26 +11,26 @@
 	"sassafrasfront.example/internal/tcp"
 )
 
-// UnansweredError says how far a request had come that was given up on before its answer began. It
-// tells an upstream that does not read from one that does not answer, and both from a connection
-// that carries nothing.
+// UnansweredError describes the progress of a request that was abandoned before its response began.
+// It distinguishes an upstream that does not read from one that does not respond, and both from a
+// connection that does not deliver data.
 type UnansweredError struct {
-	// Took is the time since a connection was there for the request.
+	// Elapsed is the time since a connection was available for the request.
 	Elapsed time.Duration
-	// Written is how many bytes of the request the kernel took.
+	// Written is the number of bytes of the request that the kernel accepted.
 	Written int64
-	// Unacknowledged is how many bytes the upstream's kernel had not acknowledged, or -1 if that
-	// is not known.
+	// Unacknowledged is the number of bytes that the upstream's kernel had not acknowledged, or
+	// -1 if unknown.
 	Unacknowledged int
-	// Before is the number of requests that the connection had carried before.
+	// PriorRequests is the number of earlier requests on the connection.
 	PriorRequests int
-	// Err is why the request was given up on, or nil.
+	// Err is the reason why the request was abandoned, or nil.
 	Err error
 }
 
 // Error implements error.
 func (e *UnansweredError) Error() string {
-	s := fmt.Sprintf("no answer for %v, with %d bytes written, %d of them unacknowledged, after %d requests on the connection",
+	s := fmt.Sprintf("no response for %v, with %d bytes written, %d of them unacknowledged, after %d requests on the connection",
 		e.Elapsed.Round(time.Millisecond), e.Written, e.Unacknowledged, e.PriorRequests)
 	if e.Err != nil {
 		s = e.Err.Error() + ": " + s
@@ -38,11 +38,11 @@
 	return s
 }
 
-// Unwrap returns why the request was given up on.
+// Unwrap returns the reason why the request was abandoned.
 func (e *UnansweredError) Unwrap() error { return e.Err }
 
-// countUnacknowledged notes what the upstream's kernel has not acknowledged, while the connection
-// is open.
+// recordUnacknowledged records the number of bytes that the upstream's kernel has not acknowledged.
+// The connection must be open.
 func (c *conn) recordUnacknowledged() {
 	n, err := tcp.Unacknowledged(c.Conn)
 	if err != nil {
@@ -51,7 +51,7 @@
 	c.unacked = n
 }
 
-// unanswered returns how far the request had come that was given up on for a reason.
+// unansweredError returns the progress of a request that was abandoned for a reason.
 func (c *conn) unansweredError(reason error) error {
 	return &UnansweredError{
 		Elapsed:        time.Since(c.startedAt),
--- a/upstream/unanswered_test.go
+++ b/upstream/unanswered_test.go
@@ -19,8 +19,8 @@
 	"sassafrasfront.example/verdict"
 )
 
-// TestUnanswered gives up on a request that the upstream has read, on a new connection and on a
-// used one: the failure says how far it had come.
+// TestUnanswered checks that the failure of a request that the upstream has read but not responded to
+// describes its progress, on a new and on a reused connection.
 func TestUnanswered(t *testing.T) {
 	tests := map[string]struct {
 		priorRequests int
