--- a/rollout/exposure.go
+++ b/rollout/exposure.go
@@ -11,8 +11,8 @@
 	// largest share that a faulty version may have of all requests up to its deadline. With
 	// trialUntil and widenedFor of the duration they make up three tenths of that; the rest
 	// is left to the time in which a fault is found that shows only once all has moved.
-	trialPart   = 0.3
-	widenedPart = 1.75
+	trialShareRatio   = 0.3
+	widenedShareRatio = 1.75
 	// movedShare leaves the other requests to the former version: without them a fault of a
 	// service that both call would look like one of the new version. More than half would be
 	// more than a version may get in the second or two in which a fault is found that begins
@@ -20,7 +20,7 @@
 	movedShare = 0.5
 	// leastInUse is the least number of upstreams that are tried: of fewer, the fault of a
 	// single instance looks like the version's.
-	leastInUse = 3
+	minUpstreams = 3
 )
 
 // Exposure bounds what a version gets that may be faulty.
@@ -31,9 +31,9 @@
 func (e Exposure) Share(p Phase) float64 {
 	switch p {
 	case Trial:
-		return min(movedShare, trialPart*float64(e))
+		return min(movedShare, trialShareRatio*float64(e))
 	case Widened:
-		return min(movedShare, widenedPart*float64(e))
+		return min(movedShare, widenedShareRatio*float64(e))
 	case Moved:
 		return movedShare
 	case Emptied, Completed:
@@ -50,5 +50,5 @@
 	if share == 0 {
 		return 0
 	}
-	return min(n, max(leastInUse, int(math.Ceil(share*float64(n)))))
+	return min(n, max(minUpstreams, int(math.Ceil(share*float64(n)))))
 }
--- a/rollout/judge_test.go
+++ b/rollout/judge_test.go
@@ -29,11 +29,11 @@
 
 // outcome is what became of a roll-out.
 type outcome struct {
-	phase       rollout.Phase
-	sent, given int           // requests of the service, and those at the new version
-	bad         int           // answers of the new version that were failures
-	fiftieth    time.Duration // when the fiftieth of these came
-	last        time.Duration // when the last request was given to it
+	phase        rollout.Phase
+	sent, atNext int           // requests of the service, and those at the new version
+	failed       int           // answers of the new version that were failures
+	fiftieth     time.Duration // when the fiftieth of these came
+	last         time.Duration // when the last request was given to it
 }
 
 const usualRun = 300 * time.Millisecond
@@ -48,7 +48,7 @@
 }
 
 // play plays the load over the duration of the order, in steps as a judge has them.
-func play(l load, exposure rollout.Exposure, seed uint64) outcome {
+func simulate(l load, exposure rollout.Exposure, seed uint64) outcome {
 	const step = 250 * time.Millisecond
 	random := rand.New(rand.NewPCG(seed, 1))
 	start := time.Unix(1e9, 0)
@@ -77,10 +77,10 @@
 			busy[i]++
 			failed, took := l.run(next, i, class, at, int(float64(busy[i])/step.Seconds()))
 			if next {
-				o.given++
+				o.atNext++
 				o.last = at
 				if failed {
-					if o.bad++; o.bad == 50 {
+					if o.failed++; o.failed == 50 {
 						o.fiftieth = at
 					}
 				}
@@ -216,7 +216,7 @@
 			completed := 0
 			for seed := range uint64(10) {
 				random := rand.New(rand.NewPCG(seed, 2))
-				o := play(load{
+				o := simulate(load{
 					former:    68,
 					next:      68,
 					perSecond: 700,
@@ -224,18 +224,18 @@
 					duration:  14 * time.Second,
 					run:       test.run(random),
 				}, 0.1, seed)
-				said := qt.Commentf("seed %d: %+v", seed, o)
+				comment := qt.Commentf("seed %d: %+v", seed, o)
 				if !test.faulty {
 					if o.phase == rollout.Completed {
 						completed++
 					}
-					qt.Check(t, o.phase == rollout.Completed || test.noisy, qt.IsTrue, said)
+					qt.Check(t, o.phase == rollout.Completed || test.noisy, qt.IsTrue, comment)
 					continue
 				}
-				qt.Check(t, o.phase, qt.Equals, rollout.Stopped, said)
+				qt.Check(t, o.phase, qt.Equals, rollout.Stopped, comment)
 				total := 700 * 14
-				qt.Check(t, o.given <= total/10+50, qt.IsTrue, said)
-				qt.Check(t, test.noisy || o.bad < 50 || o.last-o.fiftieth <= 2*time.Second, qt.IsTrue, said)
+				qt.Check(t, o.atNext <= total/10+50, qt.IsTrue, comment)
+				qt.Check(t, test.noisy || o.failed < 50 || o.last-o.fiftieth <= 2*time.Second, qt.IsTrue, comment)
 			}
 			qt.Check(t, test.faulty || completed >= 9, qt.IsTrue, qt.Commentf("%d completed", completed))
 		})
@@ -244,7 +244,7 @@
 
 // TestTooLittleKnown has a version that gets too few requests to be judged, and one whose
 // upstreams can't take all: neither is completed.
-func TestTooLittleKnown(t *testing.T) {
+func TestInsufficientEvidence(t *testing.T) {
 	good := func(random *rand.Rand) func(bool, int, string, time.Duration, int) (bool, time.Duration) {
 		return func(bool, int, string, time.Duration, int) (bool, time.Duration) { return usual(random) }
 	}
@@ -257,9 +257,9 @@
 			l.classes = map[string]float64{"views": 1}
 			l.duration = 10 * time.Second
 			l.run = good(rand.New(rand.NewPCG(1, 1)))
-			o := play(l, 0.1, 1)
+			o := simulate(l, 0.1, 1)
 			qt.Check(t, o.phase, qt.Equals, rollout.Stopped, qt.Commentf("%+v", o))
-			qt.Check(t, o.given <= o.sent/10+50, qt.IsTrue)
+			qt.Check(t, o.atNext <= o.sent/10+50, qt.IsTrue)
 		})
 	}
 }
--- a/rollout/take_test.go
+++ b/rollout/merge_test.go
@@ -28,7 +28,7 @@
 }
 
 // TestTake reads an order where a state is known, or none.
-func TestTake(t *testing.T) {
+func TestMerge(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	in := func(f rollout.StoredOrder, p rollout.Phase, recorded uint64) *rollout.State {
 		s := rollout.State{Order: f.Order}.WithPhase(p, "", "n", now)
--- a/rollout/order.go
+++ b/rollout/order.go
@@ -13,8 +13,8 @@
 
 // The bounds of an Order's duration.
 const (
-	leastDuration = time.Second
-	mostDuration  = 24 * time.Hour
+	minDuration = time.Second
+	maxDuration = 24 * time.Hour
 )
 
 // Order is an operator's wish to move a service's requests to another version of its
@@ -42,10 +42,10 @@
 			Message: "no version is named",
 		})
 	}
-	if o.Duration < leastDuration || o.Duration > mostDuration {
+	if o.Duration < minDuration || o.Duration > maxDuration {
 		f = append(f, operator.Fault{
 			Field:   "duration",
-			Message: o.Duration.String() + " is not within " + leastDuration.String() + " and " + mostDuration.String(),
+			Message: o.Duration.String() + " is not within " + minDuration.String() + " and " + maxDuration.String(),
 		})
 	}
 	return f
--- a/rollout/world_test.go
+++ b/rollout/system_test.go
@@ -16,35 +16,35 @@
 )
 
 // drawn is a system of entries and upstreams of which some hear late, or are cut off for a time.
-type drawn struct {
-	entries, upstreams []*hearer
+type randomSystem struct {
+	entries, upstreams []*simNode
 	phases             []rollout.Phase // in force at the judge, by step
 }
 
 // hearer is a node that hears of phases after some steps, and of none while it is cut off.
-type hearer struct {
+type simNode struct {
 	delay    int
 	from, to int // steps in which it is cut off
-	heard    rollout.Phase
+	phase    rollout.Phase
 	lease    int // the last step in which a judge took its report, of an upstream's node
 }
 
-func (h *hearer) cut(step int) bool { return step >= h.from && step < h.to }
+func (h *simNode) partitioned(step int) bool { return step >= h.from && step < h.to }
 
 // hear takes in what reaches the node by a step.
-func (d *drawn) hear(h *hearer, step int) {
-	if h.cut(step) {
+func (d *randomSystem) deliver(h *simNode, step int) {
+	if h.partitioned(step) {
 		return
 	}
 	if at := step - h.delay; at >= 0 && at < len(d.phases) {
-		h.heard = max(h.heard, d.phases[at])
+		h.phase = max(h.phase, d.phases[at])
 	}
 }
 
 // draw draws a node: it hears within half a second, and one in four is cut off for up to eight
 // seconds.
-func draw(random *rand.Rand, steps int) *hearer {
-	h := &hearer{delay: random.IntN(3)}
+func randomNode(random *rand.Rand, steps int) *simNode {
+	h := &simNode{delay: random.IntN(3)}
 	if random.IntN(4) == 0 {
 		h.from = random.IntN(steps)
 		h.to = h.from + random.IntN(32)
@@ -56,7 +56,7 @@
 // and are cut off, with a fault that begins at any moment up to the step in which half of the
 // requests move. However that goes, the version gets at most its share of all requests, and
 // nothing from five seconds after its fiftieth bad answer on.
-func TestExposureInDrawnWorlds(t *testing.T) {
+func TestExposureInRandomSystems(t *testing.T) {
 	const (
 		step     = 250 * time.Millisecond
 		lasts    = 14 * time.Second
@@ -71,12 +71,12 @@
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 7))
 		begins := rapid.IntRange(0, 30).Draw(t, "first step of the fault")
 		fails := rapid.Float64Range(0.4, 1).Draw(t, "share of its requests that fail")
-		d := new(drawn)
+		d := new(randomSystem)
 		for range 90 {
-			d.entries = append(d.entries, draw(random, steps))
+			d.entries = append(d.entries, randomNode(random, steps))
 		}
 		for range 60 {
-			d.upstreams = append(d.upstreams, draw(random, steps))
+			d.upstreams = append(d.upstreams, randomNode(random, steps))
 		}
 		order := rollout.Order{Service: "s", Version: "v2", Duration: lasts}
 		start := time.Unix(1e9, 0)
@@ -87,10 +87,10 @@
 		for n := range steps {
 			d.phases = append(d.phases, state.Phase)
 			for _, h := range append(d.entries, d.upstreams...) {
-				d.hear(h, n)
+				d.deliver(h, n)
 			}
 			for i, u := range d.upstreams {
-				if u.cut(n) || u.heard >= rollout.Stopped {
+				if u.partitioned(n) || u.phase >= rollout.Stopped {
 					continue
 				}
 				u.lease = n
@@ -103,10 +103,10 @@
 				for range perEntry {
 					sent++
 					took := usualRun/2 + time.Duration(random.Int64N(int64(usualRun)))
-					inUse := exposure.UpstreamCount(e.heard, len(d.upstreams))
-					if inUse > 0 && random.Float64() < exposure.Share(e.heard) {
+					inUse := exposure.UpstreamCount(e.phase, len(d.upstreams))
+					if inUse > 0 && random.Float64() < exposure.Share(e.phase) {
 						i := random.IntN(inUse)
-						if u := d.upstreams[i]; u.heard < rollout.Stopped && n-u.lease <= leases {
+						if u := d.upstreams[i]; u.phase < rollout.Stopped && n-u.lease <= leases {
 							failed := n >= begins && random.Float64() < fails
 							next[i] = next[i].WithRequest(failed, took)
 							given++
--- a/rollout/tally.go
+++ b/rollout/tally.go
@@ -12,9 +12,9 @@
 const (
 	// buckets is the number of ranges of run times that are told apart, each bucketRatio
 	// times as long as the one before, from leastBucket on.
-	buckets     = 24
-	bucketRatio = 1.5
-	leastBucket = time.Millisecond
+	bucketCount    = 24
+	bucketRatio    = 1.5
+	firstBucketEnd = time.Millisecond
 )
 
 // Tally counts requests that an upstream has run. It is an immutable value; the zero value
@@ -29,11 +29,11 @@
 
 // bucketOf returns the range that a run time is in.
 func bucketOf(took time.Duration) int {
-	if took <= leastBucket {
+	if took <= firstBucketEnd {
 		return 0
 	}
-	i := int(math.Log(float64(took)/float64(leastBucket)) / math.Log(bucketRatio))
-	return min(i, buckets-1)
+	i := int(math.Log(float64(took)/float64(firstBucketEnd)) / math.Log(bucketRatio))
+	return min(i, bucketCount-1)
 }
 
 // With returns t with one more request.
