--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -7,37 +7,36 @@
 import "math"
 
 const (
-	// reportsKept is the weight that counts of the former version keep with each step, so
-	// that some two seconds count.
+	// decayPerStep is the factor by which the counts of the former version decay in each step, so
+	// that about the last two seconds count.
 	decayPerStep = 0.9
-	// lag is the number of steps after which the new version's counts are judged, and recent
-	// the number of steps of the former version's that they are compared with, one by one: a
-	// spell in which both fail begins at one moment, and is reported by each a step sooner or
-	// later. Steps of fewer than leastInStep requests tell nothing.
+	// judgeDelaySteps is the number of steps after which the new version's counts are judged, and recentSteps the
+	// number of the former version's last steps with each of which they are compared: when both
+	// versions begin to fail at the same moment, one may report it a step earlier than the other.
+	// Steps with fewer than minStepRequests requests are ignored.
 	judgeDelaySteps = 2
 	recentSteps     = 4
 	minStepRequests = 8
-	// leastReference is the number of requests of the former version from which it is a
+	// minReferenceRequests is the number of requests of the former version from which it serves as
 	// reference.
 	minReferenceRequests = 20
-	// slowRatio is how many times the former version's median run time a request takes
-	// that counts as slow. Versions that are several times slower are to be found, upstreams
+	// slowRatio is the multiple of the former version's median run time above which a request is
+	// slow. It is large enough that a version that is several times slower is found, and upstreams
 	// that are cold or share their processor are not.
 	slowRatio = 3.0
-	// alarm is the sum of the evidence from which a version is faulty, in the logarithm of
-	// a likelihood ratio: at a former version's share of failures, it is reached by chance
-	// once in more than exp(alarm), some 8,000, requests.
+	// alarmEvidence is the sum of the evidence from which a version is considered faulty, as the logarithm
+	// of a likelihood ratio: with the former version's failure rate it is reached by chance once in
+	// more than exp(alarmEvidence), or some 8,000, requests.
 	alarmEvidence = 9.0
 )
 
-// bounds are a share that is usual and one that shows a fault.
+// rates are a rate that is usual and one that shows a fault.
 type rates struct {
 	usual, faulty float64
 }
 
-// The shares that are usual at least, those that a fault brings about, and those from which
-// nothing can be told. A fault fails a quarter or more of the requests that would not fail
-// otherwise.
+// The lowest usual rates, the rates caused by a fault, and the usual rates from which a fault can't
+// be detected. A fault fails at least a quarter of the requests that would otherwise succeed.
 const (
 	minFailureRate   = 0.02
 	faultFailureRate = 0.25
@@ -47,13 +46,13 @@
 	maxSlowRate      = 0.4
 )
 
-// perRequest returns the evidence that a request of a faulty version gives on average.
+// evidencePerRequest returns the mean evidence given by a request of a faulty version.
 func (b rates) evidencePerRequest() float64 {
 	return b.faulty*math.Log(b.faulty/b.usual) + (1-b.faulty)*math.Log((1-b.faulty)/(1-b.usual))
 }
 
-// failing and slow return the bounds, given the former version's share. The second result is
-// false if it is so large that nothing can be told.
+// failureRates returns the bounds on the failure rate, given the former version's. The second result is
+// false if that is too high to detect a fault.
 func failureRates(share float64) (rates, bool) {
 	usual := max(share, minFailureRate)
 	return rates{
@@ -62,6 +61,7 @@
 	}, usual < maxFailureRate
 }
 
+// slowRates is like failureRates, for the rate of slow requests.
 func slowRates(share float64) (rates, bool) {
 	usual := max(share, minSlowRate)
 	return rates{
@@ -70,27 +70,27 @@
 	}, usual < maxSlowRate
 }
 
-// evidence is a cumulative sum of log-likelihood ratios that is never below 0, so that a fault
-// which begins late is found as soon as one that was there from the start. See E. S. Page,
-// Continuous inspection schemes, 1954. doi:10.1093/biomet/41.1-2.100.
+// evidence is a cumulative sum of log-likelihood ratios with a lower bound of 0, so that a fault that
+// begins late is found as quickly as one that was present from the start. See E. S. Page, Continuous
+// inspection schemes, 1954. doi:10.1093/biomet/41.1-2.100.
 type evidence float64
 
-// after returns the evidence after n more requests, of which bad were so.
+// after returns the evidence after n more requests, of which bad failed or were slow.
 func (e evidence) after(b rates, n, bad uint64) evidence {
 	gain := math.Log(b.faulty / b.usual)
 	loss := math.Log((1 - b.faulty) / (1 - b.usual))
 	return max(0, e+evidence(float64(bad)*gain+float64(n-min(n, bad))*loss))
 }
 
-// reference is what the former version's requests of one class were like lately.
+// reference holds statistics of the former version's recent requests of one class.
 type reference struct {
 	requests, failed float64
 	durations        [bucketCount]float64
-	steps            [recentSteps]Tally // the last first
+	steps            [recentSteps]Tally // the most recent first
 }
 
-// add takes in one step's counts. A step without any changes nothing: once all requests have
-// moved, the last reference stays.
+// add adds the counts of one step. The statistics do not decay in a step without requests: the last
+// ones stay in use after all requests have moved to the new version.
 func (r *reference) add(t Tally) {
 	copy(r.steps[1:], r.steps[:])
 	r.steps[0] = t
@@ -107,11 +107,11 @@
 	}
 }
 
-// known returns whether there is enough to compare with.
+// sufficient returns whether there are enough requests to compare with.
 func (r *reference) sufficient() bool { return r.requests >= minReferenceRequests }
 
-// failedShare returns the largest share of its requests that the former version may have
-// failed: in one of the last steps, or over some time where these are of too few requests.
+// failureRateBound returns an upper bound of the former version's failure rate: the highest of the last
+// steps, or the decayed mean if these have too few requests.
 func (r *reference) failureRateBound() float64 {
 	if share := r.recentFailureRateBound(); share > 0 {
 		return share
@@ -119,8 +119,8 @@
 	return upperBound(r.requests, r.failed)
 }
 
-// failedLately returns the largest share of its requests that the former version may have
-// failed in one of the last steps.
+// recentFailureRateBound returns the highest upper bound of the former version's failure rate in one of the
+// last steps.
 func (r *reference) recentFailureRateBound() (share float64) {
 	for _, t := range r.steps {
 		if t.Requests >= minStepRequests {
@@ -130,14 +130,13 @@
 	return share
 }
 
-// upper returns the share that is two standard deviations above the one of some requests that
-// were counted.
+// upperBound returns the observed failure rate plus two standard deviations.
 func upperBound(requests, failed float64) float64 {
 	share := (failed + 0.5) / (requests + 1)
 	return share + 2*math.Sqrt(share*(1-share)/(requests+1))
 }
 
-// slowFrom returns the range of run times from which a request is slow, and the share of such
+// slowThreshold returns the bucket of run times from which a request is slow, and the rate of such
 // requests at the former version.
 func (r *reference) slowThreshold() (bucket int, share float64) {
 	var sum float64
--- a/rollout/exposure.go
+++ b/rollout/exposure.go
@@ -7,27 +7,28 @@
 import "math"
 
 const (
-	// trialPart and widenedPart are the share of the requests in a phase, as a ratio of the
-	// largest share that a faulty version may have of all requests up to its deadline. With
-	// trialUntil and widenedFor of the duration they make up three tenths of that; the rest
-	// is left to the time in which a fault is found that shows only once all has moved.
+	// trialShareRatio and widenedShareRatio are the share of the requests in a phase, relative to the largest
+	// share of all requests that a faulty version may get until its deadline. Over the durations
+	// set by trialFraction and widenedFraction they use up three tenths of that; the rest is reserved for
+	// the time to detect a fault that only shows after all requests have moved.
 	trialShareRatio   = 0.3
 	widenedShareRatio = 1.75
-	// movedShare leaves the other requests to the former version: without them a fault of a
-	// service that both call would look like one of the new version. More than half would be
-	// more than a version may get in the second or two in which a fault is found that begins
-	// only then.
+	// movedShare leaves the other requests to the former version: without them a fault of a service
+	// that both versions call would look like one of the new version. A higher share would give a
+	// version with a fault that begins in this phase too many requests in the second or two until
+	// it is found.
 	movedShare = 0.5
-	// leastInUse is the least number of upstreams that are tried: of fewer, the fault of a
-	// single instance looks like the version's.
+	// minUpstreams is the least number of canary upstreams: with fewer, a fault of a single instance
+	// looks like one of the version.
 	minUpstreams = 3
 )
 
-// Exposure bounds what a version gets that may be faulty.
+// Exposure is the largest share of all requests that a faulty version may get.
 type Exposure float64
 
-// Share returns the share of the requests, within 0 and 1, that a version gets in a phase.
-// Each entry keeps to it by itself, so that all together do, whoever hears of what when.
+// Share returns the share of the requests, from 0 to 1, that a version gets in a phase. Each entry
+// applies it independently, so that it holds for all entries together, whenever each of them learns
+// of the phase.
 func (e Exposure) Share(p Phase) float64 {
 	switch p {
 	case Trial:
@@ -42,9 +43,9 @@
 	return 0
 }
 
-// InUse returns how many of n upstreams of the version get requests in a phase: as many as
-// make each of them carry what one of the former version does. A fault that shows under load
-// only then shows in time.
+// UpstreamCount returns the number of upstreams of the version, out of n, that get requests in a
+// phase. It is chosen so that each of them carries the load of an upstream of the former version:
+// otherwise a fault that depends on the load would be found too late.
 func (e Exposure) UpstreamCount(p Phase, n int) int {
 	share := e.Share(p)
 	if share == 0 {
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -10,72 +10,72 @@
 )
 
 const (
-	// trialUntil and widenedFor are the part of an order's duration up to which a version
-	// stays on trial, and for which its share is widened and then most requests go there. A
-	// fault that begins late is to show before all do.
+	// trialFraction is the fraction of an order's duration at which the trial ends at the earliest.
+	// widenedFraction and movedFraction are the least durations of the next two phases, as fractions of it.
+	// They give a fault that begins late time to show before all requests move.
 	trialFraction   = 0.4
 	widenedFraction = 0.1
 	movedFraction   = 0.15
-	// mostWidened is how many times that long a version keeps the larger share without being
-	// known to be good: the share is more than it may have for long.
+	// maxWidenedFactor is the multiple of widenedFraction for which a version may keep the larger share
+	// without enough evidence that it is good, as that share exceeds the exposure over longer times.
 	maxWidenedFactor = 4.0
-	// leastStep is the least time in one phase, so that all nodes have heard of it.
+	// minPhaseTime is the least time in one phase, so that all nodes learn of it.
 	minPhaseTime = 1500 * time.Millisecond
-	// lastStep is the part of the duration after which a version that has not moved is
-	// rolled back, and one that has moved is completed.
+	// finalFraction is the fraction of the duration after which a version that has not reached Moved is
+	// rolled back, and one that has reached it is completed.
 	finalFraction = 0.85
-	// leastRequests is the number of a version's requests without which it goes no further.
+	// minRequests is the number of judged requests that a version needs to advance.
 	minRequests = 30
-	// leastInClass is the number of requests of a class from which it has to be judged.
+	// minClassRequests is the number of requests from which a class has to be judged.
 	minClassRequests = 8
-	// widenedInEach is the part of the evidence for an alarm that a faulty version would have to
-	// have given in each class before most requests move there.
+	// widenedClassEvidence is the fraction of alarmEvidence that a faulty version would have reached in each class
+	// before half of the requests move there.
 	widenedClassEvidence = 0.5
-	// reportAge is how old a report may be that counts.
+	// maxReportAge is the age from which a report is ignored.
 	maxReportAge = 3 * time.Second
 )
 
-// Judge decides on one Order from what the nodes beside the upstreams report. It is not safe
-// for use by several goroutines at once. The exported fields are set before the first call.
+// Judge decides on one Order from the reports of the nodes beside the upstreams. It is not safe for
+// concurrent use. The exported fields are set before the first call.
 type Judge struct {
-	// Order is what is decided on.
+	// Order is the order to decide on.
 	Order Order
-	// Began is when this node heard of it.
+	// StartedAt is when this node received the order.
 	StartedAt time.Time
 
 	upstreams        map[string]*upstream  // by node
 	former           map[string]*reference // by class
-	formerTotal      reference             // the former version's requests of all classes
-	failureEvidence  evidenceByClass       // of the new version, by class
+	formerTotal      reference             // requests of all classes at the former version
+	failureEvidence  evidenceByClass       // evidence against the new version
 	slowEvidence     evidenceByClass
-	pending          [judgeDelaySteps][]stepCount // the new version's counts of the last steps, the last first
+	pending          [judgeDelaySteps][]stepCount // counts of the new version in the last steps, the most recent first
 	phase            Phase
 	phaseStartedAt   time.Time          // when the phase was first seen
-	judgedRequests   uint64             // of the version since then, that were judged
-	requestsByClass  map[string]uint64  // of the version since then, by class
-	expectedEvidence map[string]float64 // the evidence that a faulty version would have given since then
+	judgedRequests   uint64             // judged requests of the new version since then
+	requestsByClass  map[string]uint64  // requests of the new version since then, by class
+	expectedEvidence map[string]float64 // evidence that a faulty version would have given since then, by class
 }
 
-// upstream is what a node has reported.
+// upstream is the last report of a node, with the evidence against its upstream.
 type upstream struct {
 	report          Report
 	received        time.Time
-	tallies         map[string]Tally // up to the last step, by class
+	tallies         map[string]Tally // tallies up to the last step, by class
 	failureEvidence evidenceByClass
 	slowEvidence    evidenceByClass
 }
 
-// counted is what one upstream of the new version counts in one step, of one class.
+// stepCount is the tally of one class at one upstream of the new version in one step.
 type stepCount struct {
 	upstream *upstream
 	class    string
 	tally    Tally
 }
 
-// sums are the evidence against a version by class.
+// evidenceByClass is the evidence against a version by class.
 type evidenceByClass map[string]evidence
 
-// Observe takes in a node's report.
+// Observe records a node's report.
 func (j *Judge) Observe(node string, r Report, now time.Time) {
 	if j.upstreams == nil {
 		j.upstreams = make(map[string]*upstream)
@@ -96,9 +96,9 @@
 	u.received = now
 }
 
-// Step judges what was reported since the last step, and returns the phase that the order is
-// to be in and why. Room is whether the version's upstreams can take all requests. It is
-// called some four times a second.
+// Step judges the reports since the last step, and returns the next phase of the order and the reason
+// for it. The argument hasCapacity is whether the version's upstreams can take all requests. Step is called
+// some four times a second.
 func (j *Judge) Step(present State, hasCapacity bool, now time.Time) (next Phase, reason string) {
 	if present.Phase != j.phase || j.phaseStartedAt.IsZero() {
 		j.phase = present.Phase
@@ -111,13 +111,13 @@
 	if present.Phase >= Stopped {
 		return present.Phase, present.Reason
 	}
-	if sum >= alarmEvidence && present.Phase != Emptied { // nothing is left then to compare with
+	if sum >= alarmEvidence && present.Phase != Emptied { // in Emptied there is nothing to compare with
 		return Stopped, fmt.Sprintf("class %s: %s, evidence %.1f of %.1f", class, fault, sum, alarmEvidence)
 	}
 	return j.advance(present, hasCapacity, sum < alarmEvidence/2, now)
 }
 
-// advance returns the next phase of a version that is not found faulty.
+// advance returns the next phase of a version that was not found faulty.
 func (j *Judge) advance(present State, hasCapacity, calm bool, now time.Time) (Phase, string) {
 	elapsed := float64(now.Sub(j.StartedAt)) / float64(j.Order.Duration)
 	inPhase := now.Sub(j.phaseStartedAt)
@@ -127,12 +127,12 @@
 	ready := func(classEvidence float64) bool { return calm && hasCapacity && j.hasEnoughEvidence(classEvidence) }
 	switch {
 	case present.Phase == Emptied && (elapsed >= 1 || inPhase >= minPhaseTime && j.formerRunning(now) == 0):
-		return Completed, fmt.Sprintf("%d requests since the former version gets none", j.judgedRequests)
+		return Completed, fmt.Sprintf("%d requests since the former version gets no requests", j.judgedRequests)
 	case present.Phase == Moved && calm && (elapsed >= finalFraction || inPhase >= phaseTime(movedFraction)):
-		return Emptied, fmt.Sprintf("%d requests since half have moved", j.judgedRequests)
+		return Emptied, fmt.Sprintf("%d requests since half of them moved", j.judgedRequests)
 	case present.Phase == Emptied, present.Phase == Moved && elapsed < 1:
 	case elapsed >= finalFraction, present.Phase == Widened && inPhase >= phaseTime(maxWidenedFactor*widenedFraction):
-		return Stopped, fmt.Sprintf("not enough is known in time: %d requests, room for all: %v", j.judgedRequests, hasCapacity)
+		return Stopped, fmt.Sprintf("too little evidence in time: %d requests, enough capacity: %v", j.judgedRequests, hasCapacity)
 	case present.Phase == Trial && ready(0) && elapsed >= trialFraction:
 		return Widened, fmt.Sprintf("%d requests on trial", j.judgedRequests)
 	case present.Phase == Widened && ready(widenedClassEvidence) && inPhase >= phaseTime(widenedFraction):
@@ -141,9 +141,9 @@
 	return present.Phase, present.Reason
 }
 
-// enough returns whether a faulty version would have been found by now: by the evidence of all
-// classes together, and, where each has many requests, by a part of it in each. Where the former
-// version fails many as well, that takes more of them.
+// hasEnoughEvidence returns whether a faulty version would have been found by now: from the evidence of all
+// classes together and, in each class with many requests, from a fraction of it. If the former version
+// has a high failure rate as well, that takes more requests.
 func (j *Judge) hasEnoughEvidence(classEvidence float64) bool {
 	var all float64
 	for class, n := range j.requestsByClass {
@@ -155,7 +155,7 @@
 	return all >= alarmEvidence && j.judgedRequests >= minRequests
 }
 
-// learnFormer takes in what was reported of the former version.
+// updateReference adds the reports of the former version to the reference.
 func (j *Judge) updateReference() {
 	sums := make(map[string]Tally)
 	for _, u := range j.upstreams {
@@ -180,8 +180,8 @@
 	}
 }
 
-// judge takes in what was reported of the new version, and returns the class with the most
-// evidence against it, and what of.
+// strongestEvidence evaluates the reports of the new version, and returns the class with the most evidence of a
+// fault, that evidence and the kind of fault.
 func (j *Judge) strongestEvidence() (worst string, strongest float64, fault string) {
 	for _, c := range j.dueCounts() {
 		j.addEvidence(c.upstream, c.class, c.tally)
@@ -197,7 +197,7 @@
 	return worst, strongest, fault
 }
 
-// due takes in the new version's counts of this step, and returns those that are to be judged.
+// dueCounts records the new version's counts of this step, and returns those that are to be judged now.
 func (j *Judge) dueCounts() []stepCount {
 	var now []stepCount
 	for _, u := range j.upstreams {
@@ -221,9 +221,9 @@
 	return due
 }
 
-// weigh adds the evidence of some requests of a class at one upstream.
+// addEvidence adds the evidence from some requests of a class at one upstream.
 func (j *Judge) addEvidence(u *upstream, class string, d Tally) {
-	share := j.formerTotal.recentFailureRateBound() // a class may have too few requests to tell of a spell
+	share := j.formerTotal.recentFailureRateBound() // a class may have too few requests to show a temporary fault of both versions
 	if r := j.former[class]; r != nil && r.sufficient() {
 		share = max(share, r.failureRateBound())
 		from, usual := r.slowThreshold()
@@ -232,7 +232,7 @@
 			j.slowEvidence.add(class, b, d.Requests, d.countFrom(from))
 		}
 	}
-	j.failureEvidence[class] += 0 // which shows that there are such requests
+	j.failureEvidence[class] += 0 // creates the entry
 	j.requestsByClass[class] += d.Requests
 	if b, ok := failureRates(share); ok {
 		j.judgedRequests += d.Requests
@@ -242,12 +242,12 @@
 	}
 }
 
-// add adds the evidence of n requests, of which bad were so.
+// add adds the evidence from n requests, of which bad failed or were slow.
 func (s evidenceByClass) add(class string, b rates, n, bad uint64) {
 	s[class] = s[class].after(b, n, bad)
 }
 
-// shared returns the evidence in a class that more than one upstream has given: a single
+// sharedEvidence returns the evidence in a class without that of the upstream with the most, so that a single
 // faulty instance is not taken for a faulty version.
 func (j *Judge) sharedEvidence(class string, all evidenceByClass, of func(u *upstream) evidenceByClass) float64 {
 	var most evidence
@@ -264,7 +264,7 @@
 	return float64(all[class] - most)
 }
 
-// formerRunning returns the number of requests at reporting upstreams of the former version.
+// formerRunning returns the number of requests in flight at upstreams of the former version with recent reports.
 func (j *Judge) formerRunning(now time.Time) (running int) {
 	for _, u := range j.upstreams {
 		if u.report.Version != j.Order.Version && now.Sub(u.received) < maxReportAge {
@@ -288,7 +288,7 @@
 	return sum
 }
 
-// above returns the number of requests in a range of run times or a later one.
+// countFrom returns the number of requests in a bucket of run times and all higher ones.
 func (t Tally) countFrom(bucket int) (n uint64) {
 	for i := bucket; i < len(t.DurationCounts); i++ {
 		n += t.DurationCounts[i]
--- a/rollout/judge_test.go
+++ b/rollout/judge_test.go
@@ -15,30 +15,31 @@
 	"sassafrasfront.example/rollout"
 )
 
-// load is a service's load under a roll-out, without a network: upstreams of two versions
-// with their own share of failures and run times by class of request, at each moment.
+// load is a simulated load of a service during a roll-out, without a network: upstreams of two versions
+// have their own failure rates and run times, by class of request and time.
 type load struct {
 	former, next int // upstreams of each version
 	perSecond    float64
 	classes      map[string]float64 // share of the requests, by class
 	duration     time.Duration
-	// run returns how one request of a class ends at upstream i of a version, at a time after
-	// the order, and with the upstream's requests in the last second.
+	// run returns the result of one request of a class at upstream i of a version, at a time after
+	// the order, given the upstream's rate of requests per second.
 	run func(next bool, i int, class string, at time.Duration, busy int) (failed bool, took time.Duration)
 }
 
-// outcome is what became of a roll-out.
+// outcome is the result of a simulated roll-out.
 type outcome struct {
 	phase        rollout.Phase
-	sent, atNext int           // requests of the service, and those at the new version
-	failed       int           // answers of the new version that were failures
-	fiftieth     time.Duration // when the fiftieth of these came
-	last         time.Duration // when the last request was given to it
+	sent, atNext int           // requests in total, and at the new version
+	failed       int           // failed requests at the new version
+	fiftieth     time.Duration // when the fiftieth of these ended
+	last         time.Duration // when the new version got its last request
 }
 
 const usualRun = 300 * time.Millisecond
 
-// usual is a run at a good upstream: one in 200 fails, and a quarter share their processor.
+// usual simulates a request at a good upstream: one in 200 fails, and for a quarter of them the
+// upstream shares its processor.
 func usual(random *rand.Rand) (bool, time.Duration) {
 	took := time.Duration(float64(usualRun) * (0.7 + 0.6*random.Float64()))
 	if random.Float64() < 0.25 {
@@ -47,7 +48,7 @@
 	return random.Float64() < 0.005, took
 }
 
-// play plays the load over the duration of the order, in steps as a judge has them.
+// simulate simulates the load for the duration of the order, in steps as a judge uses them.
 func simulate(l load, exposure rollout.Exposure, seed uint64) outcome {
 	const step = 250 * time.Millisecond
 	random := rand.New(rand.NewPCG(seed, 1))
@@ -55,7 +56,7 @@
 	order := rollout.Order{Service: "s", Version: "v2", Duration: l.duration}
 	judge := rollout.Judge{Order: order, StartedAt: start}
 	state := rollout.State{Order: order}
-	reports := make(map[int]*rollout.Report) // below 0: former
+	reports := make(map[int]*rollout.Report) // negative keys: former version
 	var o outcome
 	for at := time.Duration(0); at < l.duration && state.Phase < rollout.Stopped; at += step {
 		share, inUse := exposure.Share(state.Phase), exposure.UpstreamCount(state.Phase, l.next)
@@ -111,18 +112,18 @@
 	return o
 }
 
-// versionRun is load.run.
+// versionRun is the type of load.run.
 type versionRun = func(next bool, i int, class string, at time.Duration, busy int) (bool, time.Duration)
 
-// versionLoad is how upstreams of both versions run requests, and whether the new one is faulty.
+// versionLoad describes how upstreams of both versions run requests, and whether the new one is faulty.
 type versionLoad struct {
 	faulty bool
-	noisy  bool // whether both fail many, so that bad answers can't be told apart
+	noisy  bool // whether both versions fail many requests, so that their failures can't be distinguished
 	run    func(random *rand.Rand) versionRun
 }
 
-// failing returns the load with two in five requests failing at both versions for a time, as when
-// a service that both call does.
+// failing returns the load with two in five requests failing at both versions for a time, as if a
+// service that both call failed.
 func (l versionLoad) failing(from, lasts time.Duration) versionLoad {
 	good := l.run
 	l.noisy = true
@@ -136,10 +137,10 @@
 	return l
 }
 
-// TestRolloutLoads plays loads of the patterns that their names say, each with ten seeds. A
-// faulty version gets at most a tenth of the requests and 50 more, none is completed, and after
-// the fiftieth bad answer it gets nothing for longer than two seconds. A good one is completed,
-// in nine of ten cases where both versions fail many requests for three seconds.
+// TestRolloutLoads simulates loads with the patterns given by the names, each with ten seeds. A faulty
+// version is never completed, gets at most a tenth of the requests plus 50, and gets no requests more
+// than two seconds after its fiftieth failure. A good version is completed; in nine of ten runs if
+// both versions fail many requests for three seconds.
 func TestRolloutLoads(t *testing.T) {
 	type run = versionRun
 	tests := map[string]versionLoad{
@@ -155,11 +156,11 @@
 				return failed, took
 			}
 		}},
-		"good, beside a spell in which half of all fail": {run: func(random *rand.Rand) run {
+		"good, while half of all requests fail for a time": {run: func(random *rand.Rand) run {
 			return func(_ bool, _ int, _ string, at time.Duration, _ int) (bool, time.Duration) {
 				failed, took := usual(random)
-				spell := at > 3*time.Second && at < 6*time.Second
-				return failed || spell && random.Float64() < 0.5, took
+				period := at > 3*time.Second && at < 6*time.Second
+				return failed || period && random.Float64() < 0.5, took
 			}
 		}},
 		"good, one upstream in use fails half": {run: func(random *rand.Rand) run {
@@ -168,19 +169,19 @@
 				return failed || next && i == 0 && random.Float64() < 0.5, took
 			}
 		}},
-		"bad at once": {faulty: true, run: func(random *rand.Rand) run {
+		"faulty from the start": {faulty: true, run: func(random *rand.Rand) run {
 			return func(next bool, _ int, _ string, _ time.Duration, _ int) (bool, time.Duration) {
 				failed, took := usual(random)
 				return failed || next && random.Float64() < 0.5, took
 			}
 		}},
-		"bad late": {faulty: true, run: func(random *rand.Rand) run {
+		"faulty later": {faulty: true, run: func(random *rand.Rand) run {
 			return func(next bool, _ int, _ string, at time.Duration, _ int) (bool, time.Duration) {
 				failed, took := usual(random)
 				return failed || next && at > 5*time.Second && random.Float64() < 0.44, took
 			}
 		}},
-		"bad on one route": {faulty: true, run: func(random *rand.Rand) run {
+		"faulty on one route": {faulty: true, run: func(random *rand.Rand) run {
 			return func(next bool, _ int, class string, _ time.Duration, _ int) (bool, time.Duration) {
 				failed, took := usual(random)
 				return failed || next && class == "orders" && random.Float64() < 0.5, took
@@ -190,7 +191,7 @@
 			return func(next bool, _ int, _ string, _ time.Duration, _ int) (bool, time.Duration) {
 				failed, took := usual(random)
 				if next {
-					took = min(8*took, 1500*time.Millisecond) // callers wait no longer
+					took = min(8*took, 1500*time.Millisecond) // the callers' timeout
 				}
 				return failed, took
 			}
@@ -208,7 +209,7 @@
 	for from := 2 * time.Second; from < 14*time.Second; from += time.Second {
 		tests["good, a called service fails two in five from "+from.String()] = tests["good"].failing(from, 3*time.Second)
 	}
-	for _, name := range []string{"bad at once", "bad late", "bad on one route"} {
+	for _, name := range []string{"faulty from the start", "faulty later", "faulty on one route"} {
 		tests[name+", while two in five fail at both"] = tests[name].failing(2*time.Second, time.Minute)
 	}
 	for name, test := range tests {
@@ -242,15 +243,15 @@
 	}
 }
 
-// TestTooLittleKnown has a version that gets too few requests to be judged, and one whose
-// upstreams can't take all: neither is completed.
+// TestInsufficientEvidence checks that a version is not completed if it gets too few requests to be judged, or
+// if its upstreams can't take all requests.
 func TestInsufficientEvidence(t *testing.T) {
 	good := func(random *rand.Rand) func(bool, int, string, time.Duration, int) (bool, time.Duration) {
 		return func(bool, int, string, time.Duration, int) (bool, time.Duration) { return usual(random) }
 	}
 	tests := map[string]load{
-		"few requests": {former: 6, next: 6, perSecond: 20},
-		"little room":  {former: 68, next: 8, perSecond: 700},
+		"few requests":    {former: 6, next: 6, perSecond: 20},
+		"little capacity": {former: 68, next: 8, perSecond: 700},
 	}
 	for name, l := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/rollout/merge.go
+++ b/rollout/merge.go
@@ -6,20 +6,21 @@
 
 import "time"
 
-// Found is an order as it was read from the platform.
+// StoredOrder is an order as read from the platform.
 type StoredOrder struct {
-	// Order is the order; its Point is that of the object's last change.
+	// Order is the order. Its Point is that of the object's last change.
 	Order Order
-	// Outcome is what the platform has recorded: Completed, RolledBack, or Trial if nothing.
+	// Outcome is the recorded outcome: Completed, RolledBack, or Trial if there is none.
 	Outcome Phase
 }
 
-// Take returns the state of a service's roll-out once an order was read, and whether it
-// differs from the one that was known, if one was.
+// Merge merges an order that was read from the platform into the known state of a service's roll-out.
+// The argument ok is whether there is a known state. Merge returns the new state, and whether it
+// differs from the known one.
 //
-// The platform may come back from a copy in a later era, without what was recorded: an outcome
-// that nodes know is then to be recorded again, and the version is not tried once more. An
-// order that is read later than its outcome and bears none was written anew.
+// The platform may be restored from a backup, in a later era, without a recorded outcome. An outcome
+// that nodes know is then recorded again, and the version is not tried once more. An order without
+// outcome that was changed after its outcome had been recorded was submitted again.
 func Merge(known State, ok bool, f StoredOrder, now time.Time) (next State, changed bool) {
 	fresh := State{
 		Order:  f.Order,
@@ -49,7 +50,7 @@
 	return known, false
 }
 
-// inLaterEra returns what is known of an order as of a later era of the platform.
+// inLaterEra returns the state of an order that was read in a later era of the platform.
 func inLaterEra(known State, f StoredOrder, fresh State, now time.Time) State {
 	if f.Outcome.Settled() {
 		return fresh
@@ -58,9 +59,9 @@
 	next.Order = f.Order
 	switch known.Phase {
 	case Completed:
-		return next.WithPhase(Emptied, "the platform has lost that it was completed", known.Node, now)
+		return next.WithPhase(Emptied, "the platform lost the record of its completion", known.Node, now)
 	case RolledBack:
-		return next.WithPhase(Stopped, "the platform has lost that it was rolled back", known.Node, now)
+		return next.WithPhase(Stopped, "the platform lost the record of its roll-back", known.Node, now)
 	}
 	return next
 }
--- a/rollout/merge_test.go
+++ b/rollout/merge_test.go
@@ -14,7 +14,7 @@
 	"sassafrasfront.example/rollout"
 )
 
-// found returns an order for a version as it is read at a point.
+// found returns an order for a version as read at a point.
 func found(version string, era, revision uint64, outcome rollout.Phase) rollout.StoredOrder {
 	return rollout.StoredOrder{
 		Order: rollout.Order{
@@ -27,7 +27,7 @@
 	}
 }
 
-// TestTake reads an order where a state is known, or none.
+// TestMerge merges orders that were read into known states, and into none.
 func TestMerge(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	in := func(f rollout.StoredOrder, p rollout.Phase, recorded uint64) *rollout.State {
@@ -43,19 +43,19 @@
 		want    rollout.Phase
 		changed bool
 	}{
-		"first":                                {found: found("v2", 1, 5, rollout.Trial), want: rollout.Trial, changed: true},
-		"done before this node began":          {found: found("v2", 1, 9, rollout.RolledBack), want: rollout.RolledBack, changed: true},
-		"the same, with a status":              {known: in(found("v2", 1, 5, 0), rollout.Widened, 0), found: found("v2", 1, 6, rollout.Trial), want: rollout.Widened},
-		"recorded by another":                  {known: in(found("v2", 1, 5, 0), rollout.Moved, 0), found: found("v2", 1, 8, rollout.Completed), want: rollout.Completed, changed: true},
-		"an old read after it was recorded":    {known: in(found("v2", 1, 5, 0), rollout.RolledBack, 8), found: found("v2", 1, 6, rollout.Trial), want: rollout.RolledBack},
-		"ordered once more":                    {known: in(found("v2", 1, 5, 0), rollout.RolledBack, 8), found: found("v2", 1, 12, rollout.Trial), want: rollout.Trial, changed: true},
-		"another version":                      {known: in(found("v2", 1, 5, 0), rollout.Completed, 8), found: found("v3", 1, 12, rollout.Trial), want: rollout.Trial, changed: true},
-		"an old read of an order before":       {known: in(found("v3", 1, 12, 0), rollout.Widened, 0), found: found("v2", 1, 8, rollout.Completed), want: rollout.Widened},
-		"a copy without the roll-back":         {known: in(found("v2", 1, 5, 0), rollout.RolledBack, 8), found: found("v2", 2, 6, rollout.Trial), want: rollout.Stopped, changed: true},
-		"a copy without the completion":        {known: in(found("v2", 1, 5, 0), rollout.Completed, 8), found: found("v2", 2, 6, rollout.Trial), want: rollout.Emptied, changed: true},
-		"a copy while it is carried out":       {known: in(found("v2", 1, 5, 0), rollout.Widened, 0), found: found("v2", 2, 6, rollout.Trial), want: rollout.Widened, changed: true},
-		"a copy with the outcome":              {known: in(found("v2", 1, 5, 0), rollout.RolledBack, 8), found: found("v2", 2, 8, rollout.RolledBack), want: rollout.RolledBack, changed: true},
-		"a store that comes back without eras": {known: in(found("v2", 0, 5, 0), rollout.RolledBack, 8), found: found("v2", 0, 5, rollout.Trial), want: rollout.RolledBack},
+		"first":                             {found: found("v2", 1, 5, rollout.Trial), want: rollout.Trial, changed: true},
+		"settled before the node started":   {found: found("v2", 1, 9, rollout.RolledBack), want: rollout.RolledBack, changed: true},
+		"the same, with a status":           {known: in(found("v2", 1, 5, 0), rollout.Widened, 0), found: found("v2", 1, 6, rollout.Trial), want: rollout.Widened},
+		"recorded by another":               {known: in(found("v2", 1, 5, 0), rollout.Moved, 0), found: found("v2", 1, 8, rollout.Completed), want: rollout.Completed, changed: true},
+		"an old read after it was recorded": {known: in(found("v2", 1, 5, 0), rollout.RolledBack, 8), found: found("v2", 1, 6, rollout.Trial), want: rollout.RolledBack},
+		"ordered again":                     {known: in(found("v2", 1, 5, 0), rollout.RolledBack, 8), found: found("v2", 1, 12, rollout.Trial), want: rollout.Trial, changed: true},
+		"another version":                   {known: in(found("v2", 1, 5, 0), rollout.Completed, 8), found: found("v3", 1, 12, rollout.Trial), want: rollout.Trial, changed: true},
+		"an old read of an order before":    {known: in(found("v3", 1, 12, 0), rollout.Widened, 0), found: found("v2", 1, 8, rollout.Completed), want: rollout.Widened},
+		"a backup without the roll-back":    {known: in(found("v2", 1, 5, 0), rollout.RolledBack, 8), found: found("v2", 2, 6, rollout.Trial), want: rollout.Stopped, changed: true},
+		"a backup without the completion":   {known: in(found("v2", 1, 5, 0), rollout.Completed, 8), found: found("v2", 2, 6, rollout.Trial), want: rollout.Emptied, changed: true},
+		"a backup during the roll-out":      {known: in(found("v2", 1, 5, 0), rollout.Widened, 0), found: found("v2", 2, 6, rollout.Trial), want: rollout.Widened, changed: true},
+		"a backup with the outcome":         {known: in(found("v2", 1, 5, 0), rollout.RolledBack, 8), found: found("v2", 2, 8, rollout.RolledBack), want: rollout.RolledBack, changed: true},
+		"a restored store without eras":     {known: in(found("v2", 0, 5, 0), rollout.RolledBack, 8), found: found("v2", 0, 5, rollout.Trial), want: rollout.RolledBack},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -72,7 +72,7 @@
 			if changed && test.known != nil {
 				oldEra, oldRank := known.Rank()
 				era, rank := next.Rank()
-				qt.Check(t, era > oldEra || era == oldEra && rank > oldRank, qt.IsTrue, qt.Commentf("it replaces what was known"))
+				qt.Check(t, era > oldEra || era == oldEra && rank > oldRank, qt.IsTrue, qt.Commentf("it has to replace the known state"))
 			}
 			decoded, err := rollout.Decode(next.Encode())
 			qt.Assert(t, err, qt.IsNil)
@@ -81,8 +81,8 @@
 	}
 }
 
-// TestExposure has the shares of all phases but the last keep to the bound on all requests of
-// an order, with room for the last one's to be found faulty.
+// TestExposure checks that the phases before the last keep to the bound on all requests of an order, and
+// leave enough of it for a fault to be found in the last phase.
 func TestExposure(t *testing.T) {
 	for _, e := range []rollout.Exposure{0.02, 0.1, 0.3} {
 		spent := 0.4*e.Share(rollout.Trial) + 0.1*e.Share(rollout.Widened)
--- a/rollout/order.go
+++ b/rollout/order.go
@@ -11,26 +11,26 @@
 	"sassafrasfront.example/operator"
 )
 
-// The bounds of an Order's duration.
+// Limits on the duration of an Order.
 const (
 	minDuration = time.Second
 	maxDuration = 24 * time.Hour
 )
 
-// Order is an operator's wish to move a service's requests to another version of its
-// upstreams. It is an immutable value.
+// Order is an operator's request to shift a service's requests to another version of its upstreams.
+// It is an immutable value.
 type Order struct {
 	// Service is the name of the service.
 	Service string `json:"service"`
-	// Version is the version of the upstreams that is to take over.
+	// Version is the new version of the upstreams.
 	Version string `json:"version"`
-	// Duration is the time in which it is to be judged.
+	// Duration is the time in which the version is to be judged.
 	Duration time.Duration `json:"duration"`
-	// At is the Point of the platform at which the order was found first.
+	// At is the Point of the platform at which the order was first read.
 	At objectapi.Point `json:"at"`
 }
 
-// Check returns the faults of o.
+// Check returns the validation faults of o.
 func (o Order) Check() operator.Faults {
 	f := operator.CheckName(o.Service)
 	for i := range f {
@@ -45,13 +45,13 @@
 	if o.Duration < minDuration || o.Duration > maxDuration {
 		f = append(f, operator.Fault{
 			Field:   "duration",
-			Message: o.Duration.String() + " is not within " + minDuration.String() + " and " + maxDuration.String(),
+			Message: o.Duration.String() + " is not between " + minDuration.String() + " and " + maxDuration.String(),
 		})
 	}
 	return f
 }
 
-// Same returns whether both ask for the same, whenever they were found.
+// Same returns whether both request the same roll-out, regardless of when they were read.
 func (o Order) Same(p Order) bool {
 	return o.Service == p.Service && o.Version == p.Version && o.Duration == p.Duration
 }
--- a/rollout/state.go
+++ b/rollout/state.go
@@ -13,22 +13,22 @@
 	"sassafrasfront.example/objectapi"
 )
 
-// Phase is how far an Order is carried out. Of one Order, a higher Phase replaces a lower one.
+// Phase is the progress of an Order. A higher Phase of the same Order replaces a lower one.
 type Phase uint8
 
 const (
 	// Trial gives the version a small share of the requests.
 	Trial Phase = iota
-	// Widened gives it a larger one.
+	// Widened gives it a larger share.
 	Widened
-	// Moved gives it half of them. The rest stays at the former version, to compare with.
+	// Moved gives it half of them. The rest stays at the former version, for comparison.
 	Moved
-	// Emptied gives it all, while the upstreams of the former version are still there.
+	// Emptied gives it all requests, while the upstreams of the former version still run.
 	Emptied
-	// Stopped gives it no request. The platform has not recorded it yet.
+	// Stopped gives it no requests. The outcome is not recorded on the platform yet.
 	Stopped
-	// Completed and RolledBack are recorded on the platform, by one conditional write. The
-	// former version's upstreams stop at Completed, the new one's after RolledBack.
+	// Completed and RolledBack are recorded on the platform, by one conditional write. The former
+	// version's upstreams stop after Completed, the new version's after RolledBack.
 	Completed
 	RolledBack
 )
@@ -44,22 +44,23 @@
 	return "unknown"
 }
 
-// Settled returns whether the platform has recorded the outcome.
+// Settled returns whether the outcome is recorded on the platform.
 func (p Phase) Settled() bool { return p >= Completed }
 
-// State is how far an Order is carried out. It is an immutable value.
+// State is the progress of an Order. It is an immutable value.
 type State struct {
 	Order Order `json:"order"`
 	Phase Phase `json:"phase"`
-	// Reason says why it is in that phase, Node which node decided so, and When.
+	// Reason is why the order is in that phase, Node the node that decided so, and When the time
+	// of the decision.
 	Reason string    `json:"reason,omitempty"`
 	Node   string    `json:"node,omitempty"`
 	When   time.Time `json:"when"`
-	// Recorded is the Point at which the platform recorded the outcome, if it has.
+	// Recorded is the Point at which the platform recorded the outcome, if it did.
 	Recorded objectapi.Point `json:"recorded"`
 }
 
-// With returns s in another phase.
+// WithPhase returns s in another phase.
 func (s State) WithPhase(p Phase, reason, node string, when time.Time) State {
 	s.Phase = p
 	s.Reason = reason
@@ -74,27 +75,27 @@
 	return s
 }
 
-// phaseBits is how many bits of a Rank hold the phase.
+// phaseBits is the number of bits of a Rank that hold the phase.
 const phaseBits = 3
 
-// Rank orders the states of a service: by the Order, and then by phase.
+// Rank orders the states of a service by Order, and then by phase.
 func (s State) Rank() (era, sequence uint64) {
 	return s.Order.At.Era, s.Order.At.Revision<<phaseBits | uint64(s.Phase)
 }
 
-// Standing is what an upstream of a version may get.
+// Eligibility is whether upstreams of a version may get requests.
 type Eligibility uint8
 
 const (
-	// Ordinary upstreams get requests by their room alone.
+	// Unrestricted upstreams get requests according to their capacity only.
 	Unrestricted Eligibility = iota
-	// OnTrial upstreams get the share of the requests that the phase says.
+	// OnTrial upstreams get the share of the requests that belongs to the phase.
 	OnTrial
-	// Withheld upstreams get none.
+	// Withheld upstreams get no requests.
 	Withheld
 )
 
-// Standing returns what upstreams of a version may get.
+// Eligibility returns whether upstreams of a version may get requests.
 func (s State) Eligibility(version string) Eligibility {
 	if version != s.Order.Version {
 		return Unrestricted
@@ -108,19 +109,20 @@
 	return OnTrial
 }
 
-// Known is a State as one node knows it. It is an immutable value.
+// LocalState is a State as known to one node. It is an immutable value.
 type LocalState struct {
 	State
-	// Received is when the node received the order first, and Changed the present phase.
+	// Received is when the node first received the order, and Changed when it learnt of the
+	// current phase.
 	Received, Changed time.Time
-	// Preferred is whether a completed version still goes before others.
+	// Preferred is whether the upstreams of a completed version are still preferred to others.
 	Preferred bool
 }
 
-// Size is how many upstreams there are of a version.
+// VersionCapacity is the number of upstreams of a version and of their slots.
 type VersionCapacity struct {
-	// Upstreams take requests, Trial of them by an order, and Slots is how many requests they
-	// run at once.
+	// Upstreams is the number that accept requests, Trial the number of canaries, and Slots
+	// the number of requests that they run concurrently.
 	Upstreams, Trial, Slots int
 }
 
@@ -128,13 +130,13 @@
 func (s State) Encode() []byte {
 	data, err := json.Marshal(s)
 	if err != nil {
-		panic("rollout: state can't be encoded: " + err.Error()) // it has strings and numbers
+		panic("rollout: state can't be encoded: " + err.Error()) // it has only strings and numbers
 	}
 	return data
 }
 
-// Decode returns the State that Encode has encoded.
+// Decode decodes a State that was encoded by Encode.
 func Decode(data []byte) (State, error) {
 	var s State
-	return s, eris.Wrap(json.Unmarshal(data, &s), "state of a roll-out")
+	return s, eris.Wrap(json.Unmarshal(data, &s), "decode roll-out state")
 }
--- a/rollout/system_test.go
+++ b/rollout/system_test.go
@@ -15,23 +15,24 @@
 	"sassafrasfront.example/rollout"
 )
 
-// drawn is a system of entries and upstreams of which some hear late, or are cut off for a time.
+// randomSystem is a random system of entries and upstreams. Some nodes learn of phases late, or are
+// partitioned for a time.
 type randomSystem struct {
 	entries, upstreams []*simNode
-	phases             []rollout.Phase // in force at the judge, by step
+	phases             []rollout.Phase // at the judge, by step
 }
 
-// hearer is a node that hears of phases after some steps, and of none while it is cut off.
+// simNode is a node that learns of phases after some steps, and of none while it is partitioned.
 type simNode struct {
 	delay    int
-	from, to int // steps in which it is cut off
+	from, to int // steps in which it is partitioned
 	phase    rollout.Phase
-	lease    int // the last step in which a judge took its report, of an upstream's node
+	lease    int // the last step in which a judge accepted its report, for the node of an upstream
 }
 
 func (h *simNode) partitioned(step int) bool { return step >= h.from && step < h.to }
 
-// hear takes in what reaches the node by a step.
+// deliver delivers the phase that reaches the node in a step.
 func (d *randomSystem) deliver(h *simNode, step int) {
 	if h.partitioned(step) {
 		return
@@ -41,8 +42,8 @@
 	}
 }
 
-// draw draws a node: it hears within half a second, and one in four is cut off for up to eight
-// seconds.
+// randomNode returns a random node: it learns of phases within half a second, and one in four is partitioned
+// for up to eight seconds.
 func randomNode(random *rand.Rand, steps int) *simNode {
 	h := &simNode{delay: random.IntN(3)}
 	if random.IntN(4) == 0 {
@@ -52,19 +53,19 @@
 	return h
 }
 
-// TestExposureInDrawnWorlds has a faulty version rolled out where entries and upstreams hear late
-// and are cut off, with a fault that begins at any moment up to the step in which half of the
-// requests move. However that goes, the version gets at most its share of all requests, and
-// nothing from five seconds after its fiftieth bad answer on.
+// TestExposureInRandomSystems simulates the roll-out of a faulty version where entries and upstreams learn
+// of phases late and are partitioned. The fault begins at any time up to the step in which half of the
+// requests move. In all cases the version gets at most its share of all requests, and none from five
+// seconds after its fiftieth failure on.
 func TestExposureInRandomSystems(t *testing.T) {
 	const (
 		step     = 250 * time.Millisecond
 		lasts    = 14 * time.Second
 		exposure = rollout.Exposure(0.1)
-		perEntry = 2 // requests in a step
+		perEntry = 2 // requests per step
 		slack    = 50
-		leases   = 8  // steps for which an upstream runs requests after a judge has answered
-		rollback = 20 // steps after the fiftieth bad answer
+		leases   = 8  // steps for which an upstream runs requests after a judge has accepted a report
+		rollback = 20 // steps after the fiftieth failure
 	)
 	steps := int(lasts / step)
 	rapid.Check(t, func(t *rapid.T) {
@@ -127,10 +128,10 @@
 			state = state.WithPhase(phase, reason, "n", start)
 		}
 		if given > int(float64(exposure)*float64(sent))+slack {
-			t.Fatalf("%d of %d, %d bad, ends %v: %s", given, sent, bad, state.Phase, state.Reason)
+			t.Fatalf("%d of %d requests, %d failed, ends in %v: %s", given, sent, bad, state.Phase, state.Reason)
 		}
 		if bad >= 50 && last-fiftieth > rollback {
-			t.Fatalf("the last request came %v after the fiftieth bad answer", time.Duration(last-fiftieth)*step)
+			t.Fatalf("the last request came %v after the fiftieth failure", time.Duration(last-fiftieth)*step)
 		}
 	})
 }
--- a/rollout/tally.go
+++ b/rollout/tally.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// buckets is the number of ranges of run times that are told apart, each bucketRatio
-	// times as long as the one before, from leastBucket on.
+	// bucketCount is the number of histogram buckets for run times. Each covers a range bucketRatio times
+	// as long as the one before; the first ends at firstBucketEnd.
 	bucketCount    = 24
 	bucketRatio    = 1.5
 	firstBucketEnd = time.Millisecond
 )
 
-// Tally counts requests that an upstream has run. It is an immutable value; the zero value
-// counts none.
+// Tally counts the requests that an upstream has run. It is an immutable value; the zero value counts
+// none.
 type Tally struct {
-	// Requests is the number of requests, and Failed of those that the upstream failed.
+	// Requests is the number of requests, and Failed the number of those that failed.
 	Requests uint64 `msgpack:"requests"`
 	Failed   uint64 `msgpack:"failed,omitempty"`
-	// Took are the numbers of requests by run time, up to the last that is not 0.
+	// DurationCounts is a histogram of the run times, without the empty buckets at its end.
 	DurationCounts []uint64 `msgpack:"took,omitempty"`
 }
 
-// bucketOf returns the range that a run time is in.
+// bucketOf returns the histogram bucket of a run time.
 func bucketOf(took time.Duration) int {
 	if took <= firstBucketEnd {
 		return 0
@@ -36,7 +36,7 @@
 	return min(i, bucketCount-1)
 }
 
-// With returns t with one more request.
+// WithRequest returns t with one more request.
 func (t Tally) WithRequest(failed bool, took time.Duration) Tally {
 	t.Requests++
 	if failed {
@@ -51,10 +51,10 @@
 	return t
 }
 
-// since returns what t counts beyond an earlier tally of the same requests.
+// since returns the difference between t and an earlier tally of the same requests.
 func (t Tally) since(before Tally) Tally {
 	if t.Requests < before.Requests || t.Failed < before.Failed || len(t.DurationCounts) < len(before.DurationCounts) {
-		return t // the counts began anew
+		return t // the counts were reset
 	}
 	d := Tally{
 		Requests:       t.Requests - before.Requests,
@@ -70,15 +70,15 @@
 	return d
 }
 
-// Report is what the node beside an upstream tells a judge.
+// Report is sent to a judge by the node beside an upstream.
 type Report struct {
-	// Service and Version are the upstream's.
+	// Service and Version are those of the upstream.
 	Service string `msgpack:"service"`
 	Version string `msgpack:"version"`
-	// Start tells the counts of one start of the upstream or the node from another's.
+	// StartID identifies a period of counting. It changes when the upstream or the node restarts.
 	StartID uint64 `msgpack:"start"`
-	// Running is the number of requests at the upstream now.
+	// Running is the number of requests in flight at the upstream.
 	Running int `msgpack:"running"`
-	// Classes are the counts since Start, by class of request.
+	// Classes are the counts since the start of the period, by class of request.
 	Classes map[string]Tally `msgpack:"classes"`
 }
