--- a/canary/judgement.go
+++ b/canary/judgement.go
@@ -16,16 +16,16 @@
 
 const (
 	// judgesFor is how long after the last report a node is judge.
-	judgesFor = 2 * time.Second
+	judgeTimeout = 2 * time.Second
 	// recordTimeout bounds the recording of an outcome, and recordAgain is the wait before the
 	// next try. A judge that could not record an outcome declines for declineFor: the platform
 	// may answer another node.
-	recordTimeout = 2 * time.Second
-	recordAgain   = 500 * time.Millisecond
-	declineFor    = 3 * time.Second
+	recordTimeout    = 2 * time.Second
+	recordRetryDelay = 500 * time.Millisecond
+	declineFor       = 3 * time.Second
 	// roomPart is the part of the former version's slots that the new one must have before
 	// all requests move there.
-	roomPart = 0.75
+	minCapacityRatio = 0.75
 )
 
 // judgement is this node's work as the judge of one order.
@@ -34,7 +34,7 @@
 	received  time.Time // the last report
 	recorded  bool      // whether it stands on the platform that the order is carried out
 	recording bool
-	again     time.Time // when recording may be tried again
+	retryAt   time.Time // when recording may be tried again
 }
 
 // judgementOf returns the work on an order. The lock is held.
@@ -51,7 +51,7 @@
 }
 
 // drop forgets the work on a service's order.
-func (r *Runner) drop(service string) {
+func (r *Runner) forget(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.judges, service)
@@ -62,11 +62,11 @@
 	if !r.isJudge(ctx, service, k, now) {
 		return
 	}
-	room := r.room(k.Order)
+	hasCapacity := r.hasCapacity(k.Order)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	j := r.judgementOf(k)
-	next, reason := j.judge.Step(k.State, room, now)
+	next, reason := j.judge.Step(k.State, hasCapacity, now)
 	decided := k.WithPhase(next, reason, r.Hello.Node, now)
 	switch {
 	case next == rollout.Stopped && k.Phase == rollout.Stopped:
@@ -84,7 +84,7 @@
 	first := r.isFirst(r.candidates(service, now))
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now.Before(r.declines) {
+	if now.Before(r.declinesUntil) {
 		return false
 	}
 	j := r.judgementOf(k)
@@ -92,11 +92,11 @@
 		r.record(ctx, j, k.State, now)
 	}
 	over := now.Sub(k.Received) > k.Order.Duration
-	return now.Sub(j.received) <= judgesFor || first && over
+	return now.Sub(j.received) <= judgeTimeout || first && over
 }
 
 // room returns whether the upstreams of an order's version can take all requests.
-func (r *Runner) room(o rollout.Order) bool {
+func (r *Runner) hasCapacity(o rollout.Order) bool {
 	var former, next int
 	for version, s := range r.Capacities(o.Service) {
 		if version == o.Version {
@@ -105,12 +105,12 @@
 			former += s.Slots
 		}
 	}
-	return float64(next) >= roomPart*float64(former)
+	return float64(next) >= minCapacityRatio*float64(former)
 }
 
 // record writes how far an order is to the platform. The lock is held.
 func (r *Runner) record(ctx context.Context, j *judgement, s rollout.State, now time.Time) {
-	if j.recording || now.Before(j.again) {
+	if j.recording || now.Before(j.retryAt) {
 		return
 	}
 	j.recording = true
@@ -120,12 +120,12 @@
 		recorded, err := r.write(ctx, s)
 		r.mu.Lock()
 		j.recording = false
-		j.again = time.Now().Add(recordAgain)
+		j.retryAt = time.Now().Add(recordRetryDelay)
 		switch {
 		case err == nil:
 			j.recorded = true
 		case s.Phase.Settled() && !objectapi.IsConflict(err):
-			r.declines = time.Now().Add(declineFor)
+			r.declinesUntil = time.Now().Add(declineFor)
 		}
 		r.mu.Unlock()
 		if err != nil {
--- a/canary/report.go
+++ b/canary/report.go
@@ -23,31 +23,31 @@
 	// every 100 ms answers within that.
 	reportTimeout = 300 * time.Millisecond
 	// clientsIdle is how long a connection to a judge is kept that isn't used.
-	clientsIdle = 10 * time.Second
+	clientIdleTimeout = 10 * time.Second
 	// choiceFor is how long the choice of judges is kept: it takes a look at all nodes.
-	choiceFor = time.Second
+	candidateCacheTime = time.Second
 )
 
 var (
-	errDeclines = eris.New("no judge: the platform does not answer this node")
-	errNoOrder  = eris.New("no judge: no order is known here")
+	errDeclining = eris.New("no judge: the platform does not answer this node")
+	errNoOrder   = eris.New("no judge: no order is known here")
 )
 
 // candidates returns the nodes that may be judge for a service, in order.
 func (r *Runner) candidates(service string, now time.Time) []Peer {
 	r.mu.Lock()
-	if now.Sub(r.choices) >= choiceFor {
-		r.chosen = make(map[string][]Peer)
-		r.choices = now
+	if now.Sub(r.candidatesCachedAt) >= candidateCacheTime {
+		r.candidateCache = make(map[string][]Peer)
+		r.candidatesCachedAt = now
 	}
-	list, ok := r.chosen[service]
+	list, ok := r.candidateCache[service]
 	r.mu.Unlock()
 	if ok {
 		return list
 	}
 	list = r.Judges(service)
 	r.mu.Lock()
-	r.chosen[service] = list
+	r.candidateCache[service] = list
 	r.mu.Unlock()
 	return list
 }
@@ -57,19 +57,19 @@
 	if u.Version == "" {
 		return
 	}
-	every := r.reportEvery(u, k)
+	interval := r.reportInterval(u, k)
 	candidates := r.candidates(u.Service, now)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.asking || now.Sub(r.reported) < every {
+	if r.reporting || now.Sub(r.reportSentAt) < interval {
 		return
 	}
-	r.reported = now
-	r.asking = true
+	r.reportSentAt = now
+	r.reporting = true
 	report := rollout.Report{
 		Service: u.Service,
 		Version: u.Version,
-		StartID: r.began,
+		StartID: r.reportStartID,
 		Running: u.Running,
 		Classes: make(map[string]rollout.Tally, len(r.classes)),
 	}
@@ -81,38 +81,38 @@
 
 // reportEvery returns the time between two reports: as long as keeps the reports to a judge
 // within bounds. Upstreams on trial report often enough for their leases.
-func (r *Runner) reportEvery(u Upstream, k rollout.LocalState) time.Duration {
+func (r *Runner) reportInterval(u Upstream, k rollout.LocalState) time.Duration {
 	n := r.Capacities(u.Service)[u.Version].Upstreams
-	every := stepEvery * time.Duration(max(1, n/reportsPerStep))
+	interval := stepInterval * time.Duration(max(1, n/reportsPerStep))
 	if k.Eligibility(u.Version) == rollout.OnTrial {
-		every = min(every, r.Lease/leaseParts)
+		interval = min(interval, r.Lease/reportsPerLease)
 	}
-	return every - stepEvery/2 // steps are never quite on time
+	return interval - stepInterval/2 // steps are never quite on time
 }
 
 // send sends a report to the first candidate that takes it.
 func (r *Runner) send(ctx context.Context, candidates []Peer, report rollout.Report, sent time.Time) {
-	taken := false
+	accepted := false
 	for _, p := range candidates {
 		err := r.sendTo(ctx, p, report)
 		if err == nil {
-			taken = true
+			accepted = true
 			break
 		}
 		r.Log.Debug().Err(err).Str("judge", p.ID).Str("service", report.Service).Msg("report of a roll-out not taken")
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.asking = false
-	if taken {
-		r.answered = sent
+	r.reporting = false
+	if accepted {
+		r.reportAcceptedAt = sent
 	}
 }
 
 // sendTo sends a report to one candidate, which may be this node.
 func (r *Runner) sendTo(ctx context.Context, p Peer, report rollout.Report) error {
 	if p.ID == r.Hello.Node {
-		return r.take(p.ID, report)
+		return r.observe(p.ID, report)
 	}
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
@@ -127,14 +127,14 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := r.take(from.Node, report); err != nil {
+	if err := r.observe(from.Node, report); err != nil {
 		return nil, err
 	}
 	return msgpack.Marshal(struct{}{})
 }
 
 // take takes in a report as the judge.
-func (r *Runner) take(node string, report rollout.Report) error {
+func (r *Runner) observe(node string, report rollout.Report) error {
 	k, ok := r.Rollouts()[report.Service]
 	if !ok || k.Phase.Settled() {
 		return errNoOrder
@@ -142,8 +142,8 @@
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now.Before(r.declines) {
-		return errDeclines
+	if now.Before(r.declinesUntil) {
+		return errDeclining
 	}
 	j := r.judgementOf(k)
 	j.judge.Observe(node, report, now)
--- a/canary/runner.go
+++ b/canary/runner.go
@@ -18,13 +18,13 @@
 
 const (
 	// stepEvery is the time between two steps while an order is carried out.
-	stepEvery = 250 * time.Millisecond
+	stepInterval = 250 * time.Millisecond
 	// reportsPerStep is the number of nodes of one version that report to a judge in one
 	// step. Where there are more, each reports less often.
 	reportsPerStep = 100
 	// leaseParts is how many reports fit into a lease, so that one that is lost costs
 	// nothing.
-	leaseParts = 3
+	reportsPerLease = 3
 )
 
 // Peer is another node.
@@ -72,31 +72,31 @@
 	// Log takes the events.
 	Log zerolog.Logger
 
-	starting sync.Once
+	initOnce sync.Once
 	wake     chan struct{}
 	clients  *peer.Clients // of judges
 
-	mu       sync.Mutex
-	start    string                   // of the upstream that is counted
-	began    uint64                   // tells its counts from those before
-	classes  map[string]rollout.Tally // of the upstream
-	judges   map[string]*judgement    // by service
-	answered time.Time                // when a judge took the last report
-	reported time.Time                // when it was sent
-	asking   bool                     // whether a report is under way
-	declines time.Time                // until when this node is no judge
-	chosen   map[string][]Peer        // judges, by service
-	choices  time.Time                // when these were chosen
+	mu                 sync.Mutex
+	countedStart       string                   // of the upstream that is counted
+	reportStartID      uint64                   // tells its counts from those before
+	classes            map[string]rollout.Tally // of the upstream
+	judges             map[string]*judgement    // by service
+	reportAcceptedAt   time.Time                // when a judge took the last report
+	reportSentAt       time.Time                // when it was sent
+	reporting          bool                     // whether a report is under way
+	declinesUntil      time.Time                // until when this node is no judge
+	candidateCache     map[string][]Peer        // judges, by service
+	candidatesCachedAt time.Time                // when these were chosen
 }
 
 // init makes what the first call needs.
 func (r *Runner) init() {
-	r.starting.Do(func() {
+	r.initOnce.Do(func() {
 		r.wake = make(chan struct{}, 1)
 		r.classes = make(map[string]rollout.Tally)
 		r.judges = make(map[string]*judgement)
 		limits := r.Limits
-		limits.Idle = clientsIdle
+		limits.Idle = clientIdleTimeout
 		r.clients = &peer.Clients{
 			Hello:    r.Hello,
 			Limits:   limits,
@@ -137,7 +137,7 @@
 		case <-t.C:
 		}
 		if r.step(ctx, time.Now()) {
-			t.Reset(stepEvery)
+			t.Reset(stepInterval)
 		}
 	}
 }
@@ -146,10 +146,10 @@
 func (r *Runner) step(ctx context.Context, now time.Time) (active bool) {
 	known := r.Rollouts()
 	u := r.Upstream()
-	r.count(u)
+	r.resetCounts(u)
 	for service, k := range known {
 		if k.Phase.Settled() {
-			r.drop(service)
+			r.forget(service)
 			continue
 		}
 		active = true
@@ -178,20 +178,20 @@
 	case rollout.OnTrial:
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		return now.Sub(r.answered) > r.Lease
+		return now.Sub(r.reportAcceptedAt) > r.Lease
 	}
 	return false
 }
 
 // count begins the counts anew where the upstream is another than before.
-func (r *Runner) count(u Upstream) {
+func (r *Runner) resetCounts(u Upstream) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	start := u.StartID + "\x00" + u.Version
-	if start == r.start {
+	if start == r.countedStart {
 		return
 	}
-	r.start = start
-	r.began = uint64(time.Now().UnixNano())
+	r.countedStart = start
+	r.reportStartID = uint64(time.Now().UnixNano())
 	r.classes = make(map[string]rollout.Tally)
 }
--- a/canary/runner_test.go
+++ b/canary/runner_test.go
@@ -26,15 +26,15 @@
 // store holds one order, whose status is the name of a phase.
 type store struct {
 	objectapi.Polled
-	mu       sync.Mutex
-	revision int
-	status   string
-	writes   []string
-	away     bool
-	between  func() // called once between a read and the write that follows
+	mu          sync.Mutex
+	revision    int
+	status      string
+	writes      []string
+	unavailable bool
+	between     func() // called once between a read and the write that follows
 }
 
-var errAway = errors.New("away")
+var errUnavailable = errors.New("away")
 
 func (s *store) object() *objectapi.Object {
 	o := objectapi.NewObject("rollout", "s", s.status).WithVersion(strconv.Itoa(s.revision))
@@ -48,8 +48,8 @@
 func (s *store) Get(context.Context, string, string) (*objectapi.Object, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.away {
-		return nil, errAway
+	if s.unavailable {
+		return nil, errUnavailable
 	}
 	return s.object(), nil
 }
@@ -62,8 +62,8 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.away {
-		return nil, errAway
+	if s.unavailable {
+		return nil, errUnavailable
 	}
 	if o.Metadata.ResourceVersion != strconv.Itoa(s.revision) {
 		return nil, &objectapi.Error{Status: 409, Err: errors.New("conflict")}
@@ -95,27 +95,27 @@
 }
 
 // world is some nodes that know one roll-out, and share what they decide at once.
-type world struct {
+type testNetwork struct {
 	store    *store
 	mu       sync.Mutex
 	known    rollout.LocalState
-	deaf     bool // whether no judge can be reached
+	noJudge  bool // whether no judge can be reached
 	withheld map[string]bool
 }
 
 // node returns a node beside an upstream of a version, which is judge if it is so named.
-func (w *world) node(name, version, judge string) *Runner {
+func (w *testNetwork) node(name, version, judge string) *Runner {
 	return &Runner{
 		Hello:    peer.Hello{Node: name},
 		API:      w.store,
 		Decode:   decode,
 		Status:   func(_ string, p rollout.Phase) any { return p.String() },
 		Lease:    lease,
-		Rollouts: func() map[string]rollout.LocalState { return map[string]rollout.LocalState{"s": w.present()} },
+		Rollouts: func() map[string]rollout.LocalState { return map[string]rollout.LocalState{"s": w.current()} },
 		Judges: func(string) []Peer {
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			if w.deaf {
+			if w.noJudge {
 				return nil
 			}
 			return []Peer{{ID: judge}}
@@ -135,14 +135,14 @@
 }
 
 // present returns the roll-out as all nodes know it.
-func (w *world) present() rollout.LocalState {
+func (w *testNetwork) current() rollout.LocalState {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.known
 }
 
 // decide takes in a decision, as the ranks of records do.
-func (w *world) decide(s rollout.State) {
+func (w *testNetwork) decide(s rollout.State) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if s.Phase > w.known.Phase {
@@ -151,8 +151,8 @@
 	}
 }
 
-func newWorld() *world {
-	return &world{
+func newTestNetwork() *testNetwork {
+	return &testNetwork{
 		store:    &store{revision: 1},
 		known:    rollout.LocalState{State: rollout.State{Order: order}, Received: time.Now(), Changed: time.Now()},
 		withheld: make(map[string]bool),
@@ -162,39 +162,39 @@
 // TestLease has the node beside an upstream on trial lose its judge, and find one again.
 func TestLease(t *testing.T) {
 	tests := map[string]struct {
-		version string
-		phase   rollout.Phase
-		deaf    time.Duration // for how long no judge answers
-		want    bool          // whether the upstream is withheld then
+		version    string
+		phase      rollout.Phase
+		noJudgeFor time.Duration // for how long no judge answers
+		want       bool          // whether the upstream is withheld then
 	}{
 		"on trial":                          {version: "v2"},
-		"on trial, a judge is away shortly": {version: "v2", deaf: lease / 2},
-		"on trial, no judge answers":        {version: "v2", deaf: lease + time.Second, want: true},
-		"the former version needs no judge": {version: "v1", deaf: lease + time.Second},
+		"on trial, a judge is away shortly": {version: "v2", noJudgeFor: lease / 2},
+		"on trial, no judge answers":        {version: "v2", noJudgeFor: lease + time.Second, want: true},
+		"the former version needs no judge": {version: "v1", noJudgeFor: lease + time.Second},
 		"a version not known yet":           {version: "", want: true},
 		"stopped":                           {version: "v2", phase: rollout.Stopped, want: true},
 		"rolled back":                       {version: "v2", phase: rollout.RolledBack, want: true},
-		"completed":                         {version: "v2", phase: rollout.Completed, deaf: lease + time.Second},
+		"completed":                         {version: "v2", phase: rollout.Completed, noJudgeFor: lease + time.Second},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld()
+				w := newTestNetwork()
 				w.known.Phase = test.phase
 				r := w.node("n", test.version, "n")
 				ctx, cancel := context.WithCancel(t.Context())
 				go r.Run(ctx)
 				time.Sleep(2 * time.Second)
 				w.mu.Lock()
-				w.deaf = true
+				w.noJudge = true
 				w.mu.Unlock()
 				r.mu.Lock()
-				r.choices = time.Time{}
+				r.candidatesCachedAt = time.Time{}
 				r.mu.Unlock()
-				time.Sleep(test.deaf)
+				time.Sleep(test.noJudgeFor)
 				w.mu.Lock()
 				got := w.withheld["n"]
-				w.deaf = false
+				w.noJudge = false
 				w.mu.Unlock()
 				qt.Check(t, got, qt.Equals, test.want)
 				cancel()
@@ -208,40 +208,40 @@
 // a while: the first one stays, and all take it over.
 func TestOutcomes(t *testing.T) {
 	tests := map[string]struct {
-		first, second rollout.Phase
-		away          time.Duration
-		stands        string
+		first, second  rollout.Phase
+		unavailableFor time.Duration
+		stored         string
 	}{
-		"both rolled back":             {first: rollout.RolledBack, second: rollout.RolledBack, stands: "rolledBack"},
-		"completed by another between": {first: rollout.RolledBack, second: rollout.Completed, stands: "completed"},
-		"rolled back by another":       {first: rollout.Completed, second: rollout.RolledBack, stands: "rolledBack"},
-		"the platform is away":         {first: rollout.RolledBack, second: rollout.RolledBack, away: 8 * time.Second, stands: "rolledBack"},
+		"both rolled back":             {first: rollout.RolledBack, second: rollout.RolledBack, stored: "rolledBack"},
+		"completed by another between": {first: rollout.RolledBack, second: rollout.Completed, stored: "completed"},
+		"rolled back by another":       {first: rollout.Completed, second: rollout.RolledBack, stored: "rolledBack"},
+		"the platform is away":         {first: rollout.RolledBack, second: rollout.RolledBack, unavailableFor: 8 * time.Second, stored: "rolledBack"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld()
-				w.store.away = test.away > 0
+				w := newTestNetwork()
+				w.store.unavailable = test.unavailableFor > 0
 				one, other := w.node("a", "v1", "a"), w.node("b", "v1", "b")
 				one.init()
 				other.init()
 				w.store.between = func() {
-					_, err := other.write(t.Context(), w.present().WithPhase(test.second, "", "b", time.Now()))
+					_, err := other.write(t.Context(), w.current().WithPhase(test.second, "", "b", time.Now()))
 					qt.Check(t, err, qt.IsNil)
 				}
 				began := time.Now()
-				for !w.present().Phase.Settled() && time.Since(began) < time.Minute {
+				for !w.current().Phase.Settled() && time.Since(began) < time.Minute {
 					w.store.mu.Lock()
-					w.store.away = time.Since(began) < test.away
+					w.store.unavailable = time.Since(began) < test.unavailableFor
 					w.store.mu.Unlock()
 					one.mu.Lock()
-					one.record(t.Context(), one.judgementOf(w.present()), w.present().WithPhase(test.first, "", "a", time.Now()), time.Now())
+					one.record(t.Context(), one.judgementOf(w.current()), w.current().WithPhase(test.first, "", "a", time.Now()), time.Now())
 					one.mu.Unlock()
-					time.Sleep(stepEvery)
+					time.Sleep(stepInterval)
 				}
-				qt.Check(t, w.store.status, qt.Equals, test.stands)
-				qt.Check(t, w.store.writes, qt.DeepEquals, []string{test.stands}, qt.Commentf("it is written once"))
-				qt.Check(t, w.present().Phase.String(), qt.Equals, test.stands)
+				qt.Check(t, w.store.status, qt.Equals, test.stored)
+				qt.Check(t, w.store.writes, qt.DeepEquals, []string{test.stored}, qt.Commentf("it is written once"))
+				qt.Check(t, w.current().Phase.String(), qt.Equals, test.stored)
 			})
 		})
 	}
@@ -252,13 +252,13 @@
 // more, though the outcome is recorded only later.
 func TestJudgeBehindPlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld()
-		w.store.away = true
+		w := newTestNetwork()
+		w.store.unavailable = true
 		judge := w.node("a", "v1", "a")
 		others := map[string]*Runner{"b": w.node("b", "v2", "a"), "c": w.node("c", "v2", "a")}
 		ctx, cancel := context.WithCancel(t.Context())
 		go judge.Run(ctx)
-		for began := time.Now(); w.present().Phase < rollout.Stopped && time.Since(began) < 4*time.Second; {
+		for began := time.Now(); w.current().Phase < rollout.Stopped && time.Since(began) < 4*time.Second; {
 			for range 20 {
 				judge.RecordRequest("class", false, 10*time.Millisecond)
 				for _, r := range others {
@@ -266,21 +266,21 @@
 				}
 			}
 			for name, r := range others {
-				qt.Check(t, judge.take(name, rollout.Report{Service: "s", Version: "v2", StartID: 1, Classes: map[string]rollout.Tally{"class": r.classes["class"]}}), qt.IsNil)
+				qt.Check(t, judge.observe(name, rollout.Report{Service: "s", Version: "v2", StartID: 1, Classes: map[string]rollout.Tally{"class": r.classes["class"]}}), qt.IsNil)
 			}
-			time.Sleep(stepEvery)
+			time.Sleep(stepInterval)
 		}
-		qt.Check(t, w.present().Phase, qt.Equals, rollout.Stopped)
+		qt.Check(t, w.current().Phase, qt.Equals, rollout.Stopped)
 		w.store.mu.Lock()
-		w.store.away = false
+		w.store.unavailable = false
 		w.store.mu.Unlock()
 		for range 4 * 8 {
 			for name := range others {
-				_ = judge.take(name, rollout.Report{Service: "s", Version: "v2", StartID: 1}) // refused while it declines
+				_ = judge.observe(name, rollout.Report{Service: "s", Version: "v2", StartID: 1}) // refused while it declines
 			}
-			time.Sleep(stepEvery)
+			time.Sleep(stepInterval)
 		}
-		qt.Check(t, w.present().Phase, qt.Equals, rollout.RolledBack)
+		qt.Check(t, w.current().Phase, qt.Equals, rollout.RolledBack)
 		cancel()
 		synctest.Wait()
 	})
