--- a/canary/judgement.go
+++ b/canary/judgement.go
@@ -15,29 +15,29 @@
 )
 
 const (
-	// judgesFor is how long after the last report a node is judge.
+	// judgeTimeout is how long a node acts as judge after the last report that it received.
 	judgeTimeout = 2 * time.Second
-	// recordTimeout bounds the recording of an outcome, and recordAgain is the wait before the
-	// next try. A judge that could not record an outcome declines for declineFor: the platform
-	// may answer another node.
+	// recordTimeout bounds the recording of an outcome, and recordRetryDelay is the delay before a retry.
+	// A judge that could not record an outcome refuses reports for declineFor, so that another node
+	// takes over: the platform may respond to that one.
 	recordTimeout    = 2 * time.Second
 	recordRetryDelay = 500 * time.Millisecond
 	declineFor       = 3 * time.Second
-	// roomPart is the part of the former version's slots that the new one must have before
-	// all requests move there.
+	// minCapacityRatio is the fraction of the former version's slots that the new version must have before
+	// all requests move to it.
 	minCapacityRatio = 0.75
 )
 
-// judgement is this node's work as the judge of one order.
+// judgement is the state of this node as the judge of one order.
 type judgement struct {
 	judge     rollout.Judge
-	received  time.Time // the last report
-	recorded  bool      // whether it stands on the platform that the order is carried out
+	received  time.Time // when the last report arrived
+	recorded  bool      // whether the platform has recorded that the order is being carried out
 	recording bool
-	retryAt   time.Time // when recording may be tried again
+	retryAt   time.Time // when recording may be retried
 }
 
-// judgementOf returns the work on an order. The lock is held.
+// judgementOf returns the judgement of an order, and creates it if necessary. The lock is held.
 func (r *Runner) judgementOf(k rollout.LocalState) *judgement {
 	j := r.judges[k.Order.Service]
 	if j == nil || j.judge.Order.At != k.Order.At {
@@ -50,14 +50,14 @@
 	return j
 }
 
-// drop forgets the work on a service's order.
+// forget deletes the judgement of a service's order.
 func (r *Runner) forget(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.judges, service)
 }
 
-// judge does a judge's work on one order, if this node is one.
+// judge performs one step of judging an order, if this node is its judge.
 func (r *Runner) judge(ctx context.Context, service string, k rollout.LocalState, now time.Time) {
 	if !r.isJudge(ctx, service, k, now) {
 		return
@@ -78,8 +78,9 @@
 	}
 }
 
-// isJudge returns whether this node has something to judge an order by. The first candidate
-// has it stand on the platform that the order is carried out.
+// isJudge returns whether this node judges an order: it has recent reports, or it is the first candidate
+// and the order's duration is over. The first candidate also records on the platform that the order is
+// being carried out.
 func (r *Runner) isJudge(ctx context.Context, service string, k rollout.LocalState, now time.Time) bool {
 	first := r.isFirst(r.candidates(service, now))
 	r.mu.Lock()
@@ -95,7 +96,7 @@
 	return now.Sub(j.received) <= judgeTimeout || first && over
 }
 
-// room returns whether the upstreams of an order's version can take all requests.
+// hasCapacity returns whether the upstreams of an order's version can take all requests.
 func (r *Runner) hasCapacity(o rollout.Order) bool {
 	var former, next int
 	for version, s := range r.Capacities(o.Service) {
@@ -108,7 +109,7 @@
 	return float64(next) >= minCapacityRatio*float64(former)
 }
 
-// record writes how far an order is to the platform. The lock is held.
+// record writes the progress of an order to the platform. The lock is held.
 func (r *Runner) record(ctx context.Context, j *judgement, s rollout.State, now time.Time) {
 	if j.recording || now.Before(j.retryAt) {
 		return
@@ -138,8 +139,8 @@
 	}()
 }
 
-// write writes a state under the condition that nobody else has written since it was read, and
-// returns what stands there then: the outcome that was written first stays.
+// write writes a state to the platform unless it has changed since it was read, and returns the state
+// that is stored then: an outcome that was written before stays.
 func (r *Runner) write(ctx context.Context, s rollout.State) (rollout.State, error) {
 	o, err := r.API.Get(ctx, r.Kind, s.Order.Service)
 	if err != nil {
@@ -156,7 +157,7 @@
 		return s.WithPhase(found.Outcome, "recorded on the platform", s.Node, s.When).WithRecorded(found.Order.At), nil
 	}
 	if !s.Phase.Settled() && len(o.Status) > 0 && string(o.Status) != "null" {
-		return s, nil // that it is being carried out stands there already
+		return s, nil // the platform has already recorded that the order is being carried out
 	}
 	written, err := r.API.UpdateStatus(ctx, o.WithStatus(r.Status(s.Order.Version, s.Phase)))
 	if err != nil {
@@ -164,7 +165,7 @@
 	}
 	at, err := objectapi.ParsePoint(written.Metadata.ResourceVersion)
 	if err != nil {
-		return s, eris.Wrap(err, "answer to a status")
+		return s, eris.Wrap(err, "response to a status update")
 	}
 	return s.WithRecorded(at), nil
 }
--- a/canary/reader.go
+++ b/canary/reader.go
@@ -9,20 +9,20 @@
 	"sassafrasfront.example/rollout"
 )
 
-// Orders takes in the orders that a Listing has read. The exported fields are set before the
-// first call.
+// OrderReader decodes the orders that a Listing has read. The exported fields are set before the first
+// call.
 type OrderReader struct {
 	// Decode decodes an order.
 	Decode func(o *objectapi.Object) (rollout.StoredOrder, error)
-	// Found is called with the orders that were read at a Point. Whole is whether those that
-	// are not among them have been withdrawn.
+	// Found is called with the orders that were read at a Point. The argument whole is whether the
+	// list is complete, so that orders missing from it have been withdrawn.
 	Found func(found []rollout.StoredOrder, at objectapi.Point, whole bool)
-	// Refused, if not nil, is called with why an order is not followed.
+	// Refused, if not nil, is called with the reason why an order can't be used.
 	Refused func(reason error)
 }
 
-// Take takes in what was read. An order that can't be followed does not count as withdrawn, and
-// neither does one that a read lacks which is not current.
+// Take handles a list of objects that was read. An order that can't be decoded does not count as
+// withdrawn, and neither does one that is missing from a list that is not current.
 func (r *OrderReader) Take(items []*objectapi.Object, at objectapi.Point, current bool) {
 	whole := current
 	var found []rollout.StoredOrder
--- a/canary/report.go
+++ b/canary/report.go
@@ -17,23 +17,23 @@
 )
 
 const (
-	// Topic is the topic of the reports to a judge.
+	// Topic is the topic of the messages with reports to a judge.
 	Topic = "rollout"
-	// reportTimeout bounds one report. An instance whose share of the processor is dealt out
-	// every 100 ms answers within that.
+	// reportTimeout bounds the sending of one report. An instance whose processor time is allotted
+	// in periods of 100 ms responds within that.
 	reportTimeout = 300 * time.Millisecond
-	// clientsIdle is how long a connection to a judge is kept that isn't used.
+	// clientIdleTimeout is how long an unused connection to a judge is kept.
 	clientIdleTimeout = 10 * time.Second
-	// choiceFor is how long the choice of judges is kept: it takes a look at all nodes.
+	// candidateCacheTime is how long the list of candidates is cached: choosing them iterates over all nodes.
 	candidateCacheTime = time.Second
 )
 
 var (
-	errDeclining = eris.New("no judge: the platform does not answer this node")
-	errNoOrder   = eris.New("no judge: no order is known here")
+	errDeclining = eris.New("not a judge: the platform does not respond to this node")
+	errNoOrder   = eris.New("not a judge: no order is known to this node")
 )
 
-// candidates returns the nodes that may be judge for a service, in order.
+// candidates returns the candidates for the judge of a service, in order of preference.
 func (r *Runner) candidates(service string, now time.Time) []Peer {
 	r.mu.Lock()
 	if now.Sub(r.candidatesCachedAt) >= candidateCacheTime {
@@ -52,7 +52,7 @@
 	return list
 }
 
-// report tells a judge of the upstream, if that is due.
+// report sends a report on the upstream to a judge, unless one was sent recently.
 func (r *Runner) report(ctx context.Context, u Upstream, k rollout.LocalState, now time.Time) {
 	if u.Version == "" {
 		return
@@ -79,18 +79,18 @@
 	go r.send(ctx, candidates, report, now)
 }
 
-// reportEvery returns the time between two reports: as long as keeps the reports to a judge
-// within bounds. Upstreams on trial report often enough for their leases.
+// reportInterval returns the time between two reports. It increases with the number of upstreams, to bound
+// the reports that a judge receives. Canary upstreams report often enough to renew their leases.
 func (r *Runner) reportInterval(u Upstream, k rollout.LocalState) time.Duration {
 	n := r.Capacities(u.Service)[u.Version].Upstreams
 	interval := stepInterval * time.Duration(max(1, n/reportsPerStep))
 	if k.Eligibility(u.Version) == rollout.OnTrial {
 		interval = min(interval, r.Lease/reportsPerLease)
 	}
-	return interval - stepInterval/2 // steps are never quite on time
+	return interval - stepInterval/2 // tolerates steps that come early
 }
 
-// send sends a report to the first candidate that takes it.
+// send sends a report to the first candidate that accepts it.
 func (r *Runner) send(ctx context.Context, candidates []Peer, report rollout.Report, sent time.Time) {
 	accepted := false
 	for _, p := range candidates {
@@ -99,7 +99,7 @@
 			accepted = true
 			break
 		}
-		r.Log.Debug().Err(err).Str("judge", p.ID).Str("service", report.Service).Msg("report of a roll-out not taken")
+		r.Log.Debug().Err(err).Str("judge", p.ID).Str("service", report.Service).Msg("roll-out report not accepted")
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -120,7 +120,7 @@
 	return err
 }
 
-// Handle takes in a report of another node.
+// Handle handles a report from another node.
 func (r *Runner) Handle(from peer.Hello, payload []byte) ([]byte, error) {
 	r.init()
 	report, err := peer.Unpack[rollout.Report](payload)
@@ -133,7 +133,7 @@
 	return msgpack.Marshal(struct{}{})
 }
 
-// take takes in a report as the judge.
+// observe records a report as the judge.
 func (r *Runner) observe(node string, report rollout.Report) error {
 	k, ok := r.Rollouts()[report.Service]
 	if !ok || k.Phase.Settled() {
@@ -151,7 +151,7 @@
 	return nil
 }
 
-// isFirst returns whether this node is the first candidate for judge.
+// isFirst returns whether this node is the first candidate.
 func (r *Runner) isFirst(candidates []Peer) bool {
 	return slices.IndexFunc(candidates, func(p Peer) bool { return p.ID == r.Hello.Node }) == 0
 }
--- a/canary/runner.go
+++ b/canary/runner.go
@@ -17,13 +17,12 @@
 )
 
 const (
-	// stepEvery is the time between two steps while an order is carried out.
+	// stepInterval is the time between two steps while an order is carried out.
 	stepInterval = 250 * time.Millisecond
-	// reportsPerStep is the number of nodes of one version that report to a judge in one
-	// step. Where there are more, each reports less often.
+	// reportsPerStep is the number of nodes of one version that report to a judge in one step. If
+	// there are more, each reports less often.
 	reportsPerStep = 100
-	// leaseParts is how many reports fit into a lease, so that one that is lost costs
-	// nothing.
+	// reportsPerLease is the number of reports per lease, so that a lost report does not end the lease.
 	reportsPerLease = 3
 )
 
@@ -32,64 +31,64 @@
 	ID, Addr string
 }
 
-// Upstream is the upstream beside the node.
+// Upstream describes the upstream beside the node.
 type Upstream struct {
-	// Service and Version are what it says of itself; both are empty where there is none.
+	// Service and Version are those of its announcement; both are empty if there is none.
 	Service, Version string
-	// Start tells one start from another.
+	// StartID identifies one start of the upstream process.
 	StartID string
-	// Running is the number of requests there.
+	// Running is the number of requests in flight there.
 	Running int
 }
 
-// Runner is one node's part in roll-outs. The exported fields are set before Run.
+// Runner executes one node's part in roll-outs. The exported fields are set before Run.
 type Runner struct {
-	// Hello introduces this node, Limits bounds its connections to judges, and Counters, if
+	// Hello identifies this node to judges, Limits bounds its connections to them, and Counters, if
 	// not nil, counts their traffic.
 	Hello    peer.Hello
 	Limits   peer.Limits
 	Counters *peer.Counters
-	// API is the platform, Kind the kind of the orders, Decode reads one, and Status returns
-	// what is written to one whose version is in a phase.
+	// API is the platform, Kind the kind of the objects with orders, Decode decodes one, and Status
+	// returns the status to write to one whose version is in a phase.
 	API    objectapi.Polled
 	Kind   string
 	Decode func(o *objectapi.Object) (rollout.StoredOrder, error)
 	Status func(version string, p rollout.Phase) any
-	// Lease is how long an upstream on trial runs requests after a judge has answered.
+	// Lease is how long a canary upstream runs requests after a judge has accepted a report.
 	Lease time.Duration
-	// Known returns the roll-outs that the node knows of, by service.
+	// Rollouts returns the roll-outs that are known to the node, by service.
 	Rollouts func() map[string]rollout.LocalState
-	// Judges returns the nodes that may be judge for a service, in order.
+	// Judges returns the candidates for the judge of a service, in order of preference.
 	Judges func(service string) []Peer
-	// Sizes returns how many upstreams a service has, by version.
+	// Capacities returns the capacity of a service's upstreams, by version.
 	Capacities func(service string) map[string]rollout.VersionCapacity
 	// Upstream returns the upstream beside the node.
 	Upstream func() Upstream
-	// Withhold takes in whether that one may not run requests.
+	// SetWithheld is called with whether that upstream must not run requests.
 	SetWithheld func(withheld bool)
-	// Decide takes in a decision of this node.
+	// Decided is called with each decision of this node.
 	Decided func(s rollout.State)
-	// Log takes the events.
+	// Log receives the events.
 	Log zerolog.Logger
 
 	initOnce sync.Once
 	wake     chan struct{}
-	clients  *peer.Clients // of judges
+	clients  *peer.Clients // connections to judges
 
 	mu                 sync.Mutex
-	countedStart       string                   // of the upstream that is counted
-	reportStartID      uint64                   // tells its counts from those before
+	countedStart       string                   // start and version of the upstream that is counted
+	reportStartID      uint64                   // StartID of the reports
 	classes            map[string]rollout.Tally // of the upstream
 	judges             map[string]*judgement    // by service
-	reportAcceptedAt   time.Time                // when a judge took the last report
-	reportSentAt       time.Time                // when it was sent
-	reporting          bool                     // whether a report is under way
-	declinesUntil      time.Time                // until when this node is no judge
-	candidateCache     map[string][]Peer        // judges, by service
-	candidatesCachedAt time.Time                // when these were chosen
+	reportAcceptedAt   time.Time                // when the last accepted report was sent
+	reportSentAt       time.Time                // when the last report was sent
+	reporting          bool                     // whether a report is being sent
+	declinesUntil      time.Time                // until when this node refuses reports
+	candidateCache     map[string][]Peer        // cached candidates, by service
+	candidatesCachedAt time.Time                // when the cache was created
 }
 
-// init makes what the first call needs.
+// init initialises the unexported fields on the first call.
 func (r *Runner) init() {
 	r.initOnce.Do(func() {
 		r.wake = make(chan struct{}, 1)
@@ -105,7 +104,7 @@
 	})
 }
 
-// Wake has the runner look at the roll-outs again.
+// Wake makes the runner check the roll-outs again.
 func (r *Runner) Wake() {
 	r.init()
 	select {
@@ -114,7 +113,7 @@
 	}
 }
 
-// Ran counts a request that the upstream has run.
+// RecordRequest counts a request that the upstream has run.
 func (r *Runner) RecordRequest(class string, failed bool, took time.Duration) {
 	r.init()
 	r.mu.Lock()
@@ -122,8 +121,8 @@
 	r.classes[class] = r.classes[class].WithRequest(failed, took)
 }
 
-// Run carries out the node's part until ctx ends. Where no order is being carried out, it
-// waits for one.
+// Run executes the node's part until ctx ends. While no order is being carried out, it waits for a call
+// of Wake.
 func (r *Runner) Run(ctx context.Context) {
 	r.init()
 	defer r.clients.Close()
@@ -142,7 +141,7 @@
 	}
 }
 
-// step does what is due, and returns whether an order is being carried out.
+// step performs one step of all roll-outs, and returns whether an order is being carried out.
 func (r *Runner) step(ctx context.Context, now time.Time) (active bool) {
 	known := r.Rollouts()
 	u := r.Upstream()
@@ -162,8 +161,8 @@
 	return active
 }
 
-// withheld returns whether the upstream may not run requests. While an order is carried out, so
-// may one whose version is not known yet.
+// withheld returns whether the upstream must not run requests. That includes an upstream of unknown
+// version while an order is being carried out.
 func (r *Runner) withheld(u Upstream, known map[string]rollout.LocalState, now time.Time) bool {
 	k, ok := known[u.Service]
 	if !ok || u.Service == "" {
@@ -183,7 +182,7 @@
 	return false
 }
 
-// count begins the counts anew where the upstream is another than before.
+// resetCounts resets the counts if the upstream or its version has changed.
 func (r *Runner) resetCounts(u Upstream) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/canary/runner_test.go
+++ b/canary/runner_test.go
@@ -23,7 +23,7 @@
 
 const lease = 2 * time.Second
 
-// store holds one order, whose status is the name of a phase.
+// store is a platform with one order, whose status is the name of a phase.
 type store struct {
 	objectapi.Polled
 	mu          sync.Mutex
@@ -31,10 +31,10 @@
 	status      string
 	writes      []string
 	unavailable bool
-	between     func() // called once between a read and the write that follows
+	between     func() // called once before a write
 }
 
-var errUnavailable = errors.New("away")
+var errUnavailable = errors.New("unavailable")
 
 func (s *store) object() *objectapi.Object {
 	o := objectapi.NewObject("rollout", "s", s.status).WithVersion(strconv.Itoa(s.revision))
@@ -81,7 +81,7 @@
 	At:       objectapi.Point{Revision: 1},
 }
 
-// decode reads an order of the store.
+// decode decodes the order of the store.
 func decode(o *objectapi.Object) (rollout.StoredOrder, error) {
 	f := rollout.StoredOrder{Order: order}
 	f.Order.At, _ = objectapi.ParsePoint(o.Metadata.ResourceVersion)
@@ -94,16 +94,16 @@
 	return f, nil
 }
 
-// world is some nodes that know one roll-out, and share what they decide at once.
+// testNetwork is a set of nodes that know one roll-out. Their decisions reach all of them at once.
 type testNetwork struct {
 	store    *store
 	mu       sync.Mutex
 	known    rollout.LocalState
-	noJudge  bool // whether no judge can be reached
+	noJudge  bool // whether no judge is reachable
 	withheld map[string]bool
 }
 
-// node returns a node beside an upstream of a version, which is judge if it is so named.
+// node returns a node beside an upstream of a version, for which the judge is the node so named.
 func (w *testNetwork) node(name, version, judge string) *Runner {
 	return &Runner{
 		Hello:    peer.Hello{Node: name},
@@ -134,14 +134,14 @@
 	}
 }
 
-// present returns the roll-out as all nodes know it.
+// current returns the roll-out as known to all nodes.
 func (w *testNetwork) current() rollout.LocalState {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.known
 }
 
-// decide takes in a decision, as the ranks of records do.
+// decide applies a decision if it ranks above the current state.
 func (w *testNetwork) decide(s rollout.State) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -159,22 +159,23 @@
 	}
 }
 
-// TestLease has the node beside an upstream on trial lose its judge, and find one again.
+// TestLease checks that the node beside a canary upstream withholds it when no judge responds for
+// longer than the lease.
 func TestLease(t *testing.T) {
 	tests := map[string]struct {
 		version    string
 		phase      rollout.Phase
-		noJudgeFor time.Duration // for how long no judge answers
-		want       bool          // whether the upstream is withheld then
+		noJudgeFor time.Duration // for how long no judge is reachable
+		want       bool          // whether the upstream is withheld after that
 	}{
-		"on trial":                          {version: "v2"},
-		"on trial, a judge is away shortly": {version: "v2", noJudgeFor: lease / 2},
-		"on trial, no judge answers":        {version: "v2", noJudgeFor: lease + time.Second, want: true},
-		"the former version needs no judge": {version: "v1", noJudgeFor: lease + time.Second},
-		"a version not known yet":           {version: "", want: true},
-		"stopped":                           {version: "v2", phase: rollout.Stopped, want: true},
-		"rolled back":                       {version: "v2", phase: rollout.RolledBack, want: true},
-		"completed":                         {version: "v2", phase: rollout.Completed, noJudgeFor: lease + time.Second},
+		"canary":                                 {version: "v2"},
+		"canary, no judge for less than a lease": {version: "v2", noJudgeFor: lease / 2},
+		"canary, no judge for more than a lease": {version: "v2", noJudgeFor: lease + time.Second, want: true},
+		"the former version needs no judge":      {version: "v1", noJudgeFor: lease + time.Second},
+		"unknown version":                        {version: "", want: true},
+		"stopped":                                {version: "v2", phase: rollout.Stopped, want: true},
+		"rolled back":                            {version: "v2", phase: rollout.RolledBack, want: true},
+		"completed":                              {version: "v2", phase: rollout.Completed, noJudgeFor: lease + time.Second},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -204,18 +205,18 @@
 	}
 }
 
-// TestOutcomes has nodes record different outcomes at once, behind a platform that is away for
-// a while: the first one stays, and all take it over.
+// TestOutcomes checks that when nodes record different outcomes concurrently, also on a platform that is
+// unavailable for a while, the first one stays and all nodes adopt it.
 func TestOutcomes(t *testing.T) {
 	tests := map[string]struct {
 		first, second  rollout.Phase
 		unavailableFor time.Duration
 		stored         string
 	}{
-		"both rolled back":             {first: rollout.RolledBack, second: rollout.RolledBack, stored: "rolledBack"},
-		"completed by another between": {first: rollout.RolledBack, second: rollout.Completed, stored: "completed"},
-		"rolled back by another":       {first: rollout.Completed, second: rollout.RolledBack, stored: "rolledBack"},
-		"the platform is away":         {first: rollout.RolledBack, second: rollout.RolledBack, unavailableFor: 8 * time.Second, stored: "rolledBack"},
+		"both rolled back":               {first: rollout.RolledBack, second: rollout.RolledBack, stored: "rolledBack"},
+		"completed by another meanwhile": {first: rollout.RolledBack, second: rollout.Completed, stored: "completed"},
+		"rolled back by another":         {first: rollout.Completed, second: rollout.RolledBack, stored: "rolledBack"},
+		"the platform is unavailable":    {first: rollout.RolledBack, second: rollout.RolledBack, unavailableFor: 8 * time.Second, stored: "rolledBack"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -247,9 +248,9 @@
 	}
 }
 
-// TestJudgeBehindPlatform has the judge be refused by the platform from the start, as where that
-// turns a third of the nodes away: it judges all the same, and a faulty version gets nothing
-// more, though the outcome is recorded only later.
+// TestJudgeBehindPlatform guards against a faulty version that keeps getting requests while the platform
+// refuses the judge, as it may do with a third of the nodes: the judge stops the roll-out anyway, and the
+// outcome is recorded later.
 func TestJudgeBehindPlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestNetwork()
@@ -276,7 +277,7 @@
 		w.store.mu.Unlock()
 		for range 4 * 8 {
 			for name := range others {
-				_ = judge.observe(name, rollout.Report{Service: "s", Version: "v2", StartID: 1}) // refused while it declines
+				_ = judge.observe(name, rollout.Report{Service: "s", Version: "v2", StartID: 1}) // refused for declineFor
 			}
 			time.Sleep(stepInterval)
 		}
