--- a/blocklist/readers_test.go
+++ b/blocklist/readers_test.go
@@ -21,13 +21,13 @@
 )
 
 // counted counts the reads of a platform that holds no object.
-type counted struct {
+type countingAPI struct {
 	objectapi.Objects
 	reads *atomic.Int64
 }
 
 // ListStale implements objectapi.Objects.
-func (c counted) ListStale(context.Context, string) (*objectapi.List, error) {
+func (c countingAPI) ListStale(context.Context, string) (*objectapi.List, error) {
 	c.reads.Add(1)
 	return new(objectapi.List), nil
 }
@@ -52,13 +52,13 @@
 				var reads atomic.Int64
 				var all sync.WaitGroup
 				for range test.nodes {
-					l := &blocklist.Store{
-						API:    counted{reads: &reads},
+					s := &blocklist.Store{
+						API:    countingAPI{reads: &reads},
 						Report: func(quarantine.Report) {},
 						Nodes:  func() int { return test.nodes },
 						Log:    zerolog.Nop(),
 					}
-					all.Go(func() { l.Run(ctx) })
+					all.Go(func() { s.Run(ctx) })
 				}
 				all.Wait()
 				second := reads.Load() - int64(test.nodes)
--- a/blocklist/ledger.go
+++ b/blocklist/store.go
@@ -23,16 +23,16 @@
 const (
 	// saveTries is how often the writing of a block is tried, with pauses that grow to
 	// some seconds. A platform that is away for longer is read by nobody either.
-	saveTries = 8
+	saveAttempts = 8
 	// lookAgain is after how long a node that has started reads the blocks once more: the
 	// first read is a cheap one that may be some seconds old.
-	lookAgain = 6 * time.Second
+	rereadDelay = 6 * time.Second
 	// readers is how many of the nodes that start at once are expected to do so: what one
 	// reads it tells the others. None does once in thirty thousand million times.
-	readers = 24
+	expectedReaders = 24
 	// sweepEvery is the time between two reads by a zone's first node, which deletes the
 	// blocks that count no more.
-	sweepEvery = time.Hour
+	sweepInterval = time.Hour
 )
 
 // Block is the spec of one object. It is an immutable value.
@@ -81,30 +81,30 @@
 
 // Run reads the blocks, once more a little later unless there are many nodes and others do, and
 // now and then if this node is the first of its zone, until ctx ends.
-func (l *Store) Run(ctx context.Context) {
-	l.Load(ctx)
-	sleep.For(ctx, lookAgain/2+rand.N(lookAgain))
-	if ctx.Err() == nil && l.drawn() {
-		l.Load(ctx)
+func (s *Store) Run(ctx context.Context) {
+	s.Load(ctx)
+	sleep.For(ctx, rereadDelay/2+rand.N(rereadDelay))
+	if ctx.Err() == nil && s.isReader() {
+		s.Load(ctx)
 	}
 	for ctx.Err() == nil {
-		sleep.For(ctx, sweepEvery/2+rand.N(sweepEvery))
-		if ctx.Err() == nil && l.FirstOfZone != nil && l.FirstOfZone() {
-			l.Load(ctx)
+		sleep.For(ctx, sweepInterval/2+rand.N(sweepInterval))
+		if ctx.Err() == nil && s.FirstOfZone != nil && s.FirstOfZone() {
+			s.Load(ctx)
 		}
 	}
 }
 
 // drawn draws whether this node is one of the readers.
-func (l *Store) drawn() bool {
-	return l.Nodes == nil || rand.Float64()*float64(l.Nodes()) < readers
+func (s *Store) isReader() bool {
+	return s.Nodes == nil || rand.Float64()*float64(s.Nodes()) < expectedReaders
 }
 
 // Load reads the blocks and reports them. Those that count no more are deleted.
-func (l *Store) Load(ctx context.Context) {
-	list, err := l.API.ListStale(ctx, Kind)
+func (s *Store) Load(ctx context.Context) {
+	list, err := s.API.ListStale(ctx, Kind)
 	if err != nil {
-		l.Log.Warn().Err(err).Msg("blocks not read")
+		s.Log.Warn().Err(err).Msg("blocks not read")
 		return
 	}
 	now := time.Now()
@@ -112,11 +112,11 @@
 		r, err := reportOf(o, now)
 		switch {
 		case err != nil:
-			l.Log.Warn().Err(err).Str("block", o.Metadata.Name).Msg("block can't be used")
+			s.Log.Warn().Err(err).Str("block", o.Metadata.Name).Msg("block can't be used")
 		case r.Expired(now):
-			l.remove(ctx, o)
+			s.remove(ctx, o)
 		default:
-			l.Report(r)
+			s.Report(r)
 		}
 	}
 }
@@ -131,54 +131,54 @@
 }
 
 // remove deletes the object of a block that counts no more.
-func (l *Store) remove(ctx context.Context, o *objectapi.Object) {
-	err := l.API.Delete(ctx, Kind, o.Metadata.Name, o.Metadata.ResourceVersion)
+func (s *Store) remove(ctx context.Context, o *objectapi.Object) {
+	err := s.API.Delete(ctx, Kind, o.Metadata.Name, o.Metadata.ResourceVersion)
 	if err != nil && !objectapi.IsNotFound(err) && !objectapi.IsConflict(err) {
-		l.Log.Warn().Err(err).Str("block", o.Metadata.Name).Msg("block not deleted")
+		s.Log.Warn().Err(err).Str("block", o.Metadata.Name).Msg("block not deleted")
 	}
 }
 
 // Save writes the block of a request that is blocked. It returns when it is written, or was
 // given up after some tries.
-func (l *Store) Save(ctx context.Context, j quarantine.Assessment) {
+func (s *Store) Save(ctx context.Context, j quarantine.Assessment) {
 	b := Block{
 		Fingerprint: j.Fingerprint.String(),
 		Upstreams:   j.IsolatedUpstreams[max(0, len(j.IsolatedUpstreams)-quarantine.MaxUpstreams):],
 		At:          j.LastCrash.UnixMilli(),
 	}
-	for n := range saveTries {
-		err := l.write(ctx, b)
+	for n := range saveAttempts {
+		err := s.write(ctx, b)
 		if err == nil || ctx.Err() != nil {
 			return
 		}
-		l.Log.Warn().Err(err).Stringer("print", j.Fingerprint).Int("try", n+1).Msg("block not written")
+		s.Log.Warn().Err(err).Stringer("print", j.Fingerprint).Int("try", n+1).Msg("block not written")
 		sleep.For(ctx, objectapi.Backoff(n, err))
 	}
 }
 
 // write writes a block, unless a later one is there.
-func (l *Store) write(ctx context.Context, b Block) error {
+func (s *Store) write(ctx context.Context, b Block) error {
 	o := objectapi.NewObject(Kind, b.Fingerprint, b)
-	_, err := l.API.Create(ctx, o)
+	_, err := s.API.Create(ctx, o)
 	if !objectapi.IsConflict(err) {
 		return err
 	}
-	present, err := l.API.Get(ctx, Kind, b.Fingerprint)
+	stored, err := s.API.Get(ctx, Kind, b.Fingerprint)
 	if err != nil {
 		return err
 	}
-	if old, err := objectapi.SpecOf[Block](present); err == nil && old.At >= b.At {
+	if old, err := objectapi.SpecOf[Block](stored); err == nil && old.At >= b.At {
 		return nil
 	}
-	_, err = l.API.Update(ctx, o.WithVersion(present.Metadata.ResourceVersion))
+	_, err = s.API.Update(ctx, o.WithVersion(stored.Metadata.ResourceVersion))
 	return err
 }
 
 // Release deletes the block of a request, if there is one.
-func (l *Store) Release(ctx context.Context, p quarantine.Fingerprint) error {
-	o, err := l.API.Get(ctx, Kind, p.String())
+func (s *Store) Release(ctx context.Context, p quarantine.Fingerprint) error {
+	o, err := s.API.Get(ctx, Kind, p.String())
 	if err == nil {
-		err = l.API.Delete(ctx, Kind, o.Metadata.Name, o.Metadata.ResourceVersion)
+		err = s.API.Delete(ctx, Kind, o.Metadata.Name, o.Metadata.ResourceVersion)
 	}
 	if objectapi.IsNotFound(err) {
 		return nil
--- a/blocklist/ledger_test.go
+++ b/blocklist/store_test.go
@@ -54,15 +54,15 @@
 		saved []quarantine.Assessment
 		want  quarantine.State
 		ends  int
-		kept  int // objects, after they were read
+		left  int // objects, after they were read
 	}{
 		"none":           {},
-		"a block":        {saved: []quarantine.Assessment{blocked(0, "a")}, want: quarantine.Blocked, ends: 1, kept: 1},
-		"one that grew":  {saved: []quarantine.Assessment{blocked(time.Minute, "a"), blocked(0, "a", "b")}, want: quarantine.Blocked, ends: 2, kept: 1},
-		"an older one":   {saved: []quarantine.Assessment{blocked(0, "a", "b"), blocked(time.Minute, "a")}, want: quarantine.Blocked, ends: 2, kept: 1},
-		"one over":       {saved: []quarantine.Assessment{blocked(11*time.Minute, "a")}, want: quarantine.SeenAtCrash, ends: 1, kept: 1},
+		"a block":        {saved: []quarantine.Assessment{blocked(0, "a")}, want: quarantine.Blocked, ends: 1, left: 1},
+		"one that grew":  {saved: []quarantine.Assessment{blocked(time.Minute, "a"), blocked(0, "a", "b")}, want: quarantine.Blocked, ends: 2, left: 1},
+		"an older one":   {saved: []quarantine.Assessment{blocked(0, "a", "b"), blocked(time.Minute, "a")}, want: quarantine.Blocked, ends: 2, left: 1},
+		"one over":       {saved: []quarantine.Assessment{blocked(11*time.Minute, "a")}, want: quarantine.SeenAtCrash, ends: 1, left: 1},
 		"long forgotten": {saved: []quarantine.Assessment{blocked(3*time.Hour, "a")}},
-		"of no upstream": {saved: []quarantine.Assessment{blocked(0)}, kept: 1},
+		"of no upstream": {saved: []quarantine.Assessment{blocked(0)}, left: 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -79,7 +79,7 @@
 			qt.Check(t, j.Crashes, qt.Equals, test.ends)
 			list, err := writer.API.List(ctx, blocklist.Kind)
 			qt.Assert(t, err, qt.IsNil)
-			qt.Check(t, list.Items, qt.HasLen, test.kept)
+			qt.Check(t, list.Items, qt.HasLen, test.left)
 		})
 	}
 }
