--- a/blocklist/doc.go
+++ b/blocklist/doc.go
@@ -2,7 +2,6 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Package blocklist keeps on the platform which requests are blocked for ending upstreams, so
-// that they stay blocked where all nodes start anew at once. What else is suspected only
-// the nodes know.
+// Package blocklist stores on the platform which requests are blocked because upstreams crash on them, so that
+// they stay blocked when all nodes restart at once. Requests that are only suspected are not stored.
 package blocklist
--- a/blocklist/readers_test.go
+++ b/blocklist/readers_test.go
@@ -20,7 +20,7 @@
 	"sassafrasfront.example/quarantine"
 )
 
-// counted counts the reads of a platform that holds no object.
+// countingAPI counts the reads of a platform that holds no object.
 type countingAPI struct {
 	objectapi.Objects
 	reads *atomic.Int64
@@ -32,12 +32,12 @@
 	return new(objectapi.List), nil
 }
 
-// TestReadsOfManyStarts has many nodes start at once, and counts their reads in the first minute:
-// one each, and a second one of some few however many they are.
+// TestReadsOfManyStarts guards against too many reads when many nodes start at once: in the first minute
+// each node reads once, and only a few read again, however many nodes there are.
 func TestReadsOfManyStarts(t *testing.T) {
 	tests := map[string]struct {
 		nodes       int
-		least, most int64 // second reads
+		least, most int64 // expected second reads
 	}{
 		"a few": {nodes: 12, least: 12, most: 12},
 		"100":   {nodes: 100, least: 5, most: 60},
--- a/blocklist/store.go
+++ b/blocklist/store.go
@@ -21,38 +21,38 @@
 const Kind = "blockedRequest"
 
 const (
-	// saveTries is how often the writing of a block is tried, with pauses that grow to
-	// some seconds. A platform that is away for longer is read by nobody either.
+	// saveAttempts is the number of attempts to write a block, with delays that grow to some seconds.
+	// While the platform is unavailable for longer than that, no node can read the block either.
 	saveAttempts = 8
-	// lookAgain is after how long a node that has started reads the blocks once more: the
-	// first read is a cheap one that may be some seconds old.
+	// rereadDelay is the mean delay after which a node that has started reads the blocks once more:
+	// the first read may return data that is some seconds old.
 	rereadDelay = 6 * time.Second
-	// readers is how many of the nodes that start at once are expected to do so: what one
-	// reads it tells the others. None does once in thirty thousand million times.
+	// expectedReaders is the expected number of nodes that read again when many start at once: they share
+	// what they read with the others. The probability that none does is 1 in 3e10.
 	expectedReaders = 24
-	// sweepEvery is the time between two reads by a zone's first node, which deletes the
-	// blocks that count no more.
+	// sweepInterval is the mean time between two reads by the first node of a zone, which deletes the
+	// expired blocks.
 	sweepInterval = time.Hour
 )
 
-// Block is the spec of one object. It is an immutable value.
+// Block is the spec of an object that blocks one request. It is an immutable value.
 type Block struct {
-	// Print is the fingerprint of the request.
+	// Fingerprint is the fingerprint of the request.
 	Fingerprint string `json:"print"`
-	// Upstreams are the starts of upstreams that have ended while it was isolated.
+	// Upstreams are the StartIDs of the upstreams that crashed while the request was isolated.
 	Upstreams []string `json:"upstreams"`
-	// At is when the last of them did, in milliseconds since 1970.
+	// At is when the last of them crashed, in milliseconds since 1970.
 	At int64 `json:"at"`
 }
 
-// report returns the block as nodes tell it to each other, or why it can't be used.
+// report returns the block as a report, as nodes send it to each other. The error says why it is invalid.
 func (b Block) report(now time.Time) (quarantine.Report, error) {
 	p, err := quarantine.Parse(b.Fingerprint)
 	if err != nil {
 		return quarantine.Report{}, err
 	}
 	if len(b.Upstreams) == 0 {
-		return quarantine.Report{}, eris.New("no upstream has ended")
+		return quarantine.Report{}, eris.New("block names no upstream")
 	}
 	r := quarantine.Report{
 		Name:         "block/" + b.Fingerprint,
@@ -64,23 +64,23 @@
 	return r, r.Check(now)
 }
 
-// Ledger reads and writes blocks. The exported fields are set before the first call. Its
-// methods may be called from any goroutine.
+// Store reads and writes blocks. The exported fields are set before the first call. It is safe for
+// concurrent use.
 type Store struct {
 	// API is the platform.
 	API objectapi.Objects
 	// Report is called with each block that is read.
 	Report func(r quarantine.Report)
-	// FirstOfZone, if not nil, returns whether this node looks after the blocks for its zone.
+	// FirstOfZone, if not nil, returns whether this node maintains the blocks for its zone.
 	FirstOfZone func() bool
-	// Nodes, if not nil, returns the number of nodes that there are.
+	// Nodes, if not nil, returns the number of nodes.
 	Nodes func() int
-	// Log takes the failures.
+	// Log receives the failures.
 	Log zerolog.Logger
 }
 
-// Run reads the blocks, once more a little later unless there are many nodes and others do, and
-// now and then if this node is the first of its zone, until ctx ends.
+// Run reads the blocks at the start, possibly once more after a delay (see expectedReaders), and then periodically
+// if this node is the first of its zone, until ctx ends.
 func (s *Store) Run(ctx context.Context) {
 	s.Load(ctx)
 	sleep.For(ctx, rereadDelay/2+rand.N(rereadDelay))
@@ -95,16 +95,16 @@
 	}
 }
 
-// drawn draws whether this node is one of the readers.
+// isReader returns at random whether this node reads the blocks again.
 func (s *Store) isReader() bool {
 	return s.Nodes == nil || rand.Float64()*float64(s.Nodes()) < expectedReaders
 }
 
-// Load reads the blocks and reports them. Those that count no more are deleted.
+// Load reads the blocks and reports them. Expired ones are deleted.
 func (s *Store) Load(ctx context.Context) {
 	list, err := s.API.ListStale(ctx, Kind)
 	if err != nil {
-		s.Log.Warn().Err(err).Msg("blocks not read")
+		s.Log.Warn().Err(err).Msg("reading the blocks failed")
 		return
 	}
 	now := time.Now()
@@ -112,7 +112,7 @@
 		r, err := reportOf(o, now)
 		switch {
 		case err != nil:
-			s.Log.Warn().Err(err).Str("block", o.Metadata.Name).Msg("block can't be used")
+			s.Log.Warn().Err(err).Str("block", o.Metadata.Name).Msg("invalid block")
 		case r.Expired(now):
 			s.remove(ctx, o)
 		default:
@@ -121,7 +121,7 @@
 	}
 }
 
-// reportOf returns the report in an object, or why it can't be used.
+// reportOf decodes the report in an object. The error says why it is invalid.
 func reportOf(o *objectapi.Object, now time.Time) (quarantine.Report, error) {
 	b, err := objectapi.SpecOf[Block](o)
 	if err != nil {
@@ -130,16 +130,16 @@
 	return b.report(now)
 }
 
-// remove deletes the object of a block that counts no more.
+// remove deletes the object of an expired block.
 func (s *Store) remove(ctx context.Context, o *objectapi.Object) {
 	err := s.API.Delete(ctx, Kind, o.Metadata.Name, o.Metadata.ResourceVersion)
 	if err != nil && !objectapi.IsNotFound(err) && !objectapi.IsConflict(err) {
-		s.Log.Warn().Err(err).Str("block", o.Metadata.Name).Msg("block not deleted")
+		s.Log.Warn().Err(err).Str("block", o.Metadata.Name).Msg("deleting the block failed")
 	}
 }
 
-// Save writes the block of a request that is blocked. It returns when it is written, or was
-// given up after some tries.
+// Save writes the block of a blocked request. It returns after the block is written or all attempts have
+// failed.
 func (s *Store) Save(ctx context.Context, j quarantine.Assessment) {
 	b := Block{
 		Fingerprint: j.Fingerprint.String(),
@@ -151,12 +151,12 @@
 		if err == nil || ctx.Err() != nil {
 			return
 		}
-		s.Log.Warn().Err(err).Stringer("print", j.Fingerprint).Int("try", n+1).Msg("block not written")
+		s.Log.Warn().Err(err).Stringer("print", j.Fingerprint).Int("try", n+1).Msg("writing the block failed")
 		sleep.For(ctx, objectapi.Backoff(n, err))
 	}
 }
 
-// write writes a block, unless a later one is there.
+// write writes a block unless the platform has a later one of the same request.
 func (s *Store) write(ctx context.Context, b Block) error {
 	o := objectapi.NewObject(Kind, b.Fingerprint, b)
 	_, err := s.API.Create(ctx, o)
--- a/blocklist/store_test.go
+++ b/blocklist/store_test.go
@@ -19,9 +19,9 @@
 	"sassafrasfront.example/quarantine"
 )
 
-var print = quarantine.NewFingerprint("caller", "GET", "h.example", "/fatal").WithBody(nil)
+var fingerprint = quarantine.NewFingerprint("caller", "GET", "h.example", "/fatal").WithBody(nil)
 
-// open returns a ledger on a platform, with the index that it fills.
+// open returns a Store on a platform, with the index that it fills.
 func open(t *testing.T, store *objectstore.Server) (*blocklist.Store, *quarantine.Index) {
 	t.Helper()
 	server := httptest.NewServer(store)
@@ -37,10 +37,10 @@
 	}, index
 }
 
-// blocked returns the judgment of a request that was blocked the given time ago.
+// blocked returns the assessment of a request that was blocked the given time ago.
 func blocked(ago time.Duration, upstreams ...string) quarantine.Assessment {
 	return quarantine.Assessment{
-		Fingerprint:       print,
+		Fingerprint:       fingerprint,
 		State:             quarantine.Blocked,
 		Crashes:           len(upstreams),
 		LastCrash:         time.Now().Add(-ago),
@@ -48,21 +48,21 @@
 	}
 }
 
-// TestBlocksOutliveNodes has one node write, and another that starts read.
+// TestBlocksOutliveNodes writes blocks on one node, and reads them on another that starts later.
 func TestBlocksOutliveNodes(t *testing.T) {
 	tests := map[string]struct {
 		saved []quarantine.Assessment
 		want  quarantine.State
 		ends  int
-		left  int // objects, after they were read
+		left  int // objects that are left after they were read
 	}{
-		"none":           {},
-		"a block":        {saved: []quarantine.Assessment{blocked(0, "a")}, want: quarantine.Blocked, ends: 1, left: 1},
-		"one that grew":  {saved: []quarantine.Assessment{blocked(time.Minute, "a"), blocked(0, "a", "b")}, want: quarantine.Blocked, ends: 2, left: 1},
-		"an older one":   {saved: []quarantine.Assessment{blocked(0, "a", "b"), blocked(time.Minute, "a")}, want: quarantine.Blocked, ends: 2, left: 1},
-		"one over":       {saved: []quarantine.Assessment{blocked(11*time.Minute, "a")}, want: quarantine.SeenAtCrash, ends: 1, left: 1},
-		"long forgotten": {saved: []quarantine.Assessment{blocked(3*time.Hour, "a")}},
-		"of no upstream": {saved: []quarantine.Assessment{blocked(0)}, left: 1},
+		"none":                {},
+		"a block":             {saved: []quarantine.Assessment{blocked(0, "a")}, want: quarantine.Blocked, ends: 1, left: 1},
+		"updated":             {saved: []quarantine.Assessment{blocked(time.Minute, "a"), blocked(0, "a", "b")}, want: quarantine.Blocked, ends: 2, left: 1},
+		"older update":        {saved: []quarantine.Assessment{blocked(0, "a", "b"), blocked(time.Minute, "a")}, want: quarantine.Blocked, ends: 2, left: 1},
+		"no longer blocked":   {saved: []quarantine.Assessment{blocked(11*time.Minute, "a")}, want: quarantine.SeenAtCrash, ends: 1, left: 1},
+		"expired":             {saved: []quarantine.Assessment{blocked(3*time.Hour, "a")}},
+		"without an upstream": {saved: []quarantine.Assessment{blocked(0)}, left: 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -74,7 +74,7 @@
 			index := new(quarantine.Index)
 			reader := &blocklist.Store{API: writer.API, Report: index.Add, Log: zerolog.Nop()}
 			reader.Load(ctx)
-			j := index.Assess(print)
+			j := index.Assess(fingerprint)
 			qt.Check(t, j.State, qt.Equals, test.want)
 			qt.Check(t, j.Crashes, qt.Equals, test.ends)
 			list, err := writer.API.List(ctx, blocklist.Kind)
@@ -84,20 +84,20 @@
 	}
 }
 
-// TestRelease releases a block, and one that is not there.
+// TestRelease releases a block, and then one that does not exist.
 func TestRelease(t *testing.T) {
 	writer, index := open(t, new(objectstore.Server))
 	ctx := context.Background()
 	writer.Save(ctx, blocked(0, "a"))
 	for range 2 {
-		qt.Check(t, writer.Release(ctx, print), qt.IsNil)
+		qt.Check(t, writer.Release(ctx, fingerprint), qt.IsNil)
 	}
 	writer.Load(ctx)
-	qt.Check(t, index.Assess(print).State, qt.Equals, quarantine.Unsuspected)
+	qt.Check(t, index.Assess(fingerprint).State, qt.Equals, quarantine.Unsuspected)
 }
 
-// TestSaveUnderFaults has the platform lose answers, and be away for a moment: the block
-// is written all the same.
+// TestSaveUnderFaults checks that a block is written although the platform loses responses or fails some
+// calls.
 func TestSaveUnderFaults(t *testing.T) {
 	for name, faults := range map[string]objectstore.Faults{
 		"lost answers": {LoseWrites: 0.5},
@@ -111,7 +111,7 @@
 			writer.Save(context.Background(), blocked(0, "a"))
 			store.SetFaults(objectstore.Faults{})
 			writer.Load(context.Background())
-			qt.Check(t, index.Assess(print).State, qt.Equals, quarantine.Blocked)
+			qt.Check(t, index.Assess(fingerprint).State, qt.Equals, quarantine.Blocked)
 		})
 	}
 }
