--- a/configsync/era_test.go
+++ b/configsync/era_test.go
@@ -35,7 +35,7 @@
 
 // TestEraByNews has an era that one node has seen rise become known to others, with its age,
 // and all of them wait until operators have written again what was lost.
-func TestEraByNews(t *testing.T) {
+func TestEraByStatus(t *testing.T) {
 	now := origin
 	first, second, late := newState(now), newState(now), newState(now)
 	first.ObserveEra(4, false, now)
@@ -45,7 +45,7 @@
 	qt.Check(t, first.RewriteWindowElapsed(now), qt.IsFalse)
 	qt.Check(t, first.EraSeenAt(), qt.Equals, now)
 
-	now = now.Add(rewriteFor / 2)
+	now = now.Add(rewriteWindow / 2)
 	second.Receive(first.Status(now), now)
 	qt.Check(t, second.Era(), qt.Equals, uint64(5))
 	qt.Check(t, second.RewriteWindowElapsed(now), qt.IsFalse)
@@ -59,7 +59,7 @@
 	second.Receive(ReadStatus{Era: 4}, now)
 	qt.Check(t, second.Era(), qt.Equals, uint64(5))
 
-	now = now.Add(rewriteFor/2 - 1)
+	now = now.Add(rewriteWindow/2 - 1)
 	qt.Check(t, late.RewriteWindowElapsed(now), qt.IsFalse)
 	now = now.Add(1)
 	for _, s := range []*State{first, second, late} {
@@ -71,24 +71,24 @@
 // some nodes away: all nodes know in time, by the reads that there are anyway.
 func TestEraReachesAll(t *testing.T) {
 	tests := map[string]struct {
-		nodes int
-		away  time.Duration
-		share int // of the nodes that are turned away afterwards, in percent
-		calls int // of the mean seed, at most: a quarter above what was seen
-		seeds uint64
+		nodes       int
+		unavailable time.Duration
+		share       int // of the nodes that are turned away afterwards, in percent
+		calls       int // of the mean seed, at most: a quarter above what was seen
+		seeds       uint64
 	}{
 		"9 nodes":                 {nodes: 9, seeds: 50, calls: 25},
-		"200 nodes, away 1 s":     {nodes: 200, away: time.Second, seeds: 50, calls: 65},
-		"200 nodes, away 5 s":     {nodes: 200, away: 5 * time.Second, seeds: 50, calls: 100},
-		"200 nodes third refused": {nodes: 200, away: time.Second, share: 33, seeds: 50, calls: 65},
-		"1000 nodes":              {nodes: 1000, away: time.Second, seeds: 3, calls: 115},
+		"200 nodes, away 1 s":     {nodes: 200, unavailable: time.Second, seeds: 50, calls: 65},
+		"200 nodes, away 5 s":     {nodes: 200, unavailable: 5 * time.Second, seeds: 50, calls: 100},
+		"200 nodes third refused": {nodes: 200, unavailable: time.Second, share: 33, seeds: 50, calls: 65},
+		"1000 nodes":              {nodes: 1000, unavailable: time.Second, seeds: 3, calls: 115},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			var worst time.Duration
 			var calls int
 			for seed := range test.seeds {
-				took, made := comeBack(test.nodes, seed, test.away, test.share)
+				took, made := restoreStore(test.nodes, seed, test.unavailable, test.share)
 				worst = max(worst, took)
 				calls += made
 			}
@@ -104,7 +104,7 @@
 func TestEraOfUnluckyReaders(t *testing.T) {
 	for _, seed := range []uint64{482, 502} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			took, _ := comeBack(200, seed, time.Second, 33)
+			took, _ := restoreStore(200, seed, time.Second, 33)
 			qt.Check(t, took <= within, qt.IsTrue, qt.Commentf("%v", took))
 		})
 	}
@@ -112,13 +112,13 @@
 
 // comeBack plays a store that is away for a time and comes back from a copy, while it turns a share of
 // the nodes away, in percent. It returns how long it took until all knew, and the calls that were made.
-func comeBack(nodes int, seed uint64, away time.Duration, share int) (took time.Duration, calls int) {
+func restoreStore(nodes int, seed uint64, unavailable time.Duration, share int) (took time.Duration, calls int) {
 	const begins = 10 * time.Second
 	s := newSystem(nodes, seed)
 	s.era = 1
 	s.run(begins)
 	s.down = true
-	s.run(s.now + away)
+	s.run(s.now + unavailable)
 	s.down = false
 	s.era++
 	for _, i := range s.random.Perm(nodes)[:nodes*share/100] {
--- a/configsync/heard.go
+++ b/configsync/recent.go
@@ -8,4 +8,6 @@
 
 // Heard returns whether a read was answered, here or elsewhere, that is too young for the
 // node to read by itself.
-func (s *State) HasRecentRead(now time.Time) bool { return now.Sub(s.fresh) < s.part(leastPart) }
+func (s *State) HasRecentRead(now time.Time) bool {
+	return now.Sub(s.freshAt) < s.fraction(minReadFraction)
+}
--- a/configsync/system_test.go
+++ b/configsync/system_test.go
@@ -18,10 +18,10 @@
 // connections that take up to hop; a store that answers after storeTime.
 const (
 	within    = 2 * time.Second
-	hop       = 40 * time.Millisecond
+	maxHop    = 40 * time.Millisecond
 	storeTime = 4 * time.Millisecond
 	// hangs is after how long a call is given up that nobody answers.
-	hangs = time.Second
+	callTimeout = time.Second
 	// leaderNoticed is how long the others take to notice that the leader is gone.
 	leaderNoticed = 3 * time.Second
 	contacts      = 12
@@ -50,18 +50,18 @@
 // node is one node of the played system.
 type node struct {
 	*State
-	id       int
-	others   []int
-	version  uint64
-	inForce  map[uint64]time.Duration // when each version came into force
-	busy     bool                     // whether a read is on
-	woken    time.Duration            // the time of its next turn
-	dead     bool
-	alone    bool // cut off from the other nodes
-	refused  bool // the platform turns it away
-	silenced bool // the platform does not answer it
-	blind    bool
-	gone     time.Duration // when it died
+	id          int
+	others      []int
+	version     uint64
+	inEffect    map[uint64]time.Duration // when each version came into force
+	busy        bool                     // whether a read is on
+	nextAction  time.Duration            // the time of its next turn
+	dead        bool
+	partitioned bool // cut off from the other nodes
+	refused     bool // the platform turns it away
+	silenced    bool // the platform does not answer it
+	blind       bool
+	goneAt      time.Duration // when it died
 }
 
 // system is the played system.
@@ -92,17 +92,17 @@
 	}
 	for id := range nodes {
 		n := &node{
-			State:   New(within, s.clock(), s.random),
-			id:      id,
-			version: 1,
-			inForce: map[uint64]time.Duration{1: 0},
+			State:    New(within, s.clock(), s.random),
+			id:       id,
+			version:  1,
+			inEffect: map[uint64]time.Duration{1: 0},
 		}
 		n.SetVersion(1)
 		for range min(contacts, nodes-1) {
 			n.others = append(n.others, s.random.IntN(nodes))
 		}
 		s.nodes = append(s.nodes, n)
-		s.turn(n)
+		s.act(n)
 	}
 	return s
 }
@@ -118,20 +118,20 @@
 }
 
 // turn has a node do what is next.
-func (s *system) turn(n *node) {
+func (s *system) act(n *node) {
 	if n.dead || n.busy {
 		return
 	}
-	leads := n.id == s.leader || n.alone && n.id == 0 // who leads does not know that it is cut off
+	leads := n.id == s.leader || n.partitioned && n.id == 0 // who leads does not know that it is cut off
 	action, at := n.Next(Role{IsLeader: leads && !n.blind, WouldLead: n.blind, Nodes: len(s.nodes)}, s.clock())
 	switch action {
 	case Wait:
 		wait := at.Sub(s.clock())
-		n.woken = s.now + wait
-		woken := n.woken
+		n.nextAction = s.now + wait
+		woken := n.nextAction
 		s.after(wait, func() {
-			if n.woken == woken {
-				s.turn(n)
+			if n.nextAction == woken {
+				s.act(n)
 			}
 		})
 		return
@@ -139,11 +139,11 @@
 		for range 2 {
 			other := s.other(n)
 			s.send(n, other, func() {
-				news := other.Status(s.clock())
-				s.send(other, n, func() { s.hear(n, other, news) })
+				status := other.Status(s.clock())
+				s.send(other, n, func() { s.receive(n, other, status) })
 			})
 		}
-		s.turn(n)
+		s.act(n)
 		return
 	case Read:
 		s.read(n, 0)
@@ -159,20 +159,20 @@
 	began := s.now
 	switch {
 	case n.silenced:
-		s.after(wait+hangs, func() { s.ended(n, false, 0) })
+		s.after(wait+callTimeout, func() { s.readEnded(n, false, 0) })
 		return
 	case n.refused || s.down:
-		s.after(storeTime, func() { s.ended(n, false, 0) })
+		s.after(storeTime, func() { s.readEnded(n, false, 0) })
 		return
 	}
 	var look func()
 	look = func() {
 		switch {
 		case n.refused || s.down:
-			s.ended(n, false, 0)
+			s.readEnded(n, false, 0)
 		case s.version > n.version || s.now >= began+storeTime+wait:
-			s.enforce(n, s.version)
-			s.ended(n, true, storeTime)
+			s.apply(n, s.version)
+			s.readEnded(n, true, storeTime)
 		default:
 			s.after(10*time.Millisecond, look)
 		}
@@ -180,7 +180,7 @@
 	s.after(storeTime, look)
 }
 
-func (s *system) ended(n *node, answered bool, age time.Duration) {
+func (s *system) readEnded(n *node, answered bool, age time.Duration) {
 	n.busy = false
 	if answered {
 		n.ObserveEra(s.era, s.era > 1, s.clock())
@@ -190,41 +190,41 @@
 		n.blind = true
 		s.after(200*time.Millisecond, s.elect)
 	}
-	s.pass(n)
-	s.turn(n)
+	s.forward(n)
+	s.act(n)
 }
 
 // elect has the next node that can read lead.
 func (s *system) elect() {
 	for _, n := range s.nodes {
-		if !n.dead && !n.alone && !n.blind {
+		if !n.dead && !n.partitioned && !n.blind {
 			s.leader = n.id
-			s.turn(n)
+			s.act(n)
 			return
 		}
 	}
 }
 
 func kill(n *node) { n.dead = true }
-func cut(n *node)  { n.alone = true }
+func cut(n *node)  { n.partitioned = true }
 
 // lose does something to nodes that the others notice after a while.
-func (s *system) lose(nodes []*node, how func(n *node)) {
+func (s *system) fail(nodes []*node, how func(n *node)) {
 	for _, n := range nodes {
 		how(n)
-		n.gone = s.now
+		n.goneAt = s.now
 	}
 	s.after(leaderNoticed, func() {
-		if l := s.nodes[s.leader]; l.dead || l.alone {
+		if l := s.nodes[s.leader]; l.dead || l.partitioned {
 			s.elect()
 		}
 	})
 }
 
-func (s *system) enforce(n *node, version uint64) {
+func (s *system) apply(n *node, version uint64) {
 	if version > n.version {
 		n.version = version
-		n.inForce[version] = s.now
+		n.inEffect[version] = s.now
 	}
 	n.SetVersion(n.version)
 }
@@ -234,7 +234,7 @@
 func (s *system) other(n *node) *node {
 	i := s.random.IntN(len(n.others))
 	o := s.nodes[n.others[i]]
-	if (o.dead || o.alone) && s.now > o.gone+leaderNoticed {
+	if (o.dead || o.partitioned) && s.now > o.goneAt+leaderNoticed {
 		n.others[i] = s.random.IntN(len(s.nodes))
 	}
 	return o
@@ -242,50 +242,50 @@
 
 // send delivers something after a hop, if it can.
 func (s *system) send(from, to *node, deliver func()) {
-	if from.alone || to.alone || from.dead || to.dead {
+	if from.partitioned || to.partitioned || from.dead || to.dead {
 		return
 	}
-	s.after(time.Duration(s.random.Int64N(int64(hop))), func() {
-		if !to.dead && !to.alone {
+	s.after(time.Duration(s.random.Int64N(int64(maxHop))), func() {
+		if !to.dead && !to.partitioned {
 			deliver()
 		}
 	})
 }
 
-func (s *system) pass(n *node) {
-	news, ok := n.PendingStatus(s.clock())
+func (s *system) forward(n *node) {
+	status, ok := n.PendingStatus(s.clock())
 	if !ok || len(n.others) == 0 {
 		return
 	}
 	for range fanOut {
 		other := s.other(n)
-		s.send(n, other, func() { s.hear(other, n, news) })
+		s.send(n, other, func() { s.receive(other, n, status) })
 	}
 }
 
-func (s *system) hear(n, from *node, news ReadStatus) {
-	if n.Receive(news, s.clock()) {
+func (s *system) receive(n, from *node, status ReadStatus) {
+	if n.Receive(status, s.clock()) {
 		s.send(n, from, func() {
 			version := from.version
 			s.send(from, n, func() {
-				s.enforce(n, version)
-				s.pass(n)
+				s.apply(n, version)
+				s.forward(n)
 			})
 		})
 	}
-	s.pass(n)
-	s.turn(n)
+	s.forward(n)
+	s.act(n)
 }
 
 // late returns how long after a change that came at the given time the last of the
 // nodes that can read it, or hear of it, had it in force.
-func (s *system) late(version uint64, since time.Duration) (worst time.Duration) {
+func (s *system) worstDelay(version uint64, since time.Duration) (worst time.Duration) {
 	for _, n := range s.nodes {
-		if n.dead || n.alone && (n.refused || n.silenced) {
+		if n.dead || n.partitioned && (n.refused || n.silenced) {
 			continue
 		}
 		at := s.now + time.Hour
-		for v, t := range n.inForce {
+		for v, t := range n.inEffect {
 			if v >= version {
 				at = min(at, t)
 			}
@@ -307,7 +307,7 @@
 	)
 	tests := map[string]struct {
 		nodes   int
-		trouble func(s *system)
+		failure func(s *system)
 		bound   time.Duration // of the worst change; 0 means within
 		calls   int           // of the mean seed, at most: a quarter above what was seen
 		seeds   uint64        // 0 means fifty
@@ -316,23 +316,23 @@
 		"calm, 200 nodes":  {nodes: 200, calls: 65},
 		"calm, 1000 nodes": {nodes: 1000, seeds: 3, calls: 110},
 		"one node":         {nodes: 1, calls: 65},
-		"the leader dies":  {nodes: 200, calls: 160, trouble: func(s *system) { s.lose(s.nodes[:1], kill) }},
-		"three leaders in turn die": {nodes: 200, calls: 200, trouble: func(s *system) {
+		"the leader dies":  {nodes: 200, calls: 160, failure: func(s *system) { s.fail(s.nodes[:1], kill) }},
+		"three leaders in turn die": {nodes: 200, calls: 200, failure: func(s *system) {
 			for i := range 3 {
-				s.after(time.Duration(i)*5*time.Second, func() { s.lose([]*node{s.nodes[s.leader]}, kill) })
+				s.after(time.Duration(i)*5*time.Second, func() { s.fail([]*node{s.nodes[s.leader]}, kill) })
 			}
 		}},
-		"the platform turns the leader away":               {nodes: 200, calls: 120, trouble: func(s *system) { s.nodes[0].refused = true }},
-		"the platform does not answer the leader":          {nodes: 200, calls: 120, trouble: func(s *system) { s.nodes[0].silenced = true }},
-		"the leader is cut off from the others":            {nodes: 200, calls: 180, trouble: func(s *system) { s.lose(s.nodes[:1], cut) }},
-		"a third of the nodes are cut off from the others": {nodes: 200, calls: 1750, trouble: func(s *system) { s.lose(s.nodes[1:67], cut) }},
-		"half of the nodes die, the leader with them":      {nodes: 200, calls: 300, trouble: func(s *system) { s.lose(s.nodes[:100], kill) }},
-		"the platform turns a third away, the first three among them": {nodes: 200, calls: 320, trouble: func(s *system) {
+		"the platform turns the leader away":               {nodes: 200, calls: 120, failure: func(s *system) { s.nodes[0].refused = true }},
+		"the platform does not answer the leader":          {nodes: 200, calls: 120, failure: func(s *system) { s.nodes[0].silenced = true }},
+		"the leader is cut off from the others":            {nodes: 200, calls: 180, failure: func(s *system) { s.fail(s.nodes[:1], cut) }},
+		"a third of the nodes are cut off from the others": {nodes: 200, calls: 1750, failure: func(s *system) { s.fail(s.nodes[1:67], cut) }},
+		"half of the nodes die, the leader with them":      {nodes: 200, calls: 300, failure: func(s *system) { s.fail(s.nodes[:100], kill) }},
+		"the platform turns a third away, the first three among them": {nodes: 200, calls: 320, failure: func(s *system) {
 			for _, n := range append(s.nodes[:3:3], s.nodes[100:163]...) {
 				n.refused = true
 			}
 		}},
-		"the platform is away for 8 s": {nodes: 200, calls: 375, bound: 8*time.Second + within, trouble: func(s *system) {
+		"the platform is away for 8 s": {nodes: 200, calls: 375, bound: 8*time.Second + within, failure: func(s *system) {
 			s.down = true
 			s.after(8*time.Second, func() { s.down = false })
 		}},
@@ -349,8 +349,8 @@
 			for seed := range seeds {
 				s := newSystem(test.nodes, seed)
 				s.run(begins)
-				if test.trouble != nil {
-					test.trouble(s)
+				if test.failure != nil {
+					test.failure(s)
 				}
 				changes := make(map[uint64]time.Duration)
 				for i := range 10 {
@@ -360,9 +360,9 @@
 				}
 				s.run(begins + lasts)
 				for v, since := range changes {
-					late := s.late(v, since)
-					worst = max(worst, late)
-					qt.Check(t, late <= bound, qt.IsTrue, qt.Commentf("seed %d: version %d took %v", seed, v, late))
+					delay := s.worstDelay(v, since)
+					worst = max(worst, delay)
+					qt.Check(t, delay <= bound, qt.IsTrue, qt.Commentf("seed %d: version %d took %v", seed, v, delay))
 				}
 				calls += s.calls
 			}
@@ -375,7 +375,7 @@
 // TestStartOfAll starts nodes at once, each of which knows no other at first and, like
 // any, takes itself for the leader until it has met some. They make few reads until then,
 // and one that stays alone reads on.
-func TestStartOfAll(t *testing.T) {
+func TestSimultaneousStart(t *testing.T) {
 	const nodes, met = 200, 300 * time.Millisecond
 	now := time.Unix(0, 0)
 	random := rand.New(rand.NewPCG(1, 1))
@@ -403,7 +403,7 @@
 // leader among them, and a change come at any moment after that. It is in force in time
 // at every node. The node that reads next is refused once in three times; three in a row
 // once spared the others their reads until most of the time was over.
-func TestSomeTurnedAway(t *testing.T) {
+func TestPartialRefusal(t *testing.T) {
 	const begins = 10 * time.Second
 	tests := map[string]struct {
 		nodes int
@@ -430,9 +430,9 @@
 				s.version++
 				since := s.now
 				s.run(since + 3*within)
-				late := s.late(s.version, since)
-				worst = max(worst, late)
-				if late > within {
+				delay := s.worstDelay(s.version, since)
+				worst = max(worst, delay)
+				if delay > within {
 					over++
 				}
 				calls += s.calls
