--- a/freshness/bounds.go
+++ b/freshness/bounds.go
@@ -48,11 +48,11 @@
 }
 
 // Judge returns what is to be done with a request whose key the table has, or has not.
-func (b Bounds) Evaluate(a Age, held bool) KeyStatus {
+func (b Bounds) Evaluate(a Age, hasKey bool) KeyStatus {
 	switch {
 	case b.MaxRevokeDelay > 0 && !a.within(b.MaxRevokeDelay):
 		return Stale
-	case held:
+	case hasKey:
 		return Valid
 	case b.MaxRevokeDelay > 0 && b.MaxApplyDelay > 0 && !a.within(b.MaxApplyDelay):
 		return Stale
--- a/freshness/state.go
+++ b/freshness/state.go
@@ -82,17 +82,17 @@
 // offset bounds from below what is to be added to a reading of another clock to get this
 // node's at the same moment.
 type offset struct {
-	least  time.Duration
+	bound  time.Duration
 	learnt time.Duration // by this node's clock
 }
 
 // at returns the bound at another time of this node's clock: the clocks drift apart.
-func (o offset) at(t time.Duration) time.Duration { return o.least - drift(t-o.learnt) }
+func (o offset) at(t time.Duration) time.Duration { return o.bound - drift(t-o.learnt) }
 
 // convert returns the earliest that a reading of the other clock may be by this node's.
-func (o offset) convert(theirs time.Duration) time.Duration {
-	about := theirs + o.least
-	return theirs + o.at(about)
+func (o offset) convert(reading time.Duration) time.Duration {
+	estimate := reading + o.bound
+	return reading + o.at(estimate)
 }
 
 // State is what one node knows of proofs and of others' clocks; New makes it. Times are readings of its clock. It is not
@@ -100,7 +100,7 @@
 type State struct {
 	clock   uint64
 	proofs  Proofs
-	inForce uint64            // the version
+	version uint64            // the version
 	offsets map[uint64]offset // by clock
 }
 
@@ -117,31 +117,31 @@
 
 // InForce takes in the version that is in force now.
 func (s *State) SetVersion(version uint64) {
-	s.inForce = max(s.inForce, version)
-	if s.proofs.Ahead.known() && s.proofs.Ahead.Version <= s.inForce {
+	s.version = max(s.version, version)
+	if s.proofs.Ahead.known() && s.proofs.Ahead.Version <= s.version {
 		ahead := s.proofs.Ahead
 		s.proofs.Ahead = Proof{}
-		s.take(ahead)
+		s.store(ahead)
 	}
 }
 
 // Read takes in a read that the platform answered, which was sent at the given time, after
 // what it found is in force.
 func (s *State) ObserveRead(sent time.Duration) {
-	s.take(Proof{
-		Version: s.inForce,
+	s.store(Proof{
+		Version: s.version,
 		At:      sent,
 	})
 }
 
 // take takes in a proof.
-func (s *State) take(p Proof) {
-	held := &s.proofs.Current
-	if p.Version > s.inForce {
-		held = &s.proofs.Ahead
+func (s *State) store(p Proof) {
+	stored := &s.proofs.Current
+	if p.Version > s.version {
+		stored = &s.proofs.Ahead
 	}
-	if p.laterThan(*held) {
-		*held = p
+	if p.laterThan(*stored) {
+		*stored = p
 	}
 }
 
@@ -167,7 +167,7 @@
 		return false
 	}
 	if t.At <= t.Now { // otherwise it is no moment that the other has seen
-		s.take(Proof{
+		s.store(Proof{
 			Version: t.Version,
 			At:      min(now, o.convert(t.At)),
 		})
@@ -176,23 +176,23 @@
 }
 
 // Answered takes in a reply to a question that was asked at the given time.
-func (s *State) ReceiveReply(asked time.Duration, t Message, now time.Duration) {
+func (s *State) ReceiveReply(sent time.Duration, t Message, now time.Duration) {
 	if t.Clock == 0 || t.Clock == s.clock {
 		return
 	}
 	learnt := offset{
-		least:  asked - t.Now,
-		learnt: asked,
+		bound:  sent - t.Now,
+		learnt: sent,
 	}
 	if o, ok := s.offsets[t.Clock]; !ok || o.at(now) < learnt.at(now) || now-o.learnt >= renewAfter {
-		s.forgetOldest()
+		s.evictOldest()
 		s.offsets[t.Clock] = learnt
 	}
 	s.Receive(t, now)
 }
 
 // forgetOldest makes room for another offset.
-func (s *State) forgetOldest() {
+func (s *State) evictOldest() {
 	if len(s.offsets) < maxClocks {
 		return
 	}
--- a/freshness/state_test.go
+++ b/freshness/state_test.go
@@ -16,17 +16,17 @@
 )
 
 // teller is another node, whose clock shows ahead more than the tested node's.
-type teller struct {
+type testNode struct {
 	*freshness.State
 	ahead time.Duration
 }
 
 // tell returns what it tells at a moment by the tested node's clock.
-func (t *teller) tell(now time.Duration) freshness.Message { return t.Message(now + t.ahead) }
+func (t *testNode) message(now time.Duration) freshness.Message { return t.Message(now + t.ahead) }
 
 // newTeller returns a node that has a version, read at a moment by the tested node's clock.
-func newTeller(ahead time.Duration, version uint64, read time.Duration) *teller {
-	t := &teller{State: freshness.New(), ahead: ahead}
+func newTestNode(ahead time.Duration, version uint64, read time.Duration) *testNode {
+	t := &testNode{State: freshness.New(), ahead: ahead}
 	t.SetVersion(version)
 	t.ObserveRead(read + ahead)
 	return t
@@ -50,53 +50,53 @@
 			s.ObserveRead(8 * time.Second)
 		}, time.Second},
 		"told by a clock that is not known": {func(s *freshness.State) {
-			o := newTeller(ahead, 5, 9*time.Second)
-			qt.Check(t, s.Receive(o.tell(9500*ms), 9600*ms), qt.IsFalse)
+			o := newTestNode(ahead, 5, 9*time.Second)
+			qt.Check(t, s.Receive(o.message(9500*ms), 9600*ms), qt.IsFalse)
 		}, 0},
 		"told in a reply": {func(s *freshness.State) {
-			o := newTeller(ahead, 5, 9*time.Second)
-			s.ReceiveReply(9400*ms, o.tell(9500*ms), 9600*ms)
+			o := newTestNode(ahead, 5, 9*time.Second)
+			s.ReceiveReply(9400*ms, o.message(9500*ms), 9600*ms)
 		}, 1100 * ms},
 		"the reply was delayed": {func(s *freshness.State) {
-			o := newTeller(ahead, 5, 1*time.Second)
-			s.ReceiveReply(1400*ms, o.tell(1500*ms), 9600*ms)
+			o := newTestNode(ahead, 5, 1*time.Second)
+			s.ReceiveReply(1400*ms, o.message(1500*ms), 9600*ms)
 		}, 9100 * ms},
 		"the question was delayed": {func(s *freshness.State) {
-			o := newTeller(ahead, 5, 9*time.Second)
-			s.ReceiveReply(2*time.Second, o.tell(9500*ms), 9600*ms)
+			o := newTestNode(ahead, 5, 9*time.Second)
+			s.ReceiveReply(2*time.Second, o.message(9500*ms), 9600*ms)
 		}, 8500 * ms},
 		"a known clock, the news was delayed": {func(s *freshness.State) {
-			o := newTeller(ahead, 5, 1*time.Second)
-			s.ReceiveReply(1990*ms, o.tell(2*time.Second), 2010*ms)
+			o := newTestNode(ahead, 5, 1*time.Second)
+			s.ReceiveReply(1990*ms, o.message(2*time.Second), 2010*ms)
 			o.ObserveRead(3*time.Second + ahead)
-			late := o.tell(3100 * ms)
+			late := o.message(3100 * ms)
 			qt.Check(t, s.Receive(late, 9900*ms), qt.IsTrue)
 		}, 7010 * ms},
 		"the teller froze before it sent": {func(s *freshness.State) {
-			o := newTeller(ahead, 5, 1*time.Second)
-			s.ReceiveReply(1990*ms, o.tell(2*time.Second), 2010*ms)
-			qt.Check(t, s.Receive(o.tell(9*time.Second), 9900*ms), qt.IsTrue)
+			o := newTestNode(ahead, 5, 1*time.Second)
+			s.ReceiveReply(1990*ms, o.message(2*time.Second), 2010*ms)
+			qt.Check(t, s.Receive(o.message(9*time.Second), 9900*ms), qt.IsTrue)
 		}, 9010 * ms},
 		"a later proof of a later version": {func(s *freshness.State) {
 			s.ObserveRead(2 * time.Second)
-			o := newTeller(ahead, 6, 9*time.Second)
-			s.ReceiveReply(9400*ms, o.tell(9500*ms), 9600*ms)
+			o := newTestNode(ahead, 6, 9*time.Second)
+			s.ReceiveReply(9400*ms, o.message(9500*ms), 9600*ms)
 		}, 8 * time.Second},
 		"an earlier version read elsewhere": {func(s *freshness.State) {
-			o := newTeller(ahead, 4, 9*time.Second)
-			s.ReceiveReply(9500*ms, o.tell(9500*ms), 9600*ms)
+			o := newTestNode(ahead, 4, 9*time.Second)
+			s.ReceiveReply(9500*ms, o.message(9500*ms), 9600*ms)
 		}, time.Second},
 		"a moment that the teller has not seen": {func(s *freshness.State) {
-			o := newTeller(ahead, 5, 9*time.Second)
-			told := o.tell(9 * time.Second)
-			told.At += time.Minute
-			s.ReceiveReply(9*time.Second, told, 9100*ms)
+			o := newTestNode(ahead, 5, 9*time.Second)
+			message := o.message(9 * time.Second)
+			message.At += time.Minute
+			s.ReceiveReply(9*time.Second, message, 9100*ms)
 		}, 0},
 		"another start of the teller": {func(s *freshness.State) {
-			o := newTeller(ahead, 5, 1*time.Second)
-			s.ReceiveReply(1990*ms, o.tell(2*time.Second), 2010*ms)
-			again := newTeller(-ahead, 5, 9*time.Second)
-			qt.Check(t, s.Receive(again.tell(9*time.Second), 9*time.Second), qt.IsFalse)
+			o := newTestNode(ahead, 5, 1*time.Second)
+			s.ReceiveReply(1990*ms, o.message(2*time.Second), 2010*ms)
+			again := newTestNode(-ahead, 5, 9*time.Second)
+			qt.Check(t, s.Receive(again.message(9*time.Second), 9*time.Second), qt.IsFalse)
 		}, 9010 * ms},
 		"a node that tells of no proof": {func(s *freshness.State) {
 			qt.Check(t, s.Receive(freshness.Message{}, 9*time.Second), qt.IsTrue)
@@ -125,8 +125,8 @@
 	s := freshness.New()
 	s.SetVersion(5)
 	s.ObserveRead(time.Second)
-	o := newTeller(0, 6, 3*time.Second)
-	s.ReceiveReply(4*time.Second, o.tell(4*time.Second), 4*time.Second)
+	o := newTestNode(0, 6, 3*time.Second)
+	s.ReceiveReply(4*time.Second, o.message(4*time.Second), 4*time.Second)
 	qt.Check(t, s.Proofs().Age(5, 5*time.Second).Time, qt.Equals, 4*time.Second)
 	qt.Check(t, s.Proofs().Age(6, 5*time.Second).Time < 2100*ms, qt.IsTrue)
 	qt.Check(t, s.Proofs().Age(4, 5*time.Second).Known, qt.IsFalse)
@@ -139,33 +139,33 @@
 func TestManyClocks(t *testing.T) {
 	s := freshness.New()
 	s.SetVersion(1)
-	var first *teller
+	var first *testNode
 	for i := range 1000 {
 		now := time.Duration(i) * ms
-		o := newTeller(time.Duration(i)*time.Second, 1, now)
+		o := newTestNode(time.Duration(i)*time.Second, 1, now)
 		if first == nil {
 			first = o
 		}
-		s.ReceiveReply(now, o.tell(now), now)
-		qt.Assert(t, s.Receive(o.tell(now), now), qt.IsTrue)
+		s.ReceiveReply(now, o.message(now), now)
+		qt.Assert(t, s.Receive(o.message(now), now), qt.IsTrue)
 	}
-	qt.Check(t, s.Receive(first.tell(time.Second), time.Second), qt.IsFalse)
+	qt.Check(t, s.Receive(first.message(time.Second), time.Second), qt.IsFalse)
 }
 
 // TestRenewal asks again for a clock that has been known for long.
 func TestRenewal(t *testing.T) {
 	s := freshness.New()
 	s.SetVersion(1)
-	o := newTeller(time.Minute, 1, 0)
-	s.ReceiveReply(time.Second, o.tell(time.Second), time.Second)
-	qt.Check(t, s.Receive(o.tell(10*time.Second), 10*time.Second), qt.IsTrue)
-	qt.Check(t, s.Receive(o.tell(40*time.Second), 40*time.Second), qt.IsFalse)
-	s.ReceiveReply(40*time.Second, o.tell(40*time.Second), 40*time.Second)
-	qt.Check(t, s.Receive(o.tell(50*time.Second), 50*time.Second), qt.IsTrue)
+	o := newTestNode(time.Minute, 1, 0)
+	s.ReceiveReply(time.Second, o.message(time.Second), time.Second)
+	qt.Check(t, s.Receive(o.message(10*time.Second), 10*time.Second), qt.IsTrue)
+	qt.Check(t, s.Receive(o.message(40*time.Second), 40*time.Second), qt.IsFalse)
+	s.ReceiveReply(40*time.Second, o.message(40*time.Second), 40*time.Second)
+	qt.Check(t, s.Receive(o.message(50*time.Second), 50*time.Second), qt.IsTrue)
 }
 
 // TestJudge has the bounds.
-func TestJudge(t *testing.T) {
+func TestEvaluate(t *testing.T) {
 	age := func(d time.Duration) freshness.Age { return freshness.Age{Known: true, Time: d} }
 	strict := freshness.Bounds{MaxRevokeDelay: 5 * time.Second, MaxApplyDelay: 2 * time.Second}
 	for name, row := range map[string]struct {
@@ -198,22 +198,22 @@
 // drawn is a system that TestNeverYounger draws: nodes whose clocks differ in what they
 // show and in rate, messages that are delayed or lost, and a key that is revoked by a later
 // version.
-type drawn struct {
-	t      *rapid.T
-	now    float64 // true time, s
-	nodes  []*drawnNode
-	acks   []float64 // when version i+1 was acknowledged
-	flying []func()
+type randomSystem struct {
+	t        *rapid.T
+	now      float64 // true time, s
+	nodes    []*randomNode
+	acks     []float64 // when version i+1 was acknowledged
+	inFlight []func()
 }
 
-type drawnNode struct {
+type randomNode struct {
 	*freshness.State
-	shows, rate float64
-	version     uint64
+	offset, rate float64
+	version      uint64
 }
 
-func (n *drawnNode) clock(now float64) time.Duration {
-	return time.Duration((n.shows + n.rate*now) * float64(time.Second))
+func (n *randomNode) clock(now float64) time.Duration {
+	return time.Duration((n.offset + n.rate*now) * float64(time.Second))
 }
 
 // TestNeverYounger draws reads, news, replies, delays of any length, restarts and
@@ -222,7 +222,7 @@
 // was acknowledged by then.
 func TestNeverYounger(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := &drawn{t: t, acks: []float64{0}}
+		d := &randomSystem{t: t, acks: []float64{0}}
 		for range rapid.IntRange(2, 5).Draw(t, "nodes") {
 			d.nodes = append(d.nodes, d.start())
 		}
@@ -234,12 +234,12 @@
 			"ask":     d.ask,
 			"restart": func(t *rapid.T) { d.nodes[d.index(t)] = d.start() },
 			"arrive": func(t *rapid.T) {
-				if len(d.flying) == 0 {
+				if len(d.inFlight) == 0 {
 					t.Skip("nothing is under way")
 				}
-				i := rapid.IntRange(0, len(d.flying)-1).Draw(t, "message")
-				arrive := d.flying[i]
-				d.flying = append(d.flying[:i], d.flying[i+1:]...)
+				i := rapid.IntRange(0, len(d.inFlight)-1).Draw(t, "message")
+				arrive := d.inFlight[i]
+				d.inFlight = append(d.inFlight[:i], d.inFlight[i+1:]...)
 				arrive()
 			},
 			"": d.check,
@@ -248,23 +248,25 @@
 }
 
 // start returns a node that starts: 500 ppm at most from true time, as the kernel allows.
-func (d *drawn) start() *drawnNode {
-	return &drawnNode{
-		State: freshness.New(),
-		shows: rapid.Float64Range(0, 1e6).Draw(d.t, "shows"),
-		rate:  rapid.Float64Range(1-5e-4, 1+5e-4).Draw(d.t, "rate"),
+func (d *randomSystem) start() *randomNode {
+	return &randomNode{
+		State:  freshness.New(),
+		offset: rapid.Float64Range(0, 1e6).Draw(d.t, "shows"),
+		rate:   rapid.Float64Range(1-5e-4, 1+5e-4).Draw(d.t, "rate"),
 	}
 }
 
-func (d *drawn) index(t *rapid.T) int { return rapid.IntRange(0, len(d.nodes)-1).Draw(t, "node") }
+func (d *randomSystem) index(t *rapid.T) int {
+	return rapid.IntRange(0, len(d.nodes)-1).Draw(t, "node")
+}
 
 // read has a node read the platform, which looks at any moment before the answer arrives.
-func (d *drawn) read(t *rapid.T) {
+func (d *randomSystem) read(t *rapid.T) {
 	n := d.nodes[d.index(t)]
 	sent := n.clock(d.now)
-	d.flying = append(d.flying, func() {
+	d.inFlight = append(d.inFlight, func() {
 		found := uint64(len(d.acks))
-		d.flying = append(d.flying, func() {
+		d.inFlight = append(d.inFlight, func() {
 			n.version = max(n.version, found)
 			n.SetVersion(n.version)
 			n.ObserveRead(sent)
@@ -273,29 +275,29 @@
 }
 
 // tell has a node tell another, which may fetch the table later or never.
-func (d *drawn) tell(t *rapid.T) {
+func (d *randomSystem) tell(t *rapid.T) {
 	n, to := d.nodes[d.index(t)], d.nodes[d.index(t)]
-	told, version := n.Message(n.clock(d.now)), n.version
-	d.flying = append(d.flying, func() { to.Receive(told, to.clock(d.now)) })
-	d.flying = append(d.flying, func() {
+	message, version := n.Message(n.clock(d.now)), n.version
+	d.inFlight = append(d.inFlight, func() { to.Receive(message, to.clock(d.now)) })
+	d.inFlight = append(d.inFlight, func() {
 		to.version = max(to.version, version)
 		to.SetVersion(to.version)
 	})
 }
 
 // ask has a node ask another.
-func (d *drawn) ask(t *rapid.T) {
+func (d *randomSystem) ask(t *rapid.T) {
 	n, other := d.nodes[d.index(t)], d.nodes[d.index(t)]
-	asked := n.clock(d.now)
-	d.flying = append(d.flying, func() {
-		told := other.Message(other.clock(d.now))
-		d.flying = append(d.flying, func() { n.ReceiveReply(asked, told, n.clock(d.now)) })
+	sent := n.clock(d.now)
+	d.inFlight = append(d.inFlight, func() {
+		message := other.Message(other.clock(d.now))
+		d.inFlight = append(d.inFlight, func() { n.ReceiveReply(sent, message, n.clock(d.now)) })
 	})
 }
 
 // check checks all nodes: a version that was followed by another at a moment can't be known
 // as the latest after that.
-func (d *drawn) check(t *rapid.T) {
+func (d *randomSystem) check(t *rapid.T) {
 	for i, n := range d.nodes {
 		age := n.Proofs().Age(n.version, n.clock(d.now))
 		if !age.Known || int(n.version) >= len(d.acks) {
