--- a/freshness/bounds.go
+++ b/freshness/bounds.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// Age is for how long a table may have been out of date.
+// Age is an upper bound on the time for which a table may have been out of date.
 type Age struct {
-	// Known is whether there is any proof.
+	// Known is whether there is a proof.
 	Known bool
 	// Time is the time since the moment of the proof.
 	Time time.Duration
@@ -25,29 +25,29 @@
 	return strconv.FormatInt(a.Time.Milliseconds(), 10) + " ms"
 }
 
-// Judgement is what is to be done with a request that shows a key.
+// KeyStatus is how a request with a key has to be handled.
 type KeyStatus int
 
-// The judgements.
+// The values of KeyStatus.
 const (
-	// Valid means that the key is an organisation's, as far as the bounds want it known.
+	// Valid means that an organisation has the key, and that the table is fresh enough for that.
 	Valid KeyStatus = iota
 	// Unknown means that no organisation has the key.
 	Unknown
-	// Stale means that the table is not known to be fresh enough to say either.
+	// Stale means that the table is not known to be fresh enough to decide.
 	Stale
 )
 
-// Bounds are how fresh a table has to be. A bound of zero is none.
+// Bounds are how fresh a table has to be. Zero means no bound.
 type Bounds struct {
-	// Revoke is the time after which a request whose key has been revoked is not taken.
+	// MaxRevokeDelay is the time after which a request with a revoked key is no longer accepted.
 	MaxRevokeDelay time.Duration
-	// Apply is the time after which a request whose key has been added is not refused for
-	// that key.
+	// MaxApplyDelay is the time after which a request with an added key is no longer refused because of
+	// the key.
 	MaxApplyDelay time.Duration
 }
 
-// Judge returns what is to be done with a request whose key the table has, or has not.
+// Evaluate returns how to handle a request. The argument hasKey is whether the table has its key.
 func (b Bounds) Evaluate(a Age, hasKey bool) KeyStatus {
 	switch {
 	case b.MaxRevokeDelay > 0 && !a.within(b.MaxRevokeDelay):
@@ -61,8 +61,8 @@
 	}
 }
 
-// within returns whether the age is below a bound by any clock: this node's and the one by
-// which the bound is reckoned may differ in rate.
+// within returns whether the age is below a bound by any clock: the rates of this node's clock and of the one
+// by which the bound is measured may differ.
 func (a Age) within(bound time.Duration) bool {
 	return a.Known && a.Time+drift(bound) <= bound
 }
--- a/freshness/state.go
+++ b/freshness/state.go
@@ -11,38 +11,37 @@
 )
 
 const (
-	// maxDrift bounds by how much the rates of two clocks differ. The kernel corrects each
-	// by 500 ppm at most, and this is twice what two may differ by then.
+	// maxDrift bounds the difference between the rates of two clocks. The kernel corrects each by at most
+	// 500 ppm, and this is twice the difference of two clocks that are corrected in opposite directions.
 	maxDrift = 2e-3
-	// renewAfter is the age from which the bound on a clock's offset is learnt anew: it has
-	// lost 60 ms by then.
+	// renewAfter is the age from which the bound on a clock's offset is learnt again: by then it has become
+	// 60 ms worse.
 	renewAfter = 30 * time.Second
-	// maxClocks bounds the offsets that are kept.
+	// maxClocks bounds the number of stored offsets.
 	maxClocks = 256
 )
 
-// drift returns the most by which two clocks come apart between moments that lie d apart,
-// in either order.
+// drift returns the most by which two clocks may diverge between moments that are d apart, in either order.
 func drift(d time.Duration) time.Duration { return time.Duration(maxDrift * float64(d.Abs())) }
 
-// Proof says that a version, and each later one, has all that the platform acknowledged
-// before a moment by the clock of the node that holds it. The zero value is none.
+// Proof states that a version, and each later one, contains everything that the platform had acknowledged
+// before a moment, by the clock of the node that stores it. The zero value is no proof.
 type Proof struct {
 	Version uint64
 	// At is the moment, by that clock.
 	At time.Duration
 }
 
-// known returns whether p is any.
+// known returns whether p is a proof.
 func (p Proof) known() bool { return p.Version > 0 }
 
-// laterThan returns whether p says more than q.
+// laterThan returns whether p is stronger than q.
 func (p Proof) laterThan(q Proof) bool { return p.known() && (!q.known() || p.At > q.At) }
 
-// Proofs are what a node holds. It is an immutable value.
+// Proofs are the proofs that a node stores. It is an immutable value.
 type Proofs struct {
-	// Held is the latest proof for the version in force, and Ahead the latest one for a
-	// version that the node does not have yet.
+	// Current is the latest proof for the active version, and Ahead the latest one for a version that
+	// the node does not have yet.
 	Current, Ahead Proof
 }
 
@@ -54,7 +53,7 @@
 	return p.Current
 }
 
-// Age returns for how long a table with the version may have been out of date.
+// Age returns an upper bound on the time for which a table with the version may have been out of date.
 func (p Proofs) Age(version uint64, now time.Duration) Age {
 	best := Proof{}
 	for _, q := range []Proof{p.Current, p.Ahead} {
@@ -68,39 +67,39 @@
 	}
 }
 
-// Told is what a node tells another of its latest proof, by its own clock.
+// Message is what a node sends to others: its latest proof, by its own clock.
 type Message struct {
-	// Clock identifies the clock, which is one process's.
+	// Clock identifies the clock. Each process has its own.
 	Clock uint64 `msgpack:"clock"`
-	// Now is its reading when this was told.
+	// Now is its reading when the message was made.
 	Now time.Duration `msgpack:"now"`
-	// Version and At are the proof's, or zero if there is none.
+	// Version and At are those of the proof, or zero if there is none.
 	Version uint64        `msgpack:"version,omitempty"`
 	At      time.Duration `msgpack:"at,omitempty"`
 }
 
-// offset bounds from below what is to be added to a reading of another clock to get this
-// node's at the same moment.
+// offset is a lower bound on what to add to a reading of another clock to get this node's reading at the
+// same moment.
 type offset struct {
 	bound  time.Duration
 	learnt time.Duration // by this node's clock
 }
 
-// at returns the bound at another time of this node's clock: the clocks drift apart.
+// at returns the bound at another time by this node's clock, including the drift since it was learnt.
 func (o offset) at(t time.Duration) time.Duration { return o.bound - drift(t-o.learnt) }
 
-// convert returns the earliest that a reading of the other clock may be by this node's.
+// convert returns a lower bound on this node's reading at the moment of the given reading of the other clock.
 func (o offset) convert(reading time.Duration) time.Duration {
 	estimate := reading + o.bound
 	return reading + o.at(estimate)
 }
 
-// State is what one node knows of proofs and of others' clocks; New makes it. Times are readings of its clock. It is not
-// safe for use by several goroutines at once.
+// State is what one node knows of proofs and of other clocks; New returns one. Times are readings of its
+// clock. It is not safe for concurrent use.
 type State struct {
 	clock   uint64
 	proofs  Proofs
-	version uint64            // the version
+	version uint64            // the active version
 	offsets map[uint64]offset // by clock
 }
 
@@ -115,7 +114,7 @@
 // Proofs returns the latest proofs.
 func (s *State) Proofs() Proofs { return s.proofs }
 
-// InForce takes in the version that is in force now.
+// SetVersion sets the version that is active.
 func (s *State) SetVersion(version uint64) {
 	s.version = max(s.version, version)
 	if s.proofs.Ahead.known() && s.proofs.Ahead.Version <= s.version {
@@ -125,8 +124,8 @@
 	}
 }
 
-// Read takes in a read that the platform answered, which was sent at the given time, after
-// what it found is in force.
+// ObserveRead records a read to which the platform responded. The argument is the time at which it was sent.
+// What the read found must be active.
 func (s *State) ObserveRead(sent time.Duration) {
 	s.store(Proof{
 		Version: s.version,
@@ -134,7 +133,7 @@
 	})
 }
 
-// take takes in a proof.
+// store stores a proof if it is later than the stored one.
 func (s *State) store(p Proof) {
 	stored := &s.proofs.Current
 	if p.Version > s.version {
@@ -145,7 +144,7 @@
 	}
 }
 
-// Tell returns what to tell another node.
+// Message returns the message to send to another node.
 func (s *State) Message(now time.Duration) Message {
 	latest := s.proofs.latest()
 	return Message{
@@ -156,17 +155,17 @@
 	}
 }
 
-// Hear takes in what another node told. It returns false if that node is to be asked, as
-// the offset of its clock is not known, or not well any more.
+// Receive records a message of another node. It returns false if that node has to be asked because the offset
+// of its clock is unknown or outdated.
 func (s *State) Receive(t Message, now time.Duration) (known bool) {
 	if t.Clock == 0 || t.Clock == s.clock {
-		return true // a node that knows of no proofs, or this one
+		return true // a node without proofs, or this node
 	}
 	o, ok := s.offsets[t.Clock]
 	if !ok {
 		return false
 	}
-	if t.At <= t.Now { // otherwise it is no moment that the other has seen
+	if t.At <= t.Now { // otherwise the moment is in the sender's future
 		s.store(Proof{
 			Version: t.Version,
 			At:      min(now, o.convert(t.At)),
@@ -175,7 +174,7 @@
 	return now-o.learnt < renewAfter
 }
 
-// Answered takes in a reply to a question that was asked at the given time.
+// ReceiveReply records the reply to a request that was sent at the given time.
 func (s *State) ReceiveReply(sent time.Duration, t Message, now time.Duration) {
 	if t.Clock == 0 || t.Clock == s.clock {
 		return
@@ -191,7 +190,7 @@
 	s.Receive(t, now)
 }
 
-// forgetOldest makes room for another offset.
+// evictOldest makes room for another offset.
 func (s *State) evictOldest() {
 	if len(s.offsets) < maxClocks {
 		return
--- a/freshness/state_test.go
+++ b/freshness/state_test.go
@@ -15,16 +15,16 @@
 	"sassafrasfront.example/freshness"
 )
 
-// teller is another node, whose clock shows ahead more than the tested node's.
+// testNode is another node, whose clock is ahead of the tested node's.
 type testNode struct {
 	*freshness.State
 	ahead time.Duration
 }
 
-// tell returns what it tells at a moment by the tested node's clock.
+// message returns its message at a moment by the tested node's clock.
 func (t *testNode) message(now time.Duration) freshness.Message { return t.Message(now + t.ahead) }
 
-// newTeller returns a node that has a version, read at a moment by the tested node's clock.
+// newTestNode returns a node that has a version, read at a moment by the tested node's clock.
 func newTestNode(ahead time.Duration, version uint64, read time.Duration) *testNode {
 	t := &testNode{State: freshness.New(), ahead: ahead}
 	t.SetVersion(version)
@@ -34,7 +34,7 @@
 
 const ms = time.Millisecond
 
-// TestAge has what makes a proof older, and what a node must not take for one.
+// TestAge checks which delays make a proof older, and what must not be taken for a proof.
 func TestAge(t *testing.T) {
 	const ahead = time.Hour
 	for name, row := range map[string]struct {
@@ -49,11 +49,11 @@
 			s.ObserveRead(9 * time.Second)
 			s.ObserveRead(8 * time.Second)
 		}, time.Second},
-		"told by a clock that is not known": {func(s *freshness.State) {
+		"message by an unknown clock": {func(s *freshness.State) {
 			o := newTestNode(ahead, 5, 9*time.Second)
 			qt.Check(t, s.Receive(o.message(9500*ms), 9600*ms), qt.IsFalse)
 		}, 0},
-		"told in a reply": {func(s *freshness.State) {
+		"reply": {func(s *freshness.State) {
 			o := newTestNode(ahead, 5, 9*time.Second)
 			s.ReceiveReply(9400*ms, o.message(9500*ms), 9600*ms)
 		}, 1100 * ms},
@@ -61,18 +61,18 @@
 			o := newTestNode(ahead, 5, 1*time.Second)
 			s.ReceiveReply(1400*ms, o.message(1500*ms), 9600*ms)
 		}, 9100 * ms},
-		"the question was delayed": {func(s *freshness.State) {
+		"the request was delayed": {func(s *freshness.State) {
 			o := newTestNode(ahead, 5, 9*time.Second)
 			s.ReceiveReply(2*time.Second, o.message(9500*ms), 9600*ms)
 		}, 8500 * ms},
-		"a known clock, the news was delayed": {func(s *freshness.State) {
+		"a known clock, the message was delayed": {func(s *freshness.State) {
 			o := newTestNode(ahead, 5, 1*time.Second)
 			s.ReceiveReply(1990*ms, o.message(2*time.Second), 2010*ms)
 			o.ObserveRead(3*time.Second + ahead)
 			late := o.message(3100 * ms)
 			qt.Check(t, s.Receive(late, 9900*ms), qt.IsTrue)
 		}, 7010 * ms},
-		"the teller froze before it sent": {func(s *freshness.State) {
+		"the sender was suspended before it sent": {func(s *freshness.State) {
 			o := newTestNode(ahead, 5, 1*time.Second)
 			s.ReceiveReply(1990*ms, o.message(2*time.Second), 2010*ms)
 			qt.Check(t, s.Receive(o.message(9*time.Second), 9900*ms), qt.IsTrue)
@@ -86,19 +86,19 @@
 			o := newTestNode(ahead, 4, 9*time.Second)
 			s.ReceiveReply(9500*ms, o.message(9500*ms), 9600*ms)
 		}, time.Second},
-		"a moment that the teller has not seen": {func(s *freshness.State) {
+		"a moment in the sender's future": {func(s *freshness.State) {
 			o := newTestNode(ahead, 5, 9*time.Second)
 			message := o.message(9 * time.Second)
 			message.At += time.Minute
 			s.ReceiveReply(9*time.Second, message, 9100*ms)
 		}, 0},
-		"another start of the teller": {func(s *freshness.State) {
+		"the sender restarted": {func(s *freshness.State) {
 			o := newTestNode(ahead, 5, 1*time.Second)
 			s.ReceiveReply(1990*ms, o.message(2*time.Second), 2010*ms)
 			again := newTestNode(-ahead, 5, 9*time.Second)
 			qt.Check(t, s.Receive(again.message(9*time.Second), 9*time.Second), qt.IsFalse)
 		}, 9010 * ms},
-		"a node that tells of no proof": {func(s *freshness.State) {
+		"a node without a proof": {func(s *freshness.State) {
 			qt.Check(t, s.Receive(freshness.Message{}, 9*time.Second), qt.IsTrue)
 			s.ReceiveReply(9*time.Second, freshness.Message{}, 9*time.Second)
 			s.ReceiveReply(9*time.Second, freshness.New().Message(9*time.Second), 9*time.Second)
@@ -111,7 +111,7 @@
 			age := s.Proofs().Age(5, 10*time.Second)
 			qt.Assert(t, age.Known, qt.Equals, row.want > 0, qt.Commentf("%v", age))
 			if row.want > 0 {
-				const rounding = 20 * ms // what clocks may drift apart over these times
+				const rounding = 20 * ms // bound on the drift over these times
 				qt.Check(t, age.Time >= row.want, qt.IsTrue, qt.Commentf("%v", age))
 				qt.Check(t, age.Time <= row.want+rounding, qt.IsTrue, qt.Commentf("%v", age))
 			}
@@ -119,8 +119,8 @@
 	}
 }
 
-// TestAhead has a node hear of a version that it gets later: the proof counts from then on,
-// and that of the version before until then.
+// TestAhead checks that a proof for a version that the node gets later counts from then on, and that the one
+// for the version before counts until then.
 func TestAhead(t *testing.T) {
 	s := freshness.New()
 	s.SetVersion(5)
@@ -132,10 +132,10 @@
 	qt.Check(t, s.Proofs().Age(4, 5*time.Second).Known, qt.IsFalse)
 	s.SetVersion(6)
 	qt.Check(t, s.Proofs().Age(6, 5*time.Second).Time < 2100*ms, qt.IsTrue)
-	qt.Check(t, s.Proofs().Age(5, 5*time.Second).Known, qt.IsFalse, qt.Commentf("traffic sees 6 by then"))
+	qt.Check(t, s.Proofs().Age(5, 5*time.Second).Known, qt.IsFalse, qt.Commentf("version 6 is active by then"))
 }
 
-// TestManyClocks hears more clocks than are kept.
+// TestManyClocks receives messages by more clocks than are stored.
 func TestManyClocks(t *testing.T) {
 	s := freshness.New()
 	s.SetVersion(1)
@@ -152,7 +152,7 @@
 	qt.Check(t, s.Receive(first.message(time.Second), time.Second), qt.IsFalse)
 }
 
-// TestRenewal asks again for a clock that has been known for long.
+// TestRenewal checks that the offset of a clock is learnt again after a while.
 func TestRenewal(t *testing.T) {
 	s := freshness.New()
 	s.SetVersion(1)
@@ -164,7 +164,7 @@
 	qt.Check(t, s.Receive(o.message(50*time.Second), 50*time.Second), qt.IsTrue)
 }
 
-// TestJudge has the bounds.
+// TestEvaluate checks the bounds, including the margin for a fast clock.
 func TestEvaluate(t *testing.T) {
 	age := func(d time.Duration) freshness.Age { return freshness.Age{Known: true, Time: d} }
 	strict := freshness.Bounds{MaxRevokeDelay: 5 * time.Second, MaxApplyDelay: 2 * time.Second}
@@ -177,7 +177,7 @@
 		"fresh, held":                  {strict, age(time.Second), true, freshness.Valid},
 		"fresh, not held":              {strict, age(time.Second), false, freshness.Unknown},
 		"old, held":                    {strict, age(3 * time.Second), true, freshness.Valid},
-		"old, not held, may be added":  {strict, age(3 * time.Second), false, freshness.Stale},
+		"old, not held":                {strict, age(3 * time.Second), false, freshness.Stale},
 		"just below the bound":         {strict, age(4980 * ms), true, freshness.Valid},
 		"at the bound by a fast clock": {strict, age(4995 * ms), true, freshness.Stale},
 		"beyond the bound":             {strict, age(6 * time.Second), true, freshness.Stale},
@@ -195,14 +195,13 @@
 	qt.Check(t, freshness.Age{}.String(), qt.Equals, "an unknown time")
 }
 
-// drawn is a system that TestNeverYounger draws: nodes whose clocks differ in what they
-// show and in rate, messages that are delayed or lost, and a key that is revoked by a later
-// version.
+// randomSystem is a random system of TestNeverYounger: nodes whose clocks have different offsets and rates, messages
+// that are delayed or lost, and a table that gets new versions.
 type randomSystem struct {
 	t        *rapid.T
-	now      float64 // true time, s
+	now      float64 // true time, in seconds
 	nodes    []*randomNode
-	acks     []float64 // when version i+1 was acknowledged
+	acks     []float64 // true time at which version i+1 was acknowledged
 	inFlight []func()
 }
 
@@ -216,10 +215,9 @@
 	return time.Duration((n.offset + n.rate*now) * float64(time.Second))
 }
 
-// TestNeverYounger draws reads, news, replies, delays of any length, restarts and
-// suspensions (a node that does nothing while its clock goes on), and checks at each step
-// that no node takes its table for younger than it is: what a proof of a version vouches for
-// was acknowledged by then.
+// TestNeverYounger simulates random reads, messages, replies, delays of any length, restarts and suspensions (a
+// node that does nothing while its clock continues). At each step no node may consider its table younger than
+// it is: everything that a proof covers was acknowledged by its moment.
 func TestNeverYounger(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := &randomSystem{t: t, acks: []float64{0}}
@@ -235,7 +233,7 @@
 			"restart": func(t *rapid.T) { d.nodes[d.index(t)] = d.start() },
 			"arrive": func(t *rapid.T) {
 				if len(d.inFlight) == 0 {
-					t.Skip("nothing is under way")
+					t.Skip("no message is in flight")
 				}
 				i := rapid.IntRange(0, len(d.inFlight)-1).Draw(t, "message")
 				arrive := d.inFlight[i]
@@ -247,7 +245,7 @@
 	})
 }
 
-// start returns a node that starts: 500 ppm at most from true time, as the kernel allows.
+// start returns a node whose clock deviates from true time by at most 500 ppm, as the kernel allows.
 func (d *randomSystem) start() *randomNode {
 	return &randomNode{
 		State:  freshness.New(),
@@ -260,7 +258,7 @@
 	return rapid.IntRange(0, len(d.nodes)-1).Draw(t, "node")
 }
 
-// read has a node read the platform, which looks at any moment before the answer arrives.
+// read makes a node read the platform, which is evaluated at any moment before the response arrives.
 func (d *randomSystem) read(t *rapid.T) {
 	n := d.nodes[d.index(t)]
 	sent := n.clock(d.now)
@@ -274,7 +272,7 @@
 	})
 }
 
-// tell has a node tell another, which may fetch the table later or never.
+// tell makes a node send a message to another, which may fetch the table later or never.
 func (d *randomSystem) tell(t *rapid.T) {
 	n, to := d.nodes[d.index(t)], d.nodes[d.index(t)]
 	message, version := n.Message(n.clock(d.now)), n.version
@@ -285,7 +283,7 @@
 	})
 }
 
-// ask has a node ask another.
+// ask makes a node send a request to another.
 func (d *randomSystem) ask(t *rapid.T) {
 	n, other := d.nodes[d.index(t)], d.nodes[d.index(t)]
 	sent := n.clock(d.now)
@@ -295,18 +293,18 @@
 	})
 }
 
-// check checks all nodes: a version that was followed by another at a moment can't be known
-// as the latest after that.
+// check checks all nodes: a version can't be proved to be the latest at a moment after the next one was
+// acknowledged.
 func (d *randomSystem) check(t *rapid.T) {
 	for i, n := range d.nodes {
 		age := n.Proofs().Age(n.version, n.clock(d.now))
 		if !age.Known || int(n.version) >= len(d.acks) {
 			continue
 		}
-		since := d.now - d.acks[n.version] // when the next version was acknowledged
+		since := d.now - d.acks[n.version] // since the next version was acknowledged
 		const slowest = 1 - 5e-4
 		if least := time.Duration(since * slowest * float64(time.Second)); age.Time < least-time.Microsecond {
-			t.Fatal(fmt.Sprintf("node %d: version %d was replaced %.4f s ago, and is taken for the latest %v ago", i, n.version, since, age.Time))
+			t.Fatal(fmt.Sprintf("node %d: version %d was replaced %.4f s ago, but its age is %v", i, n.version, since, age.Time))
 		}
 	}
 }
