--- a/organisation/organisation.go
+++ b/organisation/organisation.go
@@ -72,9 +72,9 @@
 
 // Set is all organisations, by name and by key. It is an immutable value; NewSet makes it.
 type Set struct {
-	list  []Organisation
-	named map[string]int
-	keyed map[Digest]int
+	list   []Organisation
+	byName map[string]int
+	byKey  map[Digest]int
 
 	meanRate float64 // of those with a rate limit
 }
@@ -83,9 +83,9 @@
 // that is there twice, or a faulty organisation.
 func NewSet(list []Organisation) (*Set, error) {
 	s := &Set{
-		list:  list,
-		named: make(map[string]int, len(list)),
-		keyed: make(map[Digest]int, len(list)),
+		list:   list,
+		byName: make(map[string]int, len(list)),
+		byKey:  make(map[Digest]int, len(list)),
 
 		meanRate: meanRate(list),
 	}
@@ -94,15 +94,15 @@
 		if err := o.Check(); err != nil {
 			return nil, err
 		}
-		if _, ok := s.named[o.Name]; ok {
+		if _, ok := s.byName[o.Name]; ok {
 			return nil, eris.Errorf("organisation %q is there twice", o.Name)
 		}
-		s.named[o.Name] = i
+		s.byName[o.Name] = i
 		for _, d := range o.Keys {
-			if other, ok := s.keyed[d]; ok {
+			if other, ok := s.byKey[d]; ok {
 				return nil, eris.Errorf("organisation %q: a key that organisation %q has as well", o.Name, list[other].Name)
 			}
-			s.keyed[d] = i
+			s.byKey[d] = i
 		}
 	}
 	return s, nil
@@ -113,7 +113,7 @@
 
 // Named returns the organisation with the given name, or nil.
 func (s *Set) ByName(name string) *Organisation {
-	i, ok := s.named[name]
+	i, ok := s.byName[name]
 	if !ok {
 		return nil
 	}
@@ -122,7 +122,7 @@
 
 // ByKey returns the organisation that has the given key, or nil.
 func (s *Set) ByKey(key string) *Organisation {
-	i, ok := s.keyed[DigestOf(key)]
+	i, ok := s.byKey[DigestOf(key)]
 	if !ok {
 		return nil
 	}
--- a/organisation/organisation_test.go
+++ b/organisation/organisation_test.go
@@ -25,9 +25,9 @@
 	data, err := json.Marshal(list)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, strings.Contains(string(data), "key-"), qt.IsFalse, qt.Commentf("no key is in %s", data))
-	var travelled []organisation.Organisation
-	qt.Assert(t, json.Unmarshal(data, &travelled), qt.IsNil)
-	for _, l := range [][]organisation.Organisation{list, travelled} {
+	var decoded []organisation.Organisation
+	qt.Assert(t, json.Unmarshal(data, &decoded), qt.IsNil)
+	for _, l := range [][]organisation.Organisation{list, decoded} {
 		s, err := organisation.NewSet(l)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Check(t, s.ByKey("key-2").Name, qt.Equals, "a")
@@ -40,7 +40,7 @@
 }
 
 // TestSetRefuses has organisations that must change nothing.
-func TestSetRefuses(t *testing.T) {
+func TestNewSetErrors(t *testing.T) {
 	key := []organisation.Digest{organisation.DigestOf("key")}
 	for name, list := range map[string][]organisation.Organisation{
 		"no name":               {{Keys: key}},
