--- a/organisation/organisation.go
+++ b/organisation/organisation.go
@@ -31,56 +31,56 @@
 		return eris.Wrap(err, "digest")
 	}
 	if len(data) != len(d) {
-		return eris.Errorf("digest of %d bytes", len(data))
+		return eris.Errorf("digest has %d bytes", len(data))
 	}
 	copy(d[:], data)
 	return nil
 }
 
-// Organisation is what the configuration says of an organisation. It is an immutable
-// value.
+// Organisation is the configuration of an organisation. It is an immutable value.
 type Organisation struct {
-	// Name identifies the organisation. It is told to the upstreams.
+	// Name identifies the organisation. It is sent to the upstreams.
 	Name string `json:"name"`
-	// Keys are the digests of its keys. Without one nobody gets in on its behalf.
+	// Keys are the digests of its keys. Without a key no request can be sent on its behalf.
 	Keys []Digest `json:"keys,omitempty"`
-	// Priority, if not nil, takes the place of the routes' for its requests.
+	// Priority, if not nil, replaces that of the route for its requests.
 	Priority *int `json:"priority,omitempty"`
-	// Regions are those that its requests may be sent to, beside what their routes allow.
-	// None means all.
+	// Regions are those to which its requests may be sent, in addition to the restrictions of their
+	// routes. None means all.
 	Regions []string `json:"regions,omitempty"`
-	// Rate and Burst are its rate limit, over all nodes together: Rate requests a second,
-	// and Burst more after a pause. A Rate of 0 means no limit.
+	// Rate and Burst are its rate limit over all nodes together: Rate requests per second, and Burst more
+	// after a pause. A Rate of 0 means no limit.
 	Rate  float64 `json:"rate,omitempty"`
 	Burst float64 `json:"burst,omitempty"`
 }
 
-// Check returns what is wrong with an organisation, or nil.
+// Check returns a validation error, or nil.
 func (o *Organisation) Check() error {
 	switch {
 	case o.Name == "":
-		return eris.New("an organisation without a name")
-	case !(o.Rate >= 0 && !math.IsInf(o.Rate, 0)): // NaN is none either
-		return eris.Errorf("organisation %q: a rate limit of %v requests a second", o.Name, o.Rate)
+		return eris.New("organisation without a name")
+	case !(o.Rate >= 0 && !math.IsInf(o.Rate, 0)): // also excludes NaN
+		return eris.Errorf("organisation %q: invalid rate limit of %v requests per second", o.Name, o.Rate)
 	case !(o.Burst >= 0 && !math.IsInf(o.Burst, 0)):
-		return eris.Errorf("organisation %q: a burst of %v requests", o.Name, o.Burst)
+		return eris.Errorf("organisation %q: invalid burst of %v requests", o.Name, o.Burst)
 	case slices.Contains(o.Regions, ""):
-		return eris.Errorf("organisation %q: a region without a name", o.Name)
+		return eris.Errorf("organisation %q: region without a name", o.Name)
 	}
 	return nil
 }
 
-// Set is all organisations, by name and by key. It is an immutable value; NewSet makes it.
+// Set is the set of all organisations, indexed by name and by key; NewSet returns one. It is an immutable
+// value.
 type Set struct {
 	list   []Organisation
 	byName map[string]int
 	byKey  map[Digest]int
 
-	meanRate float64 // of those with a rate limit
+	meanRate float64 // of the organisations with a rate limit
 }
 
-// NewSet returns the Set of the given organisations, or the first fault: a name or a key
-// that is there twice, or a faulty organisation.
+// NewSet returns the Set of the given organisations. The error is the first fault found: an invalid
+// organisation, or a duplicate name or key.
 func NewSet(list []Organisation) (*Set, error) {
 	s := &Set{
 		list:   list,
@@ -95,12 +95,12 @@
 			return nil, err
 		}
 		if _, ok := s.byName[o.Name]; ok {
-			return nil, eris.Errorf("organisation %q is there twice", o.Name)
+			return nil, eris.Errorf("duplicate organisation %q", o.Name)
 		}
 		s.byName[o.Name] = i
 		for _, d := range o.Keys {
 			if other, ok := s.byKey[d]; ok {
-				return nil, eris.Errorf("organisation %q: a key that organisation %q has as well", o.Name, list[other].Name)
+				return nil, eris.Errorf("organisation %q: duplicate key, also of organisation %q", o.Name, list[other].Name)
 			}
 			s.byKey[d] = i
 		}
@@ -111,7 +111,7 @@
 // List returns all organisations, in the order of the configuration.
 func (s *Set) List() []Organisation { return s.list }
 
-// Named returns the organisation with the given name, or nil.
+// ByName returns the organisation with the given name, or nil.
 func (s *Set) ByName(name string) *Organisation {
 	i, ok := s.byName[name]
 	if !ok {
--- a/organisation/organisation_test.go
+++ b/organisation/organisation_test.go
@@ -15,7 +15,7 @@
 	"sassafrasfront.example/organisation"
 )
 
-// TestSet finds organisations by name and by key, also after they have travelled.
+// TestSet looks up organisations by name and by key, also after encoding and decoding them.
 func TestSet(t *testing.T) {
 	list := []organisation.Organisation{
 		{Name: "a", Keys: []organisation.Digest{organisation.DigestOf("key-1"), organisation.DigestOf("key-2")}},
@@ -24,7 +24,7 @@
 	}
 	data, err := json.Marshal(list)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Check(t, strings.Contains(string(data), "key-"), qt.IsFalse, qt.Commentf("no key is in %s", data))
+	qt.Check(t, strings.Contains(string(data), "key-"), qt.IsFalse, qt.Commentf("%s must not contain a key", data))
 	var decoded []organisation.Organisation
 	qt.Assert(t, json.Unmarshal(data, &decoded), qt.IsNil)
 	for _, l := range [][]organisation.Organisation{list, decoded} {
@@ -39,7 +39,7 @@
 	}
 }
 
-// TestSetRefuses has organisations that must change nothing.
+// TestNewSetErrors checks that a list with a faulty organisation is refused.
 func TestNewSetErrors(t *testing.T) {
 	key := []organisation.Digest{organisation.DigestOf("key")}
 	for name, list := range map[string][]organisation.Organisation{
@@ -49,7 +49,7 @@
 		"a key twice in one":    {{Name: "a", Keys: append(key, key...)}},
 		"rate below zero":       {{Name: "a", Rate: -1}},
 		"rate not a number":     {{Name: "a", Rate: math.NaN()}},
-		"endless rate":          {{Name: "a", Rate: math.Inf(1)}},
+		"infinite rate":         {{Name: "a", Rate: math.Inf(1)}},
 		"burst below zero":      {{Name: "a", Burst: -1}},
 		"region without a name": {{Name: "a", Regions: []string{""}}},
 	} {
--- a/organisation/weight.go
+++ b/organisation/weight.go
@@ -4,9 +4,9 @@
 
 package organisation
 
-// Weight returns the part of what is scarce that an organisation gets beside others: its
-// rate limit, as operators set limits by what organisations usually ask for. One that has
-// no limit, or isn't known, counts as the mean of those with one.
+// Weight returns the weight of an organisation in the division of scarce capacity: its rate limit, as operators
+// set the limits according to the usual demand. An organisation without a limit, or an unknown one, has the mean
+// weight of those with a limit.
 func (s *Set) Weight(name string) float64 {
 	if o := s.ByName(name); o != nil && o.Rate > 0 {
 		return o.Rate
@@ -14,7 +14,7 @@
 	return s.meanRate
 }
 
-// meanRate returns the mean of the rate limits of those that have one, or 1.
+// meanRate returns the mean of the rate limits of those that have one, or 1 if none has.
 func meanRate(list []Organisation) float64 {
 	var sum float64
 	var n int
