--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -21,7 +21,7 @@
 	"sassafrasfront.example/verdict"
 )
 
-func start(t *testing.T) (*objectstore.Server, *claim.Store) {
+func newStore(t *testing.T) (*objectstore.Server, *claim.Store) {
 	t.Helper()
 	s := new(objectstore.Server)
 	h := httptest.NewServer(s)
@@ -47,14 +47,14 @@
 func TestSecondSending(t *testing.T) {
 	kept := &claim.Answer{Status: 201, Body: []byte("letter 7")}
 	tests := map[string]struct {
-		first  func(c *claim.Claim)
-		parts  []string
-		want   verdict.Cause // of the failure, or empty
-		runs   bool
-		answer bool
+		first       func(c *claim.Claim)
+		parts       []string
+		want        verdict.Cause // of the failure, or empty
+		runs        bool
+		hasResponse bool
 	}{
 		"the first is under way":           {first: func(*claim.Claim) {}, parts: []string{"a"}, want: verdict.ResendUnderway},
-		"the first was answered":           {first: func(c *claim.Claim) { c.Finish(kept) }, parts: []string{"a"}, answer: true},
+		"the first was answered":           {first: func(c *claim.Claim) { c.Finish(kept) }, parts: []string{"a"}, hasResponse: true},
 		"its answer is not kept":           {first: func(c *claim.Claim) { c.Finish(nil) }, parts: []string{"a"}, want: verdict.ResendNotKept},
 		"the first did not run":            {first: func(c *claim.Claim) { c.Release() }, parts: []string{"a"}, runs: true},
 		"another request, the same key":    {first: func(c *claim.Claim) { c.Finish(kept) }, parts: []string{"b"}, want: verdict.ResendMismatch},
@@ -64,21 +64,21 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			ctx := context.Background()
-			_, l := start(t)
+			_, l := newStore(t)
 			c, _, failed := l.Begin(ctx, request("a"))
 			qt.Assert(t, failed == nil, qt.IsTrue)
 			test.first(c)
 			l.Wait()
 			c, a, failed := l.Begin(ctx, request(test.parts...))
 			qt.Check(t, c != nil, qt.Equals, test.runs)
-			qt.Check(t, a != nil, qt.Equals, test.answer)
+			qt.Check(t, a != nil, qt.Equals, test.hasResponse)
 			if test.want == "" {
 				qt.Assert(t, failed == nil, qt.IsTrue, qt.Commentf("%v", failed))
 			} else {
 				qt.Assert(t, failed != nil, qt.IsTrue)
 				qt.Check(t, failed.Cause, qt.Equals, test.want)
 			}
-			if test.answer {
+			if test.hasResponse {
 				qt.Check(t, a, qt.DeepEquals, kept)
 			}
 		})
@@ -101,7 +101,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s, l := start(t)
+			s, l := newStore(t)
 			s.SetFaults(test.faults)
 			c, _, failed := l.Begin(context.Background(), request("a"))
 			qt.Check(t, c != nil, qt.Equals, test.want == "")
@@ -132,7 +132,7 @@
 // TestUnansweredClaimIsWithdrawn guards against a request that can't be sent again although it
 // was refused as not run: the platform had taken the claim, but its answer came too late.
 func TestUnansweredClaimIsWithdrawn(t *testing.T) {
-	s, l := start(t)
+	s, l := newStore(t)
 	api := l.API
 	ctx, cancel := context.WithCancel(context.Background())
 	l.API = &cutOff{API: api, cut: cancel}
@@ -159,7 +159,7 @@
 // TestOneOfManyRuns sends the same request through many nodes at once, with
 // answers of the platform lost.
 func TestOneOfManyRuns(t *testing.T) {
-	s, l := start(t)
+	s, l := newStore(t)
 	s.SetFaults(objectstore.Faults{LoseWrites: 0.3})
 	var runs atomic.Int32
 	var all sync.WaitGroup
@@ -192,7 +192,7 @@
 
 func TestSweep(t *testing.T) {
 	ctx := context.Background()
-	_, l := start(t)
+	_, l := newStore(t)
 	for _, key := range []string{"a", "b"} {
 		r := request("x")
 		r.Key = key
--- a/claim/ledger.go
+++ b/claim/store.go
@@ -28,7 +28,7 @@
 	finishTimeout = 10 * time.Second
 	// comeBack is when a caller may ask again for the outcome of a request that
 	// is under way.
-	comeBack = time.Second
+	retryDelay = time.Second
 )
 
 // State is how far a claimed request has come.
@@ -84,28 +84,28 @@
 
 	mu      sync.Mutex
 	budgets map[string]*rate.Limiter // by service
-	writing sync.WaitGroup
+	pending sync.WaitGroup
 }
 
 // Claim is the right to run a request.
 type Claim struct {
-	ledger *Store
+	store  *Store
 	object *objectapi.Object
 	record Record
 }
 
 // Allow returns whether the service's budget of claims per second has room, and
 // spends one.
-func (l *Store) Allow(service string, perSecond float64) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.budgets == nil {
-		l.budgets = make(map[string]*rate.Limiter)
+func (s *Store) Allow(service string, perSecond float64) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.budgets == nil {
+		s.budgets = make(map[string]*rate.Limiter)
 	}
-	b := l.budgets[service]
+	b := s.budgets[service]
 	if b == nil || float64(b.Limit()) != perSecond {
 		b = rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
-		l.budgets[service] = b
+		s.budgets[service] = b
 	}
 	return b.Allow()
 }
@@ -113,22 +113,22 @@
 // Begin claims a request. Exactly one of the results is not nil: the claim, if
 // the request is to be run; the answer, if it has been run and that is kept; or
 // the failure.
-func (l *Store) Begin(ctx context.Context, r Request) (*Claim, *Answer, *verdict.Error) {
+func (s *Store) Begin(ctx context.Context, r Request) (*Claim, *Answer, *verdict.Error) {
 	ctx, cancel := context.WithTimeout(ctx, beginTimeout)
 	defer cancel()
 	own := Record{
 		Service:     r.Service,
 		Fingerprint: digest(r.Parts...),
-		Node:        l.Node,
+		Node:        s.Node,
 		ID:          rand.Text(),
 		ExpiresAt:   time.Now().Add(r.Retention).UTC(),
 		State:       Claimed,
 	}
 	name := digest(r.Service, r.Key)
-	written, err := objectapi.Put(ctx, l.API, objectapi.NewObject(operator.KindClaim, name, own))
+	written, err := objectapi.Put(ctx, s.API, objectapi.NewObject(operator.KindClaim, name, own))
 	if err == nil {
 		c := &Claim{
-			ledger: l,
+			store:  s,
 			object: written,
 			record: own,
 		}
@@ -136,28 +136,28 @@
 	}
 	if !objectapi.IsConflict(err) {
 		if objectapi.IsUnanswered(err) {
-			l.withdraw(name, own)
+			s.withdraw(name, own)
 		}
-		return nil, nil, verdict.New(verdict.ClaimFailed, err).WithRetryAfter(comeBack)
+		return nil, nil, verdict.New(verdict.ClaimFailed, err).WithRetryAfter(retryDelay)
 	}
-	present, err := l.API.Get(ctx, operator.KindClaim, name)
+	existing, err := s.API.Get(ctx, operator.KindClaim, name)
 	if err != nil {
-		return nil, nil, verdict.New(verdict.ResendUnderway, err).WithRetryAfter(comeBack)
+		return nil, nil, verdict.New(verdict.ResendUnderway, err).WithRetryAfter(retryDelay)
 	}
-	other, err := objectapi.SpecOf[Record](present)
+	other, err := objectapi.SpecOf[Record](existing)
 	if err != nil {
 		return nil, nil, verdict.New(verdict.ResendUnderway, err)
 	}
-	return found(own, other)
+	return resultOf(own, other)
 }
 
 // found returns what follows from a claim that is there already.
-func found(own, other Record) (*Claim, *Answer, *verdict.Error) {
+func resultOf(own, other Record) (*Claim, *Answer, *verdict.Error) {
 	switch {
 	case own.Fingerprint != other.Fingerprint:
 		return nil, nil, verdict.New(verdict.ResendMismatch, nil)
 	case other.State != Answered:
-		return nil, nil, verdict.New(verdict.ResendUnderway, nil).WithRetryAfter(comeBack)
+		return nil, nil, verdict.New(verdict.ResendUnderway, nil).WithRetryAfter(retryDelay)
 	case other.Answer == nil:
 		return nil, nil, verdict.New(verdict.ResendNotKept, nil)
 	}
@@ -186,9 +186,9 @@
 	next := c.record
 	next.State = Answered
 	next.Answer = a
-	c.ledger.update(func(ctx context.Context) error {
+	c.store.retryAsync(func(ctx context.Context) error {
 		o := objectapi.NewObject(operator.KindClaim, c.object.Metadata.Name, next)
-		_, err := objectapi.Put(ctx, c.ledger.API, o.WithVersion(c.object.Metadata.ResourceVersion))
+		_, err := objectapi.Put(ctx, c.store.API, o.WithVersion(c.object.Metadata.ResourceVersion))
 		return err
 	})
 }
@@ -196,30 +196,30 @@
 // Release gives the claim up because the request certainly has not run, so that
 // it can be sent again.
 func (c *Claim) Release() {
-	c.ledger.update(func(ctx context.Context) error {
-		return c.ledger.API.Delete(ctx, operator.KindClaim, c.object.Metadata.Name, c.object.Metadata.ResourceVersion)
+	c.store.retryAsync(func(ctx context.Context) error {
+		return c.store.API.Delete(ctx, operator.KindClaim, c.object.Metadata.Name, c.object.Metadata.ResourceVersion)
 	})
 }
 
 // withdraw deletes a claim that may have been written though nobody answered, so that the
 // request, which does not run, can be sent again. It returns at once.
-func (l *Store) withdraw(name string, own Record) {
-	l.update(func(ctx context.Context) error {
-		present, err := l.API.Get(ctx, operator.KindClaim, name)
+func (s *Store) withdraw(name string, own Record) {
+	s.retryAsync(func(ctx context.Context) error {
+		existing, err := s.API.Get(ctx, operator.KindClaim, name)
 		if err != nil {
 			return err
 		}
-		r, err := objectapi.SpecOf[Record](present)
+		r, err := objectapi.SpecOf[Record](existing)
 		if err != nil || r.ID != own.ID {
 			return nil // not this one's
 		}
-		return l.API.Delete(ctx, operator.KindClaim, name, present.Metadata.ResourceVersion)
+		return s.API.Delete(ctx, operator.KindClaim, name, existing.Metadata.ResourceVersion)
 	})
 }
 
 // update has f try until it succeeds, or can't any more.
-func (l *Store) update(f func(ctx context.Context) error) {
-	l.writing.Go(func() {
+func (s *Store) retryAsync(f func(ctx context.Context) error) {
+	s.pending.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), finishTimeout)
 		defer cancel()
 		for n := 0; ctx.Err() == nil; n++ {
@@ -238,4 +238,4 @@
 }
 
 // Wait waits until what has been begun to be written is written, or given up.
-func (l *Store) Wait() { l.writing.Wait() }
+func (s *Store) Wait() { s.pending.Wait() }
