--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -42,8 +42,7 @@
 	return claim.Request{Service: "pledgebook", Key: "k", Parts: parts, Retention: time.Hour}
 }
 
-// TestSecondSending has a first sending come as far as the row says, and tells
-// what the second one finds.
+// TestSecondSending checks the result of a second claim of the same key, by the progress of the first one.
 func TestSecondSending(t *testing.T) {
 	kept := &claim.Answer{Status: 201, Body: []byte("letter 7")}
 	tests := map[string]struct {
@@ -53,13 +52,13 @@
 		runs        bool
 		hasResponse bool
 	}{
-		"the first is under way":           {first: func(*claim.Claim) {}, parts: []string{"a"}, want: verdict.ResendUnderway},
-		"the first was answered":           {first: func(c *claim.Claim) { c.Finish(kept) }, parts: []string{"a"}, hasResponse: true},
-		"its answer is not kept":           {first: func(c *claim.Claim) { c.Finish(nil) }, parts: []string{"a"}, want: verdict.ResendNotKept},
-		"the first did not run":            {first: func(c *claim.Claim) { c.Release() }, parts: []string{"a"}, runs: true},
-		"another request, the same key":    {first: func(c *claim.Claim) { c.Finish(kept) }, parts: []string{"b"}, want: verdict.ResendMismatch},
-		"parts that only look the same":    {first: func(c *claim.Claim) { c.Finish(kept) }, parts: []string{"", "a"}, want: verdict.ResendMismatch},
-		"another request, first under way": {first: func(*claim.Claim) {}, parts: []string{"b"}, want: verdict.ResendMismatch},
+		"the first is running":              {first: func(*claim.Claim) {}, parts: []string{"a"}, want: verdict.ResendUnderway},
+		"the first was answered":            {first: func(c *claim.Claim) { c.Finish(kept) }, parts: []string{"a"}, hasResponse: true},
+		"the response is not kept":          {first: func(c *claim.Claim) { c.Finish(nil) }, parts: []string{"a"}, want: verdict.ResendNotKept},
+		"the first did not run":             {first: func(c *claim.Claim) { c.Release() }, parts: []string{"a"}, runs: true},
+		"another request, the same key":     {first: func(c *claim.Claim) { c.Finish(kept) }, parts: []string{"b"}, want: verdict.ResendMismatch},
+		"parts with the same concatenation": {first: func(c *claim.Claim) { c.Finish(kept) }, parts: []string{"", "a"}, want: verdict.ResendMismatch},
+		"another request, first running":    {first: func(*claim.Claim) {}, parts: []string{"b"}, want: verdict.ResendMismatch},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -85,8 +84,8 @@
 	}
 }
 
-// TestFaults tells what a first sending finds under each fault of the platform.
-// Unless it gets the claim, it must not run.
+// TestFaults checks that under each fault of the platform a request either gets the claim or is refused as not
+// run.
 func TestFaults(t *testing.T) {
 	tests := map[string]struct {
 		faults objectstore.Faults
@@ -115,27 +114,27 @@
 	}
 }
 
-// cutOff is an API whose Create takes effect, and whose caller is gone before the answer comes.
-type cutOff struct {
+// lateResponseAPI is an API whose Create succeeds, but whose caller is cancelled before the response arrives.
+type lateResponseAPI struct {
 	objectapi.API
-	cut func()
+	cancelCaller func()
 }
 
-func (x *cutOff) Create(ctx context.Context, o *objectapi.Object) (*objectapi.Object, error) {
+func (x *lateResponseAPI) Create(ctx context.Context, o *objectapi.Object) (*objectapi.Object, error) {
 	if _, err := x.API.Create(ctx, o); err != nil {
 		return nil, err
 	}
-	x.cut()
+	x.cancelCaller()
 	return nil, &objectapi.Error{Verdict: verdict.MayHaveRun, Err: ctx.Err()}
 }
 
-// TestUnansweredClaimIsWithdrawn guards against a request that can't be sent again although it
-// was refused as not run: the platform had taken the claim, but its answer came too late.
+// TestUnansweredClaimIsWithdrawn guards against a request that can't be sent again although it was refused as
+// not run: the platform had stored the claim, but its response came too late.
 func TestUnansweredClaimIsWithdrawn(t *testing.T) {
 	s, l := newStore(t)
 	api := l.API
 	ctx, cancel := context.WithCancel(context.Background())
-	l.API = &cutOff{API: api, cut: cancel}
+	l.API = &lateResponseAPI{API: api, cancelCaller: cancel}
 	_, _, failed := l.Begin(ctx, request("a"))
 	qt.Assert(t, failed != nil, qt.IsTrue)
 	qt.Check(t, failed.Cause, qt.Equals, verdict.ClaimFailed)
@@ -153,11 +152,10 @@
 	l.Wait()
 	_, _, failed = l.Begin(context.Background(), request("a"))
 	qt.Assert(t, failed != nil, qt.IsTrue)
-	qt.Check(t, failed.Cause, qt.Equals, verdict.ResendUnderway, qt.Commentf("another sending's claim stays"))
+	qt.Check(t, failed.Cause, qt.Equals, verdict.ResendUnderway, qt.Commentf("the other request's claim stays"))
 }
 
-// TestOneOfManyRuns sends the same request through many nodes at once, with
-// answers of the platform lost.
+// TestOneOfManyRuns sends the same request through many nodes concurrently, while the platform loses responses.
 func TestOneOfManyRuns(t *testing.T) {
 	s, l := newStore(t)
 	s.SetFaults(objectstore.Faults{LoseWrites: 0.3})
--- a/claim/store.go
+++ b/claim/store.go
@@ -21,17 +21,18 @@
 )
 
 const (
-	// MaxBody is the largest answer that is kept, in bytes.
+	// MaxBodyBytes is the largest body of a response that is kept.
 	MaxBodyBytes = 64 << 10
-	// beginTimeout bounds the claiming, finishTimeout the writing of the answer.
+	// beginTimeout bounds the creation of a claim, and finishTimeout later updates such as the writing of
+	// the response.
 	beginTimeout  = 2 * time.Second
 	finishTimeout = 10 * time.Second
-	// comeBack is when a caller may ask again for the outcome of a request that
-	// is under way.
+	// retryDelay is the delay after which a caller may ask again for the outcome of a request that is still
+	// running.
 	retryDelay = time.Second
 )
 
-// State is how far a claimed request has come.
+// State is the progress of a claimed request.
 type State string
 
 const (
@@ -44,38 +45,37 @@
 // Record is the spec of a Claim object.
 type Record struct {
 	Service string `json:"service"`
-	// Fingerprint tells the request from others that use the same key wrongly.
+	// Fingerprint distinguishes the request from others that use the same key by mistake.
 	Fingerprint string `json:"fingerprint"`
-	// Node is the node that claimed it.
+	// Node is the node that created the claim.
 	Node string `json:"node"`
-	// ID tells the claim from all others, also of the same request and node.
+	// ID is unique to the claim, also among those of the same request and node.
 	ID string `json:"id,omitempty"`
-	// Until is when the claim may be deleted.
+	// ExpiresAt is when the claim may be deleted.
 	ExpiresAt time.Time `json:"until"`
 	State     State     `json:"state"`
-	// Answer is the answer, if it has come and is kept.
+	// Answer is the response, if there is one and it is kept.
 	Answer *Answer `json:"answer,omitempty"`
 }
 
-// Answer is an answer that is kept.
+// Answer is a stored response.
 type Answer struct {
 	Status int          `json:"status"`
 	Header []peer.Field `json:"header"`
 	Body   []byte       `json:"body"`
 }
 
-// Request names a request to claim.
+// Request identifies a request to claim.
 type Request struct {
-	// Service is the name of its service, Key the caller's key.
+	// Service is the name of its service, and Key the idempotency key chosen by the caller.
 	Service, Key string
-	// Parts are what the fingerprint is made of, such as method, target and
-	// body.
+	// Parts are the inputs of the fingerprint, such as method, target and body.
 	Parts []string
-	// Keep is how long the claim is kept.
+	// Retention is how long the claim is kept.
 	Retention time.Duration
 }
 
-// Ledger makes claims. The exported fields are set before the first call.
+// Store creates and updates claims. The exported fields are set before the first call.
 type Store struct {
 	// API is the platform.
 	API objectapi.API
@@ -94,8 +94,7 @@
 	record Record
 }
 
-// Allow returns whether the service's budget of claims per second has room, and
-// spends one.
+// Allow returns whether the service may make another claim within its budget per second, and spends one if so.
 func (s *Store) Allow(service string, perSecond float64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,9 +109,8 @@
 	return b.Allow()
 }
 
-// Begin claims a request. Exactly one of the results is not nil: the claim, if
-// the request is to be run; the answer, if it has been run and that is kept; or
-// the failure.
+// Begin claims a request. Exactly one of the results is not nil: the claim, if the request has to be run; the
+// response, if the request has run and the response was kept; or the failure.
 func (s *Store) Begin(ctx context.Context, r Request) (*Claim, *Answer, *verdict.Error) {
 	ctx, cancel := context.WithTimeout(ctx, beginTimeout)
 	defer cancel()
@@ -151,7 +149,7 @@
 	return resultOf(own, other)
 }
 
-// found returns what follows from a claim that is there already.
+// resultOf returns the results of Begin for an existing claim.
 func resultOf(own, other Record) (*Claim, *Answer, *verdict.Error) {
 	switch {
 	case own.Fingerprint != other.Fingerprint:
@@ -164,8 +162,7 @@
 	return nil, other.Answer, nil
 }
 
-// digest returns a hash over the parts, each with its length, as a name that
-// the platform takes.
+// digest returns a hash of the parts and their lengths, in a form that is a valid name on the platform.
 func digest(parts ...string) string {
 	h := sha256.New()
 	for _, p := range parts {
@@ -179,9 +176,9 @@
 	return hex.EncodeToString(h.Sum(nil)[:20])
 }
 
-// Finish writes down that the request ran, and its answer, or nil if that is
-// not kept. It returns at once; the writing goes on until it succeeds or has
-// taken too long, and then a resent request is told that the first may have run.
+// Finish records that the request has run, with its response, or nil if that is not kept. It returns at once; the
+// write is retried until it succeeds or finishTimeout has passed. In the latter case a resent request is told
+// that the first one may have run.
 func (c *Claim) Finish(a *Answer) {
 	next := c.record
 	next.State = Answered
@@ -193,15 +190,14 @@
 	})
 }
 
-// Release gives the claim up because the request certainly has not run, so that
-// it can be sent again.
+// Release deletes the claim because the request has certainly not run, so that it can be sent again.
 func (c *Claim) Release() {
 	c.store.retryAsync(func(ctx context.Context) error {
 		return c.store.API.Delete(ctx, operator.KindClaim, c.object.Metadata.Name, c.object.Metadata.ResourceVersion)
 	})
 }
 
-// withdraw deletes a claim that may have been written though nobody answered, so that the
+// withdraw deletes a claim that may have been written although the platform did not respond, so that the
 // request, which does not run, can be sent again. It returns at once.
 func (s *Store) withdraw(name string, own Record) {
 	s.retryAsync(func(ctx context.Context) error {
@@ -211,13 +207,13 @@
 		}
 		r, err := objectapi.SpecOf[Record](existing)
 		if err != nil || r.ID != own.ID {
-			return nil // not this one's
+			return nil // another request's claim
 		}
 		return s.API.Delete(ctx, operator.KindClaim, name, existing.Metadata.ResourceVersion)
 	})
 }
 
-// update has f try until it succeeds, or can't any more.
+// retryAsync calls f in a goroutine until it succeeds, a retry is pointless, or finishTimeout has passed.
 func (s *Store) retryAsync(f func(ctx context.Context) error) {
 	s.pending.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), finishTimeout)
@@ -237,5 +233,5 @@
 	})
 }
 
-// Wait waits until what has been begun to be written is written, or given up.
+// Wait waits for all pending updates.
 func (s *Store) Wait() { s.pending.Wait() }
--- a/claim/sweep.go
+++ b/claim/sweep.go
@@ -12,8 +12,7 @@
 	"sassafrasfront.example/operator"
 )
 
-// Sweep deletes the claims whose time is over, and returns how many they were.
-// Any number of nodes may sweep at once.
+// Sweep deletes the expired claims, and returns their number. Several nodes may call it concurrently.
 func Sweep(ctx context.Context, api objectapi.API, now time.Time) (int, error) {
 	l, err := api.List(ctx, operator.KindClaim)
 	if err != nil {
