--- a/blocklist/store_test.go
+++ b/blocklist/store_test.go
@@ -100,8 +100,8 @@
 // calls.
 func TestSaveUnderFaults(t *testing.T) {
 	for name, faults := range map[string]objectstore.Faults{
-		"lost answers": {LoseWrites: 0.5},
-		"fails":        {Fail: 0.5},
+		"lost responses": {LoseWrites: 0.5},
+		"fails":          {Fail: 0.5},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/canary/reader.go
+++ b/canary/reader.go
@@ -14,9 +14,9 @@
 type OrderReader struct {
 	// Decode decodes an order.
 	Decode func(o *objectapi.Object) (rollout.StoredOrder, error)
-	// Found is called with the orders that were read at a Point. The argument whole is whether the
+	// Found is called with the orders that were read at a Point. The argument complete is whether the
 	// list is complete, so that orders missing from it have been withdrawn.
-	Found func(found []rollout.StoredOrder, at objectapi.Point, whole bool)
+	Found func(found []rollout.StoredOrder, at objectapi.Point, complete bool)
 	// Refused, if not nil, is called with the reason why an order can't be used.
 	Refused func(reason error)
 }
@@ -24,12 +24,12 @@
 // Take handles a list of objects that was read. An order that can't be decoded does not count as
 // withdrawn, and neither does one that is missing from a list that is not current.
 func (r *OrderReader) Take(items []*objectapi.Object, at objectapi.Point, current bool) {
-	whole := current
+	complete := current
 	var found []rollout.StoredOrder
 	for _, o := range items {
 		f, err := r.Decode(o)
 		if err != nil {
-			whole = false
+			complete = false
 			if r.Refused != nil {
 				r.Refused(err)
 			}
@@ -37,5 +37,5 @@
 		}
 		found = append(found, f)
 	}
-	r.Found(found, at, whole)
+	r.Found(found, at, complete)
 }
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -91,11 +91,11 @@
 		faults objectstore.Faults
 		want   verdict.Cause
 	}{
-		"none":         {},
-		"down":         {faults: objectstore.Faults{Down: true}, want: verdict.ClaimFailed},
-		"hangs":        {faults: objectstore.Faults{Hang: true}, want: verdict.ClaimFailed},
-		"fails":        {faults: objectstore.Faults{Fail: 1}, want: verdict.ClaimFailed},
-		"lost answers": {faults: objectstore.Faults{LoseWrites: 1}},
+		"none":           {},
+		"down":           {faults: objectstore.Faults{Down: true}, want: verdict.ClaimFailed},
+		"hangs":          {faults: objectstore.Faults{Hang: true}, want: verdict.ClaimFailed},
+		"fails":          {faults: objectstore.Faults{Fail: 1}, want: verdict.ClaimFailed},
+		"lost responses": {faults: objectstore.Faults{LoseWrites: 1}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/freshness/state_test.go
+++ b/freshness/state_test.go
@@ -249,7 +249,7 @@
 func (d *randomSystem) start() *randomNode {
 	return &randomNode{
 		State:  freshness.New(),
-		offset: rapid.Float64Range(0, 1e6).Draw(d.t, "shows"),
+		offset: rapid.Float64Range(0, 1e6).Draw(d.t, "offset"),
 		rate:   rapid.Float64Range(1-5e-4, 1+5e-4).Draw(d.t, "rate"),
 	}
 }
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -28,9 +28,9 @@
 	minRequests = 30
 	// minClassRequests is the number of requests from which a class has to be judged.
 	minClassRequests = 8
-	// widenedClassEvidence is the fraction of alarmEvidence that a faulty version would have reached in each class
+	// widenedClassFraction is the fraction of alarmEvidence that a faulty version would have reached in each class
 	// before half of the requests move there.
-	widenedClassEvidence = 0.5
+	widenedClassFraction = 0.5
 	// maxReportAge is the age from which a report is ignored.
 	maxReportAge = 3 * time.Second
 )
@@ -99,56 +99,58 @@
 // Step judges the reports since the last step, and returns the next phase of the order and the reason
 // for it. The argument hasCapacity is whether the version's upstreams can take all requests. Step is called
 // some four times a second.
-func (j *Judge) Step(present State, hasCapacity bool, now time.Time) (next Phase, reason string) {
-	if present.Phase != j.phase || j.phaseStartedAt.IsZero() {
-		j.phase = present.Phase
+func (j *Judge) Step(current State, hasCapacity bool, now time.Time) (next Phase, reason string) {
+	if current.Phase != j.phase || j.phaseStartedAt.IsZero() {
+		j.phase = current.Phase
 		j.phaseStartedAt = now
 		j.judgedRequests = 0
 		j.requestsByClass, j.expectedEvidence = make(map[string]uint64), make(map[string]float64)
 	}
 	j.updateReference()
 	class, sum, fault := j.strongestEvidence()
-	if present.Phase >= Stopped {
-		return present.Phase, present.Reason
+	if current.Phase >= Stopped {
+		return current.Phase, current.Reason
 	}
-	if sum >= alarmEvidence && present.Phase != Emptied { // in Emptied there is nothing to compare with
+	if sum >= alarmEvidence && current.Phase != Emptied { // in Emptied there is nothing to compare with
 		return Stopped, fmt.Sprintf("class %s: %s, evidence %.1f of %.1f", class, fault, sum, alarmEvidence)
 	}
-	return j.advance(present, hasCapacity, sum < alarmEvidence/2, now)
+	return j.advance(current, hasCapacity, sum < alarmEvidence/2, now)
 }
 
 // advance returns the next phase of a version that was not found faulty.
-func (j *Judge) advance(present State, hasCapacity, calm bool, now time.Time) (Phase, string) {
+func (j *Judge) advance(current State, hasCapacity, lowEvidence bool, now time.Time) (Phase, string) {
 	elapsed := float64(now.Sub(j.StartedAt)) / float64(j.Order.Duration)
 	inPhase := now.Sub(j.phaseStartedAt)
-	phaseTime := func(share float64) time.Duration {
-		return max(minPhaseTime, time.Duration(share*float64(j.Order.Duration)))
+	phaseTime := func(fraction float64) time.Duration {
+		return max(minPhaseTime, time.Duration(fraction*float64(j.Order.Duration)))
+	}
+	ready := func(minClassFraction float64) bool {
+		return lowEvidence && hasCapacity && j.hasEnoughEvidence(minClassFraction)
 	}
-	ready := func(classEvidence float64) bool { return calm && hasCapacity && j.hasEnoughEvidence(classEvidence) }
 	switch {
-	case present.Phase == Emptied && (elapsed >= 1 || inPhase >= minPhaseTime && j.formerRunning(now) == 0):
+	case current.Phase == Emptied && (elapsed >= 1 || inPhase >= minPhaseTime && j.formerRunning(now) == 0):
 		return Completed, fmt.Sprintf("%d requests since the former version gets no requests", j.judgedRequests)
-	case present.Phase == Moved && calm && (elapsed >= finalFraction || inPhase >= phaseTime(movedFraction)):
+	case current.Phase == Moved && lowEvidence && (elapsed >= finalFraction || inPhase >= phaseTime(movedFraction)):
 		return Emptied, fmt.Sprintf("%d requests since half of them moved", j.judgedRequests)
-	case present.Phase == Emptied, present.Phase == Moved && elapsed < 1:
-	case elapsed >= finalFraction, present.Phase == Widened && inPhase >= phaseTime(maxWidenedFactor*widenedFraction):
+	case current.Phase == Emptied, current.Phase == Moved && elapsed < 1:
+	case elapsed >= finalFraction, current.Phase == Widened && inPhase >= phaseTime(maxWidenedFactor*widenedFraction):
 		return Stopped, fmt.Sprintf("too little evidence in time: %d requests, enough capacity: %v", j.judgedRequests, hasCapacity)
-	case present.Phase == Trial && ready(0) && elapsed >= trialFraction:
+	case current.Phase == Trial && ready(0) && elapsed >= trialFraction:
 		return Widened, fmt.Sprintf("%d requests on trial", j.judgedRequests)
-	case present.Phase == Widened && ready(widenedClassEvidence) && inPhase >= phaseTime(widenedFraction):
+	case current.Phase == Widened && ready(widenedClassFraction) && inPhase >= phaseTime(widenedFraction):
 		return Moved, fmt.Sprintf("%d requests since the share was widened", j.judgedRequests)
 	}
-	return present.Phase, present.Reason
+	return current.Phase, current.Reason
 }
 
 // hasEnoughEvidence returns whether a faulty version would have been found by now: from the evidence of all
 // classes together and, in each class with many requests, from a fraction of it. If the former version
 // has a high failure rate as well, that takes more requests.
-func (j *Judge) hasEnoughEvidence(classEvidence float64) bool {
+func (j *Judge) hasEnoughEvidence(minClassFraction float64) bool {
 	var all float64
 	for class, n := range j.requestsByClass {
 		all += j.expectedEvidence[class]
-		if n >= minClassRequests && j.expectedEvidence[class] < classEvidence*alarmEvidence {
+		if n >= minClassRequests && j.expectedEvidence[class] < minClassFraction*alarmEvidence {
 			return false
 		}
 	}
@@ -223,9 +225,9 @@
 
 // addEvidence adds the evidence from some requests of a class at one upstream.
 func (j *Judge) addEvidence(u *upstream, class string, d Tally) {
-	share := j.formerTotal.recentFailureRateBound() // a class may have too few requests to show a temporary fault of both versions
+	failureRate := j.formerTotal.recentFailureRateBound() // a class may have too few requests to show a temporary fault of both versions
 	if r := j.former[class]; r != nil && r.sufficient() {
-		share = max(share, r.failureRateBound())
+		failureRate = max(failureRate, r.failureRateBound())
 		from, usual := r.slowThreshold()
 		if b, ok := slowRates(usual); ok {
 			u.slowEvidence.add(class, b, d.Requests, d.countFrom(from))
@@ -234,7 +236,7 @@
 	}
 	j.failureEvidence[class] += 0 // creates the entry
 	j.requestsByClass[class] += d.Requests
-	if b, ok := failureRates(share); ok {
+	if b, ok := failureRates(failureRate); ok {
 		j.judgedRequests += d.Requests
 		j.expectedEvidence[class] += float64(d.Requests) * b.evidencePerRequest()
 		u.failureEvidence.add(class, b, d.Requests, d.Failed)
--- a/rollout/system_test.go
+++ b/rollout/system_test.go
@@ -84,7 +84,7 @@
 		judge := rollout.Judge{Order: order, StartedAt: start}
 		state := rollout.State{Order: order}
 		former, next := make(map[int]rollout.Tally), make(map[int]rollout.Tally)
-		sent, given, bad, fiftieth, last := 0, 0, 0, 0, 0
+		sent, atNext, bad, fiftieth, last := 0, 0, 0, 0, 0
 		for n := range steps {
 			d.phases = append(d.phases, state.Phase)
 			for _, h := range append(d.entries, d.upstreams...) {
@@ -110,7 +110,7 @@
 						if u := d.upstreams[i]; u.phase < rollout.Stopped && n-u.lease <= leases {
 							failed := n >= begins && random.Float64() < fails
 							next[i] = next[i].WithRequest(failed, took)
-							given++
+							atNext++
 							last = n
 							if failed {
 								if bad++; bad == 50 {
@@ -127,8 +127,8 @@
 			phase, reason := judge.Step(state, true, start.Add(time.Duration(n+1)*step))
 			state = state.WithPhase(phase, reason, "n", start)
 		}
-		if given > int(float64(exposure)*float64(sent))+slack {
-			t.Fatalf("%d of %d requests, %d failed, ends in %v: %s", given, sent, bad, state.Phase, state.Reason)
+		if atNext > int(float64(exposure)*float64(sent))+slack {
+			t.Fatalf("%d of %d requests, %d failed, ends in %v: %s", atNext, sent, bad, state.Phase, state.Reason)
 		}
 		if bad >= 50 && last-fiftieth > rollback {
 			t.Fatalf("the last request came %v after the fiftieth failure", time.Duration(last-fiftieth)*step)
