--- a/canary/runner_test.go
+++ b/canary/runner_test.go
@@ -23,18 +23,18 @@
 
 const lease = 2 * time.Second
 
-// store holds one order, whose status is the name of a phase.
+// store is a platform with one order, whose status is the name of a phase.
 type store struct {
 	objectapi.Polled
-	mu       sync.Mutex
-	revision int
-	status   string
-	writes   []string
-	away     bool
-	between  func() // called once between a read and the write that follows
+	mu          sync.Mutex
+	revision    int
+	status      string
+	writes      []string
+	unavailable bool
+	between     func() // called once before a write
 }
 
-var errAway = errors.New("away")
+var errUnavailable = errors.New("unavailable")
 
 func (s *store) object() *objectapi.Object {
 	o := objectapi.NewObject("rollout", "s", s.status).WithVersion(strconv.Itoa(s.revision))
@@ -48,8 +48,8 @@
 func (s *store) Get(context.Context, string, string) (*objectapi.Object, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.away {
-		return nil, errAway
+	if s.unavailable {
+		return nil, errUnavailable
 	}
 	return s.object(), nil
 }
@@ -62,8 +62,8 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.away {
-		return nil, errAway
+	if s.unavailable {
+		return nil, errUnavailable
 	}
 	if o.Metadata.ResourceVersion != strconv.Itoa(s.revision) {
 		return nil, &objectapi.Error{Status: 409, Err: errors.New("conflict")}
@@ -81,7 +81,7 @@
 	At:       objectapi.Point{Revision: 1},
 }
 
-// decode reads an order of the store.
+// decode decodes the order of the store.
 func decode(o *objectapi.Object) (rollout.StoredOrder, error) {
 	f := rollout.StoredOrder{Order: order}
 	f.Order.At, _ = objectapi.ParsePoint(o.Metadata.ResourceVersion)
@@ -94,28 +94,28 @@
 	return f, nil
 }
 
-// world is some nodes that know one roll-out, and share what they decide at once.
-type world struct {
+// testNetwork is a set of nodes that know one roll-out. Their decisions reach all of them at once.
+type testNetwork struct {
 	store    *store
 	mu       sync.Mutex
 	known    rollout.LocalState
-	deaf     bool // whether no judge can be reached
+	noJudge  bool // whether no judge is reachable
 	withheld map[string]bool
 }
 
-// node returns a node beside an upstream of a version, which is judge if it is so named.
-func (w *world) node(name, version, judge string) *Runner {
+// node returns a node beside an upstream of a version, for which the judge is the node so named.
+func (w *testNetwork) node(name, version, judge string) *Runner {
 	return &Runner{
 		Hello:    peer.Hello{Node: name},
 		API:      w.store,
 		Decode:   decode,
 		Status:   func(_ string, p rollout.Phase) any { return p.String() },
 		Lease:    lease,
-		Rollouts: func() map[string]rollout.LocalState { return map[string]rollout.LocalState{"s": w.present()} },
+		Rollouts: func() map[string]rollout.LocalState { return map[string]rollout.LocalState{"s": w.current()} },
 		Judges: func(string) []Peer {
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			if w.deaf {
+			if w.noJudge {
 				return nil
 			}
 			return []Peer{{ID: judge}}
@@ -134,15 +134,15 @@
 	}
 }
 
-// present returns the roll-out as all nodes know it.
-func (w *world) present() rollout.LocalState {
+// current returns the roll-out as known to all nodes.
+func (w *testNetwork) current() rollout.LocalState {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.known
 }
 
-// decide takes in a decision, as the ranks of records do.
-func (w *world) decide(s rollout.State) {
+// decide applies a decision if it ranks above the current state.
+func (w *testNetwork) decide(s rollout.State) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if s.Phase > w.known.Phase {
@@ -151,50 +151,51 @@
 	}
 }
 
-func newWorld() *world {
-	return &world{
+func newTestNetwork() *testNetwork {
+	return &testNetwork{
 		store:    &store{revision: 1},
 		known:    rollout.LocalState{State: rollout.State{Order: order}, Received: time.Now(), Changed: time.Now()},
 		withheld: make(map[string]bool),
 	}
 }
 
-// TestLease has the node beside an upstream on trial lose its judge, and find one again.
+// TestLease checks that the node beside a canary upstream withholds it when no judge responds for
+// longer than the lease.
 func TestLease(t *testing.T) {
 	tests := map[string]struct {
-		version string
-		phase   rollout.Phase
-		deaf    time.Duration // for how long no judge answers
-		want    bool          // whether the upstream is withheld then
+		version    string
+		phase      rollout.Phase
+		noJudgeFor time.Duration // for how long no judge is reachable
+		want       bool          // whether the upstream is withheld after that
 	}{
-		"on trial":                          {version: "v2"},
-		"on trial, a judge is away shortly": {version: "v2", deaf: lease / 2},
-		"on trial, no judge answers":        {version: "v2", deaf: lease + time.Second, want: true},
-		"the former version needs no judge": {version: "v1", deaf: lease + time.Second},
-		"a version not known yet":           {version: "", want: true},
-		"stopped":                           {version: "v2", phase: rollout.Stopped, want: true},
-		"rolled back":                       {version: "v2", phase: rollout.RolledBack, want: true},
-		"completed":                         {version: "v2", phase: rollout.Completed, deaf: lease + time.Second},
+		"canary":                                 {version: "v2"},
+		"canary, no judge for less than a lease": {version: "v2", noJudgeFor: lease / 2},
+		"canary, no judge for more than a lease": {version: "v2", noJudgeFor: lease + time.Second, want: true},
+		"the former version needs no judge":      {version: "v1", noJudgeFor: lease + time.Second},
+		"unknown version":                        {version: "", want: true},
+		"stopped":                                {version: "v2", phase: rollout.Stopped, want: true},
+		"rolled back":                            {version: "v2", phase: rollout.RolledBack, want: true},
+		"completed":                              {version: "v2", phase: rollout.Completed, noJudgeFor: lease + time.Second},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld()
+				w := newTestNetwork()
 				w.known.Phase = test.phase
 				r := w.node("n", test.version, "n")
 				ctx, cancel := context.WithCancel(t.Context())
 				go r.Run(ctx)
 				time.Sleep(2 * time.Second)
 				w.mu.Lock()
-				w.deaf = true
+				w.noJudge = true
 				w.mu.Unlock()
 				r.mu.Lock()
-				r.choices = time.Time{}
+				r.candidatesCachedAt = time.Time{}
 				r.mu.Unlock()
-				time.Sleep(test.deaf)
+				time.Sleep(test.noJudgeFor)
 				w.mu.Lock()
 				got := w.withheld["n"]
-				w.deaf = false
+				w.noJudge = false
 				w.mu.Unlock()
 				qt.Check(t, got, qt.Equals, test.want)
 				cancel()
@@ -204,61 +205,61 @@
 	}
 }
 
-// TestOutcomes has nodes record different outcomes at once, behind a platform that is away for
-// a while: the first one stays, and all take it over.
+// TestOutcomes checks that when nodes record different outcomes concurrently, also on a platform that is
+// unavailable for a while, the first one stays and all nodes adopt it.
 func TestOutcomes(t *testing.T) {
 	tests := map[string]struct {
-		first, second rollout.Phase
-		away          time.Duration
-		stands        string
+		first, second  rollout.Phase
+		unavailableFor time.Duration
+		stored         string
 	}{
-		"both rolled back":             {first: rollout.RolledBack, second: rollout.RolledBack, stands: "rolledBack"},
-		"completed by another between": {first: rollout.RolledBack, second: rollout.Completed, stands: "completed"},
-		"rolled back by another":       {first: rollout.Completed, second: rollout.RolledBack, stands: "rolledBack"},
-		"the platform is away":         {first: rollout.RolledBack, second: rollout.RolledBack, away: 8 * time.Second, stands: "rolledBack"},
+		"both rolled back":               {first: rollout.RolledBack, second: rollout.RolledBack, stored: "rolledBack"},
+		"completed by another meanwhile": {first: rollout.RolledBack, second: rollout.Completed, stored: "completed"},
+		"rolled back by another":         {first: rollout.Completed, second: rollout.RolledBack, stored: "rolledBack"},
+		"the platform is unavailable":    {first: rollout.RolledBack, second: rollout.RolledBack, unavailableFor: 8 * time.Second, stored: "rolledBack"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld()
-				w.store.away = test.away > 0
+				w := newTestNetwork()
+				w.store.unavailable = test.unavailableFor > 0
 				one, other := w.node("a", "v1", "a"), w.node("b", "v1", "b")
 				one.init()
 				other.init()
 				w.store.between = func() {
-					_, err := other.write(t.Context(), w.present().WithPhase(test.second, "", "b", time.Now()))
+					_, err := other.write(t.Context(), w.current().WithPhase(test.second, "", "b", time.Now()))
 					qt.Check(t, err, qt.IsNil)
 				}
 				began := time.Now()
-				for !w.present().Phase.Settled() && time.Since(began) < time.Minute {
+				for !w.current().Phase.Settled() && time.Since(began) < time.Minute {
 					w.store.mu.Lock()
-					w.store.away = time.Since(began) < test.away
+					w.store.unavailable = time.Since(began) < test.unavailableFor
 					w.store.mu.Unlock()
 					one.mu.Lock()
-					one.record(t.Context(), one.judgementOf(w.present()), w.present().WithPhase(test.first, "", "a", time.Now()), time.Now())
+					one.record(t.Context(), one.judgementOf(w.current()), w.current().WithPhase(test.first, "", "a", time.Now()), time.Now())
 					one.mu.Unlock()
-					time.Sleep(stepEvery)
+					time.Sleep(stepInterval)
 				}
-				qt.Check(t, w.store.status, qt.Equals, test.stands)
-				qt.Check(t, w.store.writes, qt.DeepEquals, []string{test.stands}, qt.Commentf("it is written once"))
-				qt.Check(t, w.present().Phase.String(), qt.Equals, test.stands)
+				qt.Check(t, w.store.status, qt.Equals, test.stored)
+				qt.Check(t, w.store.writes, qt.DeepEquals, []string{test.stored}, qt.Commentf("it is written once"))
+				qt.Check(t, w.current().Phase.String(), qt.Equals, test.stored)
 			})
 		})
 	}
 }
 
-// TestJudgeBehindPlatform has the judge be refused by the platform from the start, as where that
-// turns a third of the nodes away: it judges all the same, and a faulty version gets nothing
-// more, though the outcome is recorded only later.
+// TestJudgeBehindPlatform guards against a faulty version that keeps getting requests while the platform
+// refuses the judge, as it may do with a third of the nodes: the judge stops the roll-out anyway, and the
+// outcome is recorded later.
 func TestJudgeBehindPlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld()
-		w.store.away = true
+		w := newTestNetwork()
+		w.store.unavailable = true
 		judge := w.node("a", "v1", "a")
 		others := map[string]*Runner{"b": w.node("b", "v2", "a"), "c": w.node("c", "v2", "a")}
 		ctx, cancel := context.WithCancel(t.Context())
 		go judge.Run(ctx)
-		for began := time.Now(); w.present().Phase < rollout.Stopped && time.Since(began) < 4*time.Second; {
+		for began := time.Now(); w.current().Phase < rollout.Stopped && time.Since(began) < 4*time.Second; {
 			for range 20 {
 				judge.RecordRequest("class", false, 10*time.Millisecond)
 				for _, r := range others {
@@ -266,21 +267,21 @@
 				}
 			}
 			for name, r := range others {
-				qt.Check(t, judge.take(name, rollout.Report{Service: "s", Version: "v2", StartID: 1, Classes: map[string]rollout.Tally{"class": r.classes["class"]}}), qt.IsNil)
+				qt.Check(t, judge.observe(name, rollout.Report{Service: "s", Version: "v2", StartID: 1, Classes: map[string]rollout.Tally{"class": r.classes["class"]}}), qt.IsNil)
 			}
-			time.Sleep(stepEvery)
+			time.Sleep(stepInterval)
 		}
-		qt.Check(t, w.present().Phase, qt.Equals, rollout.Stopped)
+		qt.Check(t, w.current().Phase, qt.Equals, rollout.Stopped)
 		w.store.mu.Lock()
-		w.store.away = false
+		w.store.unavailable = false
 		w.store.mu.Unlock()
 		for range 4 * 8 {
 			for name := range others {
-				_ = judge.take(name, rollout.Report{Service: "s", Version: "v2", StartID: 1}) // refused while it declines
+				_ = judge.observe(name, rollout.Report{Service: "s", Version: "v2", StartID: 1}) // refused for declineFor
 			}
-			time.Sleep(stepEvery)
+			time.Sleep(stepInterval)
 		}
-		qt.Check(t, w.present().Phase, qt.Equals, rollout.RolledBack)
+		qt.Check(t, w.current().Phase, qt.Equals, rollout.RolledBack)
 		cancel()
 		synctest.Wait()
 	})
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -21,7 +21,7 @@
 	"sassafrasfront.example/verdict"
 )
 
-func start(t *testing.T) (*objectstore.Server, *claim.Store) {
+func newStore(t *testing.T) (*objectstore.Server, *claim.Store) {
 	t.Helper()
 	s := new(objectstore.Server)
 	h := httptest.NewServer(s)
@@ -42,66 +42,65 @@
 	return claim.Request{Service: "pledgebook", Key: "k", Parts: parts, Retention: time.Hour}
 }
 
-// TestSecondSending has a first sending come as far as the row says, and tells
-// what the second one finds.
+// TestSecondSending checks the result of a second claim of the same key, by the progress of the first one.
 func TestSecondSending(t *testing.T) {
 	kept := &claim.Answer{Status: 201, Body: []byte("letter 7")}
 	tests := map[string]struct {
-		first  func(c *claim.Claim)
-		parts  []string
-		want   verdict.Cause // of the failure, or empty
-		runs   bool
-		answer bool
+		first       func(c *claim.Claim)
+		parts       []string
+		want        verdict.Cause // of the failure, or empty
+		runs        bool
+		hasResponse bool
 	}{
-		"the first is under way":           {first: func(*claim.Claim) {}, parts: []string{"a"}, want: verdict.ResendUnderway},
-		"the first was answered":           {first: func(c *claim.Claim) { c.Finish(kept) }, parts: []string{"a"}, answer: true},
-		"its answer is not kept":           {first: func(c *claim.Claim) { c.Finish(nil) }, parts: []string{"a"}, want: verdict.ResendNotKept},
-		"the first did not run":            {first: func(c *claim.Claim) { c.Release() }, parts: []string{"a"}, runs: true},
-		"another request, the same key":    {first: func(c *claim.Claim) { c.Finish(kept) }, parts: []string{"b"}, want: verdict.ResendMismatch},
-		"parts that only look the same":    {first: func(c *claim.Claim) { c.Finish(kept) }, parts: []string{"", "a"}, want: verdict.ResendMismatch},
-		"another request, first under way": {first: func(*claim.Claim) {}, parts: []string{"b"}, want: verdict.ResendMismatch},
+		"the first is running":              {first: func(*claim.Claim) {}, parts: []string{"a"}, want: verdict.ResendUnderway},
+		"the first was answered":            {first: func(c *claim.Claim) { c.Finish(kept) }, parts: []string{"a"}, hasResponse: true},
+		"the response is not kept":          {first: func(c *claim.Claim) { c.Finish(nil) }, parts: []string{"a"}, want: verdict.ResendNotKept},
+		"the first did not run":             {first: func(c *claim.Claim) { c.Release() }, parts: []string{"a"}, runs: true},
+		"another request, the same key":     {first: func(c *claim.Claim) { c.Finish(kept) }, parts: []string{"b"}, want: verdict.ResendMismatch},
+		"parts with the same concatenation": {first: func(c *claim.Claim) { c.Finish(kept) }, parts: []string{"", "a"}, want: verdict.ResendMismatch},
+		"another request, first running":    {first: func(*claim.Claim) {}, parts: []string{"b"}, want: verdict.ResendMismatch},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			ctx := context.Background()
-			_, l := start(t)
+			_, l := newStore(t)
 			c, _, failed := l.Begin(ctx, request("a"))
 			qt.Assert(t, failed == nil, qt.IsTrue)
 			test.first(c)
 			l.Wait()
 			c, a, failed := l.Begin(ctx, request(test.parts...))
 			qt.Check(t, c != nil, qt.Equals, test.runs)
-			qt.Check(t, a != nil, qt.Equals, test.answer)
+			qt.Check(t, a != nil, qt.Equals, test.hasResponse)
 			if test.want == "" {
 				qt.Assert(t, failed == nil, qt.IsTrue, qt.Commentf("%v", failed))
 			} else {
 				qt.Assert(t, failed != nil, qt.IsTrue)
 				qt.Check(t, failed.Cause, qt.Equals, test.want)
 			}
-			if test.answer {
+			if test.hasResponse {
 				qt.Check(t, a, qt.DeepEquals, kept)
 			}
 		})
 	}
 }
 
-// TestFaults tells what a first sending finds under each fault of the platform.
-// Unless it gets the claim, it must not run.
+// TestFaults checks that under each fault of the platform a request either gets the claim or is refused as not
+// run.
 func TestFaults(t *testing.T) {
 	tests := map[string]struct {
 		faults objectstore.Faults
 		want   verdict.Cause
 	}{
-		"none":         {},
-		"down":         {faults: objectstore.Faults{Down: true}, want: verdict.ClaimFailed},
-		"hangs":        {faults: objectstore.Faults{Hang: true}, want: verdict.ClaimFailed},
-		"fails":        {faults: objectstore.Faults{Fail: 1}, want: verdict.ClaimFailed},
-		"lost answers": {faults: objectstore.Faults{LoseWrites: 1}},
+		"none":           {},
+		"down":           {faults: objectstore.Faults{Down: true}, want: verdict.ClaimFailed},
+		"hangs":          {faults: objectstore.Faults{Hang: true}, want: verdict.ClaimFailed},
+		"fails":          {faults: objectstore.Faults{Fail: 1}, want: verdict.ClaimFailed},
+		"lost responses": {faults: objectstore.Faults{LoseWrites: 1}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s, l := start(t)
+			s, l := newStore(t)
 			s.SetFaults(test.faults)
 			c, _, failed := l.Begin(context.Background(), request("a"))
 			qt.Check(t, c != nil, qt.Equals, test.want == "")
@@ -115,27 +114,27 @@
 	}
 }
 
-// cutOff is an API whose Create takes effect, and whose caller is gone before the answer comes.
-type cutOff struct {
+// lateResponseAPI is an API whose Create succeeds, but whose caller is cancelled before the response arrives.
+type lateResponseAPI struct {
 	objectapi.API
-	cut func()
+	cancelCaller func()
 }
 
-func (x *cutOff) Create(ctx context.Context, o *objectapi.Object) (*objectapi.Object, error) {
+func (x *lateResponseAPI) Create(ctx context.Context, o *objectapi.Object) (*objectapi.Object, error) {
 	if _, err := x.API.Create(ctx, o); err != nil {
 		return nil, err
 	}
-	x.cut()
+	x.cancelCaller()
 	return nil, &objectapi.Error{Verdict: verdict.MayHaveRun, Err: ctx.Err()}
 }
 
-// TestUnansweredClaimIsWithdrawn guards against a request that can't be sent again although it
-// was refused as not run: the platform had taken the claim, but its answer came too late.
+// TestUnansweredClaimIsWithdrawn guards against a request that can't be sent again although it was refused as
+// not run: the platform had stored the claim, but its response came too late.
 func TestUnansweredClaimIsWithdrawn(t *testing.T) {
-	s, l := start(t)
+	s, l := newStore(t)
 	api := l.API
 	ctx, cancel := context.WithCancel(context.Background())
-	l.API = &cutOff{API: api, cut: cancel}
+	l.API = &lateResponseAPI{API: api, cancelCaller: cancel}
 	_, _, failed := l.Begin(ctx, request("a"))
 	qt.Assert(t, failed != nil, qt.IsTrue)
 	qt.Check(t, failed.Cause, qt.Equals, verdict.ClaimFailed)
@@ -153,13 +152,12 @@
 	l.Wait()
 	_, _, failed = l.Begin(context.Background(), request("a"))
 	qt.Assert(t, failed != nil, qt.IsTrue)
-	qt.Check(t, failed.Cause, qt.Equals, verdict.ResendUnderway, qt.Commentf("another sending's claim stays"))
+	qt.Check(t, failed.Cause, qt.Equals, verdict.ResendUnderway, qt.Commentf("the other request's claim stays"))
 }
 
-// TestOneOfManyRuns sends the same request through many nodes at once, with
-// answers of the platform lost.
+// TestOneOfManyRuns sends the same request through many nodes concurrently, while the platform loses responses.
 func TestOneOfManyRuns(t *testing.T) {
-	s, l := start(t)
+	s, l := newStore(t)
 	s.SetFaults(objectstore.Faults{LoseWrites: 0.3})
 	var runs atomic.Int32
 	var all sync.WaitGroup
@@ -192,7 +190,7 @@
 
 func TestSweep(t *testing.T) {
 	ctx := context.Background()
-	_, l := start(t)
+	_, l := newStore(t)
 	for _, key := range []string{"a", "b"} {
 		r := request("x")
 		r.Key = key
--- a/rollout/world_test.go
+++ b/rollout/system_test.go
@@ -15,36 +15,37 @@
 	"sassafrasfront.example/rollout"
 )
 
-// drawn is a system of entries and upstreams of which some hear late, or are cut off for a time.
-type drawn struct {
-	entries, upstreams []*hearer
-	phases             []rollout.Phase // in force at the judge, by step
+// randomSystem is a random system of entries and upstreams. Some nodes learn of phases late, or are
+// partitioned for a time.
+type randomSystem struct {
+	entries, upstreams []*simNode
+	phases             []rollout.Phase // at the judge, by step
 }
 
-// hearer is a node that hears of phases after some steps, and of none while it is cut off.
-type hearer struct {
+// simNode is a node that learns of phases after some steps, and of none while it is partitioned.
+type simNode struct {
 	delay    int
-	from, to int // steps in which it is cut off
-	heard    rollout.Phase
-	lease    int // the last step in which a judge took its report, of an upstream's node
+	from, to int // steps in which it is partitioned
+	phase    rollout.Phase
+	lease    int // the last step in which a judge accepted its report, for the node of an upstream
 }
 
-func (h *hearer) cut(step int) bool { return step >= h.from && step < h.to }
+func (h *simNode) partitioned(step int) bool { return step >= h.from && step < h.to }
 
-// hear takes in what reaches the node by a step.
-func (d *drawn) hear(h *hearer, step int) {
-	if h.cut(step) {
+// deliver delivers the phase that reaches the node in a step.
+func (d *randomSystem) deliver(h *simNode, step int) {
+	if h.partitioned(step) {
 		return
 	}
 	if at := step - h.delay; at >= 0 && at < len(d.phases) {
-		h.heard = max(h.heard, d.phases[at])
+		h.phase = max(h.phase, d.phases[at])
 	}
 }
 
-// draw draws a node: it hears within half a second, and one in four is cut off for up to eight
-// seconds.
-func draw(random *rand.Rand, steps int) *hearer {
-	h := &hearer{delay: random.IntN(3)}
+// randomNode returns a random node: it learns of phases within half a second, and one in four is partitioned
+// for up to eight seconds.
+func randomNode(random *rand.Rand, steps int) *simNode {
+	h := &simNode{delay: random.IntN(3)}
 	if random.IntN(4) == 0 {
 		h.from = random.IntN(steps)
 		h.to = h.from + random.IntN(32)
@@ -52,45 +53,45 @@
 	return h
 }
 
-// TestExposureInDrawnWorlds has a faulty version rolled out where entries and upstreams hear late
-// and are cut off, with a fault that begins at any moment up to the step in which half of the
-// requests move. However that goes, the version gets at most its share of all requests, and
-// nothing from five seconds after its fiftieth bad answer on.
-func TestExposureInDrawnWorlds(t *testing.T) {
+// TestExposureInRandomSystems simulates the roll-out of a faulty version where entries and upstreams learn
+// of phases late and are partitioned. The fault begins at any time up to the step in which half of the
+// requests move. In all cases the version gets at most its share of all requests, and none from five
+// seconds after its fiftieth failure on.
+func TestExposureInRandomSystems(t *testing.T) {
 	const (
 		step     = 250 * time.Millisecond
 		lasts    = 14 * time.Second
 		exposure = rollout.Exposure(0.1)
-		perEntry = 2 // requests in a step
+		perEntry = 2 // requests per step
 		slack    = 50
-		leases   = 8  // steps for which an upstream runs requests after a judge has answered
-		rollback = 20 // steps after the fiftieth bad answer
+		leases   = 8  // steps for which an upstream runs requests after a judge has accepted a report
+		rollback = 20 // steps after the fiftieth failure
 	)
 	steps := int(lasts / step)
 	rapid.Check(t, func(t *rapid.T) {
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 7))
 		begins := rapid.IntRange(0, 30).Draw(t, "first step of the fault")
 		fails := rapid.Float64Range(0.4, 1).Draw(t, "share of its requests that fail")
-		d := new(drawn)
+		d := new(randomSystem)
 		for range 90 {
-			d.entries = append(d.entries, draw(random, steps))
+			d.entries = append(d.entries, randomNode(random, steps))
 		}
 		for range 60 {
-			d.upstreams = append(d.upstreams, draw(random, steps))
+			d.upstreams = append(d.upstreams, randomNode(random, steps))
 		}
 		order := rollout.Order{Service: "s", Version: "v2", Duration: lasts}
 		start := time.Unix(1e9, 0)
 		judge := rollout.Judge{Order: order, StartedAt: start}
 		state := rollout.State{Order: order}
 		former, next := make(map[int]rollout.Tally), make(map[int]rollout.Tally)
-		sent, given, bad, fiftieth, last := 0, 0, 0, 0, 0
+		sent, atNext, bad, fiftieth, last := 0, 0, 0, 0, 0
 		for n := range steps {
 			d.phases = append(d.phases, state.Phase)
 			for _, h := range append(d.entries, d.upstreams...) {
-				d.hear(h, n)
+				d.deliver(h, n)
 			}
 			for i, u := range d.upstreams {
-				if u.cut(n) || u.heard >= rollout.Stopped {
+				if u.partitioned(n) || u.phase >= rollout.Stopped {
 					continue
 				}
 				u.lease = n
@@ -103,13 +104,13 @@
 				for range perEntry {
 					sent++
 					took := usualRun/2 + time.Duration(random.Int64N(int64(usualRun)))
-					inUse := exposure.UpstreamCount(e.heard, len(d.upstreams))
-					if inUse > 0 && random.Float64() < exposure.Share(e.heard) {
+					inUse := exposure.UpstreamCount(e.phase, len(d.upstreams))
+					if inUse > 0 && random.Float64() < exposure.Share(e.phase) {
 						i := random.IntN(inUse)
-						if u := d.upstreams[i]; u.heard < rollout.Stopped && n-u.lease <= leases {
+						if u := d.upstreams[i]; u.phase < rollout.Stopped && n-u.lease <= leases {
 							failed := n >= begins && random.Float64() < fails
 							next[i] = next[i].WithRequest(failed, took)
-							given++
+							atNext++
 							last = n
 							if failed {
 								if bad++; bad == 50 {
@@ -126,11 +127,11 @@
 			phase, reason := judge.Step(state, true, start.Add(time.Duration(n+1)*step))
 			state = state.WithPhase(phase, reason, "n", start)
 		}
-		if given > int(float64(exposure)*float64(sent))+slack {
-			t.Fatalf("%d of %d, %d bad, ends %v: %s", given, sent, bad, state.Phase, state.Reason)
+		if atNext > int(float64(exposure)*float64(sent))+slack {
+			t.Fatalf("%d of %d requests, %d failed, ends in %v: %s", atNext, sent, bad, state.Phase, state.Reason)
 		}
 		if bad >= 50 && last-fiftieth > rollback {
-			t.Fatalf("the last request came %v after the fiftieth bad answer", time.Duration(last-fiftieth)*step)
+			t.Fatalf("the last request came %v after the fiftieth failure", time.Duration(last-fiftieth)*step)
 		}
 	})
 }
--- a/upstream/health_test.go
+++ b/upstream/health_test.go
@@ -24,53 +24,53 @@
 	Load:     "Load",
 }
 
-// TestPoller has one row for each way in which a health check may answer. Three
-// questions are asked, and the connection is kept where it may be.
+// TestPoller sends three health checks, and checks that the load is reported and that the
+// connection is reused where possible.
 func TestPoller(t *testing.T) {
 	tests := map[string]struct {
-		answer      http.HandlerFunc
-		told        int
+		handler     http.HandlerFunc
+		reports     int
 		connections int64
 	}{
-		"kept": {
-			answer:      func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("Load", "3,0,8,100") },
-			told:        3,
+		"connection kept": {
+			handler:     func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("Load", "3,0,8,100") },
+			reports:     3,
 			connections: 1,
 		},
 		"with a body": {
-			answer: func(w http.ResponseWriter, _ *http.Request) {
+			handler: func(w http.ResponseWriter, _ *http.Request) {
 				w.Header().Set("Load", "3,0,8,100")
 				_, _ = io.WriteString(w, "ok")
 			},
-			told:        3,
+			reports:     3,
 			connections: 1,
 		},
 		"closed each time": {
-			answer: func(w http.ResponseWriter, _ *http.Request) {
+			handler: func(w http.ResponseWriter, _ *http.Request) {
 				w.Header().Set("Load", "3,0,8,100")
 				w.Header().Set("Connection", "close")
 			},
-			told:        3,
+			reports:     3,
 			connections: 3,
 		},
-		"broken off": {
-			answer:      func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
+		"aborted": {
+			handler:     func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 			connections: 3,
 		},
 		"failing, with a load": {
-			answer: func(w http.ResponseWriter, _ *http.Request) {
+			handler: func(w http.ResponseWriter, _ *http.Request) {
 				w.Header().Set("Instance-Id", "i-1")
 				w.Header().Set("Load", "3,0,8,100")
 				w.WriteHeader(http.StatusServiceUnavailable)
 			},
-			told:        3,
+			reports:     3,
 			connections: 1,
 		},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			var connections atomic.Int64
-			s := httptest.NewUnstartedServer(test.answer)
+			s := httptest.NewUnstartedServer(test.handler)
 			s.Config.ConnState = func(_ net.Conn, state http.ConnState) {
 				if state == http.StateNew {
 					connections.Add(1)
@@ -78,12 +78,12 @@
 			}
 			s.Start()
 			defer s.Close()
-			var told int
+			var reports int
 			p := &upstream.Poller{
 				Names:   healthNames,
 				Timeout: time.Second,
 				LoadReported: func(l upstream.Load) {
-					told++
+					reports++
 					qt.Check(t, l.Slots, qt.Equals, 8)
 				},
 			}
@@ -91,20 +91,20 @@
 			for range 3 {
 				p.Poll(context.Background(), s.Listener.Addr().String(), "/healthz")
 			}
-			qt.Check(t, told, qt.Equals, test.told)
+			qt.Check(t, reports, qt.Equals, test.reports)
 			qt.Check(t, connections.Load(), qt.Equals, test.connections)
 		})
 	}
 }
 
-// TestPollCold tells what is taken from what a health check says of being cold.
+// TestPollCold checks which cold times are accepted from a health check.
 func TestPollCold(t *testing.T) {
 	tests := map[string]struct {
 		header string
 		status int
 		want   []time.Duration
 	}{
-		"nothing said":      {want: []time.Duration{0}},
+		"no field":          {want: []time.Duration{0}},
 		"cold":              {header: "1500", want: []time.Duration{1500 * time.Millisecond}},
 		"with a fraction":   {header: " 0.5", want: []time.Duration{500 * time.Microsecond}},
 		"cold and draining": {header: "20", status: 503, want: []time.Duration{20 * time.Millisecond}},
@@ -112,7 +112,7 @@
 		"not a number":      {header: "soon"},
 		"below zero":        {header: "-5"},
 		"too long":          {header: "1e30"},
-		"no number at all":  {header: "NaN"},
+		"NaN":               {header: "NaN"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -129,21 +129,21 @@
 			defer s.Close()
 			names := healthNames
 			names.Cold = "Cold-Ms"
-			var told []time.Duration
+			var reported []time.Duration
 			p := &upstream.Poller{
 				Names:        names,
 				Timeout:      time.Second,
 				LoadReported: func(upstream.Load) {},
-				ColdReported: func(d time.Duration) { told = append(told, d) },
+				ColdReported: func(d time.Duration) { reported = append(reported, d) },
 			}
 			defer p.Close()
 			p.Poll(context.Background(), s.Listener.Addr().String(), "/healthz")
-			qt.Check(t, told, qt.DeepEquals, test.want)
+			qt.Check(t, reported, qt.DeepEquals, test.want)
 		})
 	}
 }
 
-// BenchmarkPoll asks an upstream on loopback, which answers with fixed bytes.
+// BenchmarkPoll polls an upstream on loopback that sends a fixed response.
 func BenchmarkPoll(b *testing.B) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(b, err, qt.IsNil)
@@ -174,14 +174,14 @@
 	}
 }
 
-// TestHealthTellsTheBirth has one row for each body that a health check may have.
-func TestHealthTellsTheBirth(t *testing.T) {
+// TestHealthStartTime checks which bodies of a health check yield a start time.
+func TestHealthStartTime(t *testing.T) {
 	tests := map[string]struct {
 		body string
 		want int64
 	}{
-		"told":       {`{"born":1700000000000}`, 1700000000000},
-		"with more":  {`{"more":{"born":1},"born":5}`, 5},
+		"present":    {`{"born":1700000000000}`, 1700000000000},
+		"other too":  {`{"more":{"born":1},"born":5}`, 5},
 		"no body":    {"", 0},
 		"words":      {"ok", 0},
 		"a list":     {"[1]", 0},
--- a/upstream/transport.go
+++ b/upstream/transport.go
@@ -25,36 +25,36 @@
 )
 
 const (
-	// maxHead bounds the head of an answer, in bytes.
-	maxHead = 64 << 10
-	// informBytes bounds the informational answers to one request that are passed on, in
+	// maxHeadBytes bounds the head of a response, in bytes.
+	maxHeadBytes = 64 << 10
+	// maxForwardedInfoBytes bounds the informational responses that are passed on for one request, in
 	// bytes.
-	informBytes = 64 << 10
-	// floodBytes is from how many bytes of informational answers on the upstream is taken to
-	// send nothing else.
-	floodBytes = 1 << 20
-	// defaultDial bounds the opening of a connection.
-	defaultDial = time.Second
-	// defaultIdle is how long an idle connection is kept. It is shorter than
-	// the five seconds after which common servers close theirs.
-	defaultIdle = 4 * time.Second
-	// idleShare is the part of the time for which an upstream keeps idle connections within
-	// which one is used again.
-	idleShare = 0.9
-	// silence is how long what was sent may be without an acknowledgement by the
-	// upstream's kernel. The upstream is on the same instance, so that a fraction
-	// of a millisecond is usual; callers have 250 ms and more. It does not bind
-	// requests over promptBytes, which may wait until the upstream reads them.
-	silence = 200 * time.Millisecond
+	maxForwardedInfoBytes = 64 << 10
+	// maxInfoBytes is the number of bytes of informational responses after which a request
+	// fails because a final response is not expected any more.
+	maxInfoBytes = 1 << 20
+	// defaultDialTimeout bounds the time to open a connection.
+	defaultDialTimeout = time.Second
+	// defaultIdleTimeout is how long an idle connection is kept. It is shorter than the five seconds
+	// after which common servers close theirs.
+	defaultIdleTimeout = 4 * time.Second
+	// keepAliveShare is the fraction of the upstream's keep-alive timeout for which an idle
+	// connection may be reused.
+	keepAliveShare = 0.9
+	// ackTimeout bounds the time for which sent data may stay unacknowledged by the upstream's
+	// kernel. The upstream runs on the same instance, where a fraction of a millisecond is
+	// usual, and callers wait at least 250 ms. The bound does not apply to requests above
+	// promptAckBytes, which may stay unacknowledged until the upstream reads them.
+	ackTimeout = 200 * time.Millisecond
 )
 
-// The headers with which an upstream says that it has not run a request. A
-// caller gets them too.
+// The header fields with which an upstream reports that it has not run a request. They are passed
+// on to the caller.
 const (
-	// VerdictHeader bears the verdict. An upstream that answers 503 with the
-	// verdict notRun has not run the request.
+	// VerdictHeader carries the verdict. An upstream that responds with status 503 with the verdict notRun
+	// has not run the request.
 	VerdictHeader = "Sassafras-Verdict"
-	// GivenUpHeader, if it is "true", says that the tries have been spent.
+	// GivenUpHeader is "true" if all attempts are used up.
 	GivenUpHeader = "Sassafras-Given-Up"
 )
 
@@ -63,38 +63,37 @@
 type Transport struct {
 	// Addr is the address of the upstream.
 	Addr string
-	// Connections is the largest number of open connections. Zero means no
-	// bound.
+	// MaxConns is the largest number of open connections. Zero means unlimited.
 	MaxConns int
-	// Warm is the largest number of idle connections that are kept.
+	// MaxIdleConns is the largest number of idle connections that are kept.
 	MaxIdleConns int
-	// Idle is how long an idle connection is kept. Zero means 4 s.
+	// IdleTimeout is how long an idle connection is kept. Zero means 4 s.
 	IdleTimeout time.Duration
 	// Names are the header fields that the upstream uses.
 	Names FieldNames
-	// Observed, if not nil, is called with the load that an answer tells.
+	// LoadReported, if not nil, is called with the load that a response carries.
 	LoadReported func(Load)
-	// Noticed, if not nil, is called with what an answer says of the requests that the
-	// upstream wants, before the answer is passed on.
+	// NoticeReceived, if not nil, is called with the notice that a response carries, before the
+	// response is returned.
 	NoticeReceived func(Notice)
-	// Permit, if not nil, is called when a request is about to be written, and says why
-	// it must not be. Otherwise it returns what to call when the request has been written.
+	// Permit, if not nil, is called just before a request is written. It returns the reason why
+	// the request must not be written, or a function to call after it has been written.
 	Permit func() (written func(), refused *verdict.Error)
 	// Dial opens a connection. Nil means TCP, bounded by 1 s.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
 
-	mu   sync.Mutex
-	open int
-	free chan struct{} // closed when a connection is closed or becomes idle
-	idle []*conn       // the latest used last
-	busy map[*conn]struct{}
+	mu        sync.Mutex
+	open      int
+	available chan struct{} // closed when a connection is closed or becomes idle
+	idle      []*conn       // the most recently used last
+	busy      map[*conn]struct{}
 }
 
-// Send writes the request and returns the head of the answer. The request's
-// context cancels it: the connection is then closed. Inform, if not nil, is
-// called with each informational answer. The caller closes the answer's body.
+// Send writes the request and returns the head of the response. The request's context cancels it:
+// the connection is then closed. The function inform, if not nil, is called with each informational
+// response. The caller must close the response's body.
 func (t *Transport) Send(r *http.Request, inform func(status int, h http.Header)) (*http.Response, *verdict.Error) {
-	c, err := t.take(r.Context())
+	c, err := t.getConn(r.Context())
 	if err != nil {
 		return nil, verdict.As(err, verdict.UpstreamDialFailed)
 	}
@@ -102,38 +101,38 @@
 	if t.Permit != nil {
 		var refused *verdict.Error
 		if done, refused = t.Permit(); refused != nil {
-			t.put(c)
+			t.putConn(c)
 			return nil, refused
 		}
 	}
 	c.begin()
-	stop := context.AfterFunc(r.Context(), c.kill)
-	asked := time.Now()
+	stop := context.AfterFunc(r.Context(), c.abort)
+	sentAt := time.Now()
 	written := make(chan error, 1)
 	write := func() {
 		err := c.write(r)
 		done()
 		written <- err
 	}
-	if r.Body == nil || r.ContentLength >= 0 && r.ContentLength <= promptBytes {
+	if r.Body == nil || r.ContentLength >= 0 && r.ContentLength <= promptAckBytes {
 		write()
 	} else {
 		go write()
 	}
-	response, err := t.readAnswer(c, r, inform)
+	response, err := t.readResponse(c, r, inform)
 	if err != nil {
 		stop()
-		c.countUnacknowledged()
+		c.recordUnacknowledged()
 		t.discard(c)
 		if errors.Is(err, syscall.ETIMEDOUT) {
-			t.CloseIdle() // whatever silenced one connection may have silenced those as well
+			t.CloseIdle() // the cause of the timeout may affect these as well
 		}
 		return nil, c.failure(r.Context(), err, written)
 	}
-	c.mostIdle = keepAliveOf(response)
-	t.observe(response)
+	c.keepAlive = parseKeepAlive(response)
+	t.reportLoad(response)
 	refused := t.refusal(response)
-	t.notice(response, asked, refused)
+	t.reportNotice(response, sentAt, refused)
 	if refused != nil {
 		stop()
 		t.discard(c)
@@ -145,15 +144,15 @@
 		conn:       c,
 		stop:       stop,
 		written:    written,
-		reusable:   !response.Close && !r.Close && !c.crossed,
+		reusable:   !response.Close && !r.Close && !c.responseSkipped,
 	}
 	return response, nil
 }
 
-// refusal returns the failure that an answer stands for, if it says that the
-// upstream has not run the request.
+// refusal returns the failure that a response represents, if any, such as that the upstream has not
+// run the request.
 func (t *Transport) refusal(r *http.Response) *verdict.Error {
-	if refused := t.namedRefusal(r); refused != nil {
+	if refused := t.refusalByFields(r); refused != nil {
 		return refused
 	}
 	v, ok := verdict.Parse(r.Header.Get(VerdictHeader))
@@ -161,16 +160,16 @@
 		return nil
 	}
 	e := verdict.New(verdict.UpstreamRefused, nil)
-	e = e.WithRetryAfter(retryAfter(r))
+	e = e.WithRetryAfter(parseRetryAfter(r))
 	if r.Header.Get(GivenUpHeader) == "true" {
 		e = e.WithGivenUp()
 	}
 	return e
 }
 
-// take returns an idle connection that is still good, or opens one. It waits
-// while the upstream has as many connections as it may.
-func (t *Transport) take(ctx context.Context) (*conn, error) {
+// getConn returns a usable idle connection, or opens a new one. It blocks while MaxConns connections
+// are open and none is idle.
+func (t *Transport) getConn(ctx context.Context) (*conn, error) {
 	for {
 		t.mu.Lock()
 		c := t.popIdle()
@@ -184,22 +183,22 @@
 			t.mu.Unlock()
 			return t.dial(ctx)
 		}
-		if t.free == nil {
-			t.free = make(chan struct{})
+		if t.available == nil {
+			t.available = make(chan struct{})
 		}
-		free := t.free
+		available := t.available
 		t.mu.Unlock()
 		select {
-		case <-free:
+		case <-available:
 		case <-ctx.Done():
 			return nil, notSent(context.Cause(ctx))
 		}
 	}
 }
 
-// ErrUnreachable is in the failure of a request for which no connection to the upstream could
-// be opened. A request may also end unsent for its caller's reasons, or with a connection
-// that was open before; neither says that the upstream is gone.
+// ErrUnreachable is wrapped by the failure of a request for which no connection to the upstream
+// could be opened. A request may also fail unsent because its caller cancelled it or because an
+// open connection broke; neither means that the upstream is gone.
 var ErrUnreachable = eris.New("dial upstream")
 
 // notSent returns the failure of a request that ended before it was written.
@@ -207,13 +206,13 @@
 	return verdict.New(verdict.UpstreamDialFailed, err)
 }
 
-// popIdle returns the idle connection used last that is still good, or nil,
-// and closes those that are not.
+// popIdle returns the most recently used idle connection that is still usable, or nil, and closes
+// the unusable ones. The lock is held.
 func (t *Transport) popIdle() *conn {
 	for len(t.idle) > 0 {
 		c := t.idle[len(t.idle)-1]
 		t.idle = t.idle[:len(t.idle)-1]
-		if time.Since(c.idleSince) < t.maxIdle(c) && c.quiet() {
+		if time.Since(c.idleSince) < t.maxIdle(c) && c.usable() {
 			return c
 		}
 		t.closeLocked(c)
@@ -221,16 +220,16 @@
 	return nil
 }
 
-// maxIdle returns how long a connection may be idle.
+// maxIdle returns how long a connection may stay idle.
 func (t *Transport) maxIdle(c *conn) time.Duration {
-	most := cmp.Or(t.IdleTimeout, defaultIdle)
-	if c.mostIdle > 0 {
-		most = min(most, time.Duration(idleShare*float64(c.mostIdle)))
+	idle := cmp.Or(t.IdleTimeout, defaultIdleTimeout)
+	if c.keepAlive > 0 {
+		idle = min(idle, time.Duration(keepAliveShare*float64(c.keepAlive)))
 	}
-	return most
+	return idle
 }
 
-// dial opens a connection that is already counted.
+// dial opens a connection that is already included in t.open.
 func (t *Transport) dial(ctx context.Context) (*conn, error) {
 	dial := t.Dial
 	if dial == nil {
@@ -240,7 +239,7 @@
 	if err != nil {
 		t.mu.Lock()
 		t.open--
-		t.signal()
+		t.signalWaiters()
 		t.mu.Unlock()
 		return nil, notSent(fmt.Errorf("%w: %w", ErrUnreachable, err))
 	}
@@ -256,7 +255,7 @@
 	return c, nil
 }
 
-// Reach opens a connection and closes it again. An error says why there is none.
+// CheckReachable opens a connection and closes it again. The error says why that failed.
 func (t *Transport) CheckReachable(ctx context.Context) error {
 	dial := t.Dial
 	if dial == nil {
@@ -270,21 +269,21 @@
 }
 
 func dialTCP(ctx context.Context, addr string) (net.Conn, error) {
-	return tcp.Dialer(defaultDial, silence).DialContext(ctx, "tcp", addr)
+	return tcp.Dialer(defaultDialTimeout, ackTimeout).DialContext(ctx, "tcp", addr)
 }
 
-// put takes a connection back whose answer has been read to its end.
-func (t *Transport) put(c *conn) {
+// putConn returns a connection to the pool after its response has been read completely.
+func (t *Transport) putConn(c *conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.idle) >= t.MaxIdleConns || t.surplus() || c.reader.Buffered() > 0 {
+	if len(t.idle) >= t.MaxIdleConns || t.overLimit() || c.reader.Buffered() > 0 {
 		t.closeLocked(c)
 		return
 	}
 	c.idleSince = time.Now()
 	delete(t.busy, c)
 	t.idle = append(t.idle, c)
-	t.signal()
+	t.signalWaiters()
 }
 
 // discard closes a connection.
@@ -298,48 +297,48 @@
 	_ = c.Close()
 	delete(t.busy, c)
 	t.open--
-	t.signal()
+	t.signalWaiters()
 }
 
-func (t *Transport) signal() {
-	if t.free != nil {
-		close(t.free)
-		t.free = nil
+func (t *Transport) signalWaiters() {
+	if t.available != nil {
+		close(t.available)
+		t.available = nil
 	}
 }
 
-// surplus returns whether more connections are open than may be. The lock is held.
-func (t *Transport) surplus() bool { return t.MaxConns > 0 && t.open > t.MaxConns }
+// overLimit returns whether more than MaxConns connections are open. The lock is held.
+func (t *Transport) overLimit() bool { return t.MaxConns > 0 && t.open > t.MaxConns }
 
-// Resize changes the largest numbers of open and of idle connections. A connection with a
-// request on it stays open until that has ended.
+// Resize changes the limits on open and on idle connections. A connection that carries a request
+// stays open until the request has ended.
 func (t *Transport) Resize(connections, warm int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.MaxConns = connections
 	t.MaxIdleConns = warm
-	for len(t.idle) > 0 && (len(t.idle) > warm || t.surplus()) {
+	for len(t.idle) > 0 && (len(t.idle) > warm || t.overLimit()) {
 		c := t.idle[0]
 		t.idle = t.idle[1:]
 		t.closeLocked(c)
 	}
-	t.signal()
+	t.signalWaiters()
 }
 
 const (
-	// probeEvery is the time between two questions to the kernel of an upstream that may be
-	// gone, and probeCount how many of them in a row may be without an answer.
-	probeEvery = time.Second
-	probeCount = 3
+	// probeInterval is the interval of the keep-alive probes that the kernel sends to an upstream
+	// that may be gone, and probeCount how many of them may be lost in a row.
+	probeInterval = time.Second
+	probeCount    = 3
 )
 
-// Probe has the kernel find out whether the other end of each connection with a request on it
-// is still there. Those of an upstream that is gone end.
+// ProbeBusyConns enables TCP keep-alive probes on each connection that carries a request, so that
+// the connections to an upstream that is gone are closed.
 func (t *Transport) ProbeBusyConns() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for c := range t.busy {
-		_ = tcp.Probe(c.Conn, probeEvery, probeCount) // it fails on a connection that has ended only
+		_ = tcp.Probe(c.Conn, probeInterval, probeCount) // fails only if the connection is closed
 	}
 }
 
@@ -353,15 +352,15 @@
 	t.idle = nil
 }
 
-// Open returns the number of open connections.
+// OpenConns returns the number of open connections.
 func (t *Transport) OpenConns() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.open
 }
 
-// body is the body of an answer. Its connection goes back to the transport at
-// its end, or is closed if it is left early.
+// body is the body of a response. Its connection is returned to the pool after the body has been
+// read, or closed if the body is closed before.
 type body struct {
 	io.ReadCloser
 	transport *Transport
@@ -369,10 +368,10 @@
 	stop      func() bool
 	written   chan error
 	reusable  bool
-	done      bool
+	finished  bool
 }
 
-// Read implements io.Reader. A body that is cut ends in a *verdict.Error.
+// Read implements io.Reader. A truncated body ends in a *verdict.Error.
 func (b *body) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err == nil {
@@ -391,13 +390,12 @@
 	return nil
 }
 
-// finish gives the connection back once. Whole says that the answer was read
-// to its end.
+// finish releases the connection once. The argument is whether the response was read completely.
 func (b *body) finish(whole bool) {
-	if b.done {
+	if b.finished {
 		return
 	}
-	b.done = true
+	b.finished = true
 	if alive := b.stop(); !whole || !alive || !b.reusable {
 		b.transport.discard(b.conn)
 		return
@@ -410,14 +408,14 @@
 	}
 }
 
-// writtenWithin is how long a connection whose answer has been read stays open for the end of its
-// request, which another goroutine writes.
-const writtenWithin = 10 * time.Millisecond
+// requestWriteTimeout is how long a connection whose response has been read waits for the rest of its
+// request to be written by another goroutine.
+const requestWriteTimeout = 10 * time.Millisecond
 
-// releaseWritten gives the connection back once the whole request has been written, if that is
-// soon.
+// releaseWritten releases the connection after the whole request has been written. The connection
+// is closed if that takes longer than requestWriteTimeout.
 func (b *body) releaseWritten() {
-	late := time.AfterFunc(writtenWithin, b.conn.kill)
+	late := time.AfterFunc(requestWriteTimeout, b.conn.abort)
 	err := <-b.written
 	if !late.Stop() && err == nil {
 		err = context.DeadlineExceeded
@@ -425,14 +423,14 @@
 	b.release(err)
 }
 
-// release gives the connection back whose request has been written, or closes it if that failed.
+// release returns the connection to the pool, or closes it if writing its request failed.
 func (b *body) release(err error) {
 	if err != nil {
 		b.transport.discard(b.conn)
 		return
 	}
-	b.transport.put(b.conn)
+	b.transport.putConn(b.conn)
 }
 
-// unlimited lifts the bound on what is read from a connection.
+// unlimited disables the bound on what is read from a connection.
 const unlimited = math.MaxInt64
