--- a/acceptance/accept.go
+++ b/acceptance/accept.go
@@ -13,13 +13,13 @@
 )
 
 // Accepted is what became of an intent.
-type Accepted struct {
+type Result struct {
 	// Object is the Accepted object as it now is, or nil if there is none.
 	Object *objectapi.Object
 	// Wrote is whether this call wrote it.
-	Wrote bool
+	Written bool
 	// Refused says why the intent is invalid, if it is.
-	Refused operator.Faults
+	Errors operator.FieldErrors
 }
 
 // acceptTries bounds the tries of one Accept against other representatives.
@@ -28,7 +28,7 @@
 // Accept makes an intent the configuration in force, unless that has been done
 // or the intent is invalid. Any number of representatives may do so at once, and each
 // may be paused at any point: the conditional write decides.
-func Accept(ctx context.Context, api objectapi.API, in Intent) (Accepted, error) {
+func Accept(ctx context.Context, api objectapi.API, in Intent) (Result, error) {
 	var lastErr error
 	for range acceptTries {
 		present, err := api.Get(ctx, operator.KindAccepted, in.Name)
@@ -36,29 +36,29 @@
 			present, err = nil, nil
 		}
 		if err != nil {
-			return Accepted{}, err
+			return Result{}, err
 		}
 		d, err := Decide(in, present, time.Now())
 		if err != nil {
-			return Accepted{}, err
+			return Result{}, err
 		}
 		if d.Write == nil {
-			return Accepted{
-				Object:  present,
-				Refused: d.Refused,
+			return Result{
+				Object: present,
+				Errors: d.Errors,
 			}, nil
 		}
 		written, err := objectapi.Put(ctx, api, d.Write)
 		if err == nil {
-			return Accepted{
-				Object: written,
-				Wrote:  true,
+			return Result{
+				Object:  written,
+				Written: true,
 			}, nil
 		}
 		if !objectapi.IsConflict(err) {
-			return Accepted{}, err
+			return Result{}, err
 		}
 		lastErr = err
 	}
-	return Accepted{}, lastErr
+	return Result{}, lastErr
 }
--- a/acceptance/acceptance_test.go
+++ b/acceptance/acceptance_test.go
@@ -23,10 +23,10 @@
 
 func accepted(sequence, source uint64, deleted bool) *objectapi.Object {
 	return objectapi.NewObject(operator.KindAccepted, "pledgebook", operator.Accepted{
-		Sequence: sequence,
-		Source:   source,
-		Deleted:  deleted,
-	}).WithVersion("7")
+		Sequence:      sequence,
+		SourceVersion: source,
+		Deleted:       deleted,
+	}).WithResourceVersion("7")
 }
 
 func TestDecide(t *testing.T) {
@@ -55,13 +55,13 @@
 		t.Run(name, func(t *testing.T) {
 			d, err := acceptance.Decide(acceptance.Intent{Name: "pledgebook", Source: test.source, Spec: test.spec}, test.present, time.Now())
 			qt.Assert(t, err, qt.IsNil)
-			qt.Check(t, len(d.Refused) > 0, qt.Equals, test.refused)
+			qt.Check(t, len(d.Errors) > 0, qt.Equals, test.refused)
 			if test.sequence == 0 {
 				qt.Check(t, d.Write == nil, qt.IsTrue)
 				return
 			}
 			qt.Assert(t, d.Write != nil, qt.IsTrue)
-			a, err := objectapi.SpecOf[operator.Accepted](d.Write)
+			a, err := objectapi.DecodeSpec[operator.Accepted](d.Write)
 			qt.Assert(t, err, qt.IsNil)
 			qt.Check(t, a.Sequence, qt.Equals, test.sequence)
 			qt.Check(t, a.Deleted, qt.Equals, test.deleted)
@@ -80,7 +80,7 @@
 		h.CloseClientConnections()
 		h.Close()
 	})
-	return s, &objectapi.Client{Caller: objectapi.Caller{URL: h.URL, Timeout: time.Second}, Namespace: "test"}
+	return s, &objectapi.Client{JSONClient: objectapi.JSONClient{URL: h.URL, Timeout: time.Second}, Namespace: "test"}
 }
 
 // paused is an API whose holder is paused between its read and its write, while
@@ -112,8 +112,8 @@
 	}}
 	result, err := acceptance.Accept(ctx, slow, old)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Check(t, result.Wrote, qt.IsFalse)
-	a, err := objectapi.SpecOf[operator.Accepted](result.Object)
+	qt.Check(t, result.Written, qt.IsFalse)
+	a, err := objectapi.DecodeSpec[operator.Accepted](result.Object)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, a.Service.Hosts, qt.DeepEquals, []string{"next"})
 	qt.Check(t, a.Sequence, qt.Equals, uint64(1))
@@ -140,15 +140,15 @@
 					continue
 				}
 				i++
-				a, err := objectapi.SpecOf[operator.Accepted](result.Object)
+				a, err := objectapi.DecodeSpec[operator.Accepted](result.Object)
 				qt.Assert(t, err, qt.IsNil)
 				qt.Check(t, a.Sequence >= last, qt.IsTrue)
 				last = a.Sequence
 				mu.Lock()
 				if was, ok := history[a.Sequence]; ok {
-					qt.Check(t, was, qt.Equals, a.Source, qt.Commentf("two values at sequence %d", a.Sequence))
+					qt.Check(t, was, qt.Equals, a.SourceVersion, qt.Commentf("two values at sequence %d", a.Sequence))
 				}
-				history[a.Sequence] = a.Source
+				history[a.Sequence] = a.SourceVersion
 				mu.Unlock()
 			}
 		})
@@ -156,16 +156,16 @@
 	all.Wait()
 	o, err := api.Get(ctx, operator.KindAccepted, "a")
 	qt.Assert(t, err, qt.IsNil)
-	a, err := objectapi.SpecOf[operator.Accepted](o)
+	a, err := objectapi.DecodeSpec[operator.Accepted](o)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Check(t, a.Source, qt.Equals, uint64(intents))
+	qt.Check(t, a.SourceVersion, qt.Equals, uint64(intents))
 	qt.Check(t, a.Service.Hosts, qt.DeepEquals, []string{fmt.Sprintf("h%d", intents)})
 }
 
 func TestConfigSurvivesTheObject(t *testing.T) {
 	d, err := acceptance.Decide(acceptance.Intent{Name: "a", Source: 1, Spec: []byte(`{"hosts":["x"],"policy":"random"}`)}, nil, time.Now())
 	qt.Assert(t, err, qt.IsNil)
-	a, err := objectapi.SpecOf[operator.Accepted](d.Write)
+	a, err := objectapi.DecodeSpec[operator.Accepted](d.Write)
 	qt.Assert(t, err, qt.IsNil)
 	c := acceptance.FromAccepted("a", a)
 	s, err := c.Service()
--- a/acceptance/config.go
+++ b/acceptance/config.go
@@ -61,7 +61,7 @@
 	return Config{
 		Name:     name,
 		Sequence: a.Sequence,
-		At:       a.At,
+		At:       a.AcceptedAt,
 		Deleted:  a.Deleted,
 		Spec:     spec,
 	}
--- a/acceptance/decide.go
+++ b/acceptance/decide.go
@@ -24,10 +24,10 @@
 }
 
 // IntentOf returns the intent that a Service object states.
-func IntentOf(o *objectapi.Object) Intent {
+func NewIntent(o *objectapi.Object) Intent {
 	return Intent{
 		Name:   o.Metadata.Name,
-		Source: o.Version(),
+		Source: o.Revision(),
 		Spec:   o.Spec,
 	}
 }
@@ -38,7 +38,7 @@
 	// is to be written.
 	Write *objectapi.Object
 	// Refused says why the intent is invalid, if it is. What is in force stays.
-	Refused operator.Faults
+	Errors operator.FieldErrors
 }
 
 // Decide returns what to do about an intent, given the present Accepted object
@@ -51,17 +51,17 @@
 	var accepted operator.Accepted
 	if present != nil {
 		var err error
-		if accepted, err = objectapi.SpecOf[operator.Accepted](present); err != nil {
+		if accepted, err = objectapi.DecodeSpec[operator.Accepted](present); err != nil {
 			return Decision{}, err
 		}
 	}
-	if in.Source <= accepted.Source {
+	if in.Source <= accepted.SourceVersion {
 		return Decision{}, nil
 	}
 	next := operator.Accepted{
-		Sequence: accepted.Sequence + 1,
-		Source:   in.Source,
-		At:       now.UTC(),
+		Sequence:      accepted.Sequence + 1,
+		SourceVersion: in.Source,
+		AcceptedAt:    now.UTC(),
 	}
 	if in.Spec == nil {
 		if present == nil || accepted.Deleted {
@@ -71,22 +71,22 @@
 		return Decision{Write: object(in.Name, next, present)}, nil
 	}
 	if f := operator.CheckName(in.Name); len(f) > 0 {
-		return Decision{Refused: f}, nil
+		return Decision{Errors: f}, nil
 	}
 	s, err := operator.ParseService(in.Spec)
 	if err != nil {
-		return Decision{Refused: faultsOf(err)}, nil
+		return Decision{Errors: faultsOf(err)}, nil
 	}
 	next.Service = s
 	return Decision{Write: object(in.Name, next, present)}, nil
 }
 
 // faultsOf returns an error of ParseService as faults.
-func faultsOf(err error) operator.Faults {
-	if f, ok := errors.AsType[operator.Faults](err); ok {
+func faultsOf(err error) operator.FieldErrors {
+	if f, ok := errors.AsType[operator.FieldErrors](err); ok {
 		return f
 	}
-	return operator.Faults{{
+	return operator.FieldErrors{{
 		Field:   "spec",
 		Message: err.Error(),
 	}}
@@ -96,7 +96,7 @@
 func object(name string, a operator.Accepted, present *objectapi.Object) *objectapi.Object {
 	o := objectapi.NewObject(operator.KindAccepted, name, a)
 	if present != nil {
-		o = o.WithVersion(present.Metadata.ResourceVersion)
+		o = o.WithResourceVersion(present.Metadata.ResourceVersion)
 	}
 	return o
 }
--- a/acceptance/evacuated.go
+++ b/acceptance/evacuated.go
@@ -15,9 +15,9 @@
 // have them.
 const (
 	// Evacuated holds the zones as they were read from the platform.
-	Evacuated = "*evacuated"
+	EvacuatedName = "*evacuated"
 	// Retained holds those that were in force when an era of the platform ended.
-	Retained = "*retained"
+	RetainedName = "*retained"
 )
 
 // stoodPrefix begins the names of the Configs which say that a zone has stood on the platform in
@@ -25,27 +25,29 @@
 const stoodPrefix = "*stood:"
 
 // StoodName returns the name of the Config which says that a zone has stood on the platform.
-func StoodName(zone string) string { return stoodPrefix + zone }
+func SeenZoneName(zone string) string { return stoodPrefix + zone }
 
 // FromStood returns that a zone has stood on the platform in an era, as nodes pass it on.
-func FromStood(zone string, era uint64) Config {
+func FromSeenZone(zone string, era uint64) Config {
 	return Config{
-		Name: StoodName(zone),
+		Name: SeenZoneName(zone),
 		Era:  era,
 	}
 }
 
 // Stood returns the zone that a Config of FromStood names. The second result is false if c is
 // none.
-func (c Config) Stood() (zone string, ok bool) { return strings.CutPrefix(c.Name, stoodPrefix) }
+func (c Config) SeenZone() (zone string, ok bool) { return strings.CutPrefix(c.Name, stoodPrefix) }
 
 // FromZones returns evacuated zones as nodes pass them on. Its rank is the Point at which
 // they were found.
-func FromZones(s evacuation.Set) Config { return fromSet(Evacuated, s, time.Time{}) }
+func FromZones(s evacuation.Set) Config { return fromSet(EvacuatedName, s, time.Time{}) }
 
 // FromRetained returns the zones that were in force when an era ended, as nodes pass them on,
 // with when its successor was first seen.
-func FromRetained(s evacuation.Set, seen time.Time) Config { return fromSet(Retained, s, seen.UTC()) }
+func FromRetained(s evacuation.Set, seen time.Time) Config {
+	return fromSet(RetainedName, s, seen.UTC())
+}
 
 func fromSet(name string, s evacuation.Set, at time.Time) Config {
 	return Config{
--- a/acceptance/whole.go
+++ b/acceptance/whole.go
@@ -12,7 +12,7 @@
 
 // Whole is the name of the Config that holds a whole table of routes rather than
 // one service. No service can have it.
-const Whole = "*"
+const TableName = "*"
 
 // FromTable returns the table as nodes pass it on. Its sequence is the version
 // of the table. It panics if the table can't be encoded.
@@ -22,7 +22,7 @@
 		panic("acceptance: table can't be encoded: " + err.Error())
 	}
 	return Config{
-		Name:     Whole,
+		Name:     TableName,
 		Sequence: t.Version,
 		At:       time.Time{},
 		Spec:     spec,
--- a/blocklist/store.go
+++ b/blocklist/store.go
@@ -123,7 +123,7 @@
 
 // reportOf decodes the report in an object. The error says why it is invalid.
 func reportOf(o *objectapi.Object, now time.Time) (quarantine.Report, error) {
-	b, err := objectapi.SpecOf[Block](o)
+	b, err := objectapi.DecodeSpec[Block](o)
 	if err != nil {
 		return quarantine.Report{}, err
 	}
@@ -167,10 +167,10 @@
 	if err != nil {
 		return err
 	}
-	if old, err := objectapi.SpecOf[Block](stored); err == nil && old.At >= b.At {
+	if old, err := objectapi.DecodeSpec[Block](stored); err == nil && old.At >= b.At {
 		return nil
 	}
-	_, err = s.API.Update(ctx, o.WithVersion(stored.Metadata.ResourceVersion))
+	_, err = s.API.Update(ctx, o.WithResourceVersion(stored.Metadata.ResourceVersion))
 	return err
 }
 
--- a/blocklist/store_test.go
+++ b/blocklist/store_test.go
@@ -31,7 +31,7 @@
 	})
 	index := new(quarantine.Index)
 	return &blocklist.Store{
-		API:    &objectapi.Client{Caller: objectapi.Caller{URL: server.URL, Timeout: time.Second}, Namespace: "test"},
+		API:    &objectapi.Client{JSONClient: objectapi.JSONClient{URL: server.URL, Timeout: time.Second}, Namespace: "test"},
 		Report: index.Add,
 		Log:    zerolog.Nop(),
 	}, index
@@ -101,7 +101,7 @@
 func TestSaveUnderFaults(t *testing.T) {
 	for name, faults := range map[string]objectstore.Faults{
 		"lost responses": {LoseWrites: 0.5},
-		"fails":          {Fail: 0.5},
+		"fails":          {FailureRatio: 0.5},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/caller/answer.go
+++ b/caller/answer.go
@@ -57,7 +57,7 @@
 	h := x.w.Header()
 	h.Set("Content-Type", "application/problem+json")
 	h.Set("Cache-Control", "no-store")
-	names := x.handler.Names.OrDefault()
+	names := x.handler.FieldNames.OrDefault()
 	h.Set(names.RequestID, x.outcome.ID)
 	h.Set(upstream.VerdictHeader, p.Verdict)
 	if e.GivenUp {
@@ -108,7 +108,7 @@
 func seconds(d time.Duration) int { return max(1, int(math.Ceil(d.Seconds()))) }
 
 // inform passes an informational answer on.
-func (x *exchange) inform(m *peer.Inform) {
+func (x *exchange) inform(m *peer.Informational) {
 	h := x.w.Header()
 	for _, f := range m.Header {
 		h.Add(f.Name, f.Value)
@@ -122,7 +122,7 @@
 	x.outcome.Status = result.Status
 	h := x.w.Header()
 	copyHeader(h, result.Header, x.handler.Node)
-	h.Set(x.handler.Names.OrDefault().RequestID, x.outcome.ID)
+	h.Set(x.handler.FieldNames.OrDefault().RequestID, x.outcome.ID)
 	h.Set(upstream.VerdictHeader, verdict.Ran.String())
 	if result.Node != "" {
 		h.Set(NodeHeader, result.Node)
--- a/caller/body.go
+++ b/caller/body.go
@@ -102,7 +102,7 @@
 	for _, name := range b.withheld {
 		trailer.Del(name)
 	}
-	return httpfield.From(trailer)
+	return httpfield.FromHeader(trailer)
 }
 
 // ended returns whether the body is known to have ended.
--- a/caller/body_test.go
+++ b/caller/body_test.go
@@ -40,7 +40,7 @@
 func (h *hasty) Do(_ context.Context, r *entry.Request) (*entry.Result, *verdict.Error) {
 	body := r.Stream
 	if r.Spooled != nil {
-		body = r.Spooled.Open()
+		body = r.Spooled.NewReader()
 	}
 	if body != nil {
 		first := make(chan struct{})
@@ -149,12 +149,12 @@
 	r := <-requests
 	qt.Assert(t, r.Spooled, qt.IsNotNil)
 	for range 2 {
-		_, err = io.ReadFull(r.Spooled.Open(), make([]byte, size/2))
+		_, err = io.ReadFull(r.Spooled.NewReader(), make([]byte, size/2))
 		qt.Check(t, err, qt.IsNil)
 	}
 	_, err = c.Write(bytes.Repeat([]byte("b"), size/2))
 	qt.Assert(t, err, qt.IsNil)
-	whole, err := io.ReadAll(r.Spooled.Open())
+	whole, err := io.ReadAll(r.Spooled.NewReader())
 	qt.Check(t, err, qt.IsNil)
 	qt.Check(t, string(whole), qt.Equals, string(bytes.Repeat([]byte("a"), size/2))+string(bytes.Repeat([]byte("b"), size/2)))
 	requests <- nil
--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -59,7 +59,7 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	ctx, cancel := context.WithCancel(context.Background())
-	peers := &peer.Server{Call: g.Serve}
+	peers := &peer.Server{HandleCall: g.Serve}
 	go peers.Run(ctx, listener)
 	service.Members = []entry.Member{{ID: "n1", Addr: listener.Addr().String(), Slots: 10}}
 	d := &entry.Dispatcher{Hello: peer.Hello{Node: "entry"}}
@@ -251,7 +251,7 @@
 			want:    []string{"Sassafras-Timeout-Ms="},
 		},
 	}
-	p := newPath(t, operator.Service{MaxBody: 1 << 20}, http.HandlerFunc(tell))
+	p := newPath(t, operator.Service{MaxBodyBytes: 1 << 20}, http.HandlerFunc(tell))
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -350,7 +350,7 @@
 // TestLargeBodiesFlow sends and receives bodies far larger than any window, over
 // HTTP/1.1 and h2c.
 func TestLargeBodiesFlow(t *testing.T) {
-	p := newPath(t, operator.Service{MaxBody: 64 << 20}, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	p := newPath(t, operator.Service{MaxBodyBytes: 64 << 20}, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_ = http.NewResponseController(w).EnableFullDuplex()
 		if _, err := io.Copy(w, r.Body); err != nil {
 			panic(http.ErrAbortHandler)
@@ -525,19 +525,19 @@
 func TestHeadLimit(t *testing.T) {
 	table, err := routes.New(routes.Table{
 		Version: 1,
-		Limits:  routes.Limits{HeaderBytes: 1000},
+		Limits:  routes.Limits{MaxHeaderBytes: 1000},
 		Routes: []routes.Route{{
-			Name:    "all",
-			Host:    "service.example",
-			Prefix:  "/",
-			Timeout: time.Second,
-			Parts:   []routes.Part{{Service: "service", Weight: 1}},
+			Name:     "all",
+			Host:     "service.example",
+			Prefix:   "/",
+			Timeout:  time.Second,
+			Services: []routes.WeightedService{{Service: "service", Weight: 1}},
 		}},
 	})
 	qt.Assert(t, err, qt.IsNil)
 	h := &caller.Handler{
-		Beside: true,
-		Resolver: &caller.ByRoute{
+		LocalCallers: true,
+		Resolver: &caller.RouteResolver{
 			Table: func() *routes.Table { return table },
 			Service: func(string) *entry.Service {
 				return &entry.Service{Name: "service", Config: operator.Service{}.WithDefaults()}
--- a/caller/closing_test.go
+++ b/caller/closing_test.go
@@ -103,7 +103,7 @@
 	go s.server.Serve(s.listener)
 	t.Cleanup(func() {
 		_ = s.conn.Close()
-		s.listener.Cut()
+		s.listener.CloseAll()
 		_ = s.listener.Close()
 	})
 	return s
@@ -132,7 +132,7 @@
 		Trailer: func() []peer.Field { return nil },
 	}
 	if r.Target == "/abort" {
-		response.Body = iotest.ErrReader(verdict.New(verdict.AnswerTruncated, nil))
+		response.Body = iotest.ErrReader(verdict.New(verdict.ResponseTruncated, nil))
 	}
 	return &entry.Result{Response: response}, nil
 }
@@ -169,7 +169,7 @@
 	s.t.Helper()
 	ctx, cancel := context.WithTimeout(s.t.Context(), time.Minute)
 	defer cancel()
-	qt.Check(s.t, s.listener.Quiesce(ctx), qt.IsNil)
+	qt.Check(s.t, s.listener.AwaitClosed(ctx), qt.IsNil)
 	qt.Check(s.t, s.cancels.Load(), qt.Equals, int32(0), qt.Commentf("requests whose contexts ended"))
 }
 
@@ -271,7 +271,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := serve(t, nil)
-				s.listener.Leave()
+				s.listener.DisableKeepAlives()
 				s.send(test.sent)
 				s.cut(verdict.New(verdict.NotSent, nil).WithRetryAfter(time.Millisecond))
 				all, err := io.ReadAll(s.conn)
--- a/caller/connection.go
+++ b/caller/connection.go
@@ -147,14 +147,14 @@
 // deadline returns t, or what the bounds say if that is earlier. The lock is
 // held.
 func (c *connection) deadline(t time.Time) time.Time {
-	bounds := c.listener.Bounds
+	bounds := c.listener.Timeouts
 	if t.IsZero() || bounds == nil {
 		return t
 	}
 	var most time.Duration
 	switch c.phase {
 	case phaseHead:
-		most = bounds().Head
+		most = bounds().Header
 	case phaseIdle:
 		most = bounds().Idle
 	}
--- a/caller/draining_test.go
+++ b/caller/draining_test.go
@@ -29,7 +29,7 @@
 // stop stops the server as a node does.
 func (s *served) stop() {
 	time.Sleep(leaves)
-	s.listener.Leave()
+	s.listener.DisableKeepAlives()
 	time.Sleep(drains - leaves)
 	qt.Check(s.t, s.listener.Drain(s.t.Context()), qt.IsNil)
 	qt.Check(s.t, s.server.Shutdown(s.t.Context()), qt.IsNil)
--- a/caller/ends_test.go
+++ b/caller/ends_test.go
@@ -28,7 +28,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			h, d := keyed(t, caller.Keys{})
-			h.Ends = func() time.Time {
+			h.ShutdownDeadline = func() time.Time {
 				if test.ends == 0 {
 					return time.Time{}
 				}
--- a/caller/handler.go
+++ b/caller/handler.go
@@ -49,24 +49,24 @@
 	// Method and Path are the request's.
 	Method, Path string
 	// Print tells the request from others. It is zero if the request was not taken up.
-	Print quarantine.Fingerprint
+	Fingerprint quarantine.Fingerprint
 	// Status is the HTTP status that the caller got.
 	Status int
 	// Failure is why there was no answer, or why it was cut, or nil.
 	Failure *verdict.Error
 	// Tries is the number of sendings.
-	Tries int
+	Attempts int
 	// Steps are the decisions on the request.
 	Steps []entry.Step
 	// Took is the time from the head of the request to the end of the answer.
-	Took time.Duration
+	Duration time.Duration
 	// Body is the length of a body that was kept as it came in, in bytes, and BodyTook how
 	// long it took to come in from the caller; 0 if it has not.
-	Body     int64
-	BodyTook time.Duration
+	BodyBytes       int64
+	BodyReceiveTime time.Duration
 	// Arrived and Waited are how long that body took to the upstream's node, and the
 	// request then waited there for a slot, if it was answered.
-	Arrived, Waited time.Duration
+	TransferTime, QueueTime time.Duration
 }
 
 // Handler is an http.Handler. The exported fields are set before the first
@@ -78,24 +78,24 @@
 	// Resolver, if not nil, finds the targets of requests in place of Lookup.
 	Resolver Resolver
 	// Names are the header fields that callers use.
-	Names upstream.FieldNames
+	FieldNames upstream.FieldNames
 	// Service is the service that runs beside this node. It is named to the
 	// upstream as the one that the request comes from, if there is a field for it.
 	Service string
 	// Beside is whether all callers are on this node's instance. Nothing is added
 	// then to a request of where it comes from: Service says it.
-	Beside bool
+	LocalCallers bool
 	// Dispatcher sends the requests.
 	Dispatcher Dispatcher
 	// Suspects, if not nil, returns whether a request with the head of p may be one that
 	// ends upstreams.
-	Suspects func(p quarantine.Fingerprint) bool
+	MaySuspect func(p quarantine.Fingerprint) bool
 	// Admit, if not nil, lets a request in as far as its organisation's rate limit allows,
 	// or returns why it must not run.
 	Admit func(ctx context.Context, r ratelimit.Request) (*ratelimit.Permit, *verdict.Error)
 	// Ends, if not nil, returns when the requests that are under way are cut, or the zero
 	// time if that is not to come. One that may take longer is refused.
-	Ends func() time.Time
+	ShutdownDeadline func() time.Time
 	// Claims keeps resent requests from running twice, for the services that ask
 	// for it. Nil refuses their requests that have an IdempotencyKey.
 	Claims *claim.Store
@@ -104,7 +104,7 @@
 	// Tracer makes a span for each request.
 	Tracer trace.Tracer
 	// Ended, if not nil, is called at the end of each request.
-	Ended func(Outcome)
+	OnRequestEnd func(Outcome)
 
 	underWay underWay
 }
@@ -141,7 +141,7 @@
 		r:       r,
 		began:   began,
 		outcome: Outcome{
-			ID:     requestID(r, h.Names.OrDefault().RequestID),
+			ID:     requestID(r, h.FieldNames.OrDefault().RequestID),
 			Method: r.Method,
 			Path:   r.URL.Path,
 		},
@@ -154,15 +154,15 @@
 	if f := x.outcome.Failure; f != nil && f.Verdict() == verdict.NotRun {
 		x.pass.Refund()
 	}
-	x.outcome.Took = time.Since(began)
+	x.outcome.Duration = time.Since(began)
 	x.noteBody()
 	cut = !x.finishBody() || cut
 	if span.IsRecording() {
-		span.SetAttributes(attribute.String("http.request.method", r.Method), attribute.String("sassafras.service", x.outcome.Service), attribute.Int("sassafras.tries", x.outcome.Tries))
+		span.SetAttributes(attribute.String("http.request.method", r.Method), attribute.String("sassafras.service", x.outcome.Service), attribute.Int("sassafras.tries", x.outcome.Attempts))
 	}
-	tracing.End(span, x.outcome.Status, x.outcome.Failure)
-	if h.Ended != nil {
-		h.Ended(x.outcome)
+	tracing.EndSpan(span, x.outcome.Status, x.outcome.Failure)
+	if h.OnRequestEnd != nil {
+		h.OnRequestEnd(x.outcome)
 	}
 	if cut {
 		panic(http.ErrAbortHandler)
@@ -174,9 +174,9 @@
 	if x.kept == nil {
 		return
 	}
-	x.outcome.Body = x.kept.Length
-	if took, whole := x.kept.Took(); whole {
-		x.outcome.BodyTook = took
+	x.outcome.BodyBytes = x.kept.Length
+	if took, whole := x.kept.ReceiveTime(); whole {
+		x.outcome.BodyReceiveTime = took
 	}
 }
 
@@ -195,7 +195,7 @@
 func (x *exchange) serve(ctx context.Context) (cut bool) {
 	target, failure := x.resolver().Resolve(x.r)
 	if failure == nil {
-		failure = carriable(x.r, target.MaxHead)
+		failure = carriable(x.r, target.MaxHeaderBytes)
 	}
 	if failure != nil {
 		x.fail(failure)
@@ -230,7 +230,7 @@
 	if t.Organisation == "" || x.handler.Admit == nil {
 		return nil
 	}
-	left, err := timeoutOf(x.r, x.handler.Names.OrDefault().Timeout, math.MaxInt64)
+	left, err := timeoutOf(x.r, x.handler.FieldNames.OrDefault().Timeout, math.MaxInt64)
 	if err != nil {
 		return verdict.New(verdict.BadRequest, err)
 	}
@@ -245,18 +245,18 @@
 
 // ComeBackElsewhere is what callers are told to wait for whose requests a stopping node does
 // not take, or does not send on any more. Other nodes take them.
-const ComeBackElsewhere = 250 * time.Millisecond
+const RetryElsewhereDelay = 250 * time.Millisecond
 
 // inTime returns why a request is not taken that may still be under way when all are cut.
 func (x *exchange) inTime(q *entry.Request) *verdict.Error {
-	if x.handler.Ends == nil {
+	if x.handler.ShutdownDeadline == nil {
 		return nil
 	}
-	ends := x.handler.Ends()
+	ends := x.handler.ShutdownDeadline()
 	if ends.IsZero() || !q.Deadline.After(ends) {
 		return nil
 	}
-	return verdict.New(verdict.NotSent, eris.New("this node stops before the request's time is over")).WithRetryAfter(ComeBackElsewhere)
+	return verdict.New(verdict.NotSent, eris.New("this node stops before the request's time is over")).WithRetryAfter(RetryElsewhereDelay)
 }
 
 // resolver returns what finds the target of a request.
@@ -272,7 +272,7 @@
 func (x *exchange) dispatch(ctx context.Context, q *entry.Request, keep *keeper) (cut bool) {
 	result, failure := x.handler.Dispatcher.Do(ctx, q)
 	x.outcome.Steps = q.Steps
-	x.outcome.Tries = entry.CountAttempts(q.Steps)
+	x.outcome.Attempts = entry.CountAttempts(q.Steps)
 	if failure != nil {
 		failure = x.stopped(failure)
 	}
@@ -282,7 +282,7 @@
 		return false
 	}
 	defer result.Close()
-	x.outcome.Arrived, x.outcome.Waited = result.Arrived, result.Waited
+	x.outcome.TransferTime, x.outcome.QueueTime = result.TransferTime, result.QueueTime
 	cut = x.answer(result)
 	keep.end(cut)
 	return cut
--- a/caller/header.go
+++ b/caller/header.go
@@ -49,7 +49,7 @@
 	stripHopByHop(fields)
 	fields.Del("Expect")
 	fields.Add("Via", fmt.Sprintf("%d.%d %s", r.ProtoMajor, r.ProtoMinor, h.Node))
-	if !h.Beside {
+	if !h.LocalCallers {
 		sayWhence(fields, r)
 	}
 	return fields
--- a/caller/keys.go
+++ b/caller/keys.go
@@ -29,7 +29,7 @@
 	// means that this is not known, and not asked for.
 	Age func(version uint64) freshness.Age
 	// Judged, if not nil, is told whether a request is admitted whose key the table has.
-	Judged func(admitted bool, version uint64, age freshness.Age)
+	OnEvaluated func(admitted bool, version uint64, age freshness.Age)
 	// RetryAfter is when the caller of a node that has not heard for too long may come
 	// back.
 	RetryAfter time.Duration
@@ -60,8 +60,8 @@
 		age = k.Age(version)
 	}
 	j := k.Bounds.Evaluate(age, held)
-	if k.Judged != nil && held {
-		k.Judged(j != freshness.Stale, version, age)
+	if k.OnEvaluated != nil && held {
+		k.OnEvaluated(j != freshness.Stale, version, age)
 	}
 	switch j {
 	case freshness.Stale:
@@ -97,11 +97,11 @@
 // classFor returns the class of an organisation's requests on a route: its priority goes
 // before the route's, where the service has a class for it.
 func classFor(s *operator.Service, route *routes.Route, o *organisation.Organisation) string {
-	own := ClassOf(route.Priority, route.Objective)
+	own := ClassName(route.Priority, route.Objective)
 	if o.Priority == nil {
 		return own
 	}
-	name := ClassOf(*o.Priority, route.Objective)
+	name := ClassName(*o.Priority, route.Objective)
 	if !slices.ContainsFunc(s.Classes, func(c operator.Class) bool { return c.Name == name }) {
 		return own
 	}
--- a/caller/keys_test.go
+++ b/caller/keys_test.go
@@ -58,8 +58,8 @@
 func keyed(t testing.TB, keys caller.Keys) (*caller.Handler, *taken) {
 	urgent, unknown := 0, 7
 	table, err := routes.New(routes.Table{
-		Version: 8,
-		Keyed:   true,
+		Version:      8,
+		KeysRequired: true,
 		Organisations: []organisation.Organisation{
 			{Name: "right", Keys: []organisation.Digest{organisation.DigestOf(key)}},
 			{Name: "urgent", Keys: []organisation.Digest{organisation.DigestOf("urgent")}, Priority: &urgent},
@@ -68,9 +68,9 @@
 			{Name: "far", Keys: []organisation.Digest{organisation.DigestOf("far")}, Regions: []string{"r9"}},
 		},
 		Routes: []routes.Route{
-			{Name: "keyed", Host: "h", Prefix: "/keyed/", Timeout: time.Second, Priority: 1, Parts: []routes.Part{{Service: "s", Weight: 1}}},
-			{Name: "bound", Host: "h", Prefix: "/bound/", Timeout: time.Second, Priority: 1, Regions: []string{"r1", "r2"}, Parts: []routes.Part{{Service: "s", Weight: 1}}},
-			{Name: "public", Host: "h", Prefix: "/public/", Timeout: time.Second, Priority: 1, Public: true, Parts: []routes.Part{{Service: "s", Weight: 1}}},
+			{Name: "keyed", Host: "h", Prefix: "/keyed/", Timeout: time.Second, Priority: 1, Services: []routes.WeightedService{{Service: "s", Weight: 1}}},
+			{Name: "bound", Host: "h", Prefix: "/bound/", Timeout: time.Second, Priority: 1, Regions: []string{"r1", "r2"}, Services: []routes.WeightedService{{Service: "s", Weight: 1}}},
+			{Name: "public", Host: "h", Prefix: "/public/", Timeout: time.Second, Priority: 1, Public: true, Services: []routes.WeightedService{{Service: "s", Weight: 1}}},
 		},
 	})
 	qt.Assert(t, err, qt.IsNil)
@@ -79,9 +79,9 @@
 	}.WithDefaults()}
 	d := new(taken)
 	return &caller.Handler{
-		Beside: true,
-		Names:  upstream.FieldNames{RequestID: "X-Request-Id", Timeout: "X-Timeout", Organisation: organisationField, FractionalRetryAfter: true},
-		Resolver: &caller.ByRoute{
+		LocalCallers: true,
+		FieldNames:   upstream.FieldNames{RequestID: "X-Request-Id", Timeout: "X-Timeout", Organisation: organisationField, FractionalRetryAfter: true},
+		Resolver: &caller.RouteResolver{
 			Table:   func() *routes.Table { return table },
 			Service: func(string) *entry.Service { return service },
 			Keys:    keys,
@@ -223,10 +223,10 @@
 func TestStaleTable(t *testing.T) {
 	var told []bool
 	h, d := keyed(t, caller.Keys{
-		Bounds:     freshness.Bounds{MaxRevokeDelay: 5 * time.Second, MaxApplyDelay: 2 * time.Second},
-		Age:        func(uint64) freshness.Age { return freshness.Age{Known: true, Time: 6 * time.Second} },
-		Judged:     func(admitted bool, _ uint64, _ freshness.Age) { told = append(told, admitted) },
-		RetryAfter: 500 * time.Millisecond,
+		Bounds:      freshness.Bounds{MaxRevokeDelay: 5 * time.Second, MaxApplyDelay: 2 * time.Second},
+		Age:         func(uint64) freshness.Age { return freshness.Age{Known: true, Time: 6 * time.Second} },
+		OnEvaluated: func(admitted bool, _ uint64, _ freshness.Age) { told = append(told, admitted) },
+		RetryAfter:  500 * time.Millisecond,
 	})
 	for _, lines := range [][]string{{"Authorization: Bearer " + key}, {"Authorization: Bearer added-just-now"}} {
 		w := ask(t, h, "/keyed/x", lines...)
--- a/caller/linger_test.go
+++ b/caller/linger_test.go
@@ -70,7 +70,7 @@
 	}
 	go server.Serve(listener)
 	defer server.Close()
-	listener.Leave()
+	listener.DisableKeepAlives()
 	raw, err := net.Dial("tcp", tcp.Addr().String())
 	qt.Assert(t, err, qt.IsNil)
 	defer raw.Close()
--- a/caller/listener.go
+++ b/caller/listener.go
@@ -22,9 +22,9 @@
 
 // Bounds limit how long a caller may take. A zero field leaves the server's own
 // limit as it is.
-type Bounds struct {
+type Timeouts struct {
 	// Head bounds the time in which the head of a request has to come in.
-	Head time.Duration
+	Header time.Duration
 	// Idle bounds the time between two requests of a connection.
 	Idle time.Duration
 }
@@ -36,7 +36,7 @@
 type Listener struct {
 	net.Listener
 	// Bounds returns the bounds in force. Nil means none beside the server's own.
-	Bounds func() Bounds
+	Timeouts func() Timeouts
 
 	leaving atomic.Bool
 	closes  sync.Once
@@ -129,7 +129,7 @@
 
 // Leave makes each answer of a Handler the last one of its connection. Connections
 // without a request stay open: a caller that sends one more gets its answer.
-func (l *Listener) Leave() { l.leaving.Store(true) }
+func (l *Listener) DisableKeepAlives() { l.leaving.Store(true) }
 
 // Drain closes the listener, and the connections on which nothing of a request has
 // come in. It returns once a Handler has the request of each other one, or it speaks
@@ -137,7 +137,7 @@
 // shut down before: it drops the requests that have not come to their handlers. Drain
 // fails if ctx ends first.
 func (l *Listener) Drain(ctx context.Context) error {
-	l.Leave()
+	l.DisableKeepAlives()
 	l.closeLooking(ctx)
 	for _, c := range l.connections() {
 		c.stop()
@@ -169,13 +169,13 @@
 
 // Quiesce waits until all connections are closed, or ctx ends. A server that is
 // shut down does not wait for those that it took for idle while a request came in.
-func (l *Listener) Quiesce(ctx context.Context) error {
+func (l *Listener) AwaitClosed(ctx context.Context) error {
 	return l.await(ctx, l.without(func(*connection) bool { return true }))
 }
 
 // Cut closes all connections, whatever is under way on them, and returns how many
 // they were.
-func (l *Listener) Cut() int {
+func (l *Listener) CloseAll() int {
 	list := l.connections()
 	for _, c := range list {
 		_ = c.end()
--- a/caller/listener_test.go
+++ b/caller/listener_test.go
@@ -91,7 +91,7 @@
 		"a chunk extension of 20 KB":    {requests: []string{strings.Replace(chunked, "5\n", "5;"+strings.Repeat("x", 20<<10)+"\n", 1), plain}, answers: 1, closed: true, want: "400 Bad Request"},
 		"a small body that doesn't end": {requests: []string{strings.Replace(sized[:len(sized)-2], "Host:", "Sassafras-Timeout-Ms: 50\nHost:", 1), plain}, answers: 1, closed: true, want: "400 Bad Request"},
 	}
-	p := newPath(t, operator.Service{MaxBody: 1 << 20}, http.HandlerFunc(tell))
+	p := newPath(t, operator.Service{MaxBodyBytes: 1 << 20}, http.HandlerFunc(tell))
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -128,11 +128,11 @@
 // server sets them.
 func TestBounds(t *testing.T) {
 	raw := new(deadlines)
-	bounds := caller.Bounds{Head: time.Minute, Idle: time.Hour}
+	bounds := caller.Timeouts{Header: time.Minute, Idle: time.Hour}
 	var mu sync.Mutex
 	l := &caller.Listener{
 		Listener: &once{conn: raw},
-		Bounds: func() caller.Bounds {
+		Timeouts: func() caller.Timeouts {
 			mu.Lock()
 			defer mu.Unlock()
 			return bounds
@@ -152,7 +152,7 @@
 	qt.Check(t, set(), qt.Equals, time.Hour, qt.Commentf("idle"))
 	_, _ = c.Read(make([]byte, 10))
 	qt.Check(t, set(), qt.Equals, time.Minute, qt.Commentf("second head"))
-	bounds = caller.Bounds{}
+	bounds = caller.Timeouts{}
 	qt.Check(t, set(), qt.Equals, 24*time.Hour, qt.Commentf("no bounds"))
 	_ = c.SetReadDeadline(time.Time{})
 	qt.Check(t, raw.last.IsZero(), qt.IsTrue)
@@ -211,5 +211,5 @@
 	qt.Check(t, err, qt.Equals, io.EOF, qt.Commentf("the connection ends after its last answer"))
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	qt.Check(t, listener.Quiesce(ctx), qt.IsNil)
+	qt.Check(t, listener.AwaitClosed(ctx), qt.IsNil)
 }
--- a/caller/request.go
+++ b/caller/request.go
@@ -53,7 +53,7 @@
 // request returns the request as it is sent on.
 func (x *exchange) request(ctx context.Context, t *Target) (*entry.Request, *verdict.Error) {
 	r := x.r
-	names := x.handler.Names.OrDefault()
+	names := x.handler.FieldNames.OrDefault()
 	timeout, err := timeoutOf(r, names.Timeout, t.Timeout)
 	if err != nil {
 		return nil, verdict.New(verdict.BadRequest, err)
@@ -67,13 +67,13 @@
 		Host:            r.Host,
 		Length:          r.ContentLength,
 		Idempotent:      t.Idempotent,
-		MaxAttempts:     t.Attempts,
+		MaxAttempts:     t.MaxAttempts,
 		Regions:         t.Regions,
 		Objective:       t.Objective,
 		Deadline:        x.began.Add(timeout),
 		OnInformational: x.inform,
 	}
-	if failure := x.body(q, t.MaxBody); failure != nil {
+	if failure := x.body(q, t.MaxBodyBytes); failure != nil {
 		return nil, failure
 	}
 	if failure := x.print(q); failure != nil {
@@ -82,7 +82,7 @@
 	h := x.handler.forward(r)
 	x.name(h, names, t)
 	tracing.Inject(ctx, propagation.HeaderCarrier(h))
-	q.Header = httpfield.From(h)
+	q.Header = httpfield.FromHeader(h)
 	if len(q.Header) > peer.MaxFields {
 		return nil, verdict.New(verdict.TooLarge, eris.Errorf("%d header fields are over %d", len(q.Header), peer.MaxFields))
 	}
@@ -97,14 +97,14 @@
 	switch {
 	case q.Spooled == nil && q.Stream == nil:
 		q.Fingerprint = q.Fingerprint.WithBody(q.Body)
-	case x.handler.Suspects != nil && x.handler.Suspects(q.Fingerprint):
+	case x.handler.MaySuspect != nil && x.handler.MaySuspect(q.Fingerprint):
 		body, err := x.readUntil(q.Deadline, func() ([]byte, error) { return x.streamed.peek(quarantine.MaxBodyBytes) })
 		if err != nil {
 			return x.unread(err)
 		}
 		q.Fingerprint = q.Fingerprint.WithBody(body)
 	}
-	x.outcome.Print = q.Fingerprint
+	x.outcome.Fingerprint = q.Fingerprint
 	return nil
 }
 
@@ -199,7 +199,7 @@
 		reader:   http.MaxBytesReader(x.w, x.r.Body, most),
 		request:  x.r,
 		broken:   &x.broken,
-		withheld: withheld(x.handler.Names.OrDefault()),
+		withheld: withheld(x.handler.FieldNames.OrDefault()),
 	}
 	return x.streamed
 }
@@ -215,7 +215,7 @@
 		return verdict.New(verdict.TooLarge, eris.Errorf("a body of %d bytes is over %d", r.ContentLength, most))
 	case r.ContentLength == 0:
 		return nil
-	case r.ContentLength < 0 || r.ContentLength > peer.MaxAhead || r.Header.Get("Expect") != "":
+	case r.ContentLength < 0 || r.ContentLength > peer.MaxEarlyBodyBytes || r.Header.Get("Expect") != "":
 		q.Stream = entry.ReadOnce(x.stream(most))
 		return nil
 	case r.ContentLength > x.gatherLimit():
--- a/caller/resend.go
+++ b/caller/resend.go
@@ -43,7 +43,7 @@
 		Service:   s.Name,
 		Key:       key,
 		Parts:     []string{q.Method, q.Target, string(q.Body)},
-		Retention: s.Config.Resend.Keep.Std(),
+		Retention: s.Config.Resend.Retention.Std(),
 	})
 	switch {
 	case failure != nil:
@@ -57,7 +57,7 @@
 }
 
 // replay returns a kept answer as a result.
-func replay(a *claim.Answer) *entry.Result {
+func replay(a *claim.StoredResponse) *entry.Result {
 	return &entry.Result{
 		Response: &peer.Response{
 			Status:  a.Status,
@@ -73,7 +73,7 @@
 // nothing.
 type keeper struct {
 	claim  *claim.Claim
-	answer *claim.Answer
+	answer *claim.StoredResponse
 	body   bytes.Buffer
 	small  bool
 }
@@ -88,7 +88,7 @@
 			k.claim.Release()
 		}
 	default:
-		k.answer = &claim.Answer{
+		k.answer = &claim.StoredResponse{
 			Status: result.Status,
 			Header: result.Header,
 		}
--- a/caller/target.go
+++ b/caller/target.go
@@ -38,13 +38,13 @@
 	Objective time.Duration
 	// Attempts bounds the upstreams that it is sent to. Zero means that the
 	// service's configuration says so.
-	Attempts int
+	MaxAttempts int
 	// Regions are those that it may be sent to. None means all.
 	Regions []string
 	// MaxBody is the largest body, in bytes.
-	MaxBody int64
+	MaxBodyBytes int64
 	// MaxHead is the largest head, in bytes. Zero means the server's own limit.
-	MaxHead int
+	MaxHeaderBytes int
 }
 
 // Resolver finds the target of a request.
@@ -74,17 +74,17 @@
 		return nil, verdict.New(verdict.UnknownHost, eris.Errorf("no service has the host %q", host))
 	}
 	return &Target{
-		Service:    s,
-		Class:      classOf(&s.Config, r),
-		Idempotent: idempotent(r.Method),
-		Timeout:    s.Config.Timeout.Std(),
-		MaxBody:    s.Config.MaxBody,
+		Service:      s,
+		Class:        classOf(&s.Config, r),
+		Idempotent:   idempotent(r.Method),
+		Timeout:      s.Config.Timeout.Std(),
+		MaxBodyBytes: s.Config.MaxBodyBytes,
 	}, nil
 }
 
 // ByRoute resolves by a table of routes. The exported fields are set before the
 // first request.
-type ByRoute struct {
+type RouteResolver struct {
 	// Table returns the table in force, or nil if none is known.
 	Table func() *routes.Table
 	// Service returns a service in force, or nil.
@@ -96,7 +96,7 @@
 }
 
 // Resolve implements Resolver.
-func (b *ByRoute) Resolve(r *http.Request) (*Target, *verdict.Error) {
+func (b *RouteResolver) Resolve(r *http.Request) (*Target, *verdict.Error) {
 	t := b.Table()
 	if t == nil {
 		return nil, verdict.New(verdict.NotReady, nil).WithRetryAfter(notReadyWait)
@@ -110,24 +110,24 @@
 	if s == nil {
 		return nil, verdict.New(verdict.NoUpstream, eris.Errorf("route %s leads to the unknown service %q", route.Name, name))
 	}
-	maxBody := s.Config.MaxBody
-	if t.Limits.BodyBytes > 0 {
-		maxBody = t.Limits.BodyBytes
+	maxBody := s.Config.MaxBodyBytes
+	if t.Limits.MaxBodyBytes > 0 {
+		maxBody = t.Limits.MaxBodyBytes
 	}
 	target := &Target{
-		Service:    s,
-		Route:      route.Name,
-		Class:      ClassOf(route.Priority, route.Objective),
-		Keyed:      t.Keyed,
-		Idempotent: route.Idempotent,
-		Timeout:    route.Timeout,
-		Objective:  route.Objective,
-		Attempts:   route.Attempts,
-		Regions:    route.Regions,
-		MaxBody:    maxBody,
-		MaxHead:    t.Limits.HeaderBytes,
+		Service:        s,
+		Route:          route.Name,
+		Class:          ClassName(route.Priority, route.Objective),
+		Keyed:          t.KeysRequired,
+		Idempotent:     route.Idempotent,
+		Timeout:        route.Timeout,
+		Objective:      route.Objective,
+		MaxAttempts:    route.MaxAttempts,
+		Regions:        route.Regions,
+		MaxBodyBytes:   maxBody,
+		MaxHeaderBytes: t.Limits.MaxHeaderBytes,
 	}
-	if !t.Keyed || route.Public {
+	if !t.KeysRequired || route.Public {
 		return target, nil
 	}
 	return b.Keys.admit(target, t, route, r.Header)
@@ -136,6 +136,6 @@
 // ClassOf returns the name of the class of the requests with a priority and a
 // latency objective, or 0 for none. Requests with the same priority differ in how
 // long they run and may wait; their objectives tell them apart.
-func ClassOf(priority int, objective time.Duration) string {
+func ClassName(priority int, objective time.Duration) string {
 	return "priority" + strconv.Itoa(priority) + "-" + strconv.FormatInt(objective.Milliseconds(), 10) + "ms"
 }
--- a/caller/underway.go
+++ b/caller/underway.go
@@ -34,7 +34,7 @@
 
 // Count returns how many requests are under way, and how many have begun so far, those
 // included. It may be called from any goroutine.
-func (h *Handler) Count() (open int, begun uint64) {
+func (h *Handler) RequestCounts() (open int, begun uint64) {
 	h.underWay.mu.Lock()
 	defer h.underWay.mu.Unlock()
 	return len(h.underWay.open), h.underWay.begun
@@ -42,7 +42,7 @@
 
 // Open returns the ids of the requests that are under way, at most so many, the oldest
 // ones first. It may be called from any goroutine.
-func (h *Handler) Open(most int) []string {
+func (h *Handler) InFlightIDs(most int) []string {
 	h.underWay.mu.Lock()
 	list := make([]*exchange, 0, len(h.underWay.open))
 	for x := range h.underWay.open {
--- a/canary/judgement.go
+++ b/canary/judgement.go
@@ -163,7 +163,7 @@
 	if err != nil {
 		return s, err
 	}
-	at, err := objectapi.ParsePoint(written.Metadata.ResourceVersion)
+	at, err := objectapi.ParseResourceVersion(written.Metadata.ResourceVersion)
 	if err != nil {
 		return s, eris.Wrap(err, "response to a status update")
 	}
--- a/canary/report.go
+++ b/canary/report.go
@@ -116,7 +116,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	_, err := peer.Ask[rollout.Report, struct{}](ctx, r.clients.At(p.ID, p.Addr), Topic, report)
+	_, err := peer.SendRequest[rollout.Report, struct{}](ctx, r.clients.GetOrCreate(p.ID, p.Addr), Topic, report)
 	return err
 }
 
--- a/canary/runner.go
+++ b/canary/runner.go
@@ -50,7 +50,7 @@
 	Counters *peer.Counters
 	// API is the platform, Kind the kind of the objects with orders, Decode decodes one, and Status
 	// returns the status to write to one whose version is in a phase.
-	API    objectapi.Polled
+	API    objectapi.PollingAPI
 	Kind   string
 	Decode func(o *objectapi.Object) (rollout.StoredOrder, error)
 	Status func(version string, p rollout.Phase) any
@@ -73,7 +73,7 @@
 
 	initOnce sync.Once
 	wake     chan struct{}
-	clients  *peer.Clients // connections to judges
+	clients  *peer.ClientPool // connections to judges
 
 	mu                 sync.Mutex
 	countedStart       string                   // start and version of the upstream that is counted
@@ -95,8 +95,8 @@
 		r.classes = make(map[string]rollout.Tally)
 		r.judges = make(map[string]*judgement)
 		limits := r.Limits
-		limits.Idle = clientIdleTimeout
-		r.clients = &peer.Clients{
+		limits.IdleTimeout = clientIdleTimeout
+		r.clients = &peer.ClientPool{
 			Hello:    r.Hello,
 			Limits:   limits,
 			Counters: r.Counters,
--- a/canary/runner_test.go
+++ b/canary/runner_test.go
@@ -25,7 +25,7 @@
 
 // store is a platform with one order, whose status is the name of a phase.
 type store struct {
-	objectapi.Polled
+	objectapi.PollingAPI
 	mu          sync.Mutex
 	revision    int
 	status      string
@@ -37,7 +37,7 @@
 var errUnavailable = errors.New("unavailable")
 
 func (s *store) object() *objectapi.Object {
-	o := objectapi.NewObject("rollout", "s", s.status).WithVersion(strconv.Itoa(s.revision))
+	o := objectapi.NewObject("rollout", "s", s.status).WithResourceVersion(strconv.Itoa(s.revision))
 	if s.status != "" {
 		o = o.WithStatus(s.status)
 	}
@@ -78,13 +78,13 @@
 	Service:  "s",
 	Version:  "v2",
 	Duration: 10 * time.Second,
-	At:       objectapi.Point{Revision: 1},
+	At:       objectapi.ResourceVersion{Revision: 1},
 }
 
 // decode decodes the order of the store.
 func decode(o *objectapi.Object) (rollout.StoredOrder, error) {
 	f := rollout.StoredOrder{Order: order}
-	f.Order.At, _ = objectapi.ParsePoint(o.Metadata.ResourceVersion)
+	f.Order.At, _ = objectapi.ParseResourceVersion(o.Metadata.ResourceVersion)
 	switch string(o.Status) {
 	case `"completed"`:
 		f.Outcome = rollout.Completed
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -26,7 +26,7 @@
 	s := new(objectstore.Server)
 	h := httptest.NewServer(s)
 	l := &claim.Store{
-		API:  &objectapi.Client{Caller: objectapi.Caller{URL: h.URL, Timeout: 300 * time.Millisecond}, Namespace: "test"},
+		API:  &objectapi.Client{JSONClient: objectapi.JSONClient{URL: h.URL, Timeout: 300 * time.Millisecond}, Namespace: "test"},
 		Node: "n1",
 	}
 	t.Cleanup(func() {
@@ -44,7 +44,7 @@
 
 // TestSecondSending checks the result of a second claim of the same key, by the progress of the first one.
 func TestSecondSending(t *testing.T) {
-	kept := &claim.Answer{Status: 201, Body: []byte("letter 7")}
+	kept := &claim.StoredResponse{Status: 201, Body: []byte("letter 7")}
 	tests := map[string]struct {
 		first       func(c *claim.Claim)
 		parts       []string
@@ -94,7 +94,7 @@
 		"none":           {},
 		"down":           {faults: objectstore.Faults{Down: true}, want: verdict.ClaimFailed},
 		"hangs":          {faults: objectstore.Faults{Hang: true}, want: verdict.ClaimFailed},
-		"fails":          {faults: objectstore.Faults{Fail: 1}, want: verdict.ClaimFailed},
+		"fails":          {faults: objectstore.Faults{FailureRatio: 1}, want: verdict.ClaimFailed},
 		"lost responses": {faults: objectstore.Faults{LoseWrites: 1}},
 	}
 	for name, test := range tests {
--- a/claim/store.go
+++ b/claim/store.go
@@ -39,7 +39,7 @@
 	// Claimed means that the request may run, or may have run.
 	Claimed State = "claimed"
 	// Answered means that it has run.
-	Answered State = "answered"
+	Completed State = "answered"
 )
 
 // Record is the spec of a Claim object.
@@ -55,11 +55,11 @@
 	ExpiresAt time.Time `json:"until"`
 	State     State     `json:"state"`
 	// Answer is the response, if there is one and it is kept.
-	Answer *Answer `json:"answer,omitempty"`
+	Response *StoredResponse `json:"answer,omitempty"`
 }
 
 // Answer is a stored response.
-type Answer struct {
+type StoredResponse struct {
 	Status int          `json:"status"`
 	Header []peer.Field `json:"header"`
 	Body   []byte       `json:"body"`
@@ -111,7 +111,7 @@
 
 // Begin claims a request. Exactly one of the results is not nil: the claim, if the request has to be run; the
 // response, if the request has run and the response was kept; or the failure.
-func (s *Store) Begin(ctx context.Context, r Request) (*Claim, *Answer, *verdict.Error) {
+func (s *Store) Begin(ctx context.Context, r Request) (*Claim, *StoredResponse, *verdict.Error) {
 	ctx, cancel := context.WithTimeout(ctx, beginTimeout)
 	defer cancel()
 	own := Record{
@@ -133,7 +133,7 @@
 		return c, nil, nil
 	}
 	if !objectapi.IsConflict(err) {
-		if objectapi.IsUnanswered(err) {
+		if objectapi.IsOutcomeUnknown(err) {
 			s.withdraw(name, own)
 		}
 		return nil, nil, verdict.New(verdict.ClaimFailed, err).WithRetryAfter(retryDelay)
@@ -142,7 +142,7 @@
 	if err != nil {
 		return nil, nil, verdict.New(verdict.ResendUnderway, err).WithRetryAfter(retryDelay)
 	}
-	other, err := objectapi.SpecOf[Record](existing)
+	other, err := objectapi.DecodeSpec[Record](existing)
 	if err != nil {
 		return nil, nil, verdict.New(verdict.ResendUnderway, err)
 	}
@@ -150,16 +150,16 @@
 }
 
 // resultOf returns the results of Begin for an existing claim.
-func resultOf(own, other Record) (*Claim, *Answer, *verdict.Error) {
+func resultOf(own, other Record) (*Claim, *StoredResponse, *verdict.Error) {
 	switch {
 	case own.Fingerprint != other.Fingerprint:
 		return nil, nil, verdict.New(verdict.ResendMismatch, nil)
-	case other.State != Answered:
+	case other.State != Completed:
 		return nil, nil, verdict.New(verdict.ResendUnderway, nil).WithRetryAfter(retryDelay)
-	case other.Answer == nil:
+	case other.Response == nil:
 		return nil, nil, verdict.New(verdict.ResendNotKept, nil)
 	}
-	return nil, other.Answer, nil
+	return nil, other.Response, nil
 }
 
 // digest returns a hash of the parts and their lengths, in a form that is a valid name on the platform.
@@ -179,13 +179,13 @@
 // Finish records that the request has run, with its response, or nil if that is not kept. It returns at once; the
 // write is retried until it succeeds or finishTimeout has passed. In the latter case a resent request is told
 // that the first one may have run.
-func (c *Claim) Finish(a *Answer) {
+func (c *Claim) Finish(a *StoredResponse) {
 	next := c.record
-	next.State = Answered
-	next.Answer = a
+	next.State = Completed
+	next.Response = a
 	c.store.retryAsync(func(ctx context.Context) error {
 		o := objectapi.NewObject(operator.KindClaim, c.object.Metadata.Name, next)
-		_, err := objectapi.Put(ctx, c.store.API, o.WithVersion(c.object.Metadata.ResourceVersion))
+		_, err := objectapi.Put(ctx, c.store.API, o.WithResourceVersion(c.object.Metadata.ResourceVersion))
 		return err
 	})
 }
@@ -205,7 +205,7 @@
 		if err != nil {
 			return err
 		}
-		r, err := objectapi.SpecOf[Record](existing)
+		r, err := objectapi.DecodeSpec[Record](existing)
 		if err != nil || r.ID != own.ID {
 			return nil // another request's claim
 		}
--- a/claim/sweep.go
+++ b/claim/sweep.go
@@ -20,7 +20,7 @@
 	}
 	var deleted int
 	for _, o := range l.Items {
-		r, err := objectapi.SpecOf[Record](o)
+		r, err := objectapi.DecodeSpec[Record](o)
 		if err != nil || now.Before(r.ExpiresAt) {
 			continue
 		}
--- a/cmd/sassafrasbench/chain_test.go
+++ b/cmd/sassafrasbench/chain_test.go
@@ -33,8 +33,8 @@
 			Service:   names[i],
 			Upstreams: 2,
 			Slots:     20,
-			Knobs:     backend.Knobs{Mean: 1},
-			Config:    operator.Service{Retry: operator.Retry{Share: 0.1, Burst: burst}},
+			Knobs:     backend.Parameters{MeanMillis: 1},
+			Config:    operator.Service{Retry: operator.Retry{Ratio: 0.1, Burst: burst}},
 		})
 	}
 	ctx, r := start(t, specs...)
@@ -58,7 +58,7 @@
 	for i, name := range names {
 		for _, n := range of(r, name) {
 			counts := make(map[string]int)
-			n.Runs(counts)
+			n.AddRunCounts(counts)
 			for _, k := range counts {
 				runs[i] += k
 			}
@@ -104,7 +104,7 @@
 		status, _ := send(ctx, i, "/?die=1")
 		qt.Check(t, status, qt.Equals, http.StatusBadGateway)
 	}
-	runs := r.Runs()
+	runs := r.RunCounts()
 	qt.Check(t, runs["letter-7/?millis=50"], qt.Equals, 1)
 	qt.Check(t, runs["letter-7/?die=1"], qt.Equals, 1)
 }
--- a/cmd/sassafrasbench/controls.go
+++ b/cmd/sassafrasbench/controls.go
@@ -26,7 +26,7 @@
 		Service:   "pledgebook",
 		Upstreams: upstreams,
 		Slots:     10,
-		Knobs:     backend.Knobs{Mean: 2},
+		Knobs:     backend.Parameters{MeanMillis: 2},
 	}
 }
 
@@ -125,10 +125,10 @@
 	var all sync.WaitGroup
 	all.Go(func() {
 		result = b.load(ctx, load.Plan{
-			Rate:     500,
-			Duration: 12 * time.Second,
-			Posts:    0.5,
-			Host:     spec.Service + ".example",
+			Rate:         500,
+			Duration:     12 * time.Second,
+			PostFraction: 0.5,
+			Host:         spec.Service + ".example",
 		}, entries)
 	})
 	time.Sleep(3 * time.Second)
@@ -141,7 +141,7 @@
 	nodes[1].WaitNode()
 	// A node that starts while the platform is down learns from the peers in
 	// its settings.
-	joiner, err := r.AddWith(spec, benchZones[2], "-peers", entries[0].IP+":8081,"+nodes[2].IP+":8081")
+	joiner, err := r.AddWithFlags(spec, benchZones[2], "-peers", entries[0].IP+":8081,"+nodes[2].IP+":8081")
 	if err != nil {
 		return err
 	}
@@ -164,7 +164,7 @@
 	b.set("statusRightAfterMs", time.Since(back).Seconds()*1000)
 	b.set("sent", result.Sent)
 	b.set("refused", result.Refused)
-	b.set("failed", result.Failed+result.Cut)
+	b.set("failed", result.Failed+result.Incomplete)
 	b.set("failedIdempotent", result.FailedIdempotent)
 	b.set("causes", causes(result))
 	return err
@@ -177,12 +177,12 @@
 	if err != nil {
 		return false
 	}
-	s, err := objectapi.SpecOf[operator.ServiceStatus](o)
+	s, err := objectapi.DecodeSpec[operator.ServiceStatus](o)
 	if err != nil || s.Sequence < sequence || len(s.Zones) < len(benchZones) {
 		return false
 	}
 	for _, z := range s.Zones {
-		if z.Sequence < sequence || z.Having == 0 {
+		if z.Sequence < sequence || z.UpToDate == 0 {
 			return false
 		}
 	}
@@ -217,7 +217,7 @@
 				if err != nil {
 					continue
 				}
-				o := objectapi.NewObject(operator.KindService, spec.Service, s).WithVersion(present.Metadata.ResourceVersion)
+				o := objectapi.NewObject(operator.KindService, spec.Service, s).WithResourceVersion(present.Metadata.ResourceVersion)
 				written, err := objectapi.Put(ctx, r.API, o)
 				mu.Lock()
 				switch {
@@ -241,7 +241,7 @@
 	if err != nil {
 		return err
 	}
-	err = rig.Poll(ctx, func() bool { return history.source() >= last.Version() })
+	err = rig.Poll(ctx, func() bool { return history.source() >= last.Revision() })
 	b.set("operators", operators)
 	b.set("acknowledged", len(acknowledged))
 	b.set("conflicts", conflicts)
@@ -266,27 +266,27 @@
 func newHistory(ctx context.Context, api *objectapi.Client, service string) *history {
 	h := &history{sources: make(map[uint64]uint64)}
 	take := func(o *objectapi.Object) {
-		a, err := objectapi.SpecOf[operator.Accepted](o)
+		a, err := objectapi.DecodeSpec[operator.Accepted](o)
 		if err != nil || o.Metadata.Name != service {
 			return
 		}
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		if was, ok := h.sources[a.Sequence]; ok && was != a.Source || a.Source < h.high && a.Sequence > uint64(len(h.sources)) {
+		if was, ok := h.sources[a.Sequence]; ok && was != a.SourceVersion || a.SourceVersion < h.high && a.Sequence > uint64(len(h.sources)) {
 			h.wrong++
 		}
-		h.sources[a.Sequence] = a.Source
-		h.high = max(h.high, a.Source)
+		h.sources[a.Sequence] = a.SourceVersion
+		h.high = max(h.high, a.SourceVersion)
 	}
 	f := &objectapi.Follower{
 		API:  api,
 		Kind: operator.KindAccepted,
-		Listed: func(l *objectapi.List) {
+		OnList: func(l *objectapi.List) {
 			for _, o := range l.Items {
 				take(o)
 			}
 		},
-		Changed: func(e objectapi.Event) { take(e.Object) },
+		OnChange: func(e objectapi.Event) { take(e.Object) },
 	}
 	go f.Run(ctx)
 	return h
--- a/cmd/sassafrasbench/demo.go
+++ b/cmd/sassafrasbench/demo.go
@@ -84,7 +84,7 @@
 	defer cancel()
 	fmt.Println("starting a platform stand-in, and three upstreams with a node beside each, in three zones")
 	spec := small(3)
-	spec.Knobs = backend.Knobs{Mean: 5}
+	spec.Knobs = backend.Parameters{MeanMillis: 5}
 	r, err := b.start(ctx, []string{"-traceURL", "http://" + l.Addr().String() + "/v1/traces"}, spec)
 	if err != nil {
 		return err
@@ -98,14 +98,14 @@
 	}
 	result := underLoad(ctx, b, r)
 	r.Stop()
-	for id, n := range r.Runs() {
+	for id, n := range r.RunCounts() {
 		b.runs[id] += n
 	}
-	double, lies := result.Broken(b.runs)
+	double, lies := result.CountViolations(b.runs)
 	fmt.Printf("\nsummary: sent=%d answered=%d refused=%d failed=%d cut=%d wrong=%d doubleRuns=%d falseNotRun=%d p99=%.1fms\n",
-		result.Sent, result.Useful, result.Refused, result.Failed, result.Cut, result.Wrong, double, lies, result.P(0.99))
+		result.Sent, result.Useful, result.Refused, result.Failed, result.Incomplete, result.WrongBody, double, lies, result.Quantile(0.99))
 	fmt.Printf("requests in flight on the killed upstream may fail if they are not idempotent; %d idempotent ones failed\n", result.FailedIdempotent)
-	if result.FailedIdempotent+result.Wrong+double+lies+result.Cut > 0 || result.Useful < result.Sent*99/100 {
+	if result.FailedIdempotent+result.WrongBody+double+lies+result.Incomplete > 0 || result.Useful < result.Sent*99/100 {
 		return fmt.Errorf("the demonstration failed: see the summary")
 	}
 	fmt.Println("all promises held")
@@ -181,8 +181,8 @@
 		r.Nodes[1].SignalUpstream(syscall.SIGKILL)
 	}()
 	return b.load(ctx, load.Plan{
-		Rate:     200,
-		Duration: 5 * time.Second,
-		Posts:    0.5,
+		Rate:         200,
+		Duration:     5 * time.Second,
+		PostFraction: 0.5,
 	}, r.Nodes)
 }
--- a/cmd/sassafrasbench/experiments.go
+++ b/cmd/sassafrasbench/experiments.go
@@ -100,11 +100,11 @@
 func (b *bench) print() error {
 	var double, false_, wrong, cut int
 	for _, r := range b.results {
-		d, f := r.Broken(b.runs)
+		d, f := r.CountViolations(b.runs)
 		double += d
 		false_ += f
-		wrong += r.Wrong
-		cut += r.Cut
+		wrong += r.WrongBody
+		cut += r.Incomplete
 	}
 	if len(b.results) > 0 {
 		b.set("doubleRuns", double)
@@ -144,7 +144,7 @@
 // stop ends a system and keeps its journals' counts.
 func (b *bench) stop(r *rig.Rig) {
 	r.Stop()
-	for id, n := range r.Runs() {
+	for id, n := range r.RunCounts() {
 		b.runs[id] += n
 	}
 }
@@ -172,9 +172,9 @@
 		Service:   "pledgebook",
 		Upstreams: 10,
 		Slots:     10,
-		Knobs: backend.Knobs{
-			Mean:  20,
-			Sigma: 0.8,
+		Knobs: backend.Parameters{
+			MeanMillis: 20,
+			Sigma:      0.8,
 		},
 		Config: operator.Service{
 			Timeout: operator.Duration(2 * time.Second),
@@ -184,7 +184,7 @@
 
 // capacity is the number of requests a second that a service can run.
 func capacity(s rig.Spec) float64 {
-	return float64(s.Upstreams*s.Slots) * 1000 / s.Knobs.Mean
+	return float64(s.Upstreams*s.Slots) * 1000 / s.Knobs.MeanMillis
 }
 
 // list prints the experiments.
--- a/cmd/sassafrasbench/faults_test.go
+++ b/cmd/sassafrasbench/faults_test.go
@@ -174,7 +174,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			service := fmt.Sprintf("s%x", fnv(name))
-			s := rig.Spec{Service: service, Upstreams: test.upstreams, Slots: 10, Knobs: backend.Knobs{Mean: 1}}
+			s := rig.Spec{Service: service, Upstreams: test.upstreams, Slots: 10, Knobs: backend.Parameters{MeanMillis: 1}}
 			s.Config.Timeout = operator.Duration(test.timeout)
 			qt.Assert(t, r.Configure(ctx, service, s.Config), qt.IsNil)
 			entry, err := r.Add(rig.Spec{Service: service + "-entry", Slots: 1}, zones[0])
@@ -217,7 +217,7 @@
 			if got.status == http.StatusServiceUnavailable {
 				qt.Check(t, got.retry, qt.Not(qt.Equals), "")
 			}
-			runs := r.Runs()[id]
+			runs := r.RunCounts()[id]
 			qt.Check(t, runs >= test.runs[0] && runs <= test.runs[1], qt.IsTrue, qt.Commentf("ran %d times", runs))
 			for _, n := range append(nodes, entry) {
 				n.SignalNode(syscall.SIGKILL)
@@ -231,7 +231,7 @@
 func runnerOf(nodes []*rig.Node, id string) *rig.Node {
 	for _, n := range nodes {
 		runs := make(map[string]int)
-		if n.Runs(runs); runs[id] > 0 {
+		if n.AddRunCounts(runs); runs[id] > 0 {
 			return n
 		}
 	}
--- a/cmd/sassafrasbench/load/load.go
+++ b/cmd/sassafrasbench/load/load.go
@@ -34,7 +34,7 @@
 	// Host is the host of the service.
 	Host string
 	// Posts is the share of the requests that are not idempotent.
-	Posts float64
+	PostFraction float64
 	// Header is sent with each request.
 	Header http.Header
 	// Prefix starts the ids of the requests. It is unique to the plan.
@@ -43,14 +43,14 @@
 
 // Result is what became of the requests. Times are in microseconds.
 type Result struct {
-	Sent, Useful, Refused, Failed, Cut, Wrong int
+	Sent, Useful, Refused, Failed, Incomplete, WrongBody int
 	// FailedIdempotent counts those of Failed and Cut that are idempotent.
 	FailedIdempotent int
 	// Times are those of useful answers, RefusalTimes those of refusals.
 	Times, RefusalTimes *hdrhistogram.Histogram
 	// Told is what the caller was told of each request, by id: the verdict, or
 	// empty for a cut.
-	Told map[string]string
+	Verdicts map[string]string
 	// Causes counts the failures that callers were told of, by cause.
 	Causes map[string]int
 	// Posts are the ids of the requests that are not idempotent.
@@ -68,7 +68,7 @@
 	r := &Result{
 		Times:        hdrhistogram.New(1, maxMicros, 3),
 		RefusalTimes: hdrhistogram.New(1, maxMicros, 3),
-		Told:         make(map[string]string),
+		Verdicts:     make(map[string]string),
 		Causes:       make(map[string]int),
 		Posts:        make(map[string]bool),
 	}
@@ -108,7 +108,7 @@
 func (p *Plan) one(ctx context.Context, transport http.RoundTripper, i int, at time.Time) outcome {
 	o := outcome{
 		id:   fmt.Sprintf("%s-%d", p.Prefix, i),
-		post: float64(i%100) < 100*p.Posts,
+		post: float64(i%100) < 100*p.PostFraction,
 	}
 	method := http.MethodGet
 	var body io.Reader
@@ -149,7 +149,7 @@
 
 func (r *Result) add(o outcome) {
 	r.Sent++
-	r.Told[o.id] = o.verdict
+	r.Verdicts[o.id] = o.verdict
 	if o.post {
 		r.Posts[o.id] = true
 	}
@@ -159,9 +159,9 @@
 	micros := min(maxMicros, o.took.Microseconds())
 	switch {
 	case o.cut:
-		r.Cut++
+		r.Incomplete++
 	case o.wrong:
-		r.Wrong++
+		r.WrongBody++
 	case o.status == http.StatusOK:
 		r.Useful++
 		_ = r.Times.RecordValue(micros)
@@ -177,16 +177,16 @@
 }
 
 // P returns the q-quantile of the times of useful answers, in milliseconds.
-func (r *Result) P(q float64) float64 { return float64(r.Times.ValueAtQuantile(100*q)) / 1000 }
+func (r *Result) Quantile(q float64) float64 { return float64(r.Times.ValueAtQuantile(100*q)) / 1000 }
 
 // RefusalP returns the q-quantile of the times of refusals, in milliseconds.
-func (r *Result) RefusalP(q float64) float64 {
+func (r *Result) RefusalQuantile(q float64) float64 {
 	return float64(r.RefusalTimes.ValueAtQuantile(100*q)) / 1000
 }
 
 // Broken counts the broken promises, given the number of runs of each request.
-func (r *Result) Broken(runs map[string]int) (doubleRuns, falseNotRun int) {
-	for id, verdict := range r.Told {
+func (r *Result) CountViolations(runs map[string]int) (doubleRuns, falseNotRun int) {
+	for id, verdict := range r.Verdicts {
 		if r.Posts[id] && runs[id] > 1 {
 			doubleRuns++
 		}
--- a/cmd/sassafrasbench/path_test.go
+++ b/cmd/sassafrasbench/path_test.go
@@ -72,7 +72,7 @@
 		Service:   "pledgebook",
 		Upstreams: upstreams,
 		Slots:     10,
-		Knobs:     backend.Knobs{Mean: 1},
+		Knobs:     backend.Parameters{MeanMillis: 1},
 	}
 }
 
@@ -107,7 +107,7 @@
 		qt.Check(t, strings.HasSuffix(body, " hello"), qt.IsTrue)
 		qt.Check(t, a.Header.Get("Sassafras-Verdict"), qt.Equals, "ran")
 	}
-	runs := r.Runs()
+	runs := r.RunCounts()
 	qt.Check(t, len(runs), qt.Equals, 60)
 	for id, k := range runs {
 		qt.Check(t, k, qt.Equals, 1, qt.Commentf("%s", id))
--- a/cmd/sassafrasbench/replacing.go
+++ b/cmd/sassafrasbench/replacing.go
@@ -71,10 +71,10 @@
 		}
 	})
 	result := b.load(ctx, load.Plan{
-		Rate:     0.4 * capacity(spec),
-		Duration: 20 * time.Second,
-		Posts:    0.5,
-		Host:     spec.Service + ".example",
+		Rate:         0.4 * capacity(spec),
+		Duration:     20 * time.Second,
+		PostFraction: 0.5,
+		Host:         spec.Service + ".example",
 	}, of(r, "office"))
 	cancel()
 	all.Wait()
@@ -83,8 +83,8 @@
 	b.set("refused", result.Refused)
 	b.set("causes", causes(result))
 	b.set("failedIdempotent", result.FailedIdempotent)
-	b.set("failedOther", result.Failed+result.Cut-result.FailedIdempotent)
-	b.set("p99Ms", result.P(0.99))
+	b.set("failedOther", result.Failed+result.Incomplete-result.FailedIdempotent)
+	b.set("p99Ms", result.Quantile(0.99))
 	return nil
 }
 
@@ -122,10 +122,10 @@
 		rolled <- nil
 	}()
 	result := b.load(ctx, load.Plan{
-		Rate:     0.4 * capacity(spec),
-		Duration: 45 * time.Second,
-		Posts:    0.5,
-		Target:   func(int) string { return ready.pick().CallerURL() + "/" },
+		Rate:         0.4 * capacity(spec),
+		Duration:     45 * time.Second,
+		PostFraction: 0.5,
+		Target:       func(int) string { return ready.pick().CallerURL() + "/" },
 	}, r.Nodes)
 	select {
 	case err = <-rolled:
@@ -135,9 +135,9 @@
 	b.set("replaced", len(lastNew))
 	b.set("sent", result.Sent)
 	b.set("causes", causes(result))
-	b.set("errors", result.Failed+result.Refused+result.Cut)
+	b.set("errors", result.Failed+result.Refused+result.Incomplete)
 	b.set("refused", result.Refused)
-	b.set("p99Ms", result.P(0.99))
+	b.set("p99Ms", result.Quantile(0.99))
 	b.set("drainToLastNewP50Ms", median(lastNew))
 	b.set("drainToLastNewMaxMs", largest(lastNew))
 	return err
@@ -165,7 +165,7 @@
 	if err := n.StartUpstream(); err != nil {
 		return 0, err
 	}
-	return max(0, rec.Last.Sub(drained)), r.Settle(ctx)
+	return max(0, rec.LastArrival.Sub(drained)), r.WaitForDiscovery(ctx)
 }
 
 // causes returns the failures of a result by cause, as one word.
--- a/cmd/sassafrasbench/rig/node.go
+++ b/cmd/sassafrasbench/rig/node.go
@@ -41,7 +41,7 @@
 
 // CallerOf returns the address for callers of the node beside the upstream with
 // the given address.
-func CallerOf(upstream string) string {
+func CallerAddress(upstream string) string {
 	host, _, _ := net.SplitHostPort(upstream)
 	return fmt.Sprintf("%s:%d", host, callerPort)
 }
@@ -145,7 +145,7 @@
 }
 
 // Turn sets the knobs of the upstream.
-func (n *Node) Turn(k backend.Knobs) error { return put(n.BackendURL()+"/stand/knobs", k) }
+func (n *Node) SetKnobs(k backend.Parameters) error { return put(n.BackendURL()+"/stand/knobs", k) }
 
 // Record returns what the upstream has run.
 func (n *Node) Record() (backend.Record, error) {
@@ -160,7 +160,7 @@
 
 // Runs adds the number of runs of each request at the upstream to the given
 // counts.
-func (n *Node) Runs(counts map[string]int) {
+func (n *Node) AddRunCounts(counts map[string]int) {
 	data, _ := os.ReadFile(n.journal())
 	for id := range strings.FieldsSeq(string(data)) {
 		counts[id]++
@@ -168,10 +168,10 @@
 }
 
 // Runs returns the number of runs of each request over all upstreams.
-func (r *Rig) Runs() map[string]int {
+func (r *Rig) RunCounts() map[string]int {
 	counts := make(map[string]int)
 	for _, n := range r.Nodes {
-		n.Runs(counts)
+		n.AddRunCounts(counts)
 	}
 	return counts
 }
--- a/cmd/sassafrasbench/rig/rig.go
+++ b/cmd/sassafrasbench/rig/rig.go
@@ -45,7 +45,7 @@
 	// Slots is the number of requests that each runs at once.
 	Slots int
 	// Knobs are how the upstreams behave.
-	Knobs backend.Knobs
+	Knobs backend.Parameters
 	// Config is the configuration of the service. Its hosts are filled in.
 	Config operator.Service
 }
@@ -103,7 +103,7 @@
 	}
 	r.platform = p
 	r.API = &objectapi.Client{
-		Caller: objectapi.Caller{
+		JSONClient: objectapi.JSONClient{
 			URL: "http://" + addr,
 		},
 		Namespace: "sassafrasfront",
@@ -124,7 +124,7 @@
 			}
 		}
 	}
-	return r, r.Settle(ctx)
+	return r, r.WaitForDiscovery(ctx)
 }
 
 // claimOctet picks the second number of the rig's addresses, so that rigs of
@@ -153,7 +153,7 @@
 		o := objectapi.NewObject(operator.KindService, service, s)
 		present, err := r.API.Get(ctx, operator.KindService, service)
 		if err == nil {
-			o = o.WithVersion(present.Metadata.ResourceVersion)
+			o = o.WithResourceVersion(present.Metadata.ResourceVersion)
 		}
 		if _, err = objectapi.Put(ctx, r.API, o); !objectapi.IsConflict(err) {
 			return err
@@ -191,10 +191,10 @@
 }
 
 // Add starts one more upstream of a service with its node.
-func (r *Rig) Add(s Spec, zone string) (*Node, error) { return r.AddWith(s, zone) }
+func (r *Rig) Add(s Spec, zone string) (*Node, error) { return r.AddWithFlags(s, zone) }
 
 // AddWith is Add with more flags for the node.
-func (r *Rig) AddWith(s Spec, zone string, flags ...string) (*Node, error) {
+func (r *Rig) AddWithFlags(s Spec, zone string, flags ...string) (*Node, error) {
 	r.mu.Lock()
 	i := len(r.Nodes) + 1
 	n := &Node{
@@ -226,7 +226,7 @@
 }
 
 // Settle waits until every running node knows every running upstream.
-func (r *Rig) Settle(ctx context.Context) error {
+func (r *Rig) WaitForDiscovery(ctx context.Context) error {
 	return Poll(ctx, func() bool {
 		want := make(map[string]int)
 		for _, n := range r.Nodes {
--- a/cmd/sassafrasbench/roles.go
+++ b/cmd/sassafrasbench/roles.go
@@ -43,16 +43,16 @@
 	}
 	defer journal.Close()
 	s := &backend.Server{
-		Slots:   slots,
-		Name:    args[0],
-		Journal: journal,
-		Entry:   "http://" + rig.CallerOf(args[0]),
+		Slots:      slots,
+		Name:       args[0],
+		RequestLog: journal,
+		NodeURL:    "http://" + rig.CallerAddress(args[0]),
 	}
-	var knobs backend.Knobs
+	var knobs backend.Parameters
 	if err := json.Unmarshal([]byte(args[4]), &knobs); err != nil {
 		return err
 	}
-	s.Turn(knobs)
+	s.SetParameters(knobs)
 	go keepAnnouncing(ctx, args[1], upstream.Announcement{
 		Service:     args[2],
 		Address:     args[0],
--- a/cmd/sassafrasbench/traffic.go
+++ b/cmd/sassafrasbench/traffic.go
@@ -33,7 +33,7 @@
 	spec := pledgebook()
 	spec.Upstreams = 3
 	spec.Slots = 64
-	spec.Knobs = backend.Knobs{}
+	spec.Knobs = backend.Parameters{}
 	r, err := b.start(ctx, []string{"-processors", processors}, spec)
 	if err != nil {
 		return err
@@ -54,11 +54,11 @@
 		before := nodeSeconds(r.Nodes)
 		t := b.load(ctx, plan, r.Nodes)
 		seconds += nodeSeconds(r.Nodes) - before
-		a50 = append(a50, t.P(0.5)-d.P(0.5))
-		a99 = append(a99, t.P(0.99)-d.P(0.99))
-		a999 = append(a999, t.P(0.999)-d.P(0.999))
+		a50 = append(a50, t.Quantile(0.5)-d.Quantile(0.5))
+		a99 = append(a99, t.Quantile(0.99)-d.Quantile(0.99))
+		a999 = append(a999, t.Quantile(0.999)-d.Quantile(0.999))
 		fmt.Printf("direct p50=%.3g p99=%.3g p999=%.3g ms, through p50=%.3g p99=%.3g p999=%.3g ms\n",
-			d.P(0.5), d.P(0.99), d.P(0.999), t.P(0.5), t.P(0.99), t.P(0.999))
+			d.Quantile(0.5), d.Quantile(0.99), d.Quantile(0.999), t.Quantile(0.5), t.Quantile(0.99), t.Quantile(0.999))
 	}
 	name := "processors" + processors
 	b.set(name+"AddedP50Ms", median(a50))
@@ -91,7 +91,7 @@
 	name := policy
 	if policy == "twoChoice+hedge" {
 		name, policy = "hedged", "twoChoice"
-		spec.Config.Hedge.Share = 0.05
+		spec.Config.Hedge.Ratio = 0.05
 	}
 	r, err := b.start(ctx, []string{"-policy", policy}, spec)
 	if err != nil {
@@ -99,23 +99,23 @@
 	}
 	defer b.stop(r)
 	plan := load.Plan{
-		Rate:     0.7 * capacity(spec),
-		Duration: 6 * time.Second,
-		Posts:    0.5,
+		Rate:         0.7 * capacity(spec),
+		Duration:     6 * time.Second,
+		PostFraction: 0.5,
 	}
 	b.load(ctx, plan, r.Nodes)
 	before := b.load(ctx, plan, r.Nodes)
 	knobs := spec.Knobs
-	knobs.Slow = 10
-	if err := r.Nodes[0].Turn(knobs); err != nil {
+	knobs.SlowFactor = 10
+	if err := r.Nodes[0].SetKnobs(knobs); err != nil {
 		return err
 	}
 	during := b.load(ctx, plan, r.Nodes)
 	fmt.Printf("%s: before p99=%.4g p999=%.4g, during p99=%.4g p999=%.4g ms, refused %d of %d\n",
-		name, before.P(0.99), before.P(0.999), during.P(0.99), during.P(0.999), during.Refused, during.Sent)
-	b.set(name+"P99Ms", during.P(0.99))
-	b.set(name+"P999Ms", during.P(0.999))
-	b.set(name+"P99Ratio", during.P(0.99)/before.P(0.99))
+		name, before.Quantile(0.99), before.Quantile(0.999), during.Quantile(0.99), during.Quantile(0.999), during.Refused, during.Sent)
+	b.set(name+"P99Ms", during.Quantile(0.99))
+	b.set(name+"P999Ms", during.Quantile(0.999))
+	b.set(name+"P99Ratio", during.Quantile(0.99)/before.Quantile(0.99))
 	b.set(name+"Refused", during.Refused)
 	return nil
 }
@@ -129,9 +129,9 @@
 	}
 	defer b.stop(r)
 	plan := load.Plan{
-		Rate:     0.7 * capacity(spec),
-		Duration: 5 * time.Second,
-		Posts:    0.5,
+		Rate:         0.7 * capacity(spec),
+		Duration:     5 * time.Second,
+		PostFraction: 0.5,
 	}
 	b.load(ctx, plan, r.Nodes)
 	normal := b.load(ctx, plan, r.Nodes)
@@ -139,10 +139,10 @@
 	plan.Duration = 10 * time.Second
 	over := b.load(ctx, plan, r.Nodes)
 	b.set("usefulShareOfCapacity", float64(over.Useful)/plan.Duration.Seconds()/capacity(spec))
-	b.set("refusalP99Ms", over.RefusalP(0.99))
-	b.set("admittedP99Ms", over.P(0.99))
-	b.set("normalP99Ms", normal.P(0.99))
-	b.set("admittedP99Ratio", over.P(0.99)/normal.P(0.99))
+	b.set("refusalP99Ms", over.RefusalQuantile(0.99))
+	b.set("admittedP99Ms", over.Quantile(0.99))
+	b.set("normalP99Ms", normal.Quantile(0.99))
+	b.set("admittedP99Ratio", over.Quantile(0.99)/normal.Quantile(0.99))
 	b.set("failed", over.Failed)
 	return nil
 }
@@ -162,9 +162,9 @@
 	}
 	defer b.stop(r)
 	interactive := load.Plan{
-		Rate:     0.3 * capacity(spec),
-		Duration: 8 * time.Second,
-		Posts:    0.5,
+		Rate:         0.3 * capacity(spec),
+		Duration:     8 * time.Second,
+		PostFraction: 0.5,
 	}
 	jobs := interactive
 	jobs.Rate = capacity(spec) // five times its fifth
@@ -183,9 +183,9 @@
 	beside := b.load(ctx, interactive, r.Nodes)
 	all.Wait()
 	b.results = append(b.results, job)
-	b.set("aloneP99Ms", alone.P(0.99))
-	b.set("besideP99Ms", beside.P(0.99))
-	b.set("ratio", beside.P(0.99)/alone.P(0.99))
+	b.set("aloneP99Ms", alone.Quantile(0.99))
+	b.set("besideP99Ms", beside.Quantile(0.99))
+	b.set("ratio", beside.Quantile(0.99)/alone.Quantile(0.99))
 	b.set("interactiveRefused", beside.Refused)
 	b.set("jobsUseful", job.Useful)
 	b.set("jobsRefused", job.Refused)
@@ -241,7 +241,7 @@
 	for _, share := range []float64{0, 0.05} {
 		spec := pledgebook()
 		spec.Knobs.Sigma = 1.2
-		spec.Config.Hedge.Share = share
+		spec.Config.Hedge.Ratio = share
 		r, err := b.start(ctx, nil, spec)
 		if err != nil {
 			return err
@@ -255,8 +255,8 @@
 		before := totalRuns(r)
 		result := b.load(ctx, plan, r.Nodes)
 		name := fmt.Sprintf("share%g", share)
-		b.set(name+"P99Ms", result.P(0.99))
-		b.set(name+"P999Ms", result.P(0.999))
+		b.set(name+"P99Ms", result.Quantile(0.99))
+		b.set(name+"P999Ms", result.Quantile(0.999))
 		b.set(name+"ExtraRuns", float64(totalRuns(r)-before)/float64(result.Sent)-1)
 		b.stop(r)
 	}
@@ -265,7 +265,7 @@
 
 func totalRuns(r *rig.Rig) int {
 	var sum int
-	for _, n := range r.Runs() {
+	for _, n := range r.RunCounts() {
 		sum += n
 	}
 	return sum
--- a/cmd/sassafrasctl/commands.go
+++ b/cmd/sassafrasctl/commands.go
@@ -42,7 +42,7 @@
 	case err != nil:
 		return err
 	case o.Metadata.ResourceVersion == "":
-		o = o.WithVersion(present.Metadata.ResourceVersion)
+		o = o.WithResourceVersion(present.Metadata.ResourceVersion)
 	}
 	written, err := objectapi.Put(ctx, api, o)
 	if objectapi.IsConflict(err) {
@@ -58,8 +58,8 @@
 // conflictText shows both sides of a conflict.
 func conflictText(o *objectapi.Object, err error) error {
 	present := "unknown"
-	if c, ok := errors.AsType[*objectapi.Conflict](err); ok {
-		present = fmt.Sprintf("version %s\n%s", c.Present.Metadata.ResourceVersion, indent(c.Present.Spec))
+	if c, ok := errors.AsType[*objectapi.ConflictError](err); ok {
+		present = fmt.Sprintf("version %s\n%s", c.Current.Metadata.ResourceVersion, indent(c.Current.Spec))
 	}
 	effect := "nothing was written"
 	if e, ok := errors.AsType[*objectapi.Error](err); ok && e.Verdict == verdict.MayHaveRun {
@@ -124,7 +124,7 @@
 	w := tabwriter.NewWriter(t.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "NAME\tVERSION\tHOSTS\tCLASSES\tTIMEOUT")
 	for _, o := range objects {
-		s, err := objectapi.SpecOf[operator.Service](o)
+		s, err := objectapi.DecodeSpec[operator.Service](o)
 		if err != nil {
 			return err
 		}
@@ -180,7 +180,7 @@
 		fmt.Fprintln(t.out, statusHeader)
 	}
 	for _, o := range objects {
-		s, err := objectapi.SpecOf[operator.ServiceStatus](o)
+		s, err := objectapi.DecodeSpec[operator.ServiceStatus](o)
 		if err != nil {
 			return err
 		}
@@ -188,7 +188,7 @@
 			t.printStatus(o.Metadata.Name, s)
 		}
 		if s.Phase == operator.PhaseRefused {
-			refused = exitError{exitInvalid, fmt.Errorf("%s: %w", o.Metadata.Name, s.Faults)}
+			refused = exitError{exitInvalid, fmt.Errorf("%s: %w", o.Metadata.Name, s.Errors)}
 		}
 	}
 	return refused
@@ -200,20 +200,20 @@
 func (t *tool) printStatus(name string, s operator.ServiceStatus) {
 	var zones []string
 	for zone, z := range s.Zones {
-		having := fmt.Sprintf("%s=%d/%d(%d)", zone, z.Having, z.Asked, z.Members)
+		having := fmt.Sprintf("%s=%d/%d(%d)", zone, z.UpToDate, z.Queried, z.Nodes)
 		if z.Sequence < s.Sequence {
 			having = fmt.Sprintf("%s=sequence %d", zone, z.Sequence)
 		}
 		zones = append(zones, having)
 	}
 	sort.Strings(zones)
-	fmt.Fprintf(t.out, "%s %s %s %d %s %s\n", name, s.Phase, s.Observed, s.Sequence, s.Since.Format("2006-01-02T15:04:05Z"), strings.Join(zones, " "))
+	fmt.Fprintf(t.out, "%s %s %s %d %s %s\n", name, s.Phase, s.ObservedVersion, s.Sequence, s.AcceptedAt.Format("2006-01-02T15:04:05Z"), strings.Join(zones, " "))
 }
 
 // watch prints statuses as they change, until it is interrupted.
 func (t *tool) watch(ctx context.Context, _ []string) error {
 	show := func(o *objectapi.Object) {
-		s, err := objectapi.SpecOf[operator.ServiceStatus](o)
+		s, err := objectapi.DecodeSpec[operator.ServiceStatus](o)
 		if err != nil || t.json(o) {
 			return
 		}
@@ -222,13 +222,13 @@
 	f := &objectapi.Follower{
 		API:  t.api(),
 		Kind: operator.KindServiceStatus,
-		Listed: func(l *objectapi.List) {
+		OnList: func(l *objectapi.List) {
 			for _, o := range l.Items {
 				show(o)
 			}
 		},
-		Changed: func(e objectapi.Event) { show(e.Object) },
-		Failed:  func(err error) { fmt.Fprintln(t.out, "#", err) },
+		OnChange: func(e objectapi.Event) { show(e.Object) },
+		OnError:  func(err error) { fmt.Fprintln(t.out, "#", err) },
 	}
 	f.Run(ctx)
 	return nil
--- a/cmd/sassafrasctl/limits.go
+++ b/cmd/sassafrasctl/limits.go
@@ -23,13 +23,13 @@
 		if l.Limited {
 			limit = fmt.Sprintf("%g/s", l.Limit)
 		}
-		if l.Source != operator.SourceAnswers {
-			used = fmt.Sprintf("%.0f%%", 100*l.Used)
+		if l.Source != operator.SourceResponses {
+			used = fmt.Sprintf("%.0f%%", 100*l.UsedFraction)
 			refused = fmt.Sprint(l.Refused)
 		}
 		if l.Leaving {
 			leaving = "yes"
 		}
-		return fmt.Sprintf("%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s", l.Node, l.Start, limit, used, refused, leaving, l.Since.Format(time.RFC3339), l.Source)
+		return fmt.Sprintf("%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s", l.Node, l.StartID, limit, used, refused, leaving, l.Since.Format(time.RFC3339), l.Source)
 	})
 }
--- a/cmd/sassafrasctl/main.go
+++ b/cmd/sassafrasctl/main.go
@@ -155,7 +155,7 @@
 // api returns the client of the platform.
 func (t *tool) api() *objectapi.Client {
 	return &objectapi.Client{
-		Caller: objectapi.Caller{
+		JSONClient: objectapi.JSONClient{
 			URL: t.url,
 		},
 		Namespace: t.namespace,
--- a/cmd/sassafrasctl/main_test.go
+++ b/cmd/sassafrasctl/main_test.go
@@ -58,12 +58,12 @@
 			s := httptest.NewServer(new(objectstore.Server))
 			defer s.Close()
 			ctx := context.Background()
-			api := &objectapi.Client{Caller: objectapi.Caller{URL: s.URL}, Namespace: "sassafrasfront"}
+			api := &objectapi.Client{JSONClient: objectapi.JSONClient{URL: s.URL}, Namespace: "sassafrasfront"}
 			_, err := api.Create(ctx, objectapi.NewObject(operator.KindService, "pledgebook", operator.Service{Hosts: []string{"before.example"}}))
 			qt.Assert(t, err, qt.IsNil)
 			_, err = api.Create(ctx, objectapi.NewObject(operator.KindServiceStatus, "pledgebook", operator.ServiceStatus{
 				Phase:  operator.PhaseRefused,
-				Faults: operator.Faults{{Field: "hosts", Message: "none"}},
+				Errors: operator.FieldErrors{{Field: "hosts", Message: "none"}},
 			}))
 			qt.Assert(t, err, qt.IsNil)
 			args := append([]string{"-platformURL", s.URL}, test.args...)
--- a/cmd/sassafrasctl/organisations.go
+++ b/cmd/sassafrasctl/organisations.go
@@ -20,10 +20,10 @@
 	}
 	return showNode(ctx, t, "/v1/organisations", "ORGANISATION\tRATE\tBURST\tNOW\tHERE\tSHARE\tREFUSED: LIMIT\tUNKNOWN", func(o operator.Organisation) string {
 		all, share := "-", "-"
-		if o.All > 0 {
-			all = fmt.Sprintf("%.1f", o.All)
-			share = fmt.Sprintf("%.0f%%", 100*min(1, o.Here/o.All))
+		if o.TotalRate > 0 {
+			all = fmt.Sprintf("%.1f", o.TotalRate)
+			share = fmt.Sprintf("%.0f%%", 100*min(1, o.LocalRate/o.TotalRate))
 		}
-		return fmt.Sprintf("%s\t%g\t%g\t%s\t%.1f\t%s\t%d\t%d", o.Organisation, o.Rate, o.Burst, all, o.Here, share, o.Limited, o.Unknown)
+		return fmt.Sprintf("%s\t%g\t%g\t%s\t%.1f\t%s\t%d\t%d", o.Organisation, o.Rate, o.Burst, all, o.LocalRate, share, o.RefusedOverLimit, o.RefusedUnknown)
 	})
 }
--- a/cmd/sassafrasctl/suspects.go
+++ b/cmd/sassafrasctl/suspects.go
@@ -23,10 +23,10 @@
 	}
 	return showNode(ctx, t, "/v1/suspects", "PRINT\tSTANDING\tENDS\tSINCE\tUNTIL\tUPSTREAMS", func(s operator.Suspect) string {
 		until := "-"
-		if s.Until != nil {
-			until = s.Until.Format(time.RFC3339)
+		if s.BlockedUntil != nil {
+			until = s.BlockedUntil.Format(time.RFC3339)
 		}
-		return fmt.Sprintf("%s\t%s\t%d\t%s\t%s\t%s", s.Print, s.Standing, s.Ends, s.Since.Format(time.RFC3339), until, strings.Join(s.Upstreams, " "))
+		return fmt.Sprintf("%s\t%s\t%d\t%s\t%s\t%s", s.Fingerprint, s.State, s.Crashes, s.LastCrash.Format(time.RFC3339), until, strings.Join(s.Upstreams, " "))
 	})
 }
 
--- a/cmd/sassafrasctl/zones.go
+++ b/cmd/sassafrasctl/zones.go
@@ -20,12 +20,12 @@
 	if len(args) > 0 {
 		return exitError{exitUsage, errors.New("usage: sassafrasctl zones -node ADDRESS")}
 	}
-	return showNode(ctx, t, "/v1/zones", "ZONE\tREVISION\tSINCE\tUPSTREAMS\tRUNNING HERE", func(z operator.Zone) string {
+	return showNode(ctx, t, "/v1/zones", "ZONE\tREVISION\tSINCE\tUPSTREAMS\tRUNNING HERE", func(z operator.EvacuatedZone) string {
 		running := "-"
-		if z.Running != nil {
-			running = strconv.Itoa(*z.Running)
+		if z.InFlight != nil {
+			running = strconv.Itoa(*z.InFlight)
 		}
-		at := objectapi.Point{
+		at := objectapi.ResourceVersion{
 			Era:      z.Era,
 			Revision: z.Revision,
 		}
--- a/cmd/sassafrasnode/main.go
+++ b/cmd/sassafrasnode/main.go
@@ -114,7 +114,7 @@
 		debug.SetGCPercent(gcPercent)
 		debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryMB) * (1 << 20)))
 	}
-	out := keyvalue.Unblocking(os.Stdout)
+	out := keyvalue.NonBlocking(os.Stdout)
 	defer out.Close()
 	n := &node.Node{
 		Settings: *s,
@@ -181,18 +181,18 @@
 // managed returns the users' platform.
 func managed() *node.Platform {
 	return &node.Platform{
-		Names:    platform.Names(),
-		API:      func(c *objectapi.Caller) objectapi.Polled { return &platform.Store{Caller: c} },
-		Era:      platform.Era,
-		Kind:     platform.ManifestKind,
-		Name:     platform.ManifestName,
-		Table:    platform.Table,
-		ZoneKind: platform.EvacuationKind,
-
-		RolloutKind:   platform.RolloutKind,
-		Rollout:       platform.Rollout,
-		RolloutStatus: platform.RolloutStatus,
-		Announce:      platform.Instances,
+		FieldNames:  platform.FieldNames(),
+		NewAPI:      func(c *objectapi.JSONClient) objectapi.PollingAPI { return &platform.Store{JSONClient: c} },
+		ParseEra:    platform.ParseEra,
+		TableKind:   platform.ManifestKind,
+		TableName:   platform.ManifestName,
+		DecodeTable: platform.DecodeTable,
+		ZoneKind:    platform.EvacuationKind,
+
+		RolloutKind:     platform.RolloutKind,
+		DecodeRollout:   platform.DecodeRollout,
+		RolloutStatus:   platform.RolloutStatus,
+		AnnounceHandler: platform.AnnounceHandler,
 	}
 }
 
--- a/cmd/sassafrassoak/check.go
+++ b/cmd/sassafrassoak/check.go
@@ -97,7 +97,7 @@
 			continue
 		}
 		for _, r := range list {
-			if ok && (r.Body != standin.Brief(o.body()) || r.Path != "/"+o.route+"/x") {
+			if ok && (r.Body != standin.SummariseBody(o.body()) || r.Path != "/"+o.route+"/x") {
 				broken = append(broken, fmt.Sprintf("ran changed: request %s with %s %q", id, r.Path, r.Body))
 			}
 		}
--- a/cmd/sassafrassoak/faults.go
+++ b/cmd/sassafrassoak/faults.go
@@ -184,11 +184,11 @@
 	case "storeSilent":
 		store(standin.Faults{Hang: true})
 	case "storeLost":
-		store(standin.Faults{LoseWrites: true})
+		store(standin.Faults{LoseWriteResponses: true})
 	case "storeForgets":
-		w.store.SetFaults(standin.Faults{Deaf: true})
+		w.store.SetFaults(standin.Faults{SilentWatches: true})
 		time.Sleep(f.last / 4)
-		w.store.Forget()
+		w.store.DropHistory()
 		w.store.SetFaults(standin.Faults{})
 	case "configure":
 		w.addRoute()
@@ -198,7 +198,7 @@
 	case limited:
 		n.nameLimit(f.limit, f.last)
 	case leavingTold:
-		n.upstream.Load().Leave()
+		n.upstream.Load().AdvertiseLeaving()
 	case "drain":
 		n.upstream.Load().Drain()
 	}
@@ -212,7 +212,7 @@
 // restore has the store be away for a moment and come back from a copy that is older than the
 // operator's last word, which the operator writes again a moment later.
 func (w *world) restore(last time.Duration) {
-	copied := w.store.Copy()
+	copied := w.store.Snapshot()
 	w.addRoute()
 	time.Sleep(last)
 	w.store.SetFaults(standin.Faults{Status: http.StatusServiceUnavailable})
--- a/cmd/sassafrassoak/limits.go
+++ b/cmd/sassafrassoak/limits.go
@@ -70,10 +70,10 @@
 		limit: limit,
 	}
 	u := n.upstream.Load()
-	u.Limit(fmt.Sprint(limit))
+	u.AdvertiseLimit(fmt.Sprint(limit))
 	time.Sleep(last)
 	s.to = time.Now()
-	u.Limit("")
+	u.AdvertiseLimit("")
 	n.spans = append(n.spans, s)
 }
 
--- a/cmd/sassafrassoak/stops.go
+++ b/cmd/sassafrassoak/stops.go
@@ -230,7 +230,7 @@
 // endedRun is a run at the upstream of a node, with how it ended.
 type endedRun struct {
 	standin.Run
-	standin.Ending
+	standin.RunEnd
 	node string
 }
 
@@ -238,11 +238,11 @@
 func (w *world) endedRuns() map[string][]endedRun {
 	ran := make(map[string][]endedRun)
 	for _, n := range w.nodes {
-		runs, endings := n.upstream.Load().RunsAndEndings()
+		runs, endings := n.upstream.Load().RunsAndEnds()
 		for i, r := range runs {
 			ran[r.ID] = append(ran[r.ID], endedRun{
 				Run:    r,
-				Ending: endings[i],
+				RunEnd: endings[i],
 				node:   n.name,
 			})
 		}
@@ -262,7 +262,7 @@
 			for _, r := range ran[o.id] {
 				if r.Run.At.Before(o.ended) && !w.excused(o, r.node, r.Run.At) {
 					broken = append(broken, fmt.Sprintf("given up at work: request %s sent to %s at %s got %s after %v; the upstream of %s began after %v and ended after %v, cut after %v%s",
-						o.id, o.node, o.sent.Format(time.RFC3339Nano), o.got(), o.after(o.ended), r.node, o.after(r.Run.At), o.after(r.Ending.At), o.after(r.Cut), w.near(o, r.node)))
+						o.id, o.node, o.sent.Format(time.RFC3339Nano), o.got(), o.after(o.ended), r.node, o.after(r.Run.At), o.after(r.RunEnd.FinishedAt), o.after(r.CancelledAt), w.near(o, r.node)))
 				}
 			}
 		}
--- a/cmd/sassafrassoak/stops_test.go
+++ b/cmd/sassafrassoak/stops_test.go
@@ -93,7 +93,7 @@
 	u := &standin.Upstream{
 		ID:    "i",
 		Slots: 2,
-		Lasts: func(r standin.Run) time.Duration {
+		ServiceTimeFunc: func(r standin.Run) time.Duration {
 			if r.ID == "whole" {
 				return time.Millisecond
 			}
@@ -114,16 +114,16 @@
 	gone := outcome{id: "gone", route: "a"}
 	gone.answer(ctx, client, n)
 	qt.Check(t, gone.status, qt.Equals, 0)
-	runs, endings := u.RunsAndEndings()
-	for len(endings) < 2 || endings[1].Cut.IsZero() {
+	runs, endings := u.RunsAndEnds()
+	for len(endings) < 2 || endings[1].CancelledAt.IsZero() {
 		time.Sleep(time.Millisecond)
-		runs, endings = u.RunsAndEndings()
+		runs, endings = u.RunsAndEnds()
 	}
-	qt.Check(t, runs[0].Body, qt.Equals, standin.Brief(whole.body()))
+	qt.Check(t, runs[0].Body, qt.Equals, standin.SummariseBody(whole.body()))
 	qt.Check(t, strings.HasPrefix(runs[0].Body, "102400 bytes"), qt.IsTrue)
-	qt.Check(t, endings[0].Cut.IsZero(), qt.IsTrue)
-	qt.Check(t, endings[0].At.IsZero(), qt.IsFalse)
-	qt.Check(t, endings[1].At.IsZero(), qt.IsTrue)
+	qt.Check(t, endings[0].CancelledAt.IsZero(), qt.IsTrue)
+	qt.Check(t, endings[0].FinishedAt.IsZero(), qt.IsFalse)
+	qt.Check(t, endings[1].FinishedAt.IsZero(), qt.IsTrue)
 }
 
 // TestStopCheckFails has no request run while its entry or the node of its upstream is stopping.
--- a/cmd/sassafrassoak/world.go
+++ b/cmd/sassafrassoak/world.go
@@ -114,9 +114,9 @@
 
 // build starts a node with its upstream.
 func (w *world) build(n *node, seed uint64) error {
-	u := &standin.Upstream{ID: fmt.Sprintf("i-%s-%d", n.name, seed), Service: n.service, Slots: 8, Work: 15 * time.Millisecond}
+	u := &standin.Upstream{ID: fmt.Sprintf("i-%s-%d", n.name, seed), Service: n.service, Slots: 8, ServiceTime: 15 * time.Millisecond}
 	if w.stops {
-		u.Lasts = lasts
+		u.ServiceTimeFunc = lasts
 	}
 	var err error
 	if n.upstreamAt, err = u.Start(); err != nil {
@@ -194,7 +194,7 @@
 		case <-time.After(heartbeat):
 		}
 		u := n.upstream.Load()
-		if u.Announce(n.control) && u.Draining() && n.drainAcknowledged.Load() == 0 {
+		if u.SendHeartbeat(n.control) && u.Draining() && n.drainAcknowledged.Load() == 0 {
 			n.drainAcknowledged.Store(time.Now().UnixNano())
 		}
 	}
--- a/configsync/era_test.go
+++ b/configsync/era_test.go
@@ -23,14 +23,14 @@
 func TestZonesOverEras(t *testing.T) {
 	now := origin
 	old, later := newState(now), newState(now)
-	old.SetZones(objectapi.Point{Era: 1, Revision: 900})
+	old.SetZones(objectapi.ResourceVersion{Era: 1, Revision: 900})
 	old.ReadDone(true, 0, now)
-	later.SetZones(objectapi.Point{Era: 2, Revision: 870})
+	later.SetZones(objectapi.ResourceVersion{Era: 2, Revision: 870})
 	later.ReadDone(true, 0, now)
 	qt.Check(t, old.Receive(later.Status(now), now), qt.IsTrue, qt.Commentf("revision 870 of the next era is later"))
 	qt.Check(t, later.Receive(old.Status(now), now), qt.IsFalse)
-	later.SetZones(objectapi.Point{Era: 1, Revision: 901})
-	qt.Check(t, later.zones, qt.Equals, objectapi.Point{Era: 2, Revision: 870})
+	later.SetZones(objectapi.ResourceVersion{Era: 1, Revision: 901})
+	qt.Check(t, later.zones, qt.Equals, objectapi.ResourceVersion{Era: 2, Revision: 870})
 }
 
 // TestEraByStatus checks that nodes learn from one another of a new era that one of them has seen, with its
--- a/configsync/state.go
+++ b/configsync/state.go
@@ -20,7 +20,7 @@
 	// Version is the version of the configuration at the reader after that read.
 	Version uint64 `msgpack:"version"`
 	// Zones is the Point of the evacuated zones at the reader after that read.
-	Zones objectapi.Point `msgpack:"zones"`
+	Zones objectapi.ResourceVersion `msgpack:"zones"`
 	// Age is the time since that read.
 	Age time.Duration `msgpack:"age"`
 	// Failure numbers the failed reads in the same way, and FailureAge is the time since the latest of
@@ -126,9 +126,9 @@
 	drawnFor         time.Time // the start of the wait for which draw was drawn
 	draw             float64   // uniform in (0, 1]
 
-	era        era             // of the platform
-	zones      objectapi.Point // of the evacuated zones active here
-	foundZones objectapi.Point // of the evacuated zones found by the latest successful read
+	era        era                       // of the platform
+	zones      objectapi.ResourceVersion // of the evacuated zones active here
+	foundZones objectapi.ResourceVersion // of the evacuated zones found by the latest successful read
 }
 
 // New returns the State of a node that starts now, where a change has to be active at all nodes within
@@ -162,7 +162,7 @@
 }
 
 // SetZones sets the Point of the evacuated zones that are active.
-func (s *State) SetZones(at objectapi.Point) {
+func (s *State) SetZones(at objectapi.ResourceVersion) {
 	if s.zones.Less(at) {
 		s.zones = at
 	}
@@ -195,7 +195,7 @@
 }
 
 // recordSuccess records a successful read that is later than all known ones.
-func (s *State) recordSuccess(round, version uint64, zones objectapi.Point, at time.Time) {
+func (s *State) recordSuccess(round, version uint64, zones objectapi.ResourceVersion, at time.Time) {
 	s.round = round
 	s.foundVersion = version
 	s.foundZones = zones
--- a/contact/book.go
+++ b/contact/book.go
@@ -28,7 +28,7 @@
 	// Zone is the node's availability zone.
 	Zone string `json:"zone"`
 	// Nodes is the number of nodes that there were when it was written, or 0.
-	Nodes int `json:"nodes,omitempty"`
+	NodeCount int `json:"nodes,omitempty"`
 }
 
 // check returns why nobody can be reached by an entry, or nil. Another program may
@@ -43,7 +43,7 @@
 
 // Book is the nodes' addresses as the platform holds them. The exported fields
 // are set before the first call.
-type Book struct {
+type PlatformRegistry struct {
 	// API is the platform.
 	API objectapi.Objects
 	// Node and Entry are what this node registers.
@@ -51,8 +51,8 @@
 	Entry Entry
 	// Nodes, if not nil, returns the number of nodes to put into the entry, and Counted is
 	// called with the largest one that other entries have.
-	Nodes   func() int
-	Counted func(nodes int)
+	NodeCount   func() int
+	OnNodeCount func(nodes int)
 	// Log takes the failures.
 	Log zerolog.Logger
 
@@ -72,12 +72,12 @@
 // Forget is how long nobody has to answer at an address before it is taken out
 // of the book. It is far longer than an instance is away for a restart; one that
 // comes back later writes itself in again.
-const Forget = 10 * time.Minute
+const RemovalTimeout = 10 * time.Minute
 
 // Addresses returns the addresses of other nodes in random order, those of the
 // node's own zone first, as the platform had them at some time: it is a stale read.
 // It returns none if the platform does not answer.
-func (b *Book) Addresses(ctx context.Context) []string {
+func (b *PlatformRegistry) Addresses(ctx context.Context) []string {
 	list, err := b.API.ListStale(ctx, Kind)
 	if err != nil {
 		b.Log.Warn().Err(err).Msg("contacts not read")
@@ -88,12 +88,12 @@
 	var nodes int
 	listed := make(map[string]*objectapi.Object, len(list.Items))
 	for _, o := range list.Items {
-		e, err := objectapi.SpecOf[Entry](o)
+		e, err := objectapi.DecodeSpec[Entry](o)
 		if err == nil {
 			err = e.check()
 		}
 		if err == nil {
-			nodes = max(nodes, e.Nodes)
+			nodes = max(nodes, e.NodeCount)
 		}
 		if o.Metadata.Name == b.Node {
 			present = o
@@ -111,8 +111,8 @@
 		}
 	}
 	b.took(listed, present)
-	if b.Counted != nil && nodes > 0 {
-		b.Counted(nodes)
+	if b.OnNodeCount != nil && nodes > 0 {
+		b.OnNodeCount(nodes)
 	}
 	shuffle(near)
 	shuffle(far)
@@ -120,7 +120,7 @@
 }
 
 // took keeps what was read.
-func (b *Book) took(listed map[string]*objectapi.Object, present *objectapi.Object) {
+func (b *PlatformRegistry) took(listed map[string]*objectapi.Object, present *objectapi.Object) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.listed = listed
@@ -135,7 +135,7 @@
 // Met takes in whether a node answered at an address of the book. An address at
 // which nobody has answered for long is taken out, unless it was written anew
 // meanwhile.
-func (b *Book) Met(ctx context.Context, addr string, answered bool) {
+func (b *PlatformRegistry) RecordReachability(ctx context.Context, addr string, answered bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	o := b.listed[addr]
@@ -150,7 +150,7 @@
 		}
 		b.silent[addr] = time.Now()
 		return
-	case time.Since(since) < Forget:
+	case time.Since(since) < RemovalTimeout:
 		return
 	}
 	if err := b.API.Delete(ctx, Kind, o.Metadata.Name, o.Metadata.ResourceVersion); err != nil && !objectapi.IsNotFound(err) {
@@ -168,7 +168,7 @@
 
 // Register writes this node into the book, unless it stood there as it should when
 // the addresses were read last, or was written since.
-func (b *Book) Register(ctx context.Context) {
+func (b *PlatformRegistry) Register(ctx context.Context) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.count()
@@ -193,16 +193,16 @@
 
 // count puts the number of nodes into the entry. While it isn't known, what the platform has
 // stays.
-func (b *Book) count() {
-	if b.Nodes == nil {
+func (b *PlatformRegistry) count() {
+	if b.NodeCount == nil {
 		return
 	}
-	b.Entry.Nodes = b.Nodes()
-	if b.Entry.Nodes > 0 || b.present == nil {
+	b.Entry.NodeCount = b.NodeCount()
+	if b.Entry.NodeCount > 0 || b.present == nil {
 		return
 	}
-	if e, err := objectapi.SpecOf[Entry](b.present); err == nil {
-		b.Entry.Nodes = e.Nodes
+	if e, err := objectapi.DecodeSpec[Entry](b.present); err == nil {
+		b.Entry.NodeCount = e.NodeCount
 	}
 }
 
@@ -214,7 +214,7 @@
 // looked for if it stood there, and written again if it does not. What was read before is
 // forgotten. It returns when the entry is there, or was given up after some tries: the next
 // look into the book then decides.
-func (b *Book) WriteAgain(ctx context.Context) {
+func (b *PlatformRegistry) Restore(ctx context.Context) {
 	stood := b.forget()
 	for try := 0; stood && try < rewriteTries && ctx.Err() == nil; try++ {
 		err := b.restore(ctx)
@@ -227,7 +227,7 @@
 }
 
 // forget forgets what was read and written, and returns whether this node's entry stood there.
-func (b *Book) forget() (stood bool) {
+func (b *PlatformRegistry) forget() (stood bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.lost = b.lost || b.stands(b.present) || !b.wrote.IsZero()
@@ -238,7 +238,7 @@
 }
 
 // restore writes this node's entry if it does not stand there.
-func (b *Book) restore(ctx context.Context) error {
+func (b *PlatformRegistry) restore(ctx context.Context) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now, err := b.API.Get(ctx, Kind, b.Node)
@@ -262,11 +262,11 @@
 
 // stands returns whether an object is this node's entry. One that can't be read is
 // not.
-func (b *Book) stands(o *objectapi.Object) bool {
+func (b *PlatformRegistry) stands(o *objectapi.Object) bool {
 	if o == nil {
 		return false
 	}
-	e, err := objectapi.SpecOf[Entry](o)
+	e, err := objectapi.DecodeSpec[Entry](o)
 	return err == nil && e.covers(b.Entry)
 }
 
@@ -274,7 +274,7 @@
 // a number of nodes that is not smaller, as nodes may come back, nor far larger.
 func (e Entry) covers(o Entry) bool {
 	same := e.Address == o.Address && e.Zone == o.Zone
-	return same && (o.Nodes == 0 || e.Nodes >= o.Nodes && e.Nodes <= max(2*o.Nodes, manyNodes))
+	return same && (o.NodeCount == 0 || e.NodeCount >= o.NodeCount && e.NodeCount <= max(2*o.NodeCount, manyNodes))
 }
 
 // manyNodes is the number of nodes up to which an entry is left as it is, however few there
@@ -282,13 +282,13 @@
 const manyNodes = 100
 
 // write creates this node's object, or replaces the one that is there.
-func (b *Book) write(ctx context.Context, present *objectapi.Object) error {
+func (b *PlatformRegistry) write(ctx context.Context, present *objectapi.Object) error {
 	o := objectapi.NewObject(Kind, b.Node, b.Entry)
 	var err error
 	if present == nil {
 		_, err = b.API.Create(ctx, o)
 	} else {
-		_, err = b.API.Update(ctx, o.WithVersion(present.Metadata.ResourceVersion))
+		_, err = b.API.Update(ctx, o.WithResourceVersion(present.Metadata.ResourceVersion))
 	}
 	return err
 }
--- a/contact/book_test.go
+++ b/contact/book_test.go
@@ -27,9 +27,9 @@
 	store := new(objectstore.Server)
 	server := httptest.NewServer(store)
 	defer server.Close()
-	api := &objectapi.Client{Caller: objectapi.Caller{URL: server.URL, Timeout: time.Second}, Namespace: "test"}
+	api := &objectapi.Client{JSONClient: objectapi.JSONClient{URL: server.URL, Timeout: time.Second}, Namespace: "test"}
 	open := func(node, address, zone string) []string {
-		b := &contact.Book{API: api, Node: node, Entry: contact.Entry{Address: address, Zone: zone}, Log: zerolog.Nop()}
+		b := &contact.PlatformRegistry{API: api, Node: node, Entry: contact.Entry{Address: address, Zone: zone}, Log: zerolog.Nop()}
 		first := b.Addresses(context.Background())
 		b.Register(context.Background())
 		calls := api.Calls()
@@ -52,15 +52,15 @@
 		ctx := context.Background()
 		store := newMemory()
 		var known, told int
-		open := func() *contact.Book {
+		open := func() *contact.PlatformRegistry {
 			told = 0
-			return &contact.Book{
-				API:     store,
-				Node:    "a",
-				Entry:   contact.Entry{Address: "10.0.0.1:1", Zone: "z"},
-				Nodes:   func() int { return known },
-				Counted: func(n int) { told = n },
-				Log:     zerolog.Nop(),
+			return &contact.PlatformRegistry{
+				API:         store,
+				Node:        "a",
+				Entry:       contact.Entry{Address: "10.0.0.1:1", Zone: "z"},
+				NodeCount:   func() int { return known },
+				OnNodeCount: func(n int) { told = n },
+				Log:         zerolog.Nop(),
 			}
 		}
 		steps := []struct {
@@ -98,8 +98,8 @@
 
 // TestBookWithoutPlatform returns nothing rather than failing.
 func TestBookWithoutPlatform(t *testing.T) {
-	api := &objectapi.Client{Caller: objectapi.Caller{URL: "http://127.0.0.1:1"}, Namespace: "test"}
-	b := &contact.Book{API: api, Node: "a", Log: zerolog.Nop()}
+	api := &objectapi.Client{JSONClient: objectapi.JSONClient{URL: "http://127.0.0.1:1"}, Namespace: "test"}
+	b := &contact.PlatformRegistry{API: api, Node: "a", Log: zerolog.Nop()}
 	qt.Check(t, b.Addresses(context.Background()), qt.HasLen, 0)
 }
 
@@ -108,8 +108,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		store := newMemory()
-		open := func(node, address string) *contact.Book {
-			b := &contact.Book{API: store, Node: node, Entry: contact.Entry{Address: address, Zone: "z"}, Log: zerolog.Nop()}
+		open := func(node, address string) *contact.PlatformRegistry {
+			b := &contact.PlatformRegistry{API: store, Node: node, Entry: contact.Entry{Address: address, Zone: "z"}, Log: zerolog.Nop()}
 			b.Addresses(ctx)
 			b.Register(ctx)
 			return b
@@ -120,19 +120,19 @@
 		look := func() []string {
 			list := b.Addresses(ctx)
 			for _, addr := range list {
-				b.Met(ctx, addr, false)
+				b.RecordReachability(ctx, addr, false)
 			}
 			slices.Sort(list)
 			return list
 		}
 		qt.Check(t, look(), qt.DeepEquals, []string{"10.0.0.1:1", "10.0.0.2:1"})
-		time.Sleep(contact.Forget - time.Second)
+		time.Sleep(contact.RemovalTimeout - time.Second)
 		qt.Check(t, look(), qt.HasLen, 2, qt.Commentf("not yet"))
-		b.Met(ctx, "10.0.0.2:1", true)
+		b.RecordReachability(ctx, "10.0.0.2:1", true)
 		time.Sleep(2 * time.Second)
 		look()
 		qt.Check(t, look(), qt.DeepEquals, []string{"10.0.0.2:1"}, qt.Commentf("only the one that was silent all the time"))
-		time.Sleep(contact.Forget)
+		time.Sleep(contact.RemovalTimeout)
 		look()
 		qt.Check(t, look(), qt.HasLen, 0)
 		back.Addresses(ctx)
@@ -171,7 +171,7 @@
 
 func (m *memory) store(o *objectapi.Object) *objectapi.Object {
 	m.revision++
-	m.objects[o.Metadata.Name] = o.WithVersion(strconv.Itoa(m.revision))
+	m.objects[o.Metadata.Name] = o.WithResourceVersion(strconv.Itoa(m.revision))
 	return m.objects[o.Metadata.Name]
 }
 
@@ -212,15 +212,15 @@
 		t.Run(name, func(t *testing.T) {
 			store := newMemory()
 			bad := func(name string) {
-				store.objects[name] = (&objectapi.Object{Kind: contact.Kind, Metadata: objectapi.Metadata{Name: name}, Spec: []byte(spec)}).WithVersion("1")
+				store.objects[name] = (&objectapi.Object{Kind: contact.Kind, Metadata: objectapi.Metadata{Name: name}, Spec: []byte(spec)}).WithResourceVersion("1")
 			}
 			bad("x")
 			bad("a")
-			store.objects["good"] = objectapi.NewObject(contact.Kind, "good", contact.Entry{Address: "10.0.0.2:1", Zone: "z"}).WithVersion("1")
-			b := &contact.Book{API: store, Node: "a", Entry: contact.Entry{Address: "10.0.0.1:1", Zone: "z"}, Log: zerolog.Nop()}
+			store.objects["good"] = objectapi.NewObject(contact.Kind, "good", contact.Entry{Address: "10.0.0.2:1", Zone: "z"}).WithResourceVersion("1")
+			b := &contact.PlatformRegistry{API: store, Node: "a", Entry: contact.Entry{Address: "10.0.0.1:1", Zone: "z"}, Log: zerolog.Nop()}
 			qt.Check(t, b.Addresses(context.Background()), qt.DeepEquals, []string{"10.0.0.2:1"})
 			b.Register(context.Background())
-			e, err := objectapi.SpecOf[contact.Entry](store.objects["a"])
+			e, err := objectapi.DecodeSpec[contact.Entry](store.objects["a"])
 			qt.Check(t, err, qt.IsNil)
 			qt.Check(t, e, qt.Equals, b.Entry)
 		})
@@ -233,8 +233,8 @@
 	f.Add([]byte(`{"address":"10.0.0.7:1","zone":"z"}`))
 	f.Fuzz(func(t *testing.T, spec []byte) {
 		store := newMemory()
-		store.objects["x"] = (&objectapi.Object{Kind: contact.Kind, Metadata: objectapi.Metadata{Name: "x"}, Spec: spec}).WithVersion("1")
-		b := &contact.Book{API: store, Node: "a", Log: zerolog.Nop()}
+		store.objects["x"] = (&objectapi.Object{Kind: contact.Kind, Metadata: objectapi.Metadata{Name: "x"}, Spec: spec}).WithResourceVersion("1")
+		b := &contact.PlatformRegistry{API: store, Node: "a", Log: zerolog.Nop()}
 		for _, addr := range b.Addresses(context.Background()) {
 			host, _, err := net.SplitHostPort(addr)
 			if err != nil || net.ParseIP(host) == nil {
@@ -255,11 +255,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			store := newMemory()
-			b := &contact.Book{API: store, Node: "a", Entry: own, Log: zerolog.Nop()}
+			b := &contact.PlatformRegistry{API: store, Node: "a", Entry: own, Log: zerolog.Nop()}
 			b.Addresses(context.Background())
 			store.store(objectapi.NewObject(contact.Kind, "a", there))
 			b.Register(context.Background())
-			e, err := objectapi.SpecOf[contact.Entry](store.objects["a"])
+			e, err := objectapi.DecodeSpec[contact.Entry](store.objects["a"])
 			qt.Check(t, err, qt.IsNil)
 			qt.Check(t, e, qt.Equals, own)
 		})
--- a/contact/discovery.go
+++ b/contact/discovery.go
@@ -55,20 +55,20 @@
 )
 
 // Directory is a book of contacts. A Book is one.
-type Directory interface {
+type Registry interface {
 	// Addresses returns the addresses of other nodes, those to try first coming first.
 	Addresses(ctx context.Context) []string
 	// Register writes this node into the book, unless it stands there.
 	Register(ctx context.Context)
 	// Met takes in whether a node answered at an address.
-	Met(ctx context.Context, addr string, answered bool)
+	RecordReachability(ctx context.Context, addr string, answered bool)
 }
 
 // Node is what a Discovery needs of its node. The methods may be called from any goroutine.
 type Node interface {
 	// Alone returns whether the node knows no other, and Nodes how many it knows, itself
 	// included.
-	Alone() bool
+	Isolated() bool
 	Nodes() int
 	// FirstOfZone returns whether the node looks after the book for its zone. One that knows
 	// no other does.
@@ -77,17 +77,17 @@
 	UnknownAddresses(addrs []string) []string
 	// LearnFrom learns what a node at one of some addresses knows, and returns whether one
 	// answered.
-	LearnFrom(ctx context.Context, addrs []string) bool
+	FetchState(ctx context.Context, addrs []string) bool
 }
 
 // Discovery has a node find others by a book of contacts. The fields are set before Run.
 type Discovery struct {
 	// Book is where nodes stand.
-	Book Directory
+	Registry Registry
 	// Node is the node that looks for others.
 	Node Node
 	// FirstPeers is whether the node also asks first peers that its settings name.
-	FirstPeers bool
+	HasFirstPeers bool
 
 	listed atomic.Int32 // how many stood in the book at the latest look, or notLooked
 	looks  atomic.Int32 // so far
@@ -101,7 +101,7 @@
 }
 
 // Seek has the book looked into soon, whatever this node knows. It does not wait.
-func (d *Discovery) Seek() {
+func (d *Discovery) Trigger() {
 	d.init()
 	select {
 	case d.sought <- struct{}{}:
@@ -111,7 +111,7 @@
 
 // Looks returns how often the book has been looked into and those who stood there asked, whether
 // anybody stood there or not.
-func (d *Discovery) Looks() int { return int(d.looks.Load()) }
+func (d *Discovery) Lookups() int { return int(d.looks.Load()) }
 
 // notLooked is the number of listed nodes before the first look.
 const notLooked = -1
@@ -130,15 +130,15 @@
 	d.awaitFirstPeer(ctx)
 	pause := lookFirst
 	for n := 0; ctx.Err() == nil; n++ {
-		if n > 0 || d.Node.Alone() || d.Node.IsFirstInZone() {
+		if n > 0 || d.Node.Isolated() || d.Node.IsFirstInZone() {
 			d.join(ctx)
 		}
 		if d.registersAsFirst(n) {
-			d.Book.Register(ctx)
+			d.Registry.Register(ctx)
 		}
 		d.rest(ctx, pause)
 		pause = min(lookGrowth*pause, lookOften)
-		if d.Node.Alone() {
+		if d.Node.Isolated() {
 			pause = lookFirst
 		}
 	}
@@ -146,14 +146,14 @@
 
 // awaitFirstPeer waits until a first peer has answered, but not for long.
 func (d *Discovery) awaitFirstPeer(ctx context.Context) {
-	for began := time.Now(); d.FirstPeers && time.Since(began) < firstPeersTime && ctx.Err() == nil && d.Node.Alone(); {
+	for began := time.Now(); d.HasFirstPeers && time.Since(began) < firstPeersTime && ctx.Err() == nil && d.Node.Isolated(); {
 		sleep.For(ctx, firstPeersCheck)
 	}
 }
 
 // look returns the addresses in the book.
 func (d *Discovery) look(ctx context.Context) []string {
-	addrs := d.Book.Addresses(ctx)
+	addrs := d.Registry.Addresses(ctx)
 	d.listed.Store(int32(len(addrs)))
 	return addrs
 }
@@ -162,7 +162,7 @@
 func (d *Discovery) join(ctx context.Context) {
 	addrs := d.look(ctx)
 	d.joinSome(ctx, d.Node.UnknownAddresses(slices.Clone(addrs)))
-	for try := 1; try < tries && len(addrs) > 0 && d.Node.Alone() && ctx.Err() == nil; try++ {
+	for try := 1; try < tries && len(addrs) > 0 && d.Node.Isolated() && ctx.Err() == nil; try++ {
 		sleep.For(ctx, tryAgain/2+rand.N(tryAgain))
 		d.joinSome(ctx, d.Node.UnknownAddresses(slices.Clone(addrs)))
 	}
@@ -189,9 +189,9 @@
 				if joined.Load() > 0 && len(d.Node.UnknownAddresses([]string{addr})) == 0 {
 					continue // learnt of meanwhile
 				}
-				answered := d.Node.LearnFrom(ctx, []string{addr})
+				answered := d.Node.FetchState(ctx, []string{addr})
 				if ctx.Err() == nil {
-					d.Book.Met(ctx, addr, answered)
+					d.Registry.RecordReachability(ctx, addr, answered)
 				}
 				if answered {
 					joined.Add(1)
@@ -215,7 +215,7 @@
 		d.look(ctx)
 	}
 	if registers(nodes, int(d.listed.Load()), draw) {
-		d.Book.Register(ctx)
+		d.Registry.Register(ctx)
 	}
 }
 
@@ -231,7 +231,7 @@
 // as the first of its zone or as one that knows no other. At a start of all at once nobody
 // stands there, and the first ones that have waited for a moment are enough.
 func (d *Discovery) registersAsFirst(n int) bool {
-	if n == 0 && d.Node.Alone() {
+	if n == 0 && d.Node.Isolated() {
 		return false
 	}
 	return d.Node.IsFirstInZone()
--- a/contact/discovery_test.go
+++ b/contact/discovery_test.go
@@ -78,10 +78,10 @@
 }
 
 // Met implements contact.Directory.
-func (n *worldNode) Met(context.Context, string, bool) {}
+func (n *worldNode) RecordReachability(context.Context, string, bool) {}
 
 // Alone implements contact.Node.
-func (n *worldNode) Alone() bool { return n.Nodes() == 1 }
+func (n *worldNode) Isolated() bool { return n.Nodes() == 1 }
 
 // Nodes implements contact.Node.
 func (n *worldNode) Nodes() int {
@@ -110,7 +110,7 @@
 }
 
 // LearnFrom implements contact.Node.
-func (n *worldNode) LearnFrom(_ context.Context, addrs []string) bool {
+func (n *worldNode) FetchState(_ context.Context, addrs []string) bool {
 	time.Sleep(exchangeTime)
 	n.w.mu.Lock()
 	defer n.w.mu.Unlock()
@@ -165,7 +165,7 @@
 
 // firstPeers does what a node with first peers does besides.
 func (n *worldNode) firstPeers(ctx context.Context, addrs []string) {
-	for ctx.Err() == nil && !n.LearnFrom(ctx, addrs) {
+	for ctx.Err() == nil && !n.FetchState(ctx, addrs) {
 		time.Sleep(100 * time.Millisecond)
 	}
 }
@@ -209,9 +209,9 @@
 							all.Go(func() { n.firstPeers(ctx, test.firstPeers) })
 						}
 						d := &contact.Discovery{
-							Book:       n,
-							Node:       n,
-							FirstPeers: len(test.firstPeers) > 0,
+							Registry:      n,
+							Node:          n,
+							HasFirstPeers: len(test.firstPeers) > 0,
 						}
 						d.Run(ctx)
 					})
--- a/contact/restore_test.go
+++ b/contact/restore_test.go
@@ -58,7 +58,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				ctx := context.Background()
 				m := &turningAway{memory: newMemory()}
-				b := &contact.Book{API: m, Node: "a", Entry: own, Log: zerolog.Nop()}
+				b := &contact.PlatformRegistry{API: m, Node: "a", Entry: own, Log: zerolog.Nop()}
 				b.Addresses(ctx)
 				if !test.never {
 					b.Register(ctx)
@@ -69,7 +69,7 @@
 				}
 				m.calls = test.turned
 				before, began := m.revision, time.Now()
-				b.WriteAgain(ctx)
+				b.Restore(ctx)
 				if test.turned <= 3 {
 					qt.Check(t, time.Since(began) <= 2*time.Second, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
 				}
@@ -78,7 +78,7 @@
 					qt.Check(t, m.objects["a"], qt.IsNil)
 					return
 				}
-				e, err := objectapi.SpecOf[contact.Entry](m.objects["a"])
+				e, err := objectapi.DecodeSpec[contact.Entry](m.objects["a"])
 				qt.Assert(t, err, qt.IsNil)
 				qt.Check(t, e, qt.Equals, test.want)
 			})
@@ -91,17 +91,17 @@
 func TestWriteAgainBegunAnew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &turningAway{memory: newMemory()}
-		b := &contact.Book{API: m, Node: "a", Entry: contact.Entry{Address: "10.0.0.1:1", Zone: "z"}, Log: zerolog.Nop()}
+		b := &contact.PlatformRegistry{API: m, Node: "a", Entry: contact.Entry{Address: "10.0.0.1:1", Zone: "z"}, Log: zerolog.Nop()}
 		b.Addresses(context.Background())
 		b.Register(context.Background())
 		m.objects = make(map[string]*objectapi.Object)
 		m.calls = 1000
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		b.WriteAgain(ctx)
+		b.Restore(ctx)
 		qt.Check(t, m.objects["a"], qt.IsNil)
 		m.calls = 0
-		b.WriteAgain(context.Background())
+		b.Restore(context.Background())
 		qt.Check(t, m.objects["a"], qt.IsNotNil)
 	})
 }
@@ -114,13 +114,13 @@
 		ctx := context.Background()
 		m := newMemory()
 		m.store(objectapi.NewObject(contact.Kind, "gone", contact.Entry{Address: "10.0.0.1:1", Zone: "z"}))
-		b := &contact.Book{API: m, Node: "a", Entry: contact.Entry{Address: "10.0.0.2:1", Zone: "z"}, Log: zerolog.Nop()}
+		b := &contact.PlatformRegistry{API: m, Node: "a", Entry: contact.Entry{Address: "10.0.0.2:1", Zone: "z"}, Log: zerolog.Nop()}
 		b.Addresses(ctx)
-		b.Met(ctx, "10.0.0.1:1", false)
-		time.Sleep(contact.Forget)
-		b.WriteAgain(ctx)
+		b.RecordReachability(ctx, "10.0.0.1:1", false)
+		time.Sleep(contact.RemovalTimeout)
+		b.Restore(ctx)
 		there := maps.Clone(m.objects)
-		b.Met(ctx, "10.0.0.1:1", false)
+		b.RecordReachability(ctx, "10.0.0.1:1", false)
 		qt.Check(t, len(m.objects), qt.Equals, len(there))
 	})
 }
--- a/control/bootstrap.go
+++ b/control/bootstrap.go
@@ -25,11 +25,11 @@
 	rand.Shuffle(len(contacts), func(i, j int) { contacts[i], contacts[j] = contacts[j], contacts[i] })
 	first := slices.Contains(contacts, c.Self.Addr)
 	for n := 0; ctx.Err() == nil; n++ {
-		fetched := c.LearnFrom(ctx, contacts) || c.API != nil && c.bootstrapFromLeases(ctx)
+		fetched := c.FetchState(ctx, contacts) || c.API != nil && c.bootstrapFromLeases(ctx)
 		if first {
 			contacts = c.UnknownAddresses(contacts)
 		}
-		if first && len(contacts) == 0 || !first && (fetched || !c.Alone()) {
+		if first && len(contacts) == 0 || !first && (fetched || !c.Isolated()) {
 			return
 		}
 		pause := objectapi.Backoff(n, nil)
@@ -44,7 +44,7 @@
 // or of another zone's, and returns whether one answered.
 func (c *Control) bootstrapFromLeases(ctx context.Context) bool {
 	s, ok := c.readLease(ctx, c.Self.Zone)
-	if ok && c.LearnFrom(ctx, s.Contacts) {
+	if ok && c.FetchState(ctx, s.Contacts) {
 		return true
 	}
 	l, err := c.API.List(ctx, operator.KindRepresentative)
@@ -54,8 +54,8 @@
 	}
 	rand.Shuffle(len(l.Items), func(i, j int) { l.Items[i], l.Items[j] = l.Items[j], l.Items[i] })
 	for _, o := range l.Items {
-		s, err := objectapi.SpecOf[operator.Representative](o)
-		if err == nil && c.LearnFrom(ctx, s.Contacts) {
+		s, err := objectapi.DecodeSpec[operator.Representative](o)
+		if err == nil && c.FetchState(ctx, s.Contacts) {
 			return true
 		}
 	}
@@ -64,7 +64,7 @@
 
 // LearnFrom tries the addresses in turn until it has fetched the state of one node, and returns
 // whether one answered.
-func (c *Control) LearnFrom(ctx context.Context, addrs []string) bool {
+func (c *Control) FetchState(ctx context.Context, addrs []string) bool {
 	c.init()
 	for _, addr := range addrs {
 		if addr == c.Self.Addr {
@@ -95,7 +95,7 @@
 		c.Log.Debug().Err(err).Str("zone", zone).Msg("failed to read lease")
 		return operator.Representative{}, false
 	}
-	s, err := objectapi.SpecOf[operator.Representative](o)
+	s, err := objectapi.DecodeSpec[operator.Representative](o)
 	if err != nil {
 		c.Log.Warn().Err(err).Str("zone", zone).Msg("invalid lease object")
 	}
@@ -103,7 +103,7 @@
 }
 
 // Alone returns whether the node is isolated: it knows no other node.
-func (c *Control) Alone() (alone bool) {
+func (c *Control) Isolated() (alone bool) {
 	c.init()
 	c.do(func() { alone = c.live <= 1 })
 	return alone
--- a/control/candidates.go
+++ b/control/candidates.go
@@ -100,7 +100,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	_, err := peer.Ask[suspectList, struct{}](ctx, p, topicCandidates, suspectList{Nodes: silent})
+	_, err := peer.SendRequest[suspectList, struct{}](ctx, p, topicCandidates, suspectList{Nodes: silent})
 	return err
 }
 
--- a/control/clients_test.go
+++ b/control/clients_test.go
@@ -80,14 +80,14 @@
 			var p *peer.Client
 			var release func()
 			c.do(func() { p, release = c.temporaryClient(addr) })
-			_, err := peer.Ask[struct{}, rootHashes](ctx, p, topicRoots, struct{}{})
+			_, err := peer.SendRequest[struct{}, rootHashes](ctx, p, topicRoots, struct{}{})
 			qt.Assert(t, err, qt.IsNil)
 			qt.Check(t, counters.BytesOut.Load() > 0, qt.IsTrue)
 			release()
 			var kept bool
 			c.do(func() { kept = c.clients[addr] == p })
 			qt.Check(t, kept, qt.Equals, test.kept)
-			_, err = peer.Ask[struct{}, rootHashes](ctx, p, topicRoots, struct{}{})
+			_, err = peer.SendRequest[struct{}, rootHashes](ctx, p, topicRoots, struct{}{})
 			qt.Check(t, err == nil, qt.Equals, test.kept)
 		})
 	}
--- a/control/control.go
+++ b/control/control.go
@@ -370,13 +370,13 @@
 // configChanged handles a change of a configuration record.
 func (c *Control) configChanged(_, r acceptance.Config) {
 	switch r.Name {
-	case acceptance.Whole:
+	case acceptance.TableName:
 		c.tableChanged(r)
 		return
-	case acceptance.Evacuated:
+	case acceptance.EvacuatedName:
 		c.zonesChanged(r)
 		return
-	case acceptance.Retained:
+	case acceptance.RetainedName:
 		c.retainedChanged(r)
 		return
 	}
@@ -384,7 +384,7 @@
 		c.rolloutChanged(r)
 		return
 	}
-	if zone, ok := r.Stood(); ok {
+	if zone, ok := r.SeenZone(); ok {
 		c.seenChanged(r, zone)
 		return
 	}
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -36,7 +36,7 @@
 	api   *objectapi.Client
 	nodes []*testNode
 	// directory, if not nil, is the contact directory of the nodes that are added.
-	directory contact.Directory
+	directory contact.Registry
 }
 
 // testNode is a control state with its peer server.
@@ -57,7 +57,7 @@
 		h.CloseClientConnections()
 		h.Close()
 	})
-	c.api = &objectapi.Client{Caller: objectapi.Caller{URL: h.URL}, Namespace: "test"}
+	c.api = &objectapi.Client{JSONClient: objectapi.JSONClient{URL: h.URL}, Namespace: "test"}
 	return c
 }
 
@@ -81,12 +81,12 @@
 // addAtWith starts a node on the address of a listener, after set has configured it.
 func (c *cluster) addAtWith(listener net.Listener, id, zone string, set func(*Control)) *testNode {
 	client := &objectapi.Client{
-		Caller: objectapi.Caller{
+		JSONClient: objectapi.JSONClient{
 			URL:     c.api.URL,
 			Timeout: 500 * time.Millisecond,
 		},
-		Namespace: "test",
-		WatchFor:  2 * time.Second,
+		Namespace:    "test",
+		WatchTimeout: 2 * time.Second,
 	}
 	n := &testNode{
 		client: client,
@@ -104,7 +104,7 @@
 				TakeoverDelay:  50 * time.Millisecond,
 			},
 			Budget:    watch.NewBudget(1<<20, 1),
-			Limits:    peer.Limits{Silence: 400 * time.Millisecond, Handshake: 400 * time.Millisecond},
+			Limits:    peer.Limits{SilenceTimeout: 400 * time.Millisecond, HandshakeTimeout: 400 * time.Millisecond},
 			Log:       zerolog.Nop(),
 			Published: func(*Snapshot) {},
 		},
@@ -112,15 +112,15 @@
 	set(n.Control)
 	ctx, cancel := context.WithCancel(context.Background())
 	serving, stopServing := context.WithCancel(context.Background())
-	s := &peer.Server{Control: n.Handle}
+	s := &peer.Server{HandleControl: n.Handle}
 	var all, running sync.WaitGroup
 	all.Go(func() { _ = s.Run(serving, listener) })
 	running.Go(func() { n.Run(ctx) })
 	if c.directory != nil {
 		discovery := &contact.Discovery{
-			Book:       c.directory,
-			Node:       n.Control,
-			FirstPeers: len(n.Contacts) > 0,
+			Registry:      c.directory,
+			Node:          n.Control,
+			HasFirstPeers: len(n.Contacts) > 0,
 		}
 		running.Go(func() { discovery.Run(ctx) })
 	}
@@ -201,7 +201,7 @@
 	o := objectapi.NewObject(operator.KindService, name, json.RawMessage(spec))
 	present, err := c.api.Get(context.Background(), operator.KindService, name)
 	if err == nil {
-		o = o.WithVersion(present.Metadata.ResourceVersion)
+		o = o.WithResourceVersion(present.Metadata.ResourceVersion)
 	}
 	written, err := objectapi.Put(context.Background(), c.api, o)
 	qt.Assert(c.t, err, qt.IsNil)
@@ -213,7 +213,7 @@
 	if err != nil {
 		return operator.ServiceStatus{}
 	}
-	s, err := objectapi.SpecOf[operator.ServiceStatus](o)
+	s, err := objectapi.DecodeSpec[operator.ServiceStatus](o)
 	qt.Assert(c.t, err, qt.IsNil)
 	return s
 }
@@ -228,19 +228,19 @@
 		s := c.status("a")
 		having := 0
 		for _, z := range s.Zones {
-			having += z.Having
+			having += z.UpToDate
 		}
-		return s.Phase == operator.PhaseAccepted && s.Observed == first.Metadata.ResourceVersion && having == 9
+		return s.Phase == operator.PhaseAccepted && s.ObservedVersion == first.Metadata.ResourceVersion && having == 9
 	})
 
 	bad := c.apply("a", `{"hosts":["a.example"],"retry":{"share":7}}`)
 	c.eventually("the refusal is in the status", func() bool {
 		s := c.status("a")
-		return s.Phase == operator.PhaseRefused && s.Observed == bad.Metadata.ResourceVersion
+		return s.Phase == operator.PhaseRefused && s.ObservedVersion == bad.Metadata.ResourceVersion
 	})
 	s := c.status("a")
-	qt.Check(t, s.Faults, qt.HasLen, 1)
-	qt.Check(t, s.Faults[0].Field, qt.Equals, "retry.share")
+	qt.Check(t, s.Errors, qt.HasLen, 1)
+	qt.Check(t, s.Errors[0].Field, qt.Equals, "retry.share")
 	qt.Check(t, s.Sequence, qt.Equals, uint64(1))
 	for _, n := range c.nodes {
 		qt.Check(t, n.Snapshot().Hosts["a.example"], qt.IsNotNil, qt.Commentf("an invalid edit must not change the active service"))
@@ -265,7 +265,7 @@
 		return func() bool {
 			var sum int
 			for _, z := range c.status("a").Zones {
-				sum += z.Having
+				sum += z.UpToDate
 			}
 			return sum == want
 		}
@@ -538,7 +538,7 @@
 	n.stop()
 	newSweeper(n.Control).probe(context.Background(), c.nodes[1].Self)
 	n.probeCandidates(context.Background())
-	qt.Check(t, n.LearnFrom(context.Background(), []string{c.nodes[1].Self.Addr}), qt.IsFalse)
+	qt.Check(t, n.FetchState(context.Background(), []string{c.nodes[1].Self.Addr}), qt.IsFalse)
 	_, err := n.Handle(context.Background(), peer.Hello{}, &peer.Request{ID: 1, Topic: topicRoots})
 	qt.Check(t, err, qt.IsNotNil)
 }
--- a/control/digest_test.go
+++ b/control/digest_test.go
@@ -22,7 +22,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
-	server := &peer.Server{Control: other.Handle}
+	server := &peer.Server{HandleControl: other.Handle}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
--- a/control/era_test.go
+++ b/control/era_test.go
@@ -20,7 +20,7 @@
 
 // zonesAt returns the zones as read at a point.
 func zonesAt(era, revision uint64, zones ...string) evacuation.Set {
-	return evacuation.New(objectapi.Point{Era: era, Revision: revision}, zones...)
+	return evacuation.New(objectapi.ResourceVersion{Era: era, Revision: revision}, zones...)
 }
 
 // readZones simulates a read of the platform by a node.
--- a/control/evacuation.go
+++ b/control/evacuation.go
@@ -30,7 +30,7 @@
 // zonesChanged handles evacuated zones that a node has read. Like a table of routes they are
 // not pushed: nodes fetch them once they have received the read status.
 func (c *Control) zonesChanged(r acceptance.Config) {
-	delete(c.configs.Outbox, acceptance.Evacuated)
+	delete(c.configs.Outbox, acceptance.EvacuatedName)
 	s, err := r.Zones()
 	if err != nil {
 		c.Log.Error().Err(err).Uint64("era", r.Era).Uint64("revision", r.Sequence).Msg("invalid record of evacuated zones; keeping the previous zones")
@@ -49,7 +49,7 @@
 
 // retainedChanged handles the zones that were evacuated when an era of the platform ended.
 func (c *Control) retainedChanged(r acceptance.Config) {
-	delete(c.configs.Outbox, acceptance.Retained)
+	delete(c.configs.Outbox, acceptance.RetainedName)
 	s, err := r.Zones()
 	if err != nil {
 		c.Log.Error().Err(err).Uint64("era", r.Era).Uint64("revision", r.Sequence).Msg("invalid record of retained zones")
@@ -65,7 +65,7 @@
 // started since, or that missed the read, would retain them otherwise.
 func (c *Control) shareSeenZones() {
 	for _, zone := range c.zoneState.SeenAgain() {
-		c.configs.Put(acceptance.FromStood(zone, c.zoneState.Latest().At.Era))
+		c.configs.Put(acceptance.FromSeenZone(zone, c.zoneState.Latest().At.Era))
 	}
 }
 
@@ -81,9 +81,9 @@
 func (c *Control) zoneRecordNames() []string {
 	var names []string
 	for _, zone := range c.zoneState.SeenAgain() {
-		names = append(names, acceptance.StoodName(zone))
+		names = append(names, acceptance.SeenZoneName(zone))
 	}
-	return append(names, acceptance.Retained, acceptance.Evacuated)
+	return append(names, acceptance.RetainedName, acceptance.EvacuatedName)
 }
 
 // applyZones updates the active set of evacuated zones.
@@ -118,7 +118,7 @@
 	left := make(map[string]int)
 	c.do(func() {
 		for _, zone := range c.evacuated.Zones {
-			left[zone] = c.upstreamsIn(evacuation.New(objectapi.Point{}, zone))
+			left[zone] = c.upstreamsIn(evacuation.New(objectapi.ResourceVersion{}, zone))
 		}
 	})
 	return left
--- a/control/evacuation_test.go
+++ b/control/evacuation_test.go
@@ -39,7 +39,7 @@
 	all := func(count int, zones ...string) func() bool {
 		return func() bool {
 			for _, n := range list {
-				if members(n) != count || !n.Snapshot().Evacuated.SameZones(evacuation.New(objectapi.Point{Revision: 0}, zones...)) {
+				if members(n) != count || !n.Snapshot().Evacuated.SameZones(evacuation.New(objectapi.ResourceVersion{Revision: 0}, zones...)) {
 					return false
 				}
 			}
@@ -51,7 +51,7 @@
 		n.ApplyEvacuation(s)
 		n.RecordRead(true, 0)
 	}
-	read(list[2], evacuation.New(objectapi.Point{Revision: 50}, "z"))
+	read(list[2], evacuation.New(objectapi.ResourceVersion{Revision: 50}, "z"))
 	c.eventually("none is a member", all(0, "z"))
 	qt.Check(t, list[0].RemainingUpstreams(), qt.DeepEquals, map[string]int{"z": 6})
 
@@ -61,12 +61,12 @@
 	list = append(list, late)
 	c.eventually("only the upstream of another zone is a member", all(1, "z"))
 
-	read(list[0], evacuation.New(objectapi.Point{Revision: 40}))
+	read(list[0], evacuation.New(objectapi.ResourceVersion{Revision: 40}))
 	time.Sleep(100 * time.Millisecond)
 	qt.Check(t, all(1, "z")(), qt.IsTrue, qt.Commentf("a read of an earlier revision changes nothing"))
-	read(list[0], evacuation.New(objectapi.Point{Revision: 60}, "y", "z"))
+	read(list[0], evacuation.New(objectapi.ResourceVersion{Revision: 60}, "y", "z"))
 	c.eventually("both zones are evacuated", all(0, "y", "z"))
-	read(list[4], evacuation.New(objectapi.Point{Revision: 70}))
+	read(list[4], evacuation.New(objectapi.ResourceVersion{Revision: 70}))
 	c.eventually("the evacuations are withdrawn", all(7))
 }
 
@@ -90,7 +90,7 @@
 				time.Sleep(min(after, 20*time.Millisecond))
 				continue
 			}
-			list[5].ApplyEvacuation(evacuation.New(objectapi.Point{Revision: 9}, "z"))
+			list[5].ApplyEvacuation(evacuation.New(objectapi.ResourceVersion{Revision: 9}, "z"))
 			list[5].RecordRead(true, 0)
 		}
 	}()
--- a/control/exchange.go
+++ b/control/exchange.go
@@ -222,7 +222,7 @@
 
 // compareWith reconciles the state with a peer's.
 func (c *Control) compareWith(ctx context.Context, p *peer.Client) error {
-	theirs, err := peer.Ask[struct{}, rootHashes](ctx, p, topicRoots, struct{}{})
+	theirs, err := peer.SendRequest[struct{}, rootHashes](ctx, p, topicRoots, struct{}{})
 	if err != nil {
 		return err
 	}
--- a/control/freshness.go
+++ b/control/freshness.go
@@ -138,7 +138,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), readStatusTimeout)
 		defer cancel()
 		sent := c.Clock()
-		reply, err := peer.Ask[struct{}, statusAndProof](ctx, client, topicAskReadStatus, struct{}{})
+		reply, err := peer.SendRequest[struct{}, statusAndProof](ctx, client, topicAskReadStatus, struct{}{})
 		if err != nil {
 			c.Log.Debug().Err(err).Str("peer", from).Msg("failed to request a freshness proof")
 		}
--- a/control/freshness_test.go
+++ b/control/freshness_test.go
@@ -157,7 +157,7 @@
 			Self:                member.Record{ID: "a", Zone: "z", State: member.Idle},
 			ServiceConfig:       func(*routes.Table, string, int) operator.Service { return operator.Service{}.WithDefaults() },
 			MaxPropagationDelay: maxStaleness / 2,
-			Clock:               boottime.Steady(),
+			Clock:               boottime.Monotonic(),
 			MaxStaleness:        maxStaleness,
 			Budget:              watch.NewBudget(1e6, 1),
 			Published:           func(*Snapshot) {},
--- a/control/introduce.go
+++ b/control/introduce.go
@@ -72,7 +72,7 @@
 func (c *Control) introduceTo(ctx context.Context, p *peer.Client) (introduceReply, error) {
 	var q introduceRequest
 	c.do(func() { q.Self = c.self })
-	reply, err := peer.Ask[introduceRequest, introduceReply](ctx, p, topicIntroduce, q)
+	reply, err := peer.SendRequest[introduceRequest, introduceReply](ctx, p, topicIntroduce, q)
 	if err == nil {
 		c.do(func() { c.members.PutAll(reply.Records) })
 	}
--- a/control/introduce_test.go
+++ b/control/introduce_test.go
@@ -22,7 +22,7 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	counters := new(peer.Counters)
-	server := &peer.Server{Control: c.Handle, Counters: counters}
+	server := &peer.Server{HandleControl: c.Handle, Counters: counters}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -83,7 +83,7 @@
 				c.Self.Zone = "zone-3"
 				c.init()
 				serve(t, c)
-				qt.Assert(t, c.LearnFrom(context.Background(), []string{firstAddr}), qt.IsTrue)
+				qt.Assert(t, c.FetchState(context.Background(), []string{firstAddr}), qt.IsTrue)
 				var known int
 				c.do(func() { known = c.members.Set.Len() })
 				qt.Check(t, known >= test.members, qt.IsTrue, qt.Commentf("%d", known))
--- a/control/neighbours.go
+++ b/control/neighbours.go
@@ -33,7 +33,7 @@
 // newClient returns a client for control requests to an address, without keeping it.
 func (c *Control) newClient(addr string) *peer.Client {
 	limits := c.Limits
-	limits.Idle = 30 * time.Second
+	limits.IdleTimeout = 30 * time.Second
 	return &peer.Client{
 		Addr: addr,
 		Hello: peer.Hello{
--- a/control/reads.go
+++ b/control/reads.go
@@ -86,7 +86,7 @@
 				ctx, cancel := context.WithTimeout(ctx, readStatusTimeout)
 				defer cancel()
 				sent := c.clockReading()
-				status, err := peer.Ask[struct{}, statusAndProof](ctx, t.Client, topicAskReadStatus, struct{}{})
+				status, err := peer.SendRequest[struct{}, statusAndProof](ctx, t.Client, topicAskReadStatus, struct{}{})
 				if err != nil {
 					c.Log.Debug().Err(err).Str("peer", t.ID).Msg("failed to request the read status")
 					return
@@ -189,7 +189,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), readStatusTimeout)
 		defer cancel()
-		reply, err := peer.Ask[struct{}, reconcile.Records[acceptance.Config]](ctx, p, topicTable, struct{}{})
+		reply, err := peer.SendRequest[struct{}, reconcile.Records[acceptance.Config]](ctx, p, topicTable, struct{}{})
 		if err != nil {
 			c.Log.Debug().Err(err).Str("peer", from).Msg("failed to fetch the table")
 		}
@@ -219,7 +219,7 @@
 	case topicAskReadStatus:
 		return c.withProof(c.reads.Status(time.Now())), true, nil
 	case topicTable:
-		return reconcile.Records[acceptance.Config]{Records: c.configs.Get(append(append(c.rolloutNames(), acceptance.Whole), c.zoneRecordNames()...))}, true, nil
+		return reconcile.Records[acceptance.Config]{Records: c.configs.Get(append(append(c.rolloutNames(), acceptance.TableName), c.zoneRecordNames()...))}, true, nil
 	}
 	return nil, false, nil
 }
--- a/control/rejoin_test.go
+++ b/control/rejoin_test.go
@@ -52,7 +52,7 @@
 			for _, n := range c.nodes {
 				c.waitKnows(n, test.nodes)
 			}
-			qt.Check(t, again.Alone(), qt.IsFalse)
+			qt.Check(t, again.Isolated(), qt.IsFalse)
 		})
 	}
 }
--- a/control/represent.go
+++ b/control/represent.go
@@ -57,8 +57,8 @@
 }
 
 // LearnFrom implements representative.Node.
-func (r representativeNode) LearnFrom(ctx context.Context, addrs []string) bool {
-	return r.c.LearnFrom(ctx, addrs)
+func (r representativeNode) FetchState(ctx context.Context, addrs []string) bool {
+	return r.c.FetchState(ctx, addrs)
 }
 
 // Addresses implements representative.Node. Neighbours come first, because a neighbour that
@@ -144,7 +144,7 @@
 func (r representativeNode) SequenceAt(ctx context.Context, m member.Record, service string) (uint64, error) {
 	var p *peer.Client
 	r.c.do(func() { p = r.c.client(m.Addr) })
-	reply, err := peer.Ask[sequenceQuery, sequenceReply](ctx, p, topicSequence, sequenceQuery{Service: service})
+	reply, err := peer.SendRequest[sequenceQuery, sequenceReply](ctx, p, topicSequence, sequenceQuery{Service: service})
 	return reply.Sequence, err
 }
 
--- a/control/rollouts.go
+++ b/control/rollouts.go
@@ -19,7 +19,7 @@
 
 // ApplyOrders applies the roll-out orders that were read from the platform at a Point. Whole is
 // whether orders that are not among them have been withdrawn.
-func (c *Control) ApplyOrders(found []rollout.StoredOrder, at objectapi.Point, whole bool) {
+func (c *Control) ApplyOrders(found []rollout.StoredOrder, at objectapi.ResourceVersion, whole bool) {
 	c.init()
 	c.do(func() {
 		now := time.Now()
--- a/control/size_test.go
+++ b/control/size_test.go
@@ -62,7 +62,7 @@
 
 func configOf(i int, sequence uint64) acceptance.Config {
 	s := operator.Service{Hosts: []string{serviceName(i) + ".example"}}.WithDefaults()
-	return acceptance.FromAccepted(serviceName(i), operator.Accepted{Sequence: sequence, Service: s, At: time.Now()})
+	return acceptance.FromAccepted(serviceName(i), operator.Accepted{Sequence: sequence, Service: s, AcceptedAt: time.Now()})
 }
 
 // BenchmarkState reports the memory of a node's whole control state and the sizes of its records on
--- a/control/sweeper.go
+++ b/control/sweeper.go
@@ -88,7 +88,7 @@
 	s.do(func() { p = s.client(r.Addr) })
 	ctx, cancel := context.WithTimeout(ctx, compareTimeout)
 	defer cancel()
-	if _, err := peer.Ask[struct{}, rootHashes](ctx, p, topicRoots, struct{}{}); err == nil {
+	if _, err := peer.SendRequest[struct{}, rootHashes](ctx, p, topicRoots, struct{}{}); err == nil {
 		s.detector.MarkAlive(r.ID)
 	} else if ctx.Err() != context.Canceled {
 		s.detector.MarkSilent(r.ID, time.Now())
--- a/control/table.go
+++ b/control/table.go
@@ -52,7 +52,7 @@
 // higher sequences only. It is not pushed: a node fetches it from one of those that announce it,
 // so that a table of thousands of routes is sent to each node only once.
 func (c *Control) tableChanged(r acceptance.Config) {
-	delete(c.configs.Outbox, acceptance.Whole)
+	delete(c.configs.Outbox, acceptance.TableName)
 	t, err := r.Table()
 	if err != nil {
 		c.Log.Error().Err(err).Uint64("version", r.Sequence).Msg("invalid table of routes")
--- a/control/table_test.go
+++ b/control/table_test.go
@@ -42,7 +42,7 @@
 func (l staticDirectory) Register(context.Context) {}
 
 // Met implements contact.Directory.
-func (l staticDirectory) Met(context.Context, string, bool) {}
+func (l staticDirectory) RecordReachability(context.Context, string, bool) {}
 
 // tableNodes starts nodes a, b and so on that find each other by one contact directory, and
 // waits until all have met.
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -49,7 +49,7 @@
 	switch failure.Cause {
 	case verdict.DialFailed, verdict.UpstreamDialFailed, verdict.Misrouted:
 		return route.Unreachable
-	case verdict.PeerLost, verdict.UpstreamLost, verdict.TimedOut, verdict.AnswerInvalid:
+	case verdict.PeerLost, verdict.UpstreamLost, verdict.TimedOut, verdict.ResponseInvalid:
 		return route.Failed
 	case verdict.Refused, verdict.Slowed, verdict.Draining, verdict.UpstreamRefused:
 		return route.Refused
@@ -194,7 +194,7 @@
 		if !responsive[m.ID] && c.dialing.CompareAndSwap(false, true) {
 			go func() {
 				defer c.dialing.Store(false)
-				_ = c.Warm(context.Background()) // a request without an alternative will report the failure
+				_ = c.Connect(context.Background()) // a request without an alternative will report the failure
 			}()
 		}
 	}
--- a/entry/bodylink_test.go
+++ b/entry/bodylink_test.go
@@ -22,9 +22,9 @@
 )
 
 // takeBody acts as a gate that queues a call for the given time before it admits and runs it.
-func (w *simCluster) takeBody(node string, in *peer.Inbound, queue time.Duration) {
-	if in.Call.Ahead {
-		if _, err := in.Receive(in.Context()); err != nil {
+func (w *simCluster) takeBody(node string, in *peer.InboundCall, queue time.Duration) {
+	if in.Call.EarlyBody {
+		if _, err := in.ReceiveBody(in.Context()); err != nil {
 			in.Fail(verdict.New(verdict.Revoked, err), nil)
 			return
 		}
@@ -46,7 +46,7 @@
 		return
 	}
 	time.Sleep(100 * time.Millisecond)
-	_ = in.Reply(&peer.Answer{Status: 200, Body: []byte(fmt.Sprint(node, " ", n))})
+	_ = in.Reply(&peer.ResponseHead{Status: 200, Body: []byte(fmt.Sprint(node, " ", n))})
 }
 
 // TestBodyNotHandedOver guards against the mishandling of calls that can't have run because their
@@ -61,25 +61,25 @@
 		faultAfter time.Duration // from the arrival of the call until the link falls silent
 		fault      func(h *playnet.Host)
 	}{
-		"ahead, nothing asked for":           {size: 120 << 10, fault: func(h *playnet.Host) { h.Silence(silence) }},
-		"ahead, requested over a lost path":  {size: 120 << 10, fault: func(h *playnet.Host) { h.SilenceUp(silence) }},
-		"ahead, partly sent":                 {size: 240 << 10, faultAfter: 50 * time.Millisecond, fault: func(h *playnet.Host) { h.Silence(silence) }},
-		"ahead, partly sent, one way silent": {size: 240 << 10, faultAfter: 50 * time.Millisecond, fault: func(h *playnet.Host) { h.SilenceUp(silence) }},
-		"stream, waits to be admitted":       {size: 300 << 10, stream: true, queue: time.Second, faultAfter: 50 * time.Millisecond, fault: func(h *playnet.Host) { h.Silence(silence) }},
-		"stream, admitted over a lost path":  {size: 300 << 10, stream: true, queue: 60 * time.Millisecond, faultAfter: 50 * time.Millisecond, fault: func(h *playnet.Host) { h.SilenceUp(silence) }},
-		"large, waits to be admitted":        {size: 300 << 10, queue: time.Second, faultAfter: 50 * time.Millisecond, fault: func(h *playnet.Host) { h.Silence(silence) }},
-		"ahead, process suspended":           {size: 120 << 10, fault: func(h *playnet.Host) { h.Suspend(silence) }},
+		"ahead, nothing asked for":           {size: 120 << 10, fault: func(h *playnet.Host) { h.PauseLink(silence) }},
+		"ahead, requested over a lost path":  {size: 120 << 10, fault: func(h *playnet.Host) { h.PauseUplink(silence) }},
+		"ahead, partly sent":                 {size: 240 << 10, faultAfter: 50 * time.Millisecond, fault: func(h *playnet.Host) { h.PauseLink(silence) }},
+		"ahead, partly sent, one way silent": {size: 240 << 10, faultAfter: 50 * time.Millisecond, fault: func(h *playnet.Host) { h.PauseUplink(silence) }},
+		"stream, waits to be admitted":       {size: 300 << 10, stream: true, queue: time.Second, faultAfter: 50 * time.Millisecond, fault: func(h *playnet.Host) { h.PauseLink(silence) }},
+		"stream, admitted over a lost path":  {size: 300 << 10, stream: true, queue: 60 * time.Millisecond, faultAfter: 50 * time.Millisecond, fault: func(h *playnet.Host) { h.PauseUplink(silence) }},
+		"large, waits to be admitted":        {size: 300 << 10, queue: time.Second, faultAfter: 50 * time.Millisecond, fault: func(h *playnet.Host) { h.PauseLink(silence) }},
+		"ahead, process suspended":           {size: 120 << 10, fault: func(h *playnet.Host) { h.SuspendProcess(silence) }},
 	} {
 		for kind, idempotent := range map[string]bool{"idempotent": true, "not idempotent": false} {
 			t.Run(name+", "+kind, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					network := fastNetwork()
-					network.Rate = linkRate
+					network.LinkBandwidth = linkRate
 					w := newSimCluster(2, network, retryConfig(), 0)
 					defer w.stop()
 					var silent string
 					var silentAt time.Time
-					w.handle = func(node string, in *peer.Inbound) {
+					w.handle = func(node string, in *peer.InboundCall) {
 						if silent == "" {
 							silent = node
 							time.AfterFunc(test.faultAfter, func() {
@@ -147,19 +147,19 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				network := fastNetwork()
-				network.Window = 16 << 10
-				network.Buffer = 16 << 10
+				network.WindowBytes = 16 << 10
+				network.SendBufferBytes = 16 << 10
 				w := newSimCluster(1, network, retryConfig(), 0)
 				defer w.stop()
 				ran := make(map[string]bool)
-				w.handle = func(node string, in *peer.Inbound) {
+				w.handle = func(node string, in *peer.InboundCall) {
 					w.mu.Lock()
 					ran[in.Call.Target] = true
 					w.mu.Unlock()
-					_ = in.Reply(&peer.Answer{Status: 200, Body: []byte(node)})
+					_ = in.Reply(&peer.ResponseHead{Status: 200, Body: []byte(node)})
 				}
 				time.Sleep(time.Second)
-				w.gates[0].Suspend(suspended)
+				w.gates[0].SuspendProcess(suspended)
 				reported := make(map[string]verdict.Cause)
 				var all sync.WaitGroup
 				for i := range 20 {
--- a/entry/deadnode_test.go
+++ b/entry/deadnode_test.go
@@ -32,12 +32,12 @@
 
 // fastNetwork returns a network without a rate limit.
 func fastNetwork() *playnet.Network {
-	return &playnet.Network{Delay: linkDelay, Window: linkWindow, Timeout: linkTimeout}
+	return &playnet.Network{Latency: linkDelay, WindowBytes: linkWindow, UserTimeout: linkTimeout}
 }
 
 // retryConfig returns the configuration of a service whose requests may be retried.
 func retryConfig() operator.Service {
-	return operator.Service{Retry: operator.Retry{MaxTries: 3, Share: 0.1, Burst: 20}}
+	return operator.Service{Retry: operator.Retry{MaxAttempts: 3, Ratio: 0.1, Burst: 20}}
 }
 
 // requestTo returns a request with the given target.
@@ -72,10 +72,10 @@
 }
 
 // answerAfter returns a handler that answers each call with the id of its node after the given time.
-func answerAfter(d time.Duration) func(node string, in *peer.Inbound) {
-	return func(node string, in *peer.Inbound) {
+func answerAfter(d time.Duration) func(node string, in *peer.InboundCall) {
+	return func(node string, in *peer.InboundCall) {
 		time.Sleep(d)
-		_ = in.Reply(&peer.Answer{Status: 200, Body: []byte(node)})
+		_ = in.Reply(&peer.ResponseHead{Status: 200, Body: []byte(node)})
 	}
 }
 
@@ -105,10 +105,10 @@
 				defer w.stop()
 				var dead string
 				var offAt time.Time
-				w.handle = func(node string, in *peer.Inbound) {
-					if in.Call.Try == 1 && in.Call.Target == "/" {
+				w.handle = func(node string, in *peer.InboundCall) {
+					if in.Call.Attempt == 1 && in.Call.Target == "/" {
 						dead = node
-						w.Host(node).Silence(test.silentFor)
+						w.Host(node).PauseLink(test.silentFor)
 						time.Sleep(test.powerOffAfter)
 						w.Host(node).PowerOff()
 						offAt = time.Now()
@@ -159,7 +159,7 @@
 				w := newSimCluster(3, fastNetwork(), retryConfig(), 0)
 				defer w.stop()
 				var dead string
-				w.handle = func(node string, in *peer.Inbound) {
+				w.handle = func(node string, in *peer.InboundCall) {
 					if in.Call.Target == "/dead" && dead == "" {
 						dead = node
 						w.Host(node).PowerOff()
@@ -200,7 +200,7 @@
 func TestStopReportsItsCause(t *testing.T) {
 	for name, fault := range map[string]func(w *simCluster){
 		"over a working link": func(*simCluster) {},
-		"over a silent link":  func(w *simCluster) { w.gates[0].Silence(2 * time.Second) },
+		"over a silent link":  func(w *simCluster) { w.gates[0].PauseLink(2 * time.Second) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -223,12 +223,12 @@
 func TestNoCallAfterClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := fastNetwork()
-		network.Rate = linkRate
+		network.LinkBandwidth = linkRate
 		w := newSimCluster(2, network, retryConfig(), 0)
 		defer w.stop()
 		var began, stopped time.Time
-		w.handle = func(node string, in *peer.Inbound) {
-			if in.Call.Try == 1 {
+		w.handle = func(node string, in *peer.InboundCall) {
+			if in.Call.Attempt == 1 {
 				time.AfterFunc(50*time.Millisecond, func() { // a part of the body has arrived
 					stopped = time.Now()
 					w.dispatcher.Close()
--- a/entry/dialing_test.go
+++ b/entry/dialing_test.go
@@ -49,13 +49,13 @@
 				w := newSimCluster(gates, fastNetwork(), retryConfig(), 0)
 				defer w.stop()
 				answers := "gate0"
-				w.handle = func(node string, in *peer.Inbound) {
+				w.handle = func(node string, in *peer.InboundCall) {
 					if in.Call.Target == "/find" {
 						answers = node
 						answerAfter(0)(node, in)
 						return
 					}
-					w.Host(node).SilenceUp(event)
+					w.Host(node).PauseUplink(event)
 					answerAfter(test.work)(node, in)
 				}
 				time.Sleep(time.Second)
@@ -63,7 +63,7 @@
 				qt.Assert(t, err, qt.IsNil)
 				for _, h := range w.gates { // the other gate's connections end, and it can't be dialled
 					if test.alone || h != w.Host(answers) {
-						h.Reset()
+						h.ResetConnections()
 						time.Sleep(2 * linkDelay)
 						h.PowerOff()
 					}
--- a/entry/dispatcher.go
+++ b/entry/dispatcher.go
@@ -156,8 +156,8 @@
 		n.hedgeBudget = &retry.Budget{Window: window}
 		n.latency = new(retry.Latency)
 	}
-	n.retryBudget.Adjust(s.Config.Retry.Share, s.Config.Retry.Burst)
-	n.hedgeBudget.Adjust(s.Config.Hedge.Share, s.Config.Hedge.Burst)
+	n.retryBudget.SetLimits(s.Config.Retry.Ratio, s.Config.Retry.Burst)
+	n.hedgeBudget.SetLimits(s.Config.Hedge.Ratio, s.Config.Hedge.Burst)
 	if old == nil || old.policy != n.policy {
 		policy, _ := route.ByName(n.policy)
 		n.pool = &route.Pool[string]{
@@ -198,7 +198,7 @@
 func (d *Dispatcher) preconnect(s *service) {
 	for _, m := range s.subset {
 		c := d.clientLocked(s, m)
-		go func() { _ = c.Warm(context.Background()) }() // a call will report the failure
+		go func() { _ = c.Connect(context.Background()) }() // a call will report the failure
 	}
 }
 
@@ -219,7 +219,7 @@
 	if m.Region == d.Region && m.Zone == d.Hello.Zone {
 		return 0
 	}
-	return s.Config.Crossing
+	return s.Config.ZoneCrossingCost
 }
 
 // closeUnused closes the clients of nodes that are no longer members of their
@@ -266,8 +266,8 @@
 			Limits:   d.Limits,
 			Counters: d.Counters,
 			Dial:     d.Dial,
-			Report:   func(r peer.Report) { d.observe(s.Name, m.ID, r) },
-			Noticed:  func(n *peer.Notice) { d.notices.set(m.ID, n) },
+			OnReport: func(r peer.Report) { d.observe(s.Name, m.ID, r) },
+			OnNotice: func(n *peer.Notice) { d.notices.set(m.ID, n) },
 		},
 	}
 	if d.closed {
@@ -293,17 +293,17 @@
 	return route.Load{
 		Running:       r.Running,
 		Waiting:       r.Waiting,
-		Slots:         r.Allowed,
-		ServiceTime:   r.Service,
+		Slots:         r.Slots,
+		ServiceTime:   r.ServiceTime,
 		Draining:      r.Draining,
 		Slowdown:      r.Slowdown,
-		FailureRatio:  r.Failing,
-		LinkBandwidth: r.BodyRate,
-		BacklogBytes:  r.BodyBacklog,
+		FailureRatio:  r.FailureRatio,
+		LinkBandwidth: r.LinkBandwidth,
+		BacklogBytes:  r.BacklogBytes,
 		Limited:       r.Limited,
 		Limit:         r.Limit,
-		LimitUsed:     r.Used,
-		LimitWait:     r.Free,
+		LimitUsed:     r.LimitUsed,
+		LimitWait:     r.LimitWait,
 	}
 }
 
--- a/entry/do.go
+++ b/entry/do.go
@@ -77,7 +77,7 @@
 func (o *operation) run() (*Result, *verdict.Error) {
 	defer o.cancelOpen()
 	policy := retry.Policy{
-		MaxAttempts:    o.service.Config.Retry.MaxTries,
+		MaxAttempts:    o.service.Config.Retry.MaxAttempts,
 		Budget:         o.service.retryBudget,
 		BudgetFraction: o.service.retryShares[o.request.Class],
 
@@ -153,7 +153,7 @@
 // holdResponse holds an error response back, to be returned if no better one arrives.
 func (o *operation) holdResponse(a *attempt) {
 	o.heldResponse = a
-	o.recordStep(Step{Event: EventAnswerHeld, Node: a.member.ID})
+	o.recordStep(Step{Event: EventResponseHeld, Node: a.member.ID})
 }
 
 // attemptsLeft returns whether the request may be sent to one more upstream.
@@ -245,12 +245,12 @@
 // answered, or a failure, or neither if it has to be called again.
 func (o *operation) awaitEvent(policy retry.Policy) (*attempt, *verdict.Error) {
 	var ready, silent [2]<-chan struct{}
-	var informs <-chan *peer.Inform
+	var informs <-chan *peer.Informational
 	for i, a := range o.open {
 		ready[i], silent[i] = a.exchange.Ready(), a.silentChan()
 	}
 	if len(o.open) > 0 {
-		informs = o.open[0].exchange.Informs()
+		informs = o.open[0].exchange.Informational()
 	}
 	var started <-chan struct{}
 	if o.pending != nil {
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -32,24 +32,24 @@
 }
 
 // gateFunc handles one call at a simulated gate.
-type gateFunc func(in *peer.Inbound)
+type gateFunc func(in *peer.InboundCall)
 
-func answer(in *peer.Inbound) {
-	_ = in.Reply(&peer.Answer{Status: 200, Body: []byte("done")})
+func answer(in *peer.InboundCall) {
+	_ = in.Reply(&peer.ResponseHead{Status: 200, Body: []byte("done")})
 }
 
 func fail(c verdict.Cause) gateFunc {
-	return func(in *peer.Inbound) { in.Fail(verdict.New(c, nil), nil) }
+	return func(in *peer.InboundCall) { in.Fail(verdict.New(c, nil), nil) }
 }
 
 // hang does not answer, and fails as a gate does when the call's deadline passes.
-func hang(in *peer.Inbound) {
+func hang(in *peer.InboundCall) {
 	<-in.Context().Done()
 	in.Fail(verdict.As(context.Cause(in.Context()), verdict.TimedOut), nil)
 }
 
 // queued waits in a queue until it is revoked.
-func queued(in *peer.Inbound) {
+func queued(in *peer.InboundCall) {
 	revoked := make(chan struct{})
 	var once sync.Once
 	in.OnRevoke(func() bool {
@@ -82,7 +82,7 @@
 // caller calls stop.
 func newSimDispatcher(config operator.Service, n int, handlers ...gateFunc) (d *entry.Dispatcher, g *gates, stop func()) {
 	g = new(gates)
-	network := &playnet.Network{Delay: 100 * time.Microsecond, Window: linkWindow}
+	network := &playnet.Network{Latency: 100 * time.Microsecond, WindowBytes: linkWindow}
 	from := network.Host("entry")
 	ctx, cancel := context.WithCancel(context.Background())
 	var servers, calls sync.WaitGroup
@@ -90,8 +90,8 @@
 	for i := range n {
 		id := fmt.Sprint("gate", i)
 		server := g.server(id, handlers...)
-		call := server.Call
-		server.Call = func(in *peer.Inbound) {
+		call := server.HandleCall
+		server.HandleCall = func(in *peer.InboundCall) {
 			calls.Add(1)
 			defer calls.Done()
 			call(in)
@@ -126,7 +126,7 @@
 
 // server returns the server of a gate.
 func (g *gates) server(id string, handlers ...gateFunc) *peer.Server {
-	return &peer.Server{Call: func(in *peer.Inbound) {
+	return &peer.Server{HandleCall: func(in *peer.InboundCall) {
 		g.mu.Lock()
 		g.calls = append(g.calls, id)
 		handle := handlers[min(len(g.calls), len(handlers))-1]
@@ -152,7 +152,7 @@
 
 // TestDo has one case for each way in which a request can proceed.
 func TestDo(t *testing.T) {
-	budget := operator.Service{Retry: operator.Retry{MaxTries: 3, Share: 0.1, Burst: 5}}
+	budget := operator.Service{Retry: operator.Retry{MaxAttempts: 3, Ratio: 0.1, Burst: 5}}
 	tests := map[string]struct {
 		handlers   []gateFunc
 		idempotent bool
@@ -169,11 +169,11 @@
 		"draining, streamed":                     {handlers: []gateFunc{fail(verdict.Draining), answer}, stream: true, calls: 2},
 		"upstream lost, POST":                    {handlers: []gateFunc{fail(verdict.UpstreamLost), answer}, want: verdict.UpstreamLost, calls: 1},
 		"upstream lost, GET":                     {handlers: []gateFunc{fail(verdict.UpstreamLost), answer}, idempotent: true, calls: 2},
-		"answer invalid, GET":                    {handlers: []gateFunc{fail(verdict.AnswerInvalid), answer}, idempotent: true, want: verdict.AnswerInvalid, calls: 1},
+		"answer invalid, GET":                    {handlers: []gateFunc{fail(verdict.ResponseInvalid), answer}, idempotent: true, want: verdict.ResponseInvalid, calls: 1},
 		"lost and then refused":                  {handlers: []gateFunc{fail(verdict.UpstreamLost), fail(verdict.Refused)}, idempotent: true, want: verdict.UpstreamLost, calls: 3},
 		"no answer in time":                      {handlers: []gateFunc{hang}, timeout: 50 * time.Millisecond, want: verdict.TimedOut, calls: 1},
 		"deadline already passed":                {handlers: []gateFunc{answer}, timeout: -1, want: verdict.DeadlinePassed},
-		"refused, no time for another attempt":   {handlers: []gateFunc{func(in *peer.Inbound) { time.Sleep(60 * time.Millisecond); fail(verdict.Refused)(in) }}, timeout: 50 * time.Millisecond, want: verdict.TimedOut, calls: 1},
+		"refused, no time for another attempt":   {handlers: []gateFunc{func(in *peer.InboundCall) { time.Sleep(60 * time.Millisecond); fail(verdict.Refused)(in) }}, timeout: 50 * time.Millisecond, want: verdict.TimedOut, calls: 1},
 		"upstream says not run, within a budget": {handlers: []gateFunc{fail(verdict.UpstreamRefused), answer}, calls: 2},
 	}
 	for name, test := range tests {
@@ -222,11 +222,11 @@
 // requests that fail.
 func TestRetryOnError(t *testing.T) {
 	failing := func(share float64) gateFunc {
-		return func(in *peer.Inbound) {
-			_ = in.Reply(&peer.Answer{Status: 500, Body: []byte("error"), Report: &peer.Report{Allowed: 10, Failing: share}})
+		return func(in *peer.InboundCall) {
+			_ = in.Reply(&peer.ResponseHead{Status: 500, Body: []byte("error"), Report: &peer.Report{Slots: 10, FailureRatio: share}})
 		}
 	}
-	config := operator.Retry{MaxTries: 3, Share: 0.1, Burst: 5, OnError: true}
+	config := operator.Retry{MaxAttempts: 3, Ratio: 0.1, Burst: 5, OnError: true}
 	tests := map[string]struct {
 		handlers      []gateFunc
 		retry         operator.Retry
@@ -241,13 +241,13 @@
 		"two errors":                    {handlers: []gateFunc{failing(0.5), failing(0.5), answer}, want: 500, calls: 2},
 		"second attempt is lost":        {handlers: []gateFunc{failing(0.5), fail(verdict.UpstreamLost), fail(verdict.UpstreamLost)}, want: 500, calls: 3},
 		"one upstream allowed":          {handlers: []gateFunc{failing(0.5), answer}, maxAttempts: 1, want: 500, calls: 1},
-		"not configured":                {handlers: []gateFunc{failing(0.5), answer}, retry: operator.Retry{MaxTries: 3, Share: 0.1, Burst: 5}, want: 500, calls: 1},
-		"no budget":                     {handlers: []gateFunc{failing(0.5), answer}, retry: operator.Retry{MaxTries: 3, Share: 1e-9, Burst: 1e-9, OnError: true}, want: 500, calls: 1},
+		"not configured":                {handlers: []gateFunc{failing(0.5), answer}, retry: operator.Retry{MaxAttempts: 3, Ratio: 0.1, Burst: 5}, want: 500, calls: 1},
+		"no budget":                     {handlers: []gateFunc{failing(0.5), answer}, retry: operator.Retry{MaxAttempts: 3, Ratio: 1e-9, Burst: 1e-9, OnError: true}, want: 500, calls: 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			retry := test.retry
-			if retry.MaxTries == 0 {
+			if retry.MaxAttempts == 0 {
 				retry = config
 			}
 			d, g := newDispatcher(t, operator.Service{Retry: retry}, 4, test.handlers...)
@@ -269,7 +269,7 @@
 // idempotent request is hedged and its slower attempt cancelled. Any other is revoked
 // if it is queued, and left alone if it runs.
 func TestSlowRequests(t *testing.T) {
-	config := operator.Service{Hedge: operator.Hedge{Share: 0.2, MinDelay: operator.Duration(20 * time.Millisecond)}}
+	config := operator.Service{Hedge: operator.Hedge{Ratio: 0.2, MinDelay: operator.Duration(20 * time.Millisecond)}}
 	tests := map[string]struct {
 		slow       gateFunc
 		idempotent bool
--- a/entry/hedge.go
+++ b/entry/hedge.go
@@ -17,7 +17,7 @@
 // may be hedged or revoked, and a function that stops the timer.
 func (o *operation) hedgeTimer() (<-chan time.Time, func()) {
 	hedge := o.service.Config.Hedge
-	if hedge.Share == 0 && hedge.Part == 0 || len(o.open) != 1 || o.pending != nil || o.slowHandled || o.service.pool.Len() < 2 {
+	if hedge.Ratio == 0 && hedge.BudgetFraction == 0 || len(o.open) != 1 || o.pending != nil || o.slowHandled || o.service.pool.Len() < 2 {
 		return nil, func() {}
 	}
 	after, ok := o.service.latency.Quantile(hedge.Quantile)
@@ -35,7 +35,7 @@
 // takeHedge takes one hedged attempt for an organisation from its budget, and
 // returns whether the budget had room for it.
 func (s *service) takeHedge(organisation string) bool {
-	if part := s.Config.Hedge.Part; part > 0 {
+	if part := s.Config.Hedge.BudgetFraction; part > 0 {
 		return s.retryBudget.TakeFor(organisation, part)
 	}
 	return s.hedgeBudget.Take()
@@ -85,7 +85,7 @@
 		o.recordEvent(EventRevoke)
 		return
 	}
-	if o.dispatcher.Quarantine.Assess(o.request.Fingerprint).State >= quarantine.Isolated || !o.attemptsLeft() || len(o.tried) >= o.service.Config.Retry.MaxTries || !o.service.takeHedge(o.request.Organisation) {
+	if o.dispatcher.Quarantine.Assess(o.request.Fingerprint).State >= quarantine.Isolated || !o.attemptsLeft() || len(o.tried) >= o.service.Config.Retry.MaxAttempts || !o.service.takeHedge(o.request.Organisation) {
 		return
 	}
 	o.beginAttempt(EventHedge)
--- a/entry/isolate_test.go
+++ b/entry/isolate_test.go
@@ -54,7 +54,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			config := operator.Service{Retry: operator.Retry{MaxTries: 3, Share: 0.1, Burst: 5}}
+			config := operator.Service{Retry: operator.Retry{MaxAttempts: 3, Ratio: 0.1, Burst: 5}}
 			d, g := newDispatcher(t, config, gates, test.handlers...)
 			var p quarantine.Fingerprint
 			d.Quarantine, p = suspected(test.crashes)
--- a/entry/lostpacket_test.go
+++ b/entry/lostpacket_test.go
@@ -19,18 +19,18 @@
 // packet between two nodes was lost. It has to be retransmitted before the node counts as silent.
 func TestLostPacketIsNotSilence(t *testing.T) {
 	for name, lose := range map[string]func(w *simCluster){
-		"sent by the entry node": func(w *simCluster) { w.entry.Lose(1) },
+		"sent by the entry node": func(w *simCluster) { w.entry.DropPackets(1) },
 		"sent by the gates": func(w *simCluster) {
 			for _, g := range w.gates {
-				g.Lose(1)
+				g.DropPackets(1)
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for after := time.Duration(0); after < linkWork; after += 25 * time.Millisecond {
 				synctest.Test(t, func(t *testing.T) {
-					config := operator.Service{Retry: operator.Retry{MaxTries: 3, Share: 1, Burst: 10}}
-					w := newSimCluster(2, &playnet.Network{Delay: time.Millisecond, Window: linkWindow, Timeout: linkTimeout}, config, 0)
+					config := operator.Service{Retry: operator.Retry{MaxAttempts: 3, Ratio: 1, Burst: 10}}
+					w := newSimCluster(2, &playnet.Network{Latency: time.Millisecond, WindowBytes: linkWindow, UserTimeout: linkTimeout}, config, 0)
 					defer w.stop()
 					time.Sleep(time.Second)
 					time.AfterFunc(after, func() { lose(w) })
--- a/entry/memberchange_test.go
+++ b/entry/memberchange_test.go
@@ -23,7 +23,7 @@
 // TestMembersChangeDuringRequest guards against a request that fails as misrouted because the members
 // of its service were replaced while it was in flight. It has to be sent to the new members.
 func TestMembersChangeDuringRequest(t *testing.T) {
-	config := operator.Service{Retry: operator.Retry{MaxTries: 3, Share: 0.1, Burst: 5}}.WithDefaults()
+	config := operator.Service{Retry: operator.Retry{MaxAttempts: 3, Ratio: 0.1, Burst: 5}}.WithDefaults()
 	tests := map[string]struct {
 		before, after int           // members 0 to before-1 are replaced by members before to after-1
 		first         verdict.Cause // failure of the first attempt
@@ -48,7 +48,7 @@
 					}
 					return map[string]*entry.Service{"service": s}
 				}
-				refuseAndChange := func(in *peer.Inbound) {
+				refuseAndChange := func(in *peer.InboundCall) {
 					change.Do(func() { d.SetServices(service(test.before, test.after)) })
 					time.Sleep(time.Second)
 					in.Fail(verdict.New(test.first, nil), nil)
--- a/entry/notice_test.go
+++ b/entry/notice_test.go
@@ -22,8 +22,8 @@
 		var d Dispatcher
 		n := &d.notices
 		qt.Check(t, n.get("a"), qt.IsNil)
-		limit := &peer.Notice{Start: "i-1", Limited: true, Limit: 5}
-		lower := &peer.Notice{Start: "i-1", Limited: true, Limit: 3}
+		limit := &peer.Notice{StartID: "i-1", Limited: true, Limit: 5}
+		lower := &peer.Notice{StartID: "i-1", Limited: true, Limit: 3}
 		n.set("a", limit)
 		n.set("b", limit)
 		n.set("a", lower)
--- a/entry/parallel_test.go
+++ b/entry/parallel_test.go
@@ -31,16 +31,16 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := hedgeConfig()
 				c.Retry = retryConfig().Retry
-				c.Retry.MaxTries = 6
+				c.Retry.MaxAttempts = 6
 				w := newSimCluster(6, fastNetwork(), c, 0)
 				defer w.stop()
 				fail := false
-				w.handle = func(node string, in *peer.Inbound) {
+				w.handle = func(node string, in *peer.InboundCall) {
 					if !fail {
-						_ = in.Reply(&peer.Answer{Status: 200})
+						_ = in.Reply(&peer.ResponseHead{Status: 200})
 						return
 					}
-					w.Host(node).Silence(900 * time.Millisecond)
+					w.Host(node).PauseLink(900 * time.Millisecond)
 					time.Sleep(100 * time.Millisecond)
 					in.Fail(verdict.New(verdict.UpstreamLost, nil), nil)
 				}
--- a/entry/regions_test.go
+++ b/entry/regions_test.go
@@ -43,7 +43,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			for round := range 10 {
-				config := operator.Service{Retry: operator.Retry{MaxTries: 6, Share: 1, Burst: 10}}
+				config := operator.Service{Retry: operator.Retry{MaxAttempts: 6, Ratio: 1, Burst: 10}}
 				d, g := newDispatcher(t, config, 0, test.handlers...)
 				var members []entry.Member
 				for i := range 6 {
--- a/entry/replacedlink_test.go
+++ b/entry/replacedlink_test.go
@@ -76,7 +76,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				w := newSimCluster(1, fastNetwork(), noRetryConfig(), 0)
 				defer w.stop()
-				w.handle = func(node string, in *peer.Inbound) {
+				w.handle = func(node string, in *peer.InboundCall) {
 					work := 20 * time.Millisecond
 					if in.Call.Target == "/old" {
 						work = 400 * time.Millisecond
@@ -96,7 +96,7 @@
 					qt.Check(t, took > 1400*time.Millisecond && took < 2*time.Second, qt.IsTrue, qt.Commentf("%v", took))
 				})
 				time.Sleep(100 * time.Millisecond)
-				w.gates[0].Lose(3) // 1.4 s; other connections are not affected
+				w.gates[0].DropPackets(3) // 1.4 s; other connections are not affected
 				time.Sleep(linkSilence)
 				for i := range 30 {
 					all.Go(func() {
@@ -129,7 +129,7 @@
 	const idle = 2 * time.Second
 	t.Run("idle", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			limits := peer.Limits{Silence: linkSilence, Handshake: linkHandshake, Idle: idle}
+			limits := peer.Limits{SilenceTimeout: linkSilence, HandshakeTimeout: linkHandshake, IdleTimeout: idle}
 			w := newSimClusterWithin(limits, 1, fastNetwork(), noRetryConfig(), 0)
 			defer w.stop()
 			w.handle = answerAfter(10 * time.Millisecond)
@@ -160,7 +160,7 @@
 				var all sync.WaitGroup
 				all.Go(func() { _, _ = w.sendTo(fmt.Sprint("/", i), false) })
 				time.Sleep(5 * time.Millisecond)
-				w.gates[0].Lose(3)
+				w.gates[0].DropPackets(3)
 				for j := range 40 { // the connection is replaced while they start
 					all.Go(func() {
 						time.Sleep(linkSilence - 15*time.Millisecond + time.Duration(j)*time.Millisecond)
@@ -193,7 +193,7 @@
 // hedgeConfig returns the configuration of a service whose slow requests are hedged.
 func hedgeConfig() operator.Service {
 	c := retryConfig()
-	c.Hedge = operator.Hedge{Share: 1, Burst: 100, Quantile: 0.5, MinDelay: operator.Duration(50 * time.Millisecond)}
+	c.Hedge = operator.Hedge{Ratio: 1, Burst: 100, Quantile: 0.5, MinDelay: operator.Duration(50 * time.Millisecond)}
 	return c
 }
 
@@ -208,56 +208,62 @@
 // request ends.
 func TestWinnerOutlivesLoser(t *testing.T) {
 	const size = 360 << 10
-	whole := func(in *peer.Inbound) {
-		_ = in.Begin(&peer.Answer{Status: 200, Length: size})
+	whole := func(in *peer.InboundCall) {
+		_ = in.BeginResponse(&peer.ResponseHead{Status: 200, Length: size})
 		_ = in.CopyBody(bytes.NewReader(make([]byte, size)))
-		_ = in.Finish(nil)
+		_ = in.FinishResponse(nil)
 	}
 	for name, test := range map[string]struct {
-		first  func(w *simCluster, node string, in *peer.Inbound)
-		second func(w *simCluster, node string, in *peer.Inbound)
+		first  func(w *simCluster, node string, in *peer.InboundCall)
+		second func(w *simCluster, node string, in *peer.InboundCall)
 		winner int
 	}{
 		"first attempt answers later": {
-			first:  func(_ *simCluster, _ string, in *peer.Inbound) { time.Sleep(time.Second); whole(in) },
-			second: func(_ *simCluster, _ string, in *peer.Inbound) { whole(in) },
+			first:  func(_ *simCluster, _ string, in *peer.InboundCall) { time.Sleep(time.Second); whole(in) },
+			second: func(_ *simCluster, _ string, in *peer.InboundCall) { whole(in) },
 			winner: 1,
 		},
 		"first attempt's node loses power": {
-			first:  func(w *simCluster, node string, _ *peer.Inbound) { w.Host(node).PowerOff(); time.Sleep(time.Minute) },
-			second: func(_ *simCluster, _ string, in *peer.Inbound) { time.Sleep(10 * time.Second); whole(in) },
+			first: func(w *simCluster, node string, _ *peer.InboundCall) {
+				w.Host(node).PowerOff()
+				time.Sleep(time.Minute)
+			},
+			second: func(_ *simCluster, _ string, in *peer.InboundCall) { time.Sleep(10 * time.Second); whole(in) },
 			winner: 1,
 		},
 		"first attempt's connection is reset": {
-			first: func(w *simCluster, node string, _ *peer.Inbound) {
+			first: func(w *simCluster, node string, _ *peer.InboundCall) {
 				time.Sleep(time.Second)
-				w.Host(node).Reset()
+				w.Host(node).ResetConnections()
 			},
-			second: func(_ *simCluster, _ string, in *peer.Inbound) { time.Sleep(2 * time.Second); whole(in) },
+			second: func(_ *simCluster, _ string, in *peer.InboundCall) { time.Sleep(2 * time.Second); whole(in) },
 			winner: 1,
 		},
 		"second attempt's connection is reset": {
-			first:  func(_ *simCluster, _ string, in *peer.Inbound) { time.Sleep(2 * time.Second); whole(in) },
-			second: func(w *simCluster, node string, _ *peer.Inbound) { w.Host(node).Reset() },
+			first:  func(_ *simCluster, _ string, in *peer.InboundCall) { time.Sleep(2 * time.Second); whole(in) },
+			second: func(w *simCluster, node string, _ *peer.InboundCall) { w.Host(node).ResetConnections() },
 		},
 		"second attempt's node loses power": {
-			first:  func(_ *simCluster, _ string, in *peer.Inbound) { time.Sleep(10 * time.Second); whole(in) },
-			second: func(w *simCluster, node string, _ *peer.Inbound) { w.Host(node).PowerOff(); time.Sleep(time.Minute) },
+			first: func(_ *simCluster, _ string, in *peer.InboundCall) { time.Sleep(10 * time.Second); whole(in) },
+			second: func(w *simCluster, node string, _ *peer.InboundCall) {
+				w.Host(node).PowerOff()
+				time.Sleep(time.Minute)
+			},
 		},
 		"second attempt is refused": {
-			first: func(_ *simCluster, _ string, in *peer.Inbound) { time.Sleep(2 * time.Second); whole(in) },
-			second: func(_ *simCluster, _ string, in *peer.Inbound) {
+			first: func(_ *simCluster, _ string, in *peer.InboundCall) { time.Sleep(2 * time.Second); whole(in) },
+			second: func(_ *simCluster, _ string, in *peer.InboundCall) {
 				in.Fail(verdict.New(verdict.Refused, nil), nil)
 			},
 		},
 		"both nodes silent, first attempt answers": {
-			first: func(w *simCluster, node string, in *peer.Inbound) {
-				w.Host(node).Silence(1500 * time.Millisecond)
+			first: func(w *simCluster, node string, in *peer.InboundCall) {
+				w.Host(node).PauseLink(1500 * time.Millisecond)
 				time.Sleep(time.Second)
 				whole(in)
 			},
-			second: func(w *simCluster, node string, _ *peer.Inbound) {
-				w.Host(node).Silence(2500 * time.Millisecond)
+			second: func(w *simCluster, node string, _ *peer.InboundCall) {
+				w.Host(node).PauseLink(2500 * time.Millisecond)
 				time.Sleep(time.Minute)
 			},
 		},
@@ -266,13 +272,13 @@
 			synctest.Test(t, func(t *testing.T) {
 				w := newSimCluster(2, fastNetwork(), hedgeConfig(), 0)
 				defer w.stop()
-				w.handle = func(node string, in *peer.Inbound) {
+				w.handle = func(node string, in *peer.InboundCall) {
 					switch {
 					case in.Call.Target != "/":
 						answerAfter(20*time.Millisecond)(node, in)
-					case in.Call.Try == 1:
+					case in.Call.Attempt == 1:
 						test.first(w, node, in)
-					case in.Call.Try == 2:
+					case in.Call.Attempt == 2:
 						test.second(w, node, in)
 					default:
 						time.Sleep(time.Minute)
@@ -301,27 +307,27 @@
 		silence = 1500 * time.Millisecond
 	)
 	// slowly sends a body in two halves, and makes the node silent between them.
-	slowly := func(w *simCluster, node string, in *peer.Inbound) {
-		_ = in.Begin(&peer.Answer{Status: 200, Length: size})
+	slowly := func(w *simCluster, node string, in *peer.InboundCall) {
+		_ = in.BeginResponse(&peer.ResponseHead{Status: 200, Length: size})
 		_ = in.CopyBody(bytes.NewReader(make([]byte, size/2)))
 		time.Sleep(20 * time.Millisecond)
-		w.Host(node).Silence(silence)
+		w.Host(node).PauseLink(silence)
 		time.Sleep(50 * time.Millisecond)
 		_ = in.CopyBody(bytes.NewReader(make([]byte, size/2)))
-		_ = in.Finish(nil)
+		_ = in.FinishResponse(nil)
 	}
 	for name, test := range map[string]struct {
-		handle        func(w *simCluster, node string, in *peer.Inbound)
+		handle        func(w *simCluster, node string, in *peer.InboundCall)
 		attempts      int
 		informational int
 	}{
 		"an answer has begun": {handle: slowly, attempts: 1},
 		"an informational answer has come": {
-			handle: func(w *simCluster, node string, in *peer.Inbound) {
-				_ = in.Inform(103, nil)
+			handle: func(w *simCluster, node string, in *peer.InboundCall) {
+				_ = in.SendInformational(103, nil)
 				time.Sleep(10 * time.Millisecond)
-				w.Host(node).Silence(silence)
-				_ = in.Inform(103, nil)
+				w.Host(node).PauseLink(silence)
+				_ = in.SendInformational(103, nil)
 				time.Sleep(silence / 2)
 				slowly(w, node, in)
 			},
@@ -329,12 +335,12 @@
 			informational: 2,
 		},
 		"on the second attempt": {
-			handle: func(w *simCluster, node string, in *peer.Inbound) {
-				if in.Call.Try == 1 {
+			handle: func(w *simCluster, node string, in *peer.InboundCall) {
+				if in.Call.Attempt == 1 {
 					in.Fail(verdict.New(verdict.UpstreamLost, nil), nil)
 					return
 				}
-				w.Host(node).Silence(silence)
+				w.Host(node).PauseLink(silence)
 				time.Sleep(2 * silence)
 				slowly(w, node, in)
 			},
@@ -344,14 +350,14 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				config := retryConfig()
-				config.Retry.MaxTries = test.attempts
+				config.Retry.MaxAttempts = test.attempts
 				w := newSimCluster(2, fastNetwork(), config, 0)
 				defer w.stop()
-				w.handle = func(node string, in *peer.Inbound) { test.handle(w, node, in) }
+				w.handle = func(node string, in *peer.InboundCall) { test.handle(w, node, in) }
 				time.Sleep(time.Second)
 				r := w.request(true, 0)
 				informational := 0
-				r.OnInformational = func(*peer.Inform) { informational++ }
+				r.OnInformational = func(*peer.Informational) { informational++ }
 				got, err := w.send(r)
 				qt.Check(t, err, qt.IsNil)
 				qt.Check(t, len(got), qt.Equals, size)
--- a/entry/request.go
+++ b/entry/request.go
@@ -50,7 +50,7 @@
 	// Deadline is the time by which the response must have begun.
 	Deadline time.Time
 	// OnInformational, if not nil, is called for each informational response.
-	OnInformational func(*peer.Inform)
+	OnInformational func(*peer.Informational)
 	// Steps are the decisions taken on the request. The Dispatcher appends to them until
 	// Do returns.
 	Steps []Step
@@ -68,10 +68,10 @@
 		Header:       r.Header,
 		Remaining:    time.Until(r.Deadline),
 		Streams:      r.Spooled != nil || r.Stream != nil || len(r.Body) > MaxInlineBodyBytes,
-		Ahead:        r.sendsBodyAhead(),
+		EarlyBody:    r.sendsBodyAhead(),
 		Length:       r.Length,
-		Try:          attempt,
-		Print:        r.Fingerprint,
+		Attempt:      attempt,
+		Fingerprint:  r.Fingerprint,
 	}
 	if !c.Streams {
 		c.Body = r.Body
@@ -88,7 +88,7 @@
 // sendsBodyAhead returns whether the body may be sent before the call is admitted. It must be
 // possible to send it again from its start if the call is refused.
 func (r *Request) sendsBodyAhead() bool {
-	return r.Length > MaxInlineBodyBytes && r.Length <= peer.MaxAhead && r.Stream == nil
+	return r.Length > MaxInlineBodyBytes && r.Length <= peer.MaxEarlyBodyBytes && r.Stream == nil
 }
 
 // bodyFrameBytes returns how many bytes of the body are sent over the link in frames of their own, as
@@ -104,7 +104,7 @@
 func (r *Request) bodyReader() io.Reader {
 	switch {
 	case r.Spooled != nil:
-		return r.Spooled.Open()
+		return r.Spooled.NewReader()
 	case r.Stream != nil:
 		return nextView(r.Stream)
 	}
--- a/entry/retryafter_test.go
+++ b/entry/retryafter_test.go
@@ -18,7 +18,7 @@
 
 // refuse fails a call with the given cause and Retry-After.
 func refuse(c verdict.Cause, after time.Duration) gateFunc {
-	return func(in *peer.Inbound) { in.Fail(verdict.New(c, nil).WithRetryAfter(after), nil) }
+	return func(in *peer.InboundCall) { in.Fail(verdict.New(c, nil).WithRetryAfter(after), nil) }
 }
 
 // TestRetryAfter checks that callers are told to retry within their objective, unless a gate or
@@ -41,7 +41,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			d, _ := newDispatcher(t, operator.Service{Retry: operator.Retry{MaxTries: test.maxAttempts, Share: 0.1, Burst: 5}}, 3, test.handlers...)
+			d, _ := newDispatcher(t, operator.Service{Retry: operator.Retry{MaxAttempts: test.maxAttempts, Ratio: 0.1, Burst: 5}}, 3, test.handlers...)
 			_, failure := d.Do(t.Context(), &entry.Request{
 				Service:   "service",
 				Class:     "default",
--- a/entry/retryshare.go
+++ b/entry/retryshare.go
@@ -51,7 +51,7 @@
 	ranks = slices.Compact(ranks)
 	parts := make(map[string]float64, len(config.Classes))
 	for _, c := range config.Classes {
-		parts[c.Name] = retry.BudgetFraction(slices.Index(ranks, urgencyOf(c)), len(ranks), config.Retry.Reserve)
+		parts[c.Name] = retry.BudgetFraction(slices.Index(ranks, urgencyOf(c)), len(ranks), config.Retry.ReservedFraction)
 	}
 	return parts
 }
--- a/entry/retryshare_test.go
+++ b/entry/retryshare_test.go
@@ -35,7 +35,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			qt.Check(t, retryShares(operator.Service{Classes: test.classes, Retry: operator.Retry{Reserve: 0.5}}), qt.DeepEquals, test.want)
+			qt.Check(t, retryShares(operator.Service{Classes: test.classes, Retry: operator.Retry{ReservedFraction: 0.5}}), qt.DeepEquals, test.want)
 		})
 	}
 }
--- a/entry/schedule_test.go
+++ b/entry/schedule_test.go
@@ -73,13 +73,13 @@
 	r := rand.New(rand.NewPCG(seed, 0))
 	network := fastNetwork()
 	if r.IntN(2) == 0 {
-		network.Rate = linkRate
+		network.LinkBandwidth = linkRate
 	}
 	if r.IntN(3) == 0 {
-		network.Buffer = 64 << 10
+		network.SendBufferBytes = 64 << 10
 	}
 	config := hedgeConfig()
-	config.Retry.Share = 0.5
+	config.Retry.Ratio = 0.5
 	s := &schedule{
 		random:     r,
 		simCluster: newSimCluster(1+r.IntN(4), network, config, 0),
@@ -114,7 +114,7 @@
 	case 0:
 		d.size = s.random.IntN(entry.MaxInlineBodyBytes)
 	case 1:
-		d.size = s.random.IntN(peer.MaxAhead)
+		d.size = s.random.IntN(peer.MaxEarlyBodyBytes)
 	case 2:
 		d.size = s.random.IntN(360 << 10)
 	}
@@ -148,20 +148,20 @@
 	var inject func()
 	switch s.random.IntN(10) {
 	case 0, 1, 2:
-		description, inject = fmt.Sprintf("%s is silent for %v", name, silence), func() { host.Silence(silence) }
+		description, inject = fmt.Sprintf("%s is silent for %v", name, silence), func() { host.PauseLink(silence) }
 	case 3:
-		description, inject = fmt.Sprintf("%s sends nothing for %v", name, silence), func() { host.SilenceUp(silence) }
+		description, inject = fmt.Sprintf("%s sends nothing for %v", name, silence), func() { host.PauseUplink(silence) }
 	case 4:
-		description, inject = fmt.Sprintf("%s loses packets, %d times each", name, times), func() { host.Lose(times) }
+		description, inject = fmt.Sprintf("%s loses packets, %d times each", name, times), func() { host.DropPackets(times) }
 	case 5:
 		description, inject = fmt.Sprintf("%s is suspended for %v", name, suspension), func() {
-			host.Suspend(suspension)
+			host.SuspendProcess(suspension)
 			if name == "entry" {
 				s.locked(func() { s.resumes = append(s.resumes, time.Now().Add(suspension)) })
 			}
 		}
 	case 6:
-		description, inject = name+" resets its connections", host.Reset
+		description, inject = name+" resets its connections", host.ResetConnections
 	case 7:
 		description, inject = gate+" loses its power", func() {
 			s.Host(gate).PowerOff()
@@ -199,7 +199,7 @@
 }
 
 // gate simulates a gate and its upstream, which completes its work even if the call has ended.
-func (s *schedule) gate(node string, in *peer.Inbound) {
+func (s *schedule) gate(node string, in *peer.InboundCall) {
 	index, _ := strconv.Atoi(strings.TrimPrefix(in.Call.Target, "/"))
 	d := s.requests[index]
 	var waiting sync.Mutex
@@ -224,8 +224,8 @@
 		in.Fail(verdict.New(verdict.Draining, nil), nil)
 		return
 	}
-	if in.Call.Ahead {
-		if _, err := in.Receive(in.Context()); err != nil {
+	if in.Call.EarlyBody {
+		if _, err := in.ReceiveBody(in.Context()); err != nil {
 			in.Fail(verdict.New(verdict.Revoked, err), nil)
 			return
 		}
@@ -266,12 +266,12 @@
 	}
 	time.Sleep(d.work)
 	if d.answer == 0 {
-		_ = in.Reply(&peer.Answer{Status: 200, Body: []byte(node)})
+		_ = in.Reply(&peer.ResponseHead{Status: 200, Body: []byte(node)})
 		return
 	}
-	_ = in.Begin(&peer.Answer{Status: 200, Length: int64(d.answer)})
+	_ = in.BeginResponse(&peer.ResponseHead{Status: 200, Length: int64(d.answer)})
 	if in.CopyBody(bytes.NewReader(make([]byte, d.answer))) == nil {
-		_ = in.Finish(nil)
+		_ = in.FinishResponse(nil)
 	}
 }
 
@@ -363,7 +363,7 @@
 		if len(s.stops) == 0 {
 			s.fail(d, "ends as %v, and nothing has stopped", d.failure)
 		}
-	case verdict.PeerLost, verdict.AnswerTruncated:
+	case verdict.PeerLost, verdict.ResponseTruncated:
 		if !s.proven(d) {
 			s.fail(d, "ends without proof as %v", d.failure)
 		}
@@ -389,7 +389,7 @@
 		if at, ok := s.cutAt[step.Node]; ok && !at.After(d.ended) {
 			return true
 		}
-		for _, b := range s.entry.Breaks() {
+		for _, b := range s.entry.ConnFailures() {
 			if b.Peer == step.Node && !b.At.After(d.ended) && !b.At.Before(d.sent.Add(step.After)) {
 				return true
 			}
@@ -421,7 +421,7 @@
 			continue
 		}
 		bound := d.sent.Add(step.After)
-		for _, at := range append(s.resumes, s.offAt[step.Node], s.entry.Heard(s.Host(step.Node))) {
+		for _, at := range append(s.resumes, s.offAt[step.Node], s.entry.LastReceived(s.Host(step.Node))) {
 			if at.After(bound) {
 				bound = at
 			}
@@ -459,7 +459,7 @@
 // String describes the schedule and the results of its requests.
 func (s *schedule) String() string {
 	b := new(strings.Builder)
-	fmt.Fprintf(b, "%d gates, rate %v, buffer %d\n", len(s.gates), s.Rate, s.Buffer)
+	fmt.Fprintf(b, "%d gates, rate %v, buffer %d\n", len(s.gates), s.LinkBandwidth, s.SendBufferBytes)
 	for _, fault := range s.faults {
 		fmt.Fprintln(b, fault)
 	}
--- a/entry/silentlink_test.go
+++ b/entry/silentlink_test.go
@@ -52,7 +52,7 @@
 
 	// handle, if not nil, simulates the gates and their upstreams instead of run. It is set before
 	// the first request.
-	handle func(node string, in *peer.Inbound)
+	handle func(node string, in *peer.InboundCall)
 
 	mu    sync.Mutex
 	runs  map[string]int // calls that upstreams have begun to run, by node
@@ -69,7 +69,7 @@
 // newSimCluster starts an entry node and n gates on a network. Their upstreams take linkWork for
 // each call and answer with the given number of bytes.
 func newSimCluster(n int, network *playnet.Network, config operator.Service, answer int) *simCluster {
-	limits := peer.Limits{Silence: linkSilence, Handshake: linkHandshake}
+	limits := peer.Limits{SilenceTimeout: linkSilence, HandshakeTimeout: linkHandshake}
 	return newSimClusterWithin(limits, n, network, config, answer)
 }
 
@@ -93,8 +93,8 @@
 		service.Members = append(service.Members, entry.Member{ID: addr, Addr: addr, Slots: 100})
 		server := &peer.Server{
 			Hello:  peer.Hello{Node: addr},
-			Limits: peer.Limits{Silence: linkSilence, Handshake: linkHandshake, UnderWay: linkUnderWay},
-			Call: func(in *peer.Inbound) {
+			Limits: peer.Limits{SilenceTimeout: linkSilence, HandshakeTimeout: linkHandshake, MaxInFlightBytes: linkUnderWay},
+			HandleCall: func(in *peer.InboundCall) {
 				w.recordArrival(addr, in)
 				if w.handle != nil {
 					w.handle(addr, in)
@@ -135,7 +135,7 @@
 }
 
 // recordArrival records a call that has arrived at a gate.
-func (w *simCluster) recordArrival(node string, in *peer.Inbound) {
+func (w *simCluster) recordArrival(node string, in *peer.InboundCall) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.calls = append(w.calls, arrival{
@@ -158,9 +158,9 @@
 }
 
 // run simulates a gate and its upstream, which completes its work even if the call has ended.
-func (w *simCluster) run(node string, in *peer.Inbound, answer int) {
-	if in.Call.Ahead {
-		if _, err := in.Receive(in.Context()); err != nil {
+func (w *simCluster) run(node string, in *peer.InboundCall, answer int) {
+	if in.Call.EarlyBody {
+		if _, err := in.ReceiveBody(in.Context()); err != nil {
 			return
 		}
 	}
@@ -180,12 +180,12 @@
 		return
 	}
 	if answer == 0 {
-		_ = in.Reply(&peer.Answer{Status: 200, Body: []byte(node)})
+		_ = in.Reply(&peer.ResponseHead{Status: 200, Body: []byte(node)})
 		return
 	}
-	_ = in.Begin(&peer.Answer{Status: 200, Length: int64(answer)})
+	_ = in.BeginResponse(&peer.ResponseHead{Status: 200, Length: int64(answer)})
 	_ = in.CopyBody(bytes.NewReader(make([]byte, answer)))
-	_ = in.Finish(nil)
+	_ = in.FinishResponse(nil)
 }
 
 // ran returns the number of runs, and the number of calls that ended before their response.
@@ -224,7 +224,7 @@
 
 // noRetryConfig returns the configuration of a service whose requests are sent to one upstream only.
 func noRetryConfig() operator.Service {
-	return operator.Service{Retry: operator.Retry{MaxTries: 1, Share: 1e-9, Burst: 1e-9}}
+	return operator.Service{Retry: operator.Retry{MaxAttempts: 1, Ratio: 1e-9, Burst: 1e-9}}
 }
 
 // testFaultDuringRequest sends one request that can't be sent elsewhere, idempotent or not, injects a
@@ -233,7 +233,7 @@
 	for name, idempotent := range map[string]bool{"idempotent": true, "not idempotent": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newSimCluster(1, &playnet.Network{Delay: time.Millisecond, Window: linkWindow, Timeout: linkTimeout}, noRetryConfig(), 0)
+				w := newSimCluster(1, &playnet.Network{Latency: time.Millisecond, WindowBytes: linkWindow, UserTimeout: linkTimeout}, noRetryConfig(), 0)
 				defer w.stop()
 				time.Sleep(time.Second)
 				time.AfterFunc(100*time.Millisecond, func() { fault(w) })
@@ -254,18 +254,18 @@
 // Limits.Silence.
 func TestAnswerOverSilentLink(t *testing.T) {
 	for name, fault := range map[string]func(w *simCluster){
-		"both ways for 0.7 s":                func(w *simCluster) { w.gates[0].Silence(700 * time.Millisecond) },
-		"both ways for 1 s":                  func(w *simCluster) { w.gates[0].Silence(time.Second) },
-		"both ways for 2 s":                  func(w *simCluster) { w.gates[0].Silence(2 * time.Second) },
-		"from the gate for 0.7 s":            func(w *simCluster) { w.gates[0].SilenceUp(700 * time.Millisecond) },
-		"from the gate for 1 s":              func(w *simCluster) { w.gates[0].SilenceUp(time.Second) },
-		"from the gate for 2 s":              func(w *simCluster) { w.gates[0].SilenceUp(2 * time.Second) },
-		"at the entry node for 2 s":          func(w *simCluster) { w.entry.Silence(2 * time.Second) },
-		"a packet is lost three times":       func(w *simCluster) { w.gates[0].Lose(3) },
-		"gate suspended for 1 s":             func(w *simCluster) { w.gates[0].Suspend(time.Second) },
-		"entry node suspended for 0.8 s":     func(w *simCluster) { w.entry.Suspend(800 * time.Millisecond) },
-		"entry node suspended for 1 s":       func(w *simCluster) { w.entry.Suspend(time.Second) },
-		"bytes arrive with the second check": func(w *simCluster) { w.entry.Suspend(linkSilence*5/4 - 100*time.Millisecond) },
+		"both ways for 0.7 s":                func(w *simCluster) { w.gates[0].PauseLink(700 * time.Millisecond) },
+		"both ways for 1 s":                  func(w *simCluster) { w.gates[0].PauseLink(time.Second) },
+		"both ways for 2 s":                  func(w *simCluster) { w.gates[0].PauseLink(2 * time.Second) },
+		"from the gate for 0.7 s":            func(w *simCluster) { w.gates[0].PauseUplink(700 * time.Millisecond) },
+		"from the gate for 1 s":              func(w *simCluster) { w.gates[0].PauseUplink(time.Second) },
+		"from the gate for 2 s":              func(w *simCluster) { w.gates[0].PauseUplink(2 * time.Second) },
+		"at the entry node for 2 s":          func(w *simCluster) { w.entry.PauseLink(2 * time.Second) },
+		"a packet is lost three times":       func(w *simCluster) { w.gates[0].DropPackets(3) },
+		"gate suspended for 1 s":             func(w *simCluster) { w.gates[0].SuspendProcess(time.Second) },
+		"entry node suspended for 0.8 s":     func(w *simCluster) { w.entry.SuspendProcess(800 * time.Millisecond) },
+		"entry node suspended for 1 s":       func(w *simCluster) { w.entry.SuspendProcess(time.Second) },
+		"bytes arrive with the second check": func(w *simCluster) { w.entry.SuspendProcess(linkSilence*5/4 - 100*time.Millisecond) },
 	} {
 		t.Run(name, func(t *testing.T) { testFaultDuringRequest(t, fault) })
 	}
@@ -275,8 +275,8 @@
 // upstreams work on them, because of a silence no longer than Limits.Silence.
 func TestAnswerOverShortSilence(t *testing.T) {
 	for name, fault := range map[string]func(w *simCluster){
-		"a packet is lost":                  func(w *simCluster) { w.gates[0].Lose(1) },
-		"bytes arrive with the first check": func(w *simCluster) { w.entry.Suspend(linkSilence - 100*time.Millisecond) },
+		"a packet is lost":                  func(w *simCluster) { w.gates[0].DropPackets(1) },
+		"bytes arrive with the first check": func(w *simCluster) { w.entry.SuspendProcess(linkSilence - 100*time.Millisecond) },
 	} {
 		t.Run(name, func(t *testing.T) { testFaultDuringRequest(t, fault) })
 	}
@@ -301,7 +301,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newSimCluster(test.gates, &playnet.Network{Rate: linkRate, Delay: time.Millisecond, Window: linkWindow, Timeout: linkTimeout}, noRetryConfig(), test.answer)
+				w := newSimCluster(test.gates, &playnet.Network{LinkBandwidth: linkRate, Latency: time.Millisecond, WindowBytes: linkWindow, UserTimeout: linkTimeout}, noRetryConfig(), test.answer)
 				defer w.stop()
 				time.Sleep(time.Second)
 				var requests sync.WaitGroup
--- a/entry/silentnode_test.go
+++ b/entry/silentnode_test.go
@@ -25,13 +25,13 @@
 				w := newSimCluster(gates, fastNetwork(), retryConfig(), 0)
 				defer w.stop()
 				dead := ""
-				w.handle = func(node string, in *peer.Inbound) {
+				w.handle = func(node string, in *peer.InboundCall) {
 					if dead == "" && in.Call.Target == "/first" {
 						dead = node
 						w.Host(node).PowerOff()
 						return
 					}
-					_ = in.Reply(&peer.Answer{Status: 200, Body: []byte(node)})
+					_ = in.Reply(&peer.ResponseHead{Status: 200, Body: []byte(node)})
 				}
 				time.Sleep(time.Second)
 				for i := range 30 { // earns retry budget
--- a/entry/spooled_test.go
+++ b/entry/spooled_test.go
@@ -22,8 +22,8 @@
 
 // receiving returns a handler that receives the body and then calls f.
 func receiving(f gateFunc) gateFunc {
-	return func(in *peer.Inbound) {
-		if _, err := in.Receive(in.Context()); err != nil {
+	return func(in *peer.InboundCall) {
+		if _, err := in.ReceiveBody(in.Context()); err != nil {
 			in.Fail(verdict.New(verdict.Revoked, err), nil)
 			return
 		}
@@ -32,11 +32,11 @@
 }
 
 // echo answers with the body.
-func echo(in *peer.Inbound) {
+func echo(in *peer.InboundCall) {
 	data, _ := io.ReadAll(in.Body())
-	_ = in.Begin(&peer.Answer{Status: 200, Length: int64(len(data))})
+	_ = in.BeginResponse(&peer.ResponseHead{Status: 200, Length: int64(len(data))})
 	_ = in.CopyBody(bytes.NewReader(data))
-	_ = in.Finish(nil)
+	_ = in.FinishResponse(nil)
 }
 
 // TestSpooledBody sends a body that arrives in pieces to gates that refuse it either before its
@@ -51,14 +51,14 @@
 		"answered":                      {handlers: []gateFunc{receiving(echo)}, calls: 1},
 		"refused at once":               {handlers: []gateFunc{fail(verdict.Refused), receiving(echo)}, calls: 2},
 		"refused with the body there":   {handlers: []gateFunc{receiving(fail(verdict.Refused)), receiving(echo)}, calls: 2},
-		"refused while the body comes":  {handlers: []gateFunc{func(in *peer.Inbound) { time.Sleep(5 * time.Millisecond); fail(verdict.Refused)(in) }, receiving(echo)}, calls: 2},
+		"refused while the body comes":  {handlers: []gateFunc{func(in *peer.InboundCall) { time.Sleep(5 * time.Millisecond); fail(verdict.Refused)(in) }, receiving(echo)}, calls: 2},
 		"lost with the body there":      {handlers: []gateFunc{receiving(fail(verdict.UpstreamLost)), receiving(echo)}, want: verdict.UpstreamLost, calls: 1},
 		"drained with the body there":   {handlers: []gateFunc{receiving(fail(verdict.Draining)), receiving(fail(verdict.Refused)), receiving(echo)}, calls: 3},
 		"all refuse with it half there": {handlers: []gateFunc{fail(verdict.Refused)}, want: verdict.Refused, calls: 3},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			d, g := newDispatcher(t, operator.Service{Retry: operator.Retry{MaxTries: 3, Share: 0.1, Burst: 5}}, 3, test.handlers...)
+			d, g := newDispatcher(t, operator.Service{Retry: operator.Retry{MaxAttempts: 3, Ratio: 0.1, Burst: 5}}, 3, test.handlers...)
 			data := bytes.Repeat([]byte("0123456789abcdef"), 5000)
 			reader, writer := io.Pipe()
 			go func() {
--- a/entry/stalled_test.go
+++ b/entry/stalled_test.go
@@ -23,14 +23,14 @@
 func TestRetryAfterRefusedRetry(t *testing.T) {
 	for name, fault := range map[string]func(h *playnet.Host){
 		"instance without power": func(h *playnet.Host) { h.PowerOff() },
-		"silent for 2 s":         func(h *playnet.Host) { h.Silence(2 * time.Second) },
+		"silent for 2 s":         func(h *playnet.Host) { h.PauseLink(2 * time.Second) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				w := newSimCluster(4, fastNetwork(), retryConfig(), 0)
 				defer w.stop()
 				var calls atomic.Int32
-				w.handle = func(node string, in *peer.Inbound) {
+				w.handle = func(node string, in *peer.InboundCall) {
 					switch calls.Add(1) {
 					case 1:
 						fault(w.Host(node))
@@ -38,7 +38,7 @@
 					case 2:
 						in.Fail(verdict.New(verdict.Refused, nil), nil)
 					default:
-						_ = in.Reply(&peer.Answer{Status: 200, Body: []byte(node)})
+						_ = in.Reply(&peer.ResponseHead{Status: 200, Body: []byte(node)})
 					}
 				}
 				time.Sleep(time.Second)
@@ -62,14 +62,14 @@
 		w := newSimCluster(2, fastNetwork(), retryConfig(), 0)
 		defer w.stop()
 		at := make(map[string]string)
-		w.handle = func(node string, in *peer.Inbound) {
+		w.handle = func(node string, in *peer.InboundCall) {
 			w.mu.Lock()
 			if at[in.Call.Target] == "" {
 				at[in.Call.Target] = node
 			}
 			w.mu.Unlock()
 			time.Sleep(300 * time.Millisecond)
-			_ = in.Reply(&peer.Answer{Status: 200, Body: []byte(node)})
+			_ = in.Reply(&peer.ResponseHead{Status: 200, Body: []byte(node)})
 		}
 		time.Sleep(time.Second)
 		var all sync.WaitGroup
@@ -90,7 +90,7 @@
 		w.mu.Unlock()
 		qt.Assert(t, first != second, qt.IsTrue)
 		w.Host(second).PowerOff()
-		w.Host(first).SilenceUp(linkSilence)
+		w.Host(first).PauseUplink(linkSilence)
 		all.Wait()
 	})
 }
@@ -101,7 +101,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimCluster(2, fastNetwork(), retryConfig(), 0)
 		defer w.stop()
-		w.handle = func(node string, in *peer.Inbound) { <-in.Context().Done() }
+		w.handle = func(node string, in *peer.InboundCall) { <-in.Context().Done() }
 		time.Sleep(time.Second)
 		var all sync.WaitGroup
 		all.Go(func() {
--- a/entry/step.go
+++ b/entry/step.go
@@ -40,7 +40,7 @@
 	EventSilent Event = "silent"
 	// EventAnswerHeld means that an error response is held back while the request is sent to another
 	// upstream.
-	EventAnswerHeld Event = "answer set aside"
+	EventResponseHeld Event = "answer set aside"
 )
 
 // CountAttempts returns the number of attempts among some steps.
@@ -72,7 +72,7 @@
 	}
 	a := o.open[0]
 	return fmt.Errorf("%d attempts open, the first for %v, its node last heard %v ago",
-		len(o.open), time.Since(a.startedAt).Round(time.Millisecond), a.exchange.Heard().Round(time.Millisecond))
+		len(o.open), time.Since(a.startedAt).Round(time.Millisecond), a.exchange.SinceReceived().Round(time.Millisecond))
 }
 
 // recordEvent records a step and reports it through OnEvent.
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -76,7 +76,7 @@
 
 // Trailer implements peer.Trailered.
 func (v *bodyView) Trailer() []peer.Field {
-	if t, ok := v.once.body.(peer.Trailered); ok {
+	if t, ok := v.once.body.(peer.TrailerReader); ok {
 		return t.Trailer()
 	}
 	return nil
--- a/evacuation/evacuation_test.go
+++ b/evacuation/evacuation_test.go
@@ -18,7 +18,7 @@
 
 // fakeStore is a platform that lists the given objects.
 type fakeStore struct {
-	objectapi.Polled
+	objectapi.PollingAPI
 	names   []string
 	version string
 	failure error
@@ -54,23 +54,23 @@
 		want  evacuation.Set
 		fails bool
 	}{
-		"none":           {store: &fakeStore{version: "7"}, want: evacuation.New(objectapi.Point{Revision: 7})},
-		"one":            {store: &fakeStore{version: "8", names: []string{"z"}}, want: evacuation.New(objectapi.Point{Revision: 8}, "z")},
-		"two":            {store: &fakeStore{version: "9", names: []string{"z", "a"}}, want: evacuation.New(objectapi.Point{Revision: 9}, "a", "z")},
+		"none":           {store: &fakeStore{version: "7"}, want: evacuation.New(objectapi.ResourceVersion{Revision: 7})},
+		"one":            {store: &fakeStore{version: "8", names: []string{"z"}}, want: evacuation.New(objectapi.ResourceVersion{Revision: 8}, "z")},
+		"two":            {store: &fakeStore{version: "9", names: []string{"z", "a"}}, want: evacuation.New(objectapi.ResourceVersion{Revision: 9}, "a", "z")},
 		"unavailable":    {store: &fakeStore{failure: errors.New("away")}, fails: true},
 		"not a revision": {store: &fakeStore{version: "x", names: []string{"z"}}, fails: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			var found []evacuation.Set
-			r := &objectapi.Listing{
+			r := &objectapi.Lister{
 				API:  test.store,
 				Kind: "zone",
-				Found: func(items []*objectapi.Object, at objectapi.Point, _ bool) {
+				OnList: func(items []*objectapi.Object, at objectapi.ResourceVersion, _ bool) {
 					found = append(found, evacuation.FromObjects(items, at))
 				},
 			}
-			for _, read := range []func(context.Context) error{r.First, r.Read} {
+			for _, read := range []func(context.Context) error{r.ReadInitial, r.Read} {
 				found = nil
 				err := read(context.Background())
 				qt.Check(t, err != nil, qt.Equals, test.fails)
@@ -87,12 +87,12 @@
 
 // TestEncode checks that a Set decodes as it was encoded, and that invalid data are refused.
 func TestEncode(t *testing.T) {
-	s := evacuation.New(objectapi.Point{Revision: 9}, "b", "a", "b")
+	s := evacuation.New(objectapi.ResourceVersion{Revision: 9}, "b", "a", "b")
 	got, err := evacuation.Decode(s.Encode())
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, got, qt.DeepEquals, s)
 	qt.Check(t, got.Has("a") && got.Has("b") && !got.Has("c"), qt.IsTrue)
-	qt.Check(t, got.SameZones(evacuation.New(objectapi.Point{Revision: 1}, "a", "b")), qt.IsTrue)
+	qt.Check(t, got.SameZones(evacuation.New(objectapi.ResourceVersion{Revision: 1}, "a", "b")), qt.IsTrue)
 	_, err = evacuation.Decode([]byte(`{"zones":7}`))
 	qt.Check(t, err, qt.IsNotNil)
 }
--- a/evacuation/set.go
+++ b/evacuation/set.go
@@ -17,14 +17,14 @@
 // immutable. The zero value means that no zone has ever been evacuated.
 type Set struct {
 	// At is the Point at which this set of zones was first read.
-	At objectapi.Point `json:"at"`
+	At objectapi.ResourceVersion `json:"at"`
 	// Zones are the evacuated availability zones, sorted.
 	Zones []string `json:"zones"`
 }
 
 // FromObjects returns the zones named by objects read at a Point. Only the names of the
 // objects are used, so an object that can't be decoded still evacuates its zone.
-func FromObjects(items []*objectapi.Object, at objectapi.Point) Set {
+func FromObjects(items []*objectapi.Object, at objectapi.ResourceVersion) Set {
 	zones := make([]string, len(items))
 	for i, o := range items {
 		zones[i] = o.Metadata.Name
@@ -33,7 +33,7 @@
 }
 
 // New returns the Set of the given zones at a Point.
-func New(at objectapi.Point, zones ...string) Set {
+func New(at objectapi.ResourceVersion, zones ...string) Set {
 	zones = append([]string(nil), zones...)
 	slices.Sort(zones)
 	return Set{
--- a/evacuation/state_test.go
+++ b/evacuation/state_test.go
@@ -16,7 +16,7 @@
 
 // set returns the zones at a point.
 func set(era, revision uint64, zones ...string) evacuation.Set {
-	return evacuation.New(objectapi.Point{Era: era, Revision: revision}, zones...)
+	return evacuation.New(objectapi.ResourceVersion{Era: era, Revision: revision}, zones...)
 }
 
 // TestState applies sets one second apart, over several eras. The zones active at the
@@ -53,7 +53,7 @@
 				}
 			}
 			got := s.Active(now.Add(test.after))
-			qt.Check(t, got.SameZones(evacuation.New(objectapi.Point{}, test.want...)), qt.IsTrue, qt.Commentf("%v", got.Zones))
+			qt.Check(t, got.SameZones(evacuation.New(objectapi.ResourceVersion{}, test.want...)), qt.IsTrue, qt.Commentf("%v", got.Zones))
 			qt.Check(t, got.At, qt.Equals, test.sets[len(test.sets)-1].At)
 		})
 	}
