--- a/gate/admission.go
+++ b/gate/admission.go
@@ -46,8 +46,8 @@
 // checkSlowed returns why an admitted call is still sent to another node: the upstream has just
 // slowed down, and the sender could not know that yet. A call that another node has already
 // sent on is accepted.
-func (g *Gate) checkSlowed(ctx context.Context, in *peer.Inbound) *verdict.Error {
-	if g.ProbeLoad == nil || in.Call.Try != 1 {
+func (g *Gate) checkSlowed(ctx context.Context, in *peer.InboundCall) *verdict.Error {
+	if g.ProbeLoad == nil || in.Call.Attempt != 1 {
 		return nil
 	}
 	if g.admit.SlowdownAge() > maxSpeedAge {
--- a/gate/ahead.go
+++ b/gate/ahead.go
@@ -15,12 +15,12 @@
 // to be admitted, the body is received first, so that no slot is held while it arrives.
 func (c *call) enter(ctx context.Context) (*admit.Ticket, *verdict.Error) {
 	m := c.in.Call
-	if !m.Ahead {
+	if !m.EarlyBody {
 		t := c.gate.admit.EnterFor(m.Organisation, m.Class, c.in.Deadline())
 		c.in.OnRevoke(t.Revoke)
 		return t, t.Wait(ctx)
 	}
-	t := c.gate.admit.EnterPendingBody(m.Organisation, m.Class, c.in.Deadline(), c.in.Coming())
+	t := c.gate.admit.EnterPendingBody(m.Organisation, m.Class, c.in.Deadline(), c.in.ExpectedTransferTime())
 	receiving, stop := context.WithCancel(ctx)
 	defer stop()
 	c.in.OnRevoke(func() bool {
@@ -33,7 +33,7 @@
 	if err := t.Err(); err != nil {
 		return t, err
 	}
-	bodyTime, err := c.in.Receive(receiving)
+	bodyTime, err := c.in.ReceiveBody(receiving)
 	if err != nil {
 		t.Revoke()
 		return t, verdict.New(verdict.Revoked, err)
--- a/gate/ahead_test.go
+++ b/gate/ahead_test.go
@@ -27,7 +27,7 @@
 // sendAhead starts a call whose body is sent ahead of its admission.
 func (r *fixture) sendAhead(t *testing.T, ctx context.Context, body io.Reader) *peer.Exchange {
 	t.Helper()
-	m := &peer.Call{Service: "service", Method: "POST", Target: "/ahead", Remaining: time.Minute, Streams: true, Ahead: true, Length: bodySize}
+	m := &peer.Call{Service: "service", Method: "POST", Target: "/ahead", Remaining: time.Minute, Streams: true, EarlyBody: true, Length: bodySize}
 	x, failure := r.client.Start(ctx, m, body)
 	qt.Assert(t, failure == nil, qt.IsTrue, qt.Commentf("%v", failure))
 	t.Cleanup(x.Close)
@@ -86,7 +86,7 @@
 			response, failure := x.Wait()
 			if test.want == "" {
 				qt.Assert(t, failure == nil, qt.IsTrue, qt.Commentf("%v", failure))
-				qt.Check(t, response.Arrived > 0, qt.IsTrue)
+				qt.Check(t, response.TransferTime > 0, qt.IsTrue)
 				qt.Check(t, arrived.Load(), qt.Equals, int32(1))
 				return
 			}
--- a/gate/call.go
+++ b/gate/call.go
@@ -30,7 +30,7 @@
 // call is the handling of one call.
 type call struct {
 	gate   *Gate
-	in     *peer.Inbound
+	in     *peer.InboundCall
 	status int
 	waited time.Duration
 	// bodyTime is how long the body took to arrive, if it was sent ahead of admission.
@@ -58,7 +58,7 @@
 // run handles the call up to the end of its response, or returns why there is none or why
 // it was cut off.
 func (c *call) run(ctx context.Context) *verdict.Error {
-	if failure := c.gate.Quarantine.Assess(c.in.Call.Print).Failure(); failure != nil {
+	if failure := c.gate.Quarantine.Assess(c.in.Call.Fingerprint).Failure(); failure != nil {
 		return failure
 	}
 	ticket, b, failure := c.admit(ctx)
@@ -87,7 +87,7 @@
 		e := verdict.As(err, verdict.BodyLost)
 		return verdict.New(verdict.Revoked, e)
 	}
-	judgment, unlock, failure := c.gate.isolate(c.in.Call.Print)
+	judgment, unlock, failure := c.gate.isolate(c.in.Call.Fingerprint)
 	if failure != nil {
 		return failure
 	}
@@ -105,7 +105,7 @@
 	began := time.Now()
 	response, failure := b.transport.Send(r, c.forwardInformational)
 	if failure != nil {
-		tracing.End(span, 0, failure)
+		tracing.EndSpan(span, 0, failure)
 		if failure.Verdict() != verdict.NotRun {
 			run.Abandon()
 			abandoned = ctx.Err() != nil
@@ -124,7 +124,7 @@
 		healthy = c.status < http.StatusInternalServerError && c.gate.isCurrent(b) // the time of an error is no sample
 		release()
 	})
-	tracing.End(span, c.status, failure)
+	tracing.EndSpan(span, c.status, failure)
 	if failure != nil {
 		run.Abandon()
 		abandoned = ctx.Err() != nil
@@ -140,9 +140,9 @@
 // fingerprint returns the fingerprint of the call, including the part of its body passed on so far.
 func (c *call) fingerprint() quarantine.Fingerprint {
 	if c.body == nil {
-		return c.in.Call.Print
+		return c.in.Call.Fingerprint
 	}
-	return c.body.Fingerprint(c.in.Call.Print)
+	return c.body.Fingerprint(c.in.Call.Fingerprint)
 }
 
 // recordOutcome records whether the upstream failed the call. A passed deadline or a caller that
@@ -156,7 +156,7 @@
 	known := failure == nil
 	if failure != nil {
 		switch failure.Cause {
-		case verdict.UpstreamLost, verdict.UpstreamRefused, verdict.AnswerMalformed, verdict.AnswerInvalid, verdict.AnswerTruncated:
+		case verdict.UpstreamLost, verdict.UpstreamRefused, verdict.ResponseMalformed, verdict.ResponseInvalid, verdict.ResponseTruncated:
 			failed, known = true, true
 		case verdict.UpstreamDialFailed, verdict.NotWritten, verdict.WrongUpstream, verdict.Draining, verdict.Refused:
 			return // nothing ran
@@ -181,7 +181,7 @@
 		Method:        m.Method,
 		URL:           target,
 		Host:          m.Host,
-		Header:        httpfield.Header(m.Header),
+		Header:        httpfield.ToHeader(m.Header),
 		ContentLength: m.Length,
 	}).WithContext(ctx)
 	if _, ok := r.Header["User-Agent"]; !ok {
@@ -218,7 +218,7 @@
 // trailerReader is a body that fills in the trailer when it ends.
 type trailerReader struct {
 	io.Reader
-	in      *peer.Inbound
+	in      *peer.InboundCall
 	trailer http.Header
 }
 
@@ -239,26 +239,26 @@
 // forwardInformational passes an informational (1xx) response on. One with too many header fields
 // is dropped, which HTTP allows.
 func (c *call) forwardInformational(status int, h http.Header) {
-	if fields := httpfield.From(h); len(fields) <= peer.MaxFields {
-		_ = c.in.Inform(status, fields)
+	if fields := httpfield.FromHeader(h); len(fields) <= peer.MaxFields {
+		_ = c.in.SendInformational(status, fields)
 	}
 }
 
 // forwardResponse passes the upstream's response on. It calls ended once the upstream has sent all
 // of it, so that the slot is free before the last frame is written.
 func (c *call) forwardResponse(r *http.Response, ended func()) *verdict.Error {
-	a := &peer.Answer{
+	a := &peer.ResponseHead{
 		Status: r.StatusCode,
-		Header: httpfield.From(r.Header),
+		Header: httpfield.FromHeader(r.Header),
 		Length: r.ContentLength,
 		Report: c.gate.reportFor(c.in.From.Node),
 
-		Arrived: c.bodyTime,
-		Waited:  c.waited,
+		TransferTime: c.bodyTime,
+		QueueTime:    c.waited,
 	}
 	c.in.Notice = c.gate.peerNotice()
 	if len(a.Header) > peer.MaxFields {
-		return verdict.New(verdict.AnswerInvalid, eris.Errorf("%d header fields in the response", len(a.Header)))
+		return verdict.New(verdict.ResponseInvalid, eris.Errorf("%d header fields in the response", len(a.Header)))
 	}
 	if r.ContentLength < 0 || r.ContentLength > maxSingleFrameBytes {
 		return c.streamResponse(r, a, ended)
@@ -267,33 +267,33 @@
 	a.Body = data
 	if err != nil && c.gate.Names.Signature != "" {
 		// Nothing of the response has been sent yet: another upstream may still give one.
-		return verdict.New(verdict.AnswerMalformed, err)
+		return verdict.New(verdict.ResponseMalformed, err)
 	}
 	if err != nil {
 		// Send the header and the part of the body that was read, then report the truncation.
-		_ = c.in.Begin(a)
-		return verdict.As(err, verdict.AnswerTruncated)
+		_ = c.in.BeginResponse(a)
+		return verdict.As(err, verdict.ResponseTruncated)
 	}
 	ended()
-	a.Trailer = httpfield.From(r.Trailer)
+	a.Trailer = httpfield.FromHeader(r.Trailer)
 	if c.in.Reply(a) != nil {
-		return verdict.New(verdict.AnswerTruncated, nil)
+		return verdict.New(verdict.ResponseTruncated, nil)
 	}
 	return nil
 }
 
 // streamResponse passes on a response that is large or of unknown length.
-func (c *call) streamResponse(r *http.Response, a *peer.Answer, ended func()) *verdict.Error {
-	if err := c.in.Begin(a); err != nil {
-		return verdict.As(err, verdict.AnswerTruncated)
+func (c *call) streamResponse(r *http.Response, a *peer.ResponseHead, ended func()) *verdict.Error {
+	if err := c.in.BeginResponse(a); err != nil {
+		return verdict.As(err, verdict.ResponseTruncated)
 	}
 	if err := c.in.CopyBody(r.Body); err != nil {
-		return verdict.As(err, verdict.AnswerTruncated)
+		return verdict.As(err, verdict.ResponseTruncated)
 	}
 	ended()
-	trailer := httpfield.From(r.Trailer)
-	if len(trailer) > peer.MaxFields || c.in.Finish(trailer) != nil {
-		return verdict.New(verdict.AnswerTruncated, nil)
+	trailer := httpfield.FromHeader(r.Trailer)
+	if len(trailer) > peer.MaxFields || c.in.FinishResponse(trailer) != nil {
+		return verdict.New(verdict.ResponseTruncated, nil)
 	}
 	return nil
 }
--- a/gate/causes_test.go
+++ b/gate/causes_test.go
@@ -50,7 +50,7 @@
 			reached: func(r admit.Report) bool { return r.Running == 1 },
 		},
 		"waits for its body before admission": {
-			call:    peer.Call{Streams: true, Ahead: true, Length: 100 << 10},
+			call:    peer.Call{Streams: true, EarlyBody: true, Length: 100 << 10},
 			body:    func() io.Reader { return blockedReader{} },
 			reached: func(admit.Report) bool { return true },
 		},
@@ -76,20 +76,20 @@
 	}{
 		"its caller leaves": {
 			end:    func(p *endingCalls) { p.exchange.Close() },
-			causes: []verdict.Cause{verdict.Revoked, verdict.CallerGone, verdict.BodyLost, verdict.UpstreamDialFailed, verdict.AnswerTruncated, verdict.AnswerMalformed},
+			causes: []verdict.Cause{verdict.Revoked, verdict.CallerGone, verdict.BodyLost, verdict.UpstreamDialFailed, verdict.ResponseTruncated, verdict.ResponseMalformed},
 		},
 		"its sender stops": {
 			end:    func(p *endingCalls) { p.client.Close() },
-			causes: []verdict.Cause{verdict.Revoked, verdict.PeerLost, verdict.UpstreamDialFailed, verdict.AnswerTruncated, verdict.AnswerMalformed},
+			causes: []verdict.Cause{verdict.Revoked, verdict.PeerLost, verdict.UpstreamDialFailed, verdict.ResponseTruncated, verdict.ResponseMalformed},
 		},
 		"its connection is reset": {
 			end:    func(p *endingCalls) { _ = p.conn.(*net.TCPConn).SetLinger(0); p.conn.Close() },
-			causes: []verdict.Cause{verdict.Revoked, verdict.PeerLost, verdict.UpstreamDialFailed, verdict.AnswerTruncated, verdict.AnswerMalformed},
+			causes: []verdict.Cause{verdict.Revoked, verdict.PeerLost, verdict.UpstreamDialFailed, verdict.ResponseTruncated, verdict.ResponseMalformed},
 		},
 		"its deadline passes": {
 			remaining: 50 * time.Millisecond,
 			end:       func(*endingCalls) {},
-			causes:    []verdict.Cause{verdict.Revoked, verdict.Refused, verdict.DeadlinePassed, verdict.UpstreamDialFailed, verdict.TimedOut, verdict.CallerGone, verdict.AnswerTruncated, verdict.AnswerMalformed},
+			causes:    []verdict.Cause{verdict.Revoked, verdict.Refused, verdict.DeadlinePassed, verdict.UpstreamDialFailed, verdict.TimedOut, verdict.CallerGone, verdict.ResponseTruncated, verdict.ResponseMalformed},
 		},
 	}
 	for stage, s := range stages {
@@ -178,14 +178,14 @@
 			p.failures <- failure
 		},
 	}
-	config := operator.Service{Queue: operator.Queue{Length: 1, Wait: operator.Duration(time.Minute)}}.WithDefaults()
+	config := operator.Service{Queue: operator.Queue{MaxLength: 1, MaxWait: operator.Duration(time.Minute)}}.WithDefaults()
 	p.gate.Configure(&config)
 	p.gate.SetAnnouncement(&upstream.Announcement{Service: "service", Address: r.address, Slots: 1, Connections: 1})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	ctx, stop := context.WithCancel(context.Background())
 	p.stop = stop
-	server := &peer.Server{Call: p.gate.Serve}
+	server := &peer.Server{HandleCall: p.gate.Serve}
 	go server.Run(ctx, listener)
 	p.client = &peer.Client{
 		Addr: listener.Addr().String(),
--- a/gate/crash.go
+++ b/gate/crash.go
@@ -16,7 +16,7 @@
 
 // track records that the call is sent to its upstream, and whether it is isolated there.
 func (c *call) track(b *binding, isolated bool) *quarantine.Run {
-	fingerprint := c.in.Call.Print
+	fingerprint := c.in.Call.Fingerprint
 	if !fingerprint.Complete() && c.in.Call.Streams {
 		c.body = &quarantine.BodyHasher{
 			Reader: c.in.Body(),
--- a/gate/crash_test.go
+++ b/gate/crash_test.go
@@ -55,7 +55,7 @@
 
 // get makes a call for a target and returns its failure.
 func (w *quarantineFixture) get(target string) *verdict.Error {
-	m := &peer.Call{Service: "service", Method: "GET", Target: target, Remaining: 5 * time.Second, Try: 1, Print: fingerprintOf(target)}
+	m := &peer.Call{Service: "service", Method: "GET", Target: target, Remaining: 5 * time.Second, Attempt: 1, Fingerprint: fingerprintOf(target)}
 	x, failure := w.client.Start(context.Background(), m, nil)
 	if failure != nil {
 		return failure
--- a/gate/evacuate_test.go
+++ b/gate/evacuate_test.go
@@ -33,7 +33,7 @@
 			<-goOn
 		}
 	})
-	config := operator.Service{Queue: operator.Queue{Length: 1, Wait: operator.Duration(time.Minute)}}.WithDefaults()
+	config := operator.Service{Queue: operator.Queue{MaxLength: 1, MaxWait: operator.Duration(time.Minute)}}.WithDefaults()
 	r.gate.Configure(&config)
 	first, second := make(chan *verdict.Error, 1), make(chan *verdict.Error, 1)
 	go func() { first <- r.call("service", time.Minute) }()
@@ -133,8 +133,8 @@
 			r.gate = &gate.Gate{Tracer: r.gate.Tracer, Started: time.Now()}
 			r.serve(t)
 			config := operator.Service{
-				Cold:  operator.Cold{Pace: pace, Most: pace, Lasts: operator.Duration(3 * time.Second)},
-				Queue: operator.Queue{Length: calls, Wait: operator.Duration(10 * time.Millisecond)},
+				Cold:  operator.Cold{MaxAdmittedPerSecond: pace, MaxSentPerSecond: pace, AssumedDuration: operator.Duration(3 * time.Second)},
+				Queue: operator.Queue{MaxLength: calls, MaxWait: operator.Duration(10 * time.Millisecond)},
 			}.WithDefaults()
 			if test.configured {
 				r.gate.Configure(&config)
@@ -165,16 +165,16 @@
 		warm bool
 		want int32
 	}{
-		"cold":                    {cold: operator.Cold{Pace: pace, Most: most, Lasts: operator.Duration(time.Minute)}, want: pace},
-		"admitted, then delayed":  {cold: operator.Cold{Most: most, Lasts: operator.Duration(time.Minute)}, want: most},
-		"reports that it is warm": {cold: operator.Cold{Pace: pace, Most: most, Lasts: operator.Duration(time.Minute)}, warm: true, want: calls},
+		"cold":                    {cold: operator.Cold{MaxAdmittedPerSecond: pace, MaxSentPerSecond: most, AssumedDuration: operator.Duration(time.Minute)}, want: pace},
+		"admitted, then delayed":  {cold: operator.Cold{MaxSentPerSecond: most, AssumedDuration: operator.Duration(time.Minute)}, want: most},
+		"reports that it is warm": {cold: operator.Cold{MaxAdmittedPerSecond: pace, MaxSentPerSecond: most, AssumedDuration: operator.Duration(time.Minute)}, warm: true, want: calls},
 		"no limit is configured":  {want: calls},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			var runs atomic.Int32
 			r := newFixture(t, calls, func(http.ResponseWriter, *http.Request) { runs.Add(1) })
-			config := operator.Service{Cold: test.cold, Queue: operator.Queue{Length: calls, Wait: operator.Duration(10 * time.Millisecond)}}.WithDefaults()
+			config := operator.Service{Cold: test.cold, Queue: operator.Queue{MaxLength: calls, MaxWait: operator.Duration(10 * time.Millisecond)}}.WithDefaults()
 			r.gate.Configure(&config)
 			r.gate.SetAnnouncement(&upstream.Announcement{Service: "service", Address: r.address, Slots: calls, Connections: calls, StartID: "new"})
 			if test.warm {
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -48,7 +48,7 @@
 	// called when the upstream's speed has changed.
 	BroadcastReport func(*peer.Report)
 	// Inflow, if not nil, returns the rate at which bodies arrive at this node, as in peer.Server.
-	Inflow func() (rate float64, backlog int)
+	LinkLoad func() (rate float64, backlog int)
 	// Reports decides which nodes get a load report with a response. Nil means that none does.
 	Reports *watch.Pacer[string]
 	// CallFailed, if not nil, is called with each call that ends without a response, with the
@@ -85,7 +85,7 @@
 	sendLimit  coldstart.Limiter
 	current    atomic.Pointer[binding]
 	isolatedMu sync.Mutex // held while an isolated request runs
-	answers    quarantine.AnswerCounter
+	answers    quarantine.ResponseCounter
 	written    atomic.Uint64 // requests written so far
 
 	mu        sync.Mutex
@@ -227,8 +227,8 @@
 	if b != nil && g.service != nil {
 		limits = limitsOf(*g.service).WithSlots(g.usableSlots(b.announcement))
 		limits.Weight = g.Weight
-		g.admit.ColdLimiter.SetLimit(g.service.Cold.Pace)
-		g.sendLimit.SetLimit(g.service.Cold.Most)
+		g.admit.ColdLimiter.SetLimit(g.service.Cold.MaxAdmittedPerSecond)
+		g.sendLimit.SetLimit(g.service.Cold.MaxSentPerSecond)
 		g.checkFirstStart()
 	}
 	g.admit.SetLimits(limits)
@@ -242,7 +242,7 @@
 // usableSlots returns how many requests the upstream may run at once.
 func (g *Gate) usableSlots(a *upstream.Announcement) int {
 	slots := min(a.Slots, a.Connections)
-	if share := g.service.Queue.SlotShare; share > 0 {
+	if share := g.service.Queue.SlotFraction; share > 0 {
 		slots = max(1, int(share*float64(slots)))
 	}
 	return slots
@@ -257,15 +257,15 @@
 			Weight:    c.Weight,
 			MaxShare:  c.MaxShare,
 			Priority:  c.Priority,
-			MaxWait:   c.Wait.Std(),
+			MaxWait:   c.MaxWait.Std(),
 			Objective: c.Objective.Std(),
 		}
 	}
 	return admit.Limits{
-		QueueLength:   s.Queue.Length,
-		QueueWait:     s.Queue.Wait.Std(),
+		QueueLength:   s.Queue.MaxLength,
+		QueueWait:     s.Queue.MaxWait.Std(),
 		SlowStart:     s.Queue.SlowStart.Std(),
-		HoldWhileSlow: s.Queue.Hold,
+		HoldWhileSlow: s.Queue.HoldWhileSlow,
 		Adaptive:      s.Queue.Adaptive == nil || *s.Queue.Adaptive,
 	}.WithClasses(classes...)
 }
@@ -280,12 +280,12 @@
 }
 
 // Serve handles one call from a peer.
-func (g *Gate) Serve(in *peer.Inbound) {
+func (g *Gate) Serve(in *peer.InboundCall) {
 	began := time.Now()
-	ctx := tracing.Extract(in.Context(), &tracing.Fields{List: in.Call.Header})
+	ctx := tracing.Extract(in.Context(), &tracing.FieldCarrier{List: in.Call.Header})
 	ctx, span := g.Tracer.Start(ctx, "gate", trace.WithSpanKind(trace.SpanKindServer))
 	if span.IsRecording() {
-		span.SetAttributes(attribute.String("sassafras.service", in.Call.Service), attribute.Int("sassafras.try", in.Call.Try), attribute.String("sassafras.entry", in.From.Node))
+		span.SetAttributes(attribute.String("sassafras.service", in.Call.Service), attribute.Int("sassafras.try", in.Call.Attempt), attribute.String("sassafras.entry", in.From.Node))
 	}
 	g.adoptNotice(in.Call.Notice)
 	c := &call{
@@ -300,7 +300,7 @@
 			g.CallFailed(in.Call, in.From.Node, failure, g.admit.Report(), c.waited, time.Since(began))
 		}
 	}
-	tracing.End(span, c.status, failure)
+	tracing.EndSpan(span, c.status, failure)
 	if g.CallEnded != nil {
 		g.CallEnded(in.Call.Service, in.Call.Class, failure, c.waited, time.Since(began))
 	}
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -56,7 +56,7 @@
 			}
 		},
 	}
-	config := operator.Service{Queue: operator.Queue{Length: 1, Wait: operator.Duration(50 * time.Millisecond)}}.WithDefaults()
+	config := operator.Service{Queue: operator.Queue{MaxLength: 1, MaxWait: operator.Duration(50 * time.Millisecond)}}.WithDefaults()
 	r.gate.Configure(&config)
 	r.gate.SetAnnouncement(&upstream.Announcement{Service: "service", Address: server.Listener.Addr().String(), Slots: slots, Connections: slots})
 	r.serve(t)
@@ -73,11 +73,11 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	ctx, cancel := context.WithCancel(context.Background())
-	server := &peer.Server{Call: r.gate.Serve}
+	server := &peer.Server{HandleCall: r.gate.Serve}
 	go server.Run(ctx, listener)
 	client := &peer.Client{
 		Addr: listener.Addr().String(),
-		Report: func(l peer.Report) {
+		OnReport: func(l peer.Report) {
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			r.loads = append(r.loads, l)
@@ -185,7 +185,7 @@
 			if test.closed {
 				r.server.Close()
 			}
-			x, failure := r.client.Start(context.Background(), &peer.Call{Service: "service", Method: "GET", Target: "/", Remaining: time.Minute, Try: 1}, nil)
+			x, failure := r.client.Start(context.Background(), &peer.Call{Service: "service", Method: "GET", Target: "/", Remaining: time.Minute, Attempt: 1}, nil)
 			qt.Assert(t, failure == nil, qt.IsTrue)
 			<-sending
 			if !test.leave {
@@ -329,7 +329,7 @@
 	qt.Check(t, after.ServiceTime, qt.Equals, before.ServiceTime)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	qt.Check(t, r.loads[10].Failing > 0, qt.IsTrue, qt.Commentf("the response's own load report includes it"))
+	qt.Check(t, r.loads[10].FailureRatio > 0, qt.IsTrue, qt.Commentf("the response's own load report includes it"))
 }
 
 // TestSlowedUpstreamRedirects slows the upstream down without a report: the first attempt
@@ -344,7 +344,7 @@
 		r.gate.ObserveLoad(upstream.Load{Slowdown: slowdown})
 	}
 	call := func(try int) verdict.Cause {
-		x, failure := r.client.Start(context.Background(), &peer.Call{Service: "service", Method: "GET", Target: "/", Remaining: time.Second, Try: try}, nil)
+		x, failure := r.client.Start(context.Background(), &peer.Call{Service: "service", Method: "GET", Target: "/", Remaining: time.Second, Attempt: try}, nil)
 		qt.Assert(t, failure == nil, qt.IsTrue)
 		defer x.Close()
 		<-x.Ready()
--- a/gate/notice.go
+++ b/gate/notice.go
@@ -16,7 +16,7 @@
 // of its advertised limit is used.
 type NoticeState struct {
 	// Start is the ID of the start that has said it.
-	Start string
+	StartID string
 	// Limit is its advertised limit.
 	Limit throttle.State
 	// Leaving is whether it has said in its responses that it leaves, and LeavingSince when that
@@ -61,8 +61,8 @@
 		return
 	}
 	announced := upstream.Announcement{
-		StartID:     n.Start,
-		StartMillis: n.Born,
+		StartID:     n.StartID,
+		StartMillis: n.StartMillis,
 	}
 	g.mu.Lock()
 	var c noticeChange
@@ -91,7 +91,7 @@
 // leaving is whether the upstream leaves. The lock is held.
 func (g *Gate) applyNotice(apply func(*throttle.Limiter), leaving bool) (c noticeChange) {
 	limiter := &g.admit.AdvertisedLimiter
-	rateBefore, limitedBefore := limiter.Rate()
+	rateBefore, limitedBefore := limiter.Limit()
 	apply(limiter)
 	if leaving && !g.noticeLeaving {
 		g.noticeLeaving = true
@@ -99,7 +99,7 @@
 		g.updateLimits()
 		c.leaving = g.latest
 	}
-	rateNow, limitedNow := limiter.Rate()
+	rateNow, limitedNow := limiter.Limit()
 	c.limit = limitedNow != limitedBefore || rateNow != rateBefore
 	if !c.limit && c.leaving == nil {
 		return c
@@ -149,7 +149,7 @@
 		LeavingSince: g.noticeLeavingSince,
 	}
 	if g.latest != nil {
-		s.Start = g.latest.StartID
+		s.StartID = g.latest.StartID
 	}
 	return s
 }
@@ -159,16 +159,16 @@
 func (g *Gate) peerNotice() *peer.Notice {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	rate, limited := g.admit.AdvertisedLimiter.Rate()
+	rate, limited := g.admit.AdvertisedLimiter.Limit()
 	if g.latest == nil || !limited && !g.noticeLeaving {
 		return nil
 	}
 	return &peer.Notice{
-		Start:   g.latest.StartID,
-		Born:    g.latest.StartMillis,
-		Limited: limited,
-		Limit:   rate,
-		Leaving: g.noticeLeaving,
+		StartID:     g.latest.StartID,
+		StartMillis: g.latest.StartMillis,
+		Limited:     limited,
+		Limit:       rate,
+		Leaving:     g.noticeLeaving,
 	}
 }
 
@@ -178,7 +178,7 @@
 
 // LimitAdvertised returns whether the upstream advertises a limit.
 func (g *Gate) LimitAdvertised() bool {
-	_, limited := g.admit.AdvertisedLimiter.Rate()
+	_, limited := g.admit.AdvertisedLimiter.Limit()
 	return limited
 }
 
--- a/gate/notice_test.go
+++ b/gate/notice_test.go
@@ -63,7 +63,7 @@
 		defer n.mu.Unlock()
 		n.invalid++
 	}
-	n.client.Noticed = func(m *peer.Notice) {
+	n.client.OnNotice = func(m *peer.Notice) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		n.notices = append(n.notices, m)
@@ -149,7 +149,7 @@
 			qt.Check(t, s.Leaving, qt.IsFalse)
 			qt.Check(t, n.invalid, qt.Equals, test.faults)
 			if test.limited {
-				qt.Check(t, *n.last(t), qt.Equals, peer.Notice{Start: "i-1", Limited: true, Limit: test.limit})
+				qt.Check(t, *n.last(t), qt.Equals, peer.Notice{StartID: "i-1", Limited: true, Limit: test.limit})
 			} else {
 				qt.Check(t, n.notices, qt.HasLen, 0)
 			}
@@ -178,7 +178,7 @@
 // it on with its calls: it applies before the upstream has repeated it.
 func TestLimitAcrossNodeRestarts(t *testing.T) {
 	n := newNoticeFixture(t, 4, 0)
-	known := &peer.Notice{Start: "i-1", Limited: true, Limit: 0.5}
+	known := &peer.Notice{StartID: "i-1", Limited: true, Limit: 0.5}
 	failure := n.send(known)
 	qt.Assert(t, failure, qt.IsNotNil)
 	qt.Check(t, failure.Verdict(), qt.Equals, verdict.NotRun)
@@ -188,10 +188,10 @@
 	qt.Check(t, *n.last(t), qt.Equals, *known, qt.Commentf("the sender gets it as well"))
 
 	other := newNoticeFixture(t, 4, 0)
-	qt.Check(t, other.send(&peer.Notice{Start: "i-0", Limited: true, Limit: 0.5}) == nil, qt.IsTrue, qt.Commentf("of another start"))
+	qt.Check(t, other.send(&peer.Notice{StartID: "i-0", Limited: true, Limit: 0.5}) == nil, qt.IsTrue, qt.Commentf("of another start"))
 	qt.Check(t, other.gate.NoticeState().Limit.Limited, qt.IsFalse)
 
-	failure = other.send(&peer.Notice{Start: "i-1", Leaving: true})
+	failure = other.send(&peer.Notice{StartID: "i-1", Leaving: true})
 	qt.Assert(t, failure, qt.IsNotNil)
 	qt.Check(t, failure.Cause, qt.Equals, verdict.Draining)
 	qt.Check(t, other.leaving, qt.DeepEquals, []string{"i-1"})
--- a/gate/organisation_test.go
+++ b/gate/organisation_test.go
@@ -25,7 +25,7 @@
 		inside <- struct{}{}
 		<-goOn
 	})
-	config := operator.Service{Queue: operator.Queue{Length: 2, Wait: operator.Duration(time.Minute)}}.WithDefaults()
+	config := operator.Service{Queue: operator.Queue{MaxLength: 2, MaxWait: operator.Duration(time.Minute)}}.WithDefaults()
 	r.gate.Configure(&config)
 	waiting := 0
 	send := func(organisation string) <-chan *verdict.Error {
--- a/gate/permit.go
+++ b/gate/permit.go
@@ -66,7 +66,7 @@
 	if !first {
 		g.resetSent()
 		if g.service != nil {
-			remaining = max(remaining, g.service.Cold.Lasts.Std())
+			remaining = max(remaining, g.service.Cold.AssumedDuration.Std())
 		}
 	}
 	g.ExtendColdStart(remaining)
@@ -95,7 +95,7 @@
 	}
 	g.firstStartChecked = true
 	remaining := g.sendLimit.Remaining()
-	age := g.service.Cold.Lasts.Std() - remaining
+	age := g.service.Cold.AssumedDuration.Std() - remaining
 	if remaining > 0 && age <= time.Since(g.Started)+startGrace {
 		g.resetSent()
 	}
--- a/gate/report.go
+++ b/gate/report.go
@@ -22,24 +22,24 @@
 	r := g.admit.Report()
 	var rate float64
 	var backlog int
-	if g.Inflow != nil {
-		rate, backlog = g.Inflow()
+	if g.LinkLoad != nil {
+		rate, backlog = g.LinkLoad()
 	}
 	return &peer.Report{
-		BodyRate:    rate,
-		BodyBacklog: backlog,
-
-		Running:  r.Running,
-		Waiting:  r.Waiting,
-		Allowed:  r.Allowed,
-		Service:  r.ServiceTime,
-		Draining: r.Draining,
-		Slowdown: r.Slowdown,
-		Failing:  r.FailureRatio,
-		Limited:  r.Limited,
-		Limit:    r.Limit,
-		Used:     r.LimitUsed,
-		Free:     r.LimitWait,
+		LinkBandwidth: rate,
+		BacklogBytes:  backlog,
+
+		Running:      r.Running,
+		Waiting:      r.Waiting,
+		Slots:        r.Allowed,
+		ServiceTime:  r.ServiceTime,
+		Draining:     r.Draining,
+		Slowdown:     r.Slowdown,
+		FailureRatio: r.FailureRatio,
+		Limited:      r.Limited,
+		Limit:        r.Limit,
+		LimitUsed:    r.LimitUsed,
+		LimitWait:    r.LimitWait,
 	}
 }
 
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -25,14 +25,14 @@
 const IDHeader = "X-Request-Id"
 
 // Knobs are what the stand-in can be told while it runs.
-type Knobs struct {
+type Parameters struct {
 	// Mean is the mean service time, in milliseconds.
-	Mean float64 `json:"meanMillis"`
+	MeanMillis float64 `json:"meanMillis"`
 	// Sigma is the standard deviation of the logarithm of the service time,
 	// which is log-normal. Zero means that it is constant.
 	Sigma float64 `json:"sigma"`
 	// Slow multiplies the service time. Zero means 1.
-	Slow float64 `json:"slow"`
+	SlowFactor float64 `json:"slow"`
 }
 
 // Record is what a stand-in has run.
@@ -42,9 +42,9 @@
 	// OverSlots counts the requests that came while all slots were taken.
 	OverSlots int `json:"overSlots"`
 	// MostRunning is the largest number of requests at once.
-	MostRunning int `json:"mostRunning"`
+	MaxRunning int `json:"mostRunning"`
 	// Last is when the last request came.
-	Last time.Time `json:"last"`
+	LastArrival time.Time `json:"last"`
 }
 
 // Server is the stand-in as an http.Handler. The exported fields are set before
@@ -56,19 +56,19 @@
 	Name string
 	// Entry is the URL of the node beside the stand-in, through which it calls
 	// other services.
-	Entry string
+	NodeURL string
 	// Journal, if not nil, gets the id of each request as it comes, a line
 	// each. It outlives the process where the record does not.
-	Journal io.Writer
+	RequestLog io.Writer
 
 	mu      sync.Mutex
-	knobs   Knobs
+	knobs   Parameters
 	record  Record
 	running int
 }
 
 // Turn replaces the knobs.
-func (s *Server) Turn(k Knobs) {
+func (s *Server) SetParameters(k Parameters) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.knobs = k
@@ -91,12 +91,12 @@
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/stand/knobs":
-		var k Knobs
+		var k Parameters
 		if err := json.NewDecoder(r.Body).Decode(&k); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		s.Turn(k)
+		s.SetParameters(k)
 	case "/stand/record":
 		_ = json.NewEncoder(w).Encode(s.Record())
 	default:
@@ -150,9 +150,9 @@
 // failure is passed on.
 func (s *Server) callNext(w http.ResponseWriter, r *http.Request, next string) {
 	first, rest, more := strings.Cut(next, ",")
-	target := s.Entry + "/?die=1"
+	target := s.NodeURL + "/?die=1"
 	if more {
-		target = s.Entry + "/?next=" + rest
+		target = s.NodeURL + "/?next=" + rest
 	}
 	q, err := http.NewRequestWithContext(r.Context(), r.Method, target, nil)
 	if err != nil {
@@ -184,19 +184,19 @@
 		s.record.Runs = make(map[string]int)
 	}
 	s.record.Runs[id]++
-	if s.Journal != nil {
-		_, _ = fmt.Fprintln(s.Journal, id)
+	if s.RequestLog != nil {
+		_, _ = fmt.Fprintln(s.RequestLog, id)
 	}
-	s.record.Last = time.Now()
+	s.record.LastArrival = time.Now()
 	if s.running >= s.Slots {
 		s.record.OverSlots++
 	}
 	s.running++
-	s.record.MostRunning = max(s.record.MostRunning, s.running)
+	s.record.MaxRunning = max(s.record.MaxRunning, s.running)
 	k := s.knobs
-	ms := k.Mean * math.Exp(k.Sigma*rand.NormFloat64()-k.Sigma*k.Sigma/2)
-	if k.Slow > 0 {
-		ms *= k.Slow
+	ms := k.MeanMillis * math.Exp(k.Sigma*rand.NormFloat64()-k.Sigma*k.Sigma/2)
+	if k.SlowFactor > 0 {
+		ms *= k.SlowFactor
 	}
 	return time.Duration(ms * float64(time.Millisecond))
 }
--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -18,7 +18,7 @@
 func New() (Clock, error) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		return Steady(), err
+		return Monotonic(), err
 	}
 	return now, nil
 }
@@ -33,7 +33,7 @@
 }
 
 // Steady returns the runtime's clock, which tests pause and advance.
-func Steady() Clock {
+func Monotonic() Clock {
 	start := time.Now()
 	return func() time.Duration { return time.Since(start) }
 }
--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -26,7 +26,7 @@
 // TestSteady reads the runtime's clock.
 func TestSteady(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		clock := boottime.Steady()
+		clock := boottime.Monotonic()
 		time.Sleep(time.Hour)
 		qt.Check(t, clock(), qt.Equals, time.Hour)
 	})
--- a/internal/httpfield/httpfield.go
+++ b/internal/httpfield/httpfield.go
@@ -14,7 +14,7 @@
 const spare = 4
 
 // From returns the fields of h, each value on its own.
-func From(h http.Header) []peer.Field {
+func FromHeader(h http.Header) []peer.Field {
 	fields := make([]peer.Field, 0, len(h))
 	for name, values := range h {
 		for _, v := range values {
@@ -28,7 +28,7 @@
 }
 
 // Header returns fields as a http.Header.
-func Header(fields []peer.Field) http.Header {
+func ToHeader(fields []peer.Field) http.Header {
 	h := make(http.Header, len(fields)+spare)
 	for _, f := range fields {
 		h.Add(f.Name, f.Value)
--- a/internal/keyvalue/limit.go
+++ b/internal/keyvalue/limit.go
@@ -11,10 +11,10 @@
 
 // Limit bounds the lines of each kind in a second. Its methods may be called from
 // any goroutine. The exported field is set before the first call.
-type Limit struct {
+type LineLimiter struct {
 	// LeftOut, if not nil, is called with the number of lines of a kind that a
 	// second has left out, when the next line of that kind is allowed.
-	LeftOut func(kind string, count int)
+	OnSuppressed func(kind string, count int)
 
 	mu    sync.Mutex
 	kinds map[string]*second
@@ -29,7 +29,7 @@
 
 // Allow returns whether n more lines of the kind may be written, given how many a
 // second are allowed.
-func (l *Limit) Allow(kind string, perSecond, n int) bool {
+func (l *LineLimiter) Allow(kind string, perSecond, n int) bool {
 	l.mu.Lock()
 	if l.kinds == nil {
 		l.kinds = make(map[string]*second)
@@ -52,8 +52,8 @@
 		s.leftOut += n
 	}
 	l.mu.Unlock()
-	if leftOut > 0 && l.LeftOut != nil {
-		l.LeftOut(kind, leftOut)
+	if leftOut > 0 && l.OnSuppressed != nil {
+		l.OnSuppressed(kind, leftOut)
 	}
 	return allowed
 }
--- a/internal/keyvalue/limit_test.go
+++ b/internal/keyvalue/limit_test.go
@@ -15,7 +15,7 @@
 func TestLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		left := make(map[string]int)
-		l := &Limit{LeftOut: func(kind string, n int) { left[kind] += n }}
+		l := &LineLimiter{OnSuppressed: func(kind string, n int) { left[kind] += n }}
 		var allowed int
 		for range 25 {
 			if l.Allow("a", 10, 1) {
--- a/internal/keyvalue/unblocking.go
+++ b/internal/keyvalue/unblocking.go
@@ -23,7 +23,7 @@
 // Unblocking returns a writer that never waits for w: lines that w does not take
 // in time are dropped, and their number is written in their place. Its Close
 // writes what is pending.
-func Unblocking(w io.Writer) io.WriteCloser {
+func NonBlocking(w io.Writer) io.WriteCloser {
 	return diode.NewWriter(w, pendingLines, pollEvery, func(missed int) {
 		_, _ = fmt.Fprintf(w, "level=warn event=\"log lines dropped\" count=%d\n", missed)
 	})
--- a/internal/keyvalue/unblocking_test.go
+++ b/internal/keyvalue/unblocking_test.go
@@ -16,7 +16,7 @@
 func TestUnblocking(t *testing.T) {
 	reader, writer := io.Pipe()
 	defer reader.Close()
-	log := New(Unblocking(writer), "info")
+	log := New(NonBlocking(writer), "info")
 	done := make(chan struct{})
 	go func() {
 		for range 3 * pendingLines {
--- a/internal/objectstore/server.go
+++ b/internal/objectstore/server.go
@@ -24,9 +24,9 @@
 	// Hang keeps every call waiting until its caller gives up.
 	Hang bool `json:"hang"`
 	// Delay is added to every call, in milliseconds.
-	Delay int `json:"delayMillis"`
+	DelayMillis int `json:"delayMillis"`
 	// Fail is the share of calls answered by 500 without effect.
-	Fail float64 `json:"fail"`
+	FailureRatio float64 `json:"fail"`
 	// LoseWrites is the share of writes whose answer is lost after the effect.
 	LoseWrites float64 `json:"loseWrites"`
 	// DropEvents is the share of watch events that are left out.
@@ -36,7 +36,7 @@
 	// SilentWatches keeps watches open without any event.
 	SilentWatches bool `json:"silentWatches"`
 	// Garbage is the share of reads answered by bytes that are no JSON.
-	Garbage float64 `json:"garbage"`
+	MalformedReads float64 `json:"garbage"`
 	// StaleReads is the share of gets answered with the version before.
 	StaleReads float64 `json:"staleReads"`
 }
@@ -76,7 +76,7 @@
 }
 
 // Forget drops the history, so that watches from before now fail with 410.
-func (s *Server) Forget() { s.store.forget() }
+func (s *Server) DropHistory() { s.store.forget() }
 
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -93,7 +93,7 @@
 		answer(w, http.StatusOK, s.Counts())
 		return
 	case "/forget":
-		s.Forget()
+		s.DropHistory()
 		return
 	}
 	f := s.count(r)
@@ -143,12 +143,12 @@
 		<-r.Context().Done()
 		return false
 	}
-	time.Sleep(time.Duration(f.Delay) * time.Millisecond)
-	if rand.Float64() < f.Fail {
+	time.Sleep(time.Duration(f.DelayMillis) * time.Millisecond)
+	if rand.Float64() < f.FailureRatio {
 		http.Error(w, "told to fail", http.StatusInternalServerError)
 		return false
 	}
-	if r.Method == http.MethodGet && rand.Float64() < f.Garbage {
+	if r.Method == http.MethodGet && rand.Float64() < f.MalformedReads {
 		_, _ = io.WriteString(w, "<html>")
 		return false
 	}
@@ -204,7 +204,7 @@
 		refused = s.store.delete(collection, name, r.URL.Query().Get("resourceVersion"))
 	} else {
 		o := new(objectapi.Object)
-		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, objectapi.MaxValue)).Decode(o); err != nil {
+		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, objectapi.MaxObjectBytes)).Decode(o); err != nil {
 			http.Error(w, err.Error(), http.StatusRequestEntityTooLarge)
 			return
 		}
@@ -239,7 +239,7 @@
 func (s *Server) watch(w http.ResponseWriter, r *http.Request, collection string) {
 	seconds, _ := strconv.ParseFloat(r.URL.Query().Get("timeoutSeconds"), 64)
 	end := time.After(time.Duration(seconds * float64(time.Second)))
-	version := objectapi.ParseVersion(r.URL.Query().Get("resourceVersion"))
+	version := objectapi.ParseRevision(r.URL.Query().Get("resourceVersion"))
 	flusher := http.NewResponseController(w)
 	for {
 		events, changed, ok := s.store.since(version)
@@ -290,7 +290,7 @@
 
 // collectionOf returns the last part of the path of a kind's collection.
 func collectionOf(kind string) string {
-	p := objectapi.Path("", kind, "")
+	p := objectapi.ObjectPath("", kind, "")
 	return p[strings.LastIndex(p, "/")+1:]
 }
 
--- a/internal/objectstore/store.go
+++ b/internal/objectstore/store.go
@@ -119,7 +119,7 @@
 // record stores o under the next version and wakes the watches.
 func (s *store) record(k, kind string, o *objectapi.Object) *objectapi.Object {
 	s.version++
-	o = o.WithVersion(strconv.FormatUint(s.version, 10))
+	o = o.WithResourceVersion(strconv.FormatUint(s.version, 10))
 	if s.objects == nil {
 		s.objects = make(map[string]*objectapi.Object)
 	}
--- a/internal/playnet/conn.go
+++ b/internal/playnet/conn.go
@@ -80,7 +80,7 @@
 	written := 0
 	for {
 		room := len(p) - written
-		if buffer := e.host.network.Buffer; buffer > 0 {
+		if buffer := e.host.network.SendBufferBytes; buffer > 0 {
 			room = min(room, buffer-len(e.out.buffered)-e.out.flight)
 		}
 		switch {
@@ -110,7 +110,7 @@
 func (e *end) send() {
 	n := e.host.network
 	for len(e.out.buffered) > 0 && e.failure == nil && !e.isSuspended() {
-		size := min(packetSize, len(e.out.buffered), n.Window-e.out.flight-len(e.other.received))
+		size := min(packetSize, len(e.out.buffered), n.WindowBytes-e.out.flight-len(e.other.received))
 		if size <= 0 {
 			return
 		}
@@ -186,7 +186,7 @@
 	if e.failure == nil {
 		e.failure = err
 		if !e.closed {
-			e.host.breaks = append(e.host.breaks, Break{
+			e.host.breaks = append(e.host.breaks, ConnFailure{
 				Peer: e.other.host.name,
 				At:   time.Now(),
 				Err:  err,
@@ -198,7 +198,7 @@
 
 // watch ends the connection once nothing has been acknowledged for too long.
 func (e *end) watch() {
-	timeout := e.host.network.Timeout
+	timeout := e.host.network.UserTimeout
 	if timeout == 0 || e.out.watching {
 		return
 	}
--- a/internal/playnet/network.go
+++ b/internal/playnet/network.go
@@ -18,17 +18,17 @@
 type Network struct {
 	// Rate is what each direction of a host's link carries, in bytes per second. Zero means
 	// no bound.
-	Rate float64
+	LinkBandwidth float64
 	// Delay is what a packet takes beside its time on the links.
-	Delay time.Duration
+	Latency time.Duration
 	// Window is what may be on its way on a connection, and unread at its receiver, in bytes.
-	Window int
+	WindowBytes int
 	// Buffer is what a sender's kernel holds of a connection, in bytes. Zero means no bound:
 	// writers that wait for a lock which one holds that waits for room stop the bubble's clock.
-	Buffer int
+	SendBufferBytes int
 	// Timeout is how long what was written may be without any acknowledgement. Zero means
 	// for ever.
-	Timeout time.Duration
+	UserTimeout time.Duration
 
 	mu    sync.Mutex // guards all that the network consists of
 	hosts map[string]*Host
@@ -47,12 +47,12 @@
 	off       bool
 	suspended time.Time // the process does nothing until then
 	ends      []*end
-	breaks    []Break
+	breaks    []ConnFailure
 	heard     map[*Host]time.Time
 }
 
 // Break is the end of a connection that a host's kernel has found broken, or broken off.
-type Break struct {
+type ConnFailure struct {
 	// Peer is the host at the other end.
 	Peer string
 	// At is when the kernel ended it.
@@ -62,7 +62,7 @@
 }
 
 // Breaks returns the connections of the host that its kernel has ended, in order.
-func (h *Host) Breaks() []Break {
+func (h *Host) ConnFailures() []ConnFailure {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
 	return slices.Clone(h.breaks)
@@ -91,7 +91,7 @@
 
 // Heard returns when the last packet from another host, be it an acknowledgement, has come,
 // or the zero time.
-func (h *Host) Heard(from *Host) time.Time {
+func (h *Host) LastReceived(from *Host) time.Time {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
 	return h.heard[from]
@@ -150,7 +150,7 @@
 				to.heard[from] = time.Now()
 				land()
 			})
-			n.after(n.Delay, func() {
+			n.after(n.Latency, func() {
 				next := to.down.landing[0]
 				to.down.landing = to.down.landing[1:]
 				if !to.off {
@@ -208,8 +208,8 @@
 	l.busy = true
 	n := l.host.network
 	var takes time.Duration
-	if n.Rate > 0 {
-		takes = time.Duration(float64(l.queue[0].size) / n.Rate * float64(time.Second))
+	if n.LinkBandwidth > 0 {
+		takes = time.Duration(float64(l.queue[0].size) / n.LinkBandwidth * float64(time.Second))
 	}
 	n.after(max(takes, time.Until(l.silent)), l.carried)
 }
@@ -230,7 +230,7 @@
 }
 
 // SilenceUp has nothing leave the host for a time. What is sent meanwhile leaves after it.
-func (h *Host) SilenceUp(d time.Duration) {
+func (h *Host) PauseUplink(d time.Duration) {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
 	h.up.silent = time.Now().Add(d)
@@ -238,8 +238,8 @@
 
 // Silence has nothing leave or reach the host for a time. What is sent meanwhile is carried
 // after it.
-func (h *Host) Silence(d time.Duration) {
-	h.SilenceUp(d)
+func (h *Host) PauseLink(d time.Duration) {
+	h.PauseUplink(d)
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
 	h.down.silent = time.Now().Add(d)
@@ -247,7 +247,7 @@
 
 // Suspend has the host's process neither read nor write for a time, while its kernel goes on.
 // What it writes by the bubble's clock meanwhile is taken for written at the end of that time.
-func (h *Host) Suspend(d time.Duration) {
+func (h *Host) SuspendProcess(d time.Duration) {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
 	h.suspended = time.Now().Add(d)
@@ -257,7 +257,7 @@
 // Lose has the next packet of each connection that the host sends on be lost, and its
 // repetitions as well, so often in all. What comes after it waits. Each repetition comes
 // after twice the time of the one before.
-func (h *Host) Lose(times int) {
+func (h *Host) DropPackets(times int) {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
 	var wait time.Duration
@@ -281,7 +281,7 @@
 
 // Reset has the host's kernel end its connections, as it does when the process is killed
 // with bytes unread.
-func (h *Host) Reset() {
+func (h *Host) ResetConnections() {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
 	for _, e := range h.ends {
--- a/internal/playnet/playnet_test.go
+++ b/internal/playnet/playnet_test.go
@@ -56,17 +56,17 @@
 		want    time.Duration
 	}{
 		"one packet":                    {size: 100, want: delay},
-		"one packet at a rate":          {network: &playnet.Network{Rate: rate}, size: 1000, want: 20*time.Millisecond + delay},
-		"many packets at a rate":        {network: &playnet.Network{Rate: rate}, size: 150_000, want: 1515*time.Millisecond + delay},
-		"both ways silent":              {size: 100, trouble: func(p *pair) { p.b.Silence(time.Second) }, want: time.Second + delay},
-		"sender silent":                 {size: 100, trouble: func(p *pair) { p.a.SilenceUp(time.Second) }, want: time.Second + delay},
-		"only the way back silent":      {size: 100, trouble: func(p *pair) { p.b.SilenceUp(time.Second) }, want: delay},
-		"silent for less than Timeout":  {network: &playnet.Network{Timeout: 2 * time.Second}, size: 100, trouble: func(p *pair) { p.b.Silence(time.Second) }, want: time.Second + delay},
-		"a packet is lost":              {size: 100, trouble: func(p *pair) { p.a.Lose(1) }, want: 200*time.Millisecond + delay},
-		"a packet is lost three times":  {size: 5000, trouble: func(p *pair) { p.a.Lose(3) }, want: 1400*time.Millisecond + delay},
-		"receiver suspended":            {size: 100, trouble: func(p *pair) { p.b.Suspend(time.Second) }, want: time.Second},
-		"sender suspended":              {size: 100, trouble: func(p *pair) { p.a.Suspend(time.Second) }, want: time.Second + delay},
-		"a window is under way at once": {network: &playnet.Network{Window: 1500}, size: 4500, want: 5 * delay},
+		"one packet at a rate":          {network: &playnet.Network{LinkBandwidth: rate}, size: 1000, want: 20*time.Millisecond + delay},
+		"many packets at a rate":        {network: &playnet.Network{LinkBandwidth: rate}, size: 150_000, want: 1515*time.Millisecond + delay},
+		"both ways silent":              {size: 100, trouble: func(p *pair) { p.b.PauseLink(time.Second) }, want: time.Second + delay},
+		"sender silent":                 {size: 100, trouble: func(p *pair) { p.a.PauseUplink(time.Second) }, want: time.Second + delay},
+		"only the way back silent":      {size: 100, trouble: func(p *pair) { p.b.PauseUplink(time.Second) }, want: delay},
+		"silent for less than Timeout":  {network: &playnet.Network{UserTimeout: 2 * time.Second}, size: 100, trouble: func(p *pair) { p.b.PauseLink(time.Second) }, want: time.Second + delay},
+		"a packet is lost":              {size: 100, trouble: func(p *pair) { p.a.DropPackets(1) }, want: 200*time.Millisecond + delay},
+		"a packet is lost three times":  {size: 5000, trouble: func(p *pair) { p.a.DropPackets(3) }, want: 1400*time.Millisecond + delay},
+		"receiver suspended":            {size: 100, trouble: func(p *pair) { p.b.SuspendProcess(time.Second) }, want: time.Second},
+		"sender suspended":              {size: 100, trouble: func(p *pair) { p.a.SuspendProcess(time.Second) }, want: time.Second + delay},
+		"a window is under way at once": {network: &playnet.Network{WindowBytes: 1500}, size: 4500, want: 5 * delay},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -74,9 +74,9 @@
 				if network == nil {
 					network = new(playnet.Network)
 				}
-				network.Delay = delay
-				if network.Window == 0 {
-					network.Window = 1 << 20
+				network.Latency = delay
+				if network.WindowBytes == 0 {
+					network.WindowBytes = 1 << 20
 				}
 				p := connect(t, network)
 				if test.trouble != nil {
@@ -90,7 +90,7 @@
 				qt.Assert(t, err, qt.IsNil)
 				qt.Check(t, time.Since(began), qt.Equals, test.want)
 				qt.Check(t, bytes.Equal(got, sent), qt.IsTrue)
-				qt.Check(t, p.a.Breaks(), qt.HasLen, 0)
+				qt.Check(t, p.a.ConnFailures(), qt.HasLen, 0)
 				qt.Check(t, p.near.Close(), qt.IsNil)
 				_, err = p.far.Read(got)
 				qt.Check(t, err, qt.Equals, io.EOF)
@@ -110,16 +110,16 @@
 		after   time.Duration
 	}{
 		"power off":                         {trouble: func(p *pair) { p.b.PowerOff() }, want: syscall.ETIMEDOUT, after: timeout},
-		"silent for as long as Timeout":     {trouble: func(p *pair) { p.b.Silence(timeout + time.Second) }, want: syscall.ETIMEDOUT, after: timeout},
-		"no acknowledgement":                {trouble: func(p *pair) { p.b.SilenceUp(timeout + time.Second) }, want: syscall.ETIMEDOUT, after: timeout},
-		"reset":                             {trouble: func(p *pair) { p.b.Reset() }, want: syscall.ECONNRESET, after: delay},
-		"reset over a silent link":          {trouble: func(p *pair) { p.b.Silence(time.Second); p.b.Reset() }, want: syscall.ECONNRESET, after: time.Second + delay},
+		"silent for as long as Timeout":     {trouble: func(p *pair) { p.b.PauseLink(timeout + time.Second) }, want: syscall.ETIMEDOUT, after: timeout},
+		"no acknowledgement":                {trouble: func(p *pair) { p.b.PauseUplink(timeout + time.Second) }, want: syscall.ETIMEDOUT, after: timeout},
+		"reset":                             {trouble: func(p *pair) { p.b.ResetConnections() }, want: syscall.ECONNRESET, after: delay},
+		"reset over a silent link":          {trouble: func(p *pair) { p.b.PauseLink(time.Second); p.b.ResetConnections() }, want: syscall.ECONNRESET, after: time.Second + delay},
 		"closed with bytes on their way":    {trouble: func(p *pair) { _ = p.far.Close() }, want: io.EOF, after: delay},
 		"power off with nothing to be sent": {trouble: func(p *pair) { p.b.PowerOff() }, silent: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := connect(t, &playnet.Network{Delay: delay, Window: 1 << 20, Timeout: timeout})
+				p := connect(t, &playnet.Network{Latency: delay, WindowBytes: 1 << 20, UserTimeout: timeout})
 				test.trouble(p)
 				began := time.Now()
 				if !test.silent {
@@ -130,13 +130,13 @@
 				_, err := p.near.Read(make([]byte, 1))
 				if test.silent {
 					qt.Check(t, errors.Is(err, context.DeadlineExceeded) || isTimeout(err), qt.IsTrue, qt.Commentf("%v", err))
-					qt.Check(t, p.a.Breaks(), qt.HasLen, 0)
+					qt.Check(t, p.a.ConnFailures(), qt.HasLen, 0)
 					return
 				}
 				qt.Check(t, errors.Is(err, test.want), qt.IsTrue, qt.Commentf("%v", err))
 				qt.Check(t, time.Since(began), qt.Equals, test.after)
 				if test.want != io.EOF {
-					qt.Check(t, p.a.Breaks(), qt.DeepEquals, []playnet.Break{{Peer: "b", At: time.Now(), Err: test.want}}, qt.Commentf("%v", err))
+					qt.Check(t, p.a.ConnFailures(), qt.DeepEquals, []playnet.ConnFailure{{Peer: "b", At: time.Now(), Err: test.want}}, qt.Commentf("%v", err))
 				}
 			})
 		})
@@ -163,7 +163,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := connect(t, &playnet.Network{Delay: delay, Window: window, Buffer: buffer, Timeout: timeout})
+				p := connect(t, &playnet.Network{Latency: delay, WindowBytes: window, SendBufferBytes: buffer, UserTimeout: timeout})
 				began := time.Now()
 				if test.reads > 0 {
 					time.AfterFunc(test.reads, func() { _, _ = io.Copy(io.Discard, p.far) })
@@ -205,7 +205,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				n := &playnet.Network{Delay: delay, Window: 1 << 20}
+				n := &playnet.Network{Latency: delay, WindowBytes: 1 << 20}
 				test.trouble(n.Host("b"))
 				ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 				defer cancel()
--- a/internal/stall/monitor.go
+++ b/internal/stall/monitor.go
@@ -75,7 +75,7 @@
 
 // Longest returns the longest delay of a tick that ended after the given moment, or of one that is
 // due now. Delays under 10 ms count as none.
-func (m *Monitor) Longest(since time.Time) time.Duration {
+func (m *Monitor) LongestDelay(since time.Time) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var longest time.Duration
--- a/internal/stall/monitor_test.go
+++ b/internal/stall/monitor_test.go
@@ -39,7 +39,7 @@
 				}
 				since := time.Now().Add(-test.since)
 				time.Sleep(test.open)
-				qt.Check(t, m.Longest(since), qt.Equals, test.want)
+				qt.Check(t, m.LongestDelay(since), qt.Equals, test.want)
 			})
 		})
 	}
@@ -58,7 +58,7 @@
 		go m.Run(t.Context())
 		time.Sleep(10 * period)
 		synctest.Wait()
-		qt.Check(t, m.Longest(time.Time{}), qt.Equals, time.Duration(0))
+		qt.Check(t, m.LongestDelay(time.Time{}), qt.Equals, time.Duration(0))
 		m.mu.Lock()
 		qt.Check(t, time.Since(m.last), qt.Equals, time.Duration(0))
 		m.mu.Unlock()
--- a/internal/tcp/silence.go
+++ b/internal/tcp/silence.go
@@ -17,7 +17,7 @@
 // acknowledgement. Zero means as long as the kernel allows by itself. Data for which the
 // receiver has no room counts as unacknowledged, though its kernel answers: a receiver that
 // reads late is then taken for a silent one. A connection that is no socket is left as it is.
-func SetSilence(c net.Conn, silence time.Duration) error {
+func SetUserTimeout(c net.Conn, silence time.Duration) error {
 	s, ok := c.(syscall.Conn)
 	if !ok {
 		return nil
@@ -34,7 +34,7 @@
 
 // Unacknowledged returns how many bytes that were written to a connection the peer's kernel has not
 // acknowledged (SIOCOUTQ, see tcp(7)).
-func Unacknowledged(c net.Conn) (n int, err error) {
+func UnacknowledgedBytes(c net.Conn) (n int, err error) {
 	err = onSocket(c, func(fd int) (err error) {
 		n, err = unix.IoctlGetInt(fd, unix.SIOCOUTQ)
 		return err
@@ -60,17 +60,17 @@
 }
 
 // Acknowledgement says what the peer's kernel has answered to what was written to a connection.
-type Acknowledgement struct {
+type AckState struct {
 	// Outstanding is whether anything has not been acknowledged.
 	Outstanding bool
 	// Full is whether the peer's kernel has said that it has no room for more, as its process reads
 	// nothing.
-	Full bool
+	PeerWindowFull bool
 	// Repeated is whether the latest repetition of what is outstanding, or the latest question for
 	// room, has not been answered.
-	Repeated bool
+	Retransmitting bool
 	// Age is the time since the latest acknowledgement of anything.
-	Age time.Duration
+	SinceLastAck time.Duration
 }
 
 // errNoState is that the kernel tells nothing of a connection.
@@ -78,8 +78,8 @@
 
 // Acknowledged returns the Acknowledgement of a connection that is open (TCP_INFO, see tcp(7)). An
 // error means that the kernel does not tell.
-func Acknowledged(c net.Conn) (a Acknowledgement, err error) {
-	n, err := Unacknowledged(c)
+func ReadAckState(c net.Conn) (a AckState, err error) {
+	n, err := UnacknowledgedBytes(c)
 	if err != nil {
 		return a, err
 	}
@@ -94,11 +94,11 @@
 	case info.Snd_mss == 0 || info.Rto == 0:
 		return a, errNoState
 	}
-	return Acknowledgement{
-		Outstanding: n > 0,
-		Full:        info.Snd_wnd < info.Snd_mss,
-		Repeated:    info.Retransmits > 0 || info.Probes > 0,
-		Age:         time.Duration(info.Last_ack_recv) * time.Millisecond,
+	return AckState{
+		Outstanding:    n > 0,
+		PeerWindowFull: info.Snd_wnd < info.Snd_mss,
+		Retransmitting: info.Retransmits > 0 || info.Probes > 0,
+		SinceLastAck:   time.Duration(info.Last_ack_recv) * time.Millisecond,
 	}, nil
 }
 
@@ -106,13 +106,13 @@
 // the given time has passed, and end it after count questions in a row without an answer. The
 // kernel of a process that is gone answers by a reset, and that of one that works, however long
 // it says nothing, acknowledges. A connection that is no TCP socket is left as it is.
-func Probe(c net.Conn, every time.Duration, count int) error {
+func EnableKeepAlive(c net.Conn, every time.Duration, count int) error {
 	t, ok := c.(*net.TCPConn)
 	if !ok {
 		return nil
 	}
 	// With a bound on silence the first question that is lost would end the connection.
-	if err := SetSilence(c, 0); err != nil {
+	if err := SetUserTimeout(c, 0); err != nil {
 		return err
 	}
 	err := t.SetKeepAliveConfig(net.KeepAliveConfig{
--- a/internal/tcp/silence_test.go
+++ b/internal/tcp/silence_test.go
@@ -22,7 +22,7 @@
 	c, err := tcp.Dialer(time.Second, 700*time.Millisecond).Dial("tcp", l.Addr().String())
 	qt.Assert(t, err, qt.IsNil)
 	for _, silence := range []time.Duration{0, 300 * time.Millisecond} {
-		qt.Assert(t, tcp.SetSilence(c, silence), qt.IsNil)
+		qt.Assert(t, tcp.SetUserTimeout(c, silence), qt.IsNil)
 		raw, err := c.(*net.TCPConn).SyscallConn()
 		qt.Assert(t, err, qt.IsNil)
 		var got int
@@ -33,11 +33,11 @@
 		qt.Check(t, got, qt.Equals, int(silence.Milliseconds()))
 	}
 	c.Close()
-	qt.Check(t, tcp.SetSilence(c, 0), qt.IsNotNil)
+	qt.Check(t, tcp.SetUserTimeout(c, 0), qt.IsNotNil)
 	pipe, other := net.Pipe()
 	defer pipe.Close()
 	defer other.Close()
-	qt.Check(t, tcp.SetSilence(pipe, 0), qt.IsNil, qt.Commentf("no socket"))
+	qt.Check(t, tcp.SetUserTimeout(pipe, 0), qt.IsNil, qt.Commentf("no socket"))
 }
 
 // TestUnacknowledged writes to a peer that reads nothing: its kernel acknowledges what it has room
@@ -54,22 +54,22 @@
 	_, err = c.Write([]byte("little"))
 	qt.Assert(t, err, qt.IsNil)
 	for n := -1; n != 0; {
-		n, err = tcp.Unacknowledged(c)
+		n, err = tcp.UnacknowledgedBytes(c)
 		qt.Assert(t, err, qt.IsNil)
 	}
 	data := make([]byte, 1<<20)
 	for n := 0; n == 0; {
 		qt.Assert(t, c.SetWriteDeadline(time.Now().Add(50*time.Millisecond)), qt.IsNil)
 		_, _ = c.Write(data) // fails once there is no more room
-		n, err = tcp.Unacknowledged(c)
+		n, err = tcp.UnacknowledgedBytes(c)
 		qt.Assert(t, err, qt.IsNil)
 	}
 	c.Close()
-	_, err = tcp.Unacknowledged(c)
+	_, err = tcp.UnacknowledgedBytes(c)
 	qt.Check(t, err, qt.IsNotNil)
 	pipe, other := net.Pipe()
 	defer pipe.Close()
 	defer other.Close()
-	_, err = tcp.Unacknowledged(pipe)
+	_, err = tcp.UnacknowledgedBytes(pipe)
 	qt.Check(t, err, qt.IsNotNil, qt.Commentf("no socket"))
 }
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -23,12 +23,12 @@
 )
 
 // Setup says where traces go. The zero value makes none, and costs nothing.
-type Setup struct {
+type Config struct {
 	// URL is the OTLP collector's, such as http://10.0.0.1:4318/v1/traces.
 	URL string
 	// Sample is the share of the traces begun here that are kept. Traces begun
 	// by a caller keep the caller's choice.
-	Sample float64
+	SampleRatio float64
 	// Node, Zone name this process in its spans.
 	Node, Zone string
 }
@@ -38,7 +38,7 @@
 const maxQueue = 2048
 
 // Tracer returns a tracer, and a function that sends what is left and stops it.
-func (s Setup) Tracer(ctx context.Context) (trace.Tracer, func(context.Context) error, error) {
+func (s Config) Tracer(ctx context.Context) (trace.Tracer, func(context.Context) error, error) {
 	if s.URL == "" {
 		return noop.NewTracerProvider().Tracer(""), func(context.Context) error { return nil }, nil
 	}
@@ -48,7 +48,7 @@
 	}
 	provider := sdk.NewTracerProvider(
 		sdk.WithBatcher(exporter, sdk.WithMaxQueueSize(maxQueue), sdk.WithBatchTimeout(time.Second)),
-		sdk.WithSampler(sdk.ParentBased(sdk.TraceIDRatioBased(s.Sample))),
+		sdk.WithSampler(sdk.ParentBased(sdk.TraceIDRatioBased(s.SampleRatio))),
 		sdk.WithResource(resource.NewSchemaless(
 			attribute.String("service.name", "sassafrasnode"),
 			attribute.String("service.instance.id", s.Node),
@@ -72,12 +72,12 @@
 }
 
 // Fields is a list of header fields as a carrier of trace contexts.
-type Fields struct {
+type FieldCarrier struct {
 	List []peer.Field
 }
 
 // Get implements propagation.TextMapCarrier.
-func (f *Fields) Get(key string) string {
+func (f *FieldCarrier) Get(key string) string {
 	for _, x := range f.List {
 		if strings.EqualFold(x.Name, key) {
 			return x.Value
@@ -88,7 +88,7 @@
 
 // Set implements propagation.TextMapCarrier. The list is copied before it is
 // changed.
-func (f *Fields) Set(key, value string) {
+func (f *FieldCarrier) Set(key, value string) {
 	list := make([]peer.Field, 0, len(f.List)+1)
 	for _, x := range f.List {
 		if !strings.EqualFold(x.Name, key) {
@@ -102,7 +102,7 @@
 }
 
 // Keys implements propagation.TextMapCarrier.
-func (f *Fields) Keys() []string {
+func (f *FieldCarrier) Keys() []string {
 	keys := make([]string, len(f.List))
 	for i, x := range f.List {
 		keys[i] = x.Name
@@ -112,7 +112,7 @@
 
 // End ends a span with the verdict on its request. A nil failure means that
 // the request was answered with the given status.
-func End(span trace.Span, status int, failure *verdict.Error) {
+func EndSpan(span trace.Span, status int, failure *verdict.Error) {
 	if failure == nil {
 		span.SetAttributes(attribute.Int("http.response.status_code", status), attribute.String("sassafras.verdict", verdict.Ran.String()))
 	} else {
--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -34,13 +34,13 @@
 	}))
 	defer s.Close()
 	ctx := context.Background()
-	tracer, stop, err := tracing.Setup{URL: s.URL + "/v1/traces", Node: "n1", Zone: "z"}.Tracer(ctx)
+	tracer, stop, err := tracing.Config{URL: s.URL + "/v1/traces", Node: "n1", Zone: "z"}.Tracer(ctx)
 	qt.Assert(t, err, qt.IsNil)
-	in := &tracing.Fields{List: []peer.Field{{Name: "Traceparent", Value: "00-0123456789abcdef0123456789abcdef-0123456789abcdef-01"}}}
+	in := &tracing.FieldCarrier{List: []peer.Field{{Name: "Traceparent", Value: "00-0123456789abcdef0123456789abcdef-0123456789abcdef-01"}}}
 	spanCtx, span := tracer.Start(tracing.Extract(ctx, in), "gate")
-	out := new(tracing.Fields)
+	out := new(tracing.FieldCarrier)
 	tracing.Inject(spanCtx, out)
-	tracing.End(span, 0, verdict.New(verdict.Refused, nil))
+	tracing.EndSpan(span, 0, verdict.New(verdict.Refused, nil))
 	qt.Assert(t, stop(ctx), qt.IsNil)
 	mu.Lock()
 	defer mu.Unlock()
@@ -59,7 +59,7 @@
 	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-hold }))
 	defer s.Close()
 	defer close(hold)
-	tracer, stop, err := tracing.Setup{URL: s.URL + "/v1/traces", Sample: 1}.Tracer(context.Background())
+	tracer, stop, err := tracing.Config{URL: s.URL + "/v1/traces", SampleRatio: 1}.Tracer(context.Background())
 	qt.Assert(t, err, qt.IsNil)
 	done := make(chan struct{})
 	go func() {
@@ -82,7 +82,7 @@
 // TestFieldsCopyOnSet checks that a list that is shared is not changed.
 func TestFieldsCopyOnSet(t *testing.T) {
 	shared := []peer.Field{{Name: "Traceparent", Value: "old"}, {Name: "A", Value: "1"}}
-	f := &tracing.Fields{List: shared}
+	f := &tracing.FieldCarrier{List: shared}
 	f.Set("traceparent", "new")
 	qt.Check(t, f.Get("Traceparent"), qt.Equals, "new")
 	qt.Check(t, shared[0].Value, qt.Equals, "old")
--- a/node/build.go
+++ b/node/build.go
@@ -33,7 +33,7 @@
 	exchange := watch.NewBudget(s.ControlBytes, controlSavings)
 	n.metrics = newMetricSet(n, reports, exchange)
 	n.gate = n.newGate(reports)
-	n.lines.LeftOut = n.linesLeftOut
+	n.lines.OnSuppressed = n.linesLeftOut
 	hello := peer.Hello{
 		Node: s.Node,
 		Zone: s.Zone,
@@ -55,12 +55,12 @@
 	n.peers = &peer.Server{
 		Hello: hello,
 		Limits: peer.Limits{
-			UnderWay: underWay(s.LinkMbps),
-			Rate:     linkRate(s.LinkMbps),
+			MaxInFlightBytes: underWay(s.LinkMbps),
+			LinkBandwidth:    linkRate(s.LinkMbps),
 		},
-		Call:    n.gate.Serve,
-		Control: n.control.Handle,
-		Closed:  n.peerClosed,
+		HandleCall:    n.gate.Serve,
+		HandleControl: n.control.Handle,
+		OnClosed:      n.peerClosed,
 	}
 	n.announced = &upstream.Announcements{
 		Changed:        n.upstreamChanged,
@@ -84,7 +84,7 @@
 		},
 		CallEnded:       n.callEnded,
 		BodyReceived:    n.metrics.bodyIn,
-		Inflow:          func() (rate float64, backlog int) { return n.peers.Inflow() },
+		LinkLoad:        func() (rate float64, backlog int) { return n.peers.LinkLoad() },
 		UpstreamCrashed: n.upstreamGone,
 		SuspectCleared:  func(p quarantine.Fingerprint) { n.control.Report(quarantine.NewCompletionReport(p)) },
 		CallFailed:      n.callRefused,
@@ -119,7 +119,7 @@
 	return &control.Control{
 		Self: member.Record{
 			ID:     s.Node,
-			Addr:   s.PeerAt(),
+			Addr:   s.EffectivePeerAddress(),
 			Zone:   s.Zone,
 			Region: s.Region,
 			State:  member.Idle,
@@ -140,14 +140,14 @@
 
 // buildManaged sets the parts up for a table of routes.
 func (n *Node) buildManaged() {
-	n.gate.Names = n.Platform.Names
+	n.gate.Names = n.Platform.FieldNames
 	n.gate.UpstreamUnreachable = n.upstreamFailed
 	n.dispatcher.Limits = peer.Limits{
-		Silence:   peerSilence,
-		Loss:      peerLoss,
-		Handshake: peerHandshake,
+		SilenceTimeout:   peerSilence,
+		AckTimeout:       peerLoss,
+		HandshakeTimeout: peerHandshake,
 	}
-	n.gate.BroadcastReport = func(r *peer.Report) { n.peers.Tell(r) }
+	n.gate.BroadcastReport = func(r *peer.Report) { n.peers.BroadcastReport(r) }
 	n.loadAsked = make(chan chan struct{})
 	n.asks = rate.NewLimiter(askRate, askBurst)
 	n.gate.ProbeLoad = n.askLoad
@@ -159,20 +159,20 @@
 	n.control.MaxPropagationDelay = n.configWithin()
 	n.keepFresh()
 	n.store = n.storeClient()
-	n.store.EraChanged = n.eraChanged
-	n.control.EraAdvanced = n.store.Raise
+	n.store.OnEraChange = n.eraChanged
+	n.control.EraAdvanced = n.store.AdvanceEra
 	n.restored = make(chan struct{}, 1)
 	n.metrics.platformCalls = n.store.Calls
-	n.api = n.Platform.API(n.store)
+	n.api = n.Platform.NewAPI(n.store)
 	n.contacts = n.book(n.api)
 	n.discovery = &contact.Discovery{
-		Book:       n.contacts,
-		Node:       n.control,
-		FirstPeers: len(n.control.Contacts) > 0,
+		Registry:      n.contacts,
+		Node:          n.control,
+		HasFirstPeers: len(n.control.Contacts) > 0,
 	}
 	n.dispatcher.TriggerDiscovery = n.seek
-	n.contacts.Nodes = n.limits.Nodes
-	n.contacts.Counted = n.limits.SetStoredNodes
+	n.contacts.NodeCount = n.limits.Nodes
+	n.contacts.OnNodeCount = n.limits.SetStoredNodes
 	n.blocked = n.blocklistOn(n.api)
 	n.buildRollouts()
 }
@@ -200,9 +200,9 @@
 // platform returns the client of the object API.
 func (n *Node) platform() *objectapi.Client {
 	c := &objectapi.Client{
-		Caller: objectapi.Caller{
-			URL:    n.Settings.PlatformURL,
-			Budget: rate.NewLimiter(rate.Limit(n.Settings.PlatformCalls), int(n.Settings.PlatformCalls)),
+		JSONClient: objectapi.JSONClient{
+			URL:     n.Settings.PlatformURL,
+			Limiter: rate.NewLimiter(rate.Limit(n.Settings.PlatformCalls), int(n.Settings.PlatformCalls)),
 		},
 		Namespace: n.Settings.Namespace,
 	}
--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -71,7 +71,7 @@
 }
 
 // zones returns what a node tells of the evacuated zones.
-func (z *zoned) zones(n *managed) (list []operator.Zone) {
+func (z *zoned) zones(n *managed) (list []operator.EvacuatedZone) {
 	r, err := http.Get("http://" + n.settings.OperatorAddress + "/v1/zones")
 	if err != nil {
 		return nil
@@ -130,8 +130,8 @@
 	told := z.zones(z.far[0])[0]
 	qt.Check(t, told.Zone, qt.Equals, "z")
 	qt.Check(t, told.Upstreams, qt.Equals, 2)
-	qt.Assert(t, told.Running, qt.IsNotNil)
-	qt.Check(t, *told.Running, qt.Equals, 0)
+	qt.Assert(t, told.InFlight, qt.IsNotNil)
+	qt.Check(t, *told.InFlight, qt.Equals, 0)
 	qt.Check(t, time.Since(told.Since) < time.Minute, qt.IsTrue)
 
 	for _, n := range z.far {
--- a/node/events.go
+++ b/node/events.go
@@ -55,10 +55,10 @@
 		v, cause = o.Failure.Verdict().String(), string(o.Failure.Cause)
 	}
 	e := n.Log.Info().Str("requestId", o.ID).Str("route", o.Route).Str("service", o.Service).Str("class", o.Class).Str("organisation", o.Organisation).Str("method", o.Method).Str("path", o.Path).
-		Int("status", o.Status).Str("verdict", v).Str("cause", cause).Int("tries", o.Tries).Dur("tookMs", o.Took).Uint64("version", n.version()).Stringer("print", o.Print)
+		Int("status", o.Status).Str("verdict", v).Str("cause", cause).Int("tries", o.Attempts).Dur("tookMs", o.Duration).Uint64("version", n.version()).Stringer("print", o.Fingerprint)
 	if o.Failure != nil {
 		e = e.Str("by", string(verdict.Lookup(o.Failure.Cause).EndedBy)).Str("phase", string(n.phase()))
-		e = n.withStall(e, o.Took)
+		e = n.withStall(e, o.Duration)
 	}
 	if o.Failure != nil && o.Failure.RetryAfter > 0 {
 		e = e.Dur("retryAfterMs", o.Failure.RetryAfter)
@@ -66,8 +66,8 @@
 	if o.Failure != nil && o.Failure.Err != nil {
 		e = e.AnErr("reason", o.Failure.Err)
 	}
-	if o.Body > 0 {
-		e = e.Int64("bodyBytes", o.Body).Dur("bodyInMs", o.BodyTook).Dur("bodyArrivedMs", o.Arrived).Dur("waitedMs", o.Waited)
+	if o.BodyBytes > 0 {
+		e = e.Int64("bodyBytes", o.BodyBytes).Dur("bodyInMs", o.BodyReceiveTime).Dur("bodyArrivedMs", o.TransferTime).Dur("waitedMs", o.QueueTime)
 	}
 	e.Msg("request ended")
 }
@@ -75,7 +75,7 @@
 // withStall adds the longest stall of this process within the latest span of time to a line, if there
 // was one.
 func (n *Node) withStall(e *zerolog.Event, span time.Duration) *zerolog.Event {
-	if stalled := n.stalls.Longest(time.Now().Add(-span)); stalled > 0 {
+	if stalled := n.stalls.LongestDelay(time.Now().Add(-span)); stalled > 0 {
 		return e.Dur("stalledMs", stalled)
 	}
 	return e
@@ -96,7 +96,7 @@
 		}
 	case entry.EventSilent:
 		e = e.Str("to", s.Node)
-	case entry.EventAnswerHeld:
+	case entry.EventResponseHeld:
 		e = e.Str("from", s.Node).Int("status", http.StatusInternalServerError)
 	case entry.EventFailed:
 		e = e.Str("to", s.Node).Str("cause", string(s.Cause)).AnErr("reason", s.Err)
@@ -120,7 +120,7 @@
 	if load.Limited {
 		e = e.Float64("limit", load.Limit).Float64("limitUsed", load.LimitUsed).Dur("freeMs", load.LimitWait)
 	}
-	e.Str("requestId", id).Str("from", from).Str("class", c.Class).Str("organisation", c.Organisation).Str("target", c.Target).Stringer("print", c.Print).Int("try", c.Try).Str("cause", string(failure.Cause)).Str("verdict", failure.Verdict().String()).
+	e.Str("requestId", id).Str("from", from).Str("class", c.Class).Str("organisation", c.Organisation).Str("target", c.Target).Stringer("print", c.Fingerprint).Int("try", c.Attempt).Str("cause", string(failure.Cause)).Str("verdict", failure.Verdict().String()).
 		Int("running", load.Running).Int("waiting", load.Waiting).Int("organisations", load.WaitingOrganisations).Int("allowed", load.Allowed).Float64("slowdown", load.Slowdown).Float64("pace", load.MinSlowdown).Dur("restMs", load.SlowRemaining).Float64("failing", load.FailureRatio).Bool("draining", load.Draining).Dur("retryAfterMs", failure.RetryAfter).AnErr("reason", failure.Err).Msg("call not answered")
 }
 
@@ -141,7 +141,7 @@
 	if !n.lines.Allow("notice", noticeLines, 1) {
 		return
 	}
-	e := n.Log.Info().Str("start", s.Start).Bool("limited", s.Limit.Limited).Bool("leaving", s.Leaving).Uint64("requests", n.gate.RequestsWritten()).Uint64("questions", n.questions.Load()).Int("written", s.Limit.Written).Uint64("refused", s.Limit.Refused)
+	e := n.Log.Info().Str("start", s.StartID).Bool("limited", s.Limit.Limited).Bool("leaving", s.Leaving).Uint64("requests", n.gate.RequestsWritten()).Uint64("questions", n.questions.Load()).Int("written", s.Limit.Written).Uint64("refused", s.Limit.Refused)
 	if s.Limit.Limited {
 		e = e.Float64("limit", s.Limit.Rate).Bool("fromPeers", s.Limit.Adopted)
 	}
@@ -161,7 +161,7 @@
 func (n *Node) callPanicked(c *peer.Call, value any, stack []byte) {
 	n.metrics.set.GetOrCreateCounter(`sassafras_panics_total{part="gate"}`).Inc()
 	if n.lines.Allow("panic", otherLines, 1) {
-		n.Log.Error().Str("target", c.Target).Stringer("print", c.Print).Interface("value", value).Bytes("stack", stack).Msg("call panicked")
+		n.Log.Error().Str("target", c.Target).Stringer("print", c.Fingerprint).Interface("value", value).Bytes("stack", stack).Msg("call panicked")
 	}
 }
 
--- a/node/fatal_test.go
+++ b/node/fatal_test.go
@@ -53,22 +53,22 @@
 // start starts the upstream of a node anew.
 func (m *mortals) start(n *managed, generation int) {
 	u := &standin.Upstream{
-		ID:      fmt.Sprintf("%s-%d", n.settings.Node, generation),
-		Service: n.settings.Service,
-		Slots:   8,
-		Work:    20 * time.Millisecond,
-		Address: n.settings.UpstreamAddress,
+		ID:          fmt.Sprintf("%s-%d", n.settings.Node, generation),
+		Service:     n.settings.Service,
+		Slots:       8,
+		ServiceTime: 20 * time.Millisecond,
+		Address:     n.settings.UpstreamAddress,
 	}
-	u.Fatal = func(r standin.Run) bool {
+	u.ShouldCrash = func(r standin.Run) bool {
 		if !m.fatal(r) {
 			return false
 		}
-		time.Sleep(u.Work / 2) // other requests are in flight
+		time.Sleep(u.ServiceTime / 2) // other requests are in flight
 		m.mu.Lock()
 		m.ends++
 		m.mu.Unlock()
 		go func() {
-			time.Sleep(2 * u.Work)
+			time.Sleep(2 * u.ServiceTime)
 			m.start(n, generation+1)
 		}()
 		return true
@@ -88,7 +88,7 @@
 
 // announce announces a start until its node has heard it.
 func (m *mortals) announce(u *standin.Upstream, n *managed) {
-	for !u.Announce(n.settings.AnnounceAddress) {
+	for !u.SendHeartbeat(n.settings.AnnounceAddress) {
 		m.mu.Lock()
 		closed := m.closed
 		m.mu.Unlock()
@@ -259,11 +259,11 @@
 	for _, n := range nodes {
 		suspects := list(n)
 		qt.Assert(t, suspects, qt.HasLen, 1)
-		qt.Check(t, suspects[0].Standing, qt.Equals, "blocked")
-		qt.Check(t, suspects[0].Ends, qt.Equals, first)
-		qt.Check(t, suspects[0].Until.After(time.Now()), qt.IsTrue)
+		qt.Check(t, suspects[0].State, qt.Equals, "blocked")
+		qt.Check(t, suspects[0].Crashes, qt.Equals, first)
+		qt.Check(t, suspects[0].BlockedUntil.After(time.Now()), qt.IsTrue)
 	}
-	print := list(nodes[0])[0].Print
+	print := list(nodes[0])[0].Fingerprint
 	qt.Check(t, release(nodes[0], "no print"), qt.Equals, 400)
 	qt.Check(t, release(nodes[0], strings.Repeat("1", 16)+"."+strings.Repeat("2", 16)), qt.Equals, 404)
 	qt.Check(t, release(nodes[1], print), qt.Equals, 204)
@@ -271,7 +271,7 @@
 	qt.Check(t, release(nodes[2], print), qt.Equals, 404, qt.Commentf("all nodes know"))
 	fatal()
 	qt.Check(t, m.ended() > first, qt.IsTrue, qt.Commentf("it runs again"))
-	qt.Check(t, list(nodes[2])[0].Standing, qt.Equals, "blocked")
+	qt.Check(t, list(nodes[2])[0].State, qt.Equals, "blocked")
 }
 
 // TestFatalStream has a fatal request whose body comes in chunks, so that a node sends it
--- a/node/follow.go
+++ b/node/follow.go
@@ -17,9 +17,9 @@
 // configReader reads the parts of the configuration.
 type configReader struct {
 	table *objectapi.Reader
-	zones *objectapi.Listing // nil where zones are not evacuated
+	zones *objectapi.Lister // nil where zones are not evacuated
 	// orders, if not nil, reads the orders to roll versions out.
-	orders *objectapi.Listing
+	orders *objectapi.Lister
 	// clock, if not nil, is read before each read of the table, and answered called with
 	// that if the platform answers it.
 	clock    boottime.Clock
@@ -32,12 +32,12 @@
 }
 
 // reader reads the table of routes and the evacuated zones.
-func (n *Node) reader(api objectapi.Polled) *configReader {
+func (n *Node) reader(api objectapi.PollingAPI) *configReader {
 	r := &configReader{
 		table: &objectapi.Reader{
-			API:   api,
-			Kind:  n.Platform.Kind,
-			Found: n.tableFound,
+			API:      api,
+			Kind:     n.Platform.TableKind,
+			OnObject: n.tableFound,
 		},
 		clock:    n.control.Clock,
 		answered: n.control.ConfirmRead,
@@ -45,10 +45,10 @@
 		leads:    n.control.IsLeader,
 	}
 	if n.Settings.EvacuateWithin > 0 {
-		r.zones = &objectapi.Listing{
+		r.zones = &objectapi.Lister{
 			API:  api,
 			Kind: n.Platform.ZoneKind,
-			Found: func(items []*objectapi.Object, at objectapi.Point, _ bool) {
+			OnList: func(items []*objectapi.Object, at objectapi.ResourceVersion, _ bool) {
 				n.control.ApplyEvacuation(evacuation.FromObjects(items, at))
 			},
 		}
@@ -59,18 +59,18 @@
 
 // First makes the first read, which may find what was seconds ago. The zones and the orders
 // come first, so that a node that has a table knows of them.
-func (r *configReader) First(ctx context.Context) error {
+func (r *configReader) ReadInitial(ctx context.Context) error {
 	if r.orders != nil {
-		if err := r.orders.First(ctx); err != nil {
+		if err := r.orders.ReadInitial(ctx); err != nil {
 			return err
 		}
 	}
 	if r.zones != nil {
-		if err := r.zones.First(ctx); err != nil {
+		if err := r.zones.ReadInitial(ctx); err != nil {
 			return err
 		}
 	}
-	if err := r.table.First(ctx); err != nil || r.clock == nil {
+	if err := r.table.ReadInitial(ctx); err != nil || r.clock == nil {
 		return err
 	}
 	return r.readTable(ctx, 0) // the first read does not tell how old the table is
@@ -85,9 +85,9 @@
 	}
 	sent := r.clock()
 	err := r.table.Read(ctx, wait)
-	if objectapi.IsUnanswered(err) && ctx.Err() == nil && r.overdue() {
+	if objectapi.IsOutcomeUnknown(err) && ctx.Err() == nil && r.overdue() {
 		sent = r.clock()
-		err = r.table.ReadWhole(ctx)
+		err = r.table.ReadAll(ctx)
 	}
 	if err == nil {
 		r.answered(sent)
@@ -118,7 +118,7 @@
 	case r.leads():
 		return r.orders.Read(ctx)
 	}
-	return r.orders.First(ctx)
+	return r.orders.ReadInitial(ctx)
 }
 
 // readsInRevoke is how many times a change must be able to come within RevokeWithin: a node
@@ -141,7 +141,7 @@
 // it is this node's turn. The first read is a cheap one, so that a node that starts has
 // a table at once; what has changed since comes with the next.
 func (n *Node) follow(ctx context.Context, r *configReader) {
-	if err := r.First(ctx); err != nil {
+	if err := r.ReadInitial(ctx); err != nil {
 		n.Log.Warn().Err(err).Msg("configuration not read")
 	}
 	for ctx.Err() == nil {
--- a/node/follow_test.go
+++ b/node/follow_test.go
@@ -17,7 +17,7 @@
 
 // deafPlatform is a platform whose watches fail, and whose lists are answered.
 type deafPlatform struct {
-	objectapi.Polled
+	objectapi.PollingAPI
 	watches error
 	lists   int
 }
--- a/node/handlers.go
+++ b/node/handlers.go
@@ -25,20 +25,20 @@
 			s := n.control.Snapshot()
 			return s.Lookup(host), s.Ready
 		},
-		Dispatcher: n.dispatcher,
-		Claims:     n.claims,
-		Node:       n.Settings.Node,
-		Tracer:     n.tracer,
-		Suspects:   n.suspects.MaySuspect,
-		Ended:      n.requestEnded,
-		Ends:       n.ends,
+		Dispatcher:       n.dispatcher,
+		Claims:           n.claims,
+		Node:             n.Settings.Node,
+		Tracer:           n.tracer,
+		MaySuspect:       n.suspects.MaySuspect,
+		OnRequestEnd:     n.requestEnded,
+		ShutdownDeadline: n.ends,
 	}
 	if n.Platform != nil {
-		h.Names = n.Platform.Names
+		h.FieldNames = n.Platform.FieldNames
 		h.Service = n.Settings.Service
-		h.Beside = true
+		h.LocalCallers = true
 		h.Admit = n.limits.Admit
-		h.Resolver = &caller.ByRoute{
+		h.Resolver = &caller.RouteResolver{
 			Table:   func() *routes.Table { return n.control.Snapshot().Table },
 			Service: func(name string) *entry.Service { return n.control.Snapshot().Services[name] },
 			Keys:    n.keys(),
@@ -48,14 +48,14 @@
 }
 
 // callerBounds returns how long callers may take, as the table of routes says.
-func (n *Node) callerBounds() caller.Bounds {
+func (n *Node) callerBounds() caller.Timeouts {
 	t := n.control.Snapshot().Table
 	if t == nil {
-		return caller.Bounds{}
+		return caller.Timeouts{}
 	}
-	return caller.Bounds{
-		Head: t.Limits.HeaderTimeout,
-		Idle: t.Limits.IdleTimeout,
+	return caller.Timeouts{
+		Header: t.Limits.HeaderTimeout,
+		Idle:   t.Limits.IdleTimeout,
 	}
 }
 
@@ -64,7 +64,7 @@
 	mux := http.NewServeMux()
 	mux.Handle("/v1/upstream", n.announced)
 	if n.Platform != nil {
-		mux.Handle("/", n.Platform.Announce(n.announced))
+		mux.Handle("/", n.Platform.AnnounceHandler(n.announced))
 	}
 	return mux
 }
--- a/node/innercall_test.go
+++ b/node/innercall_test.go
@@ -33,7 +33,7 @@
 			var first *managed
 			first = w.addUpstream("z", &standin.Upstream{
 				Service: "a",
-				Failing: func(r standin.Run) bool {
+				ShouldFail: func(r standin.Run) bool {
 					if r.ID != "parent" {
 						return false
 					}
--- a/node/keys.go
+++ b/node/keys.go
@@ -43,10 +43,10 @@
 		return caller.Keys{}
 	}
 	return caller.Keys{
-		Bounds:     n.keyBounds(),
-		Age:        n.control.TableAge,
-		Judged:     n.keyJudged,
-		RetryAfter: notFreshWait,
+		Bounds:      n.keyBounds(),
+		Age:         n.control.TableAge,
+		OnEvaluated: n.keyJudged,
+		RetryAfter:  notFreshWait,
 	}
 }
 
@@ -74,7 +74,7 @@
 // judgesKeys returns whether the node can tell which keys are valid, where it has to.
 func (n *Node) judgesKeys() bool {
 	t := n.control.Snapshot().Table
-	if n.Settings.RevokeWithin == 0 || t == nil || !t.Keyed {
+	if n.Settings.RevokeWithin == 0 || t == nil || !t.KeysRequired {
 		return true
 	}
 	return n.keyBounds().Evaluate(n.control.TableAge(t.Version), true) == freshness.Valid
--- a/node/latecomer_test.go
+++ b/node/latecomer_test.go
@@ -32,8 +32,8 @@
 		}
 		return time.Millisecond
 	}
-	first := w.addUpstream("z", &standin.Upstream{Service: "a", Lasts: lasts})
-	second := w.addUpstream("z", &standin.Upstream{Service: "b", Lasts: lasts})
+	first := w.addUpstream("z", &standin.Upstream{Service: "a", ServiceTimeFunc: lasts})
+	second := w.addUpstream("z", &standin.Upstream{Service: "b", ServiceTimeFunc: lasts})
 	w.eventually("both serve", func() bool {
 		return second.ask("PUT", "/n/x", "warm", "").status == 200 && first.ask("GET", "/i/x", "warm", "").status == 200
 	})
--- a/node/latestart_test.go
+++ b/node/latestart_test.go
@@ -23,11 +23,11 @@
 			w.configure(1, "")
 			first, second := w.add("a"), w.add("b")
 			w.eventually("it serves", func() bool { return second.ask("PUT", "/a/x", "warm", "").status == 200 })
-			qt.Assert(t, first.upstream.Announce(first.settings.AnnounceAddress), qt.IsTrue)
+			qt.Assert(t, first.upstream.SendHeartbeat(first.settings.AnnounceAddress), qt.IsTrue)
 			if leaves {
-				qt.Assert(t, first.upstream.Depart(first.settings.AnnounceAddress), qt.IsTrue)
+				qt.Assert(t, first.upstream.SendLeave(first.settings.AnnounceAddress), qt.IsTrue)
 			}
-			qt.Assert(t, first.upstream.AnnounceAs(first.settings.AnnounceAddress, "i-former", 900), qt.IsTrue)
+			qt.Assert(t, first.upstream.SendHeartbeatAs(first.settings.AnnounceAddress, "i-former", 900), qt.IsTrue)
 			if !leaves {
 				n := 0
 				w.eventually("it serves again", func() bool {
--- a/node/learning.go
+++ b/node/learning.go
@@ -27,7 +27,7 @@
 		return // there is nobody to learn from
 	}
 	sleep.For(ctx, learningTime)
-	for ctx.Err() == nil && n.discovery != nil && n.control.Alone() && n.discovery.Looks() < aloneLooks {
+	for ctx.Err() == nil && n.discovery != nil && n.control.Isolated() && n.discovery.Lookups() < aloneLooks {
 		sleep.For(ctx, aloneCheck)
 	}
 }
@@ -36,7 +36,7 @@
 // contacts.
 func (n *Node) seek() {
 	n.control.TriggerComparison()
-	n.discovery.Seek()
+	n.discovery.Trigger()
 }
 
 // acquainted returns whether the node knows another, or has had the time to learn of one.
--- a/node/learning_test.go
+++ b/node/learning_test.go
@@ -29,7 +29,7 @@
 		"again, the platform is away":           {before: true, faults: standin.Faults{Status: 503}},
 		"again, the platform hangs":             {before: true, faults: standin.Faults{Hang: true}},
 		"one of them, the platform is away":     {before: true, alone: true, faults: standin.Faults{Status: 503}},
-		"one of them, the platform loses calls": {before: true, alone: true, faults: standin.Faults{LoseWrites: true}},
+		"one of them, the platform loses calls": {before: true, alone: true, faults: standin.Faults{LoseWriteResponses: true}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/node/leave.go
+++ b/node/leave.go
@@ -51,16 +51,16 @@
 	n := l.node
 	began := time.Now()
 	told := l.standing()
-	stalled := n.stalls.Longest(began.Add(-stallMemory))
+	stalled := n.stalls.LongestDelay(began.Add(-stallMemory))
 	within := drainWithin(&n.Settings, stalled)
 	n.Log.Info().Int("requests", told.requests).Int("calls", told.calls).Dur("withinMs", within).Dur("stalledMs", stalled).Msg("leaving")
 	n.mu.Lock()
 	n.leaving = true
 	n.mu.Unlock()
-	l.conns.Leave()
+	l.conns.DisableKeepAlives()
 	ctx, cancel := context.WithDeadline(context.Background(), began.Add(within))
 	defer cancel()
-	leave := n.Settings.LeaveWithin()
+	leave := n.Settings.EffectiveLeaveDelay()
 	admitting := min(n.Settings.AdmitDelay, leave)
 	sleep.For(ctx, admitting)
 	idle := n.gate.Drain()
@@ -79,7 +79,7 @@
 	closing := l.standing()
 	err := l.drain(ctx, idle)
 	over := l.standing()
-	ids := l.handler.Open(cutIDs)
+	ids := l.handler.InFlightIDs(cutIDs)
 	if err != nil && over.requests+over.calls > 0 {
 		n.Log.Warn().Err(err).Msg("requests in flight cut at the end of the drain")
 	}
@@ -101,11 +101,11 @@
 // still for as long as stalled says. The signal to stop may have come so much earlier than it was
 // noticed, and the end of the process may be as late.
 func drainWithin(s *settings.Settings, stalled time.Duration) time.Duration {
-	within := s.DrainWithin()
+	within := s.DrainDeadline()
 	if s.GracePeriod == 0 {
 		return within
 	}
-	most := time.Duration(stallShare*float64(s.GracePeriod)) - settings.ExitTime
+	most := time.Duration(stallShare*float64(s.GracePeriod)) - settings.ExitReserve
 	return within - min(2*stalled, max(0, most))
 }
 
@@ -122,7 +122,7 @@
 func (l *leaving) standing() standing {
 	load := l.node.gate.Load()
 	s := standing{calls: load.Running + load.Waiting}
-	s.requests, s.begun = l.handler.Count()
+	s.requests, s.begun = l.handler.RequestCounts()
 	return s
 }
 
@@ -161,7 +161,7 @@
 		err = l.callers.Shutdown(ctx)
 	}
 	if err == nil {
-		err = l.conns.Quiesce(ctx)
+		err = l.conns.AwaitClosed(ctx)
 	}
 	select {
 	case <-idle:
@@ -180,16 +180,16 @@
 	l.quiesce()
 	l.node.dispatcher.Close() // ends what has been sent on
 	l.quiesce()
-	l.cut(verdict.New(verdict.NotSent, errDrainOver).WithRetryAfter(caller.ComeBackElsewhere)) // and what has not
+	l.cut(verdict.New(verdict.NotSent, errDrainOver).WithRetryAfter(caller.RetryElsewhereDelay)) // and what has not
 	l.quiesce()
-	l.conns.Cut()
+	l.conns.CloseAll()
 }
 
 // quiesce waits until the answers of requests that have been ended are written.
 func (l *leaving) quiesce() {
 	ctx, cancel := context.WithTimeout(context.Background(), lastAnswers)
 	defer cancel()
-	_ = l.conns.Quiesce(ctx) // what is still open then is closed
+	_ = l.conns.AwaitClosed(ctx) // what is still open then is closed
 }
 
 // exit returns the context of what a node does after its drain. It ends with the grace
--- a/node/leave_test.go
+++ b/node/leave_test.go
@@ -230,7 +230,7 @@
 		"the node beside the upstream": func(h *held) []*managed { return []*managed{h.other} },
 		"both at once":                 func(h *held) []*managed { return []*managed{h.entry, h.other} },
 		"its upstream says that it leaves": func(h *held) []*managed {
-			h.other.upstream.Leave()
+			h.other.upstream.AdvertiseLeaving()
 			return []*managed{h.entry, h.other}
 		},
 	}
--- a/node/limit_test.go
+++ b/node/limit_test.go
@@ -94,7 +94,7 @@
 			w := newWorld(t)
 			w.configure(1, "")
 			for range 3 {
-				w.add("b").upstream.Quiet(test.quiet)
+				w.add("b").upstream.SetHealthCheckSilent(test.quiet)
 			}
 			outside := w.add("a")
 			w.eventually("all are known", func() bool {
@@ -108,7 +108,7 @@
 			})
 			limited := w.nodes[:test.limited]
 			for _, n := range limited {
-				n.upstream.Limit(fmt.Sprint(test.limit))
+				n.upstream.AdvertiseLimit(fmt.Sprint(test.limit))
 			}
 			for _, n := range w.nodes { // each node passes an answer of each limited upstream on
 				for i := range 20 {
@@ -163,7 +163,7 @@
 			var leaver *managed
 			for range 2 {
 				leaver = w.add("a")
-				leaver.upstream.Quiet(true)
+				leaver.upstream.SetHealthCheckSilent(true)
 			}
 			outside := w.add("b")
 			// Requests that must not run twice are sent once, so that each answer is passed on.
@@ -184,9 +184,9 @@
 				return from.Load()
 			}
 			w.eventually("both are known", func() bool { return ask() && len(w.nodes[0].upstream.Runs()) > 0 })
-			leaver.upstream.Leave()
+			leaver.upstream.AdvertiseLeaving()
 			w.eventually("an answer says it", ask)
-			leaver.upstream.Quiet(test.quiet)
+			leaver.upstream.SetHealthCheckSilent(test.quiet)
 			if test.restarts {
 				leaver.stop()
 				w.run(leaver)
--- a/node/limits.go
+++ b/node/limits.go
@@ -18,15 +18,15 @@
 	list := []operator.UpstreamLimit{}
 	if s := n.gate.NoticeState(); s.Limit.Limited || s.Leaving {
 		l := operator.UpstreamLimit{
-			Node:    n.Settings.Node,
-			Start:   s.Start,
-			Source:  operator.SourceUpstream,
-			Limited: s.Limit.Limited,
-			Limit:   s.Limit.Rate,
-			Leaving: s.Leaving,
-			Since:   s.Limit.Since,
-			Used:    s.Limit.Used,
-			Refused: s.Limit.Refused,
+			Node:         n.Settings.Node,
+			StartID:      s.StartID,
+			Source:       operator.SourceUpstream,
+			Limited:      s.Limit.Limited,
+			Limit:        s.Limit.Rate,
+			Leaving:      s.Leaving,
+			Since:        s.Limit.Since,
+			UsedFraction: s.Limit.Used,
+			Refused:      s.Limit.Refused,
 		}
 		if s.Limit.Adopted {
 			l.Source = operator.SourceCalls
@@ -42,8 +42,8 @@
 		}
 		list = append(list, operator.UpstreamLimit{
 			Node:    h.Node,
-			Start:   h.Notice.Start,
-			Source:  operator.SourceAnswers,
+			StartID: h.Notice.StartID,
+			Source:  operator.SourceResponses,
 			Limited: h.Notice.Limited,
 			Limit:   h.Notice.Limit,
 			Leaving: h.Notice.Leaving,
--- a/node/managed_test.go
+++ b/node/managed_test.go
@@ -134,7 +134,7 @@
 func (w *world) addUpstream(zone string, u *standin.Upstream, seeds ...string) *managed {
 	id := "i-" + strconv.Itoa(len(w.nodes))
 	service := u.Service
-	u.ID, u.Slots, u.Work = id, cmp.Or(u.Slots, 8), 5*time.Millisecond
+	u.ID, u.Slots, u.ServiceTime = id, cmp.Or(u.Slots, 8), 5*time.Millisecond
 	m := &managed{upstream: u}
 	addr, err := m.upstream.Start()
 	qt.Assert(w.t, err, qt.IsNil)
@@ -162,11 +162,11 @@
 		Settings: m.settings,
 		Log:      w.log.With().Str("node", m.settings.Node).Logger(),
 		Platform: &node.Platform{
-			Names: platform.Names(),
-			API:   func(c *objectapi.Caller) objectapi.Polled { return &platform.Store{Caller: c} },
-			Era:   platform.Era,
-			Kind:  platform.ManifestKind, Name: platform.ManifestName, Table: platform.Table, ZoneKind: platform.EvacuationKind, Announce: platform.Instances,
-			RolloutKind: platform.RolloutKind, Rollout: platform.Rollout, RolloutStatus: platform.RolloutStatus,
+			FieldNames: platform.FieldNames(),
+			NewAPI:     func(c *objectapi.JSONClient) objectapi.PollingAPI { return &platform.Store{JSONClient: c} },
+			ParseEra:   platform.ParseEra,
+			TableKind:  platform.ManifestKind, TableName: platform.ManifestName, DecodeTable: platform.DecodeTable, ZoneKind: platform.EvacuationKind, AnnounceHandler: platform.AnnounceHandler,
+			RolloutKind: platform.RolloutKind, DecodeRollout: platform.DecodeRollout, RolloutStatus: platform.RolloutStatus,
 		},
 	}
 	var done sync.WaitGroup
@@ -266,7 +266,7 @@
 	qt.Check(t, first.ask("GET", "/c/x", "kept", "").status, qt.Equals, 200, qt.Commentf("an older version changes nothing"))
 
 	first.upstream.Drain()
-	qt.Assert(t, first.upstream.Announce(first.settings.AnnounceAddress), qt.IsTrue)
+	qt.Assert(t, first.upstream.SendHeartbeat(first.settings.AnnounceAddress), qt.IsTrue)
 	before := len(first.upstream.Runs())
 	for i := range 10 {
 		qt.Check(t, second.ask("PUT", "/a/x", fmt.Sprint("drained", i), "").status, qt.Equals, 503)
@@ -311,7 +311,7 @@
 	for _, r := range first.upstream.Runs() {
 		qt.Check(t, r.ID, qt.Not(qt.Equals), "other")
 	}
-	qt.Assert(t, first.upstream.Announce(first.settings.AnnounceAddress), qt.IsTrue)
+	qt.Assert(t, first.upstream.SendHeartbeat(first.settings.AnnounceAddress), qt.IsTrue)
 	w.eventually("the new start serves", func() bool { return second.ask("PUT", "/a/x", "new", "").status == 200 })
 }
 
@@ -323,8 +323,8 @@
 	w.configure(1, "")
 	first := w.add("b")
 	w.eventually("it serves", func() bool { return first.ask("GET", "/b/x", "warm", "").status == 200 })
-	w.store.SetFaults(standin.Faults{Deaf: true})
+	w.store.SetFaults(standin.Faults{SilentWatches: true})
 	w.configure(2, "c")
-	w.store.Forget()
+	w.store.DropHistory()
 	w.eventually("the change is found", func() bool { return first.ask("GET", "/c/x", "new", "").status == 200 })
 }
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -34,7 +34,7 @@
 		set:           metrics.NewSet(),
 		platformCalls: func() uint64 { return 0 },
 	}
-	m.control.Requested = m.controlRequested
+	m.control.OnRequest = m.controlRequested
 	gauge := m.gauge
 	m.upstreamGauges(n)
 	gauge(`sassafras_members`, func() float64 { return float64(n.control.Snapshot().Members) })
@@ -92,11 +92,11 @@
 	gauge(`sassafras_upstream_pace`, func() float64 { return n.gate.Load().MinSlowdown })
 	gauge(`sassafras_upstream_service_seconds`, func() float64 { return n.gate.Load().ServiceTime.Seconds() })
 	gauge(`sassafras_body_rate_bytes`, func() float64 {
-		rate, _ := n.peers.Inflow()
+		rate, _ := n.peers.LinkLoad()
 		return rate
 	})
 	gauge(`sassafras_body_backlog_bytes`, func() float64 {
-		_, backlog := n.peers.Inflow()
+		_, backlog := n.peers.LinkLoad()
 		return float64(backlog)
 	})
 }
@@ -114,8 +114,8 @@
 	gauge(`sassafras_quota_share_held`, func() float64 { return limits().HeldFraction })
 	gauge(`sassafras_quota_waiting`, func() float64 { return float64(limits().Waiting) })
 	for name, f := range map[string]func(ratelimit.State) uint64{
-		"answered":   func(s ratelimit.State) uint64 { return s.Answered },
-		"unanswered": func(s ratelimit.State) uint64 { return s.Unanswered },
+		"answered":   func(s ratelimit.State) uint64 { return s.Responded },
+		"unanswered": func(s ratelimit.State) uint64 { return s.Failed },
 		"taken":      func(s ratelimit.State) uint64 { return s.Served },
 	} {
 		gauge(fmt.Sprintf(`sassafras_quota_exchanges_total{result=%q}`, name), func() float64 { return float64(f(limits())) })
@@ -146,10 +146,10 @@
 		m.set.GetOrCreateHistogram(fmt.Sprintf(`sassafras_retry_after_seconds{service=%q,class=%q,cause=%q}`, o.Service, o.Class, string(cause))).Update(o.Failure.RetryAfter.Seconds())
 	}
 	if o.Service != "" {
-		m.set.GetOrCreateHistogram(fmt.Sprintf(`sassafras_request_seconds{service=%q,class=%q}`, o.Service, o.Class)).Update(o.Took.Seconds())
+		m.set.GetOrCreateHistogram(fmt.Sprintf(`sassafras_request_seconds{service=%q,class=%q}`, o.Service, o.Class)).Update(o.Duration.Seconds())
 	}
-	if o.BodyTook > 0 {
-		m.set.GetOrCreateHistogram(fmt.Sprintf(`sassafras_body_seconds{service=%q,class=%q}`, o.Service, o.Class)).Update(o.BodyTook.Seconds())
+	if o.BodyReceiveTime > 0 {
+		m.set.GetOrCreateHistogram(fmt.Sprintf(`sassafras_body_seconds{service=%q,class=%q}`, o.Service, o.Class)).Update(o.BodyReceiveTime.Seconds())
 	}
 }
 
@@ -169,7 +169,7 @@
 // requestsUnderWay adds how many requests of callers are under way.
 func (m *metricSet) requestsUnderWay(h *caller.Handler) {
 	m.gauge(`sassafras_requests_under_way`, func() float64 {
-		open, _ := h.Count()
+		open, _ := h.RequestCounts()
 		return float64(open)
 	})
 }
--- a/node/node.go
+++ b/node/node.go
@@ -79,19 +79,19 @@
 	evacuated  zoneLog
 	limits     *ratelimit.Limiter                // of organisations, or nil
 	rollouts   *canary.Runner                    // or nil, where none are ordered
-	orders     *objectapi.Listing                // of the same
+	orders     *objectapi.Lister                 // of the same
 	versions   versionCheck                      // of the upstream
 	suspects   quarantine.Index                  // the requests that upstreams have ended under
 	blocked    *blocklist.Store                  // of them, on the platform, or nil
-	api        objectapi.Polled                  // of Platform
-	store      *objectapi.Caller                 // which makes its calls, or nil
+	api        objectapi.PollingAPI              // of Platform
+	store      *objectapi.JSONClient             // which makes its calls, or nil
 	discovery  *contact.Discovery                // finds other nodes by it
-	contacts   *contact.Book                     // which is kept there
+	contacts   *contact.PlatformRegistry         // which is kept there
 	restored   chan struct{}                     // has a value when what was written there may be lost
 	reloaded   atomic.Pointer[settings.Settings] // nil until the settings change
 	learnt     chan struct{}                     // closed once the node has had the time to learn of the others
 	stalls     stall.Monitor
-	lines      keyvalue.Limit
+	lines      keyvalue.LineLimiter
 	successes  atomic.Uint64
 	configured atomic.Bool // whether the gate knows its service
 	keysStale  atomic.Bool // whether keys can't be judged, as the last request with one found
@@ -157,11 +157,11 @@
 		return err
 	}
 	defer l.close()
-	tracer, flush, err := tracing.Setup{
-		URL:    n.Settings.TraceURL,
-		Sample: n.Settings.TraceSample,
-		Node:   n.Settings.Node,
-		Zone:   n.Settings.Zone,
+	tracer, flush, err := tracing.Config{
+		URL:         n.Settings.TraceURL,
+		SampleRatio: n.Settings.TraceSample,
+		Node:        n.Settings.Node,
+		Zone:        n.Settings.Zone,
 	}.Tracer(ctx)
 	if err != nil {
 		return eris.Wrap(err, "traceURL")
@@ -183,7 +183,7 @@
 // names returns the header fields in use.
 func (n *Node) names() upstream.FieldNames {
 	if n.Platform != nil {
-		return n.Platform.Names
+		return n.Platform.FieldNames
 	}
 	return upstream.DefaultFieldNames
 }
@@ -200,7 +200,7 @@
 	n.dispatcher.SetServices(s.Services)
 	n.evacuated.set(s.Evacuated)
 	if n.limits != nil && s.Table != nil {
-		n.limits.Set(s.Table.OrganisationSet())
+		n.limits.SetOrganisations(s.Table.OrganisationSet())
 	}
 	n.gate.SetEvacuated(s.Evacuated.Has(n.Settings.Zone))
 	n.rolloutsKnown(s.Rollouts)
@@ -282,7 +282,7 @@
 	all.Go(func() { _ = n.peers.Run(inner, l.peer) })
 	callerConns := &caller.Listener{
 		Listener: l.caller,
-		Bounds:   n.callerBounds,
+		Timeouts: n.callerBounds,
 	}
 	all.Go(func() { _ = callers.Serve(callerConns) })
 	all.Go(func() { _ = announce.Serve(l.announce) })
@@ -313,7 +313,7 @@
 // lastCalls lets the calls of other nodes go on as long as the process may live. Those
 // nodes may have to stop at the same time, and then answer for themselves.
 func (n *Node) lastCalls(exit context.Context) {
-	ctx, cancel := context.WithTimeout(exit, settings.ExitTime)
+	ctx, cancel := context.WithTimeout(exit, settings.ExitReserve)
 	defer cancel()
 	_ = n.peers.Quiesce(ctx) // their nodes see the connection end
 }
--- a/node/organisations.go
+++ b/node/organisations.go
@@ -42,9 +42,9 @@
 			Control:     true,
 		},
 		Limits: peer.Limits{
-			Silence:   peerSilence,
-			Loss:      peerLoss,
-			Handshake: peerHandshake,
+			SilenceTimeout:   peerSilence,
+			AckTimeout:       peerLoss,
+			HandshakeTimeout: peerHandshake,
 		},
 		Clock:        n.clock(),
 		Counters:     &n.metrics.control,
@@ -81,13 +81,13 @@
 	if n.limits != nil {
 		for _, u := range n.limits.Usages(r.Context(), most) {
 			list = append(list, operator.Organisation{
-				Organisation: u.Organisation,
-				Rate:         u.Limit.Rate,
-				Burst:        u.Limit.Burst,
-				Here:         u.LocalRate,
-				All:          u.TotalRate,
-				Limited:      u.Limited,
-				Unknown:      u.Unknown,
+				Organisation:     u.Organisation,
+				Rate:             u.Limit.Rate,
+				Burst:            u.Limit.Burst,
+				LocalRate:        u.LocalRate,
+				TotalRate:        u.TotalRate,
+				RefusedOverLimit: u.Limited,
+				RefusedUnknown:   u.Unknown,
 			})
 		}
 	}
--- a/node/platform.go
+++ b/node/platform.go
@@ -23,15 +23,15 @@
 // table of routes. The exported fields are set before Run.
 type Platform struct {
 	// Names are the header fields that callers and upstreams use.
-	Names upstream.FieldNames
+	FieldNames upstream.FieldNames
 	// API returns the object API, given what makes its calls.
-	API func(c *objectapi.Caller) objectapi.Polled
+	NewAPI func(c *objectapi.JSONClient) objectapi.PollingAPI
 	// Era reads the era that an answer of the platform names, if it names one.
-	Era func(h http.Header) (era uint64, named bool, err error)
+	ParseEra func(h http.Header) (era uint64, named bool, err error)
 	// Kind and Name are those of the object that holds the table.
-	Kind, Name string
+	TableKind, TableName string
 	// Table decodes that object.
-	Table func(o *objectapi.Object) (*routes.Table, error)
+	DecodeTable func(o *objectapi.Object) (*routes.Table, error)
 	// ZoneKind is the kind of the objects by which operators evacuate zones; each is named
 	// for its zone.
 	ZoneKind string
@@ -39,11 +39,11 @@
 	// for its service. Rollout decodes one, and RolloutStatus returns what is written to one
 	// whose version is in a phase.
 	RolloutKind   string
-	Rollout       func(o *objectapi.Object) (rollout.StoredOrder, error)
+	DecodeRollout func(o *objectapi.Object) (rollout.StoredOrder, error)
 	RolloutStatus func(version string, p rollout.Phase) any
 	// Announce returns the handler of the calls by which the upstream announces
 	// itself.
-	Announce func(to *upstream.Announcements) http.Handler
+	AnnounceHandler func(to *upstream.Announcements) http.Handler
 }
 
 const (
@@ -71,7 +71,7 @@
 )
 
 // storeClient returns what makes the calls to the platform.
-func (n *Node) storeClient() *objectapi.Caller {
+func (n *Node) storeClient() *objectapi.JSONClient {
 	dialer := tcp.Dialer(storeTimeout, storeTimeout)
 	dialer.KeepAliveConfig = net.KeepAliveConfig{
 		Enable:   true,
@@ -79,15 +79,15 @@
 		Interval: keepAliveEvery,
 		Count:    keepAliveCount,
 	}
-	return &objectapi.Caller{
-		URL:     n.Settings.PlatformURL,
-		Timeout: storeTimeout,
-		Skipped: n.objectSkipped,
-		EraOf:   n.Platform.Era,
-		Refused: n.answerRefused,
-		Made:    n.metrics.platformCalled,
-		Budget:  rate.NewLimiter(rate.Limit(n.Settings.PlatformCalls), int(n.Settings.PlatformCalls)),
-		HTTP: &http.Client{
+	return &objectapi.JSONClient{
+		URL:        n.Settings.PlatformURL,
+		Timeout:    storeTimeout,
+		OnSkipped:  n.objectSkipped,
+		ParseEra:   n.Platform.ParseEra,
+		OnRejected: n.answerRefused,
+		OnCall:     n.metrics.platformCalled,
+		Limiter:    rate.NewLimiter(rate.Limit(n.Settings.PlatformCalls), int(n.Settings.PlatformCalls)),
+		HTTPClient: &http.Client{
 			Transport: &http.Transport{
 				DialContext:        dialer.DialContext,
 				DisableCompression: true,
@@ -105,10 +105,10 @@
 
 // tableFound takes in an object of the table's kind.
 func (n *Node) tableFound(o *objectapi.Object) {
-	if o.Metadata.Name != n.Platform.Name {
+	if o.Metadata.Name != n.Platform.TableName {
 		return
 	}
-	t, err := n.Platform.Table(o)
+	t, err := n.Platform.DecodeTable(o)
 	if err != nil {
 		n.Log.Error().Err(err).Str("revision", o.Metadata.ResourceVersion).Msg("configuration refused")
 		return
@@ -120,12 +120,12 @@
 }
 
 // book returns the nodes' addresses as the platform holds them.
-func (n *Node) book(api objectapi.Objects) *contact.Book {
-	return &contact.Book{
+func (n *Node) book(api objectapi.Objects) *contact.PlatformRegistry {
+	return &contact.PlatformRegistry{
 		API:  api,
 		Node: n.Settings.Node,
 		Entry: contact.Entry{
-			Address: n.Settings.PeerAt(),
+			Address: n.Settings.EffectivePeerAddress(),
 			Zone:    n.Settings.Zone,
 		},
 		Log: n.Log,
--- a/node/ratelimit_test.go
+++ b/node/ratelimit_test.go
@@ -129,10 +129,10 @@
 	qt.Check(t, refused > granted, qt.IsTrue)
 
 	told := l.organisations(l.nodes[0])
-	qt.Check(t, told["small"].Limited > 0, qt.IsTrue)
-	qt.Check(t, told["small"].All > 0, qt.IsTrue)
+	qt.Check(t, told["small"].RefusedOverLimit > 0, qt.IsTrue)
+	qt.Check(t, told["small"].TotalRate > 0, qt.IsTrue)
 	qt.Check(t, told["small"].Rate, qt.Equals, float64(rate))
-	qt.Check(t, told["big"].Limited, qt.Equals, before["big"].Limited)
+	qt.Check(t, told["big"].RefusedOverLimit, qt.Equals, before["big"].RefusedOverLimit)
 }
 
 // TestRateLimitOverRestarts has all nodes start anew, one after the other and then all at
--- a/node/restore.go
+++ b/node/restore.go
@@ -65,7 +65,7 @@
 // writeAgain writes what this node keeps on the platform.
 func (n *Node) writeAgain(ctx context.Context) {
 	sleep.For(ctx, rand.N(rewriteSpread))
-	n.contacts.WriteAgain(ctx)
+	n.contacts.Restore(ctx)
 	if n.control.IsFirstInZone() {
 		n.saveBlocks(ctx)
 	}
--- a/node/restore_test.go
+++ b/node/restore_test.go
@@ -110,7 +110,7 @@
 		}
 		return z.runs(z.near) > 0 && z.runs(z.far) > 0
 	})
-	copied := z.store.Copy()
+	copied := z.store.Snapshot()
 	z.configure(2, "c")
 	z.evacuate("z", true)
 	for i := range 50 { // revisions that the next eras don't reach
@@ -158,7 +158,7 @@
 // evacuation and the table: they hear of both from the others.
 func TestRestartAfterRestore(t *testing.T) {
 	z, way := newCutZoned(t)
-	copied := z.store.Copy()
+	copied := z.store.Snapshot()
 	z.configure(2, "c")
 	z.evacuate("z", true)
 	z.known(1)
@@ -192,7 +192,7 @@
 func TestContactsAfterRestore(t *testing.T) {
 	w := newEraWorld(t)
 	w.configure(1, "")
-	empty := w.store.Copy()
+	empty := w.store.Snapshot()
 	var nodes []*managed
 	for range 6 {
 		nodes = append(nodes, w.add("b"))
@@ -223,7 +223,7 @@
 func TestBlocksAfterRestore(t *testing.T) {
 	w := newEraWorld(t)
 	m, nodes := fatalWorldIn(w, func(r standin.Run) bool { return r.Body == "fatal" }, 3)
-	copied := w.store.Copy()
+	copied := w.store.Snapshot()
 	for i := range 6 {
 		nodes[0].ask("PUT", "/b/report", fmt.Sprint("fatal-", i), "fatal")
 		time.Sleep(settle)
@@ -257,8 +257,8 @@
 		time.Sleep(settle)
 	}
 	w.eventually("the block is kept", func() bool { return len(w.store.Names(blocklist.Kind)) == 1 })
-	copied := w.store.Copy()
-	print := suspects(nodes[0])[0].Print
+	copied := w.store.Snapshot()
+	print := suspects(nodes[0])[0].Fingerprint
 	r, err := http.NewRequest(http.MethodDelete, "http://"+nodes[0].settings.OperatorAddress+"/v1/suspects/"+print, nil)
 	qt.Assert(t, err, qt.IsNil)
 	response, err := http.DefaultClient.Do(r)
--- a/node/rollout_test.go
+++ b/node/rollout_test.go
@@ -45,12 +45,12 @@
 
 // beating starts a node beside an upstream of a version that sends heartbeats.
 func (v *versions) beating(version string, failing func(standin.Run) bool) *managed {
-	m := v.addUpstream("z", &standin.Upstream{Service: "b", Version: version, Failing: failing})
+	m := v.addUpstream("z", &standin.Upstream{Service: "b", Version: version, ShouldFail: failing})
 	ctx, cancel := context.WithCancel(context.Background())
 	v.t.Cleanup(cancel)
 	go func() {
 		for ctx.Err() == nil {
-			m.upstream.Announce(m.settings.AnnounceAddress)
+			m.upstream.SendHeartbeat(m.settings.AnnounceAddress)
 			time.Sleep(heartbeatEvery)
 		}
 	}()
--- a/node/rollouts.go
+++ b/node/rollouts.go
@@ -51,14 +51,14 @@
 	n.versions.wanted = make(chan string, 1)
 	n.control.Exposure = rollout.Exposure(s.RolloutShare)
 	orders := &canary.OrderReader{
-		Decode:  n.Platform.Rollout,
+		Decode:  n.Platform.DecodeRollout,
 		Found:   n.control.ApplyOrders,
 		Refused: func(reason error) { n.warnOfOther("order refused", reason) },
 	}
-	n.orders = &objectapi.Listing{
-		API:   n.api,
-		Kind:  n.Platform.RolloutKind,
-		Found: orders.Take,
+	n.orders = &objectapi.Lister{
+		API:    n.api,
+		Kind:   n.Platform.RolloutKind,
+		OnList: orders.Handle,
 	}
 	n.rollouts = &canary.Runner{
 		Hello: peer.Hello{
@@ -69,7 +69,7 @@
 		Counters:    &n.metrics.control,
 		API:         n.api,
 		Kind:        n.Platform.RolloutKind,
-		Decode:      n.Platform.Rollout,
+		Decode:      n.Platform.DecodeRollout,
 		Status:      n.Platform.RolloutStatus,
 		Lease:       time.Duration(leasePart * float64(s.RollbackWithin)),
 		Rollouts:    func() map[string]rollout.LocalState { return n.control.Snapshot().Rollouts },
@@ -220,15 +220,15 @@
 	for _, service := range slices.Sorted(maps.Keys(known)) {
 		k := known[service]
 		list = append(list, operator.Rollout{
-			Service:  service,
-			Version:  k.Order.Version,
-			Phase:    k.Phase.String(),
-			Share:    n.control.Exposure.Share(k.Phase),
-			Reason:   k.Reason,
-			Node:     k.Node,
-			Changed:  k.Changed.UTC(),
-			Era:      k.Order.At.Era,
-			Revision: k.Order.At.Revision,
+			Service:   service,
+			Version:   k.Order.Version,
+			Phase:     k.Phase.String(),
+			Share:     n.control.Exposure.Share(k.Phase),
+			Reason:    k.Reason,
+			Node:      k.Node,
+			ChangedAt: k.Changed.UTC(),
+			Era:       k.Order.At.Era,
+			Revision:  k.Order.At.Revision,
 		})
 	}
 	reply(w, list)
--- a/node/suspects.go
+++ b/node/suspects.go
@@ -16,15 +16,15 @@
 	list := []operator.Suspect{}
 	for _, j := range n.suspects.All() {
 		s := operator.Suspect{
-			Print:     j.Fingerprint.String(),
-			Standing:  j.State.String(),
-			Ends:      j.Crashes,
-			Upstreams: j.Upstreams,
-			Since:     j.LastCrash.UTC(),
+			Fingerprint: j.Fingerprint.String(),
+			State:       j.State.String(),
+			Crashes:     j.Crashes,
+			Upstreams:   j.Upstreams,
+			LastCrash:   j.LastCrash.UTC(),
 		}
 		if j.State == quarantine.Blocked {
 			until := j.BlockedUntil.UTC()
-			s.Until = &until
+			s.BlockedUntil = &until
 		}
 		list = append(list, s)
 	}
--- a/node/upstreamwatch.go
+++ b/node/upstreamwatch.go
@@ -81,7 +81,7 @@
 		return upstream.HealthStatus{}, errBeyondLimit
 	}
 	n.questions.Add(1)
-	return upstream.Health(ctx, address, path, n.Platform.Names, healthTimeout)
+	return upstream.Health(ctx, address, path, n.Platform.FieldNames, healthTimeout)
 }
 
 // next waits for a tick. It returns false if ctx ends before.
@@ -191,7 +191,7 @@
 // the calls that come in, and whenever askLoad wants it, until ctx ends.
 func (n *Node) pollLoad(ctx context.Context) {
 	poller := &upstream.Poller{
-		Names:          n.Platform.Names,
+		Names:          n.Platform.FieldNames,
 		Timeout:        healthTimeout,
 		LoadReported:   n.gate.ObserveLoad,
 		ColdReported:   n.gate.SetColdRemaining,
--- a/node/zones.go
+++ b/node/zones.go
@@ -45,9 +45,9 @@
 func (n *Node) listZones(w http.ResponseWriter, _ *http.Request) {
 	set := n.control.Snapshot().Evacuated
 	left := n.control.RemainingUpstreams()
-	list := []operator.Zone{}
+	list := []operator.EvacuatedZone{}
 	for _, name := range set.Zones {
-		z := operator.Zone{
+		z := operator.EvacuatedZone{
 			Zone:      name,
 			Era:       set.At.Era,
 			Revision:  set.At.Revision,
@@ -56,7 +56,7 @@
 		}
 		if name == n.Settings.Zone {
 			running := n.gate.Load().Running
-			z.Running = &running
+			z.InFlight = &running
 		}
 		list = append(list, z)
 	}
--- a/objectapi/caller.go
+++ b/objectapi/caller.go
@@ -34,49 +34,49 @@
 
 // Caller makes calls with JSON bodies to an object API of any dialect. The
 // exported fields are set before the first call.
-type Caller struct {
+type JSONClient struct {
 	// URL is the root of the API, such as http://10.0.0.1:8080.
 	URL string
 	// HTTP makes the calls. Nil means http.DefaultClient.
-	HTTP *http.Client
+	HTTPClient *http.Client
 	// Timeout bounds each call but a watch. Zero means 3 s.
 	Timeout time.Duration
 	// Budget bounds the calls of this process. Nil means no bound. A call
 	// waits for its turn.
-	Budget *rate.Limiter
+	Limiter *rate.Limiter
 	// Skipped, if not nil, is called with why an object of an answer can't be read
 	// and is left out.
-	Skipped func(reason error)
+	OnSkipped func(reason error)
 	// Made, if not nil, is called with each call that an API makes by this Caller, by what it
 	// does and the kind of the objects.
-	Made func(call, kind string)
+	OnCall func(call, kind string)
 	// EraOf, if not nil, reads the era that an answer names, if it names one. Nil means
 	// that the API has no eras.
-	EraOf func(h http.Header) (era uint64, named bool, err error)
+	ParseEra func(h http.Header) (era uint64, named bool, err error)
 	// EraChanged, if not nil, is called when a later era is known, before the answer that
 	// names it is returned.
-	EraChanged func(EraChange)
+	OnEraChange func(EraChange)
 	// Refused, if not nil, is called with why an answer is not used.
-	Refused func(reason error)
+	OnRejected func(reason error)
 
 	calls atomic.Uint64
 	eras  eras
 }
 
 // Note notes a call that an API is about to make.
-func (c *Caller) Note(call, kind string) {
-	if c.Made != nil {
-		c.Made(call, kind)
+func (c *JSONClient) RecordCall(call, kind string) {
+	if c.OnCall != nil {
+		c.OnCall(call, kind)
 	}
 }
 
 // Calls returns the number of calls made so far, a watch counting as one.
-func (c *Caller) Calls() uint64 { return c.calls.Load() }
+func (c *JSONClient) Calls() uint64 { return c.calls.Load() }
 
 // Do makes one call and decodes its answer, within the timeout, and returns the era of
 // the answer. Body is encoded as JSON unless it is nil; a nil answer is not decoded. Every
 // failure is an *Error.
-func (c *Caller) Do(ctx context.Context, method, path string, body, answer any) (era uint64, err error) {
+func (c *JSONClient) Do(ctx context.Context, method, path string, body, answer any) (era uint64, err error) {
 	timeout := c.Timeout
 	if timeout == 0 {
 		timeout = defaultTimeout
@@ -88,7 +88,7 @@
 		return 0, err
 	}
 	defer r.Body.Close()
-	era = c.EraIn(r)
+	era = c.ResponseEra(r)
 	data, err := io.ReadAll(io.LimitReader(r.Body, maxList))
 	if err != nil {
 		return era, readError(err)
@@ -113,13 +113,13 @@
 
 // Call makes one call and returns its answer if the status is a good one and the era can
 // be right. The caller closes its body.
-func (c *Caller) Call(ctx context.Context, method, path string, body any) (*http.Response, error) {
+func (c *JSONClient) Call(ctx context.Context, method, path string, body any) (*http.Response, error) {
 	data, err := encode(body)
 	if err != nil {
 		return nil, err
 	}
-	if c.Budget != nil {
-		if err := c.Budget.Wait(ctx); err != nil {
+	if c.Limiter != nil {
+		if err := c.Limiter.Wait(ctx); err != nil {
 			return nil, notSent(err)
 		}
 	}
@@ -135,7 +135,7 @@
 	q.GetBody = nil
 	q.Header.Set("Content-Type", "application/json")
 	c.calls.Add(1)
-	client := c.HTTP
+	client := c.HTTPClient
 	if client == nil {
 		client = http.DefaultClient
 	}
@@ -166,8 +166,8 @@
 	if err != nil {
 		return nil, notSent(err)
 	}
-	if len(data) > MaxValue {
-		return nil, notSent(eris.Errorf("object of %d bytes is over %d", len(data), MaxValue))
+	if len(data) > MaxObjectBytes {
+		return nil, notSent(eris.Errorf("object of %d bytes is over %d", len(data), MaxObjectBytes))
 	}
 	return data, nil
 }
--- a/objectapi/client.go
+++ b/objectapi/client.go
@@ -21,12 +21,12 @@
 // Client is an API over HTTP. The exported fields are set before the first
 // call.
 type Client struct {
-	Caller
+	JSONClient
 	// Namespace holds the system's objects.
 	Namespace string
 	// WatchFor is how long the platform is asked to keep a watch open. Zero
 	// means 30 s.
-	WatchFor time.Duration
+	WatchTimeout time.Duration
 }
 
 const (
@@ -37,17 +37,17 @@
 
 // Get implements API.
 func (c *Client) Get(ctx context.Context, kind, name string) (*Object, error) {
-	return c.object(ctx, http.MethodGet, Path(c.Namespace, kind, name), nil)
+	return c.object(ctx, http.MethodGet, ObjectPath(c.Namespace, kind, name), nil)
 }
 
 // List implements API.
 func (c *Client) List(ctx context.Context, kind string) (*List, error) {
-	return c.list(ctx, Path(c.Namespace, kind, ""))
+	return c.list(ctx, ObjectPath(c.Namespace, kind, ""))
 }
 
 // ListStale implements API.
 func (c *Client) ListStale(ctx context.Context, kind string) (*List, error) {
-	return c.list(ctx, Path(c.Namespace, kind, "")+"?resourceVersion=0")
+	return c.list(ctx, ObjectPath(c.Namespace, kind, "")+"?resourceVersion=0")
 }
 
 // list makes the call for a list.
@@ -61,23 +61,23 @@
 	}
 	return &List{
 		Metadata: answer.Metadata,
-		Items:    DecodeEach[Object](answer.Items, c.Skipped),
+		Items:    DecodeEach[Object](answer.Items, c.OnSkipped),
 	}, nil
 }
 
 // Create implements API.
 func (c *Client) Create(ctx context.Context, o *Object) (*Object, error) {
-	return c.object(ctx, http.MethodPost, Path(c.Namespace, o.Kind, ""), o)
+	return c.object(ctx, http.MethodPost, ObjectPath(c.Namespace, o.Kind, ""), o)
 }
 
 // Update implements API.
 func (c *Client) Update(ctx context.Context, o *Object) (*Object, error) {
-	return c.object(ctx, http.MethodPut, Path(c.Namespace, o.Kind, o.Metadata.Name), o)
+	return c.object(ctx, http.MethodPut, ObjectPath(c.Namespace, o.Kind, o.Metadata.Name), o)
 }
 
 // Delete implements API.
 func (c *Client) Delete(ctx context.Context, kind, name, version string) error {
-	p := Path(c.Namespace, kind, name) + "?resourceVersion=" + url.QueryEscape(version)
+	p := ObjectPath(c.Namespace, kind, name) + "?resourceVersion=" + url.QueryEscape(version)
 	_, err := c.Do(ctx, http.MethodDelete, p, nil, nil)
 	return err
 }
@@ -91,7 +91,7 @@
 
 // Watch implements API.
 func (c *Client) Watch(ctx context.Context, kind, version string, f func(Event)) error {
-	watchFor := c.WatchFor
+	watchFor := c.WatchTimeout
 	if watchFor == 0 {
 		watchFor = defaultWatchFor
 	}
@@ -102,13 +102,13 @@
 		"resourceVersion": {version},
 		"timeoutSeconds":  {strconv.FormatFloat(watchFor.Seconds(), 'f', -1, 64)},
 	}
-	r, err := c.Call(ctx, http.MethodGet, Path(c.Namespace, kind, "")+"?"+query.Encode(), nil)
+	r, err := c.Call(ctx, http.MethodGet, ObjectPath(c.Namespace, kind, "")+"?"+query.Encode(), nil)
 	if err != nil {
 		return err
 	}
 	defer r.Body.Close()
 	lines := bufio.NewScanner(r.Body)
-	lines.Buffer(nil, 2*MaxValue)
+	lines.Buffer(nil, 2*MaxObjectBytes)
 	for lines.Scan() {
 		var e Event
 		if err := json.Unmarshal(lines.Bytes(), &e); err != nil || e.Object == nil {
--- a/objectapi/era.go
+++ b/objectapi/era.go
@@ -29,7 +29,7 @@
 }
 
 // Era returns the highest era that is known, or 0 if there is none.
-func (c *Caller) Era() uint64 {
+func (c *JSONClient) Era() uint64 {
 	c.eras.mu.Lock()
 	defer c.eras.mu.Unlock()
 	return c.eras.highest
@@ -37,12 +37,12 @@
 
 // Raise takes in that there is an era, as others have seen. Answers of earlier ones are
 // not used from now on.
-func (c *Caller) Raise(era uint64) {
+func (c *JSONClient) AdvanceEra(era uint64) {
 	c.eras.mu.Lock()
 	change, risen := c.eras.raise(era)
 	c.eras.mu.Unlock()
-	if risen && c.EraChanged != nil {
-		c.EraChanged(change)
+	if risen && c.OnEraChange != nil {
+		c.OnEraChange(change)
 	}
 }
 
@@ -63,23 +63,23 @@
 
 // check takes in the era of an answer, or returns why the answer can't be used: it was
 // sent before the platform came back from a copy, or tells no era.
-func (c *Caller) check(r *http.Response) error {
-	if c.EraOf == nil {
+func (c *JSONClient) check(r *http.Response) error {
+	if c.ParseEra == nil {
 		return nil
 	}
 	c.eras.mu.Lock()
-	era, named, err := c.EraOf(r.Header)
+	era, named, err := c.ParseEra(r.Header)
 	change, risen, err := c.eras.take(era, named, err)
 	c.eras.answered = c.eras.answered || err == nil && !saysNothing(r.StatusCode)
 	c.eras.mu.Unlock()
-	if risen && c.EraChanged != nil {
-		c.EraChanged(change)
+	if risen && c.OnEraChange != nil {
+		c.OnEraChange(change)
 	}
 	if err == nil {
 		return nil
 	}
-	if c.Refused != nil {
-		c.Refused(err)
+	if c.OnRejected != nil {
+		c.OnRejected(err)
 	}
 	if saysNothing(r.StatusCode) {
 		return nil
@@ -105,11 +105,11 @@
 }
 
 // EraIn returns the era of an answer that was checked.
-func (c *Caller) EraIn(r *http.Response) uint64 {
-	if c.EraOf == nil {
+func (c *JSONClient) ResponseEra(r *http.Response) uint64 {
+	if c.ParseEra == nil {
 		return 0
 	}
-	era, _, _ := c.EraOf(r.Header)
+	era, _, _ := c.ParseEra(r.Header)
 	return era
 }
 
--- a/objectapi/era_test.go
+++ b/objectapi/era_test.go
@@ -22,17 +22,17 @@
 func TestPoint(t *testing.T) {
 	points := []string{"0", "7", "900", "1/1", "1/870", "1/900", "2/0", "2/870", "10/3"}
 	for i, a := range points {
-		p, err := objectapi.ParsePoint(a)
+		p, err := objectapi.ParseResourceVersion(a)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Check(t, p.String(), qt.Equals, a)
 		for k, b := range points {
-			q, err := objectapi.ParsePoint(b)
+			q, err := objectapi.ParseResourceVersion(b)
 			qt.Assert(t, err, qt.IsNil)
 			qt.Check(t, p.Less(q), qt.Equals, i < k, qt.Commentf("%s and %s", a, b))
 		}
 	}
 	for _, bad := range []string{"", "x", "/", "1/", "/1", "1/2/3", "-1", "1/x", "x/1"} {
-		_, err := objectapi.ParsePoint(bad)
+		_, err := objectapi.ParseResourceVersion(bad)
 		qt.Check(t, err, qt.IsNotNil, qt.Commentf("%q", bad))
 	}
 }
@@ -86,22 +86,22 @@
 			defer server.Close()
 			var changes []objectapi.EraChange
 			var refused error
-			c := &objectapi.Caller{
+			c := &objectapi.JSONClient{
 				URL: server.URL,
-				EraOf: func(h http.Header) (uint64, bool, error) {
+				ParseEra: func(h http.Header) (uint64, bool, error) {
 					if h.Get("Era") == "" {
 						return 0, false, nil
 					}
 					era, err := strconv.ParseUint(h.Get("Era"), 10, 64)
 					return era, true, err
 				},
-				EraChanged: func(e objectapi.EraChange) { changes = append(changes, e) },
-				Refused:    func(reason error) { refused = reason },
+				OnEraChange: func(e objectapi.EraChange) { changes = append(changes, e) },
+				OnRejected:  func(reason error) { refused = reason },
 			}
 			var err error
 			for i, a := range test.answers {
 				if i == len(test.answers)-1 && test.raised > 0 {
-					c.Raise(test.raised)
+					c.AdvanceEra(test.raised)
 				}
 				next, refused = a, nil
 				_, err = c.Do(context.Background(), http.MethodGet, "/", nil, nil)
--- a/objectapi/follower.go
+++ b/objectapi/follower.go
@@ -21,17 +21,17 @@
 	// Kind is the kind that is followed.
 	Kind string
 	// Listed is called with each complete list.
-	Listed func(*List)
+	OnList func(*List)
 	// Changed is called with each change between lists. Changes may come twice,
 	// and a change may be one that a list has shown already.
-	Changed func(Event)
+	OnChange func(Event)
 	// Relist is the time between lists in which nothing failed: it finds
 	// changes that a watch has dropped. Zero means 5 min.
 	Relist time.Duration
 	// MaxBackoff is the longest wait after a failure. Zero means 5 s.
 	MaxBackoff time.Duration
 	// Failed, if not nil, is called with each failure.
-	Failed func(error)
+	OnError func(error)
 }
 
 const (
@@ -68,8 +68,8 @@
 		if err == nil {
 			continue
 		}
-		if f.Failed != nil {
-			f.Failed(err)
+		if f.OnError != nil {
+			f.OnError(err)
 		}
 		wait := Backoff(failures, err)
 		if f.MaxBackoff > 0 {
@@ -87,7 +87,7 @@
 	if err != nil {
 		return err
 	}
-	f.Listed(list)
+	f.OnList(list)
 	version := list.Metadata.ResourceVersion
 	relist := f.Relist
 	if relist == 0 {
@@ -100,7 +100,7 @@
 			if pointOf(version).Less(pointOf(e.Object.Metadata.ResourceVersion)) {
 				version = e.Object.Metadata.ResourceVersion
 			}
-			f.Changed(e)
+			f.OnChange(e)
 		})
 		if IsGone(err) {
 			return nil
--- a/objectapi/listing.go
+++ b/objectapi/listing.go
@@ -13,38 +13,38 @@
 // Listing reads all objects of one kind in one call: a list has no history that the platform
 // could have forgotten. It is for kinds with few objects. The fields are set before the first
 // call.
-type Listing struct {
+type Lister struct {
 	// API is the platform.
-	API Polled
+	API PollingAPI
 	// Kind is the kind that is read.
 	Kind string
 	// Found is called with the objects that were there at a Point. Current is whether they
 	// were there when the read began, and not seconds before.
-	Found func(items []*Object, at Point, current bool)
+	OnList func(items []*Object, at ResourceVersion, current bool)
 }
 
 // Read reads the objects as they are.
-func (l *Listing) Read(ctx context.Context) error {
+func (l *Lister) Read(ctx context.Context) error {
 	list, err := l.API.List(ctx, l.Kind)
 	return l.take(list, err, true)
 }
 
 // First reads the objects as they were at some time, which may be seconds ago: it costs the
 // platform little.
-func (l *Listing) First(ctx context.Context) error {
+func (l *Lister) ReadInitial(ctx context.Context) error {
 	list, err := l.API.ListStale(ctx, l.Kind)
 	return l.take(list, err, false)
 }
 
 // take takes in a list, or returns why there is none.
-func (l *Listing) take(list *List, err error, current bool) error {
+func (l *Lister) take(list *List, err error, current bool) error {
 	if err != nil {
 		return eris.Wrap(err, "list "+l.Kind)
 	}
-	at, err := ParsePoint(list.Metadata.ResourceVersion)
+	at, err := ParseResourceVersion(list.Metadata.ResourceVersion)
 	if err != nil {
 		return eris.Wrap(err, "list "+l.Kind)
 	}
-	l.Found(list.Items, at, current)
+	l.OnList(list.Items, at, current)
 	return nil
 }
--- a/objectapi/object.go
+++ b/objectapi/object.go
@@ -18,7 +18,7 @@
 )
 
 // MaxValue is the largest object that the platform takes, in bytes.
-const MaxValue = 1 << 20
+const MaxObjectBytes = 1 << 20
 
 // Metadata is the part of an object that the platform knows.
 type Metadata struct {
@@ -55,7 +55,7 @@
 }
 
 // WithVersion returns a copy of o that names the resource version v.
-func (o *Object) WithVersion(v string) *Object {
+func (o *Object) WithResourceVersion(v string) *Object {
 	c := *o
 	c.Metadata.ResourceVersion = v
 	return &c
@@ -87,22 +87,22 @@
 
 // Version returns the revision of the resource version, or 0 if it is none. It tells
 // versions of one era apart only.
-func (o *Object) Version() uint64 { return ParseVersion(o.Metadata.ResourceVersion) }
+func (o *Object) Revision() uint64 { return ParseRevision(o.Metadata.ResourceVersion) }
 
 // ParseVersion returns the revision of a resource version, or 0 if it is none.
-func ParseVersion(v string) uint64 { return pointOf(v).Revision }
+func ParseRevision(v string) uint64 { return pointOf(v).Revision }
 
 // pointOf returns the Point of a resource version, or the zero Point if it is none.
-func pointOf(version string) Point {
-	p, err := ParsePoint(version)
+func pointOf(version string) ResourceVersion {
+	p, err := ParseResourceVersion(version)
 	if err != nil {
-		return Point{}
+		return ResourceVersion{}
 	}
 	return p
 }
 
 // SpecOf decodes the spec of o.
-func SpecOf[T any](o *Object) (T, error) {
+func DecodeSpec[T any](o *Object) (T, error) {
 	var v T
 	if err := json.Unmarshal(o.Spec, &v); err != nil {
 		return v, eris.Wrapf(err, "spec of %s %s", o.Kind, o.Metadata.Name)
@@ -132,7 +132,7 @@
 
 // Path returns the path of a kind's collection, or of one object if the name
 // is not empty.
-func Path(namespace, kind, name string) string {
+func ObjectPath(namespace, kind, name string) string {
 	p := "/apis/" + GroupVersion + "/namespaces/" + namespace + "/" + plural(kind)
 	if name != "" {
 		p += "/" + name
--- a/objectapi/objectapi_test.go
+++ b/objectapi/objectapi_test.go
@@ -30,12 +30,12 @@
 		h.Close()
 	})
 	return s, &objectapi.Client{
-		Caller: objectapi.Caller{
+		JSONClient: objectapi.JSONClient{
 			URL:     h.URL,
 			Timeout: 300 * time.Millisecond,
 		},
-		Namespace: "test",
-		WatchFor:  300 * time.Millisecond,
+		Namespace:    "test",
+		WatchTimeout: 300 * time.Millisecond,
 	}
 }
 
@@ -49,7 +49,7 @@
 
 func value(t *testing.T, o *objectapi.Object) int {
 	t.Helper()
-	s, err := objectapi.SpecOf[spec](o)
+	s, err := objectapi.DecodeSpec[spec](o)
 	qt.Assert(t, err, qt.IsNil)
 	return s.Value
 }
@@ -64,9 +64,9 @@
 	c.Assert(err, qt.IsNil)
 	_, err = api.Create(ctx, object("a", 2))
 	c.Check(objectapi.IsConflict(err), qt.IsTrue)
-	second, err := api.Update(ctx, object("a", 2).WithVersion(first.Metadata.ResourceVersion))
+	second, err := api.Update(ctx, object("a", 2).WithResourceVersion(first.Metadata.ResourceVersion))
 	c.Assert(err, qt.IsNil)
-	_, err = api.Update(ctx, object("a", 3).WithVersion(first.Metadata.ResourceVersion))
+	_, err = api.Update(ctx, object("a", 3).WithResourceVersion(first.Metadata.ResourceVersion))
 	c.Check(objectapi.IsConflict(err), qt.IsTrue)
 	got, err := api.Get(ctx, "Service", "a")
 	c.Assert(err, qt.IsNil)
@@ -90,11 +90,11 @@
 		"none":        {readOK: true, verdict: verdict.Ran, effect: true},
 		"down":        {faults: objectstore.Faults{Down: true}, verdict: verdict.MayHaveRun},
 		"hangs":       {faults: objectstore.Faults{Hang: true}, verdict: verdict.MayHaveRun},
-		"slow":        {faults: objectstore.Faults{Delay: 50}, readOK: true, verdict: verdict.Ran, effect: true},
-		"too slow":    {faults: objectstore.Faults{Delay: 600}, verdict: verdict.MayHaveRun, effect: true},
-		"5xx":         {faults: objectstore.Faults{Fail: 1}, verdict: verdict.MayHaveRun},
+		"slow":        {faults: objectstore.Faults{DelayMillis: 50}, readOK: true, verdict: verdict.Ran, effect: true},
+		"too slow":    {faults: objectstore.Faults{DelayMillis: 600}, verdict: verdict.MayHaveRun, effect: true},
+		"5xx":         {faults: objectstore.Faults{FailureRatio: 1}, verdict: verdict.MayHaveRun},
 		"lost answer": {faults: objectstore.Faults{LoseWrites: 1}, readOK: true, verdict: verdict.MayHaveRun, effect: true},
-		"garbage":     {faults: objectstore.Faults{Garbage: 1}, verdict: verdict.Ran, effect: true},
+		"garbage":     {faults: objectstore.Faults{MalformedReads: 1}, verdict: verdict.Ran, effect: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -112,7 +112,7 @@
 				got = e.Verdict
 			}
 			qt.Check(t, got, qt.Equals, test.verdict, qt.Commentf("%v", err))
-			time.Sleep(time.Duration(test.faults.Delay) * time.Millisecond)
+			time.Sleep(time.Duration(test.faults.DelayMillis) * time.Millisecond)
 			s.SetFaults(objectstore.Faults{})
 			_, err = api.Get(ctx, "Service", "b")
 			qt.Check(t, err == nil, qt.Equals, test.effect, qt.Commentf("%v", err))
@@ -123,8 +123,8 @@
 func TestRefusedAndTooLargeAreNotRun(t *testing.T) {
 	ctx := context.Background()
 	_, api := start(t)
-	huge := objectapi.NewObject("Service", "huge", strings.Repeat("x", objectapi.MaxValue))
-	nobody := &objectapi.Client{Caller: objectapi.Caller{URL: "http://127.0.0.1:1"}, Namespace: "test"}
+	huge := objectapi.NewObject("Service", "huge", strings.Repeat("x", objectapi.MaxObjectBytes))
+	nobody := &objectapi.Client{JSONClient: objectapi.JSONClient{URL: "http://127.0.0.1:1"}, Namespace: "test"}
 	for name, call := range map[string]func() error{
 		"too large": func() error { _, err := api.Create(ctx, huge); return err },
 		"refused":   func() error { _, err := nobody.Create(ctx, object("a", 1)); return err },
@@ -156,7 +156,7 @@
 				if err != nil {
 					continue
 				}
-				next := object("a", value(t, o)+1).WithVersion(o.Metadata.ResourceVersion)
+				next := object("a", value(t, o)+1).WithResourceVersion(o.Metadata.ResourceVersion)
 				_, err = objectapi.Put(ctx, api, next)
 				mu.Lock()
 				e, _ := errors.AsType[*objectapi.Error](err)
@@ -185,13 +185,13 @@
 	_, api := start(t)
 	first, err := objectapi.Put(ctx, api, object("a", 1))
 	qt.Assert(t, err, qt.IsNil)
-	_, err = objectapi.Put(ctx, api, object("a", 2).WithVersion(first.Metadata.ResourceVersion))
+	_, err = objectapi.Put(ctx, api, object("a", 2).WithResourceVersion(first.Metadata.ResourceVersion))
 	qt.Assert(t, err, qt.IsNil)
-	_, err = objectapi.Put(ctx, api, object("a", 3).WithVersion(first.Metadata.ResourceVersion))
+	_, err = objectapi.Put(ctx, api, object("a", 3).WithResourceVersion(first.Metadata.ResourceVersion))
 	qt.Assert(t, objectapi.IsConflict(err), qt.IsTrue)
-	c, ok := errors.AsType[*objectapi.Conflict](err)
+	c, ok := errors.AsType[*objectapi.ConflictError](err)
 	qt.Assert(t, ok, qt.IsTrue)
-	qt.Check(t, value(t, c.Present), qt.Equals, 2)
+	qt.Check(t, value(t, c.Current), qt.Equals, 2)
 }
 
 // TestFollowerConverges makes changes under each fault of watches, and expects
@@ -205,8 +205,8 @@
 		"dropped events":  {faults: objectstore.Faults{DropEvents: 0.5}},
 		"repeated events": {faults: objectstore.Faults{RepeatEvents: 1}},
 		"silent watches":  {faults: objectstore.Faults{SilentWatches: true}},
-		"failing":         {faults: objectstore.Faults{Fail: 0.5}},
-		"garbage":         {faults: objectstore.Faults{Garbage: 0.5}},
+		"failing":         {faults: objectstore.Faults{FailureRatio: 0.5}},
+		"garbage":         {faults: objectstore.Faults{MalformedReads: 0.5}},
 		"too old":         {forget: true},
 	}
 	for name, test := range tests {
@@ -216,7 +216,7 @@
 			s, api := start(t)
 			var mu sync.Mutex
 			known := make(map[string]uint64)
-			take := func(o *objectapi.Object) { known[o.Metadata.Name] = max(known[o.Metadata.Name], o.Version()) }
+			take := func(o *objectapi.Object) { known[o.Metadata.Name] = max(known[o.Metadata.Name], o.Revision()) }
 			f := &objectapi.Follower{
 				API:    api,
 				Kind:   "Service",
@@ -224,14 +224,14 @@
 				// With the default of 5 s, seven failures in a row of a store that fails
 				// half of the calls take up the 10 s in which it has to converge.
 				MaxBackoff: 200 * time.Millisecond,
-				Listed: func(l *objectapi.List) {
+				OnList: func(l *objectapi.List) {
 					mu.Lock()
 					defer mu.Unlock()
 					for _, o := range l.Items {
 						take(o)
 					}
 				},
-				Changed: func(e objectapi.Event) {
+				OnChange: func(e objectapi.Event) {
 					mu.Lock()
 					defer mu.Unlock()
 					take(e.Object)
@@ -246,7 +246,7 @@
 			for i := range 20 {
 				o := object("a", i)
 				if last != nil {
-					o = o.WithVersion(last.Metadata.ResourceVersion)
+					o = o.WithResourceVersion(last.Metadata.ResourceVersion)
 				}
 				for {
 					written, err := objectapi.Put(ctx, api, o)
@@ -256,19 +256,19 @@
 					}
 				}
 				if test.forget && i == 10 {
-					s.Forget()
+					s.DropHistory()
 				}
 			}
 			for range 1000 {
 				mu.Lock()
 				got := known["a"]
 				mu.Unlock()
-				if got == last.Version() {
+				if got == last.Revision() {
 					return
 				}
 				time.Sleep(10 * time.Millisecond)
 			}
-			t.Fatalf("knows %v, not version %d", known, last.Version())
+			t.Fatalf("knows %v, not version %d", known, last.Revision())
 		})
 	}
 }
--- a/objectapi/put.go
+++ b/objectapi/put.go
@@ -70,17 +70,17 @@
 	return &Error{
 		Status:  http.StatusConflict,
 		Verdict: v,
-		Err:     &Conflict{Present: present},
+		Err:     &ConflictError{Current: present},
 	}
 }
 
 // Conflict is the underlying error of a Put that lost to another write.
-type Conflict struct {
+type ConflictError struct {
 	// Present is the object as the other write left it.
-	Present *Object
+	Current *Object
 }
 
 // Error implements the error interface.
-func (c *Conflict) Error() string {
-	return "the object is at version " + c.Present.Metadata.ResourceVersion
+func (c *ConflictError) Error() string {
+	return "the object is at version " + c.Current.Metadata.ResourceVersion
 }
--- a/objectapi/reader.go
+++ b/objectapi/reader.go
@@ -18,7 +18,7 @@
 }
 
 // Polled is an API in which each look for changes is a call of its own.
-type Polled interface {
+type PollingAPI interface {
 	Objects
 	// UpdateStatus replaces the status of an object if it still has the resource version that
 	// o names, and returns it with its new one.
@@ -34,12 +34,12 @@
 // methods are called by one goroutine.
 type Reader struct {
 	// API is the platform.
-	API Polled
+	API PollingAPI
 	// Kind is the kind that is read.
 	Kind string
 	// Found is called with each object that is there, or that has changed. An object
 	// may be found again as it was, and First may find one that has changed since.
-	Found func(*Object)
+	OnObject func(*Object)
 
 	version string    // up to which changes are known, empty before the first read
 	listed  time.Time // when all objects were read last
@@ -47,7 +47,7 @@
 
 // First reads all objects as they were at some time, which may be seconds ago: it
 // costs the platform little, and the reads after it find what has changed since.
-func (r *Reader) First(ctx context.Context) error {
+func (r *Reader) ReadInitial(ctx context.Context) error {
 	return r.take(r.API.ListStale(ctx, r.Kind))
 }
 
@@ -65,7 +65,7 @@
 	}
 	for _, e := range changes.Events {
 		if e.Type != Deleted {
-			r.Found(e.Object)
+			r.OnObject(e.Object)
 		}
 	}
 	r.version = changes.ResourceVersion
@@ -78,7 +78,7 @@
 		return err
 	}
 	for _, o := range list.Items {
-		r.Found(o)
+		r.OnObject(o)
 	}
 	r.version = list.Metadata.ResourceVersion
 	r.listed = time.Now()
--- a/objectapi/whole.go
+++ b/objectapi/whole.go
@@ -8,10 +8,10 @@
 
 // ReadWhole reads all objects as they are now. A platform may answer this while its watches
 // hear nothing.
-func (r *Reader) ReadWhole(ctx context.Context) error {
+func (r *Reader) ReadAll(ctx context.Context) error {
 	return r.take(r.API.List(ctx, r.Kind))
 }
 
 // IsUnanswered returns whether err says that a call got no answer, or none that says what
 // came of it.
-func IsUnanswered(err error) bool { return err != nil && mayHaveRun(err) }
+func IsOutcomeUnknown(err error) bool { return err != nil && mayHaveRun(err) }
--- a/operator/check.go
+++ b/operator/check.go
@@ -16,7 +16,7 @@
 )
 
 // Fault is what is wrong with one field.
-type Fault struct {
+type FieldError struct {
 	// Field is the path of the field.
 	Field string `json:"field"`
 	// Message says what is wrong, and what would be right.
@@ -24,10 +24,10 @@
 }
 
 // Faults are all faults of one resource. They are an error if there are any.
-type Faults []Fault
+type FieldErrors []FieldError
 
 // Error implements the error interface.
-func (f Faults) Error() string {
+func (f FieldErrors) Error() string {
 	lines := make([]string, len(f))
 	for i, x := range f {
 		lines[i] = x.Field + ": " + x.Message
@@ -36,9 +36,9 @@
 }
 
 // add appends a fault unless ok.
-func (f *Faults) add(ok bool, field, format string, args ...any) {
+func (f *FieldErrors) add(ok bool, field, format string, args ...any) {
 	if !ok {
-		*f = append(*f, Fault{
+		*f = append(*f, FieldError{
 			Field:   field,
 			Message: fmt.Sprintf(format, args...),
 		})
@@ -46,7 +46,7 @@
 }
 
 // within appends a fault unless low <= v <= high.
-func within[T int | int64 | float64 | Duration](f *Faults, field string, v, low, high T) {
+func within[T int | int64 | float64 | Duration](f *FieldErrors, field string, v, low, high T) {
 	f.add(v >= low && v <= high, field, "%v is not within %v and %v", text(v), text(low), text(high))
 }
 
@@ -80,15 +80,15 @@
 )
 
 // CheckName returns what is wrong with the name of a service, or nil.
-func CheckName(name string) Faults {
-	var f Faults
+func CheckName(name string) FieldErrors {
+	var f FieldErrors
 	f.add(namePattern.MatchString(name), "metadata.name", "%q is not a name of at most 63 lower-case letters, digits and dashes", name)
 	return f
 }
 
 // Check returns the faults of s, whose defaults are filled in.
-func (s Service) Check() Faults {
-	var f Faults
+func (s Service) Check() FieldErrors {
+	var f FieldErrors
 	f.add(len(s.Hosts) > 0 && len(s.Hosts) <= maxHosts, "hosts", "%d hosts are not within 1 and %d", len(s.Hosts), maxHosts)
 	for i, h := range s.Hosts {
 		field := fmt.Sprintf("hosts[%d]", i)
@@ -98,31 +98,31 @@
 	}
 	s.checkClasses(&f)
 	within(&f, "timeout", s.Timeout, Duration(time.Millisecond), maxTimeout)
-	within(&f, "maxBody", s.MaxBody, 0, maxBody)
-	within(&f, "queue.length", s.Queue.Length, 0, maxQueue)
-	within(&f, "queue.wait", s.Queue.Wait, 0, maxWait)
+	within(&f, "maxBody", s.MaxBodyBytes, 0, maxBody)
+	within(&f, "queue.length", s.Queue.MaxLength, 0, maxQueue)
+	within(&f, "queue.wait", s.Queue.MaxWait, 0, maxWait)
 	within(&f, "queue.slowStart", s.Queue.SlowStart, 0, maxTimeout)
 	within(&f, "serviceTime", s.ServiceTime, 0, maxTimeout)
-	within(&f, "retry.maxTries", s.Retry.MaxTries, 1, maxTries)
-	within(&f, "retry.share", s.Retry.Share, 0, 1)
+	within(&f, "retry.maxTries", s.Retry.MaxAttempts, 1, maxTries)
+	within(&f, "retry.share", s.Retry.Ratio, 0, 1)
 	within(&f, "retry.burst", s.Retry.Burst, 0, maxQueue)
 	within(&f, "retry.window", s.Retry.Window, 0, Duration(time.Hour))
-	within(&f, "hedge.share", s.Hedge.Share, 0, 0.5)
+	within(&f, "hedge.share", s.Hedge.Ratio, 0, 0.5)
 	within(&f, "hedge.quantile", s.Hedge.Quantile, 0.5, 0.999)
 	within(&f, "hedge.minDelay", s.Hedge.MinDelay, 0, maxWait)
 	within(&f, "resend.writesPerSecond", s.Resend.WritesPerSecond, 0, maxWrites)
-	within(&f, "resend.keep", s.Resend.Keep, Duration(time.Minute), maxKeep)
-	within(&f, "retry.reserve", s.Retry.Reserve, 0, 1)
-	within(&f, "hedge.part", s.Hedge.Part, 0, 1)
+	within(&f, "resend.keep", s.Resend.Retention, Duration(time.Minute), maxKeep)
+	within(&f, "retry.reserve", s.Retry.ReservedFraction, 0, 1)
+	within(&f, "hedge.part", s.Hedge.BudgetFraction, 0, 1)
 	within(&f, "zoneCost", s.ZoneCost, 0, maxWait)
-	within(&f, "crossing", s.Crossing, 0, maxCrossing)
+	within(&f, "crossing", s.ZoneCrossingCost, 0, maxCrossing)
 	within(&f, "regionCost", s.RegionCost, 0, maxWait)
 	_, ok := route.ByName(s.Policy)
 	f.add(ok, "policy", "%q is not twoChoice, random, roundRobin, leastOutstanding or hotCold", s.Policy)
 	return f
 }
 
-func (s Service) checkClasses(f *Faults) {
+func (s Service) checkClasses(f *FieldErrors) {
 	f.add(len(s.Classes) <= MaxClasses, "classes", "%d classes are over %d", len(s.Classes), MaxClasses)
 	seen := make(map[string]bool)
 	for i, c := range s.Classes {
@@ -132,7 +132,7 @@
 		seen[c.Name] = true
 		within(f, field+".weight", c.Weight, 0.001, 1000)
 		within(f, field+".maxShare", c.MaxShare, 0.01, 1)
-		within(f, field+".wait", c.Wait, 0, maxWait)
+		within(f, field+".wait", c.MaxWait, 0, maxWait)
 		within(f, field+".objective", c.Objective, 0, maxTimeout)
 		f.add(c.Value == "" || c.Header != "", field+".value", "a value needs a header")
 		for j, h := range c.Hosts {
--- a/operator/kinds.go
+++ b/operator/kinds.go
@@ -39,13 +39,13 @@
 	// Phase is what became of the intent with the version Observed.
 	Phase Phase `json:"phase"`
 	// Observed is the resource version of the intent that Phase speaks of.
-	Observed string `json:"observed"`
+	ObservedVersion string `json:"observed"`
 	// Faults say why the intent was refused.
-	Faults Faults `json:"faults,omitempty"`
+	Errors FieldErrors `json:"faults,omitempty"`
 	// Sequence is that of the configuration in force.
 	Sequence uint64 `json:"sequence"`
 	// Since is when it was accepted.
-	Since time.Time `json:"since"`
+	AcceptedAt time.Time `json:"since"`
 	// Zones say how far each availability zone has it.
 	Zones map[string]ZoneStatus `json:"zones,omitempty"`
 }
@@ -55,16 +55,16 @@
 	// Sequence is the one that Having speaks of.
 	Sequence uint64 `json:"sequence"`
 	// Members is the number of nodes in the zone.
-	Members int `json:"members"`
+	Nodes int `json:"members"`
 	// Asked is how many of them were asked: all, or a random sample.
-	Asked int `json:"asked"`
+	Queried int `json:"asked"`
 	// Having is how many of those asked have the sequence in force.
-	Having int `json:"having"`
+	UpToDate int `json:"having"`
 	// Upstreams is the number of upstreams of the service in the zone that
 	// take requests.
 	Upstreams int `json:"upstreams"`
 	// At is when this was found.
-	At time.Time `json:"at"`
+	CheckedAt time.Time `json:"at"`
 }
 
 // Accepted is the spec of an Accepted object, which has the name of its
@@ -74,9 +74,9 @@
 	Sequence uint64 `json:"sequence"`
 	// Source is the resource version of the intent that was accepted, or of
 	// its deletion.
-	Source uint64 `json:"source"`
+	SourceVersion uint64 `json:"source"`
 	// At is when it was accepted.
-	At time.Time `json:"at"`
+	AcceptedAt time.Time `json:"at"`
 	// Deleted is whether the service was deleted. The object stays, so that
 	// the sequence does.
 	Deleted bool `json:"deleted,omitempty"`
--- a/operator/limit.go
+++ b/operator/limit.go
@@ -13,14 +13,14 @@
 	// SourceCalls are the calls of nodes that have been told by the process before this one.
 	SourceCalls = "calls"
 	// SourceAnswers are the answers of the node beside the upstream.
-	SourceAnswers = "answers"
+	SourceResponses = "answers"
 )
 
 // UpstreamLimit is what a node tells an operator of an upstream that names a limit or leaves.
 type UpstreamLimit struct {
 	// Node is the one beside the upstream, and Start the upstream's start.
-	Node  string `json:"node"`
-	Start string `json:"start"`
+	Node    string `json:"node"`
+	StartID string `json:"start"`
 	// Source says from where the node that answers knows it.
 	Source string `json:"source"`
 	// Limited is whether it names a limit, and Limit its requests a second.
@@ -32,6 +32,6 @@
 	Since time.Time `json:"since"`
 	// Used is the part of the limit that was used in the last seconds, and Refused counts the
 	// requests refused for it since the node's start. Only the node beside the upstream knows.
-	Used    float64 `json:"used"`
-	Refused uint64  `json:"refused"`
+	UsedFraction float64 `json:"used"`
+	Refused      uint64  `json:"refused"`
 }
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -46,7 +46,7 @@
 				qt.Assert(t, err, qt.ErrorMatches, test.text)
 				return
 			}
-			faults, _ := errors.AsType[operator.Faults](err)
+			faults, _ := errors.AsType[operator.FieldErrors](err)
 			var fields []string
 			for _, f := range faults {
 				fields = append(fields, f.Field)
--- a/operator/organisation.go
+++ b/operator/organisation.go
@@ -13,10 +13,10 @@
 	Burst float64 `json:"burst"`
 	// Here and All are the requests a second that were let in lately, at the node that
 	// answers and at all nodes.
-	Here float64 `json:"here"`
-	All  float64 `json:"all"`
+	LocalRate float64 `json:"here"`
+	TotalRate float64 `json:"all"`
 	// Limited are the requests that the node has refused since its start as the limit was
 	// reached, and Unknown those that it refused as nobody told it in time.
-	Limited uint64 `json:"limited"`
-	Unknown uint64 `json:"unknown"`
+	RefusedOverLimit uint64 `json:"limited"`
+	RefusedUnknown   uint64 `json:"unknown"`
 }
--- a/operator/rollout.go
+++ b/operator/rollout.go
@@ -17,9 +17,9 @@
 	Share float64 `json:"share"`
 	// Reason says why it is in that phase, Node which node decided so, and Changed when the
 	// node that answers heard of it.
-	Reason  string    `json:"reason"`
-	Node    string    `json:"node,omitempty"`
-	Changed time.Time `json:"changed"`
+	Reason    string    `json:"reason"`
+	Node      string    `json:"node,omitempty"`
+	ChangedAt time.Time `json:"changed"`
 	// Era and Revision are the platform's, at which the order was found.
 	Era      uint64 `json:"era,omitempty"`
 	Revision uint64 `json:"revision"`
--- a/operator/service.go
+++ b/operator/service.go
@@ -29,7 +29,7 @@
 	// largest that a caller may set.
 	Timeout Duration `json:"timeout"`
 	// MaxBody is the largest body of a request, in bytes.
-	MaxBody int64 `json:"maxBody"`
+	MaxBodyBytes int64 `json:"maxBody"`
 	// Retry bounds the second sendings after failures.
 	Retry Retry `json:"retry"`
 	// Hedge bounds the second sendings of slow idempotent requests.
@@ -46,7 +46,7 @@
 	ZoneCost Duration `json:"zoneCost"`
 	// Crossing is what sending to another availability zone or region costs besides,
 	// in usual service times.
-	Crossing float64 `json:"crossing,omitempty"`
+	ZoneCrossingCost float64 `json:"crossing,omitempty"`
 	// RegionCost is the cost that routing gives to another region.
 	RegionCost Duration `json:"regionCost"`
 }
@@ -63,7 +63,7 @@
 	Priority int `json:"priority"`
 	// Wait is the longest time that its requests wait. Zero means what Objective
 	// leaves beside their run or, without one, the queue's.
-	Wait Duration `json:"wait,omitempty"`
+	MaxWait Duration `json:"wait,omitempty"`
 	// Objective is the latency within which an answer is of full value. Zero means
 	// that there is none.
 	Objective Duration `json:"objective,omitempty"`
@@ -78,17 +78,17 @@
 // Queue says how requests wait at an upstream.
 type Queue struct {
 	// Length is the largest number of waiting requests.
-	Length int `json:"length"`
+	MaxLength int `json:"length"`
 	// Wait is the longest time that a request waits.
-	Wait Duration `json:"wait"`
+	MaxWait Duration `json:"wait"`
 	// SlowStart is the time over which a cold upstream gets its full load.
 	SlowStart Duration `json:"slowStart"`
 	// SlotShare is the part of an upstream's slots that is used, in (0, 1]. Zero
 	// means all. Upstreams that are nearly full run each request more slowly.
-	SlotShare float64 `json:"slotShare,omitempty"`
+	SlotFraction float64 `json:"slotShare,omitempty"`
 	// Hold is whether requests wait for an upstream that has just slowed down to be
 	// quick again, if they are expected to end sooner for that.
-	Hold bool `json:"hold,omitempty"`
+	HoldWhileSlow bool `json:"hold,omitempty"`
 	// Adaptive is whether an upstream that slows down is given fewer requests
 	// at once.
 	Adaptive *bool `json:"adaptive,omitempty"`
@@ -99,24 +99,24 @@
 type Cold struct {
 	// Pace is the number of requests that are admitted in any second, and Most the number
 	// that are sent, which comes to more where some were held up between the two.
-	Pace int `json:"pace,omitempty"`
-	Most int `json:"most,omitempty"`
+	MaxAdmittedPerSecond int `json:"pace,omitempty"`
+	MaxSentPerSecond     int `json:"most,omitempty"`
 	// Lasts is how long an upstream that has just started is taken to be cold before it
 	// says so itself.
-	Lasts Duration `json:"lasts,omitempty"`
+	AssumedDuration Duration `json:"lasts,omitempty"`
 }
 
 // Retry bounds second sendings after failures.
 type Retry struct {
 	// MaxTries is the largest number of sendings, the first included.
-	MaxTries int `json:"maxTries"`
+	MaxAttempts int `json:"maxTries"`
 	// Share is the number of retries per request that cost an upstream work.
-	Share float64 `json:"share"`
+	Ratio float64 `json:"share"`
 	// Burst is the number of such retries beyond that, in each Window.
 	Burst float64 `json:"burst"`
 	// Reserve is the part of the budget that is kept for the most urgent class. The
 	// least urgent one may spend the rest, and those between them a part between.
-	Reserve float64 `json:"reserve,omitempty"`
+	ReservedFraction float64 `json:"reserve,omitempty"`
 	// Window is the time over which Share and Burst hold, for hedges as well.
 	Window Duration `json:"window,omitempty"`
 	// OnError is whether an idempotent request that an upstream answers with status
@@ -127,7 +127,7 @@
 // Hedge bounds second sendings of slow idempotent requests.
 type Hedge struct {
 	// Share is the number of hedges per request. Zero means none.
-	Share float64 `json:"share"`
+	Ratio float64 `json:"share"`
 	// Quantile is the quantile of the latest request times after which a
 	// request counts as slow.
 	Quantile float64 `json:"quantile"`
@@ -137,7 +137,7 @@
 	Burst float64 `json:"burst,omitempty"`
 	// Part, if not 0, has hedges draw on the budget of the retries, as long as no more
 	// than this part of it is spent, in place of Share and Burst.
-	Part float64 `json:"part,omitempty"`
+	BudgetFraction float64 `json:"part,omitempty"`
 }
 
 // Resend is the rule for resent requests.
@@ -148,7 +148,7 @@
 	// WritesPerSecond is each node's budget of claims.
 	WritesPerSecond float64 `json:"writesPerSecond"`
 	// Keep is how long a claim is kept.
-	Keep Duration `json:"keep"`
+	Retention Duration `json:"keep"`
 }
 
 // The defaults of a Service.
@@ -174,20 +174,20 @@
 func (s Service) WithDefaults() Service {
 	yes := true
 	fill(&s.Timeout, Duration(defaultTimeout))
-	fill(&s.MaxBody, defaultMaxBody)
-	fill(&s.Queue.Wait, Duration(defaultWait))
-	fill(&s.Queue.Length, defaultLength)
+	fill(&s.MaxBodyBytes, defaultMaxBody)
+	fill(&s.Queue.MaxWait, Duration(defaultWait))
+	fill(&s.Queue.MaxLength, defaultLength)
 	if s.Queue.Adaptive == nil {
 		s.Queue.Adaptive = &yes
 	}
-	fill(&s.Retry.MaxTries, defaultTries)
-	fill(&s.Retry.Share, defaultShare)
+	fill(&s.Retry.MaxAttempts, defaultTries)
+	fill(&s.Retry.Ratio, defaultShare)
 	fill(&s.Retry.Burst, defaultBurst)
 	fill(&s.Hedge.Quantile, defaultQuantile)
 	fill(&s.Hedge.MinDelay, Duration(defaultMinDelay))
 	fill(&s.Hedge.Burst, defaultHedgeBurst)
 	fill(&s.Resend.WritesPerSecond, defaultWrites)
-	fill(&s.Resend.Keep, Duration(defaultKeep))
+	fill(&s.Resend.Retention, Duration(defaultKeep))
 	fill(&s.Policy, defaultPolicy)
 	fill(&s.ZoneCost, Duration(defaultZoneCost))
 	fill(&s.RegionCost, Duration(defaultRegionCost))
--- a/operator/suspect.go
+++ b/operator/suspect.go
@@ -9,14 +9,14 @@
 // Suspect is what a node tells an operator of a request with which upstreams have ended.
 type Suspect struct {
 	// Print is the request's fingerprint, as it stands in logs.
-	Print string `json:"print"`
+	Fingerprint string `json:"print"`
 	// Standing is what is thought of it: seen, isolated or blocked.
-	Standing string `json:"standing"`
+	State string `json:"standing"`
 	// Ends is the number of upstreams that have ended with it at hand, and Upstreams
 	// are their starts.
-	Ends      int      `json:"ends"`
+	Crashes   int      `json:"ends"`
 	Upstreams []string `json:"upstreams"`
 	// Since is when the last of them did, and Until when a block ends.
-	Since time.Time  `json:"since"`
-	Until *time.Time `json:"until,omitempty"`
+	LastCrash    time.Time  `json:"since"`
+	BlockedUntil *time.Time `json:"until,omitempty"`
 }
--- a/operator/zone.go
+++ b/operator/zone.go
@@ -7,7 +7,7 @@
 import "time"
 
 // Zone is what a node tells an operator of an evacuated availability zone.
-type Zone struct {
+type EvacuatedZone struct {
 	// Zone is its name.
 	Zone string `json:"zone"`
 	// Era and Revision are the platform's, at which the evacuated zones were found as they
@@ -20,5 +20,5 @@
 	Upstreams int `json:"upstreams"`
 	// Running is the number of requests at the upstream beside the node that answers, if
 	// that is in the zone: 0 once the evacuation is done there.
-	Running *int `json:"running,omitempty"`
+	InFlight *int `json:"running,omitempty"`
 }
--- a/peer/ahead_test.go
+++ b/peer/ahead_test.go
@@ -25,24 +25,24 @@
 func newCallAhead(length int) *peer.Call {
 	m := newCall()
 	m.Streams = true
-	m.Ahead = true
+	m.EarlyBody = true
 	m.Length = int64(length)
 	return m
 }
 
 // TestAhead has bodies of several lengths received before a call is admitted.
 func TestAhead(t *testing.T) {
-	for name, length := range map[string]int{"one byte": 1, "some frames": 100_000, "as large as may be": peer.MaxAhead} {
+	for name, length := range map[string]int{"one byte": 1, "some frames": 100_000, "as large as may be": peer.MaxEarlyBodyBytes} {
 		t.Run(name, func(t *testing.T) {
-			_, c := serve(t, peer.Limits{Window: 64 << 10, UnderWay: 50_000}, func(in *peer.Inbound) {
-				if _, err := in.Receive(in.Context()); err != nil {
+			_, c := serve(t, peer.Limits{WindowBytes: 64 << 10, MaxInFlightBytes: 50_000}, func(in *peer.InboundCall) {
+				if _, err := in.ReceiveBody(in.Context()); err != nil {
 					return
 				}
 				if err := in.Admit(); err != nil {
 					return
 				}
 				data, _ := io.ReadAll(in.Body())
-				_ = in.Reply(&peer.Answer{Status: 200, Body: data, Arrived: time.Second})
+				_ = in.Reply(&peer.ResponseHead{Status: 200, Body: data, TransferTime: time.Second})
 			})
 			data := bytes.Repeat([]byte("x"), length)
 			x, failed := c.Start(context.Background(), newCallAhead(length), bytes.NewReader(data))
@@ -53,7 +53,7 @@
 			got, err := io.ReadAll(r.Body)
 			qt.Check(t, err, qt.IsNil)
 			qt.Check(t, bytes.Equal(got, data), qt.IsTrue)
-			qt.Check(t, r.Arrived, qt.Equals, time.Second)
+			qt.Check(t, r.TransferTime, qt.Equals, time.Second)
 		})
 	}
 }
@@ -73,9 +73,9 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			asked := make(chan struct{})
-			_, c := serve(t, peer.Limits{}, func(in *peer.Inbound) {
+			_, c := serve(t, peer.Limits{}, func(in *peer.InboundCall) {
 				close(asked)
-				_, _ = in.Receive(in.Context())
+				_, _ = in.ReceiveBody(in.Context())
 				<-in.Context().Done()
 			})
 			conns := make(chan net.Conn, 1)
@@ -112,12 +112,12 @@
 func TestAheadTooLarge(t *testing.T) {
 	tests := map[string]func(m *peer.Call){
 		"length not known": func(m *peer.Call) { m.Length = -1 },
-		"too large":        func(m *peer.Call) { m.Length = peer.MaxAhead + 1 },
+		"too large":        func(m *peer.Call) { m.Length = peer.MaxEarlyBodyBytes + 1 },
 		"not streamed":     func(m *peer.Call) { m.Streams = false },
 	}
 	for name, spoil := range tests {
 		t.Run(name, func(t *testing.T) {
-			_, c := serve(t, peer.Limits{}, func(*peer.Inbound) { t.Error("called") })
+			_, c := serve(t, peer.Limits{}, func(*peer.InboundCall) { t.Error("called") })
 			m := newCallAhead(1)
 			spoil(m)
 			x, failed := c.Start(context.Background(), m, strings.NewReader("x"))
@@ -138,10 +138,10 @@
 		link := newSlowLink()
 		var took time.Duration
 		s := &peer.Server{
-			Limits: peer.Limits{UnderWay: 50_000, Silence: silence},
-			Call: func(in *peer.Inbound) {
+			Limits: peer.Limits{MaxInFlightBytes: 50_000, SilenceTimeout: silence},
+			HandleCall: func(in *peer.InboundCall) {
 				var err error
-				took, err = in.Receive(in.Context())
+				took, err = in.ReceiveBody(in.Context())
 				qt.Check(t, err != nil, qt.IsTrue)
 				in.Fail(verdict.New(verdict.Revoked, err), nil)
 			},
@@ -149,7 +149,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		var all sync.WaitGroup
 		all.Go(func() { _ = s.Run(ctx, link) })
-		c := &peer.Client{Limits: peer.Limits{Silence: silence}, Dial: link.dial}
+		c := &peer.Client{Limits: peer.Limits{SilenceTimeout: silence}, Dial: link.dial}
 		x, failed := c.Start(ctx, newCallAhead(200_000), bytes.NewReader(make([]byte, 200_000)))
 		qt.Assert(t, failed == nil, qt.IsTrue)
 		time.Sleep(50 * time.Millisecond)
--- a/peer/ask.go
+++ b/peer/ask.go
@@ -16,7 +16,7 @@
 var ErrNoClient = eris.New("no client to ask with")
 
 // Ask sends a control request to a peer and decodes its reply.
-func Ask[Q, A any](ctx context.Context, p *Client, topic string, q Q) (A, error) {
+func SendRequest[Q, A any](ctx context.Context, p *Client, topic string, q Q) (A, error) {
 	var none A
 	if p == nil {
 		return none, ErrNoClient
@@ -35,7 +35,7 @@
 // Unpack decodes the payload of a control request or its reply.
 func Unpack[T any](payload []byte) (T, error) {
 	var v T
-	if !Plausible(payload) {
+	if !HasValidLengths(payload) {
 		return v, eris.Wrap(ErrProtocol, "decode: a length is over what follows it")
 	}
 	if err := msgpack.Unmarshal(payload, &v); err != nil {
--- a/peer/blocked_test.go
+++ b/peer/blocked_test.go
@@ -22,7 +22,7 @@
 func TestBlockedWriter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &peer.Client{
-			Limits: peer.Limits{Write: time.Minute},
+			Limits: peer.Limits{WriteTimeout: time.Minute},
 			Dial: func(context.Context, string) (net.Conn, error) {
 				near, far := net.Pipe()
 				go func() { _, _ = far.Write(skipFrame(far)) }() // the client's own hello will do
--- a/peer/client.go
+++ b/peer/client.go
@@ -32,11 +32,11 @@
 	Counters *Counters
 	// Report, if not nil, is called with each load report that arrives. It
 	// must not block.
-	Report func(Report)
+	OnReport func(Report)
 	// Noticed, if not nil, is called with what the peer's upstream has said of the requests that it
 	// wants, before the answer or failure that tells it is passed on, and with nil once the peer
 	// has answered a call with a Notice that this is over. It must not block.
-	Noticed func(*Notice)
+	OnNotice func(*Notice)
 	// Dial opens the connection. Nil means TCP.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
 
@@ -129,12 +129,12 @@
 
 func (c *Client) dial(ctx context.Context) (*link, error) {
 	limits := c.Limits.withDefaults()
-	ctx, cancel := context.WithTimeout(ctx, limits.Handshake)
+	ctx, cancel := context.WithTimeout(ctx, limits.HandshakeTimeout)
 	defer cancel()
 	dial := c.Dial
 	if dial == nil {
 		dial = func(ctx context.Context, addr string) (net.Conn, error) {
-			return tcp.Dialer(limits.Handshake, limits.Loss).DialContext(ctx, "tcp", addr)
+			return tcp.Dialer(limits.HandshakeTimeout, limits.AckTimeout).DialContext(ctx, "tcp", addr)
 		}
 	}
 	raw, err := dial(ctx, c.Addr)
@@ -154,8 +154,8 @@
 	l := &link{
 		conn:      n,
 		peer:      *other,
-		report:    c.Report,
-		noticed:   c.Noticed,
+		report:    c.OnReport,
+		noticed:   c.OnNotice,
 		control:   c.Hello.Control,
 		exchanges: make(map[uint64]*Exchange),
 		requests:  make(map[uint64]chan *Reply),
--- a/peer/clients.go
+++ b/peer/clients.go
@@ -8,7 +8,7 @@
 
 // Clients has a client for each of some nodes. The exported fields are set before the first
 // call. Its methods may be called from any goroutine.
-type Clients struct {
+type ClientPool struct {
 	// Hello, Limits and Counters are those of all clients.
 	Hello    Hello
 	Limits   Limits
@@ -19,7 +19,7 @@
 }
 
 // At returns the client of a node at an address. One to an earlier address is closed.
-func (c *Clients) At(node, addr string) *Client {
+func (c *ClientPool) GetOrCreate(node, addr string) *Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	old := c.byNode[node]
@@ -43,14 +43,14 @@
 }
 
 // Get returns the client of a node, or nil if there is none.
-func (c *Clients) Get(node string) *Client {
+func (c *ClientPool) Get(node string) *Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.byNode[node]
 }
 
 // Retain closes clients of nodes that are not wanted while there are more than most.
-func (c *Clients) Retain(most int, wanted func(node string) bool) {
+func (c *ClientPool) Prune(most int, wanted func(node string) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for node, p := range c.byNode {
@@ -62,7 +62,7 @@
 }
 
 // Close closes all clients.
-func (c *Clients) Close() {
+func (c *ClientPool) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, p := range c.byNode {
--- a/peer/clients_test.go
+++ b/peer/clients_test.go
@@ -14,24 +14,24 @@
 )
 
 func TestClients(t *testing.T) {
-	var c peer.Clients
+	var c peer.ClientPool
 	qt.Check(t, c.Get("a"), qt.IsNil)
-	a := c.At("a", "127.0.0.1:1")
-	qt.Check(t, c.At("a", "127.0.0.1:1") == a, qt.IsTrue)
+	a := c.GetOrCreate("a", "127.0.0.1:1")
+	qt.Check(t, c.GetOrCreate("a", "127.0.0.1:1") == a, qt.IsTrue)
 	qt.Check(t, c.Get("a") == a, qt.IsTrue)
-	moved := c.At("a", "127.0.0.1:2")
+	moved := c.GetOrCreate("a", "127.0.0.1:2")
 	qt.Check(t, moved == a, qt.IsFalse)
 	qt.Check(t, moved.Addr, qt.Equals, "127.0.0.1:2")
 	for i := range 5 {
-		c.At(fmt.Sprint(i), "127.0.0.1:3")
+		c.GetOrCreate(fmt.Sprint(i), "127.0.0.1:3")
 	}
 	wanted := func(node string) bool { return node == "a" }
-	c.Retain(6, wanted)
+	c.Prune(6, wanted)
 	qt.Check(t, c.Get("4"), qt.IsNotNil)
-	c.Retain(1, wanted)
+	c.Prune(1, wanted)
 	qt.Check(t, c.Get("4"), qt.IsNil)
 	qt.Check(t, c.Get("a") == moved, qt.IsTrue)
-	c.Retain(0, wanted)
+	c.Prune(0, wanted)
 	qt.Check(t, c.Get("a") == moved, qt.IsTrue, qt.Commentf("it is wanted"))
 	c.Close()
 }
--- a/peer/conn.go
+++ b/peer/conn.go
@@ -26,13 +26,13 @@
 	FramesIn, FramesOut atomic.Uint64
 	// Requested, if not nil, is called with each control request by its topic, with the bytes
 	// of its payload and of the reply's. It is set before the first request.
-	Requested func(topic string, sent, received int)
+	OnRequest func(topic string, sent, received int)
 }
 
 // requested notes a control request.
 func (c *Counters) requested(topic string, sent, received int) {
-	if c != nil && c.Requested != nil {
-		c.Requested(topic, sent, received)
+	if c != nil && c.OnRequest != nil {
+		c.OnRequest(topic, sent, received)
 	}
 }
 
@@ -117,7 +117,7 @@
 
 // read returns the next frame.
 func (c *conn) read() (Kind, []byte, error) {
-	k, payload, err := readFrame(c.reader, c.limits.Frame)
+	k, payload, err := readFrame(c.reader, c.limits.MaxFrameBytes)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -184,7 +184,7 @@
 			return b, err
 		}
 	}
-	if b.Len() > c.limits.Frame {
+	if b.Len() > c.limits.MaxFrameBytes {
 		return b, eris.Errorf("frame of %d bytes is over the limit", b.Len())
 	}
 	return b, nil
@@ -210,7 +210,7 @@
 func (c *conn) put(b *bytes.Buffer, frames int) error {
 	defer func() { <-c.writing }()
 	for left := b.Bytes(); ; {
-		_ = c.SetWriteDeadline(time.Now().Add(c.limits.Write))
+		_ = c.SetWriteDeadline(time.Now().Add(c.limits.WriteTimeout))
 		n, err := c.Write(left)
 		if err == nil {
 			break
@@ -248,7 +248,7 @@
 // greet exchanges Hellos. The side that dialled speaks first.
 func (c *conn) greet(own Hello, first bool) (*Hello, error) {
 	own.Version = Version
-	_ = c.SetReadDeadline(time.Now().Add(c.limits.Handshake))
+	_ = c.SetReadDeadline(time.Now().Add(c.limits.HandshakeTimeout))
 	if first {
 		if err := c.send(KindHello, &own); err != nil {
 			return nil, err
@@ -278,7 +278,7 @@
 
 // checkFields returns an error if there are too many fields.
 func (c *conn) checkFields(f []Field) error {
-	if len(f) > c.limits.Fields {
+	if len(f) > c.limits.MaxFields {
 		return eris.Wrapf(ErrProtocol, "%d fields", len(f))
 	}
 	return nil
--- a/peer/exchange.go
+++ b/peer/exchange.go
@@ -30,7 +30,7 @@
 	// Trailer returns the trailer fields once Body has returned io.EOF.
 	Trailer func() []Field
 	// Arrived and Waited are as in Answer.
-	Arrived, Waited time.Duration
+	TransferTime, QueueTime time.Duration
 }
 
 // informBuffer is the number of informational answers kept for a slow caller.
@@ -44,7 +44,7 @@
 	ctx     context.Context
 	stop    context.CancelFunc
 	ready   chan struct{}
-	informs chan *Inform
+	informs chan *Informational
 	credit  *outgoing
 	body    *incoming
 	ahead   bool // whether the body may be sent before the call is admitted
@@ -71,11 +71,11 @@
 		id:      id,
 		ready:   make(chan struct{}),
 		silent:  make(chan struct{}),
-		informs: make(chan *Inform, informBuffer),
+		informs: make(chan *Informational, informBuffer),
 		credit:  newOutgoing(0),
 	}
 	x.ctx, x.stop = context.WithCancel(ctx)
-	x.body = newIncoming(l.limits.Window, x.grant)
+	x.body = newIncoming(l.limits.WindowBytes, x.grant)
 	context.AfterFunc(x.ctx, x.Close)
 	return x
 }
@@ -88,10 +88,10 @@
 func (x *Exchange) Silent() <-chan struct{} { return x.silent }
 
 // Heard returns the time since the latest bytes came from the peer.
-func (x *Exchange) Heard() time.Duration { return x.link.silence() }
+func (x *Exchange) SinceReceived() time.Duration { return x.link.silence() }
 
 // Informs yields informational answers that come ahead of the final one.
-func (x *Exchange) Informs() <-chan *Inform { return x.informs }
+func (x *Exchange) Informational() <-chan *Informational { return x.informs }
 
 // Result returns the answer or the failure. It may be called once Ready is
 // closed.
@@ -138,7 +138,7 @@
 		// What is left of its body must not come before the Cancel, which another goroutine sends.
 		x.stage.CompareAndSwap(stagePending, stageWithdrawn)
 		x.cancel()
-		x.body.end(verdict.New(verdict.AnswerTruncated, eris.New("closed by the receiver")), nil)
+		x.body.end(verdict.New(verdict.ResponseTruncated, eris.New("closed by the receiver")), nil)
 	}
 	x.stop()
 }
@@ -150,14 +150,14 @@
 }
 
 // answered takes in the head of the answer.
-func (x *Exchange) answered(m *Answer) error {
+func (x *Exchange) answered(m *ResponseHead) error {
 	r := &Response{
 		Status: m.Status,
 		Header: m.Header,
 		Length: m.Length,
 
-		Arrived: m.Arrived,
-		Waited:  m.Waited,
+		TransferTime: m.TransferTime,
+		QueueTime:    m.QueueTime,
 	}
 	if m.Streams {
 		if err := x.body.put(m.Body); err != nil {
@@ -182,7 +182,7 @@
 		x.failure = e
 		close(x.ready)
 	})
-	x.body.end(verdict.New(verdict.AnswerTruncated, e), nil)
+	x.body.end(verdict.New(verdict.ResponseTruncated, e), nil)
 	x.stop()
 }
 
@@ -215,7 +215,7 @@
 	close(x.silent)
 }
 
-func (x *Exchange) inform(m *Inform) {
+func (x *Exchange) inform(m *Informational) {
 	select {
 	case x.informs <- m:
 	default:
@@ -232,7 +232,7 @@
 }
 
 // Trailered is a body with trailer fields, which are complete at its end.
-type Trailered interface {
+type TrailerReader interface {
 	io.Reader
 	Trailer() []Field
 }
@@ -268,10 +268,10 @@
 		return
 	}
 	end := &End{ID: x.id}
-	if t, ok := body.(Trailered); ok {
+	if t, ok := body.(TrailerReader); ok {
 		end.Trailer = t.Trailer()
 	}
-	if len(end.Trailer) > x.link.limits.Fields {
+	if len(end.Trailer) > x.link.limits.MaxFields {
 		x.bodyFailed(eris.Errorf("%d trailer fields", len(end.Trailer)))
 		return
 	}
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -62,7 +62,7 @@
 
 // decode decodes a message. Bytes after the message break the protocol.
 func decode[T any](payload []byte) (*T, error) {
-	if !Plausible(payload) {
+	if !HasValidLengths(payload) {
 		return nil, eris.Wrap(ErrProtocol, "message: a length is over what follows it")
 	}
 	m := new(T)
--- a/peer/fullwindow_test.go
+++ b/peer/fullwindow_test.go
@@ -51,8 +51,8 @@
 // acknowledges all the while.
 func TestPeerReadsNothing(t *testing.T) {
 	tests := map[string]peer.Limits{
-		"longer than Loss":  {Silence: 400 * time.Millisecond, Loss: 2 * time.Second},
-		"longer than Write": {Silence: 400 * time.Millisecond, Loss: 8 * time.Second, Write: time.Second},
+		"longer than Loss":  {SilenceTimeout: 400 * time.Millisecond, AckTimeout: 2 * time.Second},
+		"longer than Write": {SilenceTimeout: 400 * time.Millisecond, AckTimeout: 8 * time.Second, WriteTimeout: time.Second},
 	}
 	for name, limits := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -62,9 +62,9 @@
 			l := &heldListener{Listener: raw}
 			ctx, cancel := context.WithCancel(context.Background())
 			finish := make(chan struct{})
-			server := &peer.Server{Call: func(in *peer.Inbound) {
+			server := &peer.Server{HandleCall: func(in *peer.InboundCall) {
 				<-finish
-				_ = in.Reply(&peer.Answer{Status: 200, Body: []byte("done")})
+				_ = in.Reply(&peer.ResponseHead{Status: 200, Body: []byte("done")})
 			}}
 			done := make(chan struct{})
 			go func() {
@@ -80,7 +80,7 @@
 				Addr:   raw.Addr().String(),
 				Limits: limits,
 				Dial: func(ctx context.Context, addr string) (net.Conn, error) {
-					c, err := tcp.Dialer(time.Second, limits.Loss).DialContext(ctx, "tcp", addr)
+					c, err := tcp.Dialer(time.Second, limits.AckTimeout).DialContext(ctx, "tcp", addr)
 					if err == nil {
 						_ = c.(*net.TCPConn).SetWriteBuffer(32 << 10)
 					}
@@ -109,8 +109,8 @@
 				blocked <- x
 			}()
 			for full := false; !full; time.Sleep(time.Millisecond) {
-				a, err := tcp.Acknowledged(sock)
-				full = err == nil && a.Full && a.Outstanding
+				a, err := tcp.ReadAckState(sock)
+				full = err == nil && a.PeerWindowFull && a.Outstanding
 			}
 			time.Sleep(5 * time.Second)
 			l.mu.Unlock()
--- a/peer/fuzz_test.go
+++ b/peer/fuzz_test.go
@@ -14,11 +14,11 @@
 // must return errors and never panic, and what it decodes must encode again.
 func FuzzFrames(f *testing.F) {
 	seeds := map[Kind]any{
-		KindHello:   &Hello{Version: Version, Node: "n"},
-		KindCall:    &Call{ID: 1, Method: "GET", Target: "/", Header: []Field{{Name: "a", Value: "b"}}},
-		KindAnswer:  &Answer{ID: 1, Status: 200, Body: []byte("x"), Report: &Report{Running: 1}},
-		KindFailure: &Failure{ID: 1, Cause: "refused"},
-		KindCredit:  &Credit{ID: 1, Bytes: -1},
+		KindHello:    &Hello{Version: Version, Node: "n"},
+		KindCall:     &Call{ID: 1, Method: "GET", Target: "/", Header: []Field{{Name: "a", Value: "b"}}},
+		KindResponse: &ResponseHead{ID: 1, Status: 200, Body: []byte("x"), Report: &Report{Running: 1}},
+		KindFailure:  &Failure{ID: 1, Cause: "refused"},
+		KindCredit:   &Credit{ID: 1, Bytes: -1},
 	}
 	for k, m := range seeds {
 		var b bytes.Buffer
@@ -45,8 +45,8 @@
 		again[Hello](t, k, payload)
 	case KindCall:
 		again[Call](t, k, payload)
-	case KindAnswer:
-		again[Answer](t, k, payload)
+	case KindResponse:
+		again[ResponseHead](t, k, payload)
 	case KindFailure:
 		again[Failure](t, k, payload)
 	case KindCredit:
--- a/peer/idle_test.go
+++ b/peer/idle_test.go
@@ -35,10 +35,10 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(context.Background())
-				s := &Server{Control: func(context.Context, Hello, *Request) ([]byte, error) { return nil, nil }}
+				s := &Server{HandleControl: func(context.Context, Hello, *Request) ([]byte, error) { return nil, nil }}
 				c := &Client{
 					Hello:  Hello{Control: true},
-					Limits: Limits{Idle: 30 * time.Second, Silence: 600 * time.Millisecond},
+					Limits: Limits{IdleTimeout: 30 * time.Second, SilenceTimeout: 600 * time.Millisecond},
 					Dial: func(context.Context, string) (net.Conn, error) {
 						near, far := net.Pipe()
 						go s.serve(ctx, far)
@@ -70,12 +70,12 @@
 func TestRequestsAreCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		s := &Server{Control: func(_ context.Context, _ Hello, r *Request) ([]byte, error) { return append(r.Payload, 1, 2), nil }}
+		s := &Server{HandleControl: func(_ context.Context, _ Hello, r *Request) ([]byte, error) { return append(r.Payload, 1, 2), nil }}
 		type count struct{ requests, sent, received int }
 		counts := make(map[string]count)
 		c := &Client{
 			Hello: Hello{Control: true},
-			Counters: &Counters{Requested: func(topic string, sent, received int) {
+			Counters: &Counters{OnRequest: func(topic string, sent, received int) {
 				n := counts[topic]
 				counts[topic] = count{n.requests + 1, n.sent + sent, n.received + received}
 			}},
--- a/peer/inbound.go
+++ b/peer/inbound.go
@@ -19,7 +19,7 @@
 
 // Inbound is a call that a Server has received. Its methods are for the
 // goroutine that handles the call, unless they say otherwise.
-type Inbound struct {
+type InboundCall struct {
 	// Call is the call as it was sent.
 	Call *Call
 	// From is the node that sent it.
@@ -42,17 +42,17 @@
 	ended  bool
 }
 
-func newInbound(ctx context.Context, n *session, m *Call) *Inbound {
-	in := &Inbound{
+func newInbound(ctx context.Context, n *session, m *Call) *InboundCall {
+	in := &InboundCall{
 		Call:    m,
 		From:    n.from,
 		session: n,
 		arrived: time.Now(),
-		credit:  newOutgoing(n.limits.Window),
+		credit:  newOutgoing(n.limits.WindowBytes),
 	}
-	window := n.limits.Window
-	if m.Ahead {
-		window = max(window, MaxAhead)
+	window := n.limits.WindowBytes
+	if m.EarlyBody {
+		window = max(window, MaxEarlyBodyBytes)
 	}
 	in.body = newIncoming(window, in.grant)
 	in.demand.give = in.allow
@@ -67,10 +67,10 @@
 }
 
 // serve runs the handler, and ends the call if the handler has not.
-func (in *Inbound) serve() {
+func (in *InboundCall) serve() {
 	defer in.session.server.calls.Done()
 	defer in.session.bodies().leave(&in.demand)
-	in.session.server.Call(in)
+	in.session.server.HandleCall(in)
 	in.Fail(verdict.New(verdict.PeerLost, eris.New("the handler gave no answer")), nil)
 	in.late.Stop()
 	in.cancel(nil)
@@ -78,21 +78,21 @@
 
 // Context ends when the call is cancelled, its connection is lost, or its
 // deadline passes before its answer has begun. Its cause is a *verdict.Error.
-func (in *Inbound) Context() context.Context { return in.ctx }
+func (in *InboundCall) Context() context.Context { return in.ctx }
 
 // Deadline returns when the call's answer is no longer of use.
-func (in *Inbound) Deadline() time.Time { return in.arrived.Add(in.Call.Remaining) }
+func (in *InboundCall) Deadline() time.Time { return in.arrived.Add(in.Call.Remaining) }
 
 // OnRevoke sets the function that takes the call back while it waits. It
 // returns whether it is now certain that the call never runs, and is called
 // from another goroutine.
-func (in *Inbound) OnRevoke(f func() bool) {
+func (in *InboundCall) OnRevoke(f func() bool) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	in.revoke = f
 }
 
-func (in *Inbound) tryRevoke() bool {
+func (in *InboundCall) tryRevoke() bool {
 	in.mu.Lock()
 	f := in.revoke
 	in.mu.Unlock()
@@ -101,7 +101,7 @@
 
 // Body returns the body of the call. Admit is called before a streamed body is
 // read.
-func (in *Inbound) Body() io.Reader {
+func (in *InboundCall) Body() io.Reader {
 	if in.Call.Streams {
 		return in.body
 	}
@@ -109,29 +109,31 @@
 }
 
 // Trailer returns the trailer fields of the body, after its end.
-func (in *Inbound) Trailer() []Field { return in.body.Trailer() }
+func (in *InboundCall) Trailer() []Field { return in.body.Trailer() }
 
 // Admit tells the sender of a streamed call to send the body, and waits for
 // its first chunk or its end: until then the call must not be started. For
 // other calls it does nothing.
-func (in *Inbound) Admit() error {
-	if !in.Call.Streams || in.Call.Ahead {
+func (in *InboundCall) Admit() error {
+	if !in.Call.Streams || in.Call.EarlyBody {
 		return nil
 	}
-	in.grant(in.session.limits.Window)
+	in.grant(in.session.limits.WindowBytes)
 	return in.body.first(in.ctx)
 }
 
 // Coming returns how long the body of a call that is sent Ahead is likely to take, or 0 if that
 // is not known.
-func (in *Inbound) Coming() time.Duration { return in.session.bodies().coming(in.Call.Length) }
+func (in *InboundCall) ExpectedTransferTime() time.Duration {
+	return in.session.bodies().coming(in.Call.Length)
+}
 
 // Receive asks for the body of a call that is sent Ahead, and waits until all of it is
 // there, ctx ends, or the peer has been silent for long: one that has lost its power says no
 // more. It returns how long that took from the arrival of the call.
-func (in *Inbound) Receive(ctx context.Context) (time.Duration, error) {
-	in.grant(MaxAhead)
-	silence := in.session.limits.Silence
+func (in *InboundCall) ReceiveBody(ctx context.Context) (time.Duration, error) {
+	in.grant(MaxEarlyBodyBytes)
+	silence := in.session.limits.SilenceTimeout
 	for {
 		waiting, cancel := context.WithTimeout(ctx, silence)
 		err := in.body.whole(waiting)
@@ -147,7 +149,7 @@
 }
 
 // grant asks for up to n more bytes of the body.
-func (in *Inbound) grant(n int) {
+func (in *InboundCall) grant(n int) {
 	if in.Call.Length > 0 {
 		n = int(min(int64(n), in.Call.Length-in.asked))
 	}
@@ -159,7 +161,7 @@
 }
 
 // allow lets the sender send n more bytes of the body.
-func (in *Inbound) allow(n int) {
+func (in *InboundCall) allow(n int) {
 	credit := &Credit{
 		ID:    in.Call.ID,
 		Bytes: n,
@@ -168,7 +170,7 @@
 }
 
 // end writes the last frame of the call, if it has not ended yet.
-func (in *Inbound) end(k Kind, message any) error {
+func (in *InboundCall) end(k Kind, message any) error {
 	in.mu.Lock()
 	ended := in.ended
 	in.ended = true
@@ -182,7 +184,7 @@
 
 // Fail ends the call with e, before or within its answer. It does nothing if
 // the call has ended.
-func (in *Inbound) Fail(e *verdict.Error, r *Report) {
+func (in *InboundCall) Fail(e *verdict.Error, r *Report) {
 	m := &Failure{
 		ID:         in.Call.ID,
 		Cause:      string(e.Cause),
@@ -198,8 +200,8 @@
 }
 
 // Inform sends an informational answer.
-func (in *Inbound) Inform(status int, header []Field) error {
-	return in.session.send(KindInform, &Inform{
+func (in *InboundCall) SendInformational(status int, header []Field) error {
+	return in.session.send(KindInformational, &Informational{
 		ID:     in.Call.ID,
 		Status: status,
 		Header: header,
@@ -207,16 +209,16 @@
 }
 
 // Reply ends the call with a whole answer.
-func (in *Inbound) Reply(a *Answer) error {
+func (in *InboundCall) Reply(a *ResponseHead) error {
 	a.ID = in.Call.ID
 	a.Streams = false
 	a.Notice = in.Notice
-	return in.end(KindAnswer, a)
+	return in.end(KindResponse, a)
 }
 
 // Begin sends the head of an answer whose body follows through Write. Bytes in
 // a.Body go with the head; there must be no more than the window.
-func (in *Inbound) Begin(a *Answer) error {
+func (in *InboundCall) BeginResponse(a *ResponseHead) error {
 	a.ID = in.Call.ID
 	a.Streams = true
 	a.Notice = in.Notice
@@ -226,12 +228,12 @@
 			return err
 		}
 	}
-	return in.session.send(KindAnswer, a)
+	return in.session.send(KindResponse, a)
 }
 
 // CopyBody sends what r yields as the body of the answer that has begun, as
 // the receiver's credit allows. A nil result means that r is at its end.
-func (in *Inbound) CopyBody(r io.Reader) error {
+func (in *InboundCall) CopyBody(r io.Reader) error {
 	return in.credit.copyBody(in.ctx, r, func(data []byte) error {
 		return in.session.send(KindBody, &Body{
 			ID:   in.Call.ID,
@@ -241,7 +243,7 @@
 }
 
 // Finish ends the answer that has begun.
-func (in *Inbound) Finish(trailer []Field) error {
+func (in *InboundCall) FinishResponse(trailer []Field) error {
 	return in.end(KindEnd, &End{
 		ID:      in.Call.ID,
 		Trailer: trailer,
--- a/peer/link.go
+++ b/peer/link.go
@@ -87,7 +87,7 @@
 		return nil, err
 	}
 	call.ID = x.id
-	x.ahead = call.Ahead
+	x.ahead = call.EarlyBody
 	x.noticed = call.Notice != nil
 	if !call.Streams {
 		x.stage.Store(stageWritten)
@@ -143,7 +143,7 @@
 	if l.retired {
 		return nil, fmt.Errorf("%w: the connection has been replaced", errNotTaken)
 	}
-	if len(l.exchanges) >= l.limits.Open {
+	if len(l.exchanges) >= l.limits.MaxOpenCalls {
 		return nil, eris.Errorf("%d calls are open", len(l.exchanges))
 	}
 	l.began()
@@ -232,7 +232,7 @@
 // handle takes in one frame. An error ends the connection.
 func (l *link) handle(k Kind, payload []byte) error {
 	switch k {
-	case KindAnswer:
+	case KindResponse:
 		return with(payload, l.handleAnswer)
 	case KindBody:
 		return with(payload, l.handleBody)
@@ -240,7 +240,7 @@
 		return with(payload, l.handleEnd)
 	case KindFailure:
 		return with(payload, l.handleFailure)
-	case KindInform:
+	case KindInformational:
 		return with(payload, l.handleInform)
 	case KindCancelled:
 		return with(payload, l.handleCancelled)
@@ -265,7 +265,7 @@
 	return f(m)
 }
 
-func (l *link) handleAnswer(m *Answer) error {
+func (l *link) handleAnswer(m *ResponseHead) error {
 	if err := l.checkFields(m.Header); err != nil {
 		return err
 	}
@@ -314,7 +314,7 @@
 	return nil
 }
 
-func (l *link) handleInform(m *Inform) error {
+func (l *link) handleInform(m *Informational) error {
 	if err := l.checkFields(m.Header); err != nil {
 		return err
 	}
@@ -337,7 +337,7 @@
 
 func (l *link) handleCredit(m *Credit) error {
 	if x := l.find(m.ID); x != nil {
-		return x.credit.add(m.Bytes, 2*l.limits.Window)
+		return x.credit.add(m.Bytes, 2*l.limits.WindowBytes)
 	}
 	return nil
 }
--- a/peer/loss.go
+++ b/peer/loss.go
@@ -36,7 +36,7 @@
 
 // look takes in how a connection stands, and returns whether it is lost: nothing has been
 // acknowledged for as long as most says.
-func (w *lossWatch) look(a tcp.Acknowledgement, now time.Time, most time.Duration) bool {
+func (w *lossWatch) look(a tcp.AckState, now time.Time, most time.Duration) bool {
 	switch {
 	case !a.Outstanding:
 		w.reset()
@@ -44,7 +44,7 @@
 	case w.since.IsZero():
 		w.since = now
 	}
-	if !a.Repeated || min(a.Age, now.Sub(w.since)) < most {
+	if !a.Retransmitting || min(a.SinceLastAck, now.Sub(w.since)) < most {
 		w.looks = 0
 		return false
 	}
@@ -55,20 +55,20 @@
 // lost looks whether the peer's kernel is gone. The kernel of this instance finds that, until the
 // peer's has said that it has no room.
 func (l *link) lost(w *lossWatch) bool {
-	a, err := tcp.Acknowledged(l.Conn)
+	a, err := tcp.ReadAckState(l.Conn)
 	if err != nil {
 		return false
 	}
 	if !w.patient {
-		w.patient = a.Full && a.Age < l.limits.Loss && tcp.SetSilence(l.Conn, 0) == nil
+		w.patient = a.PeerWindowFull && a.SinceLastAck < l.limits.AckTimeout && tcp.SetUserTimeout(l.Conn, 0) == nil
 		return false
 	}
-	return w.look(a, time.Now(), l.limits.Loss)
+	return w.look(a, time.Now(), l.limits.AckTimeout)
 }
 
 // acknowledged returns whether the peer's kernel answers, though there is no room for what is
 // written.
 func (c *conn) acknowledged() bool {
-	a, err := tcp.Acknowledged(c.Conn)
-	return err == nil && (!a.Repeated || a.Age < c.limits.Loss)
+	a, err := tcp.ReadAckState(c.Conn)
+	return err == nil && (!a.Retransmitting || a.SinceLastAck < c.limits.AckTimeout)
 }
--- a/peer/loss_test.go
+++ b/peer/loss_test.go
@@ -16,12 +16,12 @@
 // TestLossWatch plays how a connection stands at looks of 100 ms.
 func TestLossWatch(t *testing.T) {
 	const most = time.Second
-	type seen = tcp.Acknowledgement
+	type seen = tcp.AckState
 	repeat := func(n int, a seen) (list []seen) {
 		for range n {
 			list = append(list, a)
-			if a.Age > 0 {
-				a.Age += 100 * time.Millisecond
+			if a.SinceLastAck > 0 {
+				a.SinceLastAck += 100 * time.Millisecond
 			}
 		}
 		return list
@@ -30,12 +30,12 @@
 		looks []seen
 		want  int // the look at which it is lost, 0 if it is not
 	}{
-		"nothing outstanding, long ago":    {looks: repeat(50, seen{Repeated: true, Age: time.Hour})},
-		"answered questions for room":      {looks: repeat(50, seen{Outstanding: true, Age: time.Hour})},
-		"gone":                             {looks: repeat(50, seen{Outstanding: true, Repeated: true, Age: 1}), want: 12},
-		"gone after an hour without calls": {looks: repeat(50, seen{Outstanding: true, Repeated: true, Age: time.Hour}), want: 12},
-		"a question under way at a look":   {looks: append(append(repeat(20, seen{Outstanding: true, Age: time.Hour}), seen{Outstanding: true, Repeated: true, Age: time.Hour}), repeat(20, seen{Outstanding: true, Age: time.Hour})...)},
-		"acknowledged now and then":        {looks: append(repeat(9, seen{Outstanding: true, Repeated: true, Age: 1}), repeat(9, seen{Outstanding: true, Repeated: true, Age: 1})...)},
+		"nothing outstanding, long ago":    {looks: repeat(50, seen{Retransmitting: true, SinceLastAck: time.Hour})},
+		"answered questions for room":      {looks: repeat(50, seen{Outstanding: true, SinceLastAck: time.Hour})},
+		"gone":                             {looks: repeat(50, seen{Outstanding: true, Retransmitting: true, SinceLastAck: 1}), want: 12},
+		"gone after an hour without calls": {looks: repeat(50, seen{Outstanding: true, Retransmitting: true, SinceLastAck: time.Hour}), want: 12},
+		"a question under way at a look":   {looks: append(append(repeat(20, seen{Outstanding: true, SinceLastAck: time.Hour}), seen{Outstanding: true, Retransmitting: true, SinceLastAck: time.Hour}), repeat(20, seen{Outstanding: true, SinceLastAck: time.Hour})...)},
+		"acknowledged now and then":        {looks: append(repeat(9, seen{Outstanding: true, Retransmitting: true, SinceLastAck: 1}), repeat(9, seen{Outstanding: true, Retransmitting: true, SinceLastAck: 1})...)},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/peer/lost_test.go
+++ b/peer/lost_test.go
@@ -25,7 +25,7 @@
 func TestLostConnectionsNeverLie(t *testing.T) {
 	var mu sync.Mutex
 	runs := make(map[string]int)
-	_, c := serve(t, peer.Limits{}, func(in *peer.Inbound) {
+	_, c := serve(t, peer.Limits{}, func(in *peer.InboundCall) {
 		if err := in.Admit(); err != nil {
 			return
 		}
@@ -33,7 +33,7 @@
 		runs[in.Call.Target]++
 		mu.Unlock()
 		time.Sleep(time.Millisecond)
-		_ = in.Reply(&peer.Answer{Status: 200})
+		_ = in.Reply(&peer.ResponseHead{Status: 200})
 	})
 	conns := make(chan net.Conn, 1000)
 	c.Dial = func(ctx context.Context, addr string) (net.Conn, error) {
@@ -101,7 +101,7 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	conns := make(chan net.Conn, 1000)
-	s := &peer.Server{Call: func(in *peer.Inbound) { _ = in.Reply(&peer.Answer{Status: 200}) }}
+	s := &peer.Server{HandleCall: func(in *peer.InboundCall) { _ = in.Reply(&peer.ResponseHead{Status: 200}) }}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go s.Run(ctx, &keeping{Listener: listener, conns: conns})
--- a/peer/message.go
+++ b/peer/message.go
@@ -23,8 +23,8 @@
 	KindBody
 	KindEnd
 	KindFailure
-	KindAnswer
-	KindInform
+	KindResponse
+	KindInformational
 	KindCancel
 	KindRevoke
 	KindCancelled
@@ -75,14 +75,14 @@
 	// Ahead is whether the body may be asked for before the call is admitted, as its
 	// sender keeps it. Such a call streams, has a Length of at most MaxAhead, and is not
 	// started before its End.
-	Ahead bool `msgpack:"ahead,omitempty"`
+	EarlyBody bool `msgpack:"ahead,omitempty"`
 	// Length is the length of the body in bytes, or -1 if it is not known.
 	Length int64 `msgpack:"length"`
 	// Try counts the sendings of the same request, from 1.
-	Try int `msgpack:"try"`
+	Attempt int `msgpack:"try"`
 	// Print tells the request from others. Its body is not known where it Streams and
 	// was not gathered before.
-	Print quarantine.Fingerprint `msgpack:"print"`
+	Fingerprint quarantine.Fingerprint `msgpack:"print"`
 	// Notice is what the sender has been told last of the receiver's upstream, or nil: a
 	// receiver that has started anew may not have heard it.
 	Notice *Notice `msgpack:"notice,omitempty"`
@@ -91,8 +91,8 @@
 // Notice is what a start of an upstream has said in its answers of the requests that it wants.
 type Notice struct {
 	// Start and Born tell the start, as in upstream.Announcement.
-	Start string `msgpack:"start"`
-	Born  int64  `msgpack:"born,omitempty"`
+	StartID     string `msgpack:"start"`
+	StartMillis int64  `msgpack:"born,omitempty"`
 	// Limited is whether it names a limit, and Limit its requests a second.
 	Limited bool    `msgpack:"limited,omitempty"`
 	Limit   float64 `msgpack:"limit,omitempty"`
@@ -114,26 +114,26 @@
 
 // Report is the load of the node that sends it.
 type Report struct {
-	Running  int           `msgpack:"running"`
-	Waiting  int           `msgpack:"waiting"`
-	Allowed  int           `msgpack:"allowed"`
-	Service  time.Duration `msgpack:"service"`
-	Draining bool          `msgpack:"draining,omitempty"`
+	Running     int           `msgpack:"running"`
+	Waiting     int           `msgpack:"waiting"`
+	Slots       int           `msgpack:"allowed"`
+	ServiceTime time.Duration `msgpack:"service"`
+	Draining    bool          `msgpack:"draining,omitempty"`
 	// Slowdown is how many times longer than usual work takes now, or 0 if that
 	// is not known.
 	Slowdown float64 `msgpack:"slowdown,omitempty"`
 	// Failing is the share of the latest requests that the upstream failed.
-	Failing float64 `msgpack:"failing,omitempty"`
+	FailureRatio float64 `msgpack:"failing,omitempty"`
 	// BodyRate is how many body bytes a second the link to the node carries, or 0 if that is
 	// not known, and BodyBacklog how many are under way to it or wait for their turn.
-	BodyRate    float64 `msgpack:"bodyRate,omitempty"`
-	BodyBacklog int     `msgpack:"bodyBacklog,omitempty"`
+	LinkBandwidth float64 `msgpack:"bodyRate,omitempty"`
+	BacklogBytes  int     `msgpack:"bodyBacklog,omitempty"`
 	// Limited is whether the upstream names a limit, Limit its requests a second, Used the part of
 	// it that was used of late, and Free after how long one more may start.
-	Limited bool          `msgpack:"limited,omitempty"`
-	Limit   float64       `msgpack:"limit,omitempty"`
-	Used    float64       `msgpack:"used,omitempty"`
-	Free    time.Duration `msgpack:"free,omitempty"`
+	Limited   bool          `msgpack:"limited,omitempty"`
+	Limit     float64       `msgpack:"limit,omitempty"`
+	LimitUsed float64       `msgpack:"used,omitempty"`
+	LimitWait time.Duration `msgpack:"free,omitempty"`
 }
 
 // Failure ends a call that got no answer, or cuts an answer that has begun.
@@ -148,7 +148,7 @@
 }
 
 // Answer is the head of an answer, and the whole of it unless Streams is set.
-type Answer struct {
+type ResponseHead struct {
 	ID     uint64  `msgpack:"id"`
 	Status int     `msgpack:"status"`
 	Header []Field `msgpack:"header"`
@@ -164,13 +164,13 @@
 	Notice *Notice `msgpack:"notice,omitempty"`
 	// Arrived is how long the body of a call that was sent Ahead took to arrive, from the
 	// arrival of the call.
-	Arrived time.Duration `msgpack:"arrived,omitempty"`
+	TransferTime time.Duration `msgpack:"arrived,omitempty"`
 	// Waited is how long the call waited for a slot, with its body there.
-	Waited time.Duration `msgpack:"waited,omitempty"`
+	QueueTime time.Duration `msgpack:"waited,omitempty"`
 }
 
 // Inform carries an informational (1xx) answer ahead of the final one.
-type Inform struct {
+type Informational struct {
 	ID     uint64  `msgpack:"id"`
 	Status int     `msgpack:"status"`
 	Header []Field `msgpack:"header"`
--- a/peer/oldlink_test.go
+++ b/peer/oldlink_test.go
@@ -33,10 +33,10 @@
 )
 
 // newFarPeer starts a server and makes a client of it.
-func newFarPeer(call func(in *peer.Inbound)) *farPeer {
-	network := &playnet.Network{Delay: time.Millisecond, Window: 256 << 10, Timeout: farTimeout}
+func newFarPeer(call func(in *peer.InboundCall)) *farPeer {
+	network := &playnet.Network{Latency: time.Millisecond, WindowBytes: 256 << 10, UserTimeout: farTimeout}
 	f := &farPeer{
-		server: &peer.Server{Call: call},
+		server: &peer.Server{HandleCall: call},
 		host:   network.Host("gate"),
 	}
 	listener := f.host.Listen()
@@ -46,7 +46,7 @@
 	from := network.Host("entry")
 	f.client = &peer.Client{
 		Addr:   "gate",
-		Limits: peer.Limits{Silence: farSilence},
+		Limits: peer.Limits{SilenceTimeout: farSilence},
 		Dial:   func(ctx context.Context, addr string) (net.Conn, error) { return from.Dial(ctx, addr) },
 	}
 	f.stop = func() {
@@ -76,7 +76,7 @@
 // place there is another, and overwrite what is newer.
 func TestLateReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFarPeer(func(in *peer.Inbound) {
+		f := newFarPeer(func(in *peer.InboundCall) {
 			running := 2
 			start := "new"
 			if in.Call.Target == "/old" {
@@ -84,14 +84,14 @@
 				running = 1
 				start = "old"
 			}
-			in.Notice = &peer.Notice{Start: start, Leaving: true}
-			_ = in.Reply(&peer.Answer{Status: 200, Report: &peer.Report{Running: running}})
+			in.Notice = &peer.Notice{StartID: start, Leaving: true}
+			_ = in.Reply(&peer.ResponseHead{Status: 200, Report: &peer.Report{Running: running}})
 		})
 		defer f.stop()
 		var reports []int
 		var notices []string
-		f.client.Report = func(r peer.Report) { reports = append(reports, r.Running) }
-		f.client.Noticed = func(n *peer.Notice) { notices = append(notices, n.Start) }
+		f.client.OnReport = func(r peer.Report) { reports = append(reports, r.Running) }
+		f.client.OnNotice = func(n *peer.Notice) { notices = append(notices, n.StartID) }
 		qt.Assert(t, f.call("/first", nil) == nil, qt.IsTrue)
 		var all sync.WaitGroup
 		began := time.Now()
@@ -101,12 +101,12 @@
 			qt.Check(t, time.Since(began) > 1400*time.Millisecond, qt.IsTrue, qt.Commentf("after %v", time.Since(began)))
 		})
 		time.Sleep(50 * time.Millisecond)
-		f.host.Lose(3)
+		f.host.DropPackets(3)
 		time.Sleep(farSilence)
-		f.server.Tell(&peer.Report{Running: 3}) // over the silent connection, as there is no other yet
+		f.server.BroadcastReport(&peer.Report{Running: 3}) // over the silent connection, as there is no other yet
 		failed := f.call("/new", nil)
 		qt.Check(t, failed == nil, qt.IsTrue, qt.Commentf("%v", failed))
-		f.server.Tell(&peer.Report{Running: 4}) // over both
+		f.server.BroadcastReport(&peer.Report{Running: 4}) // over both
 		all.Wait()
 		time.Sleep(time.Second)
 		qt.Check(t, reports, qt.DeepEquals, []int{2, 2, 4})
@@ -118,25 +118,25 @@
 // in whose place there is another, and is taken to say that a newer notice is over.
 func TestLateClearing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFarPeer(func(in *peer.Inbound) {
+		f := newFarPeer(func(in *peer.InboundCall) {
 			if in.Call.Target == "/old" {
 				time.Sleep(100 * time.Millisecond)
 			} else {
-				in.Notice = &peer.Notice{Start: "new", Leaving: true}
+				in.Notice = &peer.Notice{StartID: "new", Leaving: true}
 			}
-			_ = in.Reply(&peer.Answer{Status: 200})
+			_ = in.Reply(&peer.ResponseHead{Status: 200})
 		})
 		defer f.stop()
 		var last *peer.Notice
-		f.client.Noticed = func(n *peer.Notice) { last = n }
+		f.client.OnNotice = func(n *peer.Notice) { last = n }
 		qt.Assert(t, f.call("/first", nil) == nil, qt.IsTrue)
 		var all sync.WaitGroup
 		all.Go(func() {
-			failed := f.call("/old", &peer.Notice{Start: "new", Leaving: true})
+			failed := f.call("/old", &peer.Notice{StartID: "new", Leaving: true})
 			qt.Check(t, failed == nil, qt.IsTrue, qt.Commentf("%v", failed))
 		})
 		time.Sleep(50 * time.Millisecond)
-		f.host.Lose(3)
+		f.host.DropPackets(3)
 		time.Sleep(farSilence)
 		qt.Check(t, f.call("/new", nil) == nil, qt.IsTrue)
 		all.Wait()
@@ -158,13 +158,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := newFarPeer(func(in *peer.Inbound) { <-in.Context().Done() })
+				f := newFarPeer(func(in *peer.InboundCall) { <-in.Context().Done() })
 				defer f.stop()
 				var off time.Time
 				go func() {
 					for range test.silences {
 						time.Sleep(time.Second)
-						f.host.Silence(test.each)
+						f.host.PauseLink(test.each)
 						time.Sleep(test.each)
 					}
 					time.Sleep(time.Second)
--- a/peer/open_test.go
+++ b/peer/open_test.go
@@ -21,10 +21,10 @@
 	const most = 4
 	began := make(chan struct{}, most)
 	end := make(chan struct{})
-	_, c := serve(t, peer.Limits{Open: most}, func(in *peer.Inbound) {
+	_, c := serve(t, peer.Limits{MaxOpenCalls: most}, func(in *peer.InboundCall) {
 		began <- struct{}{}
 		<-end
-		_ = in.Reply(&peer.Answer{Status: 200})
+		_ = in.Reply(&peer.ResponseHead{Status: 200})
 	})
 	var kept []*peer.Exchange
 	for i := range most {
