--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -25,14 +25,14 @@
 
 // serve starts a server with the given handler and returns its address and a
 // client of it.
-func serve(t *testing.T, l peer.Limits, call func(*peer.Inbound)) (string, *peer.Client) {
+func serve(t *testing.T, l peer.Limits, call func(*peer.InboundCall)) (string, *peer.Client) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	s := &peer.Server{
-		Hello:  peer.Hello{Node: "gate"},
-		Limits: l,
-		Call:   call,
+		Hello:      peer.Hello{Node: "gate"},
+		Limits:     l,
+		HandleCall: call,
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -55,7 +55,7 @@
 }
 
 // echo answers with the method and the body.
-func echo(in *peer.Inbound) {
+func echo(in *peer.InboundCall) {
 	if err := in.Admit(); err != nil {
 		in.Fail(verdict.As(err, verdict.BodyLost), nil)
 		return
@@ -65,7 +65,7 @@
 		in.Fail(verdict.As(err, verdict.BodyLost), nil)
 		return
 	}
-	_ = in.Reply(&peer.Answer{
+	_ = in.Reply(&peer.ResponseHead{
 		Status: 200,
 		Body:   append([]byte(in.Call.Method+" "), body...),
 	})
@@ -94,13 +94,13 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			_, c := serve(t, peer.Limits{}, func(in *peer.Inbound) {
+			_, c := serve(t, peer.Limits{}, func(in *peer.InboundCall) {
 				if err := in.Admit(); err != nil {
 					return
 				}
-				_ = in.Begin(&peer.Answer{Status: 200, Length: -1})
+				_ = in.BeginResponse(&peer.ResponseHead{Status: 200, Length: -1})
 				if err := in.CopyBody(in.Body()); err == nil {
-					_ = in.Finish([]peer.Field{{Name: "Sum", Value: "1"}})
+					_ = in.FinishResponse([]peer.Field{{Name: "Sum", Value: "1"}})
 				}
 			})
 			m := newCall()
@@ -124,7 +124,7 @@
 // TestAnswersAreNotCrossed has many calls on one connection, answered in any
 // order, with some of them abandoned.
 func TestAnswersAreNotCrossed(t *testing.T) {
-	_, c := serve(t, peer.Limits{}, func(in *peer.Inbound) {
+	_, c := serve(t, peer.Limits{}, func(in *peer.InboundCall) {
 		time.Sleep(time.Duration(in.Call.ID*7919%13) * time.Millisecond)
 		echo(in)
 	})
@@ -159,12 +159,12 @@
 
 // TestLargeBodyDoesNotHoldUpSmallAnswer leaves a large answer unread.
 func TestLargeBodyDoesNotHoldUpSmallAnswer(t *testing.T) {
-	_, c := serve(t, peer.Limits{}, func(in *peer.Inbound) {
+	_, c := serve(t, peer.Limits{}, func(in *peer.InboundCall) {
 		if in.Call.Method == "GET" {
 			echo(in)
 			return
 		}
-		_ = in.Begin(&peer.Answer{Status: 200, Length: -1})
+		_ = in.BeginResponse(&peer.ResponseHead{Status: 200, Length: -1})
 		_ = in.CopyBody(bytes.NewReader(make([]byte, 64<<20)))
 	})
 	m := newCall()
@@ -230,7 +230,7 @@
 			}()
 			client := &peer.Client{
 				Addr:   listener.Addr().String(),
-				Limits: peer.Limits{Silence: 200 * time.Millisecond},
+				Limits: peer.Limits{SilenceTimeout: 200 * time.Millisecond},
 			}
 			defer client.Close()
 			m := newCall()
@@ -276,7 +276,7 @@
 		"not msgpack":       {0, 0, 0, 2, 1, 0xc1},
 		"half a length":     {0, 0},
 	}
-	addr, client := serve(t, peer.Limits{Handshake: 300 * time.Millisecond}, echo)
+	addr, client := serve(t, peer.Limits{HandshakeTimeout: 300 * time.Millisecond}, echo)
 	for name, data := range tests {
 		t.Run(name, func(t *testing.T) {
 			c, err := net.Dial("tcp", addr)
@@ -302,9 +302,9 @@
 }
 
 func TestCutAnswerIsACut(t *testing.T) {
-	_, c := serve(t, peer.Limits{}, func(in *peer.Inbound) {
-		_ = in.Begin(&peer.Answer{Status: 200, Length: 10, Body: []byte("half")})
-		in.Fail(verdict.New(verdict.AnswerTruncated, nil), nil)
+	_, c := serve(t, peer.Limits{}, func(in *peer.InboundCall) {
+		_ = in.BeginResponse(&peer.ResponseHead{Status: 200, Length: 10, Body: []byte("half")})
+		in.Fail(verdict.New(verdict.ResponseTruncated, nil), nil)
 	})
 	x, failed := c.Start(context.Background(), newCall(), nil)
 	qt.Assert(t, failed == nil, qt.IsTrue)
@@ -312,7 +312,7 @@
 	qt.Assert(t, failed == nil, qt.IsTrue)
 	got, err := io.ReadAll(r.Body)
 	qt.Check(t, string(got), qt.Equals, "half")
-	qt.Check(t, verdict.As(err, verdict.PeerLost).Cause, qt.Equals, verdict.AnswerTruncated)
+	qt.Check(t, verdict.As(err, verdict.PeerLost).Cause, qt.Equals, verdict.ResponseTruncated)
 }
 
 func TestRevokeAndCancel(t *testing.T) {
@@ -329,7 +329,7 @@
 		t.Run(name, func(t *testing.T) {
 			entered := make(chan struct{})
 			ended := make(chan error, 1)
-			_, c := serve(t, peer.Limits{}, func(in *peer.Inbound) {
+			_, c := serve(t, peer.Limits{}, func(in *peer.InboundCall) {
 				in.OnRevoke(func() bool { return test.waits })
 				close(entered)
 				select {
@@ -367,7 +367,7 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	s := &peer.Server{
-		Control: func(_ context.Context, from peer.Hello, r *peer.Request) ([]byte, error) {
+		HandleControl: func(_ context.Context, from peer.Hello, r *peer.Request) ([]byte, error) {
 			if r.Topic != "digest" {
 				return nil, errors.New("unknown topic")
 			}
@@ -401,7 +401,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	s := &peer.Server{Call: echo}
+	s := &peer.Server{HandleCall: echo}
 	go s.Run(ctx, listener)
 	c := &peer.Client{Addr: listener.Addr().String()}
 	defer c.Close()
--- a/peer/plausible.go
+++ b/peer/plausible.go
@@ -8,7 +8,7 @@
 // follow it. The decoder makes room for what is declared before it reads it, so that
 // 23 bytes could ask for a list of 119 GB and end the process. Its own limit on that
 // does not hold for lists.
-func Plausible(p []byte) bool {
+func HasValidLengths(p []byte) bool {
 	for pending := 1; pending > 0; {
 		if len(p) == 0 {
 			return false
--- a/peer/server.go
+++ b/peer/server.go
@@ -25,12 +25,12 @@
 	Counters *Counters
 	// Call handles one call, in a goroutine of its own. It must end the call
 	// by Fail, by Reply, or by Begin and Finish.
-	Call func(*Inbound)
+	HandleCall func(*InboundCall)
 	// Control handles one control request and returns the payload of its
 	// reply. Nil refuses control connections.
-	Control func(ctx context.Context, from Hello, r *Request) ([]byte, error)
+	HandleControl func(ctx context.Context, from Hello, r *Request) ([]byte, error)
 	// Closed, if not nil, is called when a connection ends, with the reason.
-	Closed func(from Hello, reason error)
+	OnClosed func(from Hello, reason error)
 
 	calls    sync.WaitGroup
 	bodies   *quota // made by Run
@@ -52,7 +52,7 @@
 	})
 	defer s.shutAll()
 	s.mu.Lock()
-	s.bodies = newQuota(s.Limits.UnderWay, s.Limits.Rate)
+	s.bodies = newQuota(s.Limits.MaxInFlightBytes, s.Limits.LinkBandwidth)
 	s.mu.Unlock()
 	for {
 		c, err := listener.Accept()
@@ -79,7 +79,7 @@
 
 // Inflow returns how many body bytes a second the link to this node carries, 0 if that is not
 // known, and how many are under way or wait for their turn. Both are 0 before Run.
-func (s *Server) Inflow() (rate float64, backlog int) {
+func (s *Server) LinkLoad() (rate float64, backlog int) {
 	s.mu.Lock()
 	q := s.bodies
 	s.mu.Unlock()
@@ -114,7 +114,7 @@
 	n := &session{
 		conn:   newConn(raw, s.Limits.withDefaults(), s.Counters),
 		server: s,
-		open:   make(map[uint64]*Inbound),
+		open:   make(map[uint64]*InboundCall),
 	}
 	s.mu.Lock()
 	if s.sessions == nil {
@@ -129,7 +129,7 @@
 	s.mu.Lock()
 	delete(s.sessions, n)
 	s.mu.Unlock()
-	if s.Closed != nil {
-		s.Closed(n.from, n.why())
+	if s.OnClosed != nil {
+		s.OnClosed(n.from, n.why())
 	}
 }
--- a/peer/session.go
+++ b/peer/session.go
@@ -25,7 +25,7 @@
 	report  atomic.Pointer[Report] // that waits to be sent, or nil
 
 	mu     sync.Mutex
-	open   map[uint64]*Inbound
+	open   map[uint64]*InboundCall
 	lastID uint64
 }
 
@@ -80,10 +80,10 @@
 }
 
 func (n *session) handleRequest(ctx context.Context, m *Request) error {
-	if n.server.Control == nil {
+	if n.server.HandleControl == nil {
 		return eris.Wrap(ErrProtocol, "no control here")
 	}
-	payload, err := n.server.Control(ctx, n.from, m)
+	payload, err := n.server.HandleControl(ctx, n.from, m)
 	if m.ID == 0 {
 		return nil
 	}
@@ -101,7 +101,7 @@
 	if err := n.checkFields(m.Header); err != nil {
 		return err
 	}
-	if m.Ahead && (!m.Streams || m.Length < 0 || m.Length > MaxAhead) {
+	if m.EarlyBody && (!m.Streams || m.Length < 0 || m.Length > MaxEarlyBodyBytes) {
 		return eris.Wrapf(ErrProtocol, "a body of %d bytes ahead", m.Length)
 	}
 	n.mu.Lock()
@@ -110,7 +110,7 @@
 		return eris.Wrapf(ErrProtocol, "call id %d after %d", m.ID, n.lastID)
 	}
 	n.lastID = m.ID
-	if len(n.open) >= n.limits.Open {
+	if len(n.open) >= n.limits.MaxOpenCalls {
 		// The peer counts a call that it has cancelled as over before this side does.
 		go n.refuse(m.ID, len(n.open))
 		return nil
@@ -140,7 +140,7 @@
 	return n.server.bodies
 }
 
-func (n *session) find(id uint64) *Inbound {
+func (n *session) find(id uint64) *InboundCall {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.open[id]
@@ -191,7 +191,7 @@
 
 func (n *session) handleCredit(m *Credit) error {
 	if in := n.find(m.ID); in != nil {
-		return in.credit.add(m.Bytes, 2*n.limits.Window)
+		return in.credit.add(m.Bytes, 2*n.limits.WindowBytes)
 	}
 	return nil
 }
--- a/peer/silence.go
+++ b/peer/silence.go
@@ -15,17 +15,17 @@
 	// Silence is the time since the last bytes arrived.
 	Silence time.Duration
 	// Late is how much later than it was due this process looked at the connection.
-	Late time.Duration
+	CheckDelay time.Duration
 	// Pings is the number of pings sent since the last bytes arrived.
 	Pings int
 	// Written is the number of bytes written since then.
-	Written uint64
+	BytesWritten uint64
 	// Open is the number of calls and requests that wait for an answer.
-	Open int
+	Pending int
 }
 
 // Error implements error.
 func (e *SilenceError) Error() string {
 	return fmt.Sprintf("nothing heard for %v, with %d open, %d pings and %d bytes written since, looked at %v late",
-		e.Silence.Round(time.Millisecond), e.Open, e.Pings, e.Written, e.Late.Round(time.Millisecond))
+		e.Silence.Round(time.Millisecond), e.Pending, e.Pings, e.BytesWritten, e.CheckDelay.Round(time.Millisecond))
 }
--- a/peer/silence_test.go
+++ b/peer/silence_test.go
@@ -23,12 +23,12 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	const silence = 200 * time.Millisecond
-	s := &peer.Server{Call: func(in *peer.Inbound) {
+	s := &peer.Server{HandleCall: func(in *peer.InboundCall) {
 		time.Sleep(silence * 2 / 3)
-		_ = in.Reply(&peer.Answer{Status: 200})
+		_ = in.Reply(&peer.ResponseHead{Status: 200})
 	}}
 	go s.Run(ctx, listener)
-	c := &peer.Client{Addr: listener.Addr().String(), Limits: peer.Limits{Silence: silence}}
+	c := &peer.Client{Addr: listener.Addr().String(), Limits: peer.Limits{SilenceTimeout: silence}}
 	defer c.Close()
 	for range 3 {
 		x, failed := c.Start(ctx, &peer.Call{Method: "GET", Target: "/", Remaining: time.Minute}, nil)
--- a/peer/slowlink_test.go
+++ b/peer/slowlink_test.go
@@ -139,8 +139,8 @@
 			synctest.Test(t, func(t *testing.T) {
 				link := newSlowLink()
 				s := &peer.Server{
-					Limits: peer.Limits{UnderWay: 50 << 10},
-					Call: func(in *peer.Inbound) {
+					Limits: peer.Limits{MaxInFlightBytes: 50 << 10},
+					HandleCall: func(in *peer.InboundCall) {
 						if in.Admit() != nil {
 							return
 						}
@@ -148,7 +148,7 @@
 							return
 						}
 						time.Sleep(work)
-						_ = in.Reply(&peer.Answer{Status: 200})
+						_ = in.Reply(&peer.ResponseHead{Status: 200})
 					},
 				}
 				ctx, cancel := context.WithCancel(context.Background())
@@ -157,7 +157,7 @@
 				var clients []*peer.Client
 				for range nodes {
 					clients = append(clients, &peer.Client{
-						Limits: peer.Limits{Silence: silence},
+						Limits: peer.Limits{SilenceTimeout: silence},
 						Dial:   link.dial,
 					})
 				}
--- a/peer/stalled_test.go
+++ b/peer/stalled_test.go
@@ -30,11 +30,11 @@
 	stop        func()
 }
 
-func newCrowd(limits peer.Limits, call func(in *peer.Inbound)) *crowd {
-	network := &playnet.Network{Delay: time.Millisecond, Window: 64 << 10, Buffer: 64 << 10}
+func newCrowd(limits peer.Limits, call func(in *peer.InboundCall)) *crowd {
+	network := &playnet.Network{Latency: time.Millisecond, WindowBytes: 64 << 10, SendBufferBytes: 64 << 10}
 	host := network.Host("gate")
 	c := &crowd{
-		server: &peer.Server{Limits: limits, Call: call},
+		server: &peer.Server{Limits: limits, HandleCall: call},
 	}
 	listener := host.Listen()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -48,7 +48,7 @@
 		return &peer.Client{
 			Addr:   "gate",
 			Hello:  peer.Hello{Node: name},
-			Limits: peer.Limits{Silence: farSilence},
+			Limits: peer.Limits{SilenceTimeout: farSilence},
 			Dial:   func(ctx context.Context, addr string) (net.Conn, error) { return from.Dial(ctx, addr) },
 		}, from
 	}
@@ -64,10 +64,10 @@
 }
 
 // large answers with more than the kernels and the window hold.
-func large(in *peer.Inbound) {
-	_ = in.Begin(&peer.Answer{Status: 200, Length: -1})
+func large(in *peer.InboundCall) {
+	_ = in.BeginResponse(&peer.ResponseHead{Status: 200, Length: -1})
 	_ = in.CopyBody(bytes.NewReader(make([]byte, 1<<20)))
-	_ = in.Finish(nil)
+	_ = in.FinishResponse(nil)
 }
 
 // TestReportsPastStalledNode guards against what waits for a load report to be sent, such as
@@ -79,10 +79,10 @@
 		x, failed := c.stalled.Start(context.Background(), newCall(), nil)
 		qt.Assert(t, failed == nil, qt.IsTrue)
 		defer x.Close()
-		c.stalledHost.Suspend(4 * time.Second)
+		c.stalledHost.SuspendProcess(4 * time.Second)
 		time.Sleep(time.Second)
 		began := time.Now()
-		c.server.Tell(&peer.Report{Running: 1})
+		c.server.BroadcastReport(&peer.Report{Running: 1})
 		qt.Check(t, time.Since(began) < 10*time.Millisecond, qt.IsTrue, qt.Commentf("took %v", time.Since(began)))
 		time.Sleep(time.Minute)
 	})
@@ -92,8 +92,8 @@
 // silent, while credit for a body is written to another node that reads nothing.
 func TestBodiesPastStalledNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		limits := peer.Limits{UnderWay: 16 << 10}
-		c := newCrowd(limits, func(in *peer.Inbound) {
+		limits := peer.Limits{MaxInFlightBytes: 16 << 10}
+		c := newCrowd(limits, func(in *peer.InboundCall) {
 			if in.Call.Target == "/large" {
 				large(in)
 				return
@@ -119,7 +119,7 @@
 		time.Sleep(time.Millisecond)
 		defer start(c.stalled, "/", 150<<10).Close()
 		time.Sleep(2 * time.Millisecond)
-		c.stalledHost.Suspend(4 * time.Second)
+		c.stalledHost.SuspendProcess(4 * time.Second)
 		time.Sleep(100 * time.Millisecond)
 		began := time.Now()
 		x := start(c.sound, "/", 0)
@@ -135,15 +135,15 @@
 // deadline, because its taking back waits to be written to a peer that reads nothing.
 func TestRevokePastBlockedWriter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		network := &playnet.Network{Delay: time.Millisecond, Window: 64 << 10, Buffer: 64 << 10}
+		network := &playnet.Network{Latency: time.Millisecond, WindowBytes: 64 << 10, SendBufferBytes: 64 << 10}
 		host := network.Host("gate")
-		server := &peer.Server{Call: func(in *peer.Inbound) {
+		server := &peer.Server{HandleCall: func(in *peer.InboundCall) {
 			if in.Call.Streams {
 				echo(in)
 				return
 			}
 			time.Sleep(200 * time.Millisecond)
-			_ = in.Reply(&peer.Answer{Status: 200})
+			_ = in.Reply(&peer.ResponseHead{Status: 200})
 		}}
 		listener := host.Listen()
 		ctx, cancel := context.WithCancel(context.Background())
@@ -165,7 +165,7 @@
 		qt.Assert(t, failed == nil, qt.IsTrue)
 		defer x.Close()
 		time.Sleep(3 * time.Millisecond)
-		from.SilenceUp(2 * time.Second)
+		from.PauseUplink(2 * time.Second)
 		time.Sleep(50 * time.Millisecond)
 		began := time.Now()
 		x.Revoke()
@@ -179,14 +179,14 @@
 func TestCancelledWhileBegun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var running, begun atomic.Int32
-		f := newFarPeer(func(in *peer.Inbound) {
+		f := newFarPeer(func(in *peer.InboundCall) {
 			begun.Add(1)
 			running.Add(1)
 			<-in.Context().Done()
 			running.Add(-1)
 		})
 		defer f.stop()
-		qt.Assert(t, f.client.Warm(context.Background()), qt.IsNil)
+		qt.Assert(t, f.client.Connect(context.Background()), qt.IsNil)
 		for range 1000 {
 			ctx, cancel := context.WithCancel(context.Background())
 			cancel()
@@ -206,16 +206,16 @@
 func TestAnswerPastBlockedWriter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size = 400 << 10
-		network := &playnet.Network{Delay: time.Millisecond, Window: 64 << 10, Buffer: 64 << 10}
+		network := &playnet.Network{Latency: time.Millisecond, WindowBytes: 64 << 10, SendBufferBytes: 64 << 10}
 		host := network.Host("gate")
-		server := &peer.Server{Call: func(in *peer.Inbound) {
+		server := &peer.Server{HandleCall: func(in *peer.InboundCall) {
 			if in.Call.Streams {
 				echo(in)
 				return
 			}
-			_ = in.Begin(&peer.Answer{Status: 200, Length: size})
+			_ = in.BeginResponse(&peer.ResponseHead{Status: 200, Length: size})
 			_ = in.CopyBody(bytes.NewReader(make([]byte, size)))
-			_ = in.Finish(nil)
+			_ = in.FinishResponse(nil)
 		}}
 		listener := host.Listen()
 		ctx, cancel := context.WithCancel(context.Background())
@@ -238,7 +238,7 @@
 		qt.Assert(t, failed == nil, qt.IsTrue)
 		defer upload.Close()
 		time.Sleep(3 * time.Millisecond)
-		from.SilenceUp(2 * time.Second)
+		from.PauseUplink(2 * time.Second)
 		time.Sleep(50 * time.Millisecond)
 		began := time.Now()
 		r, failed := x.Wait()
--- a/peer/tell.go
+++ b/peer/tell.go
@@ -8,7 +8,7 @@
 
 // Tell sends a load report to every node that has a connection for calls to this
 // one. It waits for no receiver, and leaves out those whose connection has failed.
-func (s *Server) Tell(r *Report) {
+func (s *Server) BroadcastReport(r *Report) {
 	s.mu.Lock()
 	list := make([]*session, 0, len(s.sessions))
 	for n := range s.sessions {
@@ -52,12 +52,12 @@
 	c.mu.Lock()
 	l := c.current
 	c.mu.Unlock()
-	return l.alive() && !l.isSilent(l.limits.Silence*2/3)
+	return l.alive() && !l.isSilent(l.limits.SilenceTimeout*2/3)
 }
 
 // Warm opens the connection if it is not open, so that the first call need not
 // wait for it. An error means that the peer can't be reached.
-func (c *Client) Warm(ctx context.Context) error {
+func (c *Client) Connect(ctx context.Context) error {
 	_, err := c.connect(ctx)
 	return err
 }
--- a/peer/watch.go
+++ b/peer/watch.go
@@ -12,7 +12,7 @@
 )
 
 // usable returns whether new calls may be sent on the connection.
-func (l *link) usable() bool { return l.alive() && !l.isSilent(l.limits.Silence) }
+func (l *link) usable() bool { return l.alive() && !l.isSilent(l.limits.SilenceTimeout) }
 
 // isSilent returns whether the peer has owed something for longer than most, and has not been
 // heard meanwhile.
@@ -51,30 +51,30 @@
 		next.Reset(wait)
 		l.looked.Add(1)
 		open, _, busy := l.activity()
-		if l.silence() <= l.limits.Silence/2 {
+		if l.silence() <= l.limits.SilenceTimeout/2 {
 			pings = 0
 		}
 		if l.closeIdle() {
 			return
 		}
-		if late > l.limits.Silence/4 && !waited {
+		if late > l.limits.SilenceTimeout/4 && !waited {
 			waited = true // this process was late: what has arrived meanwhile is read first
 			loss.reset()
 			continue
 		}
 		waited = false
 		silence := min(l.silence(), busy)
-		if open > 0 && silence >= l.limits.Silence/2 && l.lost(&loss) {
+		if open > 0 && silence >= l.limits.SilenceTimeout/2 && l.lost(&loss) {
 			l.shut(errUnacknowledged)
 			return
 		}
-		if open > 0 && silence >= l.limits.Silence {
+		if open > 0 && silence >= l.limits.SilenceTimeout {
 			q := &SilenceError{
-				Silence: silence,
-				Late:    late,
-				Pings:   pings,
-				Written: l.written.Load(),
-				Open:    open,
+				Silence:      silence,
+				CheckDelay:   late,
+				Pings:        pings,
+				BytesWritten: l.written.Load(),
+				Pending:      open,
 			}
 			if l.control {
 				l.shut(q)
@@ -83,7 +83,7 @@
 			l.silentAt.Store(l.heard.Load())
 			l.tellSilent(q)
 		}
-		if open > 0 && silence >= l.limits.Silence/2 && pinging.CompareAndSwap(false, true) {
+		if open > 0 && silence >= l.limits.SilenceTimeout/2 && pinging.CompareAndSwap(false, true) {
 			// A writer may wait for room in the kernel. Silence is judged meanwhile.
 			ping := &Ping{Number: number}
 			number++
@@ -123,7 +123,7 @@
 		return false
 	case l.retired:
 		l.shut(eris.New("replaced"))
-	case time.Since(l.idleSince) >= l.limits.Idle:
+	case time.Since(l.idleSince) >= l.limits.IdleTimeout:
 		l.shut(eris.New("idle"))
 	default:
 		return false
@@ -135,12 +135,12 @@
 func (l *link) nextLook() time.Duration {
 	open, idle, busy := l.activity()
 	if open == 0 {
-		return max(l.limits.Idle-idle, 0) + time.Millisecond
+		return max(l.limits.IdleTimeout-idle, 0) + time.Millisecond
 	}
-	next := l.limits.Silence / 4
+	next := l.limits.SilenceTimeout / 4
 	silence := min(l.silence(), busy)
 	// A ping that is sent late leaves no time for a lost packet to be sent again.
-	for _, due := range []time.Duration{l.limits.Silence / 2, l.limits.Silence} {
+	for _, due := range []time.Duration{l.limits.SilenceTimeout / 2, l.limits.SilenceTimeout} {
 		if left := due - silence; left > 0 {
 			next = min(next, left)
 		}
--- a/quarantine/answers.go
+++ b/quarantine/answers.go
@@ -28,14 +28,14 @@
 // AnswerCounter counts the answered runs of each request at one gate, so that a crash of the
 // upstream is not attributed to requests that it answers all the time. The zero value is ready to
 // use. Its methods may be called from any goroutine.
-type AnswerCounter struct {
+type ResponseCounter struct {
 	mu                sync.Mutex
 	windowStart       time.Time // of the current window
 	current, previous map[Fingerprint]int
 }
 
 // Add counts a run that was answered.
-func (a *AnswerCounter) Add(p Fingerprint) {
+func (a *ResponseCounter) Add(p Fingerprint) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.rotate(time.Now())
@@ -45,7 +45,7 @@
 }
 
 // rotate begins a new window if the present one is over. The caller holds the lock.
-func (a *AnswerCounter) rotate(now time.Time) {
+func (a *ResponseCounter) rotate(now time.Time) {
 	switch age := now.Sub(a.windowStart); {
 	case a.current == nil || age >= 2*responseWindow:
 		a.previous = nil
@@ -66,7 +66,7 @@
 // An isolated request that was recently answered here is not blocked, because a request that
 // crashes upstreams is never answered. Otherwise frequent harmless requests would be blocked when
 // upstreams crash for other reasons.
-func (a *AnswerCounter) Suspects(inFlight []Fingerprint, isolated Fingerprint) (suspects []Fingerprint, toBlock Fingerprint) {
+func (a *ResponseCounter) Suspects(inFlight []Fingerprint, isolated Fingerprint) (suspects []Fingerprint, toBlock Fingerprint) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.rotate(time.Now())
--- a/quarantine/popular_test.go
+++ b/quarantine/popular_test.go
@@ -33,7 +33,7 @@
 
 // simGate is the state of the gate of one upstream.
 type simGate struct {
-	answers  quarantine.AnswerCounter
+	answers  quarantine.ResponseCounter
 	running  map[*simRequest]bool
 	isolated *simRequest
 	backAt   time.Time
@@ -174,17 +174,17 @@
 // TestAnswerCounter checks which requests in flight are suspected for a crash.
 func TestAnswerCounter(t *testing.T) {
 	tests := map[string]struct {
-		simulate  func(a *quarantine.AnswerCounter)
+		simulate  func(a *quarantine.ResponseCounter)
 		suspected bool
 		blocked   bool // whether it is blocked if it was isolated
 	}{
-		"never answered":                  {simulate: func(*quarantine.AnswerCounter) {}, suspected: true, blocked: true},
-		"answered once":                   {simulate: func(a *quarantine.AnswerCounter) { answer(a, 1) }, suspected: true},
-		"answered often":                  {simulate: func(a *quarantine.AnswerCounter) { answer(a, 100) }},
-		"answered long ago":               {simulate: func(a *quarantine.AnswerCounter) { answer(a, 100); time.Sleep(20 * time.Second) }, suspected: true, blocked: true},
-		"answered in the previous window": {simulate: func(a *quarantine.AnswerCounter) { answer(a, 100); time.Sleep(15 * time.Second); answer(a, 1) }},
+		"never answered":                  {simulate: func(*quarantine.ResponseCounter) {}, suspected: true, blocked: true},
+		"answered once":                   {simulate: func(a *quarantine.ResponseCounter) { answer(a, 1) }, suspected: true},
+		"answered often":                  {simulate: func(a *quarantine.ResponseCounter) { answer(a, 100) }},
+		"answered long ago":               {simulate: func(a *quarantine.ResponseCounter) { answer(a, 100); time.Sleep(20 * time.Second) }, suspected: true, blocked: true},
+		"answered in the previous window": {simulate: func(a *quarantine.ResponseCounter) { answer(a, 100); time.Sleep(15 * time.Second); answer(a, 1) }},
 		"crashes one run in ten": {
-			simulate: func(a *quarantine.AnswerCounter) {
+			simulate: func(a *quarantine.ResponseCounter) {
 				for range 5 {
 					answer(a, 10)
 					a.Suspects([]quarantine.Fingerprint{fingerprintOf(1)}, quarantine.Fingerprint{})
@@ -193,7 +193,7 @@
 			suspected: true,
 		},
 		"in flight at one crash per hundred runs": {
-			simulate: func(a *quarantine.AnswerCounter) {
+			simulate: func(a *quarantine.ResponseCounter) {
 				for range 5 {
 					answer(a, 100)
 					a.Suspects([]quarantine.Fingerprint{fingerprintOf(1)}, quarantine.Fingerprint{})
@@ -204,7 +204,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				var a quarantine.AnswerCounter
+				var a quarantine.ResponseCounter
 				test.simulate(&a)
 				suspects, toBlock := a.Suspects([]quarantine.Fingerprint{fingerprintOf(1)}, fingerprintOf(1))
 				qt.Check(t, len(suspects) == 1, qt.Equals, test.suspected)
@@ -215,7 +215,7 @@
 }
 
 // answer counts a number of answered runs of request 1.
-func answer(a *quarantine.AnswerCounter, runs int) {
+func answer(a *quarantine.ResponseCounter, runs int) {
 	for range runs {
 		a.Add(fingerprintOf(1))
 	}
@@ -223,7 +223,7 @@
 
 // BenchmarkAnswerCounter counts answered runs, half of them of one frequent request.
 func BenchmarkAnswerCounter(b *testing.B) {
-	var a quarantine.AnswerCounter
+	var a quarantine.ResponseCounter
 	i := 0
 	for b.Loop() {
 		i++
--- a/ratelimit/exchange.go
+++ b/ratelimit/exchange.go
@@ -140,9 +140,9 @@
 // connect creates a client for each of the given nodes, and bounds the number of others.
 func (l *Limiter) connect(candidates []Peer) {
 	for _, candidate := range candidates {
-		l.clients.At(candidate.ID, candidate.Addr)
+		l.clients.GetOrCreate(candidate.ID, candidate.Addr)
 	}
-	l.clients.Retain(maxClients, func(node string) bool {
+	l.clients.Prune(maxClients, func(node string) bool {
 		return slices.ContainsFunc(candidates, func(candidate Peer) bool { return candidate.ID == node })
 	})
 }
@@ -181,7 +181,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	response, err := peer.Ask[*quota.Request, quota.Response](ctx, c, Topic, r)
+	response, err := peer.SendRequest[*quota.Request, quota.Response](ctx, c, Topic, r)
 	return &response, err
 }
 
--- a/ratelimit/limiter.go
+++ b/ratelimit/limiter.go
@@ -68,8 +68,8 @@
 	initOnce sync.Once
 	began    time.Duration // by Clock
 	wake     chan struct{}
-	clients  *peer.Clients // of coordinators
-	active   atomic.Bool   // whether any organisation has a limit
+	clients  *peer.ClientPool // of coordinators
+	active   atomic.Bool      // whether any organisation has a limit
 
 	mu               sync.Mutex
 	set              *organisation.Set
@@ -94,7 +94,7 @@
 func (l *Limiter) init() {
 	l.initOnce.Do(func() {
 		if l.Clock == nil {
-			l.Clock = boottime.Steady()
+			l.Clock = boottime.Monotonic()
 		}
 		l.began = l.Clock()
 		l.wake = make(chan struct{}, 1)
@@ -103,8 +103,8 @@
 		l.nodeEstimate = quota.NewNodeEstimate(0)
 		l.tallies = make(map[string]*tally)
 		limits := l.Limits
-		limits.Idle = clientIdleTimeout
-		l.clients = &peer.Clients{
+		limits.IdleTimeout = clientIdleTimeout
+		l.clients = &peer.ClientPool{
 			Hello:    l.Hello,
 			Limits:   limits,
 			Counters: l.Counters,
@@ -116,7 +116,7 @@
 func (l *Limiter) now() time.Duration { return l.Clock() - l.began }
 
 // Set sets the active organisations.
-func (l *Limiter) Set(s *organisation.Set) {
+func (l *Limiter) SetOrganisations(s *organisation.Set) {
 	l.init()
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/ratelimit/limiter_test.go
+++ b/ratelimit/limiter_test.go
@@ -63,7 +63,7 @@
 			qt.Assert(t, failure == nil, qt.IsTrue, qt.Commentf("nothing is limited yet"))
 		}
 		l.SetStoredNodes(1)
-		l.Set(set(t))
+		l.SetOrganisations(set(t))
 		_, failure := l.Admit(ctx, request)
 		qt.Assert(t, failure, qt.IsNotNil)
 		qt.Check(t, failure.Cause, qt.Equals, verdict.LimitUnknown, qt.Commentf("its share may still be held elsewhere"))
@@ -93,7 +93,7 @@
 		qt.Assert(t, u, qt.HasLen, 1)
 		qt.Check(t, u[0].Limited, qt.Equals, uint64(1))
 		qt.Check(t, u[0].LocalRate > 0 && u[0].TotalRate > 0, qt.IsTrue)
-		l.Set(nil)
+		l.SetOrganisations(nil)
 		for range 100 {
 			_, failure := l.Admit(ctx, request)
 			qt.Assert(t, failure == nil, qt.IsTrue)
@@ -104,7 +104,7 @@
 // TestCallerLeaves has a caller give up while its request waits for a coordinator.
 func TestCallerLeaves(t *testing.T) {
 	alone(t, func(t *testing.T, l *ratelimit.Limiter) {
-		l.Set(set(t))
+		l.SetOrganisations(set(t))
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 		defer cancel()
 		began := time.Now()
--- a/ratelimit/tally.go
+++ b/ratelimit/tally.go
@@ -125,7 +125,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	return peer.Ask[[]string, []float64](ctx, c, RatesTopic, names)
+	return peer.SendRequest[[]string, []float64](ctx, c, RatesTopic, names)
 }
 
 // HandleRates handles another node's request for rates.
@@ -164,7 +164,7 @@
 	Waiting int
 	// Answered and Unanswered count the exchanges with coordinators, and Served those that
 	// this node has answered as a coordinator, since the start.
-	Answered, Unanswered, Served uint64
+	Responded, Failed, Served uint64
 }
 
 // State returns the present state.
@@ -177,8 +177,8 @@
 		Coordinator: l.coordinatorID,
 		Nodes:       l.nodeEstimate.Nodes(now),
 		Waiting:     l.limiter.Waiting(),
-		Answered:    l.responded,
-		Unanswered:  l.failed,
+		Responded:   l.responded,
+		Failed:      l.failed,
 		Served:      l.served,
 	}
 	s.HeldShares, s.HeldFraction = l.localCoordinator.HeldShares(now)
--- a/reconcile/digest.go
+++ b/reconcile/digest.go
@@ -58,7 +58,7 @@
 	for more := true; more; {
 		q := digestQuery{Groups: groups}
 		e.Do(func() { q.Digests = e.Set.Digests(groups) })
-		reply, err := peer.Ask[digestQuery, digestReply[R]](ctx, p, e.Topic+digestsSuffix, q)
+		reply, err := peer.SendRequest[digestQuery, digestReply[R]](ctx, p, e.Topic+digestsSuffix, q)
 		if err != nil {
 			return err
 		}
--- a/reconcile/exchange.go
+++ b/reconcile/exchange.go
@@ -200,7 +200,7 @@
 		own = e.Set.GroupHashes()
 		held = e.Set.Len()
 	})
-	theirs, err := peer.Ask[struct{}, hashes](ctx, p, e.Topic+groupsSuffix, struct{}{})
+	theirs, err := peer.SendRequest[struct{}, hashes](ctx, p, e.Topic+groupsSuffix, struct{}{})
 	if err != nil {
 		return err
 	}
@@ -223,7 +223,7 @@
 			q.Leaves[leaf] = e.Set.Versions(leaf)
 		}
 	})
-	reply, err := peer.Ask[versionsQuery, versionsReply[R]](ctx, p, e.Topic+versionsSuffix, q)
+	reply, err := peer.SendRequest[versionsQuery, versionsReply[R]](ctx, p, e.Topic+versionsSuffix, q)
 	if err != nil {
 		return err
 	}
@@ -242,7 +242,7 @@
 func (e *Exchange[R]) differingLeaves(ctx context.Context, p *peer.Client, groups []int) ([]int, error) {
 	var leaves []int
 	for _, g := range groups[:min(len(groups), maxGroups)] {
-		theirs, err := peer.Ask[leafQuery, hashes](ctx, p, e.Topic+leavesSuffix, leafQuery{Group: g})
+		theirs, err := peer.SendRequest[leafQuery, hashes](ctx, p, e.Topic+leavesSuffix, leafQuery{Group: g})
 		if err != nil {
 			return nil, err
 		}
@@ -265,7 +265,7 @@
 		}
 	})
 	for from := 0; from < gossip.LeafCount; {
-		reply, err := peer.Ask[bulkQuery, bulkReply[R]](ctx, p, e.Topic+bulkSuffix, bulkQuery{From: from})
+		reply, err := peer.SendRequest[bulkQuery, bulkReply[R]](ctx, p, e.Topic+bulkSuffix, bulkQuery{From: from})
 		if err != nil {
 			return err
 		}
--- a/representative/acceptor.go
+++ b/representative/acceptor.go
@@ -53,20 +53,20 @@
 func (a *acceptor) listed(l *objectapi.List) {
 	gone := a.Node.ActiveServices()
 	for _, o := range l.Items {
-		a.schedule(acceptance.IntentOf(o))
+		a.schedule(acceptance.NewIntent(o))
 		delete(gone, o.Metadata.Name)
 	}
 	for name := range gone {
 		a.schedule(acceptance.Intent{
 			Name:   name,
-			Source: objectapi.ParseVersion(l.Metadata.ResourceVersion),
+			Source: objectapi.ParseRevision(l.Metadata.ResourceVersion),
 		})
 	}
 }
 
 // changed handles a change of a Service object.
 func (a *acceptor) changed(e objectapi.Event) {
-	in := acceptance.IntentOf(e.Object)
+	in := acceptance.NewIntent(e.Object)
 	if e.Type == objectapi.Deleted {
 		in.Spec = nil
 	}
@@ -76,12 +76,12 @@
 // apply handles an Accepted object: it applies the configuration on this node, has it
 // reported, and marks its intent as done.
 func (a *acceptor) apply(o *objectapi.Object) error {
-	spec, err := objectapi.SpecOf[operator.Accepted](o)
+	spec, err := objectapi.DecodeSpec[operator.Accepted](o)
 	if err != nil {
 		return err
 	}
 	name := o.Metadata.Name
-	a.done(name, spec.Source)
+	a.done(name, spec.SourceVersion)
 	a.Node.ApplyConfig(acceptance.FromAccepted(name, spec))
 	a.reporter.accepted(name, &spec)
 	return nil
@@ -198,9 +198,9 @@
 		return err
 	}
 	a.done(p.Name, p.Source)
-	if len(result.Refused) > 0 {
-		a.Log.Warn().Err(result.Refused).Str("service", p.Name).Msg("intent refused")
-		a.reporter.refused(p.Intent, result.Refused)
+	if len(result.Errors) > 0 {
+		a.Log.Warn().Err(result.Errors).Str("service", p.Name).Msg("intent refused")
+		a.reporter.refused(p.Intent, result.Errors)
 	}
 	if result.Object == nil {
 		return nil
@@ -217,15 +217,15 @@
 
 // hostsTaken returns a fault for each host of an intent that belongs to another active
 // service.
-func (a *acceptor) hostsTaken(in acceptance.Intent) operator.Faults {
+func (a *acceptor) hostsTaken(in acceptance.Intent) operator.FieldErrors {
 	s, err := operator.ParseService(in.Spec)
 	if in.Spec == nil || err != nil {
 		return nil
 	}
-	var f operator.Faults
+	var f operator.FieldErrors
 	for i, h := range s.Hosts {
 		if other := a.Node.HostOwner(h); other != "" && other != in.Name {
-			f = append(f, operator.Fault{
+			f = append(f, operator.FieldError{
 				Field:   fmt.Sprintf("hosts[%d]", i),
 				Message: fmt.Sprintf("%q belongs to the service %s", h, other),
 			})
--- a/representative/lease.go
+++ b/representative/lease.go
@@ -38,7 +38,7 @@
 		l.Log.Debug().Err(err).Msg("failed to read lease")
 		return false
 	}
-	spec, err := objectapi.SpecOf[operator.Representative](o)
+	spec, err := objectapi.DecodeSpec[operator.Representative](o)
 	if err != nil {
 		l.Log.Error().Err(err).Msg("invalid lease object")
 		return false
@@ -64,7 +64,7 @@
 // node, or does not know the holder, and returns whether one answered. Otherwise a node that
 // took the lease before it knew the others could remain separated from them.
 func (l *lease) fetchFromContacts(ctx context.Context) bool {
-	return !l.Node.Knows(l.spec.Holder) && l.Node.LearnFrom(ctx, l.spec.Contacts)
+	return !l.Node.Knows(l.spec.Holder) && l.Node.FetchState(ctx, l.spec.Contacts)
 }
 
 // write takes or renews the lease, and returns whether it succeeded.
@@ -85,7 +85,7 @@
 	}
 	o := objectapi.NewObject(operator.KindRepresentative, l.Zone, next)
 	if l.object != nil {
-		o = o.WithVersion(l.object.Metadata.ResourceVersion)
+		o = o.WithResourceVersion(l.object.Metadata.ResourceVersion)
 	}
 	written, err := objectapi.Put(ctx, l.API, o)
 	if err != nil {
@@ -136,7 +136,7 @@
 		l.Log.Debug().Err(err).Msg("failed to read lease")
 		return true
 	}
-	spec, err := objectapi.SpecOf[operator.Representative](o)
+	spec, err := objectapi.DecodeSpec[operator.Representative](o)
 	if err != nil {
 		l.Log.Error().Err(err).Msg("invalid lease object")
 		return true
@@ -153,7 +153,7 @@
 	next := l.spec
 	next.Holder = ""
 	o := objectapi.NewObject(operator.KindRepresentative, l.Zone, next)
-	if _, err := l.API.Update(ctx, o.WithVersion(l.object.Metadata.ResourceVersion)); err != nil {
+	if _, err := l.API.Update(ctx, o.WithResourceVersion(l.object.Metadata.ResourceVersion)); err != nil {
 		l.Log.Debug().Err(err).Msg("failed to release lease; the next representative has to wait until it expires")
 	}
 }
--- a/representative/reporter.go
+++ b/representative/reporter.go
@@ -92,7 +92,7 @@
 }
 
 // refused schedules a report of the refusal of an intent.
-func (r *reporter) refused(in acceptance.Intent, f operator.Faults) {
+func (r *reporter) refused(in acceptance.Intent, f operator.FieldErrors) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	key := reportKey{
@@ -102,9 +102,9 @@
 	r.pending[key] = &report{
 		reportKey: key,
 		status: &operator.ServiceStatus{
-			Phase:    operator.PhaseRefused,
-			Observed: strconv.FormatUint(in.Source, 10),
-			Faults:   f,
+			Phase:           operator.PhaseRefused,
+			ObservedVersion: strconv.FormatUint(in.Source, 10),
+			Errors:          f,
 		},
 		due:   time.Now(),
 		until: time.Now().Add(reportPeriod),
@@ -153,7 +153,7 @@
 	if p.accepted != nil {
 		zone := r.ask(ctx, p.name, p.accepted.Sequence)
 		next = statusOf(p.accepted, r.Zone, zone)
-		if zone.Having < zone.Asked {
+		if zone.UpToDate < zone.Queried {
 			wait = askInterval
 			p.members = 0
 		}
@@ -187,11 +187,11 @@
 // statusOf returns the status of an accepted configuration in one zone.
 func statusOf(a *operator.Accepted, zone string, z operator.ZoneStatus) *operator.ServiceStatus {
 	s := &operator.ServiceStatus{
-		Phase:    operator.PhaseAccepted,
-		Observed: strconv.FormatUint(a.Source, 10),
-		Sequence: a.Sequence,
-		Since:    a.At,
-		Zones:    map[string]operator.ZoneStatus{zone: z},
+		Phase:           operator.PhaseAccepted,
+		ObservedVersion: strconv.FormatUint(a.SourceVersion, 10),
+		Sequence:        a.Sequence,
+		AcceptedAt:      a.AcceptedAt,
+		Zones:           map[string]operator.ZoneStatus{zone: z},
 	}
 	if a.Deleted {
 		s.Phase = operator.PhaseDeleted
@@ -210,7 +210,7 @@
 		}
 		o := objectapi.NewObject(operator.KindServiceStatus, name, next)
 		if err == nil {
-			old, err := objectapi.SpecOf[operator.ServiceStatus](present)
+			old, err := objectapi.DecodeSpec[operator.ServiceStatus](present)
 			if err != nil {
 				return err
 			}
@@ -218,7 +218,7 @@
 			if !changed {
 				return nil
 			}
-			o = objectapi.NewObject(operator.KindServiceStatus, name, merged).WithVersion(present.Metadata.ResourceVersion)
+			o = objectapi.NewObject(operator.KindServiceStatus, name, merged).WithResourceVersion(present.Metadata.ResourceVersion)
 		}
 		if _, err = objectapi.Put(ctx, r.API, o); !objectapi.IsConflict(err) {
 			return err
@@ -234,12 +234,12 @@
 func mergeStatus(old, next operator.ServiceStatus) (operator.ServiceStatus, bool) {
 	merged := old
 	changed := false
-	if objectapi.ParseVersion(next.Observed) > objectapi.ParseVersion(old.Observed) {
-		merged.Phase, merged.Observed, merged.Faults = next.Phase, next.Observed, next.Faults
+	if objectapi.ParseRevision(next.ObservedVersion) > objectapi.ParseRevision(old.ObservedVersion) {
+		merged.Phase, merged.ObservedVersion, merged.Errors = next.Phase, next.ObservedVersion, next.Errors
 		changed = true
 	}
 	if next.Sequence > old.Sequence {
-		merged.Sequence, merged.Since = next.Sequence, next.Since
+		merged.Sequence, merged.AcceptedAt = next.Sequence, next.AcceptedAt
 		changed = true
 	}
 	merged.Zones = make(map[string]operator.ZoneStatus)
@@ -248,7 +248,7 @@
 	}
 	for name, z := range next.Zones {
 		was := old.Zones[name]
-		if z.Sequence < was.Sequence || z.Sequence == was.Sequence && z.Having == was.Having && z.Members == was.Members && z.Upstreams == was.Upstreams {
+		if z.Sequence < was.Sequence || z.Sequence == was.Sequence && z.UpToDate == was.UpToDate && z.Nodes == was.Nodes && z.Upstreams == was.Upstreams {
 			continue
 		}
 		merged.Zones[name] = z
@@ -262,17 +262,17 @@
 	near := r.Node.ZonePeers()
 	z := operator.ZoneStatus{
 		Sequence:  sequence,
-		At:        time.Now().UTC(),
-		Members:   len(near) + 1,
+		CheckedAt: time.Now().UTC(),
+		Nodes:     len(near) + 1,
 		Upstreams: r.Node.Upstreams(name),
 	}
 	rand.Shuffle(len(near), func(i, j int) { near[i], near[j] = near[j], near[i] })
 	near = near[:min(len(near), sampleSize)]
-	z.Asked = len(near) + 1
+	z.Queried = len(near) + 1
 	if r.Node.Sequence(name) >= sequence {
-		z.Having++
+		z.UpToDate++
 	}
-	z.Having += r.askAll(ctx, near, name, sequence)
+	z.UpToDate += r.askAll(ctx, near, name, sequence)
 	return z
 }
 
--- a/representative/representative.go
+++ b/representative/representative.go
@@ -35,7 +35,7 @@
 	// Knows returns whether the node knows any other node and, if id is not empty, that one.
 	Knows(id string) bool
 	// LearnFrom fetches the state of the first of the addresses that answers, and returns whether one did.
-	LearnFrom(ctx context.Context, addrs []string) bool
+	FetchState(ctx context.Context, addrs []string) bool
 	// Addresses returns up to n peer addresses, of this node and of others in its zone.
 	Addresses(n int) []string
 	// ZonePeers returns the other live nodes of the zone, and ZoneSize their number plus one.
--- a/representative/status_test.go
+++ b/representative/status_test.go
@@ -16,20 +16,20 @@
 // intent determines phase and faults, and each zone its own counts.
 func TestMergeStatus(t *testing.T) {
 	accepted := operator.ServiceStatus{
-		Phase:    operator.PhaseAccepted,
-		Observed: "8",
-		Sequence: 4,
-		Zones:    map[string]operator.ZoneStatus{"z1": {Sequence: 4, Asked: 3, Having: 2}},
+		Phase:           operator.PhaseAccepted,
+		ObservedVersion: "8",
+		Sequence:        4,
+		Zones:           map[string]operator.ZoneStatus{"z1": {Sequence: 4, Queried: 3, UpToDate: 2}},
 	}
 	zone2 := accepted
-	zone2.Zones = map[string]operator.ZoneStatus{"z2": {Sequence: 4, Asked: 1, Having: 1}}
+	zone2.Zones = map[string]operator.ZoneStatus{"z2": {Sequence: 4, Queried: 1, UpToDate: 1}}
 	refused := operator.ServiceStatus{
-		Phase:    operator.PhaseRefused,
-		Observed: "9",
-		Faults:   operator.Faults{{Field: "hosts[0]", Message: "taken"}},
+		Phase:           operator.PhaseRefused,
+		ObservedVersion: "9",
+		Errors:          operator.FieldErrors{{Field: "hosts[0]", Message: "taken"}},
 	}
 	further := accepted
-	further.Zones = map[string]operator.ZoneStatus{"z1": {Sequence: 4, Asked: 3, Having: 3}}
+	further.Zones = map[string]operator.ZoneStatus{"z1": {Sequence: 4, Queried: 3, UpToDate: 3}}
 	tests := map[string]struct {
 		old, next operator.ServiceStatus
 		changed   bool
@@ -51,7 +51,7 @@
 			qt.Check(t, got.Sequence, qt.Equals, test.sequence)
 			having := make(map[string]int)
 			for zone, z := range got.Zones {
-				having[zone] = z.Having
+				having[zone] = z.UpToDate
 			}
 			qt.Check(t, having, qt.DeepEquals, test.having)
 		})
--- a/representative/work.go
+++ b/representative/work.go
@@ -40,18 +40,18 @@
 func (w *work) run(ctx context.Context) {
 	failed := func(err error) { w.Log.Warn().Err(err).Msg("platform watch failed") }
 	services := &objectapi.Follower{
-		API:     w.API,
-		Kind:    operator.KindService,
-		Listed:  w.acceptor.listed,
-		Changed: w.acceptor.changed,
-		Failed:  failed,
+		API:      w.API,
+		Kind:     operator.KindService,
+		OnList:   w.acceptor.listed,
+		OnChange: w.acceptor.changed,
+		OnError:  failed,
 	}
 	accepted := &objectapi.Follower{
-		API:     w.API,
-		Kind:    operator.KindAccepted,
-		Listed:  w.acceptedListed,
-		Changed: func(e objectapi.Event) { w.applyAccepted(e.Object) },
-		Failed:  failed,
+		API:      w.API,
+		Kind:     operator.KindAccepted,
+		OnList:   w.acceptedListed,
+		OnChange: func(e objectapi.Event) { w.applyAccepted(e.Object) },
+		OnError:  failed,
 	}
 	var all sync.WaitGroup
 	all.Go(func() { services.Run(ctx) })
@@ -122,8 +122,8 @@
 		if o.Metadata.Name == w.Zone {
 			continue
 		}
-		spec, err := objectapi.SpecOf[operator.Representative](o)
-		if err == nil && w.Node.LearnFrom(ctx, spec.Contacts[:min(1, len(spec.Contacts))]) {
+		spec, err := objectapi.DecodeSpec[operator.Representative](o)
+		if err == nil && w.Node.FetchState(ctx, spec.Contacts[:min(1, len(spec.Contacts))]) {
 			found++
 		}
 	}
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -50,7 +50,7 @@
 }
 
 // Adjust sets Share and Burst. Extra requests already taken still count.
-func (b *Budget) Adjust(share, burst float64) {
+func (b *Budget) SetLimits(share, burst float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.Share = share
--- a/retryafter/load_test.go
+++ b/retryafter/load_test.go
@@ -88,7 +88,7 @@
 		slowdowns := make([]float64, gateCount)
 		budgets := make([]retry.Budget, nodes)
 		for i := range budgets {
-			budgets[i].Adjust(0.12, 114/float64(nodes))
+			budgets[i].SetLimits(0.12, 114/float64(nodes))
 		}
 		var mu sync.Mutex
 		var all sync.WaitGroup
--- a/rollout/merge_test.go
+++ b/rollout/merge_test.go
@@ -21,7 +21,7 @@
 			Service:  "s",
 			Version:  version,
 			Duration: 10 * time.Second,
-			At:       objectapi.Point{Era: era, Revision: revision},
+			At:       objectapi.ResourceVersion{Era: era, Revision: revision},
 		},
 		Outcome: outcome,
 	}
@@ -33,7 +33,7 @@
 	in := func(f rollout.StoredOrder, p rollout.Phase, recorded uint64) *rollout.State {
 		s := rollout.State{Order: f.Order}.WithPhase(p, "", "n", now)
 		if recorded > 0 {
-			s = s.WithRecorded(objectapi.Point{Era: f.Order.At.Era, Revision: recorded})
+			s = s.WithRecorded(objectapi.ResourceVersion{Era: f.Order.At.Era, Revision: recorded})
 		}
 		return &s
 	}
--- a/rollout/order.go
+++ b/rollout/order.go
@@ -27,23 +27,23 @@
 	// Duration is the time in which the version is to be judged.
 	Duration time.Duration `json:"duration"`
 	// At is the Point of the platform at which the order was first read.
-	At objectapi.Point `json:"at"`
+	At objectapi.ResourceVersion `json:"at"`
 }
 
 // Check returns the validation faults of o.
-func (o Order) Check() operator.Faults {
+func (o Order) Check() operator.FieldErrors {
 	f := operator.CheckName(o.Service)
 	for i := range f {
 		f[i].Field = "service"
 	}
 	if o.Version == "" {
-		f = append(f, operator.Fault{
+		f = append(f, operator.FieldError{
 			Field:   "version",
 			Message: "no version is named",
 		})
 	}
 	if o.Duration < minDuration || o.Duration > maxDuration {
-		f = append(f, operator.Fault{
+		f = append(f, operator.FieldError{
 			Field:   "duration",
 			Message: o.Duration.String() + " is not between " + minDuration.String() + " and " + maxDuration.String(),
 		})
--- a/rollout/state.go
+++ b/rollout/state.go
@@ -57,7 +57,7 @@
 	Node   string    `json:"node,omitempty"`
 	When   time.Time `json:"when"`
 	// Recorded is the Point at which the platform recorded the outcome, if it did.
-	Recorded objectapi.Point `json:"recorded"`
+	Recorded objectapi.ResourceVersion `json:"recorded"`
 }
 
 // WithPhase returns s in another phase.
@@ -70,7 +70,7 @@
 }
 
 // WithRecorded returns s with the Point at which the platform recorded its outcome.
-func (s State) WithRecorded(at objectapi.Point) State {
+func (s State) WithRecorded(at objectapi.ResourceVersion) State {
 	s.Recorded = at
 	return s
 }
--- a/routes/routes_test.go
+++ b/routes/routes_test.go
@@ -13,11 +13,11 @@
 	"sassafrasfront.example/routes"
 )
 
-func route(name, host, prefix string, parts ...routes.Part) routes.Route {
+func route(name, host, prefix string, parts ...routes.WeightedService) routes.Route {
 	if len(parts) == 0 {
-		parts = []routes.Part{{Service: name, Weight: 1}}
+		parts = []routes.WeightedService{{Service: name, Weight: 1}}
 	}
-	return routes.Route{Name: name, Host: host, Prefix: prefix, Parts: parts, Timeout: time.Second}
+	return routes.Route{Name: name, Host: host, Prefix: prefix, Services: parts, Timeout: time.Second}
 }
 
 func TestMatch(t *testing.T) {
@@ -54,7 +54,7 @@
 	tests := map[string]func(*routes.Route){
 		"no host":     func(r *routes.Route) { r.Host = "" },
 		"bare prefix": func(r *routes.Route) { r.Prefix = "/x" },
-		"no parts":    func(r *routes.Route) { r.Parts = nil },
+		"no parts":    func(r *routes.Route) { r.Services = nil },
 		"no timeout":  func(r *routes.Route) { r.Timeout = 0 },
 	}
 	for name, spoil := range tests {
@@ -72,7 +72,7 @@
 	table, err := routes.New(routes.Table{
 		Version:  7,
 		Routes:   []routes.Route{route("r", "a.example", "/x/")},
-		Services: []routes.Service{{Name: "r", HealthPath: "/h", Connections: 5}},
+		Services: []routes.Service{{Name: "r", HealthPath: "/h", MaxConnections: 5}},
 	})
 	qt.Assert(t, err, qt.IsNil)
 	data, err := table.Encode()
@@ -83,17 +83,17 @@
 	qt.Check(t, again.Match("a.example", "/x/1").Name, qt.Equals, "r")
 	s, ok := again.Service("r")
 	qt.Check(t, ok, qt.IsTrue)
-	qt.Check(t, s.Connections, qt.Equals, 5)
+	qt.Check(t, s.MaxConnections, qt.Equals, 5)
 }
 
 // TestSplit has each part's share stay within one request of its weight.
 func TestSplit(t *testing.T) {
-	r := route("r", "a.example", "/", routes.Part{Service: "a", Weight: 90}, routes.Part{Service: "b", Weight: 10}, routes.Part{Service: "c", Weight: 0})
+	r := route("r", "a.example", "/", routes.WeightedService{Service: "a", Weight: 90}, routes.WeightedService{Service: "b", Weight: 10}, routes.WeightedService{Service: "c", Weight: 0})
 	var s routes.Splitter
 	counts := make(map[string]int)
 	for n := 1; n <= 1000; n++ {
 		counts[s.Choose(&r)]++
-		for _, p := range r.Parts {
+		for _, p := range r.Services {
 			off := counts[p.Service]*100 - n*p.Weight
 			qt.Assert(t, off >= -100 && off <= 100, qt.IsTrue, qt.Commentf("part %s has %d of %d", p.Service, counts[p.Service], n))
 		}
--- a/routes/splitter.go
+++ b/routes/splitter.go
@@ -21,15 +21,15 @@
 
 // split is the state of one route.
 type split struct {
-	parts  []Part
+	parts  []WeightedService
 	credit []int
 }
 
 // Choose returns the service for the next request of the route. A route whose
 // weights are all zero has its first part chosen.
 func (s *Splitter) Choose(r *Route) string {
-	if len(r.Parts) == 1 {
-		return r.Parts[0].Service
+	if len(r.Services) == 1 {
+		return r.Services[0].Service
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,17 +42,17 @@
 		s.states = make(map[string]*split)
 	}
 	x := s.states[r.Name]
-	if x == nil || !sameParts(x.parts, r.Parts) {
+	if x == nil || !sameParts(x.parts, r.Services) {
 		x = &split{
-			parts:  r.Parts,
-			credit: make([]int, len(r.Parts)),
+			parts:  r.Services,
+			credit: make([]int, len(r.Services)),
 		}
 		s.states[r.Name] = x
 	}
 	return x
 }
 
-func sameParts(a, b []Part) bool {
+func sameParts(a, b []WeightedService) bool {
 	if len(a) != len(b) {
 		return false
 	}
--- a/routes/table.go
+++ b/routes/table.go
@@ -18,7 +18,7 @@
 )
 
 // Part is one of the services that a route leads to.
-type Part struct {
+type WeightedService struct {
 	// Service is the name of the service.
 	Service string `json:"service"`
 	// Weight is its part of the requests, relative to the other parts. It is
@@ -36,7 +36,7 @@
 	Host   string `json:"host"`
 	Prefix string `json:"prefix"`
 	// Parts are the services, at least one.
-	Parts []Part `json:"parts"`
+	Services []WeightedService `json:"parts"`
 	// Idempotent is whether a request may run more than once.
 	Idempotent bool `json:"idempotent,omitempty"`
 	// Timeout is the longest time that a caller is kept waiting.
@@ -45,7 +45,7 @@
 	// means that there is none.
 	Objective time.Duration `json:"objective,omitempty"`
 	// Attempts is the largest number of upstreams that one request is sent to.
-	Attempts int `json:"attempts"`
+	MaxAttempts int `json:"attempts"`
 	// Priority is the rank of the requests; 0 is the highest.
 	Priority int `json:"priority"`
 	// Regions are those that the requests may be sent to. None means all.
@@ -62,7 +62,7 @@
 	HealthPath string `json:"healthPath,omitempty"`
 	// Connections is the number of connections that an upstream takes, from all
 	// callers. Zero means that it is not known.
-	Connections int `json:"connections,omitempty"`
+	MaxConnections int `json:"connections,omitempty"`
 	// ColdPerSecond is the number of requests a second that an upstream bears while it is
 	// cold. Zero means that it does not matter.
 	ColdPerSecond float64 `json:"coldPerSecond,omitempty"`
@@ -88,8 +88,8 @@
 // Limits bound what a caller may send. Zero fields mean the node's own limits.
 type Limits struct {
 	// HeaderBytes and BodyBytes bound the head and the body of a request.
-	HeaderBytes int   `json:"headerBytes,omitempty"`
-	BodyBytes   int64 `json:"bodyBytes,omitempty"`
+	MaxHeaderBytes int   `json:"headerBytes,omitempty"`
+	MaxBodyBytes   int64 `json:"bodyBytes,omitempty"`
 	// HeaderTimeout bounds the time for the head of a request, and IdleTimeout
 	// the time for which a connection may be idle.
 	HeaderTimeout time.Duration `json:"headerTimeout,omitempty"`
@@ -105,7 +105,7 @@
 	Limits   Limits    `json:"limits"`
 	// Keyed is whether requests need the key of an organisation, but for those of public
 	// routes.
-	Keyed bool `json:"keyed,omitempty"`
+	KeysRequired bool `json:"keyed,omitempty"`
 	// Organisations are those that have keys.
 	Organisations []organisation.Organisation `json:"organisations,omitempty"`
 
@@ -159,7 +159,7 @@
 		return eris.Errorf("route %q has no host", r.Name)
 	case !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/"):
 		return eris.Errorf("route %q: the prefix %q does not begin and end with a slash", r.Name, r.Prefix)
-	case len(r.Parts) == 0:
+	case len(r.Services) == 0:
 		return eris.Errorf("route %q leads nowhere", r.Name)
 	case slices.Contains(r.Regions, ""):
 		return eris.Errorf("route %q: a region without a name", r.Name)
--- a/serviceconfig/classes.go
+++ b/serviceconfig/classes.go
@@ -56,11 +56,11 @@
 func keyedObjectives(t *routes.Table, service string, add func(priority int, objective time.Duration)) []time.Duration {
 	var keyed []time.Duration
 	for _, r := range t.Routes {
-		if !slices.ContainsFunc(r.Parts, func(p routes.Part) bool { return p.Service == service }) {
+		if !slices.ContainsFunc(r.Services, func(p routes.WeightedService) bool { return p.Service == service }) {
 			continue
 		}
 		add(r.Priority, r.Objective)
-		if t.Keyed && !r.Public {
+		if t.KeysRequired && !r.Public {
 			keyed = append(keyed, r.Objective)
 		}
 	}
@@ -92,7 +92,7 @@
 		}
 		previous = k
 		list = append(list, operator.Class{
-			Name:      caller.ClassOf(k.priority, k.objective),
+			Name:      caller.ClassName(k.priority, k.objective),
 			Weight:    weight,
 			MaxShare:  1,
 			Priority:  -k.priority,
--- a/serviceconfig/cold.go
+++ b/serviceconfig/cold.go
@@ -31,8 +31,8 @@
 	rate := s.ColdRatio * c.ColdPerSecond
 	limit := max(1, int(rate+s.ColdSlack)-coldReserve)
 	return operator.Cold{
-		Pace:  max(1, min(limit, int(rate+(1-coldDelayedFraction)*s.ColdSlack))),
-		Most:  limit,
-		Lasts: operator.Duration(c.ColdStart),
+		MaxAdmittedPerSecond: max(1, min(limit, int(rate+(1-coldDelayedFraction)*s.ColdSlack))),
+		MaxSentPerSecond:     limit,
+		AssumedDuration:      operator.Duration(c.ColdStart),
 	}
 }
--- a/serviceconfig/service.go
+++ b/serviceconfig/service.go
@@ -54,29 +54,29 @@
 func FromTable(t *routes.Table, service string, nodes int, s settings.Settings) operator.Service {
 	adaptive := false
 	o := operator.Service{
-		Classes:     classes(t, service),
-		Policy:      "fastest",
-		ZoneCost:    operator.Duration(zoneCost),
-		Crossing:    zoneCrossingCost,
-		ServiceTime: operator.Duration(expectedServiceTime(t, service)),
+		Classes:          classes(t, service),
+		Policy:           "fastest",
+		ZoneCost:         operator.Duration(zoneCost),
+		ZoneCrossingCost: zoneCrossingCost,
+		ServiceTime:      operator.Duration(expectedServiceTime(t, service)),
 		Queue: operator.Queue{
-			Length:    queueLength,
-			SlotShare: slotShare,
-			Wait:      operator.Duration(queueWait),
-			Hold:      true,
-			Adaptive:  &adaptive,
+			MaxLength:     queueLength,
+			SlotFraction:  slotShare,
+			MaxWait:       operator.Duration(queueWait),
+			HoldWhileSlow: true,
+			Adaptive:      &adaptive,
 		},
 		Cold: coldLimits(t, service, s),
 		Retry: operator.Retry{
-			MaxTries: maxAttempts,
-			OnError:  true,
-			Window:   operator.Duration(s.RetryWindow),
-			Share:    budgetSafety * s.RetryRatio,
-			Burst:    budgetSafety * s.RetrySlack / float64(nodes),
-			Reserve:  retryReserve,
+			MaxAttempts:      maxAttempts,
+			OnError:          true,
+			Window:           operator.Duration(s.RetryWindow),
+			Ratio:            budgetSafety * s.RetryRatio,
+			Burst:            budgetSafety * s.RetrySlack / float64(nodes),
+			ReservedFraction: retryReserve,
 		},
 		Hedge: operator.Hedge{
-			Part: hedgeFraction,
+			BudgetFraction: hedgeFraction,
 		},
 	}
 	return o.WithDefaults()
--- a/serviceconfig/service_test.go
+++ b/serviceconfig/service_test.go
@@ -24,11 +24,11 @@
 		want                    operator.Cold
 	}{
 		"none":            {ratio: 1.5, slack: 8},
-		"with a slack":    {perSecond: 15, ratio: 1.5, slack: 8, want: operator.Cold{Pace: 28, Most: 29}},
-		"without a slack": {perSecond: 15, ratio: 1, want: operator.Cold{Pace: 14, Most: 14}},
-		"under one":       {perSecond: 0.4, ratio: 1, want: operator.Cold{Pace: 1, Most: 1}},
-		"no ratio":        {perSecond: 15, slack: 8, want: operator.Cold{Pace: 6, Most: 7}},
-		"a large slack":   {perSecond: 15, ratio: 1, slack: 100, want: operator.Cold{Pace: 90, Most: 114}},
+		"with a slack":    {perSecond: 15, ratio: 1.5, slack: 8, want: operator.Cold{MaxAdmittedPerSecond: 28, MaxSentPerSecond: 29}},
+		"without a slack": {perSecond: 15, ratio: 1, want: operator.Cold{MaxAdmittedPerSecond: 14, MaxSentPerSecond: 14}},
+		"under one":       {perSecond: 0.4, ratio: 1, want: operator.Cold{MaxAdmittedPerSecond: 1, MaxSentPerSecond: 1}},
+		"no ratio":        {perSecond: 15, slack: 8, want: operator.Cold{MaxAdmittedPerSecond: 6, MaxSentPerSecond: 7}},
+		"a large slack":   {perSecond: 15, ratio: 1, slack: 100, want: operator.Cold{MaxAdmittedPerSecond: 90, MaxSentPerSecond: 114}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -39,7 +39,7 @@
 			}}})
 			qt.Assert(t, err, qt.IsNil)
 			if test.perSecond > 0 {
-				test.want.Lasts = operator.Duration(3 * time.Second)
+				test.want.AssumedDuration = operator.Duration(3 * time.Second)
 			}
 			qt.Check(t, coldLimits(table, "s", settings.Settings{ColdRatio: test.ratio, ColdSlack: test.slack}), qt.Equals, test.want)
 		})
@@ -59,11 +59,11 @@
 	route := func(name string, priority int, objective time.Duration, public bool) routes.Route {
 		return routes.Route{
 			Name: name, Host: "h", Prefix: "/" + name + "/", Timeout: time.Second, Priority: priority, Objective: objective, Public: public,
-			Parts: []routes.Part{{Service: "s", Weight: 1}},
+			Services: []routes.WeightedService{{Service: "s", Weight: 1}},
 		}
 	}
 	table := func(keyed bool, list ...routes.Route) *routes.Table {
-		t := routes.Table{Keyed: keyed, Routes: list}
+		t := routes.Table{KeysRequired: keyed, Routes: list}
 		if keyed {
 			t.Organisations = organisations
 		}
--- a/settings/check.go
+++ b/settings/check.go
@@ -16,7 +16,7 @@
 )
 
 // Fault is what is wrong with one setting.
-type Fault struct {
+type SettingError struct {
 	// Key is the name of the setting.
 	Key string
 	// File and Line say where it was set, if that was in a file.
@@ -27,7 +27,7 @@
 }
 
 // String returns the fault as one line.
-func (f Fault) String() string {
+func (f SettingError) String() string {
 	where := f.Key
 	if f.File != "" {
 		where = fmt.Sprintf("%s:%d: %s", f.File, f.Line, f.Key)
@@ -36,10 +36,10 @@
 }
 
 // Faults are all faults of the settings. They are an error if there are any.
-type Faults []Fault
+type SettingErrors []SettingError
 
 // Error implements the error interface.
-func (f Faults) Error() string {
+func (f SettingErrors) Error() string {
 	lines := make([]string, len(f))
 	for i, x := range f {
 		lines[i] = x.String()
@@ -51,12 +51,12 @@
 
 // checker gathers faults.
 type checker struct {
-	faults Faults
+	faults SettingErrors
 }
 
 func (c *checker) add(ok bool, key, format string, args ...any) {
 	if !ok {
-		c.faults = append(c.faults, Fault{
+		c.faults = append(c.faults, SettingError{
 			Key:     key,
 			Message: fmt.Sprintf(format, args...),
 		})
@@ -84,7 +84,7 @@
 }
 
 // Check returns the faults of s.
-func (s *Settings) Check() Faults {
+func (s *Settings) Check() SettingErrors {
 	c := new(checker)
 	c.name("node", s.Node)
 	c.name("region", s.Region)
@@ -137,7 +137,7 @@
 	within(c, "platformCalls", s.PlatformCalls, 1, 1000)
 	within(c, "lease", s.Lease, 500*time.Millisecond, 10*time.Minute)
 	within(c, "patience", s.Patience, time.Second, 24*time.Hour)
-	c.add(s.GracePeriod == 0 || s.GracePeriod >= 2*ExitTime && s.GracePeriod <= time.Hour, "gracePeriod", "%v is not 0, nor within %v and 1h", s.GracePeriod, 2*ExitTime)
+	c.add(s.GracePeriod == 0 || s.GracePeriod >= 2*ExitReserve && s.GracePeriod <= time.Hour, "gracePeriod", "%v is not 0, nor within %v and 1h", s.GracePeriod, 2*ExitReserve)
 	within(c, "drainTimeout", s.DrainTimeout, 0, time.Hour)
 	within(c, "leaveDelay", s.LeaveDelay, 0, time.Minute)
 	within(c, "admitDelay", s.AdmitDelay, 0, s.LeaveDelay)
@@ -154,7 +154,7 @@
 // FirstPeers returns the addresses in Peers and those of the nodes at Seeds.
 func (s *Settings) FirstPeers() []string {
 	list := s.PeerList()
-	_, port, err := net.SplitHostPort(s.PeerAt())
+	_, port, err := net.SplitHostPort(s.EffectivePeerAddress())
 	if err != nil {
 		return list // which Check refuses
 	}
--- a/settings/read.go
+++ b/settings/read.go
@@ -58,11 +58,11 @@
 	name   string
 	lines  map[string]int
 	broken map[string]bool // settings whose value in the file can't be read
-	faults Faults
+	faults SettingErrors
 }
 
 // locate fills in where faulty settings were set.
-func (f *file) locate(faults Faults) {
+func (f *file) locate(faults SettingErrors) {
 	for i := range faults {
 		if line, ok := f.lines[faults[i].Key]; ok {
 			faults[i].File = f.name
@@ -74,7 +74,7 @@
 func (f *file) fault(key string, line int, message string) {
 	f.lines[key] = line
 	f.broken[key] = true
-	f.faults = append(f.faults, Fault{
+	f.faults = append(f.faults, SettingError{
 		Key:     key,
 		Message: message,
 	})
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -185,7 +185,7 @@
 }
 
 // PeerAt returns where other nodes are told to connect.
-func (s *Settings) PeerAt() string {
+func (s *Settings) EffectivePeerAddress() string {
 	if s.AdvertisedPeerAddress != "" {
 		return s.AdvertisedPeerAddress
 	}
@@ -194,22 +194,22 @@
 
 // ExitTime is what a drain leaves of GracePeriod: for the answers to requests that are
 // cut, for the last log lines, and for the process to end.
-const ExitTime = 500 * time.Millisecond
+const ExitReserve = 500 * time.Millisecond
 
 // DrainWithin returns how long after it has been told to stop a node waits for requests
 // in flight.
-func (s *Settings) DrainWithin() time.Duration {
+func (s *Settings) DrainDeadline() time.Duration {
 	if s.GracePeriod > 0 {
-		return s.GracePeriod - ExitTime
+		return s.GracePeriod - ExitReserve
 	}
 	return s.LeaveDelay + s.DrainTimeout
 }
 
 // LeaveWithin returns how long after it has been told to stop a node takes callers'
 // requests: LeaveDelay, and at most half of what there is for those in flight.
-func (s *Settings) LeaveWithin() time.Duration {
+func (s *Settings) EffectiveLeaveDelay() time.Duration {
 	if s.GracePeriod > 0 {
-		return min(s.LeaveDelay, s.DrainWithin()/2)
+		return min(s.LeaveDelay, s.DrainDeadline()/2)
 	}
 	return s.LeaveDelay
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -64,7 +64,7 @@
 				qt.Check(t, s.Zone, qt.Equals, "z")
 				return
 			}
-			faults, ok := errors.AsType[settings.Faults](err)
+			faults, ok := errors.AsType[settings.SettingErrors](err)
 			qt.Assert(t, ok, qt.IsTrue, qt.Commentf("%v", err))
 			for _, w := range test.want {
 				qt.Check(t, err.Error(), qt.Contains, w)
@@ -109,8 +109,8 @@
 		wantLeave, want     time.Duration
 	}{
 		"no grace period":      {leave: time.Second, drain: 3 * time.Second, wantLeave: time.Second, want: 4 * time.Second},
-		"a grace period":       {grace: 10 * time.Second, leave: time.Second, drain: 3 * time.Second, wantLeave: time.Second, want: 10*time.Second - settings.ExitTime},
-		"a short grace period": {grace: 2 * time.Second, leave: 2 * time.Second, wantLeave: (2*time.Second - settings.ExitTime) / 2, want: 2*time.Second - settings.ExitTime},
+		"a grace period":       {grace: 10 * time.Second, leave: time.Second, drain: 3 * time.Second, wantLeave: time.Second, want: 10*time.Second - settings.ExitReserve},
+		"a short grace period": {grace: 2 * time.Second, leave: 2 * time.Second, wantLeave: (2*time.Second - settings.ExitReserve) / 2, want: 2*time.Second - settings.ExitReserve},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -119,8 +119,8 @@
 				LeaveDelay:   test.leave,
 				DrainTimeout: test.drain,
 			}
-			qt.Check(t, s.LeaveWithin(), qt.Equals, test.wantLeave)
-			qt.Check(t, s.DrainWithin(), qt.Equals, test.want)
+			qt.Check(t, s.EffectiveLeaveDelay(), qt.Equals, test.wantLeave)
+			qt.Check(t, s.DrainDeadline(), qt.Equals, test.want)
 		})
 	}
 }
--- a/spool/body.go
+++ b/spool/body.go
@@ -29,11 +29,11 @@
 }
 
 // Open returns a reader of the body from its start. It implements peer.Trailered.
-func (b *Body) Open() io.Reader { return &view{body: b} }
+func (b *Body) NewReader() io.Reader { return &view{body: b} }
 
 // Took returns how long the body took to come in, from the first Read to its end. The
 // second result is false if it has not ended well yet.
-func (b *Body) Took() (time.Duration, bool) {
+func (b *Body) ReceiveTime() (time.Duration, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.reached.Sub(b.began), b.err == io.EOF
@@ -57,7 +57,7 @@
 
 // Trailer implements peer.Trailered.
 func (v *view) Trailer() []peer.Field {
-	if t, ok := v.body.Reader.(peer.Trailered); ok {
+	if t, ok := v.body.Reader.(peer.TrailerReader); ok {
 		return t.Trailer()
 	}
 	return nil
--- a/spool/body_test.go
+++ b/spool/body_test.go
@@ -57,14 +57,14 @@
 					all.Go(func() {
 						time.Sleep(after)
 						began := time.Now()
-						data, err := io.ReadAll(b.Open())
+						data, err := io.ReadAll(b.NewReader())
 						qt.Check(t, string(data), qt.Equals, "one two three")
 						qt.Check(t, err == nil, qt.Equals, end == io.EOF)
 						qt.Check(t, time.Since(began), qt.Equals, max(0, 3*time.Second-after))
 					})
 				}
 				all.Wait()
-				took, whole := b.Took()
+				took, whole := b.ReceiveTime()
 				qt.Check(t, took, qt.Equals, 3*time.Second)
 				qt.Check(t, whole, qt.Equals, end == io.EOF)
 			})
@@ -80,6 +80,6 @@
 		Length: int64(len(data)),
 	}
 	for range 2 {
-		qt.Check(t, iotest.TestReader(b.Open(), data), qt.IsNil)
+		qt.Check(t, iotest.TestReader(b.NewReader(), data), qt.IsNil)
 	}
 }
--- a/throttle/limiter.go
+++ b/throttle/limiter.go
@@ -246,7 +246,7 @@
 }
 
 // Rate returns the limit in requests per second, and whether there is one.
-func (l *Limiter) Rate() (rate float64, limited bool) {
+func (l *Limiter) Limit() (rate float64, limited bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.rate, l.limited
--- a/upstream/announcement.go
+++ b/upstream/announcement.go
@@ -52,14 +52,14 @@
 )
 
 // Check returns the validation faults of a.
-func (a Announcement) Check() operator.Faults {
+func (a Announcement) Check() operator.FieldErrors {
 	f := operator.CheckName(a.Service)
 	for i := range f {
 		f[i].Field = "service"
 	}
 	check := func(ok bool, field, format string, args ...any) {
 		if !ok {
-			f = append(f, operator.Fault{
+			f = append(f, operator.FieldError{
 				Field:   field,
 				Message: fmt.Sprintf(format, args...),
 			})
@@ -109,10 +109,10 @@
 }
 
 // Check returns the validation faults of an announcement. An unknown service is one.
-func (h *Announcements) Check(a *Announcement) operator.Faults {
+func (h *Announcements) Check(a *Announcement) operator.FieldErrors {
 	f := a.Check()
 	if h.IsKnownService != nil && !h.IsKnownService(a.Service) {
-		f = append(f, operator.Fault{
+		f = append(f, operator.FieldError{
 			Field:   "service",
 			Message: fmt.Sprintf("%q is not a known service", a.Service),
 		})
--- a/upstream/conn.go
+++ b/upstream/conn.go
@@ -87,7 +87,7 @@
 		return
 	}
 	c.noAckTimeout = true
-	_ = tcp.SetSilence(c.Conn, 0) // fails only if the connection is closed
+	_ = tcp.SetUserTimeout(c.Conn, 0) // fails only if the connection is closed
 }
 
 // abort makes all pending and later reads and writes fail.
@@ -160,9 +160,9 @@
 		return verdict.New(verdict.UpstreamLost, err)
 	}
 	if errors.Is(err, errHeadTooLarge) || errors.Is(err, errUnusable) {
-		return verdict.New(verdict.AnswerInvalid, err)
+		return verdict.New(verdict.ResponseInvalid, err)
 	}
-	return verdict.New(verdict.AnswerMalformed, err)
+	return verdict.New(verdict.ResponseMalformed, err)
 }
 
 // isBodyError returns whether a write failed because the body of the request could not be read.
--- a/upstream/response.go
+++ b/upstream/response.go
@@ -75,7 +75,7 @@
 		return
 	}
 	n := parseNotice(r.Header, t.Names)
-	if failure != nil && failure.Cause == verdict.AnswerMalformed && !n.Limited && !n.Leaving {
+	if failure != nil && failure.Cause == verdict.ResponseMalformed && !n.Limited && !n.Leaving {
 		return
 	}
 	n.SentAt = sentAt
@@ -95,9 +95,9 @@
 	case names.NotRun != "" && impliesNotRun(r.StatusCode):
 		// A caller reads the status as a guarantee that the request has not run, which the
 		// upstream did not confirm.
-		return verdict.New(verdict.AnswerMalformed, eris.Errorf("status %d without confirmation that the request has not run", r.StatusCode))
+		return verdict.New(verdict.ResponseMalformed, eris.Errorf("status %d without confirmation that the request has not run", r.StatusCode))
 	case names.Signature != "" && r.StatusCode/100 == 2 && r.Header.Get(names.Signature) == "":
-		return verdict.New(verdict.AnswerMalformed, eris.New("successful status without a signature"))
+		return verdict.New(verdict.ResponseMalformed, eris.New("successful status without a signature"))
 	}
 	return nil
 }
--- a/upstream/response_test.go
+++ b/upstream/response_test.go
@@ -44,13 +44,13 @@
 		"late response first":          {response: "HTTP/1.1 200 OK\r\nTest-Id: 0\r\nTest-Signature: s\r\nContent-Length: 5\r\n\r\nother" + ok, body: "mine", status: 200},
 		"late chunked response first":  {response: "HTTP/1.1 200 OK\r\nTest-Id: 0\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nother\r\n0\r\n\r\n" + ok, body: "mine", status: 200},
 		"late large response first":    {response: "HTTP/1.1 200 OK\r\nTest-Id: 0\r\nContent-Length: 2000000\r\n\r\n" + strings.Repeat("x", 2000000) + ok, body: "mine", status: 200},
-		"late response without an end": {response: "HTTP/1.1 200 OK\r\nTest-Id: 0\r\n\r\n" + ok, want: verdict.AnswerMalformed},
+		"late response without an end": {response: "HTTP/1.1 200 OK\r\nTest-Id: 0\r\n\r\n" + ok, want: verdict.ResponseMalformed},
 		"duplicate response after":     {response: ok + ok, body: "mine", status: 200},
-		"success without signature":    {response: "HTTP/1.1 200 OK\r\nTest-Id: 1\r\nContent-Length: 4\r\n\r\nmine", want: verdict.AnswerMalformed},
+		"success without signature":    {response: "HTTP/1.1 200 OK\r\nTest-Id: 1\r\nContent-Length: 4\r\n\r\nmine", want: verdict.ResponseMalformed},
 		"failure without signature":    {response: "HTTP/1.1 500 No\r\nTest-Id: 1\r\nContent-Length: 0\r\n\r\n", status: 500, reused: true},
 		"503, not run":                 {response: "HTTP/1.1 503 No\r\nTest-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", want: verdict.UpstreamRefused},
 		"429, not run":                 {response: "HTTP/1.1 429 No\r\nTest-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", want: verdict.UpstreamRefused},
-		"503 that may have run":        {response: "HTTP/1.1 503 No\r\nTest-Id: 1\r\nContent-Length: 0\r\n\r\n", want: verdict.AnswerMalformed},
+		"503 that may have run":        {response: "HTTP/1.1 503 No\r\nTest-Id: 1\r\nContent-Length: 0\r\n\r\n", want: verdict.ResponseMalformed},
 		"another upstream's address":   {response: "HTTP/1.1 421 No\r\nTest-Instance: x\r\nContent-Length: 0\r\n\r\n", want: verdict.WrongUpstream},
 	}
 	for name, test := range tests {
--- a/upstream/slowread_test.go
+++ b/upstream/slowread_test.go
@@ -88,7 +88,7 @@
 		"a few":                          {count: 7, informed: 7},
 		"one per second for ten minutes": {count: 600, informed: 600},
 		"more than are forwarded":        {count: 10000, informed: 2000},
-		"endless":                        {count: 100000, want: verdict.AnswerInvalid, informed: 2000},
+		"endless":                        {count: 100000, want: verdict.ResponseInvalid, informed: 2000},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/upstream/transport.go
+++ b/upstream/transport.go
@@ -338,7 +338,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for c := range t.busy {
-		_ = tcp.Probe(c.Conn, probeInterval, probeCount) // fails only if the connection is closed
+		_ = tcp.EnableKeepAlive(c.Conn, probeInterval, probeCount) // fails only if the connection is closed
 	}
 }
 
@@ -381,7 +381,7 @@
 	if err == io.EOF {
 		return n, io.EOF
 	}
-	return n, verdict.New(verdict.AnswerTruncated, err)
+	return n, verdict.New(verdict.ResponseTruncated, err)
 }
 
 // Close implements io.Closer.
--- a/upstream/transport_test.go
+++ b/upstream/transport_test.go
@@ -182,9 +182,9 @@
 		"cut chunk":               {response: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nok", status: 200, body: "ok", cut: true},
 		"no response":             {want: verdict.UpstreamLost},
 		"cut head":                {response: "HTTP/1.1 200 OK\r\nCont", want: verdict.UpstreamLost},
-		"garbage":                 {response: "220 mail.example ESMTP\r\n\r\n", want: verdict.AnswerMalformed},
-		"huge head":               {response: "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 1<<17) + "\r\n\r\n", want: verdict.AnswerInvalid},
-		"switches protocols":      {response: "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n", want: verdict.AnswerInvalid},
+		"garbage":                 {response: "220 mail.example ESMTP\r\n\r\n", want: verdict.ResponseMalformed},
+		"huge head":               {response: "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 1<<17) + "\r\n\r\n", want: verdict.ResponseInvalid},
+		"switches protocols":      {response: "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n", want: verdict.ResponseInvalid},
 		"reports not run":         {response: "HTTP/1.1 503 No\r\nSassafras-Verdict: notRun\r\nRetry-After: 2\r\nContent-Length: 0\r\n\r\n", want: verdict.UpstreamRefused},
 		"plain 503 is a response": {response: "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", status: 503, reused: true},
 	}
@@ -214,7 +214,7 @@
 			qt.Check(t, string(data), qt.Equals, test.body)
 			qt.Check(t, err != nil, qt.Equals, test.cut)
 			if test.cut {
-				qt.Check(t, verdict.As(err, "").Cause, qt.Equals, verdict.AnswerTruncated)
+				qt.Check(t, verdict.As(err, "").Cause, qt.Equals, verdict.ResponseTruncated)
 			}
 			qt.Check(t, transport.OpenConns() == 1, qt.Equals, test.reused)
 		})
--- a/upstream/unanswered.go
+++ b/upstream/unanswered.go
@@ -44,7 +44,7 @@
 // recordUnacknowledged records the number of bytes that the upstream's kernel has not acknowledged.
 // The connection must be open.
 func (c *conn) recordUnacknowledged() {
-	n, err := tcp.Unacknowledged(c.Conn)
+	n, err := tcp.UnacknowledgedBytes(c.Conn)
 	if err != nil {
 		n = -1
 	}
--- a/verdict/cause.go
+++ b/verdict/cause.go
@@ -91,15 +91,15 @@
 	// byte had been sent to it, and before it answered.
 	UpstreamLost Cause = "upstreamLost"
 	// AnswerTruncated: the upstream's response ended before it was complete.
-	AnswerTruncated Cause = "answerCut"
+	ResponseTruncated Cause = "answerCut"
 	// WrongUpstream: the address now belongs to another upstream, which reported
 	// that it has not run the request.
 	WrongUpstream Cause = "wrongUpstream"
 	// AnswerMalformed: the upstream did not send a complete response to the request, and
 	// no part of it has been forwarded.
-	AnswerMalformed Cause = "answerSpoilt"
+	ResponseMalformed Cause = "answerSpoilt"
 	// AnswerInvalid: the upstream's response can't be forwarded.
-	AnswerInvalid Cause = "answerInvalid"
+	ResponseInvalid Cause = "answerInvalid"
 )
 
 // CauseInfo holds the properties of a cause.
@@ -170,9 +170,9 @@
 	GateFailed:         {Verdict: MayHaveRun, Status: http.StatusBadGateway, EndedBy: ByGate},
 	UpstreamLost:       {Verdict: MayHaveRun, Status: http.StatusBadGateway, RetryElsewhere: true, EndedBy: ByUpstream},
 	WrongUpstream:      {Verdict: NotRun, Status: http.StatusServiceUnavailable, RetryElsewhere: true, EndedBy: ByUpstream},
-	AnswerMalformed:    {Verdict: MayHaveRun, Status: http.StatusBadGateway, RetryElsewhere: true, EndedBy: ByUpstream},
-	AnswerTruncated:    {Verdict: Ran, Status: http.StatusBadGateway, EndedBy: ByUpstream},
-	AnswerInvalid:      {Verdict: Ran, Status: http.StatusBadGateway, EndedBy: ByUpstream},
+	ResponseMalformed:  {Verdict: MayHaveRun, Status: http.StatusBadGateway, RetryElsewhere: true, EndedBy: ByUpstream},
+	ResponseTruncated:  {Verdict: Ran, Status: http.StatusBadGateway, EndedBy: ByUpstream},
+	ResponseInvalid:    {Verdict: Ran, Status: http.StatusBadGateway, EndedBy: ByUpstream},
 }
 
 // Lookup returns the properties of c. A cause that is not in the table may have
