--- a/acceptance/acceptance_test.go
+++ b/acceptance/acceptance_test.go
@@ -16,7 +16,7 @@
 
 	"sassafrasfront.example/acceptance"
 	"sassafrasfront.example/gossip"
-	"sassafrasfront.example/internal/objectstore"
+	"sassafrasfront.example/internal/objectapitest"
 	"sassafrasfront.example/objectapi"
 	"sassafrasfront.example/operator"
 )
@@ -72,9 +72,9 @@
 	}
 }
 
-func start(t *testing.T) (*objectstore.Server, *objectapi.Client) {
+func start(t *testing.T) (*objectapitest.Server, *objectapi.Client) {
 	t.Helper()
-	s := new(objectstore.Server)
+	s := new(objectapitest.Server)
 	h := httptest.NewServer(s)
 	t.Cleanup(func() {
 		h.CloseClientConnections()
@@ -125,7 +125,7 @@
 func TestRepresentativesRace(t *testing.T) {
 	ctx := context.Background()
 	s, api := start(t)
-	s.SetFaults(objectstore.Faults{LoseWrites: 0.2})
+	s.SetFaults(objectapitest.Faults{LoseWrites: 0.2})
 	const intents = 30
 	var mu sync.Mutex
 	history := make(map[uint64]uint64) // source by sequence
--- a/blocklist/store_test.go
+++ b/blocklist/store_test.go
@@ -14,7 +14,7 @@
 	"github.com/rs/zerolog"
 
 	"sassafrasfront.example/blocklist"
-	"sassafrasfront.example/internal/objectstore"
+	"sassafrasfront.example/internal/objectapitest"
 	"sassafrasfront.example/objectapi"
 	"sassafrasfront.example/quarantine"
 )
@@ -22,7 +22,7 @@
 var fingerprint = quarantine.NewFingerprint("caller", "GET", "h.example", "/fatal").WithBody(nil)
 
 // open returns a Store on a platform, with the index that it fills.
-func open(t *testing.T, store *objectstore.Server) (*blocklist.Store, *quarantine.Index) {
+func open(t *testing.T, store *objectapitest.Server) (*blocklist.Store, *quarantine.Index) {
 	t.Helper()
 	server := httptest.NewServer(store)
 	t.Cleanup(func() {
@@ -67,7 +67,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			ctx := context.Background()
-			writer, _ := open(t, new(objectstore.Server))
+			writer, _ := open(t, new(objectapitest.Server))
 			for _, j := range test.saved {
 				writer.Save(ctx, j)
 			}
@@ -86,7 +86,7 @@
 
 // TestRelease releases a block, and then one that does not exist.
 func TestRelease(t *testing.T) {
-	writer, index := open(t, new(objectstore.Server))
+	writer, index := open(t, new(objectapitest.Server))
 	ctx := context.Background()
 	writer.Save(ctx, blocked(0, "a"))
 	for range 2 {
@@ -99,17 +99,17 @@
 // TestSaveUnderFaults checks that a block is written although the platform loses responses or fails some
 // calls.
 func TestSaveUnderFaults(t *testing.T) {
-	for name, faults := range map[string]objectstore.Faults{
+	for name, faults := range map[string]objectapitest.Faults{
 		"lost responses": {LoseWrites: 0.5},
 		"fails":          {FailureRatio: 0.5},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			store := new(objectstore.Server)
+			store := new(objectapitest.Server)
 			writer, index := open(t, store)
 			store.SetFaults(faults)
 			writer.Save(context.Background(), blocked(0, "a"))
-			store.SetFaults(objectstore.Faults{})
+			store.SetFaults(objectapitest.Faults{})
 			writer.Load(context.Background())
 			qt.Check(t, index.Assess(fingerprint).State, qt.Equals, quarantine.Blocked)
 		})
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -15,22 +15,22 @@
 	qt "github.com/frankban/quicktest"
 
 	"sassafrasfront.example/claim"
-	"sassafrasfront.example/internal/objectstore"
+	"sassafrasfront.example/internal/objectapitest"
 	"sassafrasfront.example/objectapi"
 	"sassafrasfront.example/operator"
 	"sassafrasfront.example/verdict"
 )
 
-func newStore(t *testing.T) (*objectstore.Server, *claim.Store) {
+func newStore(t *testing.T) (*objectapitest.Server, *claim.Store) {
 	t.Helper()
-	s := new(objectstore.Server)
+	s := new(objectapitest.Server)
 	h := httptest.NewServer(s)
 	l := &claim.Store{
 		API:  &objectapi.Client{JSONClient: objectapi.JSONClient{URL: h.URL, Timeout: 300 * time.Millisecond}, Namespace: "test"},
 		Node: "n1",
 	}
 	t.Cleanup(func() {
-		s.SetFaults(objectstore.Faults{})
+		s.SetFaults(objectapitest.Faults{})
 		l.Wait()
 		h.CloseClientConnections()
 		h.Close()
@@ -88,14 +88,14 @@
 // run.
 func TestFaults(t *testing.T) {
 	tests := map[string]struct {
-		faults objectstore.Faults
+		faults objectapitest.Faults
 		want   verdict.Cause
 	}{
 		"none":           {},
-		"down":           {faults: objectstore.Faults{Down: true}, want: verdict.ClaimFailed},
-		"hangs":          {faults: objectstore.Faults{Hang: true}, want: verdict.ClaimFailed},
-		"fails":          {faults: objectstore.Faults{FailureRatio: 1}, want: verdict.ClaimFailed},
-		"lost responses": {faults: objectstore.Faults{LoseWrites: 1}},
+		"down":           {faults: objectapitest.Faults{Down: true}, want: verdict.ClaimFailed},
+		"hangs":          {faults: objectapitest.Faults{Hang: true}, want: verdict.ClaimFailed},
+		"fails":          {faults: objectapitest.Faults{FailureRatio: 1}, want: verdict.ClaimFailed},
+		"lost responses": {faults: objectapitest.Faults{LoseWrites: 1}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -145,10 +145,10 @@
 	qt.Check(t, failed == nil, qt.IsTrue, qt.Commentf("%v", failed))
 	qt.Check(t, c != nil, qt.IsTrue)
 
-	s.SetFaults(objectstore.Faults{Hang: true})
+	s.SetFaults(objectapitest.Faults{Hang: true})
 	_, _, failed = l.Begin(context.Background(), request("a"))
 	qt.Assert(t, failed != nil, qt.IsTrue)
-	s.SetFaults(objectstore.Faults{})
+	s.SetFaults(objectapitest.Faults{})
 	l.Wait()
 	_, _, failed = l.Begin(context.Background(), request("a"))
 	qt.Assert(t, failed != nil, qt.IsTrue)
@@ -158,7 +158,7 @@
 // TestOneOfManyRuns sends the same request through many nodes concurrently, while the platform loses responses.
 func TestOneOfManyRuns(t *testing.T) {
 	s, l := newStore(t)
-	s.SetFaults(objectstore.Faults{LoseWrites: 0.3})
+	s.SetFaults(objectapitest.Faults{LoseWrites: 0.3})
 	var runs atomic.Int32
 	var all sync.WaitGroup
 	for range 20 {
--- a/cmd/sassafrasbench/controls.go
+++ b/cmd/sassafrasbench/controls.go
@@ -15,7 +15,7 @@
 	"sassafrasfront.example/cmd/sassafrasbench/load"
 	"sassafrasfront.example/cmd/sassafrasbench/rig"
 	"sassafrasfront.example/internal/backend"
-	"sassafrasfront.example/internal/objectstore"
+	"sassafrasfront.example/internal/objectapitest"
 	"sassafrasfront.example/objectapi"
 	"sassafrasfront.example/operator"
 )
@@ -117,7 +117,7 @@
 		return err
 	}
 	defer b.stop(r)
-	if err := r.SetFaults(objectstore.Faults{Down: true}); err != nil {
+	if err := r.SetFaults(objectapitest.Faults{Down: true}); err != nil {
 		return err
 	}
 	entries := of(r, "office")
@@ -153,7 +153,7 @@
 		return served
 	}
 	back := time.Now()
-	if err := r.SetFaults(objectstore.Faults{}); err != nil {
+	if err := r.SetFaults(objectapitest.Faults{}); err != nil {
 		return err
 	}
 	spec.Config.Timeout = operator.Duration(3 * time.Second)
@@ -198,7 +198,7 @@
 		return err
 	}
 	defer b.stop(r)
-	if err := r.SetFaults(objectstore.Faults{LoseWrites: 0.2}); err != nil {
+	if err := r.SetFaults(objectapitest.Faults{LoseWrites: 0.2}); err != nil {
 		return err
 	}
 	const operators, writes = 8, 20
@@ -234,7 +234,7 @@
 		})
 	}
 	all.Wait()
-	if err := r.SetFaults(objectstore.Faults{}); err != nil {
+	if err := r.SetFaults(objectapitest.Faults{}); err != nil {
 		return err
 	}
 	last, err := r.API.Get(ctx, operator.KindService, spec.Service)
--- a/cmd/sassafrasbench/rig/rig.go
+++ b/cmd/sassafrasbench/rig/rig.go
@@ -21,7 +21,7 @@
 	"github.com/rotisserie/eris"
 
 	"sassafrasfront.example/internal/backend"
-	"sassafrasfront.example/internal/objectstore"
+	"sassafrasfront.example/internal/objectapitest"
 	"sassafrasfront.example/objectapi"
 	"sassafrasfront.example/operator"
 )
@@ -216,11 +216,11 @@
 }
 
 // SetFaults sets the faults of the platform stand-in.
-func (r *Rig) SetFaults(f objectstore.Faults) error { return put(r.API.URL+"/faults", f) }
+func (r *Rig) SetFaults(f objectapitest.Faults) error { return put(r.API.URL+"/faults", f) }
 
 // Counts returns the calls that the platform stand-in has served.
-func (r *Rig) Counts() (objectstore.Counts, error) {
-	var c objectstore.Counts
+func (r *Rig) Counts() (objectapitest.Counts, error) {
+	var c objectapitest.Counts
 	err := get(r.API.URL+"/counts", &c)
 	return c, err
 }
--- a/cmd/sassafrasbench/roles.go
+++ b/cmd/sassafrasbench/roles.go
@@ -16,7 +16,7 @@
 
 	"sassafrasfront.example/cmd/sassafrasbench/rig"
 	"sassafrasfront.example/internal/backend"
-	"sassafrasfront.example/internal/objectstore"
+	"sassafrasfront.example/internal/objectapitest"
 	"sassafrasfront.example/upstream"
 )
 
@@ -25,7 +25,7 @@
 	if len(args) != 1 {
 		return fmt.Errorf("platform takes an address")
 	}
-	return serve(ctx, args[0], new(objectstore.Server))
+	return serve(ctx, args[0], new(objectapitest.Server))
 }
 
 // runUpstream serves an upstream stand-in and announces it.
--- a/cmd/sassafrasctl/main_test.go
+++ b/cmd/sassafrasctl/main_test.go
@@ -14,7 +14,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"sassafrasfront.example/internal/objectstore"
+	"sassafrasfront.example/internal/objectapitest"
 	"sassafrasfront.example/objectapi"
 	"sassafrasfront.example/operator"
 )
@@ -55,7 +55,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			s := httptest.NewServer(new(objectstore.Server))
+			s := httptest.NewServer(new(objectapitest.Server))
 			defer s.Close()
 			ctx := context.Background()
 			api := &objectapi.Client{JSONClient: objectapi.JSONClient{URL: s.URL}, Namespace: "sassafrasfront"}
--- a/cmd/sassafrasnode/main.go
+++ b/cmd/sassafrasnode/main.go
@@ -24,7 +24,7 @@
 
 	"github.com/peterbourgon/ff/v3/ffcli"
 
-	"sassafrasfront.example/internal/keyvalue"
+	"sassafrasfront.example/internal/logfmt"
 	"sassafrasfront.example/node"
 	"sassafrasfront.example/objectapi"
 	"sassafrasfront.example/platform"
@@ -114,11 +114,11 @@
 		debug.SetGCPercent(gcPercent)
 		debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryMB) * (1 << 20)))
 	}
-	out := keyvalue.NonBlocking(os.Stdout)
+	out := logfmt.NonBlocking(os.Stdout)
 	defer out.Close()
 	n := &node.Node{
 		Settings: *s,
-		Log:      keyvalue.New(out, s.LogLevel).With().Str("node", s.Node).Logger(),
+		Log:      logfmt.New(out, s.LogLevel).With().Str("node", s.Node).Logger(),
 	}
 	if s.Dialect == settings.DialectManaged {
 		n.Platform = managed()
--- a/cmd/sassafrassoak/check.go
+++ b/cmd/sassafrassoak/check.go
@@ -10,13 +10,13 @@
 	"strings"
 	"time"
 
-	"sassafrasfront.example/platform/standin"
+	"sassafrasfront.example/platform/platformtest"
 )
 
 // check returns the promises that were broken. Whole is when the faults had long
 // ended. Safety leaves out those that have a bound on time.
 func (w *world) check(list []outcome, faults []fault, whole time.Time, safety bool) []string {
-	runs := make(map[string][]standin.Run)
+	runs := make(map[string][]platformtest.Run)
 	for _, n := range w.nodes {
 		for _, r := range n.upstream.Load().Runs() {
 			runs[r.ID] = append(runs[r.ID], r)
@@ -71,7 +71,7 @@
 }
 
 // checkOutcomes compares what callers saw with what upstreams ran.
-func checkOutcomes(list []outcome, runs map[string][]standin.Run) []string {
+func checkOutcomes(list []outcome, runs map[string][]platformtest.Run) []string {
 	var broken []string
 	sent := make(map[string]outcome, len(list))
 	for _, o := range list {
@@ -97,7 +97,7 @@
 			continue
 		}
 		for _, r := range list {
-			if ok && (r.Body != standin.SummariseBody(o.body()) || r.Path != "/"+o.route+"/x") {
+			if ok && (r.Body != platformtest.SummariseBody(o.body()) || r.Path != "/"+o.route+"/x") {
 				broken = append(broken, fmt.Sprintf("ran changed: request %s with %s %q", id, r.Path, r.Body))
 			}
 		}
@@ -158,7 +158,7 @@
 // checkUncut wants no request cut that a node had passed on, where all was
 // planned. A request that crosses the closing of an idle connection is read by
 // nobody (RFC 9112, section 9.6) and is no cut.
-func checkUncut(list []outcome, runs map[string][]standin.Run) []string {
+func checkUncut(list []outcome, runs map[string][]platformtest.Run) []string {
 	var broken []string
 	for _, o := range list {
 		if o.cut || o.connection && o.status == 0 && len(runs[o.id]) > 0 {
--- a/cmd/sassafrassoak/check_test.go
+++ b/cmd/sassafrassoak/check_test.go
@@ -12,34 +12,34 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"sassafrasfront.example/platform/standin"
+	"sassafrasfront.example/platform/platformtest"
 )
 
 // TestChecksFail has one row for each promise, broken.
 func TestChecksFail(t *testing.T) {
-	run := func(id, route string) standin.Run {
-		return standin.Run{ID: id, Path: "/" + route + "/x", Body: "body of " + id}
+	run := func(id, route string) platformtest.Run {
+		return platformtest.Run{ID: id, Path: "/" + route + "/x", Body: "body of " + id}
 	}
 	tests := map[string]struct {
 		outcome outcome
-		runs    []standin.Run
+		runs    []platformtest.Run
 		want    string // empty if nothing is broken
 	}{
-		"served":              {outcome{id: "1", route: "a", status: 200}, []standin.Run{run("1", "a")}, ""},
-		"idempotent twice":    {outcome{id: "1", route: "b", status: 200}, []standin.Run{run("1", "b"), run("1", "b")}, ""},
+		"served":              {outcome{id: "1", route: "a", status: 200}, []platformtest.Run{run("1", "a")}, ""},
+		"idempotent twice":    {outcome{id: "1", route: "b", status: 200}, []platformtest.Run{run("1", "b"), run("1", "b")}, ""},
 		"refused":             {outcome{id: "1", route: "a", status: 503}, nil, ""},
-		"lost":                {outcome{id: "1", route: "a", status: 502}, []standin.Run{run("1", "a")}, ""},
-		"twice":               {outcome{id: "1", route: "a", status: 200}, []standin.Run{run("1", "a"), run("1", "a")}, "ran twice"},
-		"refused and ran":     {outcome{id: "1", route: "a", status: 503}, []standin.Run{run("1", "a")}, "told not run"},
-		"foreign":             {outcome{id: "1", route: "b", status: 200, wrong: "x"}, []standin.Run{run("1", "b")}, "foreign"},
+		"lost":                {outcome{id: "1", route: "a", status: 502}, []platformtest.Run{run("1", "a")}, ""},
+		"twice":               {outcome{id: "1", route: "a", status: 200}, []platformtest.Run{run("1", "a"), run("1", "a")}, "ran twice"},
+		"refused and ran":     {outcome{id: "1", route: "a", status: 503}, []platformtest.Run{run("1", "a")}, "told not run"},
+		"foreign":             {outcome{id: "1", route: "b", status: 200, wrong: "x"}, []platformtest.Run{run("1", "b")}, "foreign"},
 		"denied":              {outcome{id: "1", route: "b", status: http.StatusNotFound}, nil, "denied"},
 		"success without run": {outcome{id: "1", route: "b", status: 200}, nil, "without a run"},
-		"changed":             {outcome{id: "1", route: "a", status: 200}, []standin.Run{run("1", "b")}, "changed"},
-		"unasked":             {outcome{id: "1", route: "a", status: 503}, []standin.Run{run("2", "a")}, "unasked"},
+		"changed":             {outcome{id: "1", route: "a", status: 200}, []platformtest.Run{run("1", "b")}, "changed"},
+		"unasked":             {outcome{id: "1", route: "a", status: 503}, []platformtest.Run{run("2", "a")}, "unasked"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			runs := make(map[string][]standin.Run)
+			runs := make(map[string][]platformtest.Run)
 			for _, r := range test.runs {
 				runs[r.ID] = append(runs[r.ID], r)
 			}
@@ -98,7 +98,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			runs := map[string][]standin.Run{"2": {{ID: "2", Upstream: "i-1"}}}
+			runs := map[string][]platformtest.Run{"2": {{ID: "2", Upstream: "i-1"}}}
 			qt.Check(t, checkLeaving([]outcome{told, test.later}, runs), qt.HasLen, test.broken)
 		})
 	}
@@ -113,9 +113,9 @@
 	qt.Check(t, checkRecovery(nil, now), qt.HasLen, 1)
 	cut := outcome{id: "3", connection: true}
 	qt.Check(t, checkUncut([]outcome{cut}, nil), qt.HasLen, 0)
-	qt.Check(t, checkUncut([]outcome{cut}, map[string][]standin.Run{"3": {{ID: "3"}}}), qt.HasLen, 1)
+	qt.Check(t, checkUncut([]outcome{cut}, map[string][]platformtest.Run{"3": {{ID: "3"}}}), qt.HasLen, 1)
 
-	u := &standin.Upstream{ID: "i", Service: "a", Slots: 1}
+	u := &platformtest.Upstream{ID: "i", Service: "a", Slots: 1}
 	addr, err := u.Start()
 	qt.Assert(t, err, qt.IsNil)
 	defer u.Close()
@@ -123,7 +123,7 @@
 	n.upstream.Store(u)
 	w := &world{nodes: []*node{n}}
 	r, _ := http.NewRequest(http.MethodPost, "http://"+addr+"/a/x", nil)
-	r.Header.Set(standin.RequestID, "late")
+	r.Header.Set(platformtest.RequestID, "late")
 	response, err := http.DefaultClient.Do(r)
 	qt.Assert(t, err, qt.IsNil)
 	_ = response.Body.Close()
--- a/cmd/sassafrassoak/faults.go
+++ b/cmd/sassafrassoak/faults.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"sassafrasfront.example/platform/standin"
+	"sassafrasfront.example/platform/platformtest"
 )
 
 // fault is something that is done to the system and undone after a while.
@@ -141,10 +141,10 @@
 		time.Sleep(f.last)
 		n.link.set(open)
 	}
-	store := func(s standin.Faults) {
+	store := func(s platformtest.Faults) {
 		w.store.SetFaults(s)
 		time.Sleep(f.last)
-		w.store.SetFaults(standin.Faults{})
+		w.store.SetFaults(platformtest.Faults{})
 	}
 	switch f.name {
 	case "stop", stopped:
@@ -180,16 +180,16 @@
 		time.Sleep(f.last)
 		w.bursts.Add(-1)
 	case "storeDown":
-		store(standin.Faults{Status: http.StatusServiceUnavailable})
+		store(platformtest.Faults{Status: http.StatusServiceUnavailable})
 	case "storeSilent":
-		store(standin.Faults{Hang: true})
+		store(platformtest.Faults{Hang: true})
 	case "storeLost":
-		store(standin.Faults{LoseWriteResponses: true})
+		store(platformtest.Faults{LoseWriteResponses: true})
 	case "storeForgets":
-		w.store.SetFaults(standin.Faults{SilentWatches: true})
+		w.store.SetFaults(platformtest.Faults{SilentWatches: true})
 		time.Sleep(f.last / 4)
 		w.store.DropHistory()
-		w.store.SetFaults(standin.Faults{})
+		w.store.SetFaults(platformtest.Faults{})
 	case "configure":
 		w.addRoute()
 	case restored:
@@ -215,10 +215,10 @@
 	copied := w.store.Snapshot()
 	w.addRoute()
 	time.Sleep(last)
-	w.store.SetFaults(standin.Faults{Status: http.StatusServiceUnavailable})
+	w.store.SetFaults(platformtest.Faults{Status: http.StatusServiceUnavailable})
 	time.Sleep(last / 4)
 	w.store.Restore(copied)
-	w.store.SetFaults(standin.Faults{})
+	w.store.SetFaults(platformtest.Faults{})
 	time.Sleep(last / 2)
 	w.configuring.Lock()
 	defer w.configuring.Unlock()
--- a/cmd/sassafrassoak/keys.go
+++ b/cmd/sassafrassoak/keys.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"sassafrasfront.example/platform/standin"
+	"sassafrasfront.example/platform/platformtest"
 )
 
 const (
@@ -77,7 +77,7 @@
 // checkKeys returns which requests ran with a key that had been revoked for longer than the
 // bound when they were sent, and which upstreams were told of a key, or of an organisation
 // that is not the key's.
-func (w *world) checkKeys(list []outcome, runs map[string][]standin.Run) []string {
+func (w *world) checkKeys(list []outcome, runs map[string][]platformtest.Run) []string {
 	var broken []string
 	var served int
 	for _, o := range list {
--- a/cmd/sassafrassoak/limits.go
+++ b/cmd/sassafrassoak/limits.go
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"sassafrasfront.example/platform/standin"
+	"sassafrasfront.example/platform/platformtest"
 )
 
 // limited has an upstream name a limit in its answers for a time, and leavingTold has one say
@@ -114,7 +114,7 @@
 
 // checkLeaving finds requests that ran at an upstream though the node that they began at had passed
 // on, drainBound before, that it leaves.
-func checkLeaving(list []outcome, runs map[string][]standin.Run) []string {
+func checkLeaving(list []outcome, runs map[string][]platformtest.Run) []string {
 	type pair struct{ node, upstream string }
 	told := make(map[pair]time.Time)
 	for _, o := range list {
--- a/cmd/sassafrassoak/play.go
+++ b/cmd/sassafrassoak/play.go
@@ -20,7 +20,7 @@
 	"sync/atomic"
 	"time"
 
-	"sassafrasfront.example/platform/standin"
+	"sassafrasfront.example/platform/platformtest"
 )
 
 const (
@@ -278,8 +278,8 @@
 		r.ContentLength = -1
 	}
 	r.Host = "h.example"
-	r.Header.Set(standin.RequestID, o.id)
-	r.Header.Set(standin.Timeout, fmt.Sprint(o.deadline.Milliseconds()))
+	r.Header.Set(platformtest.RequestID, o.id)
+	r.Header.Set(platformtest.Timeout, fmt.Sprint(o.deadline.Milliseconds()))
 	if o.key != "" {
 		r.Header.Set("Authorization", "Bearer "+o.key)
 	}
@@ -298,13 +298,13 @@
 		o.failure = err.Error()
 		return
 	}
-	o.signed = response.Header.Get(standin.Signature) != ""
+	o.signed = response.Header.Get(platformtest.Signature) != ""
 	if o.status == http.StatusOK {
 		upstream, _, _ := strings.Cut(string(body), " ")
-		if response.Header.Get(standin.Leaving) != "" {
+		if response.Header.Get(platformtest.Leaving) != "" {
 			o.leaver = upstream
 		}
-		if string(body) != upstream+" ran "+o.id || response.Header.Get(standin.Signature) != standin.Sign(upstream, o.id) {
+		if string(body) != upstream+" ran "+o.id || response.Header.Get(platformtest.Signature) != platformtest.Sign(upstream, o.id) {
 			o.wrong = fmt.Sprintf("%q", body)
 		}
 	}
--- a/cmd/sassafrassoak/stops.go
+++ b/cmd/sassafrassoak/stops.go
@@ -15,7 +15,7 @@
 	"syscall"
 	"time"
 
-	"sassafrasfront.example/platform/standin"
+	"sassafrasfront.example/platform/platformtest"
 )
 
 // stopped is a stop in a series that may overlap with others, and with a SIGHUP and a second
@@ -217,7 +217,7 @@
 const lastsMark = "~"
 
 // lasts returns how long a request runs.
-func lasts(r standin.Run) time.Duration {
+func lasts(r platformtest.Run) time.Duration {
 	const usual = 15 * time.Millisecond
 	if _, text, found := strings.Cut(r.ID, lastsMark); found {
 		if d, err := time.ParseDuration(text); err == nil {
@@ -229,8 +229,8 @@
 
 // endedRun is a run at the upstream of a node, with how it ended.
 type endedRun struct {
-	standin.Run
-	standin.RunEnd
+	platformtest.Run
+	platformtest.RunEnd
 	node string
 }
 
--- a/cmd/sassafrassoak/stops_test.go
+++ b/cmd/sassafrassoak/stops_test.go
@@ -15,7 +15,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"sassafrasfront.example/platform/standin"
+	"sassafrasfront.example/platform/platformtest"
 )
 
 // TestAtWorkCheckFails has a request given up while its upstream is at work, with and without what
@@ -78,7 +78,7 @@
 				w.deeds = append(w.deeds, test.deed)
 			}
 			ran := map[string][]endedRun{"1": {{
-				Run:  standin.Run{ID: "1", At: at(test.began)},
+				Run:  platformtest.Run{ID: "1", At: at(test.began)},
 				node: "gate",
 			}}}
 			list := w.checkAtWork([]outcome{test.outcome}, ran)
@@ -90,10 +90,10 @@
 // TestEndingsOfRuns has an upstream tell which runs their callers broke off.
 func TestEndingsOfRuns(t *testing.T) {
 	ctx, leave := context.WithCancel(t.Context())
-	u := &standin.Upstream{
+	u := &platformtest.Upstream{
 		ID:    "i",
 		Slots: 2,
-		ServiceTimeFunc: func(r standin.Run) time.Duration {
+		ServiceTimeFunc: func(r platformtest.Run) time.Duration {
 			if r.ID == "whole" {
 				return time.Millisecond
 			}
@@ -119,7 +119,7 @@
 		time.Sleep(time.Millisecond)
 		runs, endings = u.RunsAndEnds()
 	}
-	qt.Check(t, runs[0].Body, qt.Equals, standin.SummariseBody(whole.body()))
+	qt.Check(t, runs[0].Body, qt.Equals, platformtest.SummariseBody(whole.body()))
 	qt.Check(t, strings.HasPrefix(runs[0].Body, "102400 bytes"), qt.IsTrue)
 	qt.Check(t, endings[0].CancelledAt.IsZero(), qt.IsTrue)
 	qt.Check(t, endings[0].FinishedAt.IsZero(), qt.IsFalse)
--- a/cmd/sassafrassoak/world.go
+++ b/cmd/sassafrassoak/world.go
@@ -20,7 +20,7 @@
 	"syscall"
 	"time"
 
-	"sassafrasfront.example/platform/standin"
+	"sassafrasfront.example/platform/platformtest"
 )
 
 const (
@@ -36,7 +36,7 @@
 type world struct {
 	program string
 	dir     string
-	store   *standin.Store
+	store   *platformtest.Store
 	server  *httptest.Server
 	front   *proxy // of the store
 	nodes   []*node
@@ -63,7 +63,7 @@
 	link              *proxy // of peers to the node
 	upstreamAt        string
 	config            string
-	upstream          atomic.Pointer[standin.Upstream]
+	upstream          atomic.Pointer[platformtest.Upstream]
 	drainAcknowledged atomic.Int64 // when, in nanoseconds since 1970, or 0
 
 	limiting sync.Mutex // held while the upstream names a limit
@@ -86,7 +86,7 @@
 		program: o.program,
 		stops:   o.stops,
 		dir:     dir,
-		store:   &standin.Store{Era: 1},
+		store:   &platformtest.Store{Era: 1},
 		done:    make(chan struct{}),
 		routes:  []string{"a", "b"},
 	}
@@ -114,7 +114,7 @@
 
 // build starts a node with its upstream.
 func (w *world) build(n *node, seed uint64) error {
-	u := &standin.Upstream{ID: fmt.Sprintf("i-%s-%d", n.name, seed), Service: n.service, Slots: 8, ServiceTime: 15 * time.Millisecond}
+	u := &platformtest.Upstream{ID: fmt.Sprintf("i-%s-%d", n.name, seed), Service: n.service, Slots: 8, ServiceTime: 15 * time.Millisecond}
 	if w.stops {
 		u.ServiceTimeFunc = lasts
 	}
--- a/contact/book_test.go
+++ b/contact/book_test.go
@@ -18,13 +18,13 @@
 	"github.com/rs/zerolog"
 
 	"sassafrasfront.example/contact"
-	"sassafrasfront.example/internal/objectstore"
+	"sassafrasfront.example/internal/objectapitest"
 	"sassafrasfront.example/objectapi"
 )
 
 // TestBook has nodes register and find each other, one of them at a new address.
 func TestBook(t *testing.T) {
-	store := new(objectstore.Server)
+	store := new(objectapitest.Server)
 	server := httptest.NewServer(store)
 	defer server.Close()
 	api := &objectapi.Client{JSONClient: objectapi.JSONClient{URL: server.URL, Timeout: time.Second}, Namespace: "test"}
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -20,7 +20,7 @@
 
 	"sassafrasfront.example/contact"
 	"sassafrasfront.example/gossip"
-	"sassafrasfront.example/internal/objectstore"
+	"sassafrasfront.example/internal/objectapitest"
 	"sassafrasfront.example/member"
 	"sassafrasfront.example/objectapi"
 	"sassafrasfront.example/operator"
@@ -32,7 +32,7 @@
 // platform.
 type cluster struct {
 	t     *testing.T
-	store *objectstore.Server
+	store *objectapitest.Server
 	api   *objectapi.Client
 	nodes []*testNode
 	// directory, if not nil, is the contact directory of the nodes that are added.
@@ -48,7 +48,7 @@
 }
 
 func newCluster(t *testing.T) *cluster {
-	c := &cluster{t: t, store: new(objectstore.Server)}
+	c := &cluster{t: t, store: new(objectapitest.Server)}
 	h := httptest.NewServer(c.store)
 	t.Cleanup(func() {
 		for _, n := range c.nodes {
@@ -290,7 +290,7 @@
 // TestOutage makes the platform unavailable or unresponsive. Announcements must still reach all
 // nodes, a node that starts must be served, and no configuration may revert.
 func TestOutage(t *testing.T) {
-	tests := map[string]objectstore.Faults{
+	tests := map[string]objectapitest.Faults{
 		"down":  {Down: true},
 		"hangs": {Hang: true},
 	}
@@ -314,7 +314,7 @@
 			time.Sleep(2 * c.nodes[0].Timing.Lease)
 			c.add("born", "z0", c.nodes[0].Self.Addr)
 			c.allHave("a", 1)
-			c.store.SetFaults(objectstore.Faults{})
+			c.store.SetFaults(objectapitest.Faults{})
 			c.apply("a", `{"hosts":["a.example"],"policy":"random"}`)
 			c.allHave("a", 2)
 		})
@@ -349,7 +349,7 @@
 	c.eventually("accepted", func() bool { return c.nodes[0].Snapshot().Services["a"] != nil })
 	c.eventually("the latest configuration is active", func() bool { return c.nodes[0].Snapshot().Services["a"].Config.Policy == "random" })
 	sequence := c.nodes[0].Snapshot().Sequences["a"]
-	c.store.SetFaults(objectstore.Faults{Down: true})
+	c.store.SetFaults(objectapitest.Faults{Down: true})
 	for _, n := range c.nodes[1:] {
 		n.stop()
 	}
--- a/entry/bodylink_test.go
+++ b/entry/bodylink_test.go
@@ -16,7 +16,7 @@
 	qt "github.com/frankban/quicktest"
 
 	"sassafrasfront.example/entry"
-	"sassafrasfront.example/internal/playnet"
+	"sassafrasfront.example/internal/simnet"
 	"sassafrasfront.example/peer"
 	"sassafrasfront.example/verdict"
 )
@@ -59,16 +59,16 @@
 		stream     bool          // whether the body can be read once only
 		queue      time.Duration // how long the call waits to be admitted
 		faultAfter time.Duration // from the arrival of the call until the link falls silent
-		fault      func(h *playnet.Host)
+		fault      func(h *simnet.Host)
 	}{
-		"ahead, nothing asked for":           {size: 120 << 10, fault: func(h *playnet.Host) { h.PauseLink(silence) }},
-		"ahead, requested over a lost path":  {size: 120 << 10, fault: func(h *playnet.Host) { h.PauseUplink(silence) }},
-		"ahead, partly sent":                 {size: 240 << 10, faultAfter: 50 * time.Millisecond, fault: func(h *playnet.Host) { h.PauseLink(silence) }},
-		"ahead, partly sent, one way silent": {size: 240 << 10, faultAfter: 50 * time.Millisecond, fault: func(h *playnet.Host) { h.PauseUplink(silence) }},
-		"stream, waits to be admitted":       {size: 300 << 10, stream: true, queue: time.Second, faultAfter: 50 * time.Millisecond, fault: func(h *playnet.Host) { h.PauseLink(silence) }},
-		"stream, admitted over a lost path":  {size: 300 << 10, stream: true, queue: 60 * time.Millisecond, faultAfter: 50 * time.Millisecond, fault: func(h *playnet.Host) { h.PauseUplink(silence) }},
-		"large, waits to be admitted":        {size: 300 << 10, queue: time.Second, faultAfter: 50 * time.Millisecond, fault: func(h *playnet.Host) { h.PauseLink(silence) }},
-		"ahead, process suspended":           {size: 120 << 10, fault: func(h *playnet.Host) { h.SuspendProcess(silence) }},
+		"ahead, nothing asked for":           {size: 120 << 10, fault: func(h *simnet.Host) { h.PauseLink(silence) }},
+		"ahead, requested over a lost path":  {size: 120 << 10, fault: func(h *simnet.Host) { h.PauseUplink(silence) }},
+		"ahead, partly sent":                 {size: 240 << 10, faultAfter: 50 * time.Millisecond, fault: func(h *simnet.Host) { h.PauseLink(silence) }},
+		"ahead, partly sent, one way silent": {size: 240 << 10, faultAfter: 50 * time.Millisecond, fault: func(h *simnet.Host) { h.PauseUplink(silence) }},
+		"stream, waits to be admitted":       {size: 300 << 10, stream: true, queue: time.Second, faultAfter: 50 * time.Millisecond, fault: func(h *simnet.Host) { h.PauseLink(silence) }},
+		"stream, admitted over a lost path":  {size: 300 << 10, stream: true, queue: 60 * time.Millisecond, faultAfter: 50 * time.Millisecond, fault: func(h *simnet.Host) { h.PauseUplink(silence) }},
+		"large, waits to be admitted":        {size: 300 << 10, queue: time.Second, faultAfter: 50 * time.Millisecond, fault: func(h *simnet.Host) { h.PauseLink(silence) }},
+		"ahead, process suspended":           {size: 120 << 10, fault: func(h *simnet.Host) { h.SuspendProcess(silence) }},
 	} {
 		for kind, idempotent := range map[string]bool{"idempotent": true, "not idempotent": false} {
 			t.Run(name+", "+kind, func(t *testing.T) {
--- a/entry/deadnode_test.go
+++ b/entry/deadnode_test.go
@@ -14,7 +14,7 @@
 	qt "github.com/frankban/quicktest"
 
 	"sassafrasfront.example/entry"
-	"sassafrasfront.example/internal/playnet"
+	"sassafrasfront.example/internal/simnet"
 	"sassafrasfront.example/operator"
 	"sassafrasfront.example/peer"
 	"sassafrasfront.example/verdict"
@@ -31,8 +31,8 @@
 )
 
 // fastNetwork returns a network without a rate limit.
-func fastNetwork() *playnet.Network {
-	return &playnet.Network{Latency: linkDelay, WindowBytes: linkWindow, UserTimeout: linkTimeout}
+func fastNetwork() *simnet.Network {
+	return &simnet.Network{Latency: linkDelay, WindowBytes: linkWindow, UserTimeout: linkTimeout}
 }
 
 // retryConfig returns the configuration of a service whose requests may be retried.
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -18,7 +18,7 @@
 	qt "github.com/frankban/quicktest"
 
 	"sassafrasfront.example/entry"
-	"sassafrasfront.example/internal/playnet"
+	"sassafrasfront.example/internal/simnet"
 	"sassafrasfront.example/operator"
 	"sassafrasfront.example/peer"
 	"sassafrasfront.example/verdict"
@@ -82,7 +82,7 @@
 // caller calls stop.
 func newSimDispatcher(config operator.Service, n int, handlers ...gateFunc) (d *entry.Dispatcher, g *gates, stop func()) {
 	g = new(gates)
-	network := &playnet.Network{Latency: 100 * time.Microsecond, WindowBytes: linkWindow}
+	network := &simnet.Network{Latency: 100 * time.Microsecond, WindowBytes: linkWindow}
 	from := network.Host("entry")
 	ctx, cancel := context.WithCancel(context.Background())
 	var servers, calls sync.WaitGroup
--- a/entry/lostpacket_test.go
+++ b/entry/lostpacket_test.go
@@ -11,7 +11,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"sassafrasfront.example/internal/playnet"
+	"sassafrasfront.example/internal/simnet"
 	"sassafrasfront.example/operator"
 )
 
@@ -30,7 +30,7 @@
 			for after := time.Duration(0); after < linkWork; after += 25 * time.Millisecond {
 				synctest.Test(t, func(t *testing.T) {
 					config := operator.Service{Retry: operator.Retry{MaxAttempts: 3, Ratio: 1, Burst: 10}}
-					w := newSimCluster(2, &playnet.Network{Latency: time.Millisecond, WindowBytes: linkWindow, UserTimeout: linkTimeout}, config, 0)
+					w := newSimCluster(2, &simnet.Network{Latency: time.Millisecond, WindowBytes: linkWindow, UserTimeout: linkTimeout}, config, 0)
 					defer w.stop()
 					time.Sleep(time.Second)
 					time.AfterFunc(after, func() { lose(w) })
--- a/entry/replacedlink_test.go
+++ b/entry/replacedlink_test.go
@@ -18,7 +18,7 @@
 	qt "github.com/frankban/quicktest"
 
 	"sassafrasfront.example/entry"
-	"sassafrasfront.example/internal/playnet"
+	"sassafrasfront.example/internal/simnet"
 	"sassafrasfront.example/operator"
 	"sassafrasfront.example/peer"
 	"sassafrasfront.example/verdict"
@@ -38,7 +38,7 @@
 }
 
 // dial returns a function that dials from h and counts the connections.
-func (d *connCounter) dial(h *playnet.Host) func(ctx context.Context, addr string) (net.Conn, error) {
+func (d *connCounter) dial(h *simnet.Host) func(ctx context.Context, addr string) (net.Conn, error) {
 	return func(ctx context.Context, addr string) (net.Conn, error) {
 		c, err := h.Dial(ctx, addr)
 		if err != nil {
--- a/entry/silentlink_test.go
+++ b/entry/silentlink_test.go
@@ -17,7 +17,7 @@
 	qt "github.com/frankban/quicktest"
 
 	"sassafrasfront.example/entry"
-	"sassafrasfront.example/internal/playnet"
+	"sassafrasfront.example/internal/simnet"
 	"sassafrasfront.example/operator"
 	"sassafrasfront.example/peer"
 )
@@ -41,10 +41,10 @@
 
 // simCluster is an entry node and gates on a simulated network with a fake clock.
 type simCluster struct {
-	*playnet.Network
+	*simnet.Network
 	dispatcher *entry.Dispatcher
-	entry      *playnet.Host
-	gates      []*playnet.Host
+	entry      *simnet.Host
+	gates      []*simnet.Host
 	dials      connCounter
 	stop       func()
 	// cutGate closes the listener and the connections of a gate.
@@ -68,13 +68,13 @@
 
 // newSimCluster starts an entry node and n gates on a network. Their upstreams take linkWork for
 // each call and answer with the given number of bytes.
-func newSimCluster(n int, network *playnet.Network, config operator.Service, answer int) *simCluster {
+func newSimCluster(n int, network *simnet.Network, config operator.Service, answer int) *simCluster {
 	limits := peer.Limits{SilenceTimeout: linkSilence, HandshakeTimeout: linkHandshake}
 	return newSimClusterWithin(limits, n, network, config, answer)
 }
 
 // newSimClusterWithin is like newSimCluster, with limits on the entry node's connections.
-func newSimClusterWithin(limits peer.Limits, n int, network *playnet.Network, config operator.Service, answer int) *simCluster {
+func newSimClusterWithin(limits peer.Limits, n int, network *simnet.Network, config operator.Service, answer int) *simCluster {
 	w := &simCluster{
 		Network: network,
 		entry:   network.Host("entry"),
@@ -233,7 +233,7 @@
 	for name, idempotent := range map[string]bool{"idempotent": true, "not idempotent": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newSimCluster(1, &playnet.Network{Latency: time.Millisecond, WindowBytes: linkWindow, UserTimeout: linkTimeout}, noRetryConfig(), 0)
+				w := newSimCluster(1, &simnet.Network{Latency: time.Millisecond, WindowBytes: linkWindow, UserTimeout: linkTimeout}, noRetryConfig(), 0)
 				defer w.stop()
 				time.Sleep(time.Second)
 				time.AfterFunc(100*time.Millisecond, func() { fault(w) })
@@ -301,7 +301,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newSimCluster(test.gates, &playnet.Network{LinkBandwidth: linkRate, Latency: time.Millisecond, WindowBytes: linkWindow, UserTimeout: linkTimeout}, noRetryConfig(), test.answer)
+				w := newSimCluster(test.gates, &simnet.Network{LinkBandwidth: linkRate, Latency: time.Millisecond, WindowBytes: linkWindow, UserTimeout: linkTimeout}, noRetryConfig(), test.answer)
 				defer w.stop()
 				time.Sleep(time.Second)
 				var requests sync.WaitGroup
--- a/entry/stalled_test.go
+++ b/entry/stalled_test.go
@@ -13,7 +13,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"sassafrasfront.example/internal/playnet"
+	"sassafrasfront.example/internal/simnet"
 	"sassafrasfront.example/peer"
 	"sassafrasfront.example/verdict"
 )
@@ -21,9 +21,9 @@
 // TestRetryAfterRefusedRetry guards against callers that wait until an instance is proven to be lost,
 // because the one gate to which their requests were sent in the meantime had no room.
 func TestRetryAfterRefusedRetry(t *testing.T) {
-	for name, fault := range map[string]func(h *playnet.Host){
-		"instance without power": func(h *playnet.Host) { h.PowerOff() },
-		"silent for 2 s":         func(h *playnet.Host) { h.PauseLink(2 * time.Second) },
+	for name, fault := range map[string]func(h *simnet.Host){
+		"instance without power": func(h *simnet.Host) { h.PowerOff() },
+		"silent for 2 s":         func(h *simnet.Host) { h.PauseLink(2 * time.Second) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/keyvalue/line_test.go
+++ b/internal/logfmt/line_test.go
@@ -2,7 +2,7 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-package keyvalue_test
+package logfmt_test
 
 import (
 	"bytes"
@@ -15,11 +15,11 @@
 
 	"github.com/rs/zerolog"
 
-	"sassafrasfront.example/internal/keyvalue"
+	"sassafrasfront.example/internal/logfmt"
 )
 
 func BenchmarkLine(b *testing.B) {
-	log := keyvalue.New(io.Discard, "info")
+	log := logfmt.New(io.Discard, "info")
 	b.ReportAllocs()
 	for b.Loop() {
 		log.Info().Str("requestId", "7fc51bd4df09197c").Dur("afterMs", 5*time.Millisecond).Str("to", "sidecar-nbo-b-23").Str("load", "6.6/14").Float64("slowdown", 1).Float64("failing", 0).Dur("serviceMs", 372*time.Millisecond).Dur("reportAgeMs", 121*time.Millisecond).Msg("request sent")
@@ -60,7 +60,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			var b bytes.Buffer
-			log := keyvalue.New(&b, "info")
+			log := logfmt.New(&b, "info")
 			test.log(&log)
 			when, rest, _ := strings.Cut(b.String(), " ")
 			qt.Check(t, strings.HasPrefix(when, "time=20"), qt.IsTrue, qt.Commentf("%s", when))
--- a/internal/keyvalue/logger_test.go
+++ b/internal/logfmt/logger_test.go
@@ -2,7 +2,7 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-package keyvalue_test
+package logfmt_test
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"sassafrasfront.example/internal/keyvalue"
+	"sassafrasfront.example/internal/logfmt"
 )
 
 func TestValuesCannotForge(t *testing.T) {
@@ -31,7 +31,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			var b bytes.Buffer
-			log := keyvalue.New(&b, "info")
+			log := logfmt.New(&b, "info")
 			log.Info().Str("k", test.value).Int("n", 7).Bool("yes", true).Err(errors.New("bad thing")).Msg("it happened")
 			line := b.String()
 			qt.Check(t, strings.Count(line, "\n"), qt.Equals, 1)
@@ -46,7 +46,7 @@
 
 func TestLevel(t *testing.T) {
 	var b bytes.Buffer
-	log := keyvalue.New(&b, "warn")
+	log := logfmt.New(&b, "warn")
 	log.Info().Msg("no")
 	qt.Check(t, b.Len(), qt.Equals, 0)
 }
--- a/internal/playnet/doc.go
+++ b/internal/simnet/doc.go
@@ -2,7 +2,7 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Package playnet plays a network for tests on the clock of testing/synctest: instances
+// Package simnet plays a network for tests on the clock of testing/synctest: instances
 // whose links have a rate, a delay and a first-in first-out queue, and connections whose
 // ends have kernels. A kernel has buffers of a bounded size, acknowledges what arrives
 // whether or not its process reads it, and ends a connection with ETIMEDOUT once what was
@@ -11,4 +11,4 @@
 //
 // Tests have links fall silent, packets be lost, processes be suspended, instances lose
 // their power and connections be reset.
-package playnet
+package simnet
--- a/internal/playnet/playnet_test.go
+++ b/internal/simnet/playnet_test.go
@@ -2,7 +2,7 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-package playnet_test
+package simnet_test
 
 import (
 	"bytes"
@@ -17,7 +17,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"sassafrasfront.example/internal/playnet"
+	"sassafrasfront.example/internal/simnet"
 )
 
 // delay is what a packet takes in tests beside its time on the links.
@@ -25,12 +25,12 @@
 
 // pair is a connection from one host to another.
 type pair struct {
-	a, b      *playnet.Host
+	a, b      *simnet.Host
 	near, far net.Conn
 }
 
 // connect makes a pair on a network.
-func connect(t *testing.T, n *playnet.Network) *pair {
+func connect(t *testing.T, n *simnet.Network) *pair {
 	t.Helper()
 	p := &pair{
 		a: n.Host("a"),
@@ -50,29 +50,29 @@
 func TestArrival(t *testing.T) {
 	const rate = 100_000
 	for name, test := range map[string]struct {
-		network *playnet.Network // nil for one without bounds
+		network *simnet.Network // nil for one without bounds
 		size    int
 		trouble func(p *pair)
 		want    time.Duration
 	}{
 		"one packet":                    {size: 100, want: delay},
-		"one packet at a rate":          {network: &playnet.Network{LinkBandwidth: rate}, size: 1000, want: 20*time.Millisecond + delay},
-		"many packets at a rate":        {network: &playnet.Network{LinkBandwidth: rate}, size: 150_000, want: 1515*time.Millisecond + delay},
+		"one packet at a rate":          {network: &simnet.Network{LinkBandwidth: rate}, size: 1000, want: 20*time.Millisecond + delay},
+		"many packets at a rate":        {network: &simnet.Network{LinkBandwidth: rate}, size: 150_000, want: 1515*time.Millisecond + delay},
 		"both ways silent":              {size: 100, trouble: func(p *pair) { p.b.PauseLink(time.Second) }, want: time.Second + delay},
 		"sender silent":                 {size: 100, trouble: func(p *pair) { p.a.PauseUplink(time.Second) }, want: time.Second + delay},
 		"only the way back silent":      {size: 100, trouble: func(p *pair) { p.b.PauseUplink(time.Second) }, want: delay},
-		"silent for less than Timeout":  {network: &playnet.Network{UserTimeout: 2 * time.Second}, size: 100, trouble: func(p *pair) { p.b.PauseLink(time.Second) }, want: time.Second + delay},
+		"silent for less than Timeout":  {network: &simnet.Network{UserTimeout: 2 * time.Second}, size: 100, trouble: func(p *pair) { p.b.PauseLink(time.Second) }, want: time.Second + delay},
 		"a packet is lost":              {size: 100, trouble: func(p *pair) { p.a.DropPackets(1) }, want: 200*time.Millisecond + delay},
 		"a packet is lost three times":  {size: 5000, trouble: func(p *pair) { p.a.DropPackets(3) }, want: 1400*time.Millisecond + delay},
 		"receiver suspended":            {size: 100, trouble: func(p *pair) { p.b.SuspendProcess(time.Second) }, want: time.Second},
 		"sender suspended":              {size: 100, trouble: func(p *pair) { p.a.SuspendProcess(time.Second) }, want: time.Second + delay},
-		"a window is under way at once": {network: &playnet.Network{WindowBytes: 1500}, size: 4500, want: 5 * delay},
+		"a window is under way at once": {network: &simnet.Network{WindowBytes: 1500}, size: 4500, want: 5 * delay},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				network := test.network
 				if network == nil {
-					network = new(playnet.Network)
+					network = new(simnet.Network)
 				}
 				network.Latency = delay
 				if network.WindowBytes == 0 {
@@ -119,7 +119,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := connect(t, &playnet.Network{Latency: delay, WindowBytes: 1 << 20, UserTimeout: timeout})
+				p := connect(t, &simnet.Network{Latency: delay, WindowBytes: 1 << 20, UserTimeout: timeout})
 				test.trouble(p)
 				began := time.Now()
 				if !test.silent {
@@ -136,7 +136,7 @@
 				qt.Check(t, errors.Is(err, test.want), qt.IsTrue, qt.Commentf("%v", err))
 				qt.Check(t, time.Since(began), qt.Equals, test.after)
 				if test.want != io.EOF {
-					qt.Check(t, p.a.ConnFailures(), qt.DeepEquals, []playnet.ConnFailure{{Peer: "b", At: time.Now(), Err: test.want}}, qt.Commentf("%v", err))
+					qt.Check(t, p.a.ConnFailures(), qt.DeepEquals, []simnet.ConnFailure{{Peer: "b", At: time.Now(), Err: test.want}}, qt.Commentf("%v", err))
 				}
 			})
 		})
@@ -163,7 +163,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := connect(t, &playnet.Network{Latency: delay, WindowBytes: window, SendBufferBytes: buffer, UserTimeout: timeout})
+				p := connect(t, &simnet.Network{Latency: delay, WindowBytes: window, SendBufferBytes: buffer, UserTimeout: timeout})
 				began := time.Now()
 				if test.reads > 0 {
 					time.AfterFunc(test.reads, func() { _, _ = io.Copy(io.Discard, p.far) })
@@ -195,17 +195,17 @@
 // TestDial opens connections to hosts that take none.
 func TestDial(t *testing.T) {
 	for name, test := range map[string]struct {
-		trouble func(h *playnet.Host)
+		trouble func(h *simnet.Host)
 		want    error
 		after   time.Duration
 	}{
-		"nobody listens":     {trouble: func(*playnet.Host) {}, want: syscall.ECONNREFUSED, after: 2 * delay},
-		"listener closed":    {trouble: func(h *playnet.Host) { _ = h.Listen().Close() }, want: syscall.ECONNREFUSED, after: 2 * delay},
-		"host without power": {trouble: func(h *playnet.Host) { h.Listen(); h.PowerOff() }, want: context.DeadlineExceeded, after: time.Second},
+		"nobody listens":     {trouble: func(*simnet.Host) {}, want: syscall.ECONNREFUSED, after: 2 * delay},
+		"listener closed":    {trouble: func(h *simnet.Host) { _ = h.Listen().Close() }, want: syscall.ECONNREFUSED, after: 2 * delay},
+		"host without power": {trouble: func(h *simnet.Host) { h.Listen(); h.PowerOff() }, want: context.DeadlineExceeded, after: time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				n := &playnet.Network{Latency: delay, WindowBytes: 1 << 20}
+				n := &simnet.Network{Latency: delay, WindowBytes: 1 << 20}
 				test.trouble(n.Host("b"))
 				ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 				defer cancel()
--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -15,7 +15,7 @@
 
 	"sassafrasfront.example/operator"
 	"sassafrasfront.example/platform"
-	"sassafrasfront.example/platform/standin"
+	"sassafrasfront.example/platform/platformtest"
 )
 
 // zoned is a system of two availability zones, with two upstreams of a service in each.
@@ -143,13 +143,13 @@
 	z.serving()
 	z.untouched(z.far)
 
-	z.store.SetFaults(standin.Faults{Status: 503})
+	z.store.SetFaults(platformtest.Faults{Status: 503})
 	z.untouched(z.far)
 	z.far[0].stop()
 	z.run(z.far[0])
 	z.eventually("others tell it what is in force", func() bool { return len(z.zones(z.far[0])) == 1 })
 	z.serving()
-	z.store.SetFaults(standin.Faults{})
+	z.store.SetFaults(platformtest.Faults{})
 	z.untouched(z.far)
 
 	qt.Check(t, z.runs(z.far), qt.Equals, reached, qt.Commentf("nothing reached them, over all of that"))
--- a/node/fatal_test.go
+++ b/node/fatal_test.go
@@ -17,7 +17,7 @@
 	qt "github.com/frankban/quicktest"
 
 	"sassafrasfront.example/operator"
-	"sassafrasfront.example/platform/standin"
+	"sassafrasfront.example/platform/platformtest"
 )
 
 const (
@@ -34,12 +34,12 @@
 // as a new start.
 type mortals struct {
 	w     *world
-	fatal func(r standin.Run) bool
+	fatal func(r platformtest.Run) bool
 
 	mu     sync.Mutex
 	ends   int
 	closed bool
-	all    []*standin.Upstream
+	all    []*platformtest.Upstream
 }
 
 // add starts a node beside a new upstream that ends under fatal requests.
@@ -52,14 +52,14 @@
 
 // start starts the upstream of a node anew.
 func (m *mortals) start(n *managed, generation int) {
-	u := &standin.Upstream{
+	u := &platformtest.Upstream{
 		ID:          fmt.Sprintf("%s-%d", n.settings.Node, generation),
 		Service:     n.settings.Service,
 		Slots:       8,
 		ServiceTime: 20 * time.Millisecond,
 		Address:     n.settings.UpstreamAddress,
 	}
-	u.ShouldCrash = func(r standin.Run) bool {
+	u.ShouldCrash = func(r platformtest.Run) bool {
 		if !m.fatal(r) {
 			return false
 		}
@@ -87,7 +87,7 @@
 }
 
 // announce announces a start until its node has heard it.
-func (m *mortals) announce(u *standin.Upstream, n *managed) {
+func (m *mortals) announce(u *platformtest.Upstream, n *managed) {
 	for !u.SendHeartbeat(n.settings.AnnounceAddress) {
 		m.mu.Lock()
 		closed := m.closed
@@ -131,7 +131,7 @@
 // the same moment.
 func TestFatalRequest(t *testing.T) {
 	w := newWorld(t)
-	m := &mortals{w: w, fatal: func(r standin.Run) bool {
+	m := &mortals{w: w, fatal: func(r platformtest.Run) bool {
 		return r.Path == "/b/report" && r.Body == "fatal" && r.Caller == "b"
 	}}
 	t.Cleanup(m.close)
@@ -168,12 +168,12 @@
 }
 
 // fatalWorld is a small system that knows of a fatal request.
-func fatalWorld(t *testing.T, fatal func(r standin.Run) bool, upstreams int) (*mortals, []*managed) {
+func fatalWorld(t *testing.T, fatal func(r platformtest.Run) bool, upstreams int) (*mortals, []*managed) {
 	return fatalWorldIn(newWorld(t), fatal, upstreams)
 }
 
 // fatalWorldIn does what fatalWorld does, in an empty system.
-func fatalWorldIn(w *world, fatal func(r standin.Run) bool, upstreams int) (*mortals, []*managed) {
+func fatalWorldIn(w *world, fatal func(r platformtest.Run) bool, upstreams int) (*mortals, []*managed) {
 	m := &mortals{w: w, fatal: fatal}
 	w.t.Cleanup(m.close)
 	w.configure(1, "")
@@ -192,7 +192,7 @@
 // a request was found to be fatal: it stays blocked, by what the other nodes know, and by
 // what the platform keeps.
 func TestFatalRequestBlockedOverRestarts(t *testing.T) {
-	m, nodes := fatalWorld(t, func(r standin.Run) bool { return r.Body == "fatal" }, 3)
+	m, nodes := fatalWorld(t, func(r platformtest.Run) bool { return r.Body == "fatal" }, 3)
 	w := m.w
 	id := 0
 	fatal := func(n *managed) {
@@ -231,7 +231,7 @@
 // TestReleaseSuspect has an operator release a request that is blocked: it runs again at all
 // nodes, and is blocked anew when it ends upstreams again.
 func TestReleaseSuspect(t *testing.T) {
-	m, nodes := fatalWorld(t, func(r standin.Run) bool { return r.Body == "fatal" }, 3)
+	m, nodes := fatalWorld(t, func(r platformtest.Run) bool { return r.Body == "fatal" }, 3)
 	list := func(n *managed) (suspects []operator.Suspect) {
 		r, err := http.Get("http://" + n.settings.OperatorAddress + "/v1/suspects")
 		qt.Assert(t, err, qt.IsNil)
@@ -277,12 +277,12 @@
 // TestFatalStream has a fatal request whose body comes in chunks, so that a node sends it
 // on before it knows it, and harmless ones that differ from it in their bodies only.
 func TestFatalStream(t *testing.T) {
-	m, nodes := fatalWorld(t, func(r standin.Run) bool { return r.Body == "fatal" }, 3)
+	m, nodes := fatalWorld(t, func(r platformtest.Run) bool { return r.Body == "fatal" }, 3)
 	send := func(n *managed, id, body string) int {
 		r, _ := http.NewRequest("PUT", "http://"+n.settings.CallerAddress+"/b/report", struct{ io.Reader }{strings.NewReader(body)})
 		r.Host = "h.example"
-		r.Header.Set(standin.RequestID, id)
-		r.Header.Set(standin.Timeout, "900")
+		r.Header.Set(platformtest.RequestID, id)
+		r.Header.Set(platformtest.Timeout, "900")
 		response, err := http.DefaultTransport.RoundTrip(r)
 		if err != nil {
 			return 0
--- a/node/innercall_test.go
+++ b/node/innercall_test.go
@@ -11,7 +11,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"sassafrasfront.example/platform/standin"
+	"sassafrasfront.example/platform/platformtest"
 )
 
 // TestCallsOfARunWhileLeaving guards against the failure of runs that outlast leaveDelay at a node that
@@ -31,9 +31,9 @@
 			left := make(chan struct{}) // closed once leaveDelay is over
 			status := make(chan int, 1)
 			var first *managed
-			first = w.addUpstream("z", &standin.Upstream{
+			first = w.addUpstream("z", &platformtest.Upstream{
 				Service: "a",
-				ShouldFail: func(r standin.Run) bool {
+				ShouldFail: func(r platformtest.Run) bool {
 					if r.ID != "parent" {
 						return false
 					}
@@ -42,8 +42,8 @@
 					call := func(id string) int {
 						q, _ := http.NewRequest("GET", "http://"+first.settings.CallerAddress+"/b/x", nil)
 						q.Host = "h.example"
-						q.Header.Set(standin.RequestID, id)
-						q.Header.Set(standin.Timeout, "900")
+						q.Header.Set(platformtest.RequestID, id)
+						q.Header.Set(platformtest.Timeout, "900")
 						response, err := transport.RoundTrip(q)
 						if err != nil {
 							return 0
--- a/node/keys_test.go
+++ b/node/keys_test.go
@@ -18,7 +18,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"sassafrasfront.example/platform/standin"
+	"sassafrasfront.example/platform/platformtest"
 )
 
 // revokeWithin is short, so that a node that is cut off refuses soon.
@@ -84,9 +84,9 @@
 	id := fmt.Sprint("k-", k.sent)
 	r, _ := http.NewRequest(http.MethodPut, "http://"+n.settings.CallerAddress+path, nil)
 	r.Host = "h.example"
-	r.Header.Set(standin.RequestID, id)
-	r.Header.Set(standin.Timeout, "900")
-	r.Header.Set(standin.Organisation, "forged")
+	r.Header.Set(platformtest.RequestID, id)
+	r.Header.Set(platformtest.Timeout, "900")
+	r.Header.Set(platformtest.Organisation, "forged")
 	if key != "" {
 		r.Header.Set("Authorization", "Bearer "+key)
 	}
@@ -104,7 +104,7 @@
 }
 
 // ran returns the run of a request, or nil.
-func (k *keyed) ran(id string) *standin.Run {
+func (k *keyed) ran(id string) *platformtest.Run {
 	for _, n := range k.nodes {
 		for _, r := range n.upstream.Runs() {
 			if r.ID == id {
--- a/node/latecomer_test.go
+++ b/node/latecomer_test.go
@@ -13,7 +13,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"sassafrasfront.example/platform/standin"
+	"sassafrasfront.example/platform/platformtest"
 	"sassafrasfront.example/settings"
 )
 
@@ -26,14 +26,14 @@
 	w.configure(1, "",
 		strings.ReplaceAll(route("i", "idempotent", "b"), `"timeoutS":1`, `"timeoutS":60`),
 		strings.ReplaceAll(route("n", "non_idempotent", "a"), `"timeoutS":1`, `"timeoutS":60`))
-	lasts := func(r standin.Run) time.Duration {
+	lasts := func(r platformtest.Run) time.Duration {
 		if strings.HasPrefix(r.ID, "long") {
 			return time.Hour
 		}
 		return time.Millisecond
 	}
-	first := w.addUpstream("z", &standin.Upstream{Service: "a", ServiceTimeFunc: lasts})
-	second := w.addUpstream("z", &standin.Upstream{Service: "b", ServiceTimeFunc: lasts})
+	first := w.addUpstream("z", &platformtest.Upstream{Service: "a", ServiceTimeFunc: lasts})
+	second := w.addUpstream("z", &platformtest.Upstream{Service: "b", ServiceTimeFunc: lasts})
 	w.eventually("both serve", func() bool {
 		return second.ask("PUT", "/n/x", "warm", "").status == 200 && first.ask("GET", "/i/x", "warm", "").status == 200
 	})
@@ -42,8 +42,8 @@
 		defer transport.CloseIdleConnections()
 		r, _ := http.NewRequest(http.MethodPut, "http://"+m.settings.CallerAddress+path, nil)
 		r.Host = "h.example"
-		r.Header.Set(standin.RequestID, id)
-		r.Header.Set(standin.Timeout, "30000")
+		r.Header.Set(platformtest.RequestID, id)
+		r.Header.Set(platformtest.Timeout, "30000")
 		response, err := transport.RoundTrip(r)
 		if err != nil {
 			return 0, err
--- a/node/learning_test.go
+++ b/node/learning_test.go
@@ -10,7 +10,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"sassafrasfront.example/platform/standin"
+	"sassafrasfront.example/platform/platformtest"
 )
 
 // TestStartInEvacuatedZone guards against callers that are refused (noUpstream) by a node of an
@@ -18,18 +18,18 @@
 // at which it is ready, it serves its callers by those.
 func TestStartInEvacuatedZone(t *testing.T) {
 	tests := map[string]struct {
-		faults standin.Faults // while the nodes of the zone start again
-		alone  bool           // whether only one of them does
-		before bool           // whether the others are there before
+		faults platformtest.Faults // while the nodes of the zone start again
+		alone  bool                // whether only one of them does
+		before bool                // whether the others are there before
 	}{
 		"all nodes at once":                     {},
 		"beside others":                         {before: true},
 		"again":                                 {before: true, alone: true},
-		"again, the platform is slow":           {before: true, faults: standin.Faults{Delay: 200 * time.Millisecond}},
-		"again, the platform is away":           {before: true, faults: standin.Faults{Status: 503}},
-		"again, the platform hangs":             {before: true, faults: standin.Faults{Hang: true}},
-		"one of them, the platform is away":     {before: true, alone: true, faults: standin.Faults{Status: 503}},
-		"one of them, the platform loses calls": {before: true, alone: true, faults: standin.Faults{LoseWriteResponses: true}},
+		"again, the platform is slow":           {before: true, faults: platformtest.Faults{Delay: 200 * time.Millisecond}},
+		"again, the platform is away":           {before: true, faults: platformtest.Faults{Status: 503}},
+		"again, the platform hangs":             {before: true, faults: platformtest.Faults{Hang: true}},
+		"one of them, the platform is away":     {before: true, alone: true, faults: platformtest.Faults{Status: 503}},
+		"one of them, the platform loses calls": {before: true, alone: true, faults: platformtest.Faults{LoseWriteResponses: true}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/node/leave_test.go
+++ b/node/leave_test.go
@@ -22,7 +22,7 @@
 	qt "github.com/frankban/quicktest"
 	"github.com/rs/zerolog"
 
-	"sassafrasfront.example/platform/standin"
+	"sassafrasfront.example/platform/platformtest"
 	"sassafrasfront.example/settings"
 )
 
@@ -71,7 +71,7 @@
 	}
 	h.log = zerolog.New(h)
 	h.let = sync.OnceFunc(func() { close(h.release) })
-	u := &standin.Upstream{
+	u := &platformtest.Upstream{
 		Service: "b",
 		Slots:   slots,
 	}
@@ -106,11 +106,11 @@
 }
 
 // work answers a request once it may, in the way that its path names.
-func (h *held) work(w http.ResponseWriter, r *http.Request, u *standin.Upstream) {
-	id := r.Header.Get(standin.RequestID)
-	w.Header().Set(standin.Instance, u.ID)
-	w.Header().Set(standin.RequestID, id)
-	w.Header().Set(standin.Signature, standin.Sign(u.ID, id))
+func (h *held) work(w http.ResponseWriter, r *http.Request, u *platformtest.Upstream) {
+	id := r.Header.Get(platformtest.RequestID)
+	w.Header().Set(platformtest.Instance, u.ID)
+	w.Header().Set(platformtest.RequestID, id)
+	w.Header().Set(platformtest.Signature, platformtest.Sign(u.ID, id))
 	kind := r.URL.Path[strings.LastIndex(r.URL.Path, "/")+1:]
 	control := http.NewResponseController(w)
 	switch kind {
@@ -155,8 +155,8 @@
 	r, err := http.NewRequest(method, "http://"+m.settings.CallerAddress+path, body)
 	qt.Assert(h.t, err, qt.IsNil)
 	r.Host = "h.example"
-	r.Header.Set(standin.RequestID, fmt.Sprint("request", h.sent))
-	r.Header.Set(standin.Timeout, "60000")
+	r.Header.Set(platformtest.RequestID, fmt.Sprint("request", h.sent))
+	r.Header.Set(platformtest.Timeout, "60000")
 	r = r.WithContext(httptrace.WithClientTrace(r.Context(), &httptrace.ClientTrace{
 		Got1xxResponse: func(int, textproto.MIMEHeader) error { return nil },
 	}))
@@ -177,7 +177,7 @@
 		p.got = answer{
 			status:    response.StatusCode,
 			body:      string(data),
-			signature: response.Header.Get(standin.Signature),
+			signature: response.Header.Get(platformtest.Signature),
 
 			retryAfter: response.Header.Get("Retry-After"),
 		}
--- a/node/limit_test.go
+++ b/node/limit_test.go
@@ -14,7 +14,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"sassafrasfront.example/platform/standin"
+	"sassafrasfront.example/platform/platformtest"
 )
 
 const (
@@ -60,7 +60,7 @@
 }
 
 // since returns how much came to the upstream after the given time.
-func since(u *standin.Upstream, at time.Time) (count int) {
+func since(u *platformtest.Upstream, at time.Time) (count int) {
 	for _, a := range u.Arrivals() {
 		if a.At.After(at) {
 			count++
--- a/node/managed_test.go
+++ b/node/managed_test.go
@@ -25,7 +25,7 @@
 	"sassafrasfront.example/node"
 	"sassafrasfront.example/objectapi"
 	"sassafrasfront.example/platform"
-	"sassafrasfront.example/platform/standin"
+	"sassafrasfront.example/platform/platformtest"
 	"sassafrasfront.example/settings"
 )
 
@@ -33,7 +33,7 @@
 // each.
 type world struct {
 	t     *testing.T
-	store *standin.Store
+	store *platformtest.Store
 	url   string
 	nodes []*managed
 	// strict is the nodes' RevokeWithin, and share their RolloutShare.
@@ -48,12 +48,12 @@
 // managed is a node with its upstream.
 type managed struct {
 	settings settings.Settings
-	upstream *standin.Upstream
+	upstream *platformtest.Upstream
 	stop     func()
 }
 
 func newWorld(t *testing.T) *world {
-	w := &world{t: t, store: new(standin.Store), log: zerolog.Nop()}
+	w := &world{t: t, store: new(platformtest.Store), log: zerolog.Nop()}
 	server := httptest.NewServer(w.store)
 	w.url = server.URL
 	t.Cleanup(func() {
@@ -126,12 +126,12 @@
 
 // addIn does what add does, in an availability zone.
 func (w *world) addIn(zone, service string, seeds ...string) *managed {
-	return w.addUpstream(zone, &standin.Upstream{Service: service}, seeds...)
+	return w.addUpstream(zone, &platformtest.Upstream{Service: service}, seeds...)
 }
 
 // addUpstream starts a node in an availability zone beside an upstream, whose id, slots and
 // work are set.
-func (w *world) addUpstream(zone string, u *standin.Upstream, seeds ...string) *managed {
+func (w *world) addUpstream(zone string, u *platformtest.Upstream, seeds ...string) *managed {
 	id := "i-" + strconv.Itoa(len(w.nodes))
 	service := u.Service
 	u.ID, u.Slots, u.ServiceTime = id, cmp.Or(u.Slots, 8), 5*time.Millisecond
@@ -194,17 +194,17 @@
 	r, _ := http.NewRequest(method, "http://"+m.settings.CallerAddress+path, strings.NewReader(body))
 	r.Host = "h.example"
 	if id != "" {
-		r.Header.Set(standin.RequestID, id)
+		r.Header.Set(platformtest.RequestID, id)
 	}
-	r.Header.Set(standin.Timeout, "900")
-	r.Header.Set(standin.CallerService, "forged")
+	r.Header.Set(platformtest.Timeout, "900")
+	r.Header.Set(platformtest.CallerService, "forged")
 	response, err := http.DefaultTransport.RoundTrip(r)
 	if err != nil {
 		return answer{}
 	}
 	defer response.Body.Close()
 	data, _ := io.ReadAll(response.Body)
-	return answer{response.StatusCode, string(data), response.Header.Get(standin.Signature), response.Header.Get("Retry-After")}
+	return answer{response.StatusCode, string(data), response.Header.Get(platformtest.Signature), response.Header.Get("Retry-After")}
 }
 
 // ready returns whether the node calls itself ready.
@@ -247,17 +247,17 @@
 		return first.ask("GET", "/b/x", "warm", "").status == 200 && second.ask("PUT", "/a/x", "warm", "").status == 200
 	})
 	got := second.ask("PUT", "/a/x%2Fy?q=1", "one", "body")
-	qt.Check(t, got, qt.Equals, answer{status: 200, body: "i-0 ran one", signature: standin.Sign("i-0", "one")})
+	qt.Check(t, got, qt.Equals, answer{status: 200, body: "i-0 ran one", signature: platformtest.Sign("i-0", "one")})
 	runs := first.upstream.Runs()
 	last := runs[len(runs)-1]
 	last.At = time.Time{}
-	qt.Check(t, last, qt.Equals, standin.Run{ID: "one", Method: "PUT", Path: "/a/x%2Fy?q=1", Body: "body", Caller: "b", Upstream: "i-0"})
+	qt.Check(t, last, qt.Equals, platformtest.Run{ID: "one", Method: "PUT", Path: "/a/x%2Fy?q=1", Body: "body", Caller: "b", Upstream: "i-0"})
 	qt.Check(t, first.ask("GET", "/c/x", "1", "").status, qt.Equals, 404)
 	qt.Check(t, first.ask("GET", "/b/x", "", "").status, qt.Equals, 503, qt.Commentf("no id is made up, and the upstream takes none without"))
 
-	w.store.SetFaults(standin.Faults{Status: 503})
+	w.store.SetFaults(platformtest.Faults{Status: 503})
 	qt.Check(t, second.ask("PUT", "/a/x", "away", "").status, qt.Equals, 200, qt.Commentf("the store is away"))
-	w.store.SetFaults(standin.Faults{})
+	w.store.SetFaults(platformtest.Faults{})
 
 	w.configure(2, "c")
 	w.eventually("the new route is there", func() bool { return first.ask("GET", "/c/x", "new", "").status == 200 })
@@ -323,7 +323,7 @@
 	w.configure(1, "")
 	first := w.add("b")
 	w.eventually("it serves", func() bool { return first.ask("GET", "/b/x", "warm", "").status == 200 })
-	w.store.SetFaults(standin.Faults{SilentWatches: true})
+	w.store.SetFaults(platformtest.Faults{SilentWatches: true})
 	w.configure(2, "c")
 	w.store.DropHistory()
 	w.eventually("the change is found", func() bool { return first.ask("GET", "/c/x", "new", "").status == 200 })
--- a/node/node.go
+++ b/node/node.go
@@ -25,7 +25,7 @@
 	"sassafrasfront.example/control"
 	"sassafrasfront.example/entry"
 	"sassafrasfront.example/gate"
-	"sassafrasfront.example/internal/keyvalue"
+	"sassafrasfront.example/internal/logfmt"
 	"sassafrasfront.example/internal/stall"
 	"sassafrasfront.example/internal/tracing"
 	"sassafrasfront.example/objectapi"
@@ -91,7 +91,7 @@
 	reloaded   atomic.Pointer[settings.Settings] // nil until the settings change
 	learnt     chan struct{}                     // closed once the node has had the time to learn of the others
 	stalls     stall.Monitor
-	lines      keyvalue.LineLimiter
+	lines      logfmt.LineLimiter
 	successes  atomic.Uint64
 	configured atomic.Bool // whether the gate knows its service
 	keysStale  atomic.Bool // whether keys can't be judged, as the last request with one found
--- a/node/popular_test.go
+++ b/node/popular_test.go
@@ -14,7 +14,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"sassafrasfront.example/platform/standin"
+	"sassafrasfront.example/platform/platformtest"
 )
 
 // tally counts requests and those of them that were served.
@@ -44,7 +44,7 @@
 func (t *tally) share() float64 { return float64(t.served.Load()) / float64(t.sent.Load()) }
 
 // popularWorld is a fatalWorld in which requests to /once/ are sent to one upstream only.
-func popularWorld(t *testing.T, fatal func(r standin.Run) bool, upstreams int) (*mortals, []*managed) {
+func popularWorld(t *testing.T, fatal func(r platformtest.Run) bool, upstreams int) (*mortals, []*managed) {
 	m, nodes := fatalWorld(t, fatal, upstreams)
 	m.w.configure(2, "", route("once", "non_idempotent", "b"))
 	for _, n := range nodes {
@@ -80,7 +80,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			m, nodes := popularWorld(t, func(r standin.Run) bool { return strings.HasPrefix(r.Body, "bug") }, test.upstreams)
+			m, nodes := popularWorld(t, func(r platformtest.Run) bool { return strings.HasPrefix(r.Body, "bug") }, test.upstreams)
 			var during, after tally
 			var phase atomic.Pointer[tally]
 			phase.Store(&during)
--- a/node/ratelimit_test.go
+++ b/node/ratelimit_test.go
@@ -19,7 +19,7 @@
 	qt "github.com/frankban/quicktest"
 
 	"sassafrasfront.example/operator"
-	"sassafrasfront.example/platform/standin"
+	"sassafrasfront.example/platform/platformtest"
 )
 
 // limited is a system of five nodes whose route /b/ needs a key. The organisations small and
@@ -53,8 +53,8 @@
 	r, err := http.NewRequest("PUT", "http://"+n.settings.CallerAddress+"/b/x", strings.NewReader(""))
 	qt.Assert(l.t, err, qt.IsNil)
 	r.Host = "h.example"
-	r.Header.Set(standin.RequestID, fmt.Sprint("l-", id))
-	r.Header.Set(standin.Timeout, "900")
+	r.Header.Set(platformtest.RequestID, fmt.Sprint("l-", id))
+	r.Header.Set(platformtest.Timeout, "900")
 	r.Header.Set("Authorization", "Bearer "+key)
 	response, err := http.DefaultTransport.RoundTrip(r)
 	if err != nil {
--- a/node/restore_test.go
+++ b/node/restore_test.go
@@ -21,7 +21,7 @@
 	"sassafrasfront.example/contact"
 	"sassafrasfront.example/operator"
 	"sassafrasfront.example/platform"
-	"sassafrasfront.example/platform/standin"
+	"sassafrasfront.example/platform/platformtest"
 )
 
 // newEraWorld is a system whose store names eras.
@@ -123,10 +123,10 @@
 
 	way.away.Store(true)
 	for _, era := range []string{"4", "5"} {
-		z.store.SetFaults(standin.Faults{Status: 503})
+		z.store.SetFaults(platformtest.Faults{Status: 503})
 		z.untouched(z.far)
 		z.store.Restore(copied)
-		z.store.SetFaults(standin.Faults{})
+		z.store.SetFaults(platformtest.Faults{})
 		z.allInEra(era)
 		z.untouched(z.far)
 		for _, n := range z.all() {
@@ -222,7 +222,7 @@
 // again, and the request ends no more upstreams.
 func TestBlocksAfterRestore(t *testing.T) {
 	w := newEraWorld(t)
-	m, nodes := fatalWorldIn(w, func(r standin.Run) bool { return r.Body == "fatal" }, 3)
+	m, nodes := fatalWorldIn(w, func(r platformtest.Run) bool { return r.Body == "fatal" }, 3)
 	copied := w.store.Snapshot()
 	for i := range 6 {
 		nodes[0].ask("PUT", "/b/report", fmt.Sprint("fatal-", i), "fatal")
@@ -242,7 +242,7 @@
 // again, and counts at no node, nor at one that has started since and read it.
 func TestReleaseAfterRestore(t *testing.T) {
 	w := newEraWorld(t)
-	_, nodes := fatalWorldIn(w, func(r standin.Run) bool { return r.Body == "fatal" }, 3)
+	_, nodes := fatalWorldIn(w, func(r platformtest.Run) bool { return r.Body == "fatal" }, 3)
 	suspects := func(n *managed) (list []operator.Suspect) {
 		r, err := http.Get("http://" + n.settings.OperatorAddress + "/v1/suspects")
 		if err != nil {
@@ -304,7 +304,7 @@
 				w.store.ServeHTTP(recorded, r)
 				out.Header().Set("Content-Type", "application/json")
 				if header != "" {
-					out.Header().Set(standin.EraHeader, header)
+					out.Header().Set(platformtest.EraHeader, header)
 				}
 				out.WriteHeader(recorded.Code)
 				_, _ = out.Write(recorded.Body.Bytes())
--- a/node/rollout_test.go
+++ b/node/rollout_test.go
@@ -16,7 +16,7 @@
 	qt "github.com/frankban/quicktest"
 
 	"sassafrasfront.example/platform"
-	"sassafrasfront.example/platform/standin"
+	"sassafrasfront.example/platform/platformtest"
 )
 
 // versions is a system with upstreams of a service in two versions.
@@ -44,8 +44,8 @@
 }
 
 // beating starts a node beside an upstream of a version that sends heartbeats.
-func (v *versions) beating(version string, failing func(standin.Run) bool) *managed {
-	m := v.addUpstream("z", &standin.Upstream{Service: "b", Version: version, ShouldFail: failing})
+func (v *versions) beating(version string, failing func(platformtest.Run) bool) *managed {
+	m := v.addUpstream("z", &platformtest.Upstream{Service: "b", Version: version, ShouldFail: failing})
 	ctx, cancel := context.WithCancel(context.Background())
 	v.t.Cleanup(cancel)
 	go func() {
@@ -58,7 +58,7 @@
 }
 
 // order has the operator order the version v2 of the service, whose upstreams then start.
-func (v *versions) order(seconds float64, failing func(standin.Run) bool) {
+func (v *versions) order(seconds float64, failing func(platformtest.Run) bool) {
 	v.store.Put(platform.RolloutKind, "b", map[string]any{"service": "b", "targetVersion": "v2", "durationS": seconds})
 	for range 3 {
 		v.next = append(v.next, v.beating("v2", failing))
@@ -108,7 +108,7 @@
 	v := newVersions(t)
 	var i atomic.Int64
 	stop := v.callers()
-	v.order(20, func(standin.Run) bool { return i.Add(1)%2 == 0 })
+	v.order(20, func(platformtest.Run) bool { return i.Add(1)%2 == 0 })
 	v.eventually("it is told that it runs", func() bool { return v.state() == "running" || v.state() == "rolled_back" })
 	v.eventually("it is rolled back", func() bool { return v.state() == "rolled_back" })
 	stop()
--- a/objectapi/objectapi_test.go
+++ b/objectapi/objectapi_test.go
@@ -15,15 +15,15 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"sassafrasfront.example/internal/objectstore"
+	"sassafrasfront.example/internal/objectapitest"
 	"sassafrasfront.example/objectapi"
 	"sassafrasfront.example/verdict"
 )
 
 // start returns a stand-in and a client of it.
-func start(t *testing.T) (*objectstore.Server, *objectapi.Client) {
+func start(t *testing.T) (*objectapitest.Server, *objectapi.Client) {
 	t.Helper()
-	s := new(objectstore.Server)
+	s := new(objectapitest.Server)
 	h := httptest.NewServer(s)
 	t.Cleanup(func() {
 		h.CloseClientConnections()
@@ -82,19 +82,19 @@
 // whether the write took effect.
 func TestFaults(t *testing.T) {
 	tests := map[string]struct {
-		faults  objectstore.Faults
+		faults  objectapitest.Faults
 		readOK  bool
 		verdict verdict.Verdict // of the write; Ran means no error
 		effect  bool
 	}{
 		"none":        {readOK: true, verdict: verdict.Ran, effect: true},
-		"down":        {faults: objectstore.Faults{Down: true}, verdict: verdict.MayHaveRun},
-		"hangs":       {faults: objectstore.Faults{Hang: true}, verdict: verdict.MayHaveRun},
-		"slow":        {faults: objectstore.Faults{DelayMillis: 50}, readOK: true, verdict: verdict.Ran, effect: true},
-		"too slow":    {faults: objectstore.Faults{DelayMillis: 600}, verdict: verdict.MayHaveRun, effect: true},
-		"5xx":         {faults: objectstore.Faults{FailureRatio: 1}, verdict: verdict.MayHaveRun},
-		"lost answer": {faults: objectstore.Faults{LoseWrites: 1}, readOK: true, verdict: verdict.MayHaveRun, effect: true},
-		"garbage":     {faults: objectstore.Faults{MalformedReads: 1}, verdict: verdict.Ran, effect: true},
+		"down":        {faults: objectapitest.Faults{Down: true}, verdict: verdict.MayHaveRun},
+		"hangs":       {faults: objectapitest.Faults{Hang: true}, verdict: verdict.MayHaveRun},
+		"slow":        {faults: objectapitest.Faults{DelayMillis: 50}, readOK: true, verdict: verdict.Ran, effect: true},
+		"too slow":    {faults: objectapitest.Faults{DelayMillis: 600}, verdict: verdict.MayHaveRun, effect: true},
+		"5xx":         {faults: objectapitest.Faults{FailureRatio: 1}, verdict: verdict.MayHaveRun},
+		"lost answer": {faults: objectapitest.Faults{LoseWrites: 1}, readOK: true, verdict: verdict.MayHaveRun, effect: true},
+		"garbage":     {faults: objectapitest.Faults{MalformedReads: 1}, verdict: verdict.Ran, effect: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -113,7 +113,7 @@
 			}
 			qt.Check(t, got, qt.Equals, test.verdict, qt.Commentf("%v", err))
 			time.Sleep(time.Duration(test.faults.DelayMillis) * time.Millisecond)
-			s.SetFaults(objectstore.Faults{})
+			s.SetFaults(objectapitest.Faults{})
 			_, err = api.Get(ctx, "Service", "b")
 			qt.Check(t, err == nil, qt.Equals, test.effect, qt.Commentf("%v", err))
 		})
@@ -145,7 +145,7 @@
 	s, api := start(t)
 	_, err := api.Create(ctx, object("a", 0))
 	qt.Assert(t, err, qt.IsNil)
-	s.SetFaults(objectstore.Faults{LoseWrites: 0.4})
+	s.SetFaults(objectapitest.Faults{LoseWrites: 0.4})
 	var mu sync.Mutex
 	var acknowledged, unknown int
 	var all sync.WaitGroup
@@ -198,15 +198,15 @@
 // the follower to know the last state in the end.
 func TestFollowerConverges(t *testing.T) {
 	tests := map[string]struct {
-		faults objectstore.Faults
+		faults objectapitest.Faults
 		forget bool
 	}{
 		"none":            {},
-		"dropped events":  {faults: objectstore.Faults{DropEvents: 0.5}},
-		"repeated events": {faults: objectstore.Faults{RepeatEvents: 1}},
-		"silent watches":  {faults: objectstore.Faults{SilentWatches: true}},
-		"failing":         {faults: objectstore.Faults{FailureRatio: 0.5}},
-		"garbage":         {faults: objectstore.Faults{MalformedReads: 0.5}},
+		"dropped events":  {faults: objectapitest.Faults{DropEvents: 0.5}},
+		"repeated events": {faults: objectapitest.Faults{RepeatEvents: 1}},
+		"silent watches":  {faults: objectapitest.Faults{SilentWatches: true}},
+		"failing":         {faults: objectapitest.Faults{FailureRatio: 0.5}},
+		"garbage":         {faults: objectapitest.Faults{MalformedReads: 0.5}},
 		"too old":         {forget: true},
 	}
 	for name, test := range tests {
--- a/peer/oldlink_test.go
+++ b/peer/oldlink_test.go
@@ -14,7 +14,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"sassafrasfront.example/internal/playnet"
+	"sassafrasfront.example/internal/simnet"
 	"sassafrasfront.example/peer"
 	"sassafrasfront.example/verdict"
 )
@@ -23,7 +23,7 @@
 type farPeer struct {
 	client *peer.Client
 	server *peer.Server
-	host   *playnet.Host // the server's
+	host   *simnet.Host // the server's
 	stop   func()
 }
 
@@ -34,7 +34,7 @@
 
 // newFarPeer starts a server and makes a client of it.
 func newFarPeer(call func(in *peer.InboundCall)) *farPeer {
-	network := &playnet.Network{Latency: time.Millisecond, WindowBytes: 256 << 10, UserTimeout: farTimeout}
+	network := &simnet.Network{Latency: time.Millisecond, WindowBytes: 256 << 10, UserTimeout: farTimeout}
 	f := &farPeer{
 		server: &peer.Server{HandleCall: call},
 		host:   network.Host("gate"),
--- a/peer/stalled_test.go
+++ b/peer/stalled_test.go
@@ -16,7 +16,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"sassafrasfront.example/internal/playnet"
+	"sassafrasfront.example/internal/simnet"
 	"sassafrasfront.example/peer"
 )
 
@@ -26,12 +26,12 @@
 	server      *peer.Server
 	sound       *peer.Client
 	stalled     *peer.Client
-	stalledHost *playnet.Host
+	stalledHost *simnet.Host
 	stop        func()
 }
 
 func newCrowd(limits peer.Limits, call func(in *peer.InboundCall)) *crowd {
-	network := &playnet.Network{Latency: time.Millisecond, WindowBytes: 64 << 10, SendBufferBytes: 64 << 10}
+	network := &simnet.Network{Latency: time.Millisecond, WindowBytes: 64 << 10, SendBufferBytes: 64 << 10}
 	host := network.Host("gate")
 	c := &crowd{
 		server: &peer.Server{Limits: limits, HandleCall: call},
@@ -43,7 +43,7 @@
 		defer close(done)
 		_ = c.server.Run(ctx, listener)
 	}()
-	client := func(name string) (*peer.Client, *playnet.Host) {
+	client := func(name string) (*peer.Client, *simnet.Host) {
 		from := network.Host(name)
 		return &peer.Client{
 			Addr:   "gate",
@@ -135,7 +135,7 @@
 // deadline, because its taking back waits to be written to a peer that reads nothing.
 func TestRevokePastBlockedWriter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		network := &playnet.Network{Latency: time.Millisecond, WindowBytes: 64 << 10, SendBufferBytes: 64 << 10}
+		network := &simnet.Network{Latency: time.Millisecond, WindowBytes: 64 << 10, SendBufferBytes: 64 << 10}
 		host := network.Host("gate")
 		server := &peer.Server{HandleCall: func(in *peer.InboundCall) {
 			if in.Call.Streams {
@@ -206,7 +206,7 @@
 func TestAnswerPastBlockedWriter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size = 400 << 10
-		network := &playnet.Network{Latency: time.Millisecond, WindowBytes: 64 << 10, SendBufferBytes: 64 << 10}
+		network := &simnet.Network{Latency: time.Millisecond, WindowBytes: 64 << 10, SendBufferBytes: 64 << 10}
 		host := network.Host("gate")
 		server := &peer.Server{HandleCall: func(in *peer.InboundCall) {
 			if in.Call.Streams {
