--- a/peer/ahead_test.go
+++ b/peer/ahead_test.go
@@ -22,7 +22,7 @@
 )
 
 // newCallAhead returns a call whose body of the given length is sent ahead.
-func newCallAhead(length int) *peer.Call {
+func newEarlyBodyCall(length int) *peer.Call {
 	m := newCall()
 	m.Streams = true
 	m.EarlyBody = true
@@ -31,7 +31,7 @@
 }
 
 // TestAhead has bodies of several lengths received before a call is admitted.
-func TestAhead(t *testing.T) {
+func TestEarlyBody(t *testing.T) {
 	for name, length := range map[string]int{"one byte": 1, "some frames": 100_000, "as large as may be": peer.MaxEarlyBodyBytes} {
 		t.Run(name, func(t *testing.T) {
 			_, c := serve(t, peer.Limits{WindowBytes: 64 << 10, MaxInFlightBytes: 50_000}, func(in *peer.InboundCall) {
@@ -45,7 +45,7 @@
 				_ = in.Reply(&peer.ResponseHead{Status: 200, Body: data, TransferTime: time.Second})
 			})
 			data := bytes.Repeat([]byte("x"), length)
-			x, failed := c.Start(context.Background(), newCallAhead(length), bytes.NewReader(data))
+			x, failed := c.Start(context.Background(), newEarlyBodyCall(length), bytes.NewReader(data))
 			qt.Assert(t, failed == nil, qt.IsTrue)
 			defer x.Close()
 			r, failed := x.Wait()
@@ -60,7 +60,7 @@
 
 // TestAheadLost has the connection lost before the end of a body that is sent ahead, after
 // which the call has not run, and after it, when it may have; or the client is closed then.
-func TestAheadLost(t *testing.T) {
+func TestEarlyBodyLost(t *testing.T) {
 	tests := map[string]struct {
 		whole, closed bool
 		want          verdict.Cause
@@ -72,9 +72,9 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			asked := make(chan struct{})
+			requested := make(chan struct{})
 			_, c := serve(t, peer.Limits{}, func(in *peer.InboundCall) {
-				close(asked)
+				close(requested)
 				_, _ = in.ReceiveBody(in.Context())
 				<-in.Context().Done()
 			})
@@ -86,10 +86,10 @@
 				return n, err
 			}
 			reader, writer := io.Pipe()
-			x, failed := c.Start(context.Background(), newCallAhead(100), reader)
+			x, failed := c.Start(context.Background(), newEarlyBodyCall(100), reader)
 			qt.Assert(t, failed == nil, qt.IsTrue)
 			defer x.Close()
-			<-asked
+			<-requested
 			_, _ = writer.Write(make([]byte, 50))
 			if test.whole {
 				_, _ = writer.Write(make([]byte, 50))
@@ -109,17 +109,17 @@
 }
 
 // TestAheadTooLarge has a peer send calls ahead that it may not: each costs its connection.
-func TestAheadTooLarge(t *testing.T) {
+func TestInvalidEarlyBody(t *testing.T) {
 	tests := map[string]func(m *peer.Call){
 		"length not known": func(m *peer.Call) { m.Length = -1 },
 		"too large":        func(m *peer.Call) { m.Length = peer.MaxEarlyBodyBytes + 1 },
 		"not streamed":     func(m *peer.Call) { m.Streams = false },
 	}
-	for name, spoil := range tests {
+	for name, corrupt := range tests {
 		t.Run(name, func(t *testing.T) {
 			_, c := serve(t, peer.Limits{}, func(*peer.InboundCall) { t.Error("called") })
-			m := newCallAhead(1)
-			spoil(m)
+			m := newEarlyBodyCall(1)
+			corrupt(m)
 			x, failed := c.Start(context.Background(), m, strings.NewReader("x"))
 			if failed == nil {
 				_, failed = x.Wait()
@@ -132,7 +132,7 @@
 
 // TestAheadSilence has an entry lose its power while it sends a body: the gate gives the call
 // up when it has heard nothing for long, and not at the deadline.
-func TestAheadSilence(t *testing.T) {
+func TestEarlyBodySilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const silence = 600 * time.Millisecond
 		link := newSlowLink()
@@ -150,7 +150,7 @@
 		var all sync.WaitGroup
 		all.Go(func() { _ = s.Run(ctx, link) })
 		c := &peer.Client{Limits: peer.Limits{SilenceTimeout: silence}, Dial: link.dial}
-		x, failed := c.Start(ctx, newCallAhead(200_000), bytes.NewReader(make([]byte, 200_000)))
+		x, failed := c.Start(ctx, newEarlyBodyCall(200_000), bytes.NewReader(make([]byte, 200_000)))
 		qt.Assert(t, failed == nil, qt.IsTrue)
 		time.Sleep(50 * time.Millisecond)
 		link.sever()
--- a/peer/client.go
+++ b/peer/client.go
@@ -40,13 +40,13 @@
 	// Dial opens the connection. Nil means TCP.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
 
-	mu      sync.Mutex
-	current *link
-	former  map[*link]struct{} // the open connections that were current before
-	dialing chan struct{}      // closed when the dialling in progress has ended
-	abort   context.CancelFunc // ends the dialling in progress
-	failure error              // of the last dialling
-	stopped bool
+	mu         sync.Mutex
+	current    *link
+	former     map[*link]struct{} // the open connections that were current before
+	dialing    chan struct{}      // closed when the dialling in progress has ended
+	cancelDial context.CancelFunc // ends the dialling in progress
+	dialErr    error              // of the last dialling
+	stopped    bool
 }
 
 // connect returns the open connection, or opens one.
@@ -64,7 +64,7 @@
 		case c.dialing == nil:
 			c.dialing = make(chan struct{})
 			var dialing context.Context
-			dialing, c.abort = context.WithCancel(context.Background())
+			dialing, c.cancelDial = context.WithCancel(context.Background())
 			go c.open(dialing, c.dialing)
 		}
 		wait := c.dialing
@@ -75,7 +75,7 @@
 			return nil, context.Cause(ctx)
 		}
 		c.mu.Lock()
-		err := c.failure
+		err := c.dialErr
 		c.mu.Unlock()
 		if err != nil {
 			return nil, err
@@ -89,23 +89,23 @@
 	l, err := c.dial(ctx)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.abort()
+	c.cancelDial()
 	if c.stopped {
 		if l != nil {
-			l.shut(errClosed)
+			l.closeWith(errClosed)
 		}
 		return // nobody waits any more
 	}
 	if l != nil || !c.current.alive() {
 		c.replace(l)
 	}
-	c.failure = err
+	c.dialErr = err
 	c.dialing = nil
 	close(done)
 }
 
 // longAgo is a deadline that has passed.
-var longAgo = time.Unix(1, 0)
+var pastDeadline = time.Unix(1, 0)
 
 // replace makes l, or nothing, the connection for new calls. The lock is held.
 func (c *Client) replace(l *link) {
@@ -142,29 +142,29 @@
 		return nil, err
 	}
 	n := newConn(raw, limits, c.Counters)
-	stop := context.AfterFunc(ctx, func() { _ = raw.SetDeadline(longAgo) })
-	other, err := n.greet(c.Hello, true)
+	stop := context.AfterFunc(ctx, func() { _ = raw.SetDeadline(pastDeadline) })
+	other, err := n.handshake(c.Hello, true)
 	if !stop() && err == nil {
 		err = context.Cause(ctx)
 	}
 	if err != nil {
-		n.shut(err)
+		n.closeWith(err)
 		return nil, err
 	}
 	l := &link{
 		conn:      n,
 		peer:      *other,
-		report:    c.OnReport,
-		noticed:   c.OnNotice,
+		onReport:  c.OnReport,
+		onNotice:  c.OnNotice,
 		control:   c.Hello.Control,
 		exchanges: make(map[uint64]*Exchange),
 		requests:  make(map[uint64]chan *Reply),
 		idleSince: time.Now(),
-		begun:     make(chan struct{}, 1),
-		starting:  make(chan struct{}, 1),
+		wakeup:    make(chan struct{}, 1),
+		startLock: make(chan struct{}, 1),
 	}
 	go l.readLoop()
-	go l.watch()
+	go l.monitor()
 	return l, nil
 }
 
@@ -177,10 +177,10 @@
 	defer c.mu.Unlock()
 	c.stop()
 	if c.current != nil {
-		c.current.shut(errClosed)
+		c.current.closeWith(errClosed)
 	}
 	for l := range c.former {
-		l.shut(errClosed)
+		l.closeWith(errClosed)
 	}
 }
 
@@ -196,8 +196,8 @@
 func (c *Client) stop() {
 	c.stopped = true
 	if c.dialing != nil {
-		c.failure = errClosed
-		c.abort()
+		c.dialErr = errClosed
+		c.cancelDial()
 		close(c.dialing)
 		c.dialing = nil
 	}
@@ -205,12 +205,12 @@
 
 // live returns a connection that the peer is not known to have closed. A call
 // that is written to one that it has closed may have run, for all that is known.
-func (c *Client) live(ctx context.Context) (*link, error) {
+func (c *Client) connectLive(ctx context.Context) (*link, error) {
 	l, err := c.connect(ctx)
-	if err != nil || !l.gone() {
+	if err != nil || !l.closedByPeer() {
 		return l, err
 	}
-	l.shut(eris.New("closed by the peer"))
+	l.closeWith(eris.New("closed by the peer"))
 	return c.connect(ctx)
 }
 
@@ -222,9 +222,9 @@
 	dialing, cancel := context.WithTimeout(ctx, call.Remaining)
 	defer cancel()
 	var x *Exchange
-	err := errNotTaken
-	for try := 0; try < 2 && errors.Is(err, errNotTaken); try++ { // a connection may close for idleness meanwhile
-		l, dialErr := c.live(dialing)
+	err := errNoNewCalls
+	for attempt := 0; attempt < 2 && errors.Is(err, errNoNewCalls); attempt++ { // a connection may close for idleness meanwhile
+		l, dialErr := c.connectLive(dialing)
 		switch {
 		case dialErr == nil:
 		case ctx.Err() != nil:
@@ -234,7 +234,7 @@
 		default:
 			return nil, verdict.New(verdict.DialFailed, dialErr)
 		}
-		x, err = l.begin(ctx, call)
+		x, err = l.startCall(ctx, call)
 	}
 	if err != nil {
 		return nil, verdict.New(verdict.NotWritten, err)
@@ -257,8 +257,8 @@
 		Payload: payload,
 	}
 	if notify {
-		l.used()
-		c.Counters.requested(topic, len(payload), 0)
+		l.markUsed()
+		c.Counters.recordRequest(topic, len(payload), 0)
 		return nil, l.send(KindRequest, request)
 	}
 	reply := make(chan *Reply, 1)
@@ -269,13 +269,13 @@
 	}
 	select {
 	case r := <-reply:
-		c.Counters.requested(topic, len(payload), len(r.Payload))
+		c.Counters.recordRequest(topic, len(payload), len(r.Payload))
 		if r.Detail != "" {
 			return nil, eris.Errorf("peer: %s", r.Detail)
 		}
 		return r.Payload, nil
 	case <-l.closed:
-		return nil, l.why()
+		return nil, l.closeReason()
 	case <-ctx.Done():
 		return nil, context.Cause(ctx)
 	}
--- a/peer/clients.go
+++ b/peer/clients.go
@@ -50,11 +50,11 @@
 }
 
 // Retain closes clients of nodes that are not wanted while there are more than most.
-func (c *ClientPool) Prune(most int, wanted func(node string) bool) {
+func (c *ClientPool) Prune(limit int, wanted func(node string) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for node, p := range c.byNode {
-		if len(c.byNode) > most && !wanted(node) {
+		if len(c.byNode) > limit && !wanted(node) {
 			p.Close()
 			delete(c.byNode, node)
 		}
--- a/peer/clients_test.go
+++ b/peer/clients_test.go
@@ -13,7 +13,7 @@
 	"sassafrasfront.example/peer"
 )
 
-func TestClients(t *testing.T) {
+func TestClientPool(t *testing.T) {
 	var c peer.ClientPool
 	qt.Check(t, c.Get("a"), qt.IsNil)
 	a := c.GetOrCreate("a", "127.0.0.1:1")
--- a/peer/conn.go
+++ b/peer/conn.go
@@ -30,7 +30,7 @@
 }
 
 // requested notes a control request.
-func (c *Counters) requested(topic string, sent, received int) {
+func (c *Counters) recordRequest(topic string, sent, received int) {
 	if c != nil && c.OnRequest != nil {
 		c.OnRequest(topic, sent, received)
 	}
@@ -40,63 +40,63 @@
 // bounds. One goroutine reads; any may write.
 type conn struct {
 	net.Conn
-	limits   Limits
-	counters *Counters
-	reader   *bufio.Reader
-	heard    atomic.Int64  // time of the last bytes, in ns since the epoch of base
-	written  atomic.Uint64 // bytes written since then
+	limits       Limits
+	counters     *Counters
+	reader       *bufio.Reader
+	lastReceived atomic.Int64  // time of the last bytes, in ns since the epoch of base
+	writtenSince atomic.Uint64 // bytes written since then
 
-	writing chan struct{} // has a value while frames are written
+	writeLock chan struct{} // has a value while frames are written
 
-	closing sync.Once
-	closed  chan struct{}
-	reason  error // set before closed is closed
+	closeOnce sync.Once
+	closed    chan struct{}
+	reason    error // set before closed is closed
 }
 
-var base = time.Now()
+var timeBase = time.Now()
 
-const readBuffer = 16 << 10
+const readBufferBytes = 16 << 10
 
 func newConn(c net.Conn, l Limits, counters *Counters) *conn {
 	if counters == nil {
 		counters = new(Counters)
 	}
 	n := &conn{
-		Conn:     c,
-		limits:   l,
-		counters: counters,
-		closed:   make(chan struct{}),
-		writing:  make(chan struct{}, 1),
+		Conn:      c,
+		limits:    l,
+		counters:  counters,
+		closed:    make(chan struct{}),
+		writeLock: make(chan struct{}, 1),
 	}
-	n.reader = bufio.NewReaderSize(&heeding{conn: n}, readBuffer)
-	n.hear()
+	n.reader = bufio.NewReaderSize(&activityReader{conn: n}, readBufferBytes)
+	n.markReceived()
 	return n
 }
 
 // hear notes that the peer gave a sign of life.
-func (c *conn) hear() {
-	c.heard.Store(int64(time.Since(base)))
-	c.written.Store(0)
+func (c *conn) markReceived() {
+	c.lastReceived.Store(int64(time.Since(timeBase)))
+	c.writtenSince.Store(0)
 }
 
 // heeding reads from a connection and takes each piece that arrives for a sign of
 // life, so that a frame that takes long on a slow link does not look like silence.
-type heeding struct {
+type activityReader struct {
 	conn *conn
 }
 
 // Read implements io.Reader.
-func (h *heeding) Read(p []byte) (int, error) {
+func (h *activityReader) Read(p []byte) (int, error) {
 	n, err := h.conn.Conn.Read(p)
 	if n > 0 {
-		h.conn.hear()
+		h.conn.markReceived()
 	}
 	return n, err
 }
 
 // shut closes the connection. The first reason given is kept.
-func (c *conn) shut(reason error) {
-	c.closing.Do(func() {
+func (c *conn) closeWith(reason error) {
+	c.closeOnce.Do(func() {
 		c.reason = reason
 		close(c.closed)
 		_ = c.Close()
@@ -104,15 +104,15 @@
 }
 
 // why returns the reason of the closing. The connection is closed.
-func (c *conn) why() error {
+func (c *conn) closeReason() error {
 	<-c.closed
 	return c.reason
 }
 
 // ended returns the error for what comes after the closing. The reason is
 // shared between goroutines, and eris.Wrap changes what it wraps.
-func (c *conn) ended() error {
-	return fmt.Errorf("connection closed: %w", c.why())
+func (c *conn) closedError() error {
+	return fmt.Errorf("connection closed: %w", c.closeReason())
 }
 
 // read returns the next frame.
@@ -128,13 +128,13 @@
 
 // silence returns the time since the last bytes arrived.
 func (c *conn) silence() time.Duration {
-	return time.Since(base) - time.Duration(c.heard.Load())
+	return time.Since(timeBase) - time.Duration(c.lastReceived.Load())
 }
 
 // gone returns whether the peer has closed the connection, as far as the kernel
 // knows, although the reading goroutine has not come to it. What the peer has
 // sent stays to be read.
-func (c *conn) gone() bool {
+func (c *conn) closedByPeer() bool {
 	s, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return false
@@ -165,19 +165,19 @@
 // returns an error, the last of them was not wholly handed over, so the receiver can't have it.
 func (c *conn) write(ctx context.Context, frames ...frame) error {
 	b, err := c.encode(frames...)
-	defer buffers.Put(b)
+	defer bufferPool.Put(b)
 	if err == nil {
-		err = c.turn(ctx)
+		err = c.lockWrite(ctx)
 	}
 	if err != nil {
 		return err
 	}
-	return c.put(b, len(frames))
+	return c.writeAndUnlock(b, len(frames))
 }
 
 // encode returns a buffer with the frames, which goes back to buffers in any case.
 func (c *conn) encode(frames ...frame) (*bytes.Buffer, error) {
-	b := buffers.Get().(*bytes.Buffer)
+	b := bufferPool.Get().(*bytes.Buffer)
 	b.Reset()
 	for _, f := range frames {
 		if err := appendFrame(b, f.kind, f.message); err != nil {
@@ -191,24 +191,24 @@
 }
 
 // turn waits for the turn to write, which put ends.
-func (c *conn) turn(ctx context.Context) error {
+func (c *conn) lockWrite(ctx context.Context) error {
 	select {
-	case c.writing <- struct{}{}:
+	case c.writeLock <- struct{}{}:
 	case <-c.closed:
-		return c.ended()
+		return c.closedError()
 	case <-ctx.Done():
 		return context.Cause(ctx)
 	}
 	if c.isClosed() {
-		<-c.writing
-		return c.ended()
+		<-c.writeLock
+		return c.closedError()
 	}
 	return nil
 }
 
 // put hands a number of frames to the kernel, which is this goroutine's turn.
-func (c *conn) put(b *bytes.Buffer, frames int) error {
-	defer func() { <-c.writing }()
+func (c *conn) writeAndUnlock(b *bytes.Buffer, frames int) error {
+	defer func() { <-c.writeLock }()
 	for left := b.Bytes(); ; {
 		_ = c.SetWriteDeadline(time.Now().Add(c.limits.WriteTimeout))
 		n, err := c.Write(left)
@@ -216,12 +216,12 @@
 			break
 		}
 		left = left[n:]
-		if !errors.Is(err, os.ErrDeadlineExceeded) || c.isClosed() || !c.acknowledged() {
-			c.shut(eris.Wrap(err, "write"))
+		if !errors.Is(err, os.ErrDeadlineExceeded) || c.isClosed() || !c.peerAcknowledges() {
+			c.closeWith(eris.Wrap(err, "write"))
 			return err
 		}
 	}
-	c.written.Add(uint64(b.Len()))
+	c.writtenSince.Add(uint64(b.Len()))
 	c.counters.FramesOut.Add(uint64(frames))
 	c.counters.BytesOut.Add(uint64(b.Len()))
 	return nil
@@ -246,7 +246,7 @@
 }
 
 // greet exchanges Hellos. The side that dialled speaks first.
-func (c *conn) greet(own Hello, first bool) (*Hello, error) {
+func (c *conn) handshake(own Hello, first bool) (*Hello, error) {
 	own.Version = Version
 	_ = c.SetReadDeadline(time.Now().Add(c.limits.HandshakeTimeout))
 	if first {
--- a/peer/exchange.go
+++ b/peer/exchange.go
@@ -35,23 +35,23 @@
 
 // informBuffer is the number of informational answers kept for a slow caller.
 // More are dropped, as they may be.
-const informBuffer = 4
+const informationalBuffer = 4
 
 // Exchange is a call that has been sent.
 type Exchange struct {
-	link    *link
-	id      uint64
-	ctx     context.Context
-	stop    context.CancelFunc
-	ready   chan struct{}
-	informs chan *Informational
-	credit  *outgoing
-	body    *incoming
-	ahead   bool // whether the body may be sent before the call is admitted
-	noticed bool // whether the call told what was known of the peer's upstream
-	silent  chan struct{}
-	told    bool          // whether silent is closed or being closed; the link's lock guards it
-	stage   atomic.Uint32 // how far the sending has come
+	link            *link
+	id              uint64
+	ctx             context.Context
+	stop            context.CancelFunc
+	ready           chan struct{}
+	informational   chan *Informational
+	credit          *sendCredit
+	body            *bodyReader
+	earlyBody       bool // whether the body may be sent before the call is admitted
+	sentNotice      bool // whether the call told what was known of the peer's upstream
+	silent          chan struct{}
+	silenceNotified bool          // whether silent is closed or being closed; the link's lock guards it
+	stage           atomic.Uint32 // how far the sending has come
 
 	once     sync.Once
 	response *Response
@@ -67,15 +67,15 @@
 
 func newExchange(ctx context.Context, l *link, id uint64) *Exchange {
 	x := &Exchange{
-		link:    l,
-		id:      id,
-		ready:   make(chan struct{}),
-		silent:  make(chan struct{}),
-		informs: make(chan *Informational, informBuffer),
-		credit:  newOutgoing(0),
+		link:          l,
+		id:            id,
+		ready:         make(chan struct{}),
+		silent:        make(chan struct{}),
+		informational: make(chan *Informational, informationalBuffer),
+		credit:        newSendCredit(0),
 	}
 	x.ctx, x.stop = context.WithCancel(ctx)
-	x.body = newIncoming(l.limits.WindowBytes, x.grant)
+	x.body = newBodyReader(l.limits.WindowBytes, x.grant)
 	context.AfterFunc(x.ctx, x.Close)
 	return x
 }
@@ -91,7 +91,7 @@
 func (x *Exchange) SinceReceived() time.Duration { return x.link.silence() }
 
 // Informs yields informational answers that come ahead of the final one.
-func (x *Exchange) Informational() <-chan *Informational { return x.informs }
+func (x *Exchange) Informational() <-chan *Informational { return x.informational }
 
 // Result returns the answer or the failure. It may be called once Ready is
 // closed.
@@ -150,7 +150,7 @@
 }
 
 // answered takes in the head of the answer.
-func (x *Exchange) answered(m *ResponseHead) error {
+func (x *Exchange) handleResponse(m *ResponseHead) error {
 	r := &Response{
 		Status: m.Status,
 		Header: m.Header,
@@ -187,7 +187,7 @@
 }
 
 // lose ends the exchange because the connection was lost.
-func (x *Exchange) lose(reason error) {
+func (x *Exchange) connectionLost(reason error) {
 	cause := verdict.NotWritten
 	switch {
 	case x.stage.Load() != stageWritten:
@@ -200,13 +200,13 @@
 }
 
 // write notes that the peer may start the call from now on, and returns whether it may.
-func (x *Exchange) write() bool {
+func (x *Exchange) markWritten() bool {
 	return x.stage.CompareAndSwap(stagePending, stageWritten) || x.stage.Load() == stageWritten
 }
 
 // peerSilent notes that nothing has been heard from the peer for long. A call that can't have
 // been started there is taken back, and one that may have been goes on.
-func (x *Exchange) peerSilent(q *SilenceError) {
+func (x *Exchange) handleSilence(q *SilenceError) {
 	if x.stage.CompareAndSwap(stagePending, stageWithdrawn) {
 		x.fail(verdict.New(verdict.NotWritten, q))
 		x.Close()
@@ -215,9 +215,9 @@
 	close(x.silent)
 }
 
-func (x *Exchange) inform(m *Informational) {
+func (x *Exchange) handleInformational(m *Informational) {
 	select {
-	case x.informs <- m:
+	case x.informational <- m:
 	default:
 	}
 }
@@ -247,7 +247,7 @@
 	}
 	var unsent error
 	err := x.credit.copyBody(x.ctx, body, func(data []byte) error {
-		if x.stage.Load() == stageWithdrawn || !x.ahead && !x.write() {
+		if x.stage.Load() == stageWithdrawn || !x.earlyBody && !x.markWritten() {
 			return errWithdrawn
 		}
 		unsent = x.link.send(KindBody, &Body{
@@ -261,7 +261,7 @@
 		return
 	case unsent != nil:
 		x.link.remove(x.id)
-		x.lose(unsent) // the caller's body is not to blame
+		x.connectionLost(unsent) // the caller's body is not to blame
 		return
 	case err != nil:
 		x.bodyFailed(err)
@@ -275,7 +275,7 @@
 		x.bodyFailed(eris.Errorf("%d trailer fields", len(end.Trailer)))
 		return
 	}
-	if x.write() {
+	if x.markWritten() {
 		_ = x.link.send(KindEnd, end)
 	}
 }
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -22,7 +22,7 @@
 var ErrProtocol = eris.New("peer protocol broken")
 
 // buffers holds *bytes.Buffer values for encoding.
-var buffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
+var bufferPool = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
 // appendFrame encodes one frame at the end of b. Structures are arrays of their
 // fields, in order: with names a call and its answer would be longer by a fifth,
--- a/peer/fullwindow_test.go
+++ b/peer/fullwindow_test.go
@@ -18,29 +18,29 @@
 )
 
 // heldListener is a listener whose connections can be kept from being read.
-type heldListener struct {
+type pausableListener struct {
 	net.Listener
 	mu sync.RWMutex // held while nothing is read
 }
 
 // Accept implements net.Listener.
-func (l *heldListener) Accept() (net.Conn, error) {
+func (l *pausableListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	_ = c.(*net.TCPConn).SetReadBuffer(32 << 10)
-	return &heldConn{TCPConn: c.(*net.TCPConn), listener: l}, nil
+	return &pausableConn{TCPConn: c.(*net.TCPConn), listener: l}, nil
 }
 
 // heldConn is a connection of a heldListener.
-type heldConn struct {
+type pausableConn struct {
 	*net.TCPConn
-	listener *heldListener
+	listener *pausableListener
 }
 
 // Read implements net.Conn.
-func (c *heldConn) Read(p []byte) (int, error) {
+func (c *pausableConn) Read(p []byte) (int, error) {
 	c.listener.mu.RLock()
 	defer c.listener.mu.RUnlock()
 	return c.TCPConn.Read(p)
@@ -59,7 +59,7 @@
 			t.Parallel()
 			raw, err := net.Listen("tcp", "127.0.0.1:0")
 			qt.Assert(t, err, qt.IsNil)
-			l := &heldListener{Listener: raw}
+			l := &pausableListener{Listener: raw}
 			ctx, cancel := context.WithCancel(context.Background())
 			finish := make(chan struct{})
 			server := &peer.Server{HandleCall: func(in *peer.InboundCall) {
--- a/peer/fuzz_test.go
+++ b/peer/fuzz_test.go
@@ -42,21 +42,21 @@
 func decodeAny(t *testing.T, k Kind, payload []byte) {
 	switch k {
 	case KindHello:
-		again[Hello](t, k, payload)
+		reencode[Hello](t, k, payload)
 	case KindCall:
-		again[Call](t, k, payload)
+		reencode[Call](t, k, payload)
 	case KindResponse:
-		again[ResponseHead](t, k, payload)
+		reencode[ResponseHead](t, k, payload)
 	case KindFailure:
-		again[Failure](t, k, payload)
+		reencode[Failure](t, k, payload)
 	case KindCredit:
-		again[Credit](t, k, payload)
+		reencode[Credit](t, k, payload)
 	case KindRequest:
-		again[Request](t, k, payload)
+		reencode[Request](t, k, payload)
 	}
 }
 
-func again[T any](t *testing.T, k Kind, payload []byte) {
+func reencode[T any](t *testing.T, k Kind, payload []byte) {
 	m, err := decode[T](payload)
 	if err != nil {
 		return
--- a/peer/idle_test.go
+++ b/peer/idle_test.go
@@ -21,15 +21,15 @@
 		return func(c *Client) { _, _ = c.Request(context.Background(), "t", nil, notify) }
 	}
 	tests := map[string]struct {
-		use   func(c *Client)
-		every time.Duration
-		most  uint64 // looks in two minutes
-		open  bool   // at their end, without having been closed
+		use       func(c *Client)
+		every     time.Duration
+		maxChecks uint64 // looks in two minutes
+		open      bool   // at their end, without having been closed
 	}{
-		"not used":                    {most: 3},
-		"a request now and then":      {use: request(false), every: 20 * time.Second, most: 30, open: true},
-		"told something now and then": {use: request(true), every: 20 * time.Second, most: 10, open: true},
-		"used less often than Idle":   {use: request(false), every: 45 * time.Second, most: 15},
+		"not used":                    {maxChecks: 3},
+		"a request now and then":      {use: request(false), every: 20 * time.Second, maxChecks: 30, open: true},
+		"told something now and then": {use: request(true), every: 20 * time.Second, maxChecks: 10, open: true},
+		"used less often than Idle":   {use: request(false), every: 45 * time.Second, maxChecks: 15},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -56,10 +56,10 @@
 					time.Sleep(test.every)
 				}
 				qt.Check(t, first.usable(), qt.Equals, test.open)
-				qt.Check(t, first.looked.Load() <= test.most, qt.IsTrue, qt.Commentf("%d looks", first.looked.Load()))
+				qt.Check(t, first.checks.Load() <= test.maxChecks, qt.IsTrue, qt.Commentf("%d looks", first.checks.Load()))
 				c.Close()
 				cancel()
-				s.shutAll()
+				s.closeAll()
 				synctest.Wait()
 			})
 		})
@@ -67,7 +67,7 @@
 }
 
 // TestRequestsAreCounted counts control requests by their topics.
-func TestRequestsAreCounted(t *testing.T) {
+func TestRequestCounters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		s := &Server{HandleControl: func(_ context.Context, _ Hello, r *Request) ([]byte, error) { return append(r.Payload, 1, 2), nil }}
@@ -95,7 +95,7 @@
 		qt.Check(t, counts["told"], qt.Equals, count{1, 1, 0})
 		c.Close()
 		cancel()
-		s.shutAll()
+		s.closeAll()
 		synctest.Wait()
 	})
 }
--- a/peer/inbound.go
+++ b/peer/inbound.go
@@ -27,15 +27,15 @@
 	// Notice goes with the answer or the failure, if not nil.
 	Notice *Notice
 
-	session *session
-	ctx     context.Context
-	cancel  context.CancelCauseFunc
-	arrived time.Time
-	late    *time.Timer // ends the call at its deadline, until its answer begins
-	body    *incoming
-	credit  *outgoing
-	demand  demand // of body bytes
-	asked   int64  // body bytes asked for so far, by one goroutine at a time
+	session        *session
+	ctx            context.Context
+	cancel         context.CancelCauseFunc
+	arrived        time.Time
+	deadlineTimer  *time.Timer // ends the call at its deadline, until its answer begins
+	body           *bodyReader
+	credit         *sendCredit
+	flow           bodyFlow // of body bytes
+	requestedBytes int64    // body bytes asked for so far, by one goroutine at a time
 
 	mu     sync.Mutex
 	revoke func() bool
@@ -48,16 +48,16 @@
 		From:    n.from,
 		session: n,
 		arrived: time.Now(),
-		credit:  newOutgoing(n.limits.WindowBytes),
+		credit:  newSendCredit(n.limits.WindowBytes),
 	}
 	window := n.limits.WindowBytes
 	if m.EarlyBody {
 		window = max(window, MaxEarlyBodyBytes)
 	}
-	in.body = newIncoming(window, in.grant)
-	in.demand.give = in.allow
+	in.body = newBodyReader(window, in.requestBody)
+	in.flow.grant = in.grant
 	in.ctx, in.cancel = context.WithCancelCause(ctx)
-	in.late = time.AfterFunc(m.Remaining, func() {
+	in.deadlineTimer = time.AfterFunc(m.Remaining, func() {
 		in.cancel(verdict.New(verdict.TimedOut, eris.New("deadline passed")))
 	})
 	context.AfterFunc(in.ctx, func() {
@@ -69,10 +69,10 @@
 // serve runs the handler, and ends the call if the handler has not.
 func (in *InboundCall) serve() {
 	defer in.session.server.calls.Done()
-	defer in.session.bodies().leave(&in.demand)
+	defer in.session.bodyLimiter().close(&in.flow)
 	in.session.server.HandleCall(in)
 	in.Fail(verdict.New(verdict.PeerLost, eris.New("the handler gave no answer")), nil)
-	in.late.Stop()
+	in.deadlineTimer.Stop()
 	in.cancel(nil)
 }
 
@@ -118,25 +118,25 @@
 	if !in.Call.Streams || in.Call.EarlyBody {
 		return nil
 	}
-	in.grant(in.session.limits.WindowBytes)
-	return in.body.first(in.ctx)
+	in.requestBody(in.session.limits.WindowBytes)
+	return in.body.waitFirst(in.ctx)
 }
 
 // Coming returns how long the body of a call that is sent Ahead is likely to take, or 0 if that
 // is not known.
 func (in *InboundCall) ExpectedTransferTime() time.Duration {
-	return in.session.bodies().coming(in.Call.Length)
+	return in.session.bodyLimiter().expectedTransferTime(in.Call.Length)
 }
 
 // Receive asks for the body of a call that is sent Ahead, and waits until all of it is
 // there, ctx ends, or the peer has been silent for long: one that has lost its power says no
 // more. It returns how long that took from the arrival of the call.
 func (in *InboundCall) ReceiveBody(ctx context.Context) (time.Duration, error) {
-	in.grant(MaxEarlyBodyBytes)
+	in.requestBody(MaxEarlyBodyBytes)
 	silence := in.session.limits.SilenceTimeout
 	for {
 		waiting, cancel := context.WithTimeout(ctx, silence)
-		err := in.body.whole(waiting)
+		err := in.body.waitComplete(waiting)
 		cancel()
 		stalled := errors.Is(err, context.DeadlineExceeded) && ctx.Err() == nil
 		switch {
@@ -149,19 +149,19 @@
 }
 
 // grant asks for up to n more bytes of the body.
-func (in *InboundCall) grant(n int) {
+func (in *InboundCall) requestBody(n int) {
 	if in.Call.Length > 0 {
-		n = int(min(int64(n), in.Call.Length-in.asked))
+		n = int(min(int64(n), in.Call.Length-in.requestedBytes))
 	}
 	if n == 0 {
 		return
 	}
-	in.asked += int64(n)
-	in.session.bodies().ask(&in.demand, n)
+	in.requestedBytes += int64(n)
+	in.session.bodyLimiter().request(&in.flow, n)
 }
 
 // allow lets the sender send n more bytes of the body.
-func (in *InboundCall) allow(n int) {
+func (in *InboundCall) grant(n int) {
 	credit := &Credit{
 		ID:    in.Call.ID,
 		Bytes: n,
@@ -222,7 +222,7 @@
 	a.ID = in.Call.ID
 	a.Streams = true
 	a.Notice = in.Notice
-	in.late.Stop()
+	in.deadlineTimer.Stop()
 	if len(a.Body) > 0 {
 		if _, err := in.credit.acquire(in.ctx, len(a.Body)); err != nil {
 			return err
--- a/peer/limits.go
+++ b/peer/limits.go
@@ -58,7 +58,7 @@
 
 // chunk is the largest number of body bytes in one frame: a small frame that comes
 // behind one waits for no more than a quantum.
-const chunk = quantum
+const maxChunkBytes = quantumBytes
 
 // withDefaults returns l with its zero fields replaced.
 func (l Limits) withDefaults() Limits {
--- a/peer/link.go
+++ b/peer/link.go
@@ -21,16 +21,16 @@
 // link is an open connection of a Client.
 type link struct {
 	*conn
-	peer   Hello
-	report func(Report)
+	peer     Hello
+	onReport func(Report)
 	// noticed is as in Client.
-	noticed func(*Notice)
+	onNotice func(*Notice)
 	// control is whether the connection carries control requests only.
 	control bool
 
 	// starting has a value from the choice of a call's id until the call is written, so
 	// that ids arrive in order.
-	starting chan struct{}
+	startLock chan struct{}
 
 	mu        sync.Mutex
 	lastID    uint64
@@ -42,8 +42,8 @@
 	// retired is whether no more calls are begun, and the connection ends with what is open.
 	retired bool
 
-	begun    chan struct{} // has a value when the first of them has begun, or l is retired
-	looked   atomic.Uint64 // how often watch has looked at the connection
+	wakeup   chan struct{} // has a value when the first of them has begun, or l is retired
+	checks   atomic.Uint64 // how often watch has looked at the connection
 	silentAt atomic.Int64  // when the peer was last heard before it was found silent, or 0
 }
 
@@ -57,13 +57,13 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.retired = true
-	l.wake()
+	l.wakeMonitor()
 }
 
 // wake has watch look at the connection.
-func (l *link) wake() {
+func (l *link) wakeMonitor() {
 	select {
-	case l.begun <- struct{}{}:
+	case l.wakeup <- struct{}{}:
 	default:
 	}
 }
@@ -71,24 +71,24 @@
 // begin opens an exchange and writes its call, unless ctx ends or the call's time is over
 // before its turn comes. An error means that the call has not wholly been written. A call that
 // is being written when its time is over may yet be.
-func (l *link) begin(ctx context.Context, call *Call) (*Exchange, error) {
+func (l *link) startCall(ctx context.Context, call *Call) (*Exchange, error) {
 	writing, cancel := context.WithTimeout(ctx, call.Remaining)
 	defer cancel()
 	select {
-	case l.starting <- struct{}{}:
+	case l.startLock <- struct{}{}:
 	case <-l.closed:
-		return nil, fmt.Errorf("%w: %w", errNotTaken, l.ended())
+		return nil, fmt.Errorf("%w: %w", errNoNewCalls, l.closedError())
 	case <-writing.Done():
 		return nil, context.Cause(writing)
 	}
-	x, err := l.add(ctx)
+	x, err := l.addExchange(ctx)
 	if err != nil {
-		<-l.starting
+		<-l.startLock
 		return nil, err
 	}
 	call.ID = x.id
-	x.ahead = call.EarlyBody
-	x.noticed = call.Notice != nil
+	x.earlyBody = call.EarlyBody
+	x.sentNotice = call.Notice != nil
 	if !call.Streams {
 		x.stage.Store(stageWritten)
 	}
@@ -97,24 +97,24 @@
 		message: call,
 	})
 	if err == nil {
-		err = l.turn(writing)
+		err = l.lockWrite(writing)
 	}
 	if err == nil && l.find(x.id) == nil { // its Cancel may be ahead of it
-		<-l.writing
+		<-l.writeLock
 		err = eris.New("ended before it was written")
 	}
 	if err != nil {
-		<-l.starting
-		buffers.Put(b)
+		<-l.startLock
+		bufferPool.Put(b)
 		l.remove(x.id)
 		x.stop()
 		return nil, err
 	}
 	written := make(chan error, 1)
 	go func() {
-		err := l.put(b, 1)
-		<-l.starting
-		buffers.Put(b)
+		err := l.writeAndUnlock(b, 1)
+		<-l.startLock
+		bufferPool.Put(b)
 		written <- err
 	}()
 	select {
@@ -131,22 +131,22 @@
 }
 
 // errNotTaken is why a call is not begun on a connection that ends: another may take it.
-var errNotTaken = errors.New("no more calls on this connection")
+var errNoNewCalls = errors.New("no more calls on this connection")
 
 // add opens an exchange under a new id.
-func (l *link) add(ctx context.Context) (*Exchange, error) {
+func (l *link) addExchange(ctx context.Context) (*Exchange, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.alive() {
-		return nil, fmt.Errorf("%w: %w", errNotTaken, l.ended())
+		return nil, fmt.Errorf("%w: %w", errNoNewCalls, l.closedError())
 	}
 	if l.retired {
-		return nil, fmt.Errorf("%w: the connection has been replaced", errNotTaken)
+		return nil, fmt.Errorf("%w: the connection has been replaced", errNoNewCalls)
 	}
 	if len(l.exchanges) >= l.limits.MaxOpenCalls {
 		return nil, eris.Errorf("%d calls are open", len(l.exchanges))
 	}
-	l.began()
+	l.markBusy()
 	l.lastID++
 	x := newExchange(ctx, l, l.lastID)
 	l.exchanges[x.id] = x
@@ -154,12 +154,12 @@
 }
 
 // began notes that an exchange or a request begins. The lock is held.
-func (l *link) began() {
+func (l *link) markBusy() {
 	if len(l.exchanges)+len(l.requests) > 0 {
 		return
 	}
 	l.busySince = time.Now()
-	l.wake()
+	l.wakeMonitor()
 }
 
 // find returns the open exchange with the given id, or nil.
@@ -178,7 +178,7 @@
 	if len(l.exchanges) == 0 {
 		l.idleSince = time.Now()
 		if l.retired {
-			l.wake()
+			l.wakeMonitor()
 		}
 	}
 	return x
@@ -187,7 +187,7 @@
 func (l *link) addRequest(reply chan *Reply) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.began()
+	l.markBusy()
 	l.lastID++
 	l.requests[l.lastID] = reply
 	return l.lastID
@@ -201,7 +201,7 @@
 }
 
 // used notes that the connection is in use, though nothing is open on it.
-func (l *link) used() {
+func (l *link) markUsed() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.idleSince = time.Now()
@@ -216,7 +216,7 @@
 			err = l.handle(k, payload)
 		}
 		if err != nil {
-			l.shut(err)
+			l.closeWith(err)
 			break
 		}
 	}
@@ -225,7 +225,7 @@
 	l.exchanges = make(map[uint64]*Exchange)
 	l.mu.Unlock()
 	for _, x := range open {
-		x.lose(l.why())
+		x.connectionLost(l.closeReason())
 	}
 }
 
@@ -233,23 +233,23 @@
 func (l *link) handle(k Kind, payload []byte) error {
 	switch k {
 	case KindResponse:
-		return with(payload, l.handleAnswer)
+		return handleMessage(payload, l.handleResponse)
 	case KindBody:
-		return with(payload, l.handleBody)
+		return handleMessage(payload, l.handleBody)
 	case KindEnd:
-		return with(payload, l.handleEnd)
+		return handleMessage(payload, l.handleEnd)
 	case KindFailure:
-		return with(payload, l.handleFailure)
+		return handleMessage(payload, l.handleFailure)
 	case KindInformational:
-		return with(payload, l.handleInform)
+		return handleMessage(payload, l.handleInformational)
 	case KindCancelled:
-		return with(payload, l.handleCancelled)
+		return handleMessage(payload, l.handleCancelled)
 	case KindCredit:
-		return with(payload, l.handleCredit)
+		return handleMessage(payload, l.handleCredit)
 	case KindReply:
-		return with(payload, l.handleReply)
+		return handleMessage(payload, l.handleReply)
 	case KindReport:
-		return with(payload, func(m *Report) error { l.observe(m); return nil })
+		return handleMessage(payload, func(m *Report) error { l.deliverReport(m); return nil })
 	case KindPong:
 		return nil
 	}
@@ -257,7 +257,7 @@
 }
 
 // with decodes a message and hands it to f.
-func with[T any](payload []byte, f func(*T) error) error {
+func handleMessage[T any](payload []byte, f func(*T) error) error {
 	m, err := decode[T](payload)
 	if err != nil {
 		return err
@@ -265,22 +265,22 @@
 	return f(m)
 }
 
-func (l *link) handleAnswer(m *ResponseHead) error {
+func (l *link) handleResponse(m *ResponseHead) error {
 	if err := l.checkFields(m.Header); err != nil {
 		return err
 	}
-	l.observe(m.Report)
+	l.deliverReport(m.Report)
 	var x *Exchange
 	if m.Streams {
 		x = l.find(m.ID)
 	} else {
 		x = l.remove(m.ID)
 	}
-	l.notice(m.Notice, x != nil && x.noticed)
+	l.deliverNotice(m.Notice, x != nil && x.sentNotice)
 	if x == nil {
 		return nil
 	}
-	return x.answered(m)
+	return x.handleResponse(m)
 }
 
 func (l *link) handleBody(m *Body) error {
@@ -301,8 +301,8 @@
 }
 
 func (l *link) handleFailure(m *Failure) error {
-	l.observe(m.Report)
-	l.notice(m.Notice, false)
+	l.deliverReport(m.Report)
+	l.deliverNotice(m.Notice, false)
 	if x := l.remove(m.ID); x != nil {
 		e := verdict.New(verdict.Cause(m.Cause), nil).WithRetryAfter(m.RetryAfter)
 		e.GivenUp = m.GivenUp
@@ -314,12 +314,12 @@
 	return nil
 }
 
-func (l *link) handleInform(m *Informational) error {
+func (l *link) handleInformational(m *Informational) error {
 	if err := l.checkFields(m.Header); err != nil {
 		return err
 	}
 	if x := l.find(m.ID); x != nil {
-		x.inform(m)
+		x.handleInformational(m)
 	}
 	return nil
 }
@@ -355,15 +355,15 @@
 
 // notice hands on what an answer or a failure says of the peer's upstream. That it says nothing
 // means that nothing holds any more if the peer has been told what did.
-func (l *link) notice(n *Notice, told bool) {
-	if l.noticed != nil && (n != nil || told) && !l.isRetired() {
-		l.noticed(n)
+func (l *link) deliverNotice(n *Notice, told bool) {
+	if l.onNotice != nil && (n != nil || told) && !l.isRetired() {
+		l.onNotice(n)
 	}
 }
 
-func (l *link) observe(r *Report) {
-	if r != nil && l.report != nil && !l.isRetired() {
-		l.report(*r)
+func (l *link) deliverReport(r *Report) {
+	if r != nil && l.onReport != nil && !l.isRetired() {
+		l.onReport(*r)
 	}
 }
 
--- a/peer/loss_test.go
+++ b/peer/loss_test.go
@@ -14,10 +14,10 @@
 )
 
 // TestLossWatch plays how a connection stands at looks of 100 ms.
-func TestLossWatch(t *testing.T) {
-	const most = time.Second
-	type seen = tcp.AckState
-	repeat := func(n int, a seen) (list []seen) {
+func TestAckMonitor(t *testing.T) {
+	const timeout = time.Second
+	type state = tcp.AckState
+	repeat := func(n int, a state) (list []state) {
 		for range n {
 			list = append(list, a)
 			if a.SinceLastAck > 0 {
@@ -27,23 +27,23 @@
 		return list
 	}
 	tests := map[string]struct {
-		looks []seen
-		want  int // the look at which it is lost, 0 if it is not
+		states []state
+		want   int // the look at which it is lost, 0 if it is not
 	}{
-		"nothing outstanding, long ago":    {looks: repeat(50, seen{Retransmitting: true, SinceLastAck: time.Hour})},
-		"answered questions for room":      {looks: repeat(50, seen{Outstanding: true, SinceLastAck: time.Hour})},
-		"gone":                             {looks: repeat(50, seen{Outstanding: true, Retransmitting: true, SinceLastAck: 1}), want: 12},
-		"gone after an hour without calls": {looks: repeat(50, seen{Outstanding: true, Retransmitting: true, SinceLastAck: time.Hour}), want: 12},
-		"a question under way at a look":   {looks: append(append(repeat(20, seen{Outstanding: true, SinceLastAck: time.Hour}), seen{Outstanding: true, Retransmitting: true, SinceLastAck: time.Hour}), repeat(20, seen{Outstanding: true, SinceLastAck: time.Hour})...)},
-		"acknowledged now and then":        {looks: append(repeat(9, seen{Outstanding: true, Retransmitting: true, SinceLastAck: 1}), repeat(9, seen{Outstanding: true, Retransmitting: true, SinceLastAck: 1})...)},
+		"nothing outstanding, long ago":    {states: repeat(50, state{Retransmitting: true, SinceLastAck: time.Hour})},
+		"answered questions for room":      {states: repeat(50, state{Outstanding: true, SinceLastAck: time.Hour})},
+		"gone":                             {states: repeat(50, state{Outstanding: true, Retransmitting: true, SinceLastAck: 1}), want: 12},
+		"gone after an hour without calls": {states: repeat(50, state{Outstanding: true, Retransmitting: true, SinceLastAck: time.Hour}), want: 12},
+		"a question under way at a look":   {states: append(append(repeat(20, state{Outstanding: true, SinceLastAck: time.Hour}), state{Outstanding: true, Retransmitting: true, SinceLastAck: time.Hour}), repeat(20, state{Outstanding: true, SinceLastAck: time.Hour})...)},
+		"acknowledged now and then":        {states: append(repeat(9, state{Outstanding: true, Retransmitting: true, SinceLastAck: 1}), repeat(9, state{Outstanding: true, Retransmitting: true, SinceLastAck: 1})...)},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			var w lossWatch
+			var w ackMonitor
 			now := time.Unix(1e9, 0)
 			got := 0
-			for i, a := range test.looks {
-				if w.look(a, now, most) {
+			for i, a := range test.states {
+				if w.check(a, now, timeout) {
 					got = i + 1
 					break
 				}
--- a/peer/lost_test.go
+++ b/peer/lost_test.go
@@ -22,7 +22,7 @@
 // TestLostConnectionsNeverLie makes many calls while their connections are
 // closed under them again and again. A call that the client reports as not run
 // must not have reached the handler's side of Admit, and none may run twice.
-func TestLostConnectionsNeverLie(t *testing.T) {
+func TestVerdictsOnLostConnections(t *testing.T) {
 	var mu sync.Mutex
 	runs := make(map[string]int)
 	_, c := serve(t, peer.Limits{}, func(in *peer.InboundCall) {
@@ -44,7 +44,7 @@
 		}
 		return n, err
 	}
-	told := make(map[string]verdict.Verdict)
+	reported := make(map[string]verdict.Verdict)
 	var all sync.WaitGroup
 	for worker := range 16 {
 		all.Go(func() {
@@ -62,7 +62,7 @@
 					v = failed.Verdict()
 				}
 				mu.Lock()
-				told[m.Target] = v
+				reported[m.Target] = v
 				mu.Unlock()
 			}
 		})
@@ -84,7 +84,7 @@
 	mu.Lock()
 	defer mu.Unlock()
 	counts := make(map[verdict.Verdict]int)
-	for target, v := range told {
+	for target, v := range reported {
 		counts[v]++
 		qt.Check(t, runs[target] <= 1, qt.IsTrue)
 		if v == verdict.NotRun {
@@ -92,19 +92,19 @@
 		}
 	}
 	t.Logf("told %v", counts)
-	qt.Check(t, len(told), qt.Equals, 1600)
+	qt.Check(t, len(reported), qt.Equals, 1600)
 }
 
 // TestClosedConnectionIsNotWrittenTo has the peer close the idle connection
 // just before each call. All must be told as answered, none as possibly run.
-func TestClosedConnectionIsNotWrittenTo(t *testing.T) {
+func TestClosedConnectionIsNotReused(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	conns := make(chan net.Conn, 1000)
 	s := &peer.Server{HandleCall: func(in *peer.InboundCall) { _ = in.Reply(&peer.ResponseHead{Status: 200}) }}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go s.Run(ctx, &keeping{Listener: listener, conns: conns})
+	go s.Run(ctx, &recordingListener{Listener: listener, conns: conns})
 	c := &peer.Client{Addr: listener.Addr().String()}
 	defer c.Close()
 	for i := range 200 {
@@ -118,12 +118,12 @@
 }
 
 // keeping is a listener that hands out the connections that it accepts.
-type keeping struct {
+type recordingListener struct {
 	net.Listener
 	conns chan net.Conn
 }
 
-func (k *keeping) Accept() (net.Conn, error) {
+func (k *recordingListener) Accept() (net.Conn, error) {
 	c, err := k.Listener.Accept()
 	if err == nil {
 		k.conns <- c
--- a/peer/oldlink_test.go
+++ b/peer/oldlink_test.go
@@ -20,7 +20,7 @@
 )
 
 // farPeer is a client and a server on a played network.
-type farPeer struct {
+type simulatedPeer struct {
 	client *peer.Client
 	server *peer.Server
 	host   *simnet.Host // the server's
@@ -28,14 +28,14 @@
 }
 
 const (
-	farSilence = 600 * time.Millisecond
-	farTimeout = 3 * time.Second
+	silenceTimeout = 600 * time.Millisecond
+	userTimeout    = 3 * time.Second
 )
 
 // newFarPeer starts a server and makes a client of it.
-func newFarPeer(call func(in *peer.InboundCall)) *farPeer {
-	network := &simnet.Network{Latency: time.Millisecond, WindowBytes: 256 << 10, UserTimeout: farTimeout}
-	f := &farPeer{
+func newSimulatedPeer(call func(in *peer.InboundCall)) *simulatedPeer {
+	network := &simnet.Network{Latency: time.Millisecond, WindowBytes: 256 << 10, UserTimeout: userTimeout}
+	f := &simulatedPeer{
 		server: &peer.Server{HandleCall: call},
 		host:   network.Host("gate"),
 	}
@@ -46,7 +46,7 @@
 	from := network.Host("entry")
 	f.client = &peer.Client{
 		Addr:   "gate",
-		Limits: peer.Limits{SilenceTimeout: farSilence},
+		Limits: peer.Limits{SilenceTimeout: silenceTimeout},
 		Dial:   func(ctx context.Context, addr string) (net.Conn, error) { return from.Dial(ctx, addr) },
 	}
 	f.stop = func() {
@@ -59,7 +59,7 @@
 }
 
 // call makes a call and waits for its result.
-func (f *farPeer) call(target string, notice *peer.Notice) *verdict.Error {
+func (f *simulatedPeer) call(target string, notice *peer.Notice) *verdict.Error {
 	m := newCall()
 	m.Target = target
 	m.Notice = notice
@@ -74,9 +74,9 @@
 
 // TestLateReports guards against reports and notices that come late over a connection in whose
 // place there is another, and overwrite what is newer.
-func TestLateReports(t *testing.T) {
+func TestReportsOfReplacedConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFarPeer(func(in *peer.InboundCall) {
+		f := newSimulatedPeer(func(in *peer.InboundCall) {
 			running := 2
 			start := "new"
 			if in.Call.Target == "/old" {
@@ -102,7 +102,7 @@
 		})
 		time.Sleep(50 * time.Millisecond)
 		f.host.DropPackets(3)
-		time.Sleep(farSilence)
+		time.Sleep(silenceTimeout)
 		f.server.BroadcastReport(&peer.Report{Running: 3}) // over the silent connection, as there is no other yet
 		failed := f.call("/new", nil)
 		qt.Check(t, failed == nil, qt.IsTrue, qt.Commentf("%v", failed))
@@ -116,9 +116,9 @@
 
 // TestLateClearing guards against an answer without a notice that comes late over a connection
 // in whose place there is another, and is taken to say that a newer notice is over.
-func TestLateClearing(t *testing.T) {
+func TestNoNoticeOnReplacedConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFarPeer(func(in *peer.InboundCall) {
+		f := newSimulatedPeer(func(in *peer.InboundCall) {
 			if in.Call.Target == "/old" {
 				time.Sleep(100 * time.Millisecond)
 			} else {
@@ -137,7 +137,7 @@
 		})
 		time.Sleep(50 * time.Millisecond)
 		f.host.DropPackets(3)
-		time.Sleep(farSilence)
+		time.Sleep(silenceTimeout)
 		qt.Check(t, f.call("/new", nil) == nil, qt.IsTrue)
 		all.Wait()
 		qt.Check(t, last, qt.IsNotNil)
@@ -146,19 +146,19 @@
 
 // TestPingsGoOn guards against a call that is not known to be lost because no more pings are
 // sent once the peer is silent, or once it has been heard again.
-func TestPingsGoOn(t *testing.T) {
+func TestPingsContinue(t *testing.T) {
 	for name, test := range map[string]struct {
 		silences int           // of the peer, before it loses its power
 		each     time.Duration // how long
 	}{
 		"at once":                {},
-		"after a short silence":  {silences: 1, each: farSilence * 3 / 4},
-		"after a long silence":   {silences: 1, each: farTimeout - farSilence},
-		"after several silences": {silences: 4, each: 2 * farSilence},
+		"after a short silence":  {silences: 1, each: silenceTimeout * 3 / 4},
+		"after a long silence":   {silences: 1, each: userTimeout - silenceTimeout},
+		"after several silences": {silences: 4, each: 2 * silenceTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := newFarPeer(func(in *peer.InboundCall) { <-in.Context().Done() })
+				f := newSimulatedPeer(func(in *peer.InboundCall) { <-in.Context().Done() })
 				defer f.stop()
 				var off time.Time
 				go func() {
@@ -180,7 +180,7 @@
 				qt.Check(t, failed.Cause, qt.Equals, verdict.PeerLost)
 				synctest.Wait()
 				took := time.Since(off)
-				qt.Check(t, !off.IsZero() && took <= farSilence*5/4+farTimeout, qt.IsTrue, qt.Commentf("%v after the end of power", took))
+				qt.Check(t, !off.IsZero() && took <= silenceTimeout*5/4+userTimeout, qt.IsTrue, qt.Commentf("%v after the end of power", took))
 				x.Close()
 				time.Sleep(2 * time.Hour) // the server's connection ends with the call's time
 			})
--- a/peer/open_test.go
+++ b/peer/open_test.go
@@ -18,16 +18,16 @@
 // TestTooManyCalls guards against the loss of all calls of a connection for one too many, which
 // comes while calls that their sender has cancelled still end.
 func TestTooManyCalls(t *testing.T) {
-	const most = 4
-	began := make(chan struct{}, most)
+	const maxCalls = 4
+	began := make(chan struct{}, maxCalls)
 	end := make(chan struct{})
-	_, c := serve(t, peer.Limits{MaxOpenCalls: most}, func(in *peer.InboundCall) {
+	_, c := serve(t, peer.Limits{MaxOpenCalls: maxCalls}, func(in *peer.InboundCall) {
 		began <- struct{}{}
 		<-end
 		_ = in.Reply(&peer.ResponseHead{Status: 200})
 	})
 	var kept []*peer.Exchange
-	for i := range most {
+	for i := range maxCalls {
 		x, failed := c.Start(context.Background(), newCall(), nil)
 		qt.Assert(t, failed == nil, qt.IsTrue, qt.Commentf("%v", failed))
 		<-began
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -123,7 +123,7 @@
 
 // TestAnswersAreNotCrossed has many calls on one connection, answered in any
 // order, with some of them abandoned.
-func TestAnswersAreNotCrossed(t *testing.T) {
+func TestResponsesMatchCalls(t *testing.T) {
 	_, c := serve(t, peer.Limits{}, func(in *peer.InboundCall) {
 		time.Sleep(time.Duration(in.Call.ID*7919%13) * time.Millisecond)
 		echo(in)
@@ -158,7 +158,7 @@
 }
 
 // TestLargeBodyDoesNotHoldUpSmallAnswer leaves a large answer unread.
-func TestLargeBodyDoesNotHoldUpSmallAnswer(t *testing.T) {
+func TestLargeBodyDoesNotBlockSmallResponse(t *testing.T) {
 	_, c := serve(t, peer.Limits{}, func(in *peer.InboundCall) {
 		if in.Call.Method == "GET" {
 			echo(in)
@@ -184,7 +184,7 @@
 // TestServerFaults plays a broken or dying peer with a raw listener. Each row
 // says what the client must conclude.
 func TestServerFaults(t *testing.T) {
-	told := make(chan struct{})
+	reported := make(chan struct{})
 	tests := map[string]struct {
 		// play gets the connection after the hellos.
 		play    func(c net.Conn)
@@ -201,7 +201,7 @@
 		"garbage after the call":               {play: func(c net.Conn) { skipFrame(c); _, _ = c.Write([]byte("GET / HTTP/1.1\r\n\r\n")) }, want: verdict.PeerLost},
 		"a frame over the limit":               {play: func(c net.Conn) { skipFrame(c); _, _ = c.Write([]byte{0x7f, 0, 0, 0, 6}) }, want: verdict.PeerLost},
 		"a frame cut":                          {play: func(c net.Conn) { skipFrame(c); _, _ = c.Write([]byte{0, 0, 1, 0, 6, 1}) }, want: verdict.PeerLost},
-		"silent after the call":                {play: func(c net.Conn) { go io.Copy(io.Discard, c); <-told }, silent: told, want: verdict.PeerLost},
+		"silent after the call":                {play: func(c net.Conn) { go io.Copy(io.Discard, c); <-reported }, silent: reported, want: verdict.PeerLost},
 		"streamed, closes before any credit":   {streams: true, play: func(c net.Conn) { skipFrame(c) }, want: verdict.NotWritten},
 		"streamed, silent before any credit":   {streams: true, play: func(c net.Conn) { _, _ = io.Copy(io.Discard, c) }, want: verdict.NotWritten},
 		"an unknown kind":                      {play: func(c net.Conn) { skipFrame(c); _, _ = c.Write([]byte{0, 0, 0, 2, 99, 0x80}) }, want: verdict.PeerLost},
@@ -267,7 +267,7 @@
 
 // TestBrokenClientCostsItsOwnConnection sends bad bytes to a server and then
 // makes a call on another connection.
-func TestBrokenClientCostsItsOwnConnection(t *testing.T) {
+func TestInvalidBytesCloseOneConnection(t *testing.T) {
 	tests := map[string][]byte{
 		"garbage":           []byte("GET / HTTP/1.1\r\n\r\n"),
 		"empty frame":       {0, 0, 0, 0},
@@ -301,7 +301,7 @@
 	return ok && e.Timeout()
 }
 
-func TestCutAnswerIsACut(t *testing.T) {
+func TestTruncatedResponse(t *testing.T) {
 	_, c := serve(t, peer.Limits{}, func(in *peer.InboundCall) {
 		_ = in.BeginResponse(&peer.ResponseHead{Status: 200, Length: 10, Body: []byte("half")})
 		in.Fail(verdict.New(verdict.ResponseTruncated, nil), nil)
--- a/peer/plausible.go
+++ b/peer/plausible.go
@@ -13,7 +13,7 @@
 		if len(p) == 0 {
 			return false
 		}
-		size, members, width := shape(p[0])
+		size, members, width := valueLayout(p[0])
 		p = p[1:]
 		if width > len(p) {
 			return false
@@ -43,7 +43,7 @@
 // shape returns what the first byte of a msgpack value says: how many bytes follow
 // it, how many values, and how many bytes tell a length. With a length, the values
 // are those of each member.
-func shape(b byte) (size, members, width int) {
+func valueLayout(b byte) (size, members, width int) {
 	switch {
 	case b >= 0x80 && b <= 0x8f:
 		return 0, 2 * int(b&0x0f), 0
--- a/peer/server.go
+++ b/peer/server.go
@@ -32,10 +32,10 @@
 	// Closed, if not nil, is called when a connection ends, with the reason.
 	OnClosed func(from Hello, reason error)
 
-	calls    sync.WaitGroup
-	bodies   *quota // made by Run
-	mu       sync.Mutex
-	sessions map[*session]struct{}
+	calls       sync.WaitGroup
+	bodyLimiter *inFlightLimiter // made by Run
+	mu          sync.Mutex
+	sessions    map[*session]struct{}
 }
 
 // Run serves connections of the listener until ctx ends, and then closes them
@@ -50,9 +50,9 @@
 		<-ctx.Done()
 		_ = listener.Close()
 	})
-	defer s.shutAll()
+	defer s.closeAll()
 	s.mu.Lock()
-	s.bodies = newQuota(s.Limits.MaxInFlightBytes, s.Limits.LinkBandwidth)
+	s.bodyLimiter = newInFlightLimiter(s.Limits.MaxInFlightBytes, s.Limits.LinkBandwidth)
 	s.mu.Unlock()
 	for {
 		c, err := listener.Accept()
@@ -81,9 +81,9 @@
 // known, and how many are under way or wait for their turn. Both are 0 before Run.
 func (s *Server) LinkLoad() (rate float64, backlog int) {
 	s.mu.Lock()
-	q := s.bodies
+	q := s.bodyLimiter
 	s.mu.Unlock()
-	return q.inflow()
+	return q.load()
 }
 
 // Quiesce waits until no call is open, or until ctx ends.
@@ -101,11 +101,11 @@
 	}
 }
 
-func (s *Server) shutAll() {
+func (s *Server) closeAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for n := range s.sessions {
-		n.shut(eris.New("server stopped"))
+		n.closeWith(eris.New("server stopped"))
 	}
 }
 
@@ -122,14 +122,14 @@
 	}
 	s.sessions[n] = struct{}{}
 	s.mu.Unlock()
-	stop := context.AfterFunc(ctx, func() { n.shut(eris.New("server stopped")) })
+	stop := context.AfterFunc(ctx, func() { n.closeWith(eris.New("server stopped")) })
 	defer stop()
 
-	n.shut(n.run(ctx))
+	n.closeWith(n.run(ctx))
 	s.mu.Lock()
 	delete(s.sessions, n)
 	s.mu.Unlock()
 	if s.OnClosed != nil {
-		s.OnClosed(n.from, n.why())
+		s.OnClosed(n.from, n.closeReason())
 	}
 }
--- a/peer/session.go
+++ b/peer/session.go
@@ -19,10 +19,10 @@
 // session is one connection of a Server.
 type session struct {
 	*conn
-	server  *Server
-	from    Hello
-	greeted atomic.Bool            // whether from is set
-	report  atomic.Pointer[Report] // that waits to be sent, or nil
+	server        *Server
+	from          Hello
+	handshakeDone atomic.Bool            // whether from is set
+	pendingReport atomic.Pointer[Report] // that waits to be sent, or nil
 
 	mu     sync.Mutex
 	open   map[uint64]*InboundCall
@@ -31,12 +31,12 @@
 
 // run greets the peer and handles its frames. It returns why it ended.
 func (n *session) run(ctx context.Context) error {
-	from, err := n.greet(n.server.Hello, false)
+	from, err := n.handshake(n.server.Hello, false)
 	if err != nil {
 		return err
 	}
 	n.from = *from
-	n.greeted.Store(true)
+	n.handshakeDone.Store(true)
 	// The calls end with the connection, whose end has a reason.
 	ctx, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
 	for {
@@ -45,8 +45,8 @@
 			err = n.handle(ctx, k, payload)
 		}
 		if err != nil {
-			n.shut(err)
-			cancel(verdict.New(verdict.PeerLost, n.why()))
+			n.closeWith(err)
+			cancel(verdict.New(verdict.PeerLost, n.closeReason()))
 			return err
 		}
 	}
@@ -56,25 +56,25 @@
 func (n *session) handle(ctx context.Context, k Kind, payload []byte) error {
 	switch {
 	case k == KindPing:
-		return with(payload, func(m *Ping) error { return n.send(KindPong, &Pong{Number: m.Number}) })
+		return handleMessage(payload, func(m *Ping) error { return n.send(KindPong, &Pong{Number: m.Number}) })
 	case n.from.Control && k == KindRequest:
-		return with(payload, func(m *Request) error { return n.handleRequest(ctx, m) })
+		return handleMessage(payload, func(m *Request) error { return n.handleRequest(ctx, m) })
 	case n.from.Control:
 		return eris.Wrapf(ErrProtocol, "kind %d on a control connection", k)
 	}
 	switch k {
 	case KindCall:
-		return with(payload, func(m *Call) error { return n.handleCall(ctx, m) })
+		return handleMessage(payload, func(m *Call) error { return n.handleCall(ctx, m) })
 	case KindBody:
-		return with(payload, n.handleBody)
+		return handleMessage(payload, n.handleBody)
 	case KindEnd:
-		return with(payload, n.handleEnd)
+		return handleMessage(payload, n.handleEnd)
 	case KindCancel:
-		return with(payload, n.handleCancel)
+		return handleMessage(payload, n.handleCancel)
 	case KindRevoke:
-		return with(payload, n.handleRevoke)
+		return handleMessage(payload, n.handleRevoke)
 	case KindCredit:
-		return with(payload, n.handleCredit)
+		return handleMessage(payload, n.handleCredit)
 	}
 	return eris.Wrapf(ErrProtocol, "unexpected kind %d", k)
 }
@@ -112,7 +112,7 @@
 	n.lastID = m.ID
 	if len(n.open) >= n.limits.MaxOpenCalls {
 		// The peer counts a call that it has cancelled as over before this side does.
-		go n.refuse(m.ID, len(n.open))
+		go n.rejectCall(m.ID, len(n.open))
 		return nil
 	}
 	in := newInbound(ctx, n, m)
@@ -123,7 +123,7 @@
 }
 
 // refuse ends a call that is one too many.
-func (n *session) refuse(id uint64, open int) {
+func (n *session) rejectCall(id uint64, open int) {
 	_ = n.send(KindFailure, &Failure{
 		ID:     id,
 		Cause:  string(verdict.Refused),
@@ -133,11 +133,11 @@
 
 // bodies returns the quota of the link that bodies cross to this node, or nil if the peer is
 // this node itself.
-func (n *session) bodies() *quota {
+func (n *session) bodyLimiter() *inFlightLimiter {
 	if n.from.Node == n.server.Hello.Node && n.from.Node != "" {
 		return nil
 	}
-	return n.server.bodies
+	return n.server.bodyLimiter
 }
 
 func (n *session) find(id uint64) *InboundCall {
@@ -154,7 +154,7 @@
 
 func (n *session) handleBody(m *Body) error {
 	if in := n.find(m.ID); in != nil {
-		n.bodies().arrived(&in.demand, len(m.Data))
+		n.bodyLimiter().received(&in.flow, len(m.Data))
 		return in.body.put(m.Data)
 	}
 	return nil
@@ -165,7 +165,7 @@
 		return err
 	}
 	if in := n.find(m.ID); in != nil {
-		n.bodies().leave(&in.demand)
+		n.bodyLimiter().close(&in.flow)
 		in.body.end(io.EOF, m.Trailer)
 	}
 	return nil
--- a/peer/silence_test.go
+++ b/peer/silence_test.go
@@ -17,7 +17,7 @@
 
 // TestIdleSilenceIsNoLoss leaves a connection idle for longer than the bound on
 // silence, and then has a call run on it across several looks at the silence.
-func TestIdleSilenceIsNoLoss(t *testing.T) {
+func TestIdleConnectionIsNotSilent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/peer/slowlink_test.go
+++ b/peer/slowlink_test.go
@@ -22,26 +22,26 @@
 
 const (
 	// linkRate is that of a link of 10 Mbit/s, in bytes per second.
-	linkRate = 10e6 / 8
+	linkBytesPerSecond = 10e6 / 8
 	// linkBuffer is what a connection's sender may have in its kernel.
-	linkBuffer = 512 << 10
+	sendBufferBytes = 512 << 10
 	// linkPiece is what the link carries at a time, in bytes.
-	linkPiece = 1500
+	packetBytes = 1500
 )
 
 // slowLink carries all connections to one instance, a piece of each in turn.
 type slowLink struct {
-	accept chan net.Conn
-	turn   chan struct{} // held while a piece is carried
+	accept       chan net.Conn
+	transmitting chan struct{} // held while a piece is carried
 
-	mu  sync.Mutex
-	cut bool
+	mu      sync.Mutex
+	severed bool
 }
 
 func newSlowLink() *slowLink {
 	return &slowLink{
-		accept: make(chan net.Conn),
-		turn:   make(chan struct{}, 1),
+		accept:       make(chan net.Conn),
+		transmitting: make(chan struct{}, 1),
 	}
 }
 
@@ -69,11 +69,11 @@
 
 // carry takes what is written into the sender's buffer and brings it across.
 func (l *slowLink) carry(to, from net.Conn) {
-	buffer := make(chan []byte, linkBuffer/linkPiece)
+	buffer := make(chan []byte, sendBufferBytes/packetBytes)
 	go func() {
 		defer close(buffer)
 		for {
-			p := make([]byte, linkPiece)
+			p := make([]byte, packetBytes)
 			n, err := from.Read(p)
 			if err != nil {
 				return
@@ -82,10 +82,10 @@
 		}
 	}()
 	for p := range buffer {
-		l.turn <- struct{}{}
-		time.Sleep(time.Duration(float64(len(p)) / linkRate * float64(time.Second)))
-		<-l.turn
-		if l.isCut() {
+		l.transmitting <- struct{}{}
+		time.Sleep(time.Duration(float64(len(p)) / linkBytesPerSecond * float64(time.Second)))
+		<-l.transmitting
+		if l.isSevered() {
 			continue
 		}
 		if _, err := to.Write(p); err != nil {
@@ -103,22 +103,22 @@
 }
 
 func (s *severable) Write(p []byte) (int, error) {
-	if s.link.isCut() {
+	if s.link.isSevered() {
 		return len(p), nil
 	}
 	return s.Writer.Write(p)
 }
 
-func (l *slowLink) isCut() bool {
+func (l *slowLink) isSevered() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.cut
+	return l.severed
 }
 
 func (l *slowLink) sever() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cut = true
+	l.severed = true
 }
 
 // TestBodiesOnSlowLink sends large bodies over a link of 10 Mbit/s, which takes
@@ -134,7 +134,7 @@
 		nodes   = 12
 		work    = time.Second
 	)
-	for name, cut := range map[string]bool{"whole": false, "cut": true} {
+	for name, severed := range map[string]bool{"whole": false, "cut": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				link := newSlowLink()
@@ -162,7 +162,7 @@
 					})
 				}
 				var calls sync.WaitGroup
-				one := func(c *peer.Client, body []byte) {
+				call := func(c *peer.Client, body []byte) {
 					m := newCall()
 					m.Length = int64(len(body))
 					m.Streams = len(body) > 0
@@ -175,27 +175,27 @@
 					case <-x.Silent():
 						silent = true
 					}
-					if !cut || !silent {
+					if !severed || !silent {
 						_, failed = x.Wait()
 					}
 					switch {
-					case cut:
+					case severed:
 						qt.Check(t, silent || failed != nil && failed.Cause == verdict.NotWritten, qt.IsTrue, qt.Commentf("%v", failed))
 					default:
 						qt.Check(t, !silent && failed == nil, qt.IsTrue, qt.Commentf("silent %v, %v", silent, failed))
 					}
 				}
 				for _, c := range clients {
-					calls.Go(func() { one(c, make([]byte, size)) })
-					calls.Go(func() { one(c, nil) })
+					calls.Go(func() { call(c, make([]byte, size)) })
+					calls.Go(func() { call(c, nil) })
 				}
 				time.Sleep(100 * time.Millisecond)
 				began := time.Now()
-				if cut {
+				if severed {
 					link.sever()
 				}
 				calls.Wait()
-				if cut {
+				if severed {
 					qt.Check(t, time.Since(began) <= silence*5/4, qt.IsTrue, qt.Commentf("known after %v", time.Since(began)))
 				}
 				for _, c := range clients {
--- a/peer/stalled_test.go
+++ b/peer/stalled_test.go
@@ -22,18 +22,18 @@
 
 // crowd is a server and two nodes that send calls to it, on a played network. The kernel holds
 // little of what is written.
-type crowd struct {
+type stalledSetup struct {
 	server      *peer.Server
-	sound       *peer.Client
+	healthy     *peer.Client
 	stalled     *peer.Client
 	stalledHost *simnet.Host
 	stop        func()
 }
 
-func newCrowd(limits peer.Limits, call func(in *peer.InboundCall)) *crowd {
+func newStalledSetup(limits peer.Limits, call func(in *peer.InboundCall)) *stalledSetup {
 	network := &simnet.Network{Latency: time.Millisecond, WindowBytes: 64 << 10, SendBufferBytes: 64 << 10}
 	host := network.Host("gate")
-	c := &crowd{
+	c := &stalledSetup{
 		server: &peer.Server{Limits: limits, HandleCall: call},
 	}
 	listener := host.Listen()
@@ -48,14 +48,14 @@
 		return &peer.Client{
 			Addr:   "gate",
 			Hello:  peer.Hello{Node: name},
-			Limits: peer.Limits{SilenceTimeout: farSilence},
+			Limits: peer.Limits{SilenceTimeout: silenceTimeout},
 			Dial:   func(ctx context.Context, addr string) (net.Conn, error) { return from.Dial(ctx, addr) },
 		}, from
 	}
-	c.sound, _ = client("sound")
+	c.healthy, _ = client("sound")
 	c.stalled, c.stalledHost = client("stalled")
 	c.stop = func() {
-		c.sound.Close()
+		c.healthy.Close()
 		c.stalled.Close()
 		cancel()
 		<-done
@@ -64,7 +64,7 @@
 }
 
 // large answers with more than the kernels and the window hold.
-func large(in *peer.InboundCall) {
+func sendLarge(in *peer.InboundCall) {
 	_ = in.BeginResponse(&peer.ResponseHead{Status: 200, Length: -1})
 	_ = in.CopyBody(bytes.NewReader(make([]byte, 1<<20)))
 	_ = in.FinishResponse(nil)
@@ -72,9 +72,9 @@
 
 // TestReportsPastStalledNode guards against what waits for a load report to be sent, such as
 // the answer that told the load, being held by another node that reads nothing.
-func TestReportsPastStalledNode(t *testing.T) {
+func TestReportNotBlockedByStalledNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCrowd(peer.Limits{}, large)
+		c := newStalledSetup(peer.Limits{}, sendLarge)
 		defer c.stop()
 		x, failed := c.stalled.Start(context.Background(), newCall(), nil)
 		qt.Assert(t, failed == nil, qt.IsTrue)
@@ -90,12 +90,12 @@
 
 // TestBodiesPastStalledNode guards against a sound connection that is not read, and so is
 // silent, while credit for a body is written to another node that reads nothing.
-func TestBodiesPastStalledNode(t *testing.T) {
+func TestCreditNotBlockedByStalledNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limits := peer.Limits{MaxInFlightBytes: 16 << 10}
-		c := newCrowd(limits, func(in *peer.InboundCall) {
+		c := newStalledSetup(limits, func(in *peer.InboundCall) {
 			if in.Call.Target == "/large" {
-				large(in)
+				sendLarge(in)
 				return
 			}
 			echo(in)
@@ -114,7 +114,7 @@
 		for range 4 {
 			defer start(c.stalled, "/large", 0).Close()
 		}
-		first := start(c.sound, "/", 150<<10)
+		first := start(c.healthy, "/", 150<<10)
 		defer first.Close()
 		time.Sleep(time.Millisecond)
 		defer start(c.stalled, "/", 150<<10).Close()
@@ -122,7 +122,7 @@
 		c.stalledHost.SuspendProcess(4 * time.Second)
 		time.Sleep(100 * time.Millisecond)
 		began := time.Now()
-		x := start(c.sound, "/", 0)
+		x := start(c.healthy, "/", 0)
 		defer x.Close()
 		_, failed := x.Wait()
 		qt.Check(t, failed == nil, qt.IsTrue, qt.Commentf("%v", failed))
@@ -176,10 +176,10 @@
 
 // TestCancelledWhileBegun guards against calls that run to their end for nobody, because they are
 // written after the word that their caller has left.
-func TestCancelledWhileBegun(t *testing.T) {
+func TestCancelledWhileStarting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var running, begun atomic.Int32
-		f := newFarPeer(func(in *peer.InboundCall) {
+		f := newSimulatedPeer(func(in *peer.InboundCall) {
 			begun.Add(1)
 			running.Add(1)
 			<-in.Context().Done()
@@ -203,7 +203,7 @@
 
 // TestAnswerPastBlockedWriter guards against an answer that has arrived and is not passed on,
 // because the credit for more of it waits to be written to a peer that reads nothing.
-func TestAnswerPastBlockedWriter(t *testing.T) {
+func TestResponsePastBlockedWriter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size = 400 << 10
 		network := &simnet.Network{Latency: time.Millisecond, WindowBytes: 64 << 10, SendBufferBytes: 64 << 10}
--- a/peer/stream.go
+++ b/peer/stream.go
@@ -15,21 +15,21 @@
 // incoming is the receiving end of one body. The goroutine that reads the
 // connection puts chunks in and never blocks; the consumer reads them and
 // grants credit for what it has read.
-type incoming struct {
+type bodyReader struct {
 	window int
 	grant  func(n int) // grants credit to the sender
 
-	mu      sync.Mutex
-	wake    chan struct{} // signalled, capacity 1
-	chunks  [][]byte
-	held    int // bytes sent to us and not yet granted again
-	owed    int // bytes read and not yet granted again
-	err     error
-	trailer []Field
+	mu        sync.Mutex
+	wake      chan struct{} // signalled, capacity 1
+	chunks    [][]byte
+	ungranted int // bytes sent to us and not yet granted again
+	consumed  int // bytes read and not yet granted again
+	err       error
+	trailer   []Field
 }
 
-func newIncoming(window int, grant func(n int)) *incoming {
-	return &incoming{
+func newBodyReader(window int, grant func(n int)) *bodyReader {
+	return &bodyReader{
 		window: window,
 		grant:  grant,
 		wake:   make(chan struct{}, 1),
@@ -37,15 +37,15 @@
 }
 
 // put takes in a chunk. It returns an error if the sender exceeds its credit.
-func (s *incoming) put(data []byte) error {
+func (s *bodyReader) put(data []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.err != nil {
 		return nil
 	}
-	s.held += len(data)
-	if s.held > s.window {
-		return eris.Wrapf(ErrProtocol, "%d body bytes without credit", s.held-s.window)
+	s.ungranted += len(data)
+	if s.ungranted > s.window {
+		return eris.Wrapf(ErrProtocol, "%d body bytes without credit", s.ungranted-s.window)
 	}
 	s.chunks = append(s.chunks, data)
 	s.signal()
@@ -53,7 +53,7 @@
 }
 
 // end ends the body with err, which is io.EOF for a whole one.
-func (s *incoming) end(err error, trailer []Field) {
+func (s *bodyReader) end(err error, trailer []Field) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.err == nil {
@@ -63,7 +63,7 @@
 	}
 }
 
-func (s *incoming) signal() {
+func (s *bodyReader) signal() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
@@ -71,14 +71,14 @@
 }
 
 // Read implements io.Reader for a single consumer.
-func (s *incoming) Read(p []byte) (int, error) {
+func (s *bodyReader) Read(p []byte) (int, error) {
 	if len(p) == 0 {
 		return 0, nil
 	}
 	for {
-		n, owed, err := s.take(p)
-		if owed > 0 {
-			s.grant(owed)
+		n, credit, err := s.take(p)
+		if credit > 0 {
+			s.grant(credit)
 		}
 		if n > 0 || err != nil {
 			return n, err
@@ -89,7 +89,7 @@
 
 // take copies buffered bytes to p. Owed is the credit to grant now, which is
 // given in portions of a quarter of the window.
-func (s *incoming) take(p []byte) (n, owed int, err error) {
+func (s *bodyReader) take(p []byte) (n, credit int, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for n < len(p) && len(s.chunks) > 0 {
@@ -104,39 +104,39 @@
 	if n == 0 {
 		return 0, 0, s.err
 	}
-	s.owed += n
-	if s.err == nil && s.owed >= s.window/4 {
-		owed = s.owed
-		s.held -= owed
-		s.owed = 0
+	s.consumed += n
+	if s.err == nil && s.consumed >= s.window/4 {
+		credit = s.consumed
+		s.ungranted -= credit
+		s.consumed = 0
 	}
-	return n, owed, nil
+	return n, credit, nil
 }
 
 // Trailer returns the trailer fields. It is complete after Read returned
 // io.EOF.
-func (s *incoming) Trailer() []Field {
+func (s *bodyReader) Trailer() []Field {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.trailer
 }
 
 // outgoing is the credit for the sending end of one body.
-type outgoing struct {
+type sendCredit struct {
 	mu     sync.Mutex
 	credit int
 	wake   chan struct{} // signalled, capacity 1
 }
 
-func newOutgoing(credit int) *outgoing {
-	return &outgoing{
+func newSendCredit(credit int) *sendCredit {
+	return &sendCredit{
 		credit: credit,
 		wake:   make(chan struct{}, 1),
 	}
 }
 
 // add grants n bytes. It returns an error if the credit grows out of bounds.
-func (o *outgoing) add(n, limit int) error {
+func (o *sendCredit) add(n, limit int) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if n < 0 || o.credit > limit-n {
@@ -151,7 +151,7 @@
 }
 
 // acquire waits for credit and takes at most n bytes of it.
-func (o *outgoing) acquire(ctx context.Context, n int) (int, error) {
+func (o *sendCredit) acquire(ctx context.Context, n int) (int, error) {
 	for {
 		o.mu.Lock()
 		if o.credit > 0 {
@@ -170,7 +170,7 @@
 }
 
 // wait waits until there is credit.
-func (o *outgoing) wait(ctx context.Context) error {
+func (o *sendCredit) wait(ctx context.Context) error {
 	n, err := o.acquire(ctx, 1)
 	if err != nil {
 		return err
@@ -183,8 +183,8 @@
 
 // copyBody sends what r yields, in chunks under credit. Emit sends one chunk.
 // It returns nil at the end of r.
-func (o *outgoing) copyBody(ctx context.Context, r io.Reader, emit func(data []byte) error) error {
-	buffer := make([]byte, chunk)
+func (o *sendCredit) copyBody(ctx context.Context, r io.Reader, emit func(data []byte) error) error {
+	buffer := make([]byte, maxChunkBytes)
 	for {
 		n, readErr := r.Read(buffer)
 		for data := buffer[:n]; len(data) > 0; {
@@ -208,24 +208,24 @@
 
 // first waits until the first chunk or the clean end is there. It returns the
 // error of a body that ended before either.
-func (s *incoming) first(ctx context.Context) error {
-	return s.await(ctx, func() bool { return len(s.chunks) > 0 || s.err == io.EOF })
+func (s *bodyReader) waitFirst(ctx context.Context) error {
+	return s.waitFor(ctx, func() bool { return len(s.chunks) > 0 || s.err == io.EOF })
 }
 
 // whole waits until the body has ended well. It returns the error of one that did not.
-func (s *incoming) whole(ctx context.Context) error {
-	return s.await(ctx, func() bool { return s.err == io.EOF })
+func (s *bodyReader) waitComplete(ctx context.Context) error {
+	return s.waitFor(ctx, func() bool { return s.err == io.EOF })
 }
 
 // await waits until what is waited for is there, which is found out with the lock held,
 // or the body has ended otherwise.
-func (s *incoming) await(ctx context.Context, found func() bool) error {
+func (s *bodyReader) waitFor(ctx context.Context, done func() bool) error {
 	for {
 		s.mu.Lock()
-		there := found()
+		isDone := done()
 		err := s.err
 		s.mu.Unlock()
-		if there {
+		if isDone {
 			s.signal()
 			return nil
 		}
--- a/peer/tell.go
+++ b/peer/tell.go
@@ -12,36 +12,36 @@
 	s.mu.Lock()
 	list := make([]*session, 0, len(s.sessions))
 	for n := range s.sessions {
-		if n.greeted.Load() && !n.from.Control {
+		if n.handshakeDone.Load() && !n.from.Control {
 			list = append(list, n)
 		}
 	}
 	s.mu.Unlock()
 	for _, n := range list {
-		n.tell(r)
+		n.sendReport(r)
 	}
 }
 
 // tell sends a load report without waiting for the peer. Of those that wait for their turn
 // the newest is sent.
-func (n *session) tell(r *Report) {
-	if n.report.Swap(r) != nil {
+func (n *session) sendReport(r *Report) {
+	if n.pendingReport.Swap(r) != nil {
 		return // the goroutine that was to send the former one sends this one
 	}
 	go func() {
-		if n.turn(context.Background()) != nil {
+		if n.lockWrite(context.Background()) != nil {
 			return
 		}
 		b, err := n.encode(frame{
 			kind:    KindReport,
-			message: n.report.Swap(nil),
+			message: n.pendingReport.Swap(nil),
 		})
 		if err == nil {
-			_ = n.put(b, 1) // a failure ends the connection
+			_ = n.writeAndUnlock(b, 1) // a failure ends the connection
 		} else {
-			<-n.writing
+			<-n.writeLock
 		}
-		buffers.Put(b)
+		bufferPool.Put(b)
 	}()
 }
 
--- a/peer/unpack_test.go
+++ b/peer/unpack_test.go
@@ -13,7 +13,7 @@
 )
 
 // TestUnpackOfFewBytes declares a list of 3.7 thousand million fields in 5 bytes.
-func TestUnpackOfFewBytes(t *testing.T) {
+func TestUnpackExcessiveLength(t *testing.T) {
 	_, err := peer.Unpack[[]peer.Field]([]byte{0xdd, 0xdd, 0xdd, 0xdd, 0xdd})
 	qt.Check(t, err, qt.ErrorIs, peer.ErrProtocol)
 }
--- a/peer/watch.go
+++ b/peer/watch.go
@@ -16,45 +16,45 @@
 
 // isSilent returns whether the peer has owed something for longer than most, and has not been
 // heard meanwhile.
-func (l *link) isSilent(most time.Duration) bool {
-	if l.silentAt.Load() != 0 && l.silentAt.Load() == l.heard.Load() {
+func (l *link) isSilent(timeout time.Duration) bool {
+	if l.silentAt.Load() != 0 && l.silentAt.Load() == l.lastReceived.Load() {
 		return true
 	}
 	open, _, busy := l.activity()
-	return open > 0 && min(l.silence(), busy) >= most
+	return open > 0 && min(l.silence(), busy) >= timeout
 }
 
 // watch pings a peer that is silent with calls open, tells the calls, and closes the
 // connection when it is idle for long. While nothing is open it waits: a node has some
 // thirty connections, and most of them are idle.
-func (l *link) watch() {
-	wait := l.nextLook()
+func (l *link) monitor() {
+	wait := l.nextCheck()
 	due := time.Now().Add(wait)
 	next := time.NewTimer(wait)
 	defer next.Stop()
 	var pinging atomic.Bool
 	pings := 0 // since the last bytes arrived
 	waited := false
-	var loss lossWatch
+	var loss ackMonitor
 	for number := uint64(1); ; {
 		var late time.Duration
 		select {
 		case <-l.closed:
 			return
-		case <-l.begun:
+		case <-l.wakeup:
 			loss.reset()
 		case <-next.C:
 			late = time.Since(due)
 		}
-		wait = l.nextLook()
+		wait = l.nextCheck()
 		due = time.Now().Add(wait)
 		next.Reset(wait)
-		l.looked.Add(1)
+		l.checks.Add(1)
 		open, _, busy := l.activity()
 		if l.silence() <= l.limits.SilenceTimeout/2 {
 			pings = 0
 		}
-		if l.closeIdle() {
+		if l.closeIfIdle() {
 			return
 		}
 		if late > l.limits.SilenceTimeout/4 && !waited {
@@ -64,8 +64,8 @@
 		}
 		waited = false
 		silence := min(l.silence(), busy)
-		if open > 0 && silence >= l.limits.SilenceTimeout/2 && l.lost(&loss) {
-			l.shut(errUnacknowledged)
+		if open > 0 && silence >= l.limits.SilenceTimeout/2 && l.ackTimedOut(&loss) {
+			l.closeWith(errAckTimeout)
 			return
 		}
 		if open > 0 && silence >= l.limits.SilenceTimeout {
@@ -73,15 +73,15 @@
 				Silence:      silence,
 				CheckDelay:   late,
 				Pings:        pings,
-				BytesWritten: l.written.Load(),
+				BytesWritten: l.writtenSince.Load(),
 				Pending:      open,
 			}
 			if l.control {
-				l.shut(q)
+				l.closeWith(q)
 				return
 			}
-			l.silentAt.Store(l.heard.Load())
-			l.tellSilent(q)
+			l.silentAt.Store(l.lastReceived.Load())
+			l.notifySilence(q)
 		}
 		if open > 0 && silence >= l.limits.SilenceTimeout/2 && pinging.CompareAndSwap(false, true) {
 			// A writer may wait for room in the kernel. Silence is judged meanwhile.
@@ -97,34 +97,34 @@
 }
 
 // tellSilent tells the open calls that the peer is silent.
-func (l *link) tellSilent(q *SilenceError) {
+func (l *link) notifySilence(q *SilenceError) {
 	l.mu.Lock()
 	var list []*Exchange
 	for _, x := range l.exchanges {
-		if !x.told {
-			x.told = true
+		if !x.silenceNotified {
+			x.silenceNotified = true
 			list = append(list, x)
 		}
 	}
 	l.mu.Unlock()
 	for _, x := range list {
-		go x.peerSilent(q) // a call that is taken back is cancelled, which may wait for room in the kernel
+		go x.handleSilence(q) // a call that is taken back is cancelled, which may wait for room in the kernel
 	}
 }
 
 // closeIdle closes the connection if nothing is open on it and nothing more will be, or
 // has been for long. It returns whether it did. The lock is held meanwhile, so that no
 // call is begun on a connection that is being closed.
-func (l *link) closeIdle() bool {
+func (l *link) closeIfIdle() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case len(l.exchanges)+len(l.requests) > 0:
 		return false
 	case l.retired:
-		l.shut(eris.New("replaced"))
+		l.closeWith(eris.New("replaced"))
 	case time.Since(l.idleSince) >= l.limits.IdleTimeout:
-		l.shut(eris.New("idle"))
+		l.closeWith(eris.New("idle"))
 	default:
 		return false
 	}
@@ -132,7 +132,7 @@
 }
 
 // nextLook returns when the connection is to be looked at next.
-func (l *link) nextLook() time.Duration {
+func (l *link) nextCheck() time.Duration {
 	open, idle, busy := l.activity()
 	if open == 0 {
 		return max(l.limits.IdleTimeout-idle, 0) + time.Millisecond
--- a/peer/withdrawn_test.go
+++ b/peer/withdrawn_test.go
@@ -15,15 +15,15 @@
 
 // TestWithdrawnIsNoBadRequest guards against a call that is taken back from a silent peer and told
 // as its caller's fault, because its body was about to be sent at that moment.
-func TestWithdrawnIsNoBadRequest(t *testing.T) {
+func TestWithdrawnIsNotBadRequest(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
 	l := &link{
 		conn:      newConn(near, Limits{}.withDefaults(), nil),
 		exchanges: make(map[uint64]*Exchange),
 	}
-	defer l.shut(errClosed)
-	x, err := l.add(context.Background())
+	defer l.closeWith(errClosed)
+	x, err := l.addExchange(context.Background())
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, x.credit.add(10, 10), qt.IsNil)
 	// The state between the two steps of peerSilent.
