--- a/peer/loss.go
+++ b/peer/ackmonitor.go
@@ -12,30 +12,30 @@
 	"sassafrasfront.example/internal/tcp"
 )
 
-// errUnacknowledged ends a connection whose peer's kernel does not answer.
+// errAckTimeout ends a connection whose peer's kernel does not acknowledge what was written.
 var errAckTimeout = eris.New("connection timed out: nothing acknowledged")
 
-// lossLooks is the number of looks in a row at which a repetition has not been answered, before
-// that counts: one may be under way.
+// maxUnansweredChecks is the number of consecutive checks with an unanswered retransmission or
+// probe after which a connection counts as lost. At a single check, one may still be in flight.
 const maxUnansweredChecks = 2
 
-// lossWatch finds whether a peer's kernel has answered nothing for long, where TCP_USER_TIMEOUT
-// can't tell: it takes a peer that has no room, as its process reads nothing, for one that is gone.
-// One goroutine calls its methods.
+// ackMonitor detects that a peer's kernel has acknowledged nothing for too long, where
+// TCP_USER_TIMEOUT can't: it would also end the connection to a live peer whose receive window
+// is zero because its process reads nothing. Its methods are called from one goroutine.
 type ackMonitor struct {
-	userTimeoutDisabled bool      // whether TCP_USER_TIMEOUT has been lifted
-	outstandingSince    time.Time // when something has first been seen to be outstanding, zero if nothing is
-	unansweredChecks    int       // at which a repetition was not answered, in a row
+	userTimeoutDisabled bool      // whether TCP_USER_TIMEOUT has been disabled
+	outstandingSince    time.Time // when data was first found outstanding, zero if none is
+	unansweredChecks    int       // consecutive checks with an unanswered retransmission or probe
 }
 
-// reset forgets what has been seen: this process was late, or nothing was open meanwhile.
+// reset discards the state, as this process was delayed or nothing was open meanwhile.
 func (w *ackMonitor) reset() {
 	w.outstandingSince = time.Time{}
 	w.unansweredChecks = 0
 }
 
-// look takes in how a connection stands, and returns whether it is lost: nothing has been
-// acknowledged for as long as most says.
+// check records the state of a connection, and returns whether it is lost: nothing has been
+// acknowledged for the timeout.
 func (w *ackMonitor) check(a tcp.AckState, now time.Time, timeout time.Duration) bool {
 	switch {
 	case !a.Outstanding:
@@ -52,8 +52,8 @@
 	return w.unansweredChecks >= maxUnansweredChecks
 }
 
-// lost looks whether the peer's kernel is gone. The kernel of this instance finds that, until the
-// peer's has said that it has no room.
+// ackTimedOut returns whether the peer's kernel no longer acknowledges. TCP_USER_TIMEOUT
+// detects that until the peer's kernel first advertises a zero window.
 func (l *link) ackTimedOut(w *ackMonitor) bool {
 	a, err := tcp.ReadAckState(l.Conn)
 	if err != nil {
@@ -66,8 +66,8 @@
 	return w.check(a, time.Now(), l.limits.AckTimeout)
 }
 
-// acknowledged returns whether the peer's kernel answers, though there is no room for what is
-// written.
+// peerAcknowledges returns whether the peer's kernel responds, even if its receive window
+// has no room for what is written.
 func (c *conn) peerAcknowledges() bool {
 	a, err := tcp.ReadAckState(c.Conn)
 	return err == nil && (!a.Retransmitting || a.SinceLastAck < c.limits.AckTimeout)
--- a/peer/speed.go
+++ b/peer/bandwidth.go
@@ -7,22 +7,22 @@
 import "time"
 
 const (
-	// speedSample is how many bytes make one measurement of a link's speed.
+	// sampleBytes is the number of bytes that make one bandwidth sample.
 	sampleBytes = 64 << 10
-	// speedGain is the weight of one measurement.
+	// bandwidthGain is the weight of a new sample in the moving average.
 	bandwidthGain = 0.2
 )
 
-// speed measures how many bytes a second a link carries, over the times in which it has
-// enough to carry. It begins with what it is said to carry.
+// bandwidthMeter measures the bandwidth of a link while it is saturated, as a moving average.
+// It starts with the configured bandwidth.
 type bandwidthMeter struct {
-	bytesPerSecond float64   // bytes per second, 0 if it is not known
-	sampleStart    time.Time // the beginning of the present measurement, or zero
+	bytesPerSecond float64   // 0 if it is not known
+	sampleStart    time.Time // start of the present sample, or zero
 	sampled        int       // bytes that have arrived since
 }
 
-// arrived takes in that n bytes have come at the given time, and whether as many as may be
-// were under way until then.
+// observe records that n bytes have arrived at the given time. The link is busy if as many
+// bytes as allowed were in flight until then.
 func (s *bandwidthMeter) observe(n int, busy bool, now time.Time) {
 	if !busy {
 		s.sampleStart = time.Time{}
--- a/peer/blocked_test.go
+++ b/peer/blocked_test.go
@@ -17,15 +17,15 @@
 	"sassafrasfront.example/verdict"
 )
 
-// TestBlockedWriter guards against requests that wait beyond their deadlines behind the one
-// that is being written to a peer which reads nothing.
+// TestBlockedWriter guards against calls that wait beyond their deadlines behind a call that
+// is being written to a peer which reads nothing.
 func TestBlockedWriter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &peer.Client{
 			Limits: peer.Limits{WriteTimeout: time.Minute},
 			Dial: func(context.Context, string) (net.Conn, error) {
 				near, far := net.Pipe()
-				go func() { _, _ = far.Write(skipFrame(far)) }() // the client's own hello will do
+				go func() { _, _ = far.Write(skipFrame(far)) }() // the client's own hello is valid
 				return near, nil
 			},
 		}
--- a/peer/client.go
+++ b/peer/client.go
@@ -18,34 +18,35 @@
 	"sassafrasfront.example/verdict"
 )
 
-// Client sends calls or control requests to one peer over one connection,
-// which it opens when it is needed. The exported fields are set before the
-// first call. Its methods may be called from any goroutine.
+// Client sends calls or control requests to one peer over one connection, which it opens on
+// demand. The exported fields are set before the first call. Its methods may be called from
+// any goroutine.
 type Client struct {
-	// Addr is the peer's address, as an IP number and port.
+	// Addr is the peer's address, as an IP address and port.
 	Addr string
-	// Hello introduces this process.
+	// Hello identifies this process to the peer.
 	Hello Hello
-	// Limits bounds the connection.
+	// Limits holds the limits of the connection.
 	Limits Limits
 	// Counters, if not nil, counts the traffic.
 	Counters *Counters
-	// Report, if not nil, is called with each load report that arrives. It
+	// OnReport, if not nil, is called with each load report that arrives. It
 	// must not block.
 	OnReport func(Report)
-	// Noticed, if not nil, is called with what the peer's upstream has said of the requests that it
-	// wants, before the answer or failure that tells it is passed on, and with nil once the peer
-	// has answered a call with a Notice that this is over. It must not block.
+	// OnNotice, if not nil, is called with each notice of the peer's upstream, before the
+	// response or failure that carries it is passed on. It is called with nil once a call
+	// with a Notice is answered without one: the earlier notice no longer applies. It must
+	// not block.
 	OnNotice func(*Notice)
 	// Dial opens the connection. Nil means TCP.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
 
 	mu         sync.Mutex
 	current    *link
-	former     map[*link]struct{} // the open connections that were current before
-	dialing    chan struct{}      // closed when the dialling in progress has ended
-	cancelDial context.CancelFunc // ends the dialling in progress
-	dialErr    error              // of the last dialling
+	former     map[*link]struct{} // open connections that have been replaced
+	dialing    chan struct{}      // closed when the dial in progress has ended
+	cancelDial context.CancelFunc // cancels the dial in progress
+	dialErr    error              // of the last dial
 	stopped    bool
 }
 
@@ -83,8 +84,8 @@
 	}
 }
 
-// open dials and greets, and closes done at its end. It does not stop when the
-// call that began it is cancelled, as others may wait for it too.
+// open dials and performs the handshake, and closes done at its end. It does not stop when
+// the call that started it is cancelled, as others may wait for the connection too.
 func (c *Client) open(ctx context.Context, done chan struct{}) {
 	l, err := c.dial(ctx)
 	c.mu.Lock()
@@ -94,7 +95,7 @@
 		if l != nil {
 			l.closeWith(errClosed)
 		}
-		return // nobody waits any more
+		return // no goroutine waits any more
 	}
 	if l != nil || !c.current.alive() {
 		c.replace(l)
@@ -104,10 +105,10 @@
 	close(done)
 }
 
-// longAgo is a deadline that has passed.
+// pastDeadline is a deadline that has passed.
 var pastDeadline = time.Unix(1, 0)
 
-// replace makes l, or nothing, the connection for new calls. The lock is held.
+// replace makes l, which may be nil, the connection for new calls. The lock is held.
 func (c *Client) replace(l *link) {
 	old := c.current
 	c.current = l
@@ -168,10 +169,10 @@
 	return l, nil
 }
 
-// errClosed is why the connections of a Client end that is closed.
+// errClosed is the reason for the end of the connections of a closed Client.
 var errClosed = errors.New("client closed")
 
-// Close closes the connection. Open calls fail.
+// Close closes all connections. Open calls fail.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -184,7 +185,8 @@
 	}
 }
 
-// Retire has the client take no more calls. Its connections end with what is open on them.
+// Retire makes the client accept no more calls. Its connections close once nothing is open
+// on them.
 func (c *Client) Retire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -192,7 +194,8 @@
 	c.replace(nil)
 }
 
-// stop has the client open no connection any more, and nobody wait for one. The lock is held.
+// stop prevents new connections and releases the goroutines that wait for one. The lock is
+// held.
 func (c *Client) stop() {
 	c.stopped = true
 	if c.dialing != nil {
@@ -203,8 +206,8 @@
 	}
 }
 
-// live returns a connection that the peer is not known to have closed. A call
-// that is written to one that it has closed may have run, for all that is known.
+// connectLive returns a connection that the peer is not known to have closed. A call written
+// to a connection that the peer has closed would have to count as one that may have run.
 func (c *Client) connectLive(ctx context.Context) (*link, error) {
 	l, err := c.connect(ctx)
 	if err != nil || !l.closedByPeer() {
@@ -214,21 +217,21 @@
 	return c.connect(ctx)
 }
 
-// Start sends a call. The ID of the call is set here. If the call streams, its
-// body is read from body once the peer has admitted it. The exchange ends with
-// ctx at the latest; the caller must call Close on it in any case. An error
-// means that the call has not run. Start waits no longer than the call's time lasts.
+// Start sends a call and sets its ID. If the call streams, its body is read from body once
+// the peer has admitted it. The exchange ends with ctx at the latest; the caller must call
+// Close on it in any case. An error means that the call has not run. Start waits no longer
+// than the call's Remaining time.
 func (c *Client) Start(ctx context.Context, call *Call, body io.Reader) (*Exchange, *verdict.Error) {
 	dialing, cancel := context.WithTimeout(ctx, call.Remaining)
 	defer cancel()
 	var x *Exchange
 	err := errNoNewCalls
-	for attempt := 0; attempt < 2 && errors.Is(err, errNoNewCalls); attempt++ { // a connection may close for idleness meanwhile
+	for attempt := 0; attempt < 2 && errors.Is(err, errNoNewCalls); attempt++ { // an idle connection may be closed meanwhile
 		l, dialErr := c.connectLive(dialing)
 		switch {
 		case dialErr == nil:
 		case ctx.Err() != nil:
-			return nil, verdict.New(verdict.NotWritten, dialErr) // which says nothing of the peer
+			return nil, verdict.New(verdict.NotWritten, dialErr) // this says nothing about the peer
 		case dialing.Err() != nil:
 			return nil, verdict.New(verdict.DeadlinePassed, dialErr)
 		default:
@@ -245,8 +248,8 @@
 	return x, nil
 }
 
-// Request sends a control request and returns the payload of its reply. If
-// notify is set, there is none, and Request returns once it is written.
+// Request sends a control request and returns the payload of its reply. If notify is set,
+// there is no reply, and Request returns once the request is written.
 func (c *Client) Request(ctx context.Context, topic string, payload []byte, notify bool) ([]byte, error) {
 	l, err := c.connect(ctx)
 	if err != nil {
--- a/peer/clients.go
+++ b/peer/clientpool.go
@@ -6,10 +6,10 @@
 
 import "sync"
 
-// Clients has a client for each of some nodes. The exported fields are set before the first
+// ClientPool holds clients by node. The exported fields are set before the first
 // call. Its methods may be called from any goroutine.
 type ClientPool struct {
-	// Hello, Limits and Counters are those of all clients.
+	// Hello, Limits and Counters are used for all clients.
 	Hello    Hello
 	Limits   Limits
 	Counters *Counters
@@ -18,7 +18,8 @@
 	byNode map[string]*Client
 }
 
-// At returns the client of a node at an address. One to an earlier address is closed.
+// GetOrCreate returns the client of a node at an address. A client for an earlier address is
+// closed.
 func (c *ClientPool) GetOrCreate(node, addr string) *Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -49,7 +50,7 @@
 	return c.byNode[node]
 }
 
-// Retain closes clients of nodes that are not wanted while there are more than most.
+// Prune closes clients of nodes that are not wanted while there are more than limit.
 func (c *ClientPool) Prune(limit int, wanted func(node string) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/peer/conn.go
+++ b/peer/conn.go
@@ -20,33 +20,33 @@
 	"github.com/rotisserie/eris"
 )
 
-// Counters counts the traffic of connections. They may be shared.
+// Counters counts the traffic of connections. It may be shared between connections.
 type Counters struct {
 	BytesIn, BytesOut   atomic.Uint64
 	FramesIn, FramesOut atomic.Uint64
-	// Requested, if not nil, is called with each control request by its topic, with the bytes
-	// of its payload and of the reply's. It is set before the first request.
+	// OnRequest, if not nil, is called for each control request with its topic and with the
+	// sizes in bytes of its payload and of the reply's. It is set before the first request.
 	OnRequest func(topic string, sent, received int)
 }
 
-// requested notes a control request.
+// recordRequest records a control request.
 func (c *Counters) recordRequest(topic string, sent, received int) {
 	if c != nil && c.OnRequest != nil {
 		c.OnRequest(topic, sent, received)
 	}
 }
 
-// conn is one connection, from either side: it frames, counts and keeps the
-// bounds. One goroutine reads; any may write.
+// conn is one connection, on either side. It frames messages, counts traffic and enforces the
+// limits. One goroutine reads; any goroutine may write.
 type conn struct {
 	net.Conn
 	limits       Limits
 	counters     *Counters
 	reader       *bufio.Reader
-	lastReceived atomic.Int64  // time of the last bytes, in ns since the epoch of base
+	lastReceived atomic.Int64  // time of the last bytes received, in ns since timeBase
 	writtenSince atomic.Uint64 // bytes written since then
 
-	writeLock chan struct{} // has a value while frames are written
+	writeLock chan struct{} // holds a value while frames are written
 
 	closeOnce sync.Once
 	closed    chan struct{}
@@ -73,14 +73,14 @@
 	return n
 }
 
-// hear notes that the peer gave a sign of life.
+// markReceived records that bytes have been received from the peer.
 func (c *conn) markReceived() {
 	c.lastReceived.Store(int64(time.Since(timeBase)))
 	c.writtenSince.Store(0)
 }
 
-// heeding reads from a connection and takes each piece that arrives for a sign of
-// life, so that a frame that takes long on a slow link does not look like silence.
+// activityReader reads from a connection and records every chunk as activity, so that a frame
+// that takes long on a slow link is not mistaken for silence.
 type activityReader struct {
 	conn *conn
 }
@@ -94,7 +94,7 @@
 	return n, err
 }
 
-// shut closes the connection. The first reason given is kept.
+// closeWith closes the connection. The first reason given is kept.
 func (c *conn) closeWith(reason error) {
 	c.closeOnce.Do(func() {
 		c.reason = reason
@@ -103,14 +103,14 @@
 	})
 }
 
-// why returns the reason of the closing. The connection is closed.
+// closeReason waits until the connection is closed and returns the reason.
 func (c *conn) closeReason() error {
 	<-c.closed
 	return c.reason
 }
 
-// ended returns the error for what comes after the closing. The reason is
-// shared between goroutines, and eris.Wrap changes what it wraps.
+// closedError returns the error of operations on the closed connection. It is not made by
+// eris.Wrap, which changes the error that it wraps: the reason is shared between goroutines.
 func (c *conn) closedError() error {
 	return fmt.Errorf("connection closed: %w", c.closeReason())
 }
@@ -126,14 +126,13 @@
 	return k, payload, nil
 }
 
-// silence returns the time since the last bytes arrived.
+// silence returns the time since the last bytes were received.
 func (c *conn) silence() time.Duration {
 	return time.Since(timeBase) - time.Duration(c.lastReceived.Load())
 }
 
-// gone returns whether the peer has closed the connection, as far as the kernel
-// knows, although the reading goroutine has not come to it. What the peer has
-// sent stays to be read.
+// closedByPeer returns whether the peer has closed the connection according to the kernel,
+// even if the reading goroutine has not noticed it yet. It leaves received data unread.
 func (c *conn) closedByPeer() bool {
 	s, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -161,8 +160,9 @@
 	message any
 }
 
-// write hands frames to the kernel in one call, unless ctx ends before its turn comes. If it
-// returns an error, the last of them was not wholly handed over, so the receiver can't have it.
+// write writes frames to the socket in one call, unless ctx ends before it gets the write
+// lock. If it returns an error, the last frame was not written completely, so the receiver
+// can't have it.
 func (c *conn) write(ctx context.Context, frames ...frame) error {
 	b, err := c.encode(frames...)
 	defer bufferPool.Put(b)
@@ -175,7 +175,7 @@
 	return c.writeAndUnlock(b, len(frames))
 }
 
-// encode returns a buffer with the frames, which goes back to buffers in any case.
+// encode returns a buffer with the frames. The caller returns it to bufferPool in any case.
 func (c *conn) encode(frames ...frame) (*bytes.Buffer, error) {
 	b := bufferPool.Get().(*bytes.Buffer)
 	b.Reset()
@@ -190,7 +190,7 @@
 	return b, nil
 }
 
-// turn waits for the turn to write, which put ends.
+// lockWrite acquires the write lock, which writeAndUnlock releases.
 func (c *conn) lockWrite(ctx context.Context) error {
 	select {
 	case c.writeLock <- struct{}{}:
@@ -206,7 +206,7 @@
 	return nil
 }
 
-// put hands a number of frames to the kernel, which is this goroutine's turn.
+// writeAndUnlock writes encoded frames to the socket. The caller holds the write lock.
 func (c *conn) writeAndUnlock(b *bytes.Buffer, frames int) error {
 	defer func() { <-c.writeLock }()
 	for left := b.Bytes(); ; {
@@ -245,7 +245,7 @@
 	})
 }
 
-// greet exchanges Hellos. The side that dialled speaks first.
+// handshake exchanges Hellos. The side that dialled sends first.
 func (c *conn) handshake(own Hello, first bool) (*Hello, error) {
 	own.Version = Version
 	_ = c.SetReadDeadline(time.Now().Add(c.limits.HandshakeTimeout))
@@ -259,7 +259,7 @@
 		return nil, err
 	}
 	if k != KindHello {
-		return nil, eris.Wrapf(ErrProtocol, "kind %d in place of a hello", k)
+		return nil, eris.Wrapf(ErrProtocol, "kind %d instead of a hello", k)
 	}
 	other, err := decode[Hello](payload)
 	if err != nil {
--- a/peer/ahead_test.go
+++ b/peer/earlybody_test.go
@@ -21,7 +21,7 @@
 	"sassafrasfront.example/verdict"
 )
 
-// newCallAhead returns a call whose body of the given length is sent ahead.
+// newEarlyBodyCall returns a call with an early body of the given length.
 func newEarlyBodyCall(length int) *peer.Call {
 	m := newCall()
 	m.Streams = true
@@ -30,9 +30,9 @@
 	return m
 }
 
-// TestAhead has bodies of several lengths received before a call is admitted.
+// TestEarlyBody receives bodies of several lengths before their calls are admitted.
 func TestEarlyBody(t *testing.T) {
-	for name, length := range map[string]int{"one byte": 1, "some frames": 100_000, "as large as may be": peer.MaxEarlyBodyBytes} {
+	for name, length := range map[string]int{"one byte": 1, "several frames": 100_000, "maximum length": peer.MaxEarlyBodyBytes} {
 		t.Run(name, func(t *testing.T) {
 			_, c := serve(t, peer.Limits{WindowBytes: 64 << 10, MaxInFlightBytes: 50_000}, func(in *peer.InboundCall) {
 				if _, err := in.ReceiveBody(in.Context()); err != nil {
@@ -58,8 +58,8 @@
 	}
 }
 
-// TestAheadLost has the connection lost before the end of a body that is sent ahead, after
-// which the call has not run, and after it, when it may have; or the client is closed then.
+// TestEarlyBodyLost loses the connection, or closes the client, before the end of an early
+// body, when the call has not run, and after it, when it may have run.
 func TestEarlyBodyLost(t *testing.T) {
 	tests := map[string]struct {
 		whole, closed bool
@@ -108,12 +108,13 @@
 	}
 }
 
-// TestAheadTooLarge has a peer send calls ahead that it may not: each costs its connection.
+// TestInvalidEarlyBody sends calls with early bodies that are not allowed: each loses its
+// connection.
 func TestInvalidEarlyBody(t *testing.T) {
 	tests := map[string]func(m *peer.Call){
-		"length not known": func(m *peer.Call) { m.Length = -1 },
-		"too large":        func(m *peer.Call) { m.Length = peer.MaxEarlyBodyBytes + 1 },
-		"not streamed":     func(m *peer.Call) { m.Streams = false },
+		"unknown length": func(m *peer.Call) { m.Length = -1 },
+		"too large":      func(m *peer.Call) { m.Length = peer.MaxEarlyBodyBytes + 1 },
+		"not streamed":   func(m *peer.Call) { m.Streams = false },
 	}
 	for name, corrupt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -130,8 +131,8 @@
 	}
 }
 
-// TestAheadSilence has an entry lose its power while it sends a body: the gate gives the call
-// up when it has heard nothing for long, and not at the deadline.
+// TestEarlyBodySilence has a caller's node lose power while it sends a body: the server gives
+// the call up after the silence timeout, and not at the deadline.
 func TestEarlyBodySilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const silence = 600 * time.Millisecond
--- a/peer/exchange.go
+++ b/peer/exchange.go
@@ -18,23 +18,23 @@
 	"sassafrasfront.example/verdict"
 )
 
-// Response is an answer as it reaches the sender of a call.
+// Response is a response as the sender of a call receives it.
 type Response struct {
 	Status int
 	Header []Field
 	// Length is the length of the body in bytes, or -1 if it is not known.
 	Length int64
-	// Body yields the body. A body that is cut ends in a *verdict.Error, never
+	// Body yields the body. A truncated body ends in a *verdict.Error, never
 	// in io.EOF.
 	Body io.Reader
 	// Trailer returns the trailer fields once Body has returned io.EOF.
 	Trailer func() []Field
-	// Arrived and Waited are as in Answer.
+	// TransferTime and QueueTime are as in ResponseHead.
 	TransferTime, QueueTime time.Duration
 }
 
-// informBuffer is the number of informational answers kept for a slow caller.
-// More are dropped, as they may be.
+// informationalBuffer is the number of informational responses buffered for a slow caller.
+// More are dropped, which is permitted.
 const informationalBuffer = 4
 
 // Exchange is a call that has been sent.
@@ -48,21 +48,21 @@
 	credit          *sendCredit
 	body            *bodyReader
 	earlyBody       bool // whether the body may be sent before the call is admitted
-	sentNotice      bool // whether the call told what was known of the peer's upstream
+	sentNotice      bool // whether the call carried a notice of the peer's upstream
 	silent          chan struct{}
 	silenceNotified bool          // whether silent is closed or being closed; the link's lock guards it
-	stage           atomic.Uint32 // how far the sending has come
+	stage           atomic.Uint32 // how far the call has been written
 
 	once     sync.Once
 	response *Response
 	failure  *verdict.Error
 }
 
-// The stages of a sending.
+// The stages of writing a call.
 const (
 	stagePending   uint32 = iota // the peer can't start the call
 	stageWritten                 // the peer may start it
-	stageWithdrawn               // the peer can't start it, and never will
+	stageWithdrawn               // the peer can't start the call, and never will
 )
 
 func newExchange(ctx context.Context, l *link, id uint64) *Exchange {
@@ -83,22 +83,22 @@
 // Ready returns a channel that is closed when Result has something to return.
 func (x *Exchange) Ready() <-chan struct{} { return x.ready }
 
-// Silent returns a channel that is closed when nothing has been heard from the peer for as
-// long as Limits.Silence says. The exchange goes on.
+// Silent returns a channel that is closed when nothing has been received from the peer for
+// Limits.SilenceTimeout. The exchange continues.
 func (x *Exchange) Silent() <-chan struct{} { return x.silent }
 
-// Heard returns the time since the latest bytes came from the peer.
+// SinceReceived returns the time since the last bytes were received from the peer.
 func (x *Exchange) SinceReceived() time.Duration { return x.link.silence() }
 
-// Informs yields informational answers that come ahead of the final one.
+// Informational yields the informational responses that precede the final one.
 func (x *Exchange) Informational() <-chan *Informational { return x.informational }
 
-// Result returns the answer or the failure. It may be called once Ready is
+// Result returns the response or the failure. It may be called once Ready is
 // closed.
 func (x *Exchange) Result() (*Response, *verdict.Error) { return x.response, x.failure }
 
-// Abandon ends the exchange with e, at once and without asking the peer, unless
-// its result has arrived meanwhile. It returns the result.
+// Abandon ends the exchange with e immediately, without a request to the peer, unless its
+// result has arrived meanwhile. It returns the result.
 func (x *Exchange) Abandon(e *verdict.Error) (*Response, *verdict.Error) {
 	x.once.Do(func() {
 		x.failure = e
@@ -125,17 +125,17 @@
 	return x.Abandon(verdict.New(cause, context.Cause(x.ctx)))
 }
 
-// Revoke asks the peer to take the call back if it still waits there. If it
-// does, the result becomes a failure with the cause Revoked.
+// Revoke asks the peer to take the call back if it is still queued there. If it
+// is, the result becomes a failure with the cause Revoked.
 func (x *Exchange) Revoke() {
 	go func() { _ = x.link.send(KindRevoke, &Revoke{ID: x.id}) }()
 }
 
 // Close ends the exchange. If it is still open at the peer, it is cancelled
-// there and what arrives late is dropped.
+// there, and frames that arrive late are dropped.
 func (x *Exchange) Close() {
 	if x.link.remove(x.id) != nil {
-		// What is left of its body must not come before the Cancel, which another goroutine sends.
+		// No more of its body may be written before the Cancel, which another goroutine sends.
 		x.stage.CompareAndSwap(stagePending, stageWithdrawn)
 		x.cancel()
 		x.body.end(verdict.New(verdict.ResponseTruncated, eris.New("closed by the receiver")), nil)
@@ -143,13 +143,13 @@
 	x.stop()
 }
 
-// cancel tells the peer that the call's answer is not wanted any more. It does not wait, as
-// there may be no room in the kernel for what is written to a peer that is silent.
+// cancel tells the peer that the call's response is no longer wanted. It does not wait, as a
+// write to a silent peer may block in the kernel.
 func (x *Exchange) cancel() {
-	go func() { _ = x.link.send(KindCancel, &Cancel{ID: x.id}) }() // a failure ends the connection
+	go func() { _ = x.link.send(KindCancel, &Cancel{ID: x.id}) }() // a failure closes the connection
 }
 
-// answered takes in the head of the answer.
+// handleResponse records the head of the response.
 func (x *Exchange) handleResponse(m *ResponseHead) error {
 	r := &Response{
 		Status: m.Status,
@@ -176,7 +176,7 @@
 	return nil
 }
 
-// fail ends the exchange with e, or cuts the answer that has begun.
+// fail ends the exchange with e, or truncates the response that has begun.
 func (x *Exchange) fail(e *verdict.Error) {
 	x.once.Do(func() {
 		x.failure = e
@@ -186,7 +186,7 @@
 	x.stop()
 }
 
-// lose ends the exchange because the connection was lost.
+// connectionLost ends the exchange because the connection was lost.
 func (x *Exchange) connectionLost(reason error) {
 	cause := verdict.NotWritten
 	switch {
@@ -199,13 +199,13 @@
 	x.fail(verdict.New(cause, reason))
 }
 
-// write notes that the peer may start the call from now on, and returns whether it may.
+// markWritten records that the peer may start the call from now on, and returns whether it may.
 func (x *Exchange) markWritten() bool {
 	return x.stage.CompareAndSwap(stagePending, stageWritten) || x.stage.Load() == stageWritten
 }
 
-// peerSilent notes that nothing has been heard from the peer for long. A call that can't have
-// been started there is taken back, and one that may have been goes on.
+// handleSilence records that the peer is silent. A call that can't have been started there is
+// withdrawn, and one that may have been continues.
 func (x *Exchange) handleSilence(q *SilenceError) {
 	if x.stage.CompareAndSwap(stagePending, stageWithdrawn) {
 		x.fail(verdict.New(verdict.NotWritten, q))
@@ -222,22 +222,22 @@
 	}
 }
 
-// grant gives the peer credit for the answer's body.
+// grant gives the peer credit for the response's body.
 func (x *Exchange) grant(n int) {
 	credit := &Credit{
 		ID:    x.id,
 		Bytes: n,
 	}
-	go func() { _ = x.link.send(KindCredit, credit) }() // what is here is read meanwhile
+	go func() { _ = x.link.send(KindCredit, credit) }() // asynchronous, as buffered bytes can be read meanwhile
 }
 
-// Trailered is a body with trailer fields, which are complete at its end.
+// TrailerReader is a body with trailer fields, which are complete at its end.
 type TrailerReader interface {
 	io.Reader
 	Trailer() []Field
 }
 
-// errWithdrawn ends the sending of a body whose call has been taken back.
+// errWithdrawn ends the sending of the body of a withdrawn call.
 var errWithdrawn = eris.New("the call has been withdrawn")
 
 // sendBody streams the body of the call once the peer grants credit for it.
@@ -261,7 +261,7 @@
 		return
 	case unsent != nil:
 		x.link.remove(x.id)
-		x.connectionLost(unsent) // the caller's body is not to blame
+		x.connectionLost(unsent) // not a failure of the caller's body
 		return
 	case err != nil:
 		x.bodyFailed(err)
@@ -281,7 +281,7 @@
 }
 
 // bodyFailed ends the exchange because the caller's body failed, unless the
-// exchange has ended and so stopped the body.
+// exchange has ended and thereby stopped the body.
 func (x *Exchange) bodyFailed(err error) {
 	if x.ctx.Err() != nil || x.link.remove(x.id) == nil {
 		return
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -15,18 +15,18 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// lengthSize is the size of the length that starts each frame.
+// lengthSize is the size in bytes of the length prefix of each frame.
 const lengthSize = 4
 
-// ErrProtocol is the root of all errors for a peer that breaks the protocol.
-var ErrProtocol = eris.New("peer protocol broken")
+// ErrProtocol is the root of all errors caused by a peer that violates the protocol.
+var ErrProtocol = eris.New("peer protocol violated")
 
-// buffers holds *bytes.Buffer values for encoding.
+// bufferPool holds *bytes.Buffer values for encoding.
 var bufferPool = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// appendFrame encodes one frame at the end of b. Structures are arrays of their
-// fields, in order: with names a call and its answer would be longer by a fifth,
-// and bytes between availability zones are paid for.
+// appendFrame encodes one frame at the end of b. Structs are encoded as arrays of their
+// fields, in order: field names would make a call and its response a fifth longer, and
+// traffic between availability zones is billed.
 func appendFrame(b *bytes.Buffer, k Kind, message any) error {
 	start := b.Len()
 	b.Write([]byte{0, 0, 0, 0, byte(k)})
@@ -42,8 +42,8 @@
 	return nil
 }
 
-// readFrame reads one frame and returns its kind and its message, still
-// encoded. It returns io.EOF if the connection ends between two frames.
+// readFrame reads one frame and returns its kind and its encoded message. It returns
+// io.EOF if the connection ends between two frames.
 func readFrame(r *bufio.Reader, limit int) (Kind, []byte, error) {
 	var head [lengthSize]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -55,15 +55,15 @@
 	}
 	payload := make([]byte, n)
 	if _, err := io.ReadFull(r, payload); err != nil {
-		return 0, nil, eris.Wrap(io.ErrUnexpectedEOF, "frame cut")
+		return 0, nil, eris.Wrap(io.ErrUnexpectedEOF, "truncated frame")
 	}
 	return Kind(payload[0]), payload[1:], nil
 }
 
-// decode decodes a message. Bytes after the message break the protocol.
+// decode decodes a message. Trailing bytes violate the protocol.
 func decode[T any](payload []byte) (*T, error) {
 	if !HasValidLengths(payload) {
-		return nil, eris.Wrap(ErrProtocol, "message: a length is over what follows it")
+		return nil, eris.Wrap(ErrProtocol, "message: declared length exceeds the remaining bytes")
 	}
 	m := new(T)
 	d := msgpack.GetDecoder()
@@ -74,7 +74,7 @@
 		return nil, eris.Wrapf(ErrProtocol, "message: %v", err)
 	}
 	if r.Len() > 0 {
-		return nil, eris.Wrapf(ErrProtocol, "%d bytes after the message", r.Len())
+		return nil, eris.Wrapf(ErrProtocol, "%d trailing bytes after the message", r.Len())
 	}
 	return m, nil
 }
--- a/peer/fullwindow_test.go
+++ b/peer/fullwindow_test.go
@@ -17,7 +17,7 @@
 	"sassafrasfront.example/peer"
 )
 
-// heldListener is a listener whose connections can be kept from being read.
+// pausableListener is a listener whose connections can be kept from being read.
 type pausableListener struct {
 	net.Listener
 	mu sync.RWMutex // held while nothing is read
@@ -33,7 +33,7 @@
 	return &pausableConn{TCPConn: c.(*net.TCPConn), listener: l}, nil
 }
 
-// heldConn is a connection of a heldListener.
+// pausableConn is a connection of a pausableListener.
 type pausableConn struct {
 	*net.TCPConn
 	listener *pausableListener
@@ -46,13 +46,13 @@
 	return c.TCPConn.Read(p)
 }
 
-// TestPeerReadsNothing guards against calls that are given up (peerLost) at a node which is at work
-// on one and reads nothing for longer than Loss and Write say, until its kernel has no more room: it
-// acknowledges all the while.
+// TestPeerReadsNothing guards against calls that are given up (peerLost) at a node which runs a
+// call and reads nothing for longer than AckTimeout and WriteTimeout, until its receive window is
+// full: its kernel acknowledges all the while.
 func TestPeerReadsNothing(t *testing.T) {
 	tests := map[string]peer.Limits{
-		"longer than Loss":  {SilenceTimeout: 400 * time.Millisecond, AckTimeout: 2 * time.Second},
-		"longer than Write": {SilenceTimeout: 400 * time.Millisecond, AckTimeout: 8 * time.Second, WriteTimeout: time.Second},
+		"longer than AckTimeout":   {SilenceTimeout: 400 * time.Millisecond, AckTimeout: 2 * time.Second},
+		"longer than WriteTimeout": {SilenceTimeout: 400 * time.Millisecond, AckTimeout: 8 * time.Second, WriteTimeout: time.Second},
 	}
 	for name, limits := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -100,7 +100,7 @@
 			exchanges := []*peer.Exchange{start(1)}
 			l.mu.Lock()
 			blocked := make(chan *peer.Exchange, 1)
-			go func() { // its writing waits for room
+			go func() { // the write blocks on the full window
 				m := newCall()
 				m.Remaining = time.Minute
 				m.Body = make([]byte, 500<<10)
--- a/peer/fuzz_test.go
+++ b/peer/fuzz_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// FuzzFrames feeds arbitrary bytes to the decoder of every kind of message. It
-// must return errors and never panic, and what it decodes must encode again.
+// FuzzFrames feeds arbitrary bytes to the decoder of every kind of message. The decoder must
+// return errors and never panic, and what it decodes must encode again.
 func FuzzFrames(f *testing.F) {
 	seeds := map[Kind]any{
 		KindHello:    &Hello{Version: Version, Node: "n"},
--- a/peer/idle_test.go
+++ b/peer/idle_test.go
@@ -14,8 +14,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestIdleConnections uses one of a node's connections seldom, or not at all: it is looked at
-// as seldom, stays open as long as it is in use, and is closed once it is idle for long.
+// TestIdleConnections uses a connection rarely, or not at all: it is checked as rarely, stays
+// open as long as it is in use, and is closed once it has been idle for too long.
 func TestIdleConnections(t *testing.T) {
 	request := func(notify bool) func(c *Client) {
 		return func(c *Client) { _, _ = c.Request(context.Background(), "t", nil, notify) }
@@ -23,13 +23,13 @@
 	tests := map[string]struct {
 		use       func(c *Client)
 		every     time.Duration
-		maxChecks uint64 // looks in two minutes
-		open      bool   // at their end, without having been closed
+		maxChecks uint64 // checks in two minutes
+		open      bool   // whether the connection is still open after them
 	}{
-		"not used":                    {maxChecks: 3},
-		"a request now and then":      {use: request(false), every: 20 * time.Second, maxChecks: 30, open: true},
-		"told something now and then": {use: request(true), every: 20 * time.Second, maxChecks: 10, open: true},
-		"used less often than Idle":   {use: request(false), every: 45 * time.Second, maxChecks: 15},
+		"not used":                         {maxChecks: 3},
+		"occasional requests":              {use: request(false), every: 20 * time.Second, maxChecks: 30, open: true},
+		"occasional notifications":         {use: request(true), every: 20 * time.Second, maxChecks: 10, open: true},
+		"used less often than IdleTimeout": {use: request(false), every: 45 * time.Second, maxChecks: 15},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -56,7 +56,7 @@
 					time.Sleep(test.every)
 				}
 				qt.Check(t, first.usable(), qt.Equals, test.open)
-				qt.Check(t, first.checks.Load() <= test.maxChecks, qt.IsTrue, qt.Commentf("%d looks", first.checks.Load()))
+				qt.Check(t, first.checks.Load() <= test.maxChecks, qt.IsTrue, qt.Commentf("%d checks", first.checks.Load()))
 				c.Close()
 				cancel()
 				s.closeAll()
@@ -66,7 +66,7 @@
 	}
 }
 
-// TestRequestsAreCounted counts control requests by their topics.
+// TestRequestCounters counts control requests by topic.
 func TestRequestCounters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
--- a/peer/inbound.go
+++ b/peer/inbound.go
@@ -17,32 +17,32 @@
 	"sassafrasfront.example/verdict"
 )
 
-// Inbound is a call that a Server has received. Its methods are for the
-// goroutine that handles the call, unless they say otherwise.
+// InboundCall is a call that a Server has received. Its methods are for the goroutine that
+// handles the call, unless they say otherwise.
 type InboundCall struct {
 	// Call is the call as it was sent.
 	Call *Call
 	// From is the node that sent it.
 	From Hello
-	// Notice goes with the answer or the failure, if not nil.
+	// Notice, if not nil, is sent with the response or the failure.
 	Notice *Notice
 
 	session        *session
 	ctx            context.Context
 	cancel         context.CancelCauseFunc
 	arrived        time.Time
-	deadlineTimer  *time.Timer // ends the call at its deadline, until its answer begins
+	deadlineTimer  *time.Timer // cancels the call at its deadline, until its response begins
 	body           *bodyReader
 	credit         *sendCredit
-	flow           bodyFlow // of body bytes
-	requestedBytes int64    // body bytes asked for so far, by one goroutine at a time
+	flow           bodyFlow // of the body
+	requestedBytes int64    // body bytes requested so far, by one goroutine at a time
 
 	mu     sync.Mutex
 	revoke func() bool
 	ended  bool
 }
 
-func newInbound(ctx context.Context, n *session, m *Call) *InboundCall {
+func newInboundCall(ctx context.Context, n *session, m *Call) *InboundCall {
 	in := &InboundCall{
 		Call:    m,
 		From:    n.from,
@@ -66,26 +66,25 @@
 	return in
 }
 
-// serve runs the handler, and ends the call if the handler has not.
+// serve runs the handler, and fails the call if the handler has not ended it.
 func (in *InboundCall) serve() {
 	defer in.session.server.calls.Done()
 	defer in.session.bodyLimiter().close(&in.flow)
 	in.session.server.HandleCall(in)
-	in.Fail(verdict.New(verdict.PeerLost, eris.New("the handler gave no answer")), nil)
+	in.Fail(verdict.New(verdict.PeerLost, eris.New("the handler sent no response")), nil)
 	in.deadlineTimer.Stop()
 	in.cancel(nil)
 }
 
-// Context ends when the call is cancelled, its connection is lost, or its
-// deadline passes before its answer has begun. Its cause is a *verdict.Error.
+// Context returns a context that ends when the call is cancelled, its connection is lost, or
+// its deadline passes before its response has begun. Its cause is a *verdict.Error.
 func (in *InboundCall) Context() context.Context { return in.ctx }
 
-// Deadline returns when the call's answer is no longer of use.
+// Deadline returns the time after which the call's response is of no use.
 func (in *InboundCall) Deadline() time.Time { return in.arrived.Add(in.Call.Remaining) }
 
-// OnRevoke sets the function that takes the call back while it waits. It
-// returns whether it is now certain that the call never runs, and is called
-// from another goroutine.
+// OnRevoke sets the function that takes the call back while it is queued. The function
+// returns whether it is certain that the call never runs. It is called from another goroutine.
 func (in *InboundCall) OnRevoke(f func() bool) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -99,7 +98,7 @@
 	return f != nil && f()
 }
 
-// Body returns the body of the call. Admit is called before a streamed body is
+// Body returns the body of the call. Admit must be called before a streamed body is
 // read.
 func (in *InboundCall) Body() io.Reader {
 	if in.Call.Streams {
@@ -111,9 +110,8 @@
 // Trailer returns the trailer fields of the body, after its end.
 func (in *InboundCall) Trailer() []Field { return in.body.Trailer() }
 
-// Admit tells the sender of a streamed call to send the body, and waits for
-// its first chunk or its end: until then the call must not be started. For
-// other calls it does nothing.
+// Admit requests the body of a streamed call from its sender, and waits for the first chunk or
+// the end: the call must not be started before. It does nothing for other calls.
 func (in *InboundCall) Admit() error {
 	if !in.Call.Streams || in.Call.EarlyBody {
 		return nil
@@ -122,15 +120,15 @@
 	return in.body.waitFirst(in.ctx)
 }
 
-// Coming returns how long the body of a call that is sent Ahead is likely to take, or 0 if that
-// is not known.
+// ExpectedTransferTime returns how long the early body of the call is likely to take to
+// arrive, or 0 if that is not known.
 func (in *InboundCall) ExpectedTransferTime() time.Duration {
 	return in.session.bodyLimiter().expectedTransferTime(in.Call.Length)
 }
 
-// Receive asks for the body of a call that is sent Ahead, and waits until all of it is
-// there, ctx ends, or the peer has been silent for long: one that has lost its power says no
-// more. It returns how long that took from the arrival of the call.
+// ReceiveBody requests the early body of the call, and waits until it is complete, ctx ends, or
+// the peer has been silent for the silence timeout: one that has lost power sends nothing
+// more. It returns the time since the arrival of the call.
 func (in *InboundCall) ReceiveBody(ctx context.Context) (time.Duration, error) {
 	in.requestBody(MaxEarlyBodyBytes)
 	silence := in.session.limits.SilenceTimeout
@@ -148,7 +146,7 @@
 	}
 }
 
-// grant asks for up to n more bytes of the body.
+// requestBody requests up to n more bytes of the body.
 func (in *InboundCall) requestBody(n int) {
 	if in.Call.Length > 0 {
 		n = int(min(int64(n), in.Call.Length-in.requestedBytes))
@@ -160,16 +158,16 @@
 	in.session.bodyLimiter().request(&in.flow, n)
 }
 
-// allow lets the sender send n more bytes of the body.
+// grant allows the sender to send n more bytes of the body.
 func (in *InboundCall) grant(n int) {
 	credit := &Credit{
 		ID:    in.Call.ID,
 		Bytes: n,
 	}
-	go func() { _ = in.session.send(KindCredit, credit) }() // others wait for what is dealt meanwhile
+	go func() { _ = in.session.send(KindCredit, credit) }() // asynchronous, as other flows wait for their grants
 }
 
-// end writes the last frame of the call, if it has not ended yet.
+// end writes the last frame of the call, if the call has not ended yet.
 func (in *InboundCall) end(k Kind, message any) error {
 	in.mu.Lock()
 	ended := in.ended
@@ -182,7 +180,7 @@
 	return in.session.send(k, message)
 }
 
-// Fail ends the call with e, before or within its answer. It does nothing if
+// Fail ends the call with e, before or during its response. It does nothing if
 // the call has ended.
 func (in *InboundCall) Fail(e *verdict.Error, r *Report) {
 	m := &Failure{
@@ -199,7 +197,7 @@
 	_ = in.end(KindFailure, m)
 }
 
-// Inform sends an informational answer.
+// SendInformational sends an informational response.
 func (in *InboundCall) SendInformational(status int, header []Field) error {
 	return in.session.send(KindInformational, &Informational{
 		ID:     in.Call.ID,
@@ -208,7 +206,7 @@
 	})
 }
 
-// Reply ends the call with a whole answer.
+// Reply ends the call with a complete response.
 func (in *InboundCall) Reply(a *ResponseHead) error {
 	a.ID = in.Call.ID
 	a.Streams = false
@@ -216,8 +214,8 @@
 	return in.end(KindResponse, a)
 }
 
-// Begin sends the head of an answer whose body follows through Write. Bytes in
-// a.Body go with the head; there must be no more than the window.
+// BeginResponse sends the head of a response whose body follows through CopyBody. Bytes in
+// a.Body are sent with the head; there must be no more than the window.
 func (in *InboundCall) BeginResponse(a *ResponseHead) error {
 	a.ID = in.Call.ID
 	a.Streams = true
@@ -231,8 +229,8 @@
 	return in.session.send(KindResponse, a)
 }
 
-// CopyBody sends what r yields as the body of the answer that has begun, as
-// the receiver's credit allows. A nil result means that r is at its end.
+// CopyBody sends what r yields as the body of the response that has begun, as
+// the receiver's credit allows. It returns nil at the end of r.
 func (in *InboundCall) CopyBody(r io.Reader) error {
 	return in.credit.copyBody(in.ctx, r, func(data []byte) error {
 		return in.session.send(KindBody, &Body{
@@ -242,7 +240,7 @@
 	})
 }
 
-// Finish ends the answer that has begun.
+// FinishResponse ends the response that has begun.
 func (in *InboundCall) FinishResponse(trailer []Field) error {
 	return in.end(KindEnd, &End{
 		ID:      in.Call.ID,
--- a/peer/quota.go
+++ b/peer/inflight.go
@@ -10,58 +10,59 @@
 	"time"
 )
 
-// quantum is the most body bytes that a call is allowed at a time while others
-// wait for theirs. A link of 10 Mbit/s carries them in 13 ms.
+// quantumBytes is the largest number of body bytes that a call is granted at a time while
+// others wait for credit. A link of 10 Mbit/s carries them in 13 ms.
 const quantumBytes = 16 << 10
 
-// mostUnderWay is the most body bytes that one call has under way while it is under a
-// quota, once some have arrived: enough to keep a link busy over the delay between zones.
-// Until then it is less, as a sender may have credit and wait for its caller: a quantum, or
-// two if no other call wants or has any.
+// maxFlowBytes is the largest number of body bytes that one call has in flight under an
+// inFlightLimiter, once some have arrived: enough to saturate a link despite the latency
+// between zones. Until then the limit is lower, as a sender may have credit and wait for its
+// caller: one quantum, or two if no other call wants credit or has bytes in flight.
 const maxFlowBytes = 3 * quantumBytes
 
-// overdue is how long bytes may be under way before they count as not sent: their sender
-// waits for its caller, and the link is idle. It is several times what a link takes for all
-// that may be under way.
+// creditTimeout is how long granted bytes may be in flight before they count as not sent:
+// their sender waits for its caller, and the link is idle. It is several times what a link
+// takes for all bytes that may be in flight.
 const creditTimeout = 150 * time.Millisecond
 
-// quota bounds the body bytes that all peers together may have under way to this
-// node, so that they don't stand in the queue of its link. There, each connection
-// looks silent that has a small message behind them, and its calls are lost.
+// inFlightLimiter bounds the body bytes in flight from all peers together to this node, so
+// that they don't fill the queue of its link. A connection with a small message behind such a
+// queue looks silent, and its calls are lost.
 //
-// The call that asked first goes first, so that it is known when a body will be there, and
-// bodies are there sooner than if they shared the link: of ten that come at once and take
-// 50 ms each, all are there after 500 ms if they share it, and after 275 ms on average one
-// by one. It is receiver-driven flow control as in B. Montazeri et al., Homa: a
-// receiver-driven low-latency transport protocol, 2018. doi:10.1145/3230543.3230564. Unlike
-// there, the shortest doesn't go first: long bodies that were accepted would be overtaken
-// until they are late. A nil quota bounds nothing.
+// Credit is granted in the order of the requests for it (first come, first served), so that
+// the arrival time of a body can be predicted, and bodies arrive sooner than if they shared
+// the link: of ten that are sent at once and take 50 ms each, all arrive after 500 ms if they
+// share it, and after 275 ms on average one by one. This is receiver-driven flow control as
+// in B. Montazeri et al., Homa: a receiver-driven low-latency transport protocol, 2018.
+// doi:10.1145/3230543.3230564. Unlike there, the shortest body doesn't go first: long bodies
+// that were accepted would be overtaken until they miss their deadlines. A nil
+// inFlightLimiter limits nothing.
 type inFlightLimiter struct {
-	limit int // bytes that may be under way
+	limit int // bytes that may be in flight
 
 	mu            sync.Mutex
-	available     int         // bytes that may be given now
-	waiting       []*bodyFlow // that want bytes, the one that asked first comes first
-	active        []*bodyFlow // that have bytes under way
-	dispatchTimer *time.Timer // has what is free given again, or nil before its first use
+	available     int         // bytes that may be granted now
+	waiting       []*bodyFlow // flows that want bytes, in the order of their requests
+	active        []*bodyFlow // flows that have bytes in flight
+	dispatchTimer *time.Timer // dispatches after creditTimeout, or nil before its first use
 	bandwidth     bandwidthMeter
 }
 
-// demand is the part of a quota that one call has and wants.
+// bodyFlow is the state of one call's body in an inFlightLimiter.
 type bodyFlow struct {
-	// give allows the sender n more bytes. It is set before the first use.
+	// grant allows the sender n more bytes. It is set before the first use.
 	grant func(n int)
 
-	// The quota's mutex guards what follows.
+	// The limiter's mutex guards the following fields.
 	wanted, inFlight int       // bytes
-	lastActivity     time.Time // when it was last given bytes, or some arrived
+	lastActivity     time.Time // when it was last granted bytes, or some arrived
 	started          bool      // whether any bytes have arrived
-	expired          bool      // whether what it was given is overdue
+	expired          bool      // whether its granted bytes count as not sent
 	closed           bool
 }
 
-// newQuota returns a quota of the given number of bytes on a link that is said to carry so
-// many a second, or nil if the number is 0.
+// newInFlightLimiter returns a limiter of the given number of bytes for a link with the given
+// bandwidth in bytes per second, or nil if the number is 0.
 func newInFlightLimiter(bytes int, rate float64) *inFlightLimiter {
 	if bytes == 0 {
 		return nil
@@ -76,7 +77,7 @@
 	}
 }
 
-// ask asks for n more bytes for a call.
+// request requests credit for n more bytes of a flow.
 func (q *inFlightLimiter) request(d *bodyFlow, n int) {
 	if q == nil {
 		d.grant(n)
@@ -92,7 +93,7 @@
 	q.dispatch()
 }
 
-// arrived takes in that n bytes of a call have come.
+// received records that n bytes of a flow have arrived.
 func (q *inFlightLimiter) received(d *bodyFlow, n int) {
 	if q == nil {
 		return
@@ -106,7 +107,7 @@
 	q.dispatch()
 }
 
-// leave takes in that no more bytes of a call come.
+// close records that no more bytes of a flow will arrive.
 func (q *inFlightLimiter) close(d *bodyFlow) {
 	if q == nil {
 		return
@@ -118,7 +119,7 @@
 	q.dispatch()
 }
 
-// settle takes in that n bytes of a call are not under way any more. The lock is held.
+// release records that n bytes of a flow are no longer in flight. The lock is held.
 func (q *inFlightLimiter) release(d *bodyFlow, n int) {
 	n = min(n, d.inFlight)
 	d.inFlight -= n
@@ -131,8 +132,8 @@
 	}
 }
 
-// writeOff takes bytes that are overdue for not sent, and returns whether there were any.
-// The lock is held.
+// expire treats granted bytes as not sent after creditTimeout, and returns whether there were
+// any. The lock is held.
 func (q *inFlightLimiter) expire() (found bool) {
 	now := time.Now()
 	for _, d := range slices.Clone(q.active) {
@@ -145,8 +146,8 @@
 	return found
 }
 
-// dealAgain has what is free given again later, for the case that nothing arrives until
-// then. The lock is held.
+// dispatchLater dispatches after creditTimeout, in case nothing arrives until then. The lock
+// is held.
 func (q *inFlightLimiter) dispatchLater() {
 	if q.dispatchTimer != nil {
 		q.dispatchTimer.Reset(creditTimeout)
@@ -158,7 +159,7 @@
 	})
 }
 
-// drop takes a call out of those that want bytes. The lock is held.
+// removeWaiting removes a flow from those that wait for credit. The lock is held.
 func (q *inFlightLimiter) removeWaiting(d *bodyFlow) {
 	d.wanted = 0
 	if i := slices.Index(q.waiting, d); i >= 0 {
@@ -166,7 +167,7 @@
 	}
 }
 
-// deal gives what is free to the calls whose turn it is, and unlocks.
+// dispatch grants the available bytes to the next flows, and unlocks.
 func (q *inFlightLimiter) dispatch() {
 	type grant struct {
 		to *bodyFlow
@@ -207,8 +208,8 @@
 	}
 }
 
-// next returns the call that gets bytes next, or nil: the first one whose sender is not known
-// to wait for its caller, if there is any. The lock is held.
+// nextFlow returns the flow that is granted credit next, or nil: the first one whose sender is
+// not known to wait for its caller, if there is any. The lock is held.
 func (q *inFlightLimiter) nextFlow() *bodyFlow {
 	var best *bodyFlow
 	for _, d := range q.waiting {
@@ -222,7 +223,7 @@
 	return best
 }
 
-// bound returns how many bytes a call may have under way. The lock is held.
+// flowLimit returns how many bytes a flow may have in flight. The lock is held.
 func (q *inFlightLimiter) flowLimit(d *bodyFlow) int {
 	others := len(q.waiting) > 1 || slices.ContainsFunc(q.active, func(o *bodyFlow) bool { return o != d })
 	switch {
@@ -234,8 +235,8 @@
 	return 2 * quantumBytes
 }
 
-// coming returns how long n more bytes take to arrive behind all that are under way or
-// wanted, or 0 if that is not known.
+// expectedTransferTime returns the time until n more bytes arrive behind all that are in
+// flight or wanted, or 0 if that is not known.
 func (q *inFlightLimiter) expectedTransferTime(n int64) time.Duration {
 	rate, backlog := q.load()
 	if rate <= 0 {
@@ -244,8 +245,8 @@
 	return time.Duration((float64(backlog) + float64(n)) / rate * float64(time.Second))
 }
 
-// inflow returns how many bytes a second arrive while the link has enough to carry, 0 if
-// that is not known, and how many are under way or wanted.
+// load returns the bandwidth of the saturated link in bytes per second, or 0 if that is not
+// known, and the number of bytes in flight or wanted.
 func (q *inFlightLimiter) load() (rate float64, backlog int) {
 	if q == nil {
 		return 0, 0
--- a/peer/quota_test.go
+++ b/peer/inflight_test.go
@@ -14,24 +14,24 @@
 )
 
 const (
-	// testRate is that of a link of 10 Mbit/s, in bytes per second.
+	// testBytesPerSecond is the bandwidth of a link of 10 Mbit/s.
 	testBytesPerSecond = 10e6 / 8
-	// testQuota is what it carries in 40 ms.
+	// testLimitBytes is what the link carries in 40 ms.
 	testLimitBytes = 50_000
-	// testPiece is what the link carries at a time, in bytes.
+	// testPacketBytes is what the link carries at a time.
 	testPacketBytes = 1 << 10
 )
 
-// sender is a call whose body crosses a link that it shares with others.
+// sender is a call whose body is sent over a link that it shares with others.
 type sender struct {
 	bodyFlow
 	credit chan int
-	took   time.Duration // until the body was there
+	took   time.Duration // until the body had arrived
 }
 
-// TestRushOfBodies has ten bodies of different sizes come at once over a link of
-// 10 Mbit/s. The link is never idle, what is under way stays within the quota, and the
-// bodies are there sooner on average than if they shared the link.
+// TestConcurrentBodies has ten bodies of different sizes sent at once over a link of
+// 10 Mbit/s. The link is never idle, the bytes in flight stay within the limit, and the bodies
+// arrive sooner on average than if they shared the link.
 func TestConcurrentBodies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := newInFlightLimiter(testLimitBytes, 0)
@@ -57,7 +57,7 @@
 		}
 		for range total / testPacketBytes {
 			qt.Assert(t, inFlight <= testLimitBytes, qt.IsTrue, qt.Commentf("%d bytes", inFlight))
-			s := <-link // a link that runs dry deadlocks the test
+			s := <-link // an idle link deadlocks the test
 			time.Sleep(time.Duration(testPacketBytes / testBytesPerSecond * float64(time.Second)))
 			inFlight -= testPacketBytes
 			left[s] -= testPacketBytes
@@ -82,8 +82,8 @@
 	})
 }
 
-// TestSlowCallersHoldUpNobody has senders with credit whose callers send nothing. Others get
-// their turn soon, and go on when the slow ones send after all.
+// TestSlowSendersDoNotBlock has senders with credit whose callers send nothing. Others are
+// granted credit soon, and the slow ones continue once their callers send.
 func TestSlowSendersDoNotBlock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := newInFlightLimiter(testLimitBytes, 0)
@@ -121,8 +121,8 @@
 	})
 }
 
-// TestSlowCallersAmongQuickOnes has slow callers hold credit while others come all the time, so
-// that the quota is never left alone: what is overdue is given to others all the same.
+// TestSlowSendersAmongFast has slow senders hold credit while others arrive continuously, so that
+// the timer never expires: credit that has timed out is granted to others all the same.
 func TestSlowSendersAmongFast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := newInFlightLimiter(testLimitBytes, 0)
--- a/peer/plausible.go
+++ b/peer/lengths.go
@@ -4,10 +4,9 @@
 
 package peer
 
-// Plausible returns whether a msgpack value declares no more members and bytes than
-// follow it. The decoder makes room for what is declared before it reads it, so that
-// 23 bytes could ask for a list of 119 GB and end the process. Its own limit on that
-// does not hold for lists.
+// HasValidLengths returns whether a msgpack value declares no more elements and bytes than
+// follow it. The decoder allocates what is declared before it reads it, so 23 bytes could
+// request a list of 119 GB and crash the process. Its own limit does not apply to lists.
 func HasValidLengths(p []byte) bool {
 	for pending := 1; pending > 0; {
 		if len(p) == 0 {
@@ -40,9 +39,9 @@
 	return true
 }
 
-// shape returns what the first byte of a msgpack value says: how many bytes follow
-// it, how many values, and how many bytes tell a length. With a length, the values
-// are those of each member.
+// valueLayout returns what the first byte of a msgpack value determines: how many bytes follow
+// it, how many values, and how many bytes hold a length. If there is a length, members is the
+// number of values per element.
 func valueLayout(b byte) (size, members, width int) {
 	switch {
 	case b >= 0x80 && b <= 0x8f:
--- a/peer/limits.go
+++ b/peer/limits.go
@@ -6,58 +6,57 @@
 
 import "time"
 
-// Limits bounds what a peer may make this process hold. It is an immutable
+// Limits bounds the resources of this process that a peer can use. It is an immutable
 // value; the zero value of a field stands for its default.
 type Limits struct {
-	// Frame is the largest frame in bytes. The default is 1 MiB.
+	// MaxFrameBytes is the largest frame in bytes. The default is 1 MiB.
 	MaxFrameBytes int
-	// Fields is the largest number of header or trailer fields of one
-	// message. The default is MaxFields.
+	// MaxFields is the largest number of header or trailer fields of one
+	// message. The default is the constant MaxFields.
 	MaxFields int
-	// Open is the largest number of open calls per connection. The default is
+	// MaxOpenCalls is the largest number of open calls per connection. The default is
 	// 4096.
 	MaxOpenCalls int
-	// Window is the largest number of body bytes per call and direction that
-	// are sent and not yet consumed. The default is 256 KiB.
+	// WindowBytes is the flow control window: the largest number of body bytes per call and
+	// direction that are sent and not yet consumed. The default is 256 KiB.
 	WindowBytes int
-	// UnderWay is the largest number of body bytes of calls that all peers together
-	// may have under way to a Server. Zero means that Window alone bounds them.
+	// MaxInFlightBytes is the largest number of body bytes of calls in flight to a Server
+	// from all peers together. Zero means that only WindowBytes bounds them.
 	MaxInFlightBytes int
-	// Rate is how many bytes a second the link to a Server is said to carry, or 0 if that
-	// is not known. It is measured where UnderWay is set.
+	// LinkBandwidth is the configured bandwidth of the link to a Server in bytes per second,
+	// or 0 if it is not known. The bandwidth is measured if MaxInFlightBytes is set.
 	LinkBandwidth float64
-	// Handshake bounds dialling and the exchange of Hellos. The default is 1 s.
+	// HandshakeTimeout bounds dialling and the exchange of Hellos. The default is 1 s.
 	HandshakeTimeout time.Duration
-	// Write bounds the writing of one frame where the peer's kernel does not acknowledge what was
-	// written. The default is 5 s.
+	// WriteTimeout bounds the writing of one frame while the peer's kernel does not
+	// acknowledge what was written. The default is 5 s.
 	WriteTimeout time.Duration
-	// Silence is the time after which a connection with open calls, on which
-	// nothing arrives, gets no more of them. A ping is sent after half of it. What is
-	// open stays so, as a peer whose link is full or whose processor is scarce is as
-	// silent as one that is gone. A control connection ends: what is asked there may be
-	// asked again. The default is 3 s.
+	// SilenceTimeout is the time after which a connection with open calls, on which
+	// nothing arrives, gets no new ones. A ping is sent after half of it. Open calls
+	// continue, as a peer whose link is saturated or whose processor is overloaded is as
+	// silent as one that has crashed. A control connection is closed: its requests can be
+	// sent again. The default is 3 s.
 	SilenceTimeout time.Duration
-	// Loss is the time after which a connection ends on which what was written has
-	// not been acknowledged by the peer's kernel (TCP_USER_TIMEOUT, see RFC 5482). One that
-	// answers that it has no room, as its process reads nothing, acknowledges. The
+	// AckTimeout is the time after which a connection is closed if the peer's kernel has
+	// not acknowledged what was written (TCP_USER_TIMEOUT, see RFC 5482). A kernel that
+	// advertises a zero window, as its process reads nothing, does acknowledge. The
 	// default is 10 s.
 	AckTimeout time.Duration
-	// Idle is the time after which a client connection without open calls is
+	// IdleTimeout is the time after which a client connection without open calls is
 	// closed. The default is 5 min.
 	IdleTimeout time.Duration
 }
 
-// MaxFields is the default bound on header or trailer fields. Who sends a
-// message keeps to it, as the receiver ends the connection over a breach, and
-// with it what others have under way there.
+// MaxFields is the default limit of header or trailer fields. Senders must respect it, as
+// the receiver closes the connection on a violation, and thereby ends all other calls on it.
 const MaxFields = 256
 
-// MaxAhead is the largest body, in bytes, that may be sent ahead of the admission of its
-// call, and so be held for a call that waits.
+// MaxEarlyBodyBytes is the largest body, in bytes, that may be sent before its call is
+// admitted, and so be buffered for a queued call.
 const MaxEarlyBodyBytes = 256 << 10
 
-// chunk is the largest number of body bytes in one frame: a small frame that comes
-// behind one waits for no more than a quantum.
+// maxChunkBytes is the largest number of body bytes in one frame. A small frame behind a
+// chunk waits for no more than a quantum.
 const maxChunkBytes = quantumBytes
 
 // withDefaults returns l with its zero fields replaced.
--- a/peer/link.go
+++ b/peer/link.go
@@ -23,13 +23,13 @@
 	*conn
 	peer     Hello
 	onReport func(Report)
-	// noticed is as in Client.
+	// onNotice is as in Client.
 	onNotice func(*Notice)
 	// control is whether the connection carries control requests only.
 	control bool
 
-	// starting has a value from the choice of a call's id until the call is written, so
-	// that ids arrive in order.
+	// startLock holds a value from the choice of a call's ID until the call is written, so
+	// that IDs arrive in order.
 	startLock chan struct{}
 
 	mu        sync.Mutex
@@ -39,12 +39,13 @@
 	idleSince time.Time
 	busySince time.Time // when the first of the open exchanges and requests began
 
-	// retired is whether no more calls are begun, and the connection ends with what is open.
+	// retired is whether no new calls are started, and the connection closes once nothing is
+	// open on it.
 	retired bool
 
-	wakeup   chan struct{} // has a value when the first of them has begun, or l is retired
-	checks   atomic.Uint64 // how often watch has looked at the connection
-	silentAt atomic.Int64  // when the peer was last heard before it was found silent, or 0
+	wakeup   chan struct{} // holds a value once the first exchange or request has started, or l is retired
+	checks   atomic.Uint64 // how often monitor has checked the connection
+	silentAt atomic.Int64  // time of the last bytes received before the peer was found silent, or 0
 }
 
 // alive returns whether there is a connection that has not ended.
@@ -52,7 +53,7 @@
 	return l != nil && !l.isClosed()
 }
 
-// retire has the connection take no more calls and end with what is open on it.
+// retire stops new calls on the connection, which closes once nothing is open on it.
 func (l *link) retire() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -60,7 +61,7 @@
 	l.wakeMonitor()
 }
 
-// wake has watch look at the connection.
+// wakeMonitor makes monitor check the connection.
 func (l *link) wakeMonitor() {
 	select {
 	case l.wakeup <- struct{}{}:
@@ -68,9 +69,9 @@
 	}
 }
 
-// begin opens an exchange and writes its call, unless ctx ends or the call's time is over
-// before its turn comes. An error means that the call has not wholly been written. A call that
-// is being written when its time is over may yet be.
+// startCall opens an exchange and writes its call, unless ctx ends or the call's deadline
+// passes before it gets the write lock. An error means that the call was not written
+// completely. A call whose deadline passes while it is being written may still be sent.
 func (l *link) startCall(ctx context.Context, call *Call) (*Exchange, error) {
 	writing, cancel := context.WithTimeout(ctx, call.Remaining)
 	defer cancel()
@@ -99,9 +100,9 @@
 	if err == nil {
 		err = l.lockWrite(writing)
 	}
-	if err == nil && l.find(x.id) == nil { // its Cancel may be ahead of it
+	if err == nil && l.find(x.id) == nil { // cancelled: its Cancel may be written before it
 		<-l.writeLock
-		err = eris.New("ended before it was written")
+		err = eris.New("cancelled before it was written")
 	}
 	if err != nil {
 		<-l.startLock
@@ -130,10 +131,10 @@
 	return x, nil
 }
 
-// errNotTaken is why a call is not begun on a connection that ends: another may take it.
+// errNoNewCalls means that a connection is closing: another connection may take the call.
 var errNoNewCalls = errors.New("no more calls on this connection")
 
-// add opens an exchange under a new id.
+// addExchange opens an exchange under a new ID.
 func (l *link) addExchange(ctx context.Context) (*Exchange, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -153,7 +154,7 @@
 	return x, nil
 }
 
-// began notes that an exchange or a request begins. The lock is held.
+// markBusy records that an exchange or a request starts. The lock is held.
 func (l *link) markBusy() {
 	if len(l.exchanges)+len(l.requests) > 0 {
 		return
@@ -162,7 +163,7 @@
 	l.wakeMonitor()
 }
 
-// find returns the open exchange with the given id, or nil.
+// find returns the open exchange with the given ID, or nil.
 func (l *link) find(id uint64) *Exchange {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -200,7 +201,7 @@
 	l.idleSince = time.Now()
 }
 
-// used notes that the connection is in use, though nothing is open on it.
+// markUsed records that the connection is in use, though nothing is open on it.
 func (l *link) markUsed() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -229,7 +230,7 @@
 	}
 }
 
-// handle takes in one frame. An error ends the connection.
+// handle handles one frame. An error closes the connection.
 func (l *link) handle(k Kind, payload []byte) error {
 	switch k {
 	case KindResponse:
@@ -256,7 +257,7 @@
 	return eris.Wrapf(ErrProtocol, "unexpected kind %d", k)
 }
 
-// with decodes a message and hands it to f.
+// handleMessage decodes a message and passes it to f.
 func handleMessage[T any](payload []byte, f func(*T) error) error {
 	m, err := decode[T](payload)
 	if err != nil {
@@ -353,10 +354,10 @@
 	return nil
 }
 
-// notice hands on what an answer or a failure says of the peer's upstream. That it says nothing
-// means that nothing holds any more if the peer has been told what did.
-func (l *link) deliverNotice(n *Notice, told bool) {
-	if l.onNotice != nil && (n != nil || told) && !l.isRetired() {
+// deliverNotice passes on the notice in a response or a failure. If there is none, although
+// the peer was sent one with the call, the earlier notice no longer applies.
+func (l *link) deliverNotice(n *Notice, sentNotice bool) {
+	if l.onNotice != nil && (n != nil || sentNotice) && !l.isRetired() {
 		l.onNotice(n)
 	}
 }
@@ -367,8 +368,8 @@
 	}
 }
 
-// isRetired returns whether another connection has taken the place of this one. What comes
-// on it is older than what the other has brought.
+// isRetired returns whether another connection has replaced this one. What arrives on this
+// one is older than what the other has brought.
 func (l *link) isRetired() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/peer/listener_test.go
+++ b/peer/listener_test.go
@@ -18,7 +18,7 @@
 	"sassafrasfront.example/peer"
 )
 
-// slowListener is a listener whose Accept fails before Close has freed its port.
+// slowListener is a listener whose Accept fails before Close has released its port.
 type slowListener struct {
 	net.Listener
 	once   sync.Once
@@ -42,8 +42,8 @@
 	return nil
 }
 
-// TestListenerClosedAtEnd guards against a node that ends with its port still taken, so that the
-// next one at the same address does not start ("address already in use").
+// TestListenerClosedAtEnd guards against a node that stops while its port is still taken, so
+// that the next one at the same address does not start ("address already in use").
 func TestListenerClosedAtEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &slowListener{ending: make(chan struct{})}
--- a/peer/lost_test.go
+++ b/peer/lost_test.go
@@ -19,9 +19,9 @@
 	"sassafrasfront.example/verdict"
 )
 
-// TestLostConnectionsNeverLie makes many calls while their connections are
-// closed under them again and again. A call that the client reports as not run
-// must not have reached the handler's side of Admit, and none may run twice.
+// TestVerdictsOnLostConnections makes many calls while their connections are closed again and
+// again. A call that the client reports as not run must not have passed Admit in the handler,
+// and none may run twice.
 func TestVerdictsOnLostConnections(t *testing.T) {
 	var mu sync.Mutex
 	runs := make(map[string]int)
@@ -91,12 +91,12 @@
 			qt.Check(t, runs[target], qt.Equals, 0, qt.Commentf("%s", target))
 		}
 	}
-	t.Logf("told %v", counts)
+	t.Logf("reported %v", counts)
 	qt.Check(t, len(reported), qt.Equals, 1600)
 }
 
-// TestClosedConnectionIsNotWrittenTo has the peer close the idle connection
-// just before each call. All must be told as answered, none as possibly run.
+// TestClosedConnectionIsNotReused has the peer close the idle connection just before each call.
+// All calls must be answered, and none reported as possibly run.
 func TestClosedConnectionIsNotReused(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
@@ -117,7 +117,7 @@
 	}
 }
 
-// keeping is a listener that hands out the connections that it accepts.
+// recordingListener is a listener that passes on the connections that it accepts.
 type recordingListener struct {
 	net.Listener
 	conns chan net.Conn
--- a/peer/message.go
+++ b/peer/message.go
@@ -13,7 +13,7 @@
 // Version is the version of the protocol that this package speaks.
 const Version = 4
 
-// Kind tells the messages apart on the wire.
+// Kind identifies the type of a message on the wire.
 type Kind uint8
 
 // The kinds of frames.
@@ -72,35 +72,36 @@
 	Body []byte `msgpack:"body,omitempty"`
 	// Streams is whether the body follows in Body messages up to an End.
 	Streams bool `msgpack:"streams,omitempty"`
-	// Ahead is whether the body may be asked for before the call is admitted, as its
-	// sender keeps it. Such a call streams, has a Length of at most MaxAhead, and is not
-	// started before its End.
+	// EarlyBody is whether the receiver may request the body before it admits the call, as
+	// the sender keeps a copy. Such a call streams, has a Length of at most
+	// MaxEarlyBodyBytes, and is not started before its End.
 	EarlyBody bool `msgpack:"ahead,omitempty"`
 	// Length is the length of the body in bytes, or -1 if it is not known.
 	Length int64 `msgpack:"length"`
-	// Try counts the sendings of the same request, from 1.
+	// Attempt is the number of the attempt at the same request, from 1.
 	Attempt int `msgpack:"try"`
-	// Print tells the request from others. Its body is not known where it Streams and
-	// was not gathered before.
+	// Fingerprint identifies the request. The body is not included if it is streamed and
+	// was not buffered before.
 	Fingerprint quarantine.Fingerprint `msgpack:"print"`
-	// Notice is what the sender has been told last of the receiver's upstream, or nil: a
-	// receiver that has started anew may not have heard it.
+	// Notice is the latest notice of the receiver's upstream that the sender has received, or
+	// nil. A receiver that has restarted may not have it.
 	Notice *Notice `msgpack:"notice,omitempty"`
 }
 
-// Notice is what a start of an upstream has said in its answers of the requests that it wants.
+// Notice is what a start of an upstream has announced in its responses: the limit that it
+// advertises, and whether it is leaving.
 type Notice struct {
-	// Start and Born tell the start, as in upstream.Announcement.
+	// StartID and StartMillis identify the start, as in upstream.Announcement.
 	StartID     string `msgpack:"start"`
 	StartMillis int64  `msgpack:"born,omitempty"`
-	// Limited is whether it names a limit, and Limit its requests a second.
+	// Limited is whether it advertises a limit, and Limit that limit in requests per second.
 	Limited bool    `msgpack:"limited,omitempty"`
 	Limit   float64 `msgpack:"limit,omitempty"`
-	// Leaving is whether it leaves.
+	// Leaving is whether it is leaving.
 	Leaving bool `msgpack:"leaving,omitempty"`
 }
 
-// Body is a chunk of the body of a call or of its answer.
+// Body is a chunk of the body of a call or of its response.
 type Body struct {
 	ID   uint64 `msgpack:"id"`
 	Data []byte `msgpack:"data"`
@@ -119,24 +120,25 @@
 	Slots       int           `msgpack:"allowed"`
 	ServiceTime time.Duration `msgpack:"service"`
 	Draining    bool          `msgpack:"draining,omitempty"`
-	// Slowdown is how many times longer than usual work takes now, or 0 if that
+	// Slowdown is the ratio of the present service time to the usual one, or 0 if that
 	// is not known.
 	Slowdown float64 `msgpack:"slowdown,omitempty"`
-	// Failing is the share of the latest requests that the upstream failed.
+	// FailureRatio is the fraction of recent requests that the upstream failed.
 	FailureRatio float64 `msgpack:"failing,omitempty"`
-	// BodyRate is how many body bytes a second the link to the node carries, or 0 if that is
-	// not known, and BodyBacklog how many are under way to it or wait for their turn.
+	// LinkBandwidth is the bandwidth of the link to the node in body bytes per second, or 0 if
+	// it is not known, and BacklogBytes the number of body bytes in flight to it or queued.
 	LinkBandwidth float64 `msgpack:"bodyRate,omitempty"`
 	BacklogBytes  int     `msgpack:"bodyBacklog,omitempty"`
-	// Limited is whether the upstream names a limit, Limit its requests a second, Used the part of
-	// it that was used of late, and Free after how long one more may start.
+	// Limited is whether the upstream advertises a limit, Limit that limit in requests per
+	// second, LimitUsed the fraction of it that was used recently, and LimitWait the time until
+	// one more request may start.
 	Limited   bool          `msgpack:"limited,omitempty"`
 	Limit     float64       `msgpack:"limit,omitempty"`
 	LimitUsed float64       `msgpack:"used,omitempty"`
 	LimitWait time.Duration `msgpack:"free,omitempty"`
 }
 
-// Failure ends a call that got no answer, or cuts an answer that has begun.
+// Failure ends a call that got no response, or truncates a response that has begun.
 type Failure struct {
 	ID         uint64        `msgpack:"id"`
 	Cause      string        `msgpack:"cause"`
@@ -147,7 +149,7 @@
 	Notice     *Notice       `msgpack:"notice,omitempty"`
 }
 
-// Answer is the head of an answer, and the whole of it unless Streams is set.
+// ResponseHead is the head of a response, or the whole response unless Streams is set.
 type ResponseHead struct {
 	ID     uint64  `msgpack:"id"`
 	Status int     `msgpack:"status"`
@@ -160,29 +162,29 @@
 	Length  int64   `msgpack:"length"`
 	Trailer []Field `msgpack:"trailer,omitempty"`
 	Report  *Report `msgpack:"report,omitempty"`
-	// Notice is what the upstream has said of the requests that it wants, or nil if it wants all.
+	// Notice is the notice of the upstream, or nil if there is none.
 	Notice *Notice `msgpack:"notice,omitempty"`
-	// Arrived is how long the body of a call that was sent Ahead took to arrive, from the
+	// TransferTime is how long the early body of a call took to arrive, counted from the
 	// arrival of the call.
 	TransferTime time.Duration `msgpack:"arrived,omitempty"`
-	// Waited is how long the call waited for a slot, with its body there.
+	// QueueTime is how long the call waited for a slot after its body had arrived.
 	QueueTime time.Duration `msgpack:"waited,omitempty"`
 }
 
-// Inform carries an informational (1xx) answer ahead of the final one.
+// Informational carries an informational (1xx) response ahead of the final one.
 type Informational struct {
 	ID     uint64  `msgpack:"id"`
 	Status int     `msgpack:"status"`
 	Header []Field `msgpack:"header"`
 }
 
-// Cancel says that the answer to a call is no longer wanted.
+// Cancel means that the response to a call is no longer wanted.
 type Cancel struct {
 	ID uint64 `msgpack:"id"`
 }
 
-// Revoke takes a call back if it still waits. It is answered by Cancelled only
-// if it did; otherwise the call goes on.
+// Revoke takes a call back if it is still queued. The peer sends Cancelled only
+// if it was; otherwise the call continues.
 type Revoke struct {
 	ID uint64 `msgpack:"id"`
 }
@@ -194,19 +196,19 @@
 	Ran bool `msgpack:"ran"`
 }
 
-// Credit allows the receiver to send more bytes of a body. The first credit
-// for a streamed call also says that it has been admitted, unless its body is sent ahead.
+// Credit allows the receiver to send more bytes of a body. The first credit for a streamed
+// call also means that the call has been admitted, unless it has an early body.
 type Credit struct {
 	ID    uint64 `msgpack:"id"`
 	Bytes int    `msgpack:"bytes"`
 }
 
-// Ping asks for a Pong with the same number.
+// Ping requests a Pong with the same number.
 type Ping struct {
 	Number uint64 `msgpack:"number"`
 }
 
-// Pong answers a Ping.
+// Pong is the response to a Ping.
 type Pong struct {
 	Number uint64 `msgpack:"number"`
 }
@@ -219,7 +221,7 @@
 	Payload []byte `msgpack:"payload"`
 }
 
-// Reply answers a Request. Detail is set if it failed.
+// Reply is the response to a Request. Detail is set if the request failed.
 type Reply struct {
 	ID      uint64 `msgpack:"id"`
 	Payload []byte `msgpack:"payload,omitempty"`
--- a/peer/watch.go
+++ b/peer/monitor.go
@@ -14,8 +14,8 @@
 // usable returns whether new calls may be sent on the connection.
 func (l *link) usable() bool { return l.alive() && !l.isSilent(l.limits.SilenceTimeout) }
 
-// isSilent returns whether the peer has owed something for longer than most, and has not been
-// heard meanwhile.
+// isSilent returns whether something has been pending at the peer for the given timeout, and
+// nothing has been received meanwhile.
 func (l *link) isSilent(timeout time.Duration) bool {
 	if l.silentAt.Load() != 0 && l.silentAt.Load() == l.lastReceived.Load() {
 		return true
@@ -24,27 +24,27 @@
 	return open > 0 && min(l.silence(), busy) >= timeout
 }
 
-// watch pings a peer that is silent with calls open, tells the calls, and closes the
-// connection when it is idle for long. While nothing is open it waits: a node has some
-// thirty connections, and most of them are idle.
+// monitor pings a peer that is silent with calls open, notifies the calls, and closes the
+// connection when it has been idle for too long. While nothing is open it sleeps: a node has
+// some thirty connections, and most of them are idle.
 func (l *link) monitor() {
 	wait := l.nextCheck()
 	due := time.Now().Add(wait)
 	next := time.NewTimer(wait)
 	defer next.Stop()
 	var pinging atomic.Bool
-	pings := 0 // since the last bytes arrived
+	pings := 0 // since the last bytes were received
 	waited := false
-	var loss ackMonitor
+	var acks ackMonitor
 	for number := uint64(1); ; {
-		var late time.Duration
+		var delay time.Duration
 		select {
 		case <-l.closed:
 			return
 		case <-l.wakeup:
-			loss.reset()
+			acks.reset()
 		case <-next.C:
-			late = time.Since(due)
+			delay = time.Since(due)
 		}
 		wait = l.nextCheck()
 		due = time.Now().Add(wait)
@@ -57,21 +57,21 @@
 		if l.closeIfIdle() {
 			return
 		}
-		if late > l.limits.SilenceTimeout/4 && !waited {
-			waited = true // this process was late: what has arrived meanwhile is read first
-			loss.reset()
+		if delay > l.limits.SilenceTimeout/4 && !waited {
+			waited = true // this process was delayed: what has arrived meanwhile is read first
+			acks.reset()
 			continue
 		}
 		waited = false
 		silence := min(l.silence(), busy)
-		if open > 0 && silence >= l.limits.SilenceTimeout/2 && l.ackTimedOut(&loss) {
+		if open > 0 && silence >= l.limits.SilenceTimeout/2 && l.ackTimedOut(&acks) {
 			l.closeWith(errAckTimeout)
 			return
 		}
 		if open > 0 && silence >= l.limits.SilenceTimeout {
 			q := &SilenceError{
 				Silence:      silence,
-				CheckDelay:   late,
+				CheckDelay:   delay,
 				Pings:        pings,
 				BytesWritten: l.writtenSince.Load(),
 				Pending:      open,
@@ -84,19 +84,19 @@
 			l.notifySilence(q)
 		}
 		if open > 0 && silence >= l.limits.SilenceTimeout/2 && pinging.CompareAndSwap(false, true) {
-			// A writer may wait for room in the kernel. Silence is judged meanwhile.
+			// A write may block in the kernel. Silence is checked meanwhile.
 			ping := &Ping{Number: number}
 			number++
 			pings++
 			go func() {
 				defer pinging.Store(false)
-				_ = l.send(KindPing, ping) // a failure ends the connection
+				_ = l.send(KindPing, ping) // a failure closes the connection
 			}()
 		}
 	}
 }
 
-// tellSilent tells the open calls that the peer is silent.
+// notifySilence notifies the open calls that the peer is silent.
 func (l *link) notifySilence(q *SilenceError) {
 	l.mu.Lock()
 	var list []*Exchange
@@ -108,13 +108,13 @@
 	}
 	l.mu.Unlock()
 	for _, x := range list {
-		go x.handleSilence(q) // a call that is taken back is cancelled, which may wait for room in the kernel
+		go x.handleSilence(q) // withdrawing a call sends a Cancel, which may block in the kernel
 	}
 }
 
-// closeIdle closes the connection if nothing is open on it and nothing more will be, or
-// has been for long. It returns whether it did. The lock is held meanwhile, so that no
-// call is begun on a connection that is being closed.
+// closeIfIdle closes the connection if nothing is open on it, and it is retired or has been
+// idle for too long. It returns whether it did. The lock is held throughout, so that no call
+// is started on a connection that is being closed.
 func (l *link) closeIfIdle() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -131,7 +131,7 @@
 	return true
 }
 
-// nextLook returns when the connection is to be looked at next.
+// nextCheck returns the time until the next check of the connection.
 func (l *link) nextCheck() time.Duration {
 	open, idle, busy := l.activity()
 	if open == 0 {
@@ -139,7 +139,7 @@
 	}
 	next := l.limits.SilenceTimeout / 4
 	silence := min(l.silence(), busy)
-	// A ping that is sent late leaves no time for a lost packet to be sent again.
+	// A late ping leaves no time for the retransmission of a lost packet.
 	for _, due := range []time.Duration{l.limits.SilenceTimeout / 2, l.limits.SilenceTimeout} {
 		if left := due - silence; left > 0 {
 			next = min(next, left)
--- a/peer/open_test.go
+++ b/peer/open_test.go
@@ -15,8 +15,8 @@
 	"sassafrasfront.example/verdict"
 )
 
-// TestTooManyCalls guards against the loss of all calls of a connection for one too many, which
-// comes while calls that their sender has cancelled still end.
+// TestTooManyCalls guards against the loss of all calls of a connection because one call exceeds
+// the limit, while calls that their sender has cancelled have not ended yet.
 func TestTooManyCalls(t *testing.T) {
 	const maxCalls = 4
 	began := make(chan struct{}, maxCalls)
@@ -35,14 +35,14 @@
 			kept = append(kept, x)
 			continue
 		}
-		x.Close() // its handler goes on
+		x.Close() // its handler continues
 	}
 	x, failed := c.Start(context.Background(), newCall(), nil)
 	qt.Assert(t, failed == nil, qt.IsTrue, qt.Commentf("%v", failed))
 	select {
 	case <-x.Ready():
 	case <-time.After(time.Minute):
-		t.Fatal("no answer to the call that is one too many")
+		t.Fatal("no response to the call over the limit")
 	}
 	_, failed = x.Result()
 	qt.Assert(t, failed != nil, qt.IsTrue)
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -54,7 +54,7 @@
 	return addr, c
 }
 
-// echo answers with the method and the body.
+// echo responds with the method and the body.
 func echo(in *peer.InboundCall) {
 	if err := in.Admit(); err != nil {
 		in.Fail(verdict.As(err, verdict.BodyLost), nil)
@@ -121,8 +121,8 @@
 	}
 }
 
-// TestAnswersAreNotCrossed has many calls on one connection, answered in any
-// order, with some of them abandoned.
+// TestResponsesMatchCalls has many calls on one connection, answered in any order, some of them
+// abandoned.
 func TestResponsesMatchCalls(t *testing.T) {
 	_, c := serve(t, peer.Limits{}, func(in *peer.InboundCall) {
 		time.Sleep(time.Duration(in.Call.ID*7919%13) * time.Millisecond)
@@ -157,7 +157,7 @@
 	all.Wait()
 }
 
-// TestLargeBodyDoesNotHoldUpSmallAnswer leaves a large answer unread.
+// TestLargeBodyDoesNotBlockSmallResponse leaves a large response unread.
 func TestLargeBodyDoesNotBlockSmallResponse(t *testing.T) {
 	_, c := serve(t, peer.Limits{}, func(in *peer.InboundCall) {
 		if in.Call.Method == "GET" {
@@ -181,31 +181,31 @@
 	qt.Check(t, r.Status, qt.Equals, 200)
 }
 
-// TestServerFaults plays a broken or dying peer with a raw listener. Each row
-// says what the client must conclude.
+// TestServerFaults simulates a faulty or crashing peer with a raw listener. Each row has the
+// failure that the client must report.
 func TestServerFaults(t *testing.T) {
 	reported := make(chan struct{})
 	tests := map[string]struct {
-		// play gets the connection after the hellos.
+		// play handles the connection after the handshake.
 		play    func(c net.Conn)
 		refuse  bool
 		noHello bool
 		streams bool
-		// silent, if not nil, is closed once the client has said that the peer is silent.
+		// silent, if not nil, is closed once the client has reported that the peer is silent.
 		silent chan struct{}
 		want   verdict.Cause
 	}{
-		"nobody listens":                       {refuse: true, want: verdict.DialFailed},
-		"closes before its hello":              {noHello: true, want: verdict.DialFailed},
-		"closes after the call":                {play: func(c net.Conn) { skipFrame(c) }, want: verdict.PeerLost},
-		"garbage after the call":               {play: func(c net.Conn) { skipFrame(c); _, _ = c.Write([]byte("GET / HTTP/1.1\r\n\r\n")) }, want: verdict.PeerLost},
-		"a frame over the limit":               {play: func(c net.Conn) { skipFrame(c); _, _ = c.Write([]byte{0x7f, 0, 0, 0, 6}) }, want: verdict.PeerLost},
-		"a frame cut":                          {play: func(c net.Conn) { skipFrame(c); _, _ = c.Write([]byte{0, 0, 1, 0, 6, 1}) }, want: verdict.PeerLost},
-		"silent after the call":                {play: func(c net.Conn) { go io.Copy(io.Discard, c); <-reported }, silent: reported, want: verdict.PeerLost},
-		"streamed, closes before any credit":   {streams: true, play: func(c net.Conn) { skipFrame(c) }, want: verdict.NotWritten},
-		"streamed, silent before any credit":   {streams: true, play: func(c net.Conn) { _, _ = io.Copy(io.Discard, c) }, want: verdict.NotWritten},
-		"an unknown kind":                      {play: func(c net.Conn) { skipFrame(c); _, _ = c.Write([]byte{0, 0, 0, 2, 99, 0x80}) }, want: verdict.PeerLost},
-		"a message that is cut inside a frame": {play: func(c net.Conn) { skipFrame(c); _, _ = c.Write([]byte{0, 0, 0, 3, 6, 0x82, 0xa2}) }, want: verdict.PeerLost},
+		"no listener":                        {refuse: true, want: verdict.DialFailed},
+		"closes before its hello":            {noHello: true, want: verdict.DialFailed},
+		"closes after the call":              {play: func(c net.Conn) { skipFrame(c) }, want: verdict.PeerLost},
+		"garbage after the call":             {play: func(c net.Conn) { skipFrame(c); _, _ = c.Write([]byte("GET / HTTP/1.1\r\n\r\n")) }, want: verdict.PeerLost},
+		"a frame over the limit":             {play: func(c net.Conn) { skipFrame(c); _, _ = c.Write([]byte{0x7f, 0, 0, 0, 6}) }, want: verdict.PeerLost},
+		"a truncated frame":                  {play: func(c net.Conn) { skipFrame(c); _, _ = c.Write([]byte{0, 0, 1, 0, 6, 1}) }, want: verdict.PeerLost},
+		"silent after the call":              {play: func(c net.Conn) { go io.Copy(io.Discard, c); <-reported }, silent: reported, want: verdict.PeerLost},
+		"streamed, closes before any credit": {streams: true, play: func(c net.Conn) { skipFrame(c) }, want: verdict.NotWritten},
+		"streamed, silent before any credit": {streams: true, play: func(c net.Conn) { _, _ = io.Copy(io.Discard, c) }, want: verdict.NotWritten},
+		"an unknown kind":                    {play: func(c net.Conn) { skipFrame(c); _, _ = c.Write([]byte{0, 0, 0, 2, 99, 0x80}) }, want: verdict.PeerLost},
+		"a truncated message in a frame":     {play: func(c net.Conn) { skipFrame(c); _, _ = c.Write([]byte{0, 0, 0, 3, 6, 0x82, 0xa2}) }, want: verdict.PeerLost},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -224,7 +224,7 @@
 				defer c.Close()
 				if !test.noHello {
 					hello := skipFrame(c)
-					_, _ = c.Write(hello) // the client's own hello will do
+					_, _ = c.Write(hello) // the client's own hello is valid
 					test.play(c)
 				}
 			}()
@@ -240,7 +240,7 @@
 				<-x.Silent()
 				select {
 				case <-x.Ready():
-					t.Error("given up for silence")
+					t.Error("given up because of silence")
 				default:
 				}
 				close(test.silent)
@@ -265,8 +265,8 @@
 	return append(head, body...)
 }
 
-// TestBrokenClientCostsItsOwnConnection sends bad bytes to a server and then
-// makes a call on another connection.
+// TestInvalidBytesCloseOneConnection sends invalid bytes to a server and then makes a call on
+// another connection.
 func TestInvalidBytesCloseOneConnection(t *testing.T) {
 	tests := map[string][]byte{
 		"garbage":           []byte("GET / HTTP/1.1\r\n\r\n"),
@@ -274,7 +274,7 @@
 		"huge frame":        {0xff, 0xff, 0xff, 0xff, 1},
 		"call before hello": {0, 0, 0, 2, 2, 0x80},
 		"not msgpack":       {0, 0, 0, 2, 1, 0xc1},
-		"half a length":     {0, 0},
+		"truncated length":  {0, 0},
 	}
 	addr, client := serve(t, peer.Limits{HandshakeTimeout: 300 * time.Millisecond}, echo)
 	for name, data := range tests {
@@ -321,9 +321,9 @@
 		cancel bool
 		want   verdict.Cause
 	}{
-		"revoke while it waits": {waits: true, want: verdict.Revoked},
-		"revoke while it runs":  {want: ""},
-		"cancel while it runs":  {cancel: true, want: verdict.CallerGone},
+		"revoke while queued":  {waits: true, want: verdict.Revoked},
+		"revoke while running": {want: ""},
+		"cancel while running": {cancel: true, want: verdict.CallerGone},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/peer/oldlink_test.go
+++ b/peer/replacedlink_test.go
@@ -19,7 +19,7 @@
 	"sassafrasfront.example/verdict"
 )
 
-// farPeer is a client and a server on a played network.
+// simulatedPeer is a client and a server on a simulated network.
 type simulatedPeer struct {
 	client *peer.Client
 	server *peer.Server
@@ -32,7 +32,7 @@
 	userTimeout    = 3 * time.Second
 )
 
-// newFarPeer starts a server and makes a client of it.
+// newSimulatedPeer starts a server and creates a client of it.
 func newSimulatedPeer(call func(in *peer.InboundCall)) *simulatedPeer {
 	network := &simnet.Network{Latency: time.Millisecond, WindowBytes: 256 << 10, UserTimeout: userTimeout}
 	f := &simulatedPeer{
@@ -72,8 +72,8 @@
 	return failed
 }
 
-// TestLateReports guards against reports and notices that come late over a connection in whose
-// place there is another, and overwrite what is newer.
+// TestReportsOfReplacedConnection guards against reports and notices that arrive late on a
+// connection that has been replaced, and overwrite newer ones.
 func TestReportsOfReplacedConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newSimulatedPeer(func(in *peer.InboundCall) {
@@ -103,10 +103,10 @@
 		time.Sleep(50 * time.Millisecond)
 		f.host.DropPackets(3)
 		time.Sleep(silenceTimeout)
-		f.server.BroadcastReport(&peer.Report{Running: 3}) // over the silent connection, as there is no other yet
+		f.server.BroadcastReport(&peer.Report{Running: 3}) // on the silent connection, as there is no other yet
 		failed := f.call("/new", nil)
 		qt.Check(t, failed == nil, qt.IsTrue, qt.Commentf("%v", failed))
-		f.server.BroadcastReport(&peer.Report{Running: 4}) // over both
+		f.server.BroadcastReport(&peer.Report{Running: 4}) // on both
 		all.Wait()
 		time.Sleep(time.Second)
 		qt.Check(t, reports, qt.DeepEquals, []int{2, 2, 4})
@@ -114,8 +114,8 @@
 	})
 }
 
-// TestLateClearing guards against an answer without a notice that comes late over a connection
-// in whose place there is another, and is taken to say that a newer notice is over.
+// TestNoNoticeOnReplacedConnection guards against a response without a notice that arrives late
+// on a connection that has been replaced, and clears a newer notice.
 func TestNoNoticeOnReplacedConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newSimulatedPeer(func(in *peer.InboundCall) {
@@ -144,11 +144,11 @@
 	})
 }
 
-// TestPingsGoOn guards against a call that is not known to be lost because no more pings are
-// sent once the peer is silent, or once it has been heard again.
+// TestPingsContinue guards against a call that is not known to be lost because no more pings
+// are sent once the peer is silent, or once it has sent something again.
 func TestPingsContinue(t *testing.T) {
 	for name, test := range map[string]struct {
-		silences int           // of the peer, before it loses its power
+		silences int           // of the peer, before it loses power
 		each     time.Duration // how long
 	}{
 		"at once":                {},
@@ -180,9 +180,9 @@
 				qt.Check(t, failed.Cause, qt.Equals, verdict.PeerLost)
 				synctest.Wait()
 				took := time.Since(off)
-				qt.Check(t, !off.IsZero() && took <= silenceTimeout*5/4+userTimeout, qt.IsTrue, qt.Commentf("%v after the end of power", took))
+				qt.Check(t, !off.IsZero() && took <= silenceTimeout*5/4+userTimeout, qt.IsTrue, qt.Commentf("%v after the power loss", took))
 				x.Close()
-				time.Sleep(2 * time.Hour) // the server's connection ends with the call's time
+				time.Sleep(2 * time.Hour) // the server's connection ends at the call's deadline
 			})
 		})
 	}
--- a/peer/tell.go
+++ b/peer/report.go
@@ -6,8 +6,8 @@
 
 import "context"
 
-// Tell sends a load report to every node that has a connection for calls to this
-// one. It waits for no receiver, and leaves out those whose connection has failed.
+// BroadcastReport sends a load report to every node that has a connection for calls to this
+// one. It doesn't wait for the receivers, and skips failed connections.
 func (s *Server) BroadcastReport(r *Report) {
 	s.mu.Lock()
 	list := make([]*session, 0, len(s.sessions))
@@ -22,11 +22,11 @@
 	}
 }
 
-// tell sends a load report without waiting for the peer. Of those that wait for their turn
-// the newest is sent.
+// sendReport sends a load report without waiting for the peer. If several reports are
+// pending, only the latest is sent.
 func (n *session) sendReport(r *Report) {
 	if n.pendingReport.Swap(r) != nil {
-		return // the goroutine that was to send the former one sends this one
+		return // the goroutine started for the previous report sends this one
 	}
 	go func() {
 		if n.lockWrite(context.Background()) != nil {
@@ -37,7 +37,7 @@
 			message: n.pendingReport.Swap(nil),
 		})
 		if err == nil {
-			_ = n.writeAndUnlock(b, 1) // a failure ends the connection
+			_ = n.writeAndUnlock(b, 1) // a failure closes the connection
 		} else {
 			<-n.writeLock
 		}
@@ -45,9 +45,9 @@
 	}()
 }
 
-// Responsive returns whether there is an open connection on which the peer
-// answers, as far as is known. A peer that owes an answer or a pong for over two
-// thirds of the bound on silence is not.
+// Responsive returns whether there is an open connection whose peer responds, as far as is
+// known. A peer is not responsive if it has sent nothing for over two thirds of the silence
+// timeout while a response or a pong was outstanding.
 func (c *Client) Responsive() bool {
 	c.mu.Lock()
 	l := c.current
@@ -55,8 +55,8 @@
 	return l.alive() && !l.isSilent(l.limits.SilenceTimeout*2/3)
 }
 
-// Warm opens the connection if it is not open, so that the first call need not
-// wait for it. An error means that the peer can't be reached.
+// Connect opens the connection if it is not open, so that the first call need not wait for
+// it. An error means that the peer can't be reached.
 func (c *Client) Connect(ctx context.Context) error {
 	_, err := c.connect(ctx)
 	return err
--- a/peer/ask.go
+++ b/peer/request.go
@@ -11,11 +11,10 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// ErrNoClient is the failure of what is asked for without a client, as by a node that has
-// stopped and has none any more.
-var ErrNoClient = eris.New("no client to ask with")
+// ErrNoClient is the error of a request without a client, as on a node that has stopped.
+var ErrNoClient = eris.New("no client for the request")
 
-// Ask sends a control request to a peer and decodes its reply.
+// SendRequest sends a control request to a peer and decodes its reply.
 func SendRequest[Q, A any](ctx context.Context, p *Client, topic string, q Q) (A, error) {
 	var none A
 	if p == nil {
@@ -36,7 +35,7 @@
 func Unpack[T any](payload []byte) (T, error) {
 	var v T
 	if !HasValidLengths(payload) {
-		return v, eris.Wrap(ErrProtocol, "decode: a length is over what follows it")
+		return v, eris.Wrap(ErrProtocol, "decode: declared length exceeds the remaining bytes")
 	}
 	if err := msgpack.Unmarshal(payload, &v); err != nil {
 		return v, eris.Wrap(err, "decode")
--- a/peer/server.go
+++ b/peer/server.go
@@ -14,26 +14,26 @@
 	"github.com/rotisserie/eris"
 )
 
-// Server takes calls and control requests from peers. The exported fields are
+// Server handles calls and control requests from peers. The exported fields are
 // set before Run.
 type Server struct {
-	// Hello introduces this process.
+	// Hello identifies this process to its peers.
 	Hello Hello
 	// Limits bounds each connection.
 	Limits Limits
 	// Counters, if not nil, counts the traffic.
 	Counters *Counters
-	// Call handles one call, in a goroutine of its own. It must end the call
-	// by Fail, by Reply, or by Begin and Finish.
+	// HandleCall handles one call, in a goroutine of its own. It must end the call
+	// by Fail, by Reply, or by BeginResponse and FinishResponse.
 	HandleCall func(*InboundCall)
-	// Control handles one control request and returns the payload of its
-	// reply. Nil refuses control connections.
+	// HandleControl handles one control request and returns the payload of its
+	// reply. If it is nil, a control request closes its connection.
 	HandleControl func(ctx context.Context, from Hello, r *Request) ([]byte, error)
-	// Closed, if not nil, is called when a connection ends, with the reason.
+	// OnClosed, if not nil, is called when a connection ends, with the reason.
 	OnClosed func(from Hello, reason error)
 
 	calls       sync.WaitGroup
-	bodyLimiter *inFlightLimiter // made by Run
+	bodyLimiter *inFlightLimiter // set by Run
 	mu          sync.Mutex
 	sessions    map[*session]struct{}
 }
@@ -41,7 +41,7 @@
 // Run serves connections of the listener until ctx ends, and then closes them
 // all. It returns nil after ctx has ended. The listener is closed when Run returns.
 func (s *Server) Run(ctx context.Context, listener net.Listener) error {
-	// Accept may fail before Close has given the port back.
+	// Accept may fail before Close has released the port.
 	var closing sync.WaitGroup
 	defer closing.Wait()
 	ctx, end := context.WithCancel(ctx)
@@ -73,12 +73,12 @@
 	}
 }
 
-// acceptPause is the wait after a passing failure to accept, such as too many
+// acceptPause is the wait after a temporary failure to accept, such as too many
 // open files.
 const acceptPause = 10 * time.Millisecond
 
-// Inflow returns how many body bytes a second the link to this node carries, 0 if that is not
-// known, and how many are under way or wait for their turn. Both are 0 before Run.
+// LinkLoad returns the bandwidth of the link to this node in body bytes per second, or 0 if
+// that is not known, and the number of body bytes in flight or queued. Both are 0 before Run.
 func (s *Server) LinkLoad() (rate float64, backlog int) {
 	s.mu.Lock()
 	q := s.bodyLimiter
--- a/peer/session.go
+++ b/peer/session.go
@@ -22,14 +22,15 @@
 	server        *Server
 	from          Hello
 	handshakeDone atomic.Bool            // whether from is set
-	pendingReport atomic.Pointer[Report] // that waits to be sent, or nil
+	pendingReport atomic.Pointer[Report] // report to be sent, or nil
 
 	mu     sync.Mutex
 	open   map[uint64]*InboundCall
 	lastID uint64
 }
 
-// run greets the peer and handles its frames. It returns why it ended.
+// run performs the handshake and handles frames until the connection ends. It returns the
+// reason for the end.
 func (n *session) run(ctx context.Context) error {
 	from, err := n.handshake(n.server.Hello, false)
 	if err != nil {
@@ -37,7 +38,7 @@
 	}
 	n.from = *from
 	n.handshakeDone.Store(true)
-	// The calls end with the connection, whose end has a reason.
+	// Calls end with the connection and not with ctx: their cause is the connection's reason.
 	ctx, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
 	for {
 		k, payload, err := n.read()
@@ -52,7 +53,7 @@
 	}
 }
 
-// handle takes in one frame. An error ends the connection.
+// handle handles one frame. An error closes the connection.
 func (n *session) handle(ctx context.Context, k Kind, payload []byte) error {
 	switch {
 	case k == KindPing:
@@ -81,7 +82,7 @@
 
 func (n *session) handleRequest(ctx context.Context, m *Request) error {
 	if n.server.HandleControl == nil {
-		return eris.Wrap(ErrProtocol, "no control here")
+		return eris.Wrap(ErrProtocol, "control requests are not accepted")
 	}
 	payload, err := n.server.HandleControl(ctx, n.from, m)
 	if m.ID == 0 {
@@ -102,7 +103,7 @@
 		return err
 	}
 	if m.EarlyBody && (!m.Streams || m.Length < 0 || m.Length > MaxEarlyBodyBytes) {
-		return eris.Wrapf(ErrProtocol, "a body of %d bytes ahead", m.Length)
+		return eris.Wrapf(ErrProtocol, "early body of %d bytes", m.Length)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -111,18 +112,18 @@
 	}
 	n.lastID = m.ID
 	if len(n.open) >= n.limits.MaxOpenCalls {
-		// The peer counts a call that it has cancelled as over before this side does.
+		// The peer stops counting a cancelled call before this side does.
 		go n.rejectCall(m.ID, len(n.open))
 		return nil
 	}
-	in := newInbound(ctx, n, m)
+	in := newInboundCall(ctx, n, m)
 	n.open[m.ID] = in
 	n.server.calls.Add(1)
 	go in.serve()
 	return nil
 }
 
-// refuse ends a call that is one too many.
+// rejectCall fails a call that exceeds the limit of open calls.
 func (n *session) rejectCall(id uint64, open int) {
 	_ = n.send(KindFailure, &Failure{
 		ID:     id,
@@ -131,8 +132,8 @@
 	})
 }
 
-// bodies returns the quota of the link that bodies cross to this node, or nil if the peer is
-// this node itself.
+// bodyLimiter returns the limiter for the link that carries bodies to this node, or nil if the
+// peer is this node itself.
 func (n *session) bodyLimiter() *inFlightLimiter {
 	if n.from.Node == n.server.Hello.Node && n.from.Node != "" {
 		return nil
--- a/peer/silence.go
+++ b/peer/silence.go
@@ -9,18 +9,19 @@
 	"time"
 )
 
-// SilenceError says how a connection stood on which nothing was heard for long. It tells a peer
-// that is gone from one that is slow, and both from a process that was late itself.
+// SilenceError describes the state of a connection on which nothing was received for a long
+// time. It distinguishes a lost peer from a slow one, and both from a local process that
+// was itself delayed.
 type SilenceError struct {
-	// Silence is the time since the last bytes arrived.
+	// Silence is the time since the last bytes were received.
 	Silence time.Duration
-	// Late is how much later than it was due this process looked at the connection.
+	// CheckDelay is how late this process checked the connection.
 	CheckDelay time.Duration
-	// Pings is the number of pings sent since the last bytes arrived.
+	// Pings is the number of pings sent since the last bytes were received.
 	Pings int
-	// Written is the number of bytes written since then.
+	// BytesWritten is the number of bytes written since then.
 	BytesWritten uint64
-	// Open is the number of calls and requests that wait for an answer.
+	// Pending is the number of calls and requests that wait for a response.
 	Pending int
 }
 
--- a/peer/silence_test.go
+++ b/peer/silence_test.go
@@ -15,8 +15,8 @@
 	"sassafrasfront.example/peer"
 )
 
-// TestIdleSilenceIsNoLoss leaves a connection idle for longer than the bound on
-// silence, and then has a call run on it across several looks at the silence.
+// TestIdleConnectionIsNotSilent leaves a connection idle for longer than the silence timeout, and
+// then has a call run on it across several checks for silence.
 func TestIdleConnectionIsNotSilent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
--- a/peer/slowlink_test.go
+++ b/peer/slowlink_test.go
@@ -21,18 +21,18 @@
 )
 
 const (
-	// linkRate is that of a link of 10 Mbit/s, in bytes per second.
+	// linkBytesPerSecond is the bandwidth of a link of 10 Mbit/s.
 	linkBytesPerSecond = 10e6 / 8
-	// linkBuffer is what a connection's sender may have in its kernel.
+	// sendBufferBytes is the size of the send buffer of a connection.
 	sendBufferBytes = 512 << 10
-	// linkPiece is what the link carries at a time, in bytes.
+	// packetBytes is what the link carries at a time.
 	packetBytes = 1500
 )
 
-// slowLink carries all connections to one instance, a piece of each in turn.
+// slowLink carries all connections to one instance, one packet of each in turn.
 type slowLink struct {
 	accept       chan net.Conn
-	transmitting chan struct{} // held while a piece is carried
+	transmitting chan struct{} // holds a value while a packet is transmitted
 
 	mu      sync.Mutex
 	severed bool
@@ -67,7 +67,7 @@
 	return near, nil
 }
 
-// carry takes what is written into the sender's buffer and brings it across.
+// carry reads what is written into the sender's buffer and transmits it.
 func (l *slowLink) carry(to, from net.Conn) {
 	buffer := make(chan []byte, sendBufferBytes/packetBytes)
 	go func() {
@@ -96,7 +96,7 @@
 	_ = to.Close()
 }
 
-// severable drops what is written to it while the link is cut.
+// severable drops what is written to it while the link is severed.
 type severable struct {
 	io.Writer
 	link *slowLink
@@ -121,12 +121,12 @@
 	l.severed = true
 }
 
-// TestBodiesOnSlowLink sends large bodies over a link of 10 Mbit/s, which takes
-// 100 ms for each, from a dozen nodes at once, beside calls that have no body and
-// run for a second. None may be silent in the meantime, and where the link is cut all
-// are told that it is as soon as silence says so, or taken back if they can't have run. The figures are those of a site with
-// requests of 60 KB on average and 360 KB at most on instances with such links, where
-// 486 requests of 32 s were lost in this way before bodies were bounded.
+// TestBodiesOnSlowLink sends large bodies, which take 100 ms each on a link of 10 Mbit/s, from
+// a dozen nodes at once, besides calls without bodies that run for a second. No connection may
+// be silent meanwhile. If the link is severed, all calls learn of the silence after the silence
+// timeout, or are withdrawn if they can't have run. At a site with requests of 60 KB on average
+// and 360 KB at most over such links, 486 requests in 32 s were lost in this way before the
+// bytes in flight were limited.
 func TestBodiesOnSlowLink(t *testing.T) {
 	const (
 		silence = 600 * time.Millisecond
--- a/peer/stalled_test.go
+++ b/peer/stalled_test.go
@@ -20,8 +20,8 @@
 	"sassafrasfront.example/peer"
 )
 
-// crowd is a server and two nodes that send calls to it, on a played network. The kernel holds
-// little of what is written.
+// stalledSetup is a server and two nodes that send calls to it, on a simulated network with
+// small buffers.
 type stalledSetup struct {
 	server      *peer.Server
 	healthy     *peer.Client
@@ -52,7 +52,7 @@
 			Dial:   func(ctx context.Context, addr string) (net.Conn, error) { return from.Dial(ctx, addr) },
 		}, from
 	}
-	c.healthy, _ = client("sound")
+	c.healthy, _ = client("healthy")
 	c.stalled, c.stalledHost = client("stalled")
 	c.stop = func() {
 		c.healthy.Close()
@@ -63,15 +63,15 @@
 	return c
 }
 
-// large answers with more than the kernels and the window hold.
+// sendLarge sends a response larger than what the buffers and the window hold.
 func sendLarge(in *peer.InboundCall) {
 	_ = in.BeginResponse(&peer.ResponseHead{Status: 200, Length: -1})
 	_ = in.CopyBody(bytes.NewReader(make([]byte, 1<<20)))
 	_ = in.FinishResponse(nil)
 }
 
-// TestReportsPastStalledNode guards against what waits for a load report to be sent, such as
-// the answer that told the load, being held by another node that reads nothing.
+// TestReportNotBlockedByStalledNode guards against a load report that blocks its sender, such
+// as the response that reported the load, because another node reads nothing.
 func TestReportNotBlockedByStalledNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newStalledSetup(peer.Limits{}, sendLarge)
@@ -88,8 +88,8 @@
 	})
 }
 
-// TestBodiesPastStalledNode guards against a sound connection that is not read, and so is
-// silent, while credit for a body is written to another node that reads nothing.
+// TestCreditNotBlockedByStalledNode guards against a healthy connection that is not read, and
+// so looks silent, while credit for a body is written to another node that reads nothing.
 func TestCreditNotBlockedByStalledNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limits := peer.Limits{MaxInFlightBytes: 16 << 10}
@@ -131,8 +131,8 @@
 	})
 }
 
-// TestRevokePastBlockedWriter guards against a request that is neither answered nor ended at its
-// deadline, because its taking back waits to be written to a peer that reads nothing.
+// TestRevokePastBlockedWriter guards against a request that neither is answered nor ends at its
+// deadline, because its Revoke waits to be written to a peer that reads nothing.
 func TestRevokePastBlockedWriter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := &simnet.Network{Latency: time.Millisecond, WindowBytes: 64 << 10, SendBufferBytes: 64 << 10}
@@ -174,8 +174,8 @@
 	})
 }
 
-// TestCancelledWhileBegun guards against calls that run to their end for nobody, because they are
-// written after the word that their caller has left.
+// TestCancelledWhileStarting guards against calls that run to their end although their caller
+// has left, because they are written after their Cancel.
 func TestCancelledWhileStarting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var running, begun atomic.Int32
@@ -196,13 +196,13 @@
 			}
 		}
 		time.Sleep(time.Second)
-		qt.Check(t, int(running.Load()), qt.Equals, 0, qt.Commentf("of %d calls that came", begun.Load()))
+		qt.Check(t, int(running.Load()), qt.Equals, 0, qt.Commentf("of %d calls that arrived", begun.Load()))
 		time.Sleep(time.Minute)
 	})
 }
 
-// TestAnswerPastBlockedWriter guards against an answer that has arrived and is not passed on,
-// because the credit for more of it waits to be written to a peer that reads nothing.
+// TestResponsePastBlockedWriter guards against a response that has arrived and is not passed
+// on, because the credit for the rest of it waits to be written to a peer that reads nothing.
 func TestResponsePastBlockedWriter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size = 400 << 10
@@ -230,7 +230,7 @@
 		x, failed := c.Start(context.Background(), newCall(), nil)
 		qt.Assert(t, failed == nil, qt.IsTrue)
 		defer x.Close()
-		time.Sleep(50 * time.Millisecond) // what there is credit for is here
+		time.Sleep(50 * time.Millisecond) // what there is credit for has arrived
 		m := newCall()
 		m.Streams = true
 		m.Length = -1
--- a/peer/stream.go
+++ b/peer/stream.go
@@ -12,9 +12,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// incoming is the receiving end of one body. The goroutine that reads the
-// connection puts chunks in and never blocks; the consumer reads them and
-// grants credit for what it has read.
+// bodyReader is the receiving end of one body. The goroutine that reads the connection adds
+// chunks and never blocks; the consumer reads them and grants credit for what it has read.
 type bodyReader struct {
 	window int
 	grant  func(n int) // grants credit to the sender
@@ -22,8 +21,8 @@
 	mu        sync.Mutex
 	wake      chan struct{} // signalled, capacity 1
 	chunks    [][]byte
-	ungranted int // bytes sent to us and not yet granted again
-	consumed  int // bytes read and not yet granted again
+	ungranted int // bytes received and not yet granted again
+	consumed  int // bytes consumed and not yet granted again
 	err       error
 	trailer   []Field
 }
@@ -36,7 +35,7 @@
 	}
 }
 
-// put takes in a chunk. It returns an error if the sender exceeds its credit.
+// put adds a chunk. It returns an error if the sender exceeds its credit.
 func (s *bodyReader) put(data []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,7 +51,7 @@
 	return nil
 }
 
-// end ends the body with err, which is io.EOF for a whole one.
+// end ends the body with err, which is io.EOF for a complete one.
 func (s *bodyReader) end(err error, trailer []Field) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,8 +86,8 @@
 	}
 }
 
-// take copies buffered bytes to p. Owed is the credit to grant now, which is
-// given in portions of a quarter of the window.
+// take copies buffered bytes to p. Credit is the number of bytes to grant now, which are
+// granted in portions of a quarter of the window.
 func (s *bodyReader) take(p []byte) (n, credit int, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,7 +120,7 @@
 	return s.trailer
 }
 
-// outgoing is the credit for the sending end of one body.
+// sendCredit is the flow control credit of the sending end of one body.
 type sendCredit struct {
 	mu     sync.Mutex
 	credit int
@@ -135,7 +134,7 @@
 	}
 }
 
-// add grants n bytes. It returns an error if the credit grows out of bounds.
+// add grants n bytes. It returns an error if the credit exceeds the limit.
 func (o *sendCredit) add(n, limit int) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -181,7 +180,7 @@
 	return nil
 }
 
-// copyBody sends what r yields, in chunks under credit. Emit sends one chunk.
+// copyBody sends what r yields, in chunks as credit allows. Emit sends one chunk.
 // It returns nil at the end of r.
 func (o *sendCredit) copyBody(ctx context.Context, r io.Reader, emit func(data []byte) error) error {
 	buffer := make([]byte, maxChunkBytes)
@@ -206,19 +205,20 @@
 	}
 }
 
-// first waits until the first chunk or the clean end is there. It returns the
-// error of a body that ended before either.
+// waitFirst waits for the first chunk or the regular end of the body. It returns the error of
+// a body that failed before either.
 func (s *bodyReader) waitFirst(ctx context.Context) error {
 	return s.waitFor(ctx, func() bool { return len(s.chunks) > 0 || s.err == io.EOF })
 }
 
-// whole waits until the body has ended well. It returns the error of one that did not.
+// waitComplete waits for the regular end of the body. It returns the error of a body that
+// failed.
 func (s *bodyReader) waitComplete(ctx context.Context) error {
 	return s.waitFor(ctx, func() bool { return s.err == io.EOF })
 }
 
-// await waits until what is waited for is there, which is found out with the lock held,
-// or the body has ended otherwise.
+// waitFor waits until done, which is called with the lock held, returns true, or the body has
+// failed.
 func (s *bodyReader) waitFor(ctx context.Context, done func() bool) error {
 	for {
 		s.mu.Lock()
--- a/peer/unpack_test.go
+++ b/peer/unpack_test.go
@@ -12,7 +12,7 @@
 	"sassafrasfront.example/peer"
 )
 
-// TestUnpackOfFewBytes declares a list of 3.7 thousand million fields in 5 bytes.
+// TestUnpackExcessiveLength declares a list of 3.7 billion fields in 5 bytes.
 func TestUnpackExcessiveLength(t *testing.T) {
 	_, err := peer.Unpack[[]peer.Field]([]byte{0xdd, 0xdd, 0xdd, 0xdd, 0xdd})
 	qt.Check(t, err, qt.ErrorIs, peer.ErrProtocol)
--- a/peer/withdrawn_test.go
+++ b/peer/withdrawn_test.go
@@ -13,8 +13,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestWithdrawnIsNoBadRequest guards against a call that is taken back from a silent peer and told
-// as its caller's fault, because its body was about to be sent at that moment.
+// TestWithdrawnIsNotBadRequest guards against a call that is withdrawn from a silent peer and
+// reported as its caller's fault, because its body was about to be sent at that moment.
 func TestWithdrawnIsNotBadRequest(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
@@ -26,7 +26,7 @@
 	x, err := l.addExchange(context.Background())
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, x.credit.add(10, 10), qt.IsNil)
-	// The state between the two steps of peerSilent.
+	// The state between the two steps of handleSilence.
 	qt.Assert(t, x.stage.CompareAndSwap(stagePending, stageWithdrawn), qt.IsTrue)
 	x.sendBody(strings.NewReader("body"))
 	select {
