--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -133,16 +133,16 @@
 		s.callNext(w, r, next)
 		return
 	}
-	answer := fmt.Sprintf("%s %s %s", r.Header.Get(IDHeader), s.Name, body)
+	response := fmt.Sprintf("%s %s %s", r.Header.Get(IDHeader), s.Name, body)
 	switch {
 	case q.Has("die"):
 		panic(http.ErrAbortHandler)
 	case q.Has("cut"):
-		w.Header().Set("Content-Length", strconv.Itoa(2*len(answer)))
-		_, _ = io.WriteString(w, answer)
+		w.Header().Set("Content-Length", strconv.Itoa(2*len(response)))
+		_, _ = io.WriteString(w, response)
 		panic(http.ErrAbortHandler)
 	}
-	_, _ = io.WriteString(w, answer)
+	_, _ = io.WriteString(w, response)
 }
 
 // callNext calls the first of some services, separated by commas, which calls
@@ -161,19 +161,19 @@
 	}
 	q.Host = first + ".example"
 	q.Header.Set(IDHeader, r.Header.Get(IDHeader))
-	a, err := http.DefaultTransport.RoundTrip(q)
+	response, err := http.DefaultTransport.RoundTrip(q)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadGateway)
 		return
 	}
-	defer a.Body.Close()
+	defer response.Body.Close()
 	for _, h := range []string{upstream.VerdictHeader, upstream.GivenUpHeader} {
-		if v := a.Header.Get(h); v != "" {
+		if v := response.Header.Get(h); v != "" {
 			w.Header().Set(h, v)
 		}
 	}
-	w.WriteHeader(a.StatusCode)
-	_, _ = io.Copy(w, a.Body)
+	w.WriteHeader(response.StatusCode)
+	_, _ = io.Copy(w, response.Body)
 }
 
 // begin records a request and returns how long it takes.
@@ -219,13 +219,13 @@
 		if err != nil {
 			return err
 		}
-		answer, err := http.DefaultClient.Do(r)
+		response, err := http.DefaultClient.Do(r)
 		if err == nil {
-			_ = answer.Body.Close()
-			if answer.StatusCode < 300 {
+			_ = response.Body.Close()
+			if response.StatusCode < 300 {
 				return nil
 			}
-			err = fmt.Errorf("node answers %s", answer.Status)
+			err = fmt.Errorf("node answers %s", response.Status)
 		}
 		select {
 		case <-time.After(20 * time.Millisecond):
