--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -20,11 +20,11 @@
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
 		return Monotonic(), err
 	}
-	return now, nil
+	return readBootTime, nil
 }
 
 // now reads CLOCK_BOOTTIME, which does not fail once it has been read.
-func now() time.Duration {
+func readBootTime() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
 		panic(err)
--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -24,7 +24,7 @@
 }
 
 // TestSteady reads the runtime's clock.
-func TestSteady(t *testing.T) {
+func TestMonotonic(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := boottime.Monotonic()
 		time.Sleep(time.Hour)
