--- a/internal/httpfield/httpfield.go
+++ b/internal/httpfield/httpfield.go
@@ -11,7 +11,7 @@
 )
 
 // spare is the room for fields that are added after a conversion.
-const spare = 4
+const spareFields = 4
 
 // From returns the fields of h, each value on its own.
 func FromHeader(h http.Header) []peer.Field {
@@ -29,7 +29,7 @@
 
 // Header returns fields as a http.Header.
 func ToHeader(fields []peer.Field) http.Header {
-	h := make(http.Header, len(fields)+spare)
+	h := make(http.Header, len(fields)+spareFields)
 	for _, f := range fields {
 		h.Add(f.Name, f.Value)
 	}
