--- a/internal/logfmt/formatter.go
+++ b/internal/logfmt/formatter.go
@@ -38,7 +38,7 @@
 }
 
 // first is the order of the fields that come before the others.
-var first = []string{zerolog.TimestampFieldName, zerolog.LevelFieldName, zerolog.MessageFieldName}
+var leadingFields = []string{zerolog.TimestampFieldName, zerolog.LevelFieldName, zerolog.MessageFieldName}
 
 // eventName is what the field of the message is called in a line.
 const eventName = "event"
@@ -52,7 +52,7 @@
 		return f.out.Write(event)
 	}
 	slices.SortStableFunc(f.fields, func(a, b field) int {
-		return cmp.Or(cmp.Compare(rank(a.key), rank(b.key)), bytes.Compare(a.key, b.key))
+		return cmp.Or(cmp.Compare(fieldRank(a.key), fieldRank(b.key)), bytes.Compare(a.key, b.key))
 	})
 	f.line = f.line[:0]
 	for i, x := range f.fields {
@@ -75,13 +75,13 @@
 }
 
 // rank returns the place of a field among those that come first, or their number.
-func rank(key []byte) int {
-	for i, name := range first {
+func fieldRank(key []byte) int {
+	for i, name := range leadingFields {
 		if string(key) == name {
 			return i
 		}
 	}
-	return len(first)
+	return len(leadingFields)
 }
 
 // split finds the fields of an event. It returns false if it is no flat object.
--- a/internal/logfmt/limit.go
+++ b/internal/logfmt/limit.go
@@ -17,14 +17,14 @@
 	OnSuppressed func(kind string, count int)
 
 	mu    sync.Mutex
-	kinds map[string]*second
+	kinds map[string]*window
 }
 
 // second is the count of one kind in the present second.
-type second struct {
-	began   time.Time
-	lines   int
-	leftOut int
+type window struct {
+	startedAt  time.Time
+	lines      int
+	suppressed int
 }
 
 // Allow returns whether n more lines of the kind may be written, given how many a
@@ -32,28 +32,28 @@
 func (l *LineLimiter) Allow(kind string, perSecond, n int) bool {
 	l.mu.Lock()
 	if l.kinds == nil {
-		l.kinds = make(map[string]*second)
+		l.kinds = make(map[string]*window)
 	}
-	s := l.kinds[kind]
-	if s == nil {
-		s = new(second)
-		l.kinds[kind] = s
+	w := l.kinds[kind]
+	if w == nil {
+		w = new(window)
+		l.kinds[kind] = w
 	}
 	now := time.Now()
-	leftOut := 0
-	if now.Sub(s.began) >= time.Second {
-		leftOut = s.leftOut
-		*s = second{began: now}
+	suppressed := 0
+	if now.Sub(w.startedAt) >= time.Second {
+		suppressed = w.suppressed
+		*w = window{startedAt: now}
 	}
-	allowed := s.lines+n <= perSecond
+	allowed := w.lines+n <= perSecond
 	if allowed {
-		s.lines += n
+		w.lines += n
 	} else {
-		s.leftOut += n
+		w.suppressed += n
 	}
 	l.mu.Unlock()
-	if leftOut > 0 && l.OnSuppressed != nil {
-		l.OnSuppressed(kind, leftOut)
+	if suppressed > 0 && l.OnSuppressed != nil {
+		l.OnSuppressed(kind, suppressed)
 	}
 	return allowed
 }
--- a/internal/logfmt/limit_test.go
+++ b/internal/logfmt/limit_test.go
@@ -12,10 +12,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestLimit(t *testing.T) {
+func TestLineLimiter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		left := make(map[string]int)
-		l := &LineLimiter{OnSuppressed: func(kind string, n int) { left[kind] += n }}
+		suppressed := make(map[string]int)
+		l := &LineLimiter{OnSuppressed: func(kind string, n int) { suppressed[kind] += n }}
 		var allowed int
 		for range 25 {
 			if l.Allow("a", 10, 1) {
@@ -27,6 +27,6 @@
 		qt.Check(t, l.Allow("b", 10, 1), qt.IsFalse)
 		time.Sleep(time.Second)
 		qt.Check(t, l.Allow("a", 10, 1), qt.IsTrue)
-		qt.Check(t, left["a"], qt.Equals, 15)
+		qt.Check(t, suppressed["a"], qt.Equals, 15)
 	})
 }
--- a/internal/logfmt/logger_test.go
+++ b/internal/logfmt/logger_test.go
@@ -15,7 +15,7 @@
 	"sassafrasfront.example/internal/logfmt"
 )
 
-func TestValuesCannotForge(t *testing.T) {
+func TestValuesAreQuoted(t *testing.T) {
 	tests := map[string]struct {
 		value, want string
 	}{
--- a/internal/logfmt/unblocking.go
+++ b/internal/logfmt/unblocking.go
@@ -17,14 +17,14 @@
 	// dropped, the oldest first.
 	pendingLines = 4096
 	// pollEvery is the time between two looks for lines to write.
-	pollEvery = 50 * time.Millisecond
+	pollInterval = 50 * time.Millisecond
 )
 
 // Unblocking returns a writer that never waits for w: lines that w does not take
 // in time are dropped, and their number is written in their place. Its Close
 // writes what is pending.
 func NonBlocking(w io.Writer) io.WriteCloser {
-	return diode.NewWriter(w, pendingLines, pollEvery, func(missed int) {
+	return diode.NewWriter(w, pendingLines, pollInterval, func(missed int) {
 		_, _ = fmt.Fprintf(w, "level=warn event=\"log lines dropped\" count=%d\n", missed)
 	})
 }
--- a/internal/logfmt/unblocking_test.go
+++ b/internal/logfmt/unblocking_test.go
@@ -13,7 +13,7 @@
 )
 
 // TestUnblocking has nobody read what is written: the writer must go on.
-func TestUnblocking(t *testing.T) {
+func TestNonBlocking(t *testing.T) {
 	reader, writer := io.Pipe()
 	defer reader.Close()
 	log := New(NonBlocking(writer), "info")
