--- a/internal/objectapitest/server.go
+++ b/internal/objectapitest/server.go
@@ -55,10 +55,10 @@
 type Server struct {
 	store store
 
-	mu     sync.Mutex
-	faults Faults
-	counts Counts
-	old    map[string]*objectapi.Object
+	mu       sync.Mutex
+	faults   Faults
+	counts   Counts
+	previous map[string]*objectapi.Object
 }
 
 // SetFaults replaces the faults.
@@ -76,7 +76,7 @@
 }
 
 // Forget drops the history, so that watches from before now fail with 410.
-func (s *Server) DropHistory() { s.store.forget() }
+func (s *Server) DropHistory() { s.store.dropHistory() }
 
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -90,14 +90,14 @@
 		s.SetFaults(f)
 		return
 	case "/counts":
-		answer(w, http.StatusOK, s.Counts())
+		writeJSON(w, http.StatusOK, s.Counts())
 		return
 	case "/forget":
 		s.DropHistory()
 		return
 	}
-	f := s.count(r)
-	if !s.pass(w, r, f) {
+	f := s.countCall(r)
+	if !s.applyFaults(w, r, f) {
 		return
 	}
 	collection, name, ok := split(r.URL.Path)
@@ -113,7 +113,7 @@
 }
 
 // count counts the call and returns the faults that apply to it.
-func (s *Server) count(r *http.Request) Faults {
+func (s *Server) countCall(r *http.Request) Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
@@ -132,7 +132,7 @@
 
 // pass applies the faults that come before the effect. It returns whether the
 // call goes on.
-func (s *Server) pass(w http.ResponseWriter, r *http.Request, f Faults) bool {
+func (s *Server) applyFaults(w http.ResponseWriter, r *http.Request, f Faults) bool {
 	if f.Down {
 		panic(http.ErrAbortHandler)
 	}
@@ -174,24 +174,24 @@
 func (s *Server) read(w http.ResponseWriter, r *http.Request, f Faults, collection, name string) {
 	switch {
 	case name != "":
-		o, refused := s.store.get(collection, name)
-		if refused != nil {
-			http.Error(w, refused.reason, refused.status)
+		o, failure := s.store.get(collection, name)
+		if failure != nil {
+			http.Error(w, failure.reason, failure.status)
 			return
 		}
-		answer(w, http.StatusOK, s.stale(f, collection, o))
+		writeJSON(w, http.StatusOK, s.staleOrCurrent(f, collection, o))
 	case r.URL.Query().Has("watch"):
 		s.watch(w, r, collection)
 	default:
-		answer(w, http.StatusOK, s.store.list(collection))
+		writeJSON(w, http.StatusOK, s.store.list(collection))
 	}
 }
 
 // stale returns o, or at times what it was before.
-func (s *Server) stale(f Faults, collection string, o *objectapi.Object) *objectapi.Object {
+func (s *Server) staleOrCurrent(f Faults, collection string, o *objectapi.Object) *objectapi.Object {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if before := s.old[key(collection, o.Metadata.Name)]; before != nil && rand.Float64() < f.StaleReads {
+	if before := s.previous[key(collection, o.Metadata.Name)]; before != nil && rand.Float64() < f.StaleReads {
 		return before
 	}
 	return o
@@ -199,40 +199,40 @@
 
 func (s *Server) write(w http.ResponseWriter, r *http.Request, f Faults, collection, name string) {
 	var result *objectapi.Object
-	var refused *refusal
+	var failure *statusError
 	if r.Method == http.MethodDelete {
-		refused = s.store.delete(collection, name, r.URL.Query().Get("resourceVersion"))
+		failure = s.store.delete(collection, name, r.URL.Query().Get("resourceVersion"))
 	} else {
 		o := new(objectapi.Object)
 		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, objectapi.MaxObjectBytes)).Decode(o); err != nil {
 			http.Error(w, err.Error(), http.StatusRequestEntityTooLarge)
 			return
 		}
-		s.remember(collection, o.Metadata.Name)
-		result, refused = s.store.put(collection, o, r.Method == http.MethodPost)
+		s.savePrevious(collection, o.Metadata.Name)
+		result, failure = s.store.put(collection, o, r.Method == http.MethodPost)
 	}
-	if refused != nil {
-		http.Error(w, refused.reason, refused.status)
+	if failure != nil {
+		http.Error(w, failure.reason, failure.status)
 		return
 	}
 	if rand.Float64() < f.LoseWrites {
 		panic(http.ErrAbortHandler)
 	}
-	answer(w, http.StatusOK, result)
+	writeJSON(w, http.StatusOK, result)
 }
 
 // remember keeps the present object for stale reads.
-func (s *Server) remember(collection, name string) {
-	o, refused := s.store.get(collection, name)
-	if refused != nil {
+func (s *Server) savePrevious(collection, name string) {
+	o, failure := s.store.get(collection, name)
+	if failure != nil {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.old == nil {
-		s.old = make(map[string]*objectapi.Object)
+	if s.previous == nil {
+		s.previous = make(map[string]*objectapi.Object)
 	}
-	s.old[key(collection, name)] = o
+	s.previous[key(collection, name)] = o
 }
 
 // watch streams the changes of a collection.
@@ -294,7 +294,7 @@
 	return p[strings.LastIndex(p, "/")+1:]
 }
 
-func answer(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v)
--- a/internal/objectapitest/store.go
+++ b/internal/objectapitest/store.go
@@ -32,19 +32,19 @@
 }
 
 // refusal is an HTTP status with a reason.
-type refusal struct {
+type statusError struct {
 	status int
 	reason string
 }
 
 func key(collection, name string) string { return collection + "/" + name }
 
-func (s *store) get(collection, name string) (*objectapi.Object, *refusal) {
+func (s *store) get(collection, name string) (*objectapi.Object, *statusError) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	o := s.objects[key(collection, name)]
 	if o == nil {
-		return nil, &refusal{
+		return nil, &statusError{
 			status: http.StatusNotFound,
 			reason: name + " not found",
 		}
@@ -67,7 +67,7 @@
 }
 
 // put creates or replaces an object. An empty version means to create.
-func (s *store) put(collection string, o *objectapi.Object, create bool) (*objectapi.Object, *refusal) {
+func (s *store) put(collection string, o *objectapi.Object, create bool) (*objectapi.Object, *statusError) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k := key(collection, o.Metadata.Name)
@@ -76,7 +76,7 @@
 	case create && old != nil:
 		return nil, conflict("already exists")
 	case !create && old == nil:
-		return nil, &refusal{
+		return nil, &statusError{
 			status: http.StatusNotFound,
 			reason: o.Metadata.Name + " not found",
 		}
@@ -90,14 +90,14 @@
 	return s.record(k, kind, o), nil
 }
 
-func (s *store) delete(collection, name, version string) *refusal {
+func (s *store) delete(collection, name, version string) *statusError {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k := key(collection, name)
 	old := s.objects[k]
 	switch {
 	case old == nil:
-		return &refusal{
+		return &statusError{
 			status: http.StatusNotFound,
 			reason: name + " not found",
 		}
@@ -109,8 +109,8 @@
 	return nil
 }
 
-func conflict(reason string) *refusal {
-	return &refusal{
+func conflict(reason string) *statusError {
+	return &statusError{
 		status: http.StatusConflict,
 		reason: reason,
 	}
@@ -157,7 +157,7 @@
 }
 
 // forget drops the history, so that watches from before now fail.
-func (s *store) forget() {
+func (s *store) dropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version++
