--- a/internal/simnet/conn.go
+++ b/internal/simnet/conn.go
@@ -14,42 +14,42 @@
 )
 
 // end is one end of a connection. It implements net.Conn. The network's lock guards it.
-type end struct {
-	host  *Host
-	other *end
-	wake  *sync.Cond
-	out   stream // what this end sends
+type endpoint struct {
+	host   *Host
+	remote *endpoint
+	wake   *sync.Cond
+	out    stream // what this end sends
 
-	received   []byte // by the kernel, and not read yet
-	finished   bool   // whether all has been received
-	failure    error
-	closed     bool
-	readUntil  time.Time
-	writeUntil time.Time
+	received      []byte // by the kernel, and not read yet
+	endReceived   bool   // whether all has been received
+	failure       error
+	closed        bool
+	readDeadline  time.Time
+	writeDeadline time.Time
 }
 
 // stream is what one end sends to the other.
 type stream struct {
-	buffered []byte        // written, and not sent yet
-	flight   int           // sent, and not acknowledged, in bytes
-	progress time.Time     // when it was last acknowledged, or became not empty
-	watching bool          // whether the timeout is being watched
-	lost     time.Duration // how long the next packet takes to be repeated, or 0
-	held     []func()      // what has come behind a lost packet
-	holding  bool
-	ended    bool // whether its end is sent once the buffer is empty
+	unsent          []byte        // written, and not sent yet
+	inFlight        int           // sent, and not acknowledged, in bytes
+	lastProgress    time.Time     // when it was last acknowledged, or became not empty
+	checkScheduled  bool          // whether the timeout is being watched
+	retransmitDelay time.Duration // how long the next packet takes to be repeated, or 0
+	delayed         []func()      // what has come behind a lost packet
+	retransmitting  bool
+	endPending      bool // whether its end is sent once the buffer is empty
 }
 
 // connect makes the two ends of a connection.
-func (h *Host) connect(to *Host) (near, far *end) {
-	near = &end{host: h, wake: sync.NewCond(&h.network.mu)}
-	far = &end{host: to, wake: sync.NewCond(&h.network.mu)}
-	near.other, far.other = far, near
+func (h *Host) connect(to *Host) (near, far *endpoint) {
+	near = &endpoint{host: h, wake: sync.NewCond(&h.network.mu)}
+	far = &endpoint{host: to, wake: sync.NewCond(&h.network.mu)}
+	near.remote, far.remote = far, near
 	return near, far
 }
 
 // Read implements net.Conn.
-func (e *end) Read(p []byte) (int, error) {
+func (e *endpoint) Read(p []byte) (int, error) {
 	e.host.network.mu.Lock()
 	defer e.host.network.mu.Unlock()
 	for {
@@ -60,13 +60,13 @@
 		case len(e.received) > 0:
 			n := copy(p, e.received)
 			e.received = e.received[n:]
-			e.other.send() // there is room for more
+			e.remote.send() // there is room for more
 			return n, nil
 		case e.failure != nil:
 			return 0, e.wrap("read", e.failure)
-		case e.finished:
+		case e.endReceived:
 			return 0, io.EOF
-		case passed(e.readUntil):
+		case deadlinePassed(e.readDeadline):
 			return 0, e.wrap("read", os.ErrDeadlineExceeded)
 		}
 		e.wake.Wait()
@@ -74,14 +74,14 @@
 }
 
 // Write implements net.Conn.
-func (e *end) Write(p []byte) (int, error) {
+func (e *endpoint) Write(p []byte) (int, error) {
 	e.host.network.mu.Lock()
 	defer e.host.network.mu.Unlock()
 	written := 0
 	for {
 		room := len(p) - written
 		if buffer := e.host.network.SendBufferBytes; buffer > 0 {
-			room = min(room, buffer-len(e.out.buffered)-e.out.flight)
+			room = min(room, buffer-len(e.out.unsent)-e.out.inFlight)
 		}
 		switch {
 		case e.closed:
@@ -90,16 +90,16 @@
 			return written, e.wrap("write", e.failure)
 		case written == len(p):
 			return written, nil
-		case passed(e.writeUntil):
+		case deadlinePassed(e.writeDeadline):
 			return written, e.wrap("write", os.ErrDeadlineExceeded)
 		case room > 0:
-			if len(e.out.buffered)+e.out.flight == 0 {
-				e.out.progress = time.Now()
+			if len(e.out.unsent)+e.out.inFlight == 0 {
+				e.out.lastProgress = time.Now()
 			}
-			e.out.buffered = append(e.out.buffered, p[written:written+room]...)
+			e.out.unsent = append(e.out.unsent, p[written:written+room]...)
 			written += room
 			e.send()
-			e.watch()
+			e.checkTimeout()
 			continue
 		}
 		e.wake.Wait()
@@ -107,47 +107,47 @@
 }
 
 // send has the kernel send what it may of what is buffered. The lock is held.
-func (e *end) send() {
+func (e *endpoint) send() {
 	n := e.host.network
-	for len(e.out.buffered) > 0 && e.failure == nil && !e.isSuspended() {
-		size := min(packetSize, len(e.out.buffered), n.WindowBytes-e.out.flight-len(e.other.received))
+	for len(e.out.unsent) > 0 && e.failure == nil && !e.isSuspended() {
+		size := min(packetBytes, len(e.out.unsent), n.WindowBytes-e.out.inFlight-len(e.remote.received))
 		if size <= 0 {
 			return
 		}
-		data := e.out.buffered[:size:size]
-		e.out.buffered = e.out.buffered[size:]
-		e.out.flight += size
-		n.carry(e.host, e.other.host, size, func() { e.arrive(func() { e.other.receive(data) }) })
+		data := e.out.unsent[:size:size]
+		e.out.unsent = e.out.unsent[size:]
+		e.out.inFlight += size
+		n.transmit(e.host, e.remote.host, size, func() { e.deliver(func() { e.remote.receive(data) }) })
 	}
-	if len(e.out.buffered) == 0 && e.out.ended && !e.isSuspended() {
-		e.out.ended = false
-		n.carry(e.host, e.other.host, 0, func() { e.arrive(e.other.finish) })
+	if len(e.out.unsent) == 0 && e.out.endPending && !e.isSuspended() {
+		e.out.endPending = false
+		n.transmit(e.host, e.remote.host, 0, func() { e.deliver(e.remote.receiveEnd) })
 	}
 }
 
 // arrive takes a packet of the stream in order, behind one that is lost.
-func (e *end) arrive(take func()) {
-	if wait := e.out.lost; wait > 0 {
-		e.out.lost = 0
-		e.out.holding = true
-		e.host.network.after(wait, func() {
-			e.out.holding = false
-			held := e.out.held
-			e.out.held = nil
-			for _, f := range held {
+func (e *endpoint) deliver(receive func()) {
+	if wait := e.out.retransmitDelay; wait > 0 {
+		e.out.retransmitDelay = 0
+		e.out.retransmitting = true
+		e.host.network.schedule(wait, func() {
+			e.out.retransmitting = false
+			delayed := e.out.delayed
+			e.out.delayed = nil
+			for _, f := range delayed {
 				f()
 			}
 		})
 	}
-	if e.out.holding {
-		e.out.held = append(e.out.held, take)
+	if e.out.retransmitting {
+		e.out.delayed = append(e.out.delayed, receive)
 		return
 	}
-	take()
+	receive()
 }
 
 // receive takes in data at the receiver's kernel, which acknowledges it.
-func (e *end) receive(data []byte) {
+func (e *endpoint) receive(data []byte) {
 	switch {
 	case e.failure != nil && !e.closed:
 		return
@@ -158,36 +158,36 @@
 	e.received = append(e.received, data...)
 	e.wake.Broadcast()
 	n := e.host.network
-	n.carry(e.host, e.other.host, 0, func() { e.other.acknowledged(len(data)) })
+	n.transmit(e.host, e.remote.host, 0, func() { e.remote.acknowledged(len(data)) })
 }
 
 // acknowledged takes in that n bytes have reached the other kernel.
-func (e *end) acknowledged(n int) {
-	e.out.flight -= n
-	e.out.progress = time.Now()
+func (e *endpoint) acknowledged(n int) {
+	e.out.inFlight -= n
+	e.out.lastProgress = time.Now()
 	e.send()
 	e.wake.Broadcast()
 }
 
 // finish takes in the end of the stream.
-func (e *end) finish() {
-	e.finished = true
+func (e *endpoint) receiveEnd() {
+	e.endReceived = true
 	e.wake.Broadcast()
 }
 
 // reset tells the other end that the connection is gone.
-func (e *end) reset() {
-	other := e.other
-	e.host.network.carry(e.host, other.host, 0, func() { other.fail(syscall.ECONNRESET) })
+func (e *endpoint) reset() {
+	other := e.remote
+	e.host.network.transmit(e.host, other.host, 0, func() { other.fail(syscall.ECONNRESET) })
 }
 
 // fail ends the connection at this end. The first failure is kept.
-func (e *end) fail(err error) {
+func (e *endpoint) fail(err error) {
 	if e.failure == nil {
 		e.failure = err
 		if !e.closed {
-			e.host.breaks = append(e.host.breaks, ConnFailure{
-				Peer: e.other.host.name,
+			e.host.failures = append(e.host.failures, ConnFailure{
+				Peer: e.remote.host.name,
 				At:   time.Now(),
 				Err:  err,
 			})
@@ -197,26 +197,26 @@
 }
 
 // watch ends the connection once nothing has been acknowledged for too long.
-func (e *end) watch() {
+func (e *endpoint) checkTimeout() {
 	timeout := e.host.network.UserTimeout
-	if timeout == 0 || e.out.watching {
+	if timeout == 0 || e.out.checkScheduled {
 		return
 	}
-	e.out.watching = true
-	e.host.network.after(time.Until(e.out.progress.Add(timeout)), func() {
-		e.out.watching = false
+	e.out.checkScheduled = true
+	e.host.network.schedule(time.Until(e.out.lastProgress.Add(timeout)), func() {
+		e.out.checkScheduled = false
 		switch {
-		case len(e.out.buffered)+e.out.flight == 0 || e.failure != nil:
-		case time.Since(e.out.progress) >= timeout:
+		case len(e.out.unsent)+e.out.inFlight == 0 || e.failure != nil:
+		case time.Since(e.out.lastProgress) >= timeout:
 			e.fail(syscall.ETIMEDOUT)
 		default:
-			e.watch()
+			e.checkTimeout()
 		}
 	})
 }
 
 // Close implements net.Conn. What has been written is still sent.
-func (e *end) Close() error {
+func (e *endpoint) Close() error {
 	e.host.network.mu.Lock()
 	defer e.host.network.mu.Unlock()
 	if e.closed {
@@ -224,7 +224,7 @@
 	}
 	e.closed = true
 	if e.failure == nil {
-		e.out.ended = true
+		e.out.endPending = true
 		e.send()
 	}
 	e.wake.Broadcast()
@@ -232,37 +232,37 @@
 }
 
 // LocalAddr implements net.Conn.
-func (e *end) LocalAddr() net.Addr { return address(e.host.name) }
+func (e *endpoint) LocalAddr() net.Addr { return address(e.host.name) }
 
 // RemoteAddr implements net.Conn.
-func (e *end) RemoteAddr() net.Addr { return address(e.other.host.name) }
+func (e *endpoint) RemoteAddr() net.Addr { return address(e.remote.host.name) }
 
 // SetDeadline implements net.Conn.
-func (e *end) SetDeadline(t time.Time) error {
+func (e *endpoint) SetDeadline(t time.Time) error {
 	_ = e.SetReadDeadline(t)
 	return e.SetWriteDeadline(t)
 }
 
 // SetReadDeadline implements net.Conn.
-func (e *end) SetReadDeadline(t time.Time) error { return e.setUntil(&e.readUntil, t) }
+func (e *endpoint) SetReadDeadline(t time.Time) error { return e.setDeadline(&e.readDeadline, t) }
 
 // SetWriteDeadline implements net.Conn.
-func (e *end) SetWriteDeadline(t time.Time) error { return e.setUntil(&e.writeUntil, t) }
+func (e *endpoint) SetWriteDeadline(t time.Time) error { return e.setDeadline(&e.writeDeadline, t) }
 
-func (e *end) setUntil(until *time.Time, t time.Time) error {
+func (e *endpoint) setDeadline(deadline *time.Time, t time.Time) error {
 	e.host.network.mu.Lock()
 	defer e.host.network.mu.Unlock()
-	*until = t
+	*deadline = t
 	if !t.IsZero() {
-		e.host.network.after(time.Until(t), e.wake.Broadcast)
+		e.host.network.schedule(time.Until(t), e.wake.Broadcast)
 	}
 	e.wake.Broadcast()
 	return nil
 }
 
-func (e *end) isSuspended() bool { return time.Now().Before(e.host.suspended) }
+func (e *endpoint) isSuspended() bool { return time.Now().Before(e.host.suspendedUntil) }
 
-func (e *end) wrap(op string, err error) error {
+func (e *endpoint) wrap(op string, err error) error {
 	return &net.OpError{
 		Op:   op,
 		Net:  "tcp",
@@ -272,4 +272,4 @@
 }
 
 // passed returns whether a deadline has passed.
-func passed(t time.Time) bool { return !t.IsZero() && !time.Now().Before(t) }
+func deadlinePassed(t time.Time) bool { return !t.IsZero() && !time.Now().Before(t) }
--- a/internal/simnet/network.go
+++ b/internal/simnet/network.go
@@ -35,20 +35,20 @@
 }
 
 // packetSize is the most that one packet carries, in bytes.
-const packetSize = 1500
+const packetBytes = 1500
 
 // Host is an instance with one process, which may listen at one address: its name.
 type Host struct {
-	network  *Network
-	name     string
-	up, down *link
-	listener *listener
-
-	off       bool
-	suspended time.Time // the process does nothing until then
-	ends      []*end
-	breaks    []ConnFailure
-	heard     map[*Host]time.Time
+	network          *Network
+	name             string
+	uplink, downlink *link
+	listener         *listener
+
+	poweredOff     bool
+	suspendedUntil time.Time // the process does nothing until then
+	endpoints      []*endpoint
+	failures       []ConnFailure
+	lastReceived   map[*Host]time.Time
 }
 
 // Break is the end of a connection that a host's kernel has found broken, or broken off.
@@ -65,7 +65,7 @@
 func (h *Host) ConnFailures() []ConnFailure {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
-	return slices.Clone(h.breaks)
+	return slices.Clone(h.failures)
 }
 
 // Host returns the host of the given name, and adds it if there is none.
@@ -79,12 +79,12 @@
 		n.hosts = make(map[string]*Host)
 	}
 	h := &Host{
-		network: n,
-		name:    name,
-		heard:   make(map[*Host]time.Time),
+		network:      n,
+		name:         name,
+		lastReceived: make(map[*Host]time.Time),
 	}
-	h.up = &link{host: h}
-	h.down = &link{host: h}
+	h.uplink = &link{host: h}
+	h.downlink = &link{host: h}
 	n.hosts[name] = h
 	return h
 }
@@ -94,7 +94,7 @@
 func (h *Host) LastReceived(from *Host) time.Time {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
-	return h.heard[from]
+	return h.lastReceived[from]
 }
 
 // Listen returns a listener at the host's name. There is one at a time.
@@ -117,13 +117,13 @@
 	near, far := h.connect(to)
 	opened := make(chan error, 1)
 	n.mu.Lock()
-	n.carry(h, to, 0, func() {
+	n.transmit(h, to, 0, func() {
 		failure := error(syscall.ECONNREFUSED)
-		if to.listener.take(far) {
-			to.ends = append(to.ends, far)
+		if to.listener.enqueue(far) {
+			to.endpoints = append(to.endpoints, far)
 			failure = nil
 		}
-		n.carry(to, h, 0, func() { opened <- failure })
+		n.transmit(to, h, 0, func() { opened <- failure })
 	})
 	n.mu.Unlock()
 	select {
@@ -136,24 +136,24 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	h.ends = append(h.ends, near)
+	h.endpoints = append(h.endpoints, near)
 	return near, nil
 }
 
 // carry brings a packet from one host to the other and then calls land, with the lock
 // held. What hosts send to each other lands in the order in which it was sent. The lock is
 // held.
-func (n *Network) carry(from, to *Host, size int, land func()) {
-	from.up.push(size, func() {
-		to.down.push(size, func() {
-			to.down.landing = append(to.down.landing, func() {
-				to.heard[from] = time.Now()
-				land()
+func (n *Network) transmit(from, to *Host, size int, deliver func()) {
+	from.uplink.push(size, func() {
+		to.downlink.push(size, func() {
+			to.downlink.inFlight = append(to.downlink.inFlight, func() {
+				to.lastReceived[from] = time.Now()
+				deliver()
 			})
-			n.after(n.Latency, func() {
-				next := to.down.landing[0]
-				to.down.landing = to.down.landing[1:]
-				if !to.off {
+			n.schedule(n.Latency, func() {
+				next := to.downlink.inFlight[0]
+				to.downlink.inFlight = to.downlink.inFlight[1:]
+				if !to.poweredOff {
 					next()
 				}
 			})
@@ -162,7 +162,7 @@
 }
 
 // after calls f later, with the lock held.
-func (n *Network) after(d time.Duration, f func()) {
+func (n *Network) schedule(d time.Duration, f func()) {
 	locked := func() {
 		n.mu.Lock()
 		defer n.mu.Unlock()
@@ -179,23 +179,23 @@
 
 // link is one direction of a host's link. The network's lock guards it.
 type link struct {
-	host    *Host
-	queue   []packet
-	busy    bool      // whether the first of the queue is being carried
-	silent  time.Time // nothing is carried until then
-	landing []func()  // what has been carried and is on its way
+	host        *Host
+	queue       []packet
+	busy        bool      // whether the first of the queue is being carried
+	pausedUntil time.Time // nothing is carried until then
+	inFlight    []func()  // what has been carried and is on its way
 }
 
 // packet is what waits for its turn on a link.
 type packet struct {
-	size    int
-	carried func()
+	size        int
+	transmitted func()
 }
 
-func (l *link) push(size int, carried func()) {
+func (l *link) push(size int, transmitted func()) {
 	l.queue = append(l.queue, packet{
-		size:    size,
-		carried: carried,
+		size:        size,
+		transmitted: transmitted,
 	})
 	l.next()
 }
@@ -207,24 +207,24 @@
 	}
 	l.busy = true
 	n := l.host.network
-	var takes time.Duration
+	var transmissionTime time.Duration
 	if n.LinkBandwidth > 0 {
-		takes = time.Duration(float64(l.queue[0].size) / n.LinkBandwidth * float64(time.Second))
+		transmissionTime = time.Duration(float64(l.queue[0].size) / n.LinkBandwidth * float64(time.Second))
 	}
-	n.after(max(takes, time.Until(l.silent)), l.carried)
+	n.schedule(max(transmissionTime, time.Until(l.pausedUntil)), l.transmitted)
 }
 
 // carried takes the first packet off the queue, unless the link has fallen silent meanwhile.
-func (l *link) carried() {
+func (l *link) transmitted() {
 	l.busy = false
-	if wait := time.Until(l.silent); wait > 0 {
+	if wait := time.Until(l.pausedUntil); wait > 0 {
 		l.next()
 		return
 	}
 	p := l.queue[0]
 	l.queue = l.queue[1:]
-	if !l.host.off {
-		p.carried()
+	if !l.host.poweredOff {
+		p.transmitted()
 	}
 	l.next()
 }
@@ -233,7 +233,7 @@
 func (h *Host) PauseUplink(d time.Duration) {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
-	h.up.silent = time.Now().Add(d)
+	h.uplink.pausedUntil = time.Now().Add(d)
 }
 
 // Silence has nothing leave or reach the host for a time. What is sent meanwhile is carried
@@ -242,7 +242,7 @@
 	h.PauseUplink(d)
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
-	h.down.silent = time.Now().Add(d)
+	h.downlink.pausedUntil = time.Now().Add(d)
 }
 
 // Suspend has the host's process neither read nor write for a time, while its kernel goes on.
@@ -250,8 +250,8 @@
 func (h *Host) SuspendProcess(d time.Duration) {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
-	h.suspended = time.Now().Add(d)
-	h.network.after(d, h.wake)
+	h.suspendedUntil = time.Now().Add(d)
+	h.network.schedule(d, h.wake)
 }
 
 // Lose has the next packet of each connection that the host sends on be lost, and its
@@ -262,21 +262,21 @@
 	defer h.network.mu.Unlock()
 	var wait time.Duration
 	for i := range times {
-		wait += retransmission << i
+		wait += retransmissionTimeout << i
 	}
-	for _, e := range h.ends {
-		e.out.lost = wait
+	for _, e := range h.endpoints {
+		e.out.retransmitDelay = wait
 	}
 }
 
 // retransmission is the time after which a lost packet is first sent again.
-const retransmission = 200 * time.Millisecond
+const retransmissionTimeout = 200 * time.Millisecond
 
 // PowerOff ends the host without a word: it sends and acknowledges nothing any more.
 func (h *Host) PowerOff() {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
-	h.off = true
+	h.poweredOff = true
 }
 
 // Reset has the host's kernel end its connections, as it does when the process is killed
@@ -284,16 +284,16 @@
 func (h *Host) ResetConnections() {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
-	for _, e := range h.ends {
+	for _, e := range h.endpoints {
 		e.fail(net.ErrClosed)
 		e.reset()
 	}
-	h.ends = nil
+	h.endpoints = nil
 }
 
 // wake has the operations of the host's process look again at what they wait for.
 func (h *Host) wake() {
-	for _, e := range h.ends {
+	for _, e := range h.endpoints {
 		e.send()
 		e.wake.Broadcast()
 	}
@@ -308,7 +308,7 @@
 }
 
 // take hands a connection to the process, and returns whether it listens.
-func (l *listener) take(c net.Conn) bool {
+func (l *listener) enqueue(c net.Conn) bool {
 	if l == nil {
 		return false
 	}
--- a/internal/simnet/playnet_test.go
+++ b/internal/simnet/playnet_test.go
@@ -21,7 +21,7 @@
 )
 
 // delay is what a packet takes in tests beside its time on the links.
-const delay = time.Millisecond
+const latency = time.Millisecond
 
 // pair is a connection from one host to another.
 type pair struct {
@@ -48,25 +48,25 @@
 // TestArrival sends bytes and checks when the last of them is read, and that they are the
 // same.
 func TestArrival(t *testing.T) {
-	const rate = 100_000
+	const bandwidth = 100_000
 	for name, test := range map[string]struct {
 		network *simnet.Network // nil for one without bounds
 		size    int
-		trouble func(p *pair)
+		fault   func(p *pair)
 		want    time.Duration
 	}{
-		"one packet":                    {size: 100, want: delay},
-		"one packet at a rate":          {network: &simnet.Network{LinkBandwidth: rate}, size: 1000, want: 20*time.Millisecond + delay},
-		"many packets at a rate":        {network: &simnet.Network{LinkBandwidth: rate}, size: 150_000, want: 1515*time.Millisecond + delay},
-		"both ways silent":              {size: 100, trouble: func(p *pair) { p.b.PauseLink(time.Second) }, want: time.Second + delay},
-		"sender silent":                 {size: 100, trouble: func(p *pair) { p.a.PauseUplink(time.Second) }, want: time.Second + delay},
-		"only the way back silent":      {size: 100, trouble: func(p *pair) { p.b.PauseUplink(time.Second) }, want: delay},
-		"silent for less than Timeout":  {network: &simnet.Network{UserTimeout: 2 * time.Second}, size: 100, trouble: func(p *pair) { p.b.PauseLink(time.Second) }, want: time.Second + delay},
-		"a packet is lost":              {size: 100, trouble: func(p *pair) { p.a.DropPackets(1) }, want: 200*time.Millisecond + delay},
-		"a packet is lost three times":  {size: 5000, trouble: func(p *pair) { p.a.DropPackets(3) }, want: 1400*time.Millisecond + delay},
-		"receiver suspended":            {size: 100, trouble: func(p *pair) { p.b.SuspendProcess(time.Second) }, want: time.Second},
-		"sender suspended":              {size: 100, trouble: func(p *pair) { p.a.SuspendProcess(time.Second) }, want: time.Second + delay},
-		"a window is under way at once": {network: &simnet.Network{WindowBytes: 1500}, size: 4500, want: 5 * delay},
+		"one packet":                    {size: 100, want: latency},
+		"one packet at a rate":          {network: &simnet.Network{LinkBandwidth: bandwidth}, size: 1000, want: 20*time.Millisecond + latency},
+		"many packets at a rate":        {network: &simnet.Network{LinkBandwidth: bandwidth}, size: 150_000, want: 1515*time.Millisecond + latency},
+		"both ways silent":              {size: 100, fault: func(p *pair) { p.b.PauseLink(time.Second) }, want: time.Second + latency},
+		"sender silent":                 {size: 100, fault: func(p *pair) { p.a.PauseUplink(time.Second) }, want: time.Second + latency},
+		"only the way back silent":      {size: 100, fault: func(p *pair) { p.b.PauseUplink(time.Second) }, want: latency},
+		"silent for less than Timeout":  {network: &simnet.Network{UserTimeout: 2 * time.Second}, size: 100, fault: func(p *pair) { p.b.PauseLink(time.Second) }, want: time.Second + latency},
+		"a packet is lost":              {size: 100, fault: func(p *pair) { p.a.DropPackets(1) }, want: 200*time.Millisecond + latency},
+		"a packet is lost three times":  {size: 5000, fault: func(p *pair) { p.a.DropPackets(3) }, want: 1400*time.Millisecond + latency},
+		"receiver suspended":            {size: 100, fault: func(p *pair) { p.b.SuspendProcess(time.Second) }, want: time.Second},
+		"sender suspended":              {size: 100, fault: func(p *pair) { p.a.SuspendProcess(time.Second) }, want: time.Second + latency},
+		"a window is under way at once": {network: &simnet.Network{WindowBytes: 1500}, size: 4500, want: 5 * latency},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -74,13 +74,13 @@
 				if network == nil {
 					network = new(simnet.Network)
 				}
-				network.Latency = delay
+				network.Latency = latency
 				if network.WindowBytes == 0 {
 					network.WindowBytes = 1 << 20
 				}
 				p := connect(t, network)
-				if test.trouble != nil {
-					test.trouble(p)
+				if test.fault != nil {
+					test.fault(p)
 				}
 				began := time.Now()
 				sent := bytes.Repeat([]byte("0123456789abc"), test.size/13+1)[:test.size]
@@ -101,26 +101,26 @@
 
 // TestBreak has connections end in ways that the sender of some bytes finds out, and checks
 // when, and how.
-func TestBreak(t *testing.T) {
+func TestConnFailure(t *testing.T) {
 	const timeout = 2 * time.Second
 	for name, test := range map[string]struct {
-		trouble func(p *pair)
-		silent  bool // whether nothing is written
-		want    error
-		after   time.Duration
+		fault  func(p *pair)
+		silent bool // whether nothing is written
+		want   error
+		after  time.Duration
 	}{
-		"power off":                         {trouble: func(p *pair) { p.b.PowerOff() }, want: syscall.ETIMEDOUT, after: timeout},
-		"silent for as long as Timeout":     {trouble: func(p *pair) { p.b.PauseLink(timeout + time.Second) }, want: syscall.ETIMEDOUT, after: timeout},
-		"no acknowledgement":                {trouble: func(p *pair) { p.b.PauseUplink(timeout + time.Second) }, want: syscall.ETIMEDOUT, after: timeout},
-		"reset":                             {trouble: func(p *pair) { p.b.ResetConnections() }, want: syscall.ECONNRESET, after: delay},
-		"reset over a silent link":          {trouble: func(p *pair) { p.b.PauseLink(time.Second); p.b.ResetConnections() }, want: syscall.ECONNRESET, after: time.Second + delay},
-		"closed with bytes on their way":    {trouble: func(p *pair) { _ = p.far.Close() }, want: io.EOF, after: delay},
-		"power off with nothing to be sent": {trouble: func(p *pair) { p.b.PowerOff() }, silent: true},
+		"power off":                         {fault: func(p *pair) { p.b.PowerOff() }, want: syscall.ETIMEDOUT, after: timeout},
+		"silent for as long as Timeout":     {fault: func(p *pair) { p.b.PauseLink(timeout + time.Second) }, want: syscall.ETIMEDOUT, after: timeout},
+		"no acknowledgement":                {fault: func(p *pair) { p.b.PauseUplink(timeout + time.Second) }, want: syscall.ETIMEDOUT, after: timeout},
+		"reset":                             {fault: func(p *pair) { p.b.ResetConnections() }, want: syscall.ECONNRESET, after: latency},
+		"reset over a silent link":          {fault: func(p *pair) { p.b.PauseLink(time.Second); p.b.ResetConnections() }, want: syscall.ECONNRESET, after: time.Second + latency},
+		"closed with bytes on their way":    {fault: func(p *pair) { _ = p.far.Close() }, want: io.EOF, after: latency},
+		"power off with nothing to be sent": {fault: func(p *pair) { p.b.PowerOff() }, silent: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := connect(t, &simnet.Network{Latency: delay, WindowBytes: 1 << 20, UserTimeout: timeout})
-				test.trouble(p)
+				p := connect(t, &simnet.Network{Latency: latency, WindowBytes: 1 << 20, UserTimeout: timeout})
+				test.fault(p)
 				began := time.Now()
 				if !test.silent {
 					_, err := p.near.Write(make([]byte, 100))
@@ -158,12 +158,12 @@
 		after   time.Duration
 	}{
 		"read in time":             {reads: time.Second, written: 100_000, after: time.Second},
-		"read after Timeout":       {reads: 3 * time.Second, written: window + buffer, want: syscall.ETIMEDOUT, after: timeout + 2*delay},
+		"read after Timeout":       {reads: 3 * time.Second, written: window + buffer, want: syscall.ETIMEDOUT, after: timeout + 2*latency},
 		"deadline of a write ends": {written: window + buffer, want: errTimeout, after: timeout / 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := connect(t, &simnet.Network{Latency: delay, WindowBytes: window, SendBufferBytes: buffer, UserTimeout: timeout})
+				p := connect(t, &simnet.Network{Latency: latency, WindowBytes: window, SendBufferBytes: buffer, UserTimeout: timeout})
 				began := time.Now()
 				if test.reads > 0 {
 					time.AfterFunc(test.reads, func() { _, _ = io.Copy(io.Discard, p.far) })
@@ -195,18 +195,18 @@
 // TestDial opens connections to hosts that take none.
 func TestDial(t *testing.T) {
 	for name, test := range map[string]struct {
-		trouble func(h *simnet.Host)
-		want    error
-		after   time.Duration
+		fault func(h *simnet.Host)
+		want  error
+		after time.Duration
 	}{
-		"nobody listens":     {trouble: func(*simnet.Host) {}, want: syscall.ECONNREFUSED, after: 2 * delay},
-		"listener closed":    {trouble: func(h *simnet.Host) { _ = h.Listen().Close() }, want: syscall.ECONNREFUSED, after: 2 * delay},
-		"host without power": {trouble: func(h *simnet.Host) { h.Listen(); h.PowerOff() }, want: context.DeadlineExceeded, after: time.Second},
+		"nobody listens":     {fault: func(*simnet.Host) {}, want: syscall.ECONNREFUSED, after: 2 * latency},
+		"listener closed":    {fault: func(h *simnet.Host) { _ = h.Listen().Close() }, want: syscall.ECONNREFUSED, after: 2 * latency},
+		"host without power": {fault: func(h *simnet.Host) { h.Listen(); h.PowerOff() }, want: context.DeadlineExceeded, after: time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				n := &simnet.Network{Latency: delay, WindowBytes: 1 << 20}
-				test.trouble(n.Host("b"))
+				n := &simnet.Network{Latency: latency, WindowBytes: 1 << 20}
+				test.fault(n.Host("b"))
 				ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 				defer cancel()
 				began := time.Now()
