--- a/internal/stall/monitor.go
+++ b/internal/stall/monitor.go
@@ -13,19 +13,19 @@
 
 const (
 	// period is the time between two ticks of a Monitor.
-	period = 50 * time.Millisecond
+	tickInterval = 50 * time.Millisecond
 	// least is the delay of a tick from which it is kept.
-	least = 10 * time.Millisecond
+	minDelay = 10 * time.Millisecond
 	// kept is the number of delays that are kept.
-	kept = 64
+	maxDelays = 64
 )
 
 // Monitor measures the delays of its own ticks. The zero value is ready to use. Its methods may
 // be called from any goroutine.
 type Monitor struct {
-	mu     sync.Mutex
-	last   time.Time // of the ticks, zero before the first
-	delays []delay   // the oldest first
+	mu       sync.Mutex
+	lastTick time.Time // of the ticks, zero before the first
+	delays   []delay   // the oldest first
 }
 
 // delay is that of one tick.
@@ -45,7 +45,7 @@
 		case <-next.C:
 		}
 		m.tick(time.Now())
-		next.Reset(period)
+		next.Reset(tickInterval)
 	}
 }
 
@@ -53,8 +53,8 @@
 func (m *Monitor) tick(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if took := m.overdue(now); took >= least {
-		if len(m.delays) == kept {
+	if took := m.overdue(now); took >= minDelay {
+		if len(m.delays) == maxDelays {
 			m.delays = slices.Delete(m.delays, 0, 1)
 		}
 		m.delays = append(m.delays, delay{
@@ -62,15 +62,15 @@
 			took:  took,
 		})
 	}
-	m.last = now
+	m.lastTick = now
 }
 
 // overdue returns for how long a tick has been due. The lock is held.
 func (m *Monitor) overdue(now time.Time) time.Duration {
-	if m.last.IsZero() {
+	if m.lastTick.IsZero() {
 		return 0
 	}
-	return max(0, now.Sub(m.last)-period)
+	return max(0, now.Sub(m.lastTick)-tickInterval)
 }
 
 // Longest returns the longest delay of a tick that ended after the given moment, or of one that is
@@ -79,8 +79,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var longest time.Duration
-	if open := m.overdue(time.Now()); open >= least {
-		longest = open
+	if pending := m.overdue(time.Now()); pending >= minDelay {
+		longest = pending
 	}
 	for _, d := range m.delays {
 		if d.ended.After(since) {
--- a/internal/stall/monitor_test.go
+++ b/internal/stall/monitor_test.go
@@ -12,22 +12,22 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestLongest(t *testing.T) {
+func TestLongestDelay(t *testing.T) {
 	tests := map[string]struct {
-		gaps  []time.Duration // between ticks
-		since time.Duration   // before the last of them
-		open  time.Duration   // after the last of them
-		want  time.Duration
+		gaps    []time.Duration // between ticks
+		since   time.Duration   // before the last of them
+		pending time.Duration   // after the last of them
+		want    time.Duration
 	}{
-		"no tick yet":      {open: time.Second},
-		"in time":          {gaps: []time.Duration{0, period, period}, since: time.Second, open: period},
-		"late once":        {gaps: []time.Duration{0, period, period + 300*time.Millisecond, period}, since: time.Second, want: 300 * time.Millisecond},
-		"the longest":      {gaps: []time.Duration{0, period + 300*time.Millisecond, period + 100*time.Millisecond}, since: time.Second, want: 300 * time.Millisecond},
-		"before":           {gaps: []time.Duration{0, period + 300*time.Millisecond, period}, since: period},
-		"overdue":          {gaps: []time.Duration{0}, since: time.Second, open: period + 700*time.Millisecond, want: 700 * time.Millisecond},
-		"too short":        {gaps: []time.Duration{0, period + least - 1}, since: time.Second},
-		"more than kept":   {gaps: append([]time.Duration{0, time.Second}, repeat(period+least, kept)...), since: time.Minute, want: least},
-		"fewer than those": {gaps: append([]time.Duration{0, time.Second}, repeat(period+least, kept-1)...), since: time.Minute, want: time.Second - period},
+		"no tick yet":      {pending: time.Second},
+		"in time":          {gaps: []time.Duration{0, tickInterval, tickInterval}, since: time.Second, pending: tickInterval},
+		"late once":        {gaps: []time.Duration{0, tickInterval, tickInterval + 300*time.Millisecond, tickInterval}, since: time.Second, want: 300 * time.Millisecond},
+		"the longest":      {gaps: []time.Duration{0, tickInterval + 300*time.Millisecond, tickInterval + 100*time.Millisecond}, since: time.Second, want: 300 * time.Millisecond},
+		"before":           {gaps: []time.Duration{0, tickInterval + 300*time.Millisecond, tickInterval}, since: tickInterval},
+		"overdue":          {gaps: []time.Duration{0}, since: time.Second, pending: tickInterval + 700*time.Millisecond, want: 700 * time.Millisecond},
+		"too short":        {gaps: []time.Duration{0, tickInterval + minDelay - 1}, since: time.Second},
+		"more than kept":   {gaps: append([]time.Duration{0, time.Second}, repeat(tickInterval+minDelay, maxDelays)...), since: time.Minute, want: minDelay},
+		"fewer than those": {gaps: append([]time.Duration{0, time.Second}, repeat(tickInterval+minDelay, maxDelays-1)...), since: time.Minute, want: time.Second - tickInterval},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -38,7 +38,7 @@
 					m.tick(time.Now())
 				}
 				since := time.Now().Add(-test.since)
-				time.Sleep(test.open)
+				time.Sleep(test.pending)
 				qt.Check(t, m.LongestDelay(since), qt.Equals, test.want)
 			})
 		})
@@ -56,11 +56,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		var m Monitor
 		go m.Run(t.Context())
-		time.Sleep(10 * period)
+		time.Sleep(10 * tickInterval)
 		synctest.Wait()
 		qt.Check(t, m.LongestDelay(time.Time{}), qt.Equals, time.Duration(0))
 		m.mu.Lock()
-		qt.Check(t, time.Since(m.last), qt.Equals, time.Duration(0))
+		qt.Check(t, time.Since(m.lastTick), qt.Equals, time.Duration(0))
 		m.mu.Unlock()
 	})
 }
