--- a/internal/tcp/dialer.go
+++ b/internal/tcp/dialer.go
@@ -15,18 +15,18 @@
 // Dialer returns a dialer whose connections are opened within the given time,
 // and end with ETIMEDOUT once what was written to them has been without an
 // acknowledgement for as long as silence says (TCP_USER_TIMEOUT, see RFC 5482).
-func Dialer(within, silence time.Duration) *net.Dialer {
+func Dialer(timeout, userTimeout time.Duration) *net.Dialer {
 	return &net.Dialer{
-		Timeout: within,
-		Control: func(_, _ string, raw syscall.RawConn) error { return setSilence(raw, silence) },
+		Timeout: timeout,
+		Control: func(_, _ string, raw syscall.RawConn) error { return setUserTimeout(raw, userTimeout) },
 	}
 }
 
 // setSilence sets TCP_USER_TIMEOUT.
-func setSilence(raw syscall.RawConn, silence time.Duration) error {
+func setUserTimeout(raw syscall.RawConn, userTimeout time.Duration) error {
 	var failure error
 	err := raw.Control(func(fd uintptr) {
-		failure = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silence.Milliseconds()))
+		failure = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
--- a/internal/tcp/silence.go
+++ b/internal/tcp/silence.go
@@ -17,20 +17,20 @@
 // acknowledgement. Zero means as long as the kernel allows by itself. Data for which the
 // receiver has no room counts as unacknowledged, though its kernel answers: a receiver that
 // reads late is then taken for a silent one. A connection that is no socket is left as it is.
-func SetUserTimeout(c net.Conn, silence time.Duration) error {
+func SetUserTimeout(c net.Conn, userTimeout time.Duration) error {
 	s, ok := c.(syscall.Conn)
 	if !ok {
 		return nil
 	}
 	raw, err := s.SyscallConn()
 	if err == nil {
-		err = setSilence(raw, silence)
+		err = setUserTimeout(raw, userTimeout)
 	}
 	return eris.Wrap(err, "set the bound on silence")
 }
 
 // errNoSocket is that a connection is none of the kernel's.
-var errNoSocket = eris.New("no socket")
+var errNotSocket = eris.New("no socket")
 
 // Unacknowledged returns how many bytes that were written to a connection the peer's kernel has not
 // acknowledged (SIOCOUTQ, see tcp(7)).
@@ -46,7 +46,7 @@
 func onSocket(c net.Conn, f func(fd int) error) error {
 	s, ok := c.(syscall.Conn)
 	if !ok {
-		return errNoSocket
+		return errNotSocket
 	}
 	raw, err := s.SyscallConn()
 	if err != nil {
@@ -74,7 +74,7 @@
 }
 
 // errNoState is that the kernel tells nothing of a connection.
-var errNoState = eris.New("no state of the connection")
+var errNoTCPInfo = eris.New("no state of the connection")
 
 // Acknowledged returns the Acknowledgement of a connection that is open (TCP_INFO, see tcp(7)). An
 // error means that the kernel does not tell.
@@ -92,7 +92,7 @@
 	case err != nil:
 		return a, eris.Wrap(err, "acknowledgements")
 	case info.Snd_mss == 0 || info.Rto == 0:
-		return a, errNoState
+		return a, errNoTCPInfo
 	}
 	return AckState{
 		Outstanding:    n > 0,
@@ -106,7 +106,7 @@
 // the given time has passed, and end it after count questions in a row without an answer. The
 // kernel of a process that is gone answers by a reset, and that of one that works, however long
 // it says nothing, acknowledges. A connection that is no TCP socket is left as it is.
-func EnableKeepAlive(c net.Conn, every time.Duration, count int) error {
+func EnableKeepAlive(c net.Conn, interval time.Duration, count int) error {
 	t, ok := c.(*net.TCPConn)
 	if !ok {
 		return nil
@@ -117,8 +117,8 @@
 	}
 	err := t.SetKeepAliveConfig(net.KeepAliveConfig{
 		Enable:   true,
-		Idle:     every,
-		Interval: every,
+		Idle:     interval,
+		Interval: interval,
 		Count:    count,
 	})
 	return eris.Wrap(err, "probe a connection")
--- a/internal/tcp/silence_test.go
+++ b/internal/tcp/silence_test.go
@@ -15,14 +15,14 @@
 	"sassafrasfront.example/internal/tcp"
 )
 
-func TestSetSilence(t *testing.T) {
+func TestSetUserTimeout(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	defer l.Close()
 	c, err := tcp.Dialer(time.Second, 700*time.Millisecond).Dial("tcp", l.Addr().String())
 	qt.Assert(t, err, qt.IsNil)
-	for _, silence := range []time.Duration{0, 300 * time.Millisecond} {
-		qt.Assert(t, tcp.SetUserTimeout(c, silence), qt.IsNil)
+	for _, userTimeout := range []time.Duration{0, 300 * time.Millisecond} {
+		qt.Assert(t, tcp.SetUserTimeout(c, userTimeout), qt.IsNil)
 		raw, err := c.(*net.TCPConn).SyscallConn()
 		qt.Assert(t, err, qt.IsNil)
 		var got int
@@ -30,7 +30,7 @@
 			got, _ = unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
 		})
 		qt.Assert(t, err, qt.IsNil)
-		qt.Check(t, got, qt.Equals, int(silence.Milliseconds()))
+		qt.Check(t, got, qt.Equals, int(userTimeout.Milliseconds()))
 	}
 	c.Close()
 	qt.Check(t, tcp.SetUserTimeout(c, 0), qt.IsNotNil)
@@ -42,7 +42,7 @@
 
 // TestUnacknowledged writes to a peer that reads nothing: its kernel acknowledges what it has room
 // for, and no more.
-func TestUnacknowledged(t *testing.T) {
+func TestUnacknowledgedBytes(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	c, err := net.Dial("tcp", l.Addr().String())
