--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -35,7 +35,7 @@
 
 // maxQueue bounds the spans that wait for the collector. More are dropped, so
 // that traffic never waits.
-const maxQueue = 2048
+const maxQueuedSpans = 2048
 
 // Tracer returns a tracer, and a function that sends what is left and stops it.
 func (s Config) Tracer(ctx context.Context) (trace.Tracer, func(context.Context) error, error) {
@@ -47,7 +47,7 @@
 		return nil, nil, err
 	}
 	provider := sdk.NewTracerProvider(
-		sdk.WithBatcher(exporter, sdk.WithMaxQueueSize(maxQueue), sdk.WithBatchTimeout(time.Second)),
+		sdk.WithBatcher(exporter, sdk.WithMaxQueueSize(maxQueuedSpans), sdk.WithBatchTimeout(time.Second)),
 		sdk.WithSampler(sdk.ParentBased(sdk.TraceIDRatioBased(s.SampleRatio))),
 		sdk.WithResource(resource.NewSchemaless(
 			attribute.String("service.name", "sassafrasnode"),
--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -54,7 +54,7 @@
 
 // TestDeadCollectorNeverBlocks makes many more spans than the queue holds while
 // nobody takes them.
-func TestDeadCollectorNeverBlocks(t *testing.T) {
+func TestUnresponsiveCollectorNeverBlocks(t *testing.T) {
 	hold := make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-hold }))
 	defer s.Close()
@@ -80,7 +80,7 @@
 }
 
 // TestFieldsCopyOnSet checks that a list that is shared is not changed.
-func TestFieldsCopyOnSet(t *testing.T) {
+func TestFieldCarrierCopiesOnSet(t *testing.T) {
 	shared := []peer.Field{{Name: "Traceparent", Value: "old"}, {Name: "A", Value: "1"}}
 	f := &tracing.FieldCarrier{List: shared}
 	f.Set("traceparent", "new")
