--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -21,60 +21,60 @@
 	"sassafrasfront.example/upstream"
 )
 
-// IDHeader names a request in the record.
+// IDHeader is the header field with the ID of a request in the record.
 const IDHeader = "X-Request-Id"
 
-// Knobs are what the stand-in can be told while it runs.
+// Parameters are the parameters that can be changed while the fake upstream runs.
 type Parameters struct {
-	// Mean is the mean service time, in milliseconds.
+	// MeanMillis is the mean service time, in milliseconds.
 	MeanMillis float64 `json:"meanMillis"`
 	// Sigma is the standard deviation of the logarithm of the service time,
 	// which is log-normal. Zero means that it is constant.
 	Sigma float64 `json:"sigma"`
-	// Slow multiplies the service time. Zero means 1.
+	// SlowFactor multiplies the service time. Zero means 1.
 	SlowFactor float64 `json:"slow"`
 }
 
-// Record is what a stand-in has run.
+// Record is what a fake upstream has run.
 type Record struct {
-	// Runs are the number of runs by request id.
+	// Runs holds the number of runs by request ID.
 	Runs map[string]int `json:"runs"`
-	// OverSlots counts the requests that came while all slots were taken.
+	// OverSlots counts the requests that arrived while all slots were in use.
 	OverSlots int `json:"overSlots"`
-	// MostRunning is the largest number of requests at once.
+	// MaxRunning is the largest number of concurrent requests.
 	MaxRunning int `json:"mostRunning"`
-	// Last is when the last request came.
+	// LastArrival is when the last request arrived.
 	LastArrival time.Time `json:"last"`
 }
 
-// Server is the stand-in as an http.Handler. The exported fields are set before
+// Server is the fake upstream as an http.Handler. The exported fields are set before
 // the first request.
 type Server struct {
-	// Slots is the number of requests that it runs at once.
+	// Slots is the number of requests that it can run concurrently.
 	Slots int
-	// Name is told in each answer.
+	// Name is sent in each response.
 	Name string
-	// Entry is the URL of the node beside the stand-in, through which it calls
+	// NodeURL is the URL of the node beside the fake upstream, through which it calls
 	// other services.
 	NodeURL string
-	// Journal, if not nil, gets the id of each request as it comes, a line
-	// each. It outlives the process where the record does not.
+	// RequestLog, if not nil, gets the ID of each request on a line of its own when the request
+	// arrives. Unlike the record, it outlives the process.
 	RequestLog io.Writer
 
-	mu      sync.Mutex
-	knobs   Parameters
-	record  Record
-	running int
+	mu         sync.Mutex
+	parameters Parameters
+	record     Record
+	running    int
 }
 
-// Turn replaces the knobs.
+// SetParameters replaces the parameters.
 func (s *Server) SetParameters(k Parameters) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.knobs = k
+	s.parameters = k
 }
 
-// Record returns what has been run.
+// Record returns a copy of the record.
 func (s *Server) Record() Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,7 +86,7 @@
 	return r
 }
 
-// ServeHTTP implements http.Handler. Paths under /stand/ steer the stand-in; a
+// ServeHTTP implements http.Handler. Paths under /stand/ control the fake upstream; a
 // request to any other path is run.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
@@ -104,9 +104,9 @@
 	}
 }
 
-// run runs a request: it takes its time, and answers with the request's id and
-// body. The query may say how it goes: ?hang=1 never answers, ?cut=1 cuts the
-// answer in half, ?die=1 closes the connection unanswered, ?millis=N takes that
+// run runs a request: it waits for the service time, and responds with the request's ID and
+// body. The query may change that: ?hang=1 never responds, ?cut=1 truncates the response at
+// half its length, ?die=1 closes the connection without a response, ?millis=N sets the service
 // time.
 func (s *Server) run(w http.ResponseWriter, r *http.Request) {
 	d := s.begin(r.Header.Get(IDHeader))
@@ -145,9 +145,9 @@
 	_, _ = io.WriteString(w, response)
 }
 
-// callNext calls the first of some services, separated by commas, which calls
-// those after it. The last one dies unanswered. What the caller is told of a
-// failure is passed on.
+// callNext calls the first of a comma-separated list of services, which calls the rest of the
+// list. The last one closes its connection without a response. The verdict on a failure is
+// passed on to the caller.
 func (s *Server) callNext(w http.ResponseWriter, r *http.Request, next string) {
 	first, rest, more := strings.Cut(next, ",")
 	target := s.NodeURL + "/?die=1"
@@ -176,7 +176,7 @@
 	_, _ = io.Copy(w, response.Body)
 }
 
-// begin records a request and returns how long it takes.
+// begin records a request and returns its service time.
 func (s *Server) begin(id string) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -193,7 +193,7 @@
 	}
 	s.running++
 	s.record.MaxRunning = max(s.record.MaxRunning, s.running)
-	k := s.knobs
+	k := s.parameters
 	ms := k.MeanMillis * math.Exp(k.Sigma*rand.NormFloat64()-k.Sigma*k.Sigma/2)
 	if k.SlowFactor > 0 {
 		ms *= k.SlowFactor
@@ -207,8 +207,8 @@
 	s.running--
 }
 
-// Announce tells a node of the stand-in, trying until it succeeds or ctx ends.
-// The address is the node's for announcements.
+// Announce announces the fake upstream to a node, and repeats that until it succeeds or ctx
+// ends. The address is the node's address for announcements.
 func Announce(ctx context.Context, address string, a upstream.Announcement) error {
 	data, err := json.Marshal(a)
 	if err != nil {
--- a/internal/backend/doc.go
+++ b/internal/backend/doc.go
@@ -2,8 +2,8 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Package backend is a stand-in for an upstream, for tests, the demonstration
-// and the experiments. It takes a set time for each request, announces itself to its
-// node, can be told to be slow or to fail, and keeps a record of the requests
-// that it ran, which is the proof of what callers were told.
+// Package backend is a fake upstream for tests, the demonstration and the experiments. It
+// takes a configured time for each request, announces itself to its node, can be made slow or
+// faulty, and records the requests that it ran, against which the responses that callers got
+// are checked.
 package backend
