--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -10,11 +10,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock returns the time since a moment that is the same as long as the process runs.
+// Clock returns the time since a moment that is fixed for the lifetime of the process.
 type Clock func() time.Duration
 
-// New returns the kernel's CLOCK_BOOTTIME. If there is none, it returns the runtime's
-// clock and the reason.
+// New returns the kernel's CLOCK_BOOTTIME. If it is not available, New returns the runtime's
+// monotonic clock and the error.
 func New() (Clock, error) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
@@ -23,7 +23,7 @@
 	return readBootTime, nil
 }
 
-// now reads CLOCK_BOOTTIME, which does not fail once it has been read.
+// readBootTime reads CLOCK_BOOTTIME, which does not fail once it has been read.
 func readBootTime() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
@@ -32,7 +32,7 @@
 	return time.Duration(t.Nano())
 }
 
-// Steady returns the runtime's clock, which tests pause and advance.
+// Monotonic returns the runtime's monotonic clock, which tests can stop and advance.
 func Monotonic() Clock {
 	start := time.Now()
 	return func() time.Duration { return time.Since(start) }
--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -14,7 +14,7 @@
 	"sassafrasfront.example/internal/boottime"
 )
 
-// TestNew reads the kernel's clock, which does not go back.
+// TestNew reads the kernel's clock, which must not go backwards.
 func TestNew(t *testing.T) {
 	clock, err := boottime.New()
 	qt.Assert(t, err, qt.IsNil)
@@ -23,7 +23,7 @@
 	qt.Check(t, clock() >= before, qt.IsTrue)
 }
 
-// TestSteady reads the runtime's clock.
+// TestMonotonic reads the runtime's clock.
 func TestMonotonic(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := boottime.Monotonic()
