--- a/internal/httpfield/httpfield.go
+++ b/internal/httpfield/httpfield.go
@@ -10,10 +10,10 @@
 	"sassafrasfront.example/peer"
 )
 
-// spare is the room for fields that are added after a conversion.
+// spareFields is the spare capacity for fields that are added after a conversion.
 const spareFields = 4
 
-// From returns the fields of h, each value on its own.
+// FromHeader returns the fields of h, one for each value.
 func FromHeader(h http.Header) []peer.Field {
 	fields := make([]peer.Field, 0, len(h))
 	for name, values := range h {
@@ -27,7 +27,7 @@
 	return fields
 }
 
-// Header returns fields as a http.Header.
+// ToHeader returns fields as an http.Header.
 func ToHeader(fields []peer.Field) http.Header {
 	h := make(http.Header, len(fields)+spareFields)
 	for _, f := range fields {
