--- a/internal/objectapitest/server.go
+++ b/internal/objectapitest/server.go
@@ -17,31 +17,31 @@
 	"sassafrasfront.example/objectapi"
 )
 
-// Faults are the ways in which the stand-in fails. Shares are in [0, 1].
+// Faults are the injected faults. Ratios are in [0, 1].
 type Faults struct {
-	// Down closes every connection without an answer.
+	// Down closes every connection without a response.
 	Down bool `json:"down"`
 	// Hang keeps every call waiting until its caller gives up.
 	Hang bool `json:"hang"`
-	// Delay is added to every call, in milliseconds.
+	// DelayMillis is added to every call, in milliseconds.
 	DelayMillis int `json:"delayMillis"`
-	// Fail is the share of calls answered by 500 without effect.
+	// FailureRatio is the fraction of calls that fail with status 500 and without effect.
 	FailureRatio float64 `json:"fail"`
-	// LoseWrites is the share of writes whose answer is lost after the effect.
+	// LoseWrites is the fraction of writes whose response is lost after they took effect.
 	LoseWrites float64 `json:"loseWrites"`
-	// DropEvents is the share of watch events that are left out.
+	// DropEvents is the fraction of watch events that are dropped.
 	DropEvents float64 `json:"dropEvents"`
-	// RepeatEvents is the share of watch events that come twice.
+	// RepeatEvents is the fraction of watch events that are sent twice.
 	RepeatEvents float64 `json:"repeatEvents"`
-	// SilentWatches keeps watches open without any event.
+	// SilentWatches keeps watches open without sending events.
 	SilentWatches bool `json:"silentWatches"`
-	// Garbage is the share of reads answered by bytes that are no JSON.
+	// MalformedReads is the fraction of reads whose response is not JSON.
 	MalformedReads float64 `json:"garbage"`
-	// StaleReads is the share of gets answered with the version before.
+	// StaleReads is the fraction of gets that return the previous version.
 	StaleReads float64 `json:"staleReads"`
 }
 
-// Counts are the calls served so far. A watch is one read.
+// Counts are the calls served so far. A watch counts as a read too.
 type Counts struct {
 	Reads   int `json:"reads"`
 	Writes  int `json:"writes"`
@@ -49,9 +49,9 @@
 	Refused int `json:"refused"`
 }
 
-// Server is the stand-in as an http.Handler. The zero value is empty and
-// without faults. Beside the API it serves PUT /faults, GET /counts and POST
-// /forget, so that other processes can steer it.
+// Server is the fake platform as an http.Handler. The zero value is empty and without
+// faults. Besides the API it serves PUT /faults, GET /counts and POST /forget, so that other
+// processes can control it.
 type Server struct {
 	store store
 
@@ -75,7 +75,7 @@
 	return s.counts
 }
 
-// Forget drops the history, so that watches from before now fail with 410.
+// DropHistory drops the history, so that watches from before now fail with status 410.
 func (s *Server) DropHistory() { s.store.dropHistory() }
 
 // ServeHTTP implements http.Handler.
@@ -112,7 +112,7 @@
 	s.write(w, r, f, collection, name)
 }
 
-// count counts the call and returns the faults that apply to it.
+// countCall counts the call and returns the faults that apply to it.
 func (s *Server) countCall(r *http.Request) Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,14 +130,14 @@
 	return s.faults
 }
 
-// pass applies the faults that come before the effect. It returns whether the
-// call goes on.
+// applyFaults applies the faults that precede the effect of a call. It returns whether the
+// call continues.
 func (s *Server) applyFaults(w http.ResponseWriter, r *http.Request, f Faults) bool {
 	if f.Down {
 		panic(http.ErrAbortHandler)
 	}
 	if f.Hang {
-		// The library notices that the caller has gone only once the body is
+		// net/http notices that the caller has closed the connection only once the body is
 		// read.
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
@@ -145,7 +145,7 @@
 	}
 	time.Sleep(time.Duration(f.DelayMillis) * time.Millisecond)
 	if rand.Float64() < f.FailureRatio {
-		http.Error(w, "told to fail", http.StatusInternalServerError)
+		http.Error(w, "injected failure", http.StatusInternalServerError)
 		return false
 	}
 	if r.Method == http.MethodGet && rand.Float64() < f.MalformedReads {
@@ -187,7 +187,7 @@
 	}
 }
 
-// stale returns o, or at times what it was before.
+// staleOrCurrent returns o, or its previous version at the configured ratio.
 func (s *Server) staleOrCurrent(f Faults, collection string, o *objectapi.Object) *objectapi.Object {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -221,7 +221,7 @@
 	writeJSON(w, http.StatusOK, result)
 }
 
-// remember keeps the present object for stale reads.
+// savePrevious keeps the present object for stale reads.
 func (s *Server) savePrevious(collection, name string) {
 	o, failure := s.store.get(collection, name)
 	if failure != nil {
@@ -271,7 +271,7 @@
 	return s.faults.Down
 }
 
-// emit writes one event of a watch, if it belongs there and no fault takes it.
+// emit writes one event of a watch, if it belongs to the collection and no fault drops it.
 func (s *Server) emit(w http.ResponseWriter, e event, collection string) {
 	s.mu.Lock()
 	f := s.faults
@@ -288,7 +288,7 @@
 	}
 }
 
-// collectionOf returns the last part of the path of a kind's collection.
+// collectionOf returns the last path element of a kind's collection.
 func collectionOf(kind string) string {
 	p := objectapi.ObjectPath("", kind, "")
 	return p[strings.LastIndex(p, "/")+1:]
--- a/internal/objectapitest/store.go
+++ b/internal/objectapitest/store.go
@@ -25,13 +25,13 @@
 	changed chan struct{} // closed at the next change
 }
 
-// event is a change at a version of the whole store.
+// event is a change to an object at a version of the whole store.
 type event struct {
 	version uint64
 	objectapi.Event
 }
 
-// refusal is an HTTP status with a reason.
+// statusError is an HTTP status with a reason.
 type statusError struct {
 	status int
 	reason string
@@ -66,7 +66,7 @@
 	return l
 }
 
-// put creates or replaces an object. An empty version means to create.
+// put creates or replaces an object. An empty version replaces any version.
 func (s *store) put(collection string, o *objectapi.Object, create bool) (*objectapi.Object, *statusError) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,7 +116,7 @@
 	}
 }
 
-// record stores o under the next version and wakes the watches.
+// record stores o under the next version and wakes up the watches.
 func (s *store) record(k, kind string, o *objectapi.Object) *objectapi.Object {
 	s.version++
 	o = o.WithResourceVersion(strconv.FormatUint(s.version, 10))
@@ -156,7 +156,7 @@
 	return append([]event(nil), s.history[i:]...), s.changed, true
 }
 
-// forget drops the history, so that watches from before now fail.
+// dropHistory drops the history, so that watches from before now fail.
 func (s *store) dropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
