--- a/internal/simnet/endpoint.go
+++ b/internal/simnet/endpoint.go
@@ -13,34 +13,34 @@
 	"time"
 )
 
-// end is one end of a connection. It implements net.Conn. The network's lock guards it.
+// endpoint is one end of a connection. It implements net.Conn. The network's lock guards it.
 type endpoint struct {
 	host   *Host
 	remote *endpoint
 	wake   *sync.Cond
-	out    stream // what this end sends
+	out    stream // data sent by this endpoint
 
-	received      []byte // by the kernel, and not read yet
-	endReceived   bool   // whether all has been received
+	received      []byte // received by the kernel and not read yet
+	endReceived   bool   // whether the end of the stream has been received
 	failure       error
 	closed        bool
 	readDeadline  time.Time
 	writeDeadline time.Time
 }
 
-// stream is what one end sends to the other.
+// stream is the data that one endpoint sends to the other.
 type stream struct {
-	unsent          []byte        // written, and not sent yet
-	inFlight        int           // sent, and not acknowledged, in bytes
-	lastProgress    time.Time     // when it was last acknowledged, or became not empty
-	checkScheduled  bool          // whether the timeout is being watched
-	retransmitDelay time.Duration // how long the next packet takes to be repeated, or 0
-	delayed         []func()      // what has come behind a lost packet
+	unsent          []byte        // data written and not sent yet
+	inFlight        int           // bytes sent and not acknowledged
+	lastProgress    time.Time     // when data was last acknowledged, or written to an empty stream
+	checkScheduled  bool          // whether a check of the timeout is scheduled
+	retransmitDelay time.Duration // time until the next packet, which is lost, is retransmitted, or 0
+	delayed         []func()      // deliver the packets that follow a lost one
 	retransmitting  bool
-	endPending      bool // whether its end is sent once the buffer is empty
+	endPending      bool // whether the end is sent once there is no unsent data
 }
 
-// connect makes the two ends of a connection.
+// connect creates the two endpoints of a connection.
 func (h *Host) connect(to *Host) (near, far *endpoint) {
 	near = &endpoint{host: h, wake: sync.NewCond(&h.network.mu)}
 	far = &endpoint{host: to, wake: sync.NewCond(&h.network.mu)}
@@ -60,7 +60,7 @@
 		case len(e.received) > 0:
 			n := copy(p, e.received)
 			e.received = e.received[n:]
-			e.remote.send() // there is room for more
+			e.remote.send() // the window has room for more
 			return n, nil
 		case e.failure != nil:
 			return 0, e.wrap("read", e.failure)
@@ -106,7 +106,7 @@
 	}
 }
 
-// send has the kernel send what it may of what is buffered. The lock is held.
+// send sends as much unsent data as the window allows. The lock is held.
 func (e *endpoint) send() {
 	n := e.host.network
 	for len(e.out.unsent) > 0 && e.failure == nil && !e.isSuspended() {
@@ -125,7 +125,8 @@
 	}
 }
 
-// arrive takes a packet of the stream in order, behind one that is lost.
+// deliver delivers a packet of the stream in order: packets behind a lost one wait for its
+// retransmission.
 func (e *endpoint) deliver(receive func()) {
 	if wait := e.out.retransmitDelay; wait > 0 {
 		e.out.retransmitDelay = 0
@@ -146,7 +147,7 @@
 	receive()
 }
 
-// receive takes in data at the receiver's kernel, which acknowledges it.
+// receive receives data in the receiver's kernel, which acknowledges it.
 func (e *endpoint) receive(data []byte) {
 	switch {
 	case e.failure != nil && !e.closed:
@@ -161,7 +162,7 @@
 	n.transmit(e.host, e.remote.host, 0, func() { e.remote.acknowledged(len(data)) })
 }
 
-// acknowledged takes in that n bytes have reached the other kernel.
+// acknowledged records that n bytes have reached the other kernel.
 func (e *endpoint) acknowledged(n int) {
 	e.out.inFlight -= n
 	e.out.lastProgress = time.Now()
@@ -169,19 +170,19 @@
 	e.wake.Broadcast()
 }
 
-// finish takes in the end of the stream.
+// receiveEnd records the end of the stream.
 func (e *endpoint) receiveEnd() {
 	e.endReceived = true
 	e.wake.Broadcast()
 }
 
-// reset tells the other end that the connection is gone.
+// reset resets the connection at the other endpoint.
 func (e *endpoint) reset() {
 	other := e.remote
 	e.host.network.transmit(e.host, other.host, 0, func() { other.fail(syscall.ECONNRESET) })
 }
 
-// fail ends the connection at this end. The first failure is kept.
+// fail ends the connection at this endpoint. The first failure is kept.
 func (e *endpoint) fail(err error) {
 	if e.failure == nil {
 		e.failure = err
@@ -196,7 +197,7 @@
 	e.wake.Broadcast()
 }
 
-// watch ends the connection once nothing has been acknowledged for too long.
+// checkTimeout ends the connection once nothing has been acknowledged for too long.
 func (e *endpoint) checkTimeout() {
 	timeout := e.host.network.UserTimeout
 	if timeout == 0 || e.out.checkScheduled {
@@ -215,7 +216,7 @@
 	})
 }
 
-// Close implements net.Conn. What has been written is still sent.
+// Close implements net.Conn. Data that has been written is still sent.
 func (e *endpoint) Close() error {
 	e.host.network.mu.Lock()
 	defer e.host.network.mu.Unlock()
@@ -271,5 +272,5 @@
 	}
 }
 
-// passed returns whether a deadline has passed.
+// deadlinePassed returns whether a deadline has passed.
 func deadlinePassed(t time.Time) bool { return !t.IsZero() && !time.Now().Before(t) }
--- a/internal/simnet/network.go
+++ b/internal/simnet/network.go
@@ -14,30 +14,31 @@
 )
 
 // Network connects hosts. The exported fields are set before the first host is added. Its
-// methods may be called from any goroutine of the bubble that it was made in.
+// methods may be called from any goroutine of the synctest bubble in which it was created.
 type Network struct {
-	// Rate is what each direction of a host's link carries, in bytes per second. Zero means
-	// no bound.
+	// LinkBandwidth is the bandwidth of each direction of a host's link, in bytes per second.
+	// Zero means no bound.
 	LinkBandwidth float64
-	// Delay is what a packet takes beside its time on the links.
+	// Latency is the time that a packet takes in addition to its transmission on the links.
 	Latency time.Duration
-	// Window is what may be on its way on a connection, and unread at its receiver, in bytes.
+	// WindowBytes bounds the bytes of a connection that are in flight or unread at the receiver.
 	WindowBytes int
-	// Buffer is what a sender's kernel holds of a connection, in bytes. Zero means no bound:
-	// writers that wait for a lock which one holds that waits for room stop the bubble's clock.
+	// SendBufferBytes is the size of the send buffer of a connection. Zero means no bound. With
+	// a bound, a writer that blocks while it holds a lock for which others wait stops the
+	// bubble's clock.
 	SendBufferBytes int
-	// Timeout is how long what was written may be without any acknowledgement. Zero means
-	// for ever.
+	// UserTimeout is how long written data may be without any acknowledgement. Zero means
+	// no bound.
 	UserTimeout time.Duration
 
-	mu    sync.Mutex // guards all that the network consists of
+	mu    sync.Mutex // guards the state of the network, its hosts and connections
 	hosts map[string]*Host
 }
 
-// packetSize is the most that one packet carries, in bytes.
+// packetBytes is the largest payload of a packet.
 const packetBytes = 1500
 
-// Host is an instance with one process, which may listen at one address: its name.
+// Host is an instance with one process, which may listen at one address, the host's name.
 type Host struct {
 	network          *Network
 	name             string
@@ -45,30 +46,30 @@
 	listener         *listener
 
 	poweredOff     bool
-	suspendedUntil time.Time // the process does nothing until then
+	suspendedUntil time.Time // the process neither reads nor writes until then
 	endpoints      []*endpoint
 	failures       []ConnFailure
 	lastReceived   map[*Host]time.Time
 }
 
-// Break is the end of a connection that a host's kernel has found broken, or broken off.
+// ConnFailure is the failure of a connection, as found by a host's kernel.
 type ConnFailure struct {
-	// Peer is the host at the other end.
+	// Peer is the host at the other end of the connection.
 	Peer string
-	// At is when the kernel ended it.
+	// At is when the kernel ended the connection.
 	At time.Time
-	// Err is what the process is told.
+	// Err is the error that the process gets.
 	Err error
 }
 
-// Breaks returns the connections of the host that its kernel has ended, in order.
+// ConnFailures returns the failures of the host's connections, in order.
 func (h *Host) ConnFailures() []ConnFailure {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
 	return slices.Clone(h.failures)
 }
 
-// Host returns the host of the given name, and adds it if there is none.
+// Host returns the host with the given name, and adds it if there is none.
 func (n *Network) Host(name string) *Host {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -89,15 +90,15 @@
 	return h
 }
 
-// Heard returns when the last packet from another host, be it an acknowledgement, has come,
-// or the zero time.
+// LastReceived returns when the last packet from another host, including acknowledgements,
+// has arrived, or the zero time.
 func (h *Host) LastReceived(from *Host) time.Time {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
 	return h.lastReceived[from]
 }
 
-// Listen returns a listener at the host's name. There is one at a time.
+// Listen returns a listener at the host's name. A new listener replaces the previous one.
 func (h *Host) Listen() net.Listener {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
@@ -109,8 +110,8 @@
 	return h.listener
 }
 
-// Dial opens a connection to the host whose name is addr. It waits for as long as ctx lasts
-// if the host does not answer.
+// Dial opens a connection to the host whose name is addr. If the host does not respond, Dial
+// waits until ctx ends.
 func (h *Host) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	n := h.network
 	to := n.Host(addr)
@@ -140,9 +141,8 @@
 	return near, nil
 }
 
-// carry brings a packet from one host to the other and then calls land, with the lock
-// held. What hosts send to each other lands in the order in which it was sent. The lock is
-// held.
+// transmit sends a packet from one host to another and then calls deliver with the lock held.
+// Packets between two hosts arrive in the order in which they were sent. The lock is held.
 func (n *Network) transmit(from, to *Host, size int, deliver func()) {
 	from.uplink.push(size, func() {
 		to.downlink.push(size, func() {
@@ -161,7 +161,7 @@
 	})
 }
 
-// after calls f later, with the lock held.
+// schedule calls f later, with the lock held.
 func (n *Network) schedule(d time.Duration, f func()) {
 	locked := func() {
 		n.mu.Lock()
@@ -169,7 +169,7 @@
 		f()
 	}
 	if d <= 0 {
-		// A bubble's timers that are due at once and set by several threads crash the
+		// Timers of a bubble that expire at once and were set by several threads crash the
 		// race detector of Go 1.26.
 		go locked()
 		return
@@ -181,12 +181,12 @@
 type link struct {
 	host        *Host
 	queue       []packet
-	busy        bool      // whether the first of the queue is being carried
-	pausedUntil time.Time // nothing is carried until then
-	inFlight    []func()  // what has been carried and is on its way
+	busy        bool      // whether the first packet of the queue is being transmitted
+	pausedUntil time.Time // nothing is transmitted until then
+	inFlight    []func()  // deliver packets that have been transmitted and are in flight
 }
 
-// packet is what waits for its turn on a link.
+// packet is a packet that waits in the queue of a link.
 type packet struct {
 	size        int
 	transmitted func()
@@ -200,7 +200,7 @@
 	l.next()
 }
 
-// next has the first packet of the queue carried.
+// next transmits the first packet of the queue.
 func (l *link) next() {
 	if l.busy || len(l.queue) == 0 {
 		return
@@ -214,7 +214,7 @@
 	n.schedule(max(transmissionTime, time.Until(l.pausedUntil)), l.transmitted)
 }
 
-// carried takes the first packet off the queue, unless the link has fallen silent meanwhile.
+// transmitted takes the first packet off the queue, unless the link has been paused meanwhile.
 func (l *link) transmitted() {
 	l.busy = false
 	if wait := time.Until(l.pausedUntil); wait > 0 {
@@ -229,15 +229,15 @@
 	l.next()
 }
 
-// SilenceUp has nothing leave the host for a time. What is sent meanwhile leaves after it.
+// PauseUplink stops packets from leaving the host for a time. They are sent afterwards.
 func (h *Host) PauseUplink(d time.Duration) {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
 	h.uplink.pausedUntil = time.Now().Add(d)
 }
 
-// Silence has nothing leave or reach the host for a time. What is sent meanwhile is carried
-// after it.
+// PauseLink stops packets from leaving or reaching the host for a time. They are transmitted
+// afterwards.
 func (h *Host) PauseLink(d time.Duration) {
 	h.PauseUplink(d)
 	h.network.mu.Lock()
@@ -245,8 +245,8 @@
 	h.downlink.pausedUntil = time.Now().Add(d)
 }
 
-// Suspend has the host's process neither read nor write for a time, while its kernel goes on.
-// What it writes by the bubble's clock meanwhile is taken for written at the end of that time.
+// SuspendProcess makes the host's process neither read nor write for a time, while its kernel
+// continues. Data written meanwhile, by the bubble's clock, counts as written at the end.
 func (h *Host) SuspendProcess(d time.Duration) {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
@@ -254,9 +254,9 @@
 	h.network.schedule(d, h.wake)
 }
 
-// Lose has the next packet of each connection that the host sends on be lost, and its
-// repetitions as well, so often in all. What comes after it waits. Each repetition comes
-// after twice the time of the one before.
+// DropPackets loses the next packet that is sent on each connection of the host, and its
+// retransmissions, the given number of times in all. Later packets wait for it. The delay of
+// each retransmission is twice that of the one before.
 func (h *Host) DropPackets(times int) {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
@@ -269,18 +269,18 @@
 	}
 }
 
-// retransmission is the time after which a lost packet is first sent again.
+// retransmissionTimeout is the time after which a lost packet is first retransmitted.
 const retransmissionTimeout = 200 * time.Millisecond
 
-// PowerOff ends the host without a word: it sends and acknowledges nothing any more.
+// PowerOff stops the host without notice: it no longer sends or acknowledges anything.
 func (h *Host) PowerOff() {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
 	h.poweredOff = true
 }
 
-// Reset has the host's kernel end its connections, as it does when the process is killed
-// with bytes unread.
+// ResetConnections makes the host's kernel reset its connections, as it does when the process
+// is killed with unread data.
 func (h *Host) ResetConnections() {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
@@ -291,7 +291,7 @@
 	h.endpoints = nil
 }
 
-// wake has the operations of the host's process look again at what they wait for.
+// wake makes pending operations of the host's process check their conditions again.
 func (h *Host) wake() {
 	for _, e := range h.endpoints {
 		e.send()
@@ -307,7 +307,7 @@
 	closed chan struct{}
 }
 
-// take hands a connection to the process, and returns whether it listens.
+// enqueue passes a connection to the process, and returns whether it listens.
 func (l *listener) enqueue(c net.Conn) bool {
 	if l == nil {
 		return false
--- a/internal/simnet/network_test.go
+++ b/internal/simnet/network_test.go
@@ -20,7 +20,7 @@
 	"sassafrasfront.example/internal/simnet"
 )
 
-// delay is what a packet takes in tests beside its time on the links.
+// latency is the latency of the network in tests.
 const latency = time.Millisecond
 
 // pair is a connection from one host to another.
@@ -29,7 +29,7 @@
 	near, far net.Conn
 }
 
-// connect makes a pair on a network.
+// connect creates a pair on a network.
 func connect(t *testing.T, n *simnet.Network) *pair {
 	t.Helper()
 	p := &pair{
@@ -45,28 +45,28 @@
 	return p
 }
 
-// TestArrival sends bytes and checks when the last of them is read, and that they are the
-// same.
+// TestArrival sends bytes and checks when the last of them is read, and that they are
+// unchanged.
 func TestArrival(t *testing.T) {
 	const bandwidth = 100_000
 	for name, test := range map[string]struct {
-		network *simnet.Network // nil for one without bounds
+		network *simnet.Network // nil for an unbounded one
 		size    int
 		fault   func(p *pair)
 		want    time.Duration
 	}{
-		"one packet":                    {size: 100, want: latency},
-		"one packet at a rate":          {network: &simnet.Network{LinkBandwidth: bandwidth}, size: 1000, want: 20*time.Millisecond + latency},
-		"many packets at a rate":        {network: &simnet.Network{LinkBandwidth: bandwidth}, size: 150_000, want: 1515*time.Millisecond + latency},
-		"both ways silent":              {size: 100, fault: func(p *pair) { p.b.PauseLink(time.Second) }, want: time.Second + latency},
-		"sender silent":                 {size: 100, fault: func(p *pair) { p.a.PauseUplink(time.Second) }, want: time.Second + latency},
-		"only the way back silent":      {size: 100, fault: func(p *pair) { p.b.PauseUplink(time.Second) }, want: latency},
-		"silent for less than Timeout":  {network: &simnet.Network{UserTimeout: 2 * time.Second}, size: 100, fault: func(p *pair) { p.b.PauseLink(time.Second) }, want: time.Second + latency},
-		"a packet is lost":              {size: 100, fault: func(p *pair) { p.a.DropPackets(1) }, want: 200*time.Millisecond + latency},
-		"a packet is lost three times":  {size: 5000, fault: func(p *pair) { p.a.DropPackets(3) }, want: 1400*time.Millisecond + latency},
-		"receiver suspended":            {size: 100, fault: func(p *pair) { p.b.SuspendProcess(time.Second) }, want: time.Second},
-		"sender suspended":              {size: 100, fault: func(p *pair) { p.a.SuspendProcess(time.Second) }, want: time.Second + latency},
-		"a window is under way at once": {network: &simnet.Network{WindowBytes: 1500}, size: 4500, want: 5 * latency},
+		"one packet":                       {size: 100, want: latency},
+		"one packet with a bandwidth":      {network: &simnet.Network{LinkBandwidth: bandwidth}, size: 1000, want: 20*time.Millisecond + latency},
+		"many packets with a bandwidth":    {network: &simnet.Network{LinkBandwidth: bandwidth}, size: 150_000, want: 1515*time.Millisecond + latency},
+		"link paused":                      {size: 100, fault: func(p *pair) { p.b.PauseLink(time.Second) }, want: time.Second + latency},
+		"sender's uplink paused":           {size: 100, fault: func(p *pair) { p.a.PauseUplink(time.Second) }, want: time.Second + latency},
+		"receiver's uplink paused":         {size: 100, fault: func(p *pair) { p.b.PauseUplink(time.Second) }, want: latency},
+		"paused for less than UserTimeout": {network: &simnet.Network{UserTimeout: 2 * time.Second}, size: 100, fault: func(p *pair) { p.b.PauseLink(time.Second) }, want: time.Second + latency},
+		"a packet is lost":                 {size: 100, fault: func(p *pair) { p.a.DropPackets(1) }, want: 200*time.Millisecond + latency},
+		"a packet is lost three times":     {size: 5000, fault: func(p *pair) { p.a.DropPackets(3) }, want: 1400*time.Millisecond + latency},
+		"receiver suspended":               {size: 100, fault: func(p *pair) { p.b.SuspendProcess(time.Second) }, want: time.Second},
+		"sender suspended":                 {size: 100, fault: func(p *pair) { p.a.SuspendProcess(time.Second) }, want: time.Second + latency},
+		"one window in flight":             {network: &simnet.Network{WindowBytes: 1500}, size: 4500, want: 5 * latency},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -99,8 +99,8 @@
 	}
 }
 
-// TestBreak has connections end in ways that the sender of some bytes finds out, and checks
-// when, and how.
+// TestConnFailure fails connections in several ways, and checks when the sender of some bytes
+// detects that, and with which error.
 func TestConnFailure(t *testing.T) {
 	const timeout = 2 * time.Second
 	for name, test := range map[string]struct {
@@ -109,13 +109,13 @@
 		want   error
 		after  time.Duration
 	}{
-		"power off":                         {fault: func(p *pair) { p.b.PowerOff() }, want: syscall.ETIMEDOUT, after: timeout},
-		"silent for as long as Timeout":     {fault: func(p *pair) { p.b.PauseLink(timeout + time.Second) }, want: syscall.ETIMEDOUT, after: timeout},
-		"no acknowledgement":                {fault: func(p *pair) { p.b.PauseUplink(timeout + time.Second) }, want: syscall.ETIMEDOUT, after: timeout},
-		"reset":                             {fault: func(p *pair) { p.b.ResetConnections() }, want: syscall.ECONNRESET, after: latency},
-		"reset over a silent link":          {fault: func(p *pair) { p.b.PauseLink(time.Second); p.b.ResetConnections() }, want: syscall.ECONNRESET, after: time.Second + latency},
-		"closed with bytes on their way":    {fault: func(p *pair) { _ = p.far.Close() }, want: io.EOF, after: latency},
-		"power off with nothing to be sent": {fault: func(p *pair) { p.b.PowerOff() }, silent: true},
+		"power off":                          {fault: func(p *pair) { p.b.PowerOff() }, want: syscall.ETIMEDOUT, after: timeout},
+		"paused for longer than UserTimeout": {fault: func(p *pair) { p.b.PauseLink(timeout + time.Second) }, want: syscall.ETIMEDOUT, after: timeout},
+		"no acknowledgement":                 {fault: func(p *pair) { p.b.PauseUplink(timeout + time.Second) }, want: syscall.ETIMEDOUT, after: timeout},
+		"reset":                              {fault: func(p *pair) { p.b.ResetConnections() }, want: syscall.ECONNRESET, after: latency},
+		"reset over a paused link":           {fault: func(p *pair) { p.b.PauseLink(time.Second); p.b.ResetConnections() }, want: syscall.ECONNRESET, after: time.Second + latency},
+		"closed with bytes in flight":        {fault: func(p *pair) { _ = p.far.Close() }, want: io.EOF, after: latency},
+		"power off with nothing to send":     {fault: func(p *pair) { p.b.PowerOff() }, silent: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -143,8 +143,8 @@
 	}
 }
 
-// TestFullBuffer writes to a host that does not read: what the kernels hold is taken, and the
-// rest once it reads, or never.
+// TestFullBuffer writes to a host that does not read: the buffers are filled, and the rest is
+// written once it reads, or never.
 func TestFullBuffer(t *testing.T) {
 	const (
 		window  = 10_000
@@ -152,14 +152,14 @@
 		timeout = 2 * time.Second
 	)
 	for name, test := range map[string]struct {
-		reads   time.Duration // when the receiver begins to read, or 0
+		reads   time.Duration // when the receiver starts to read, or 0
 		written int
 		want    error
 		after   time.Duration
 	}{
-		"read in time":             {reads: time.Second, written: 100_000, after: time.Second},
-		"read after Timeout":       {reads: 3 * time.Second, written: window + buffer, want: syscall.ETIMEDOUT, after: timeout + 2*latency},
-		"deadline of a write ends": {written: window + buffer, want: errTimeout, after: timeout / 2},
+		"read in time":           {reads: time.Second, written: 100_000, after: time.Second},
+		"read after UserTimeout": {reads: 3 * time.Second, written: window + buffer, want: syscall.ETIMEDOUT, after: timeout + 2*latency},
+		"write deadline passes":  {written: window + buffer, want: errTimeout, after: timeout / 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -192,16 +192,16 @@
 	}
 }
 
-// TestDial opens connections to hosts that take none.
+// TestDial opens connections to hosts that accept none.
 func TestDial(t *testing.T) {
 	for name, test := range map[string]struct {
 		fault func(h *simnet.Host)
 		want  error
 		after time.Duration
 	}{
-		"nobody listens":     {fault: func(*simnet.Host) {}, want: syscall.ECONNREFUSED, after: 2 * latency},
-		"listener closed":    {fault: func(h *simnet.Host) { _ = h.Listen().Close() }, want: syscall.ECONNREFUSED, after: 2 * latency},
-		"host without power": {fault: func(h *simnet.Host) { h.Listen(); h.PowerOff() }, want: context.DeadlineExceeded, after: time.Second},
+		"no listener":      {fault: func(*simnet.Host) {}, want: syscall.ECONNREFUSED, after: 2 * latency},
+		"listener closed":  {fault: func(h *simnet.Host) { _ = h.Listen().Close() }, want: syscall.ECONNREFUSED, after: 2 * latency},
+		"host powered off": {fault: func(h *simnet.Host) { h.Listen(); h.PowerOff() }, want: context.DeadlineExceeded, after: time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -218,7 +218,7 @@
 	}
 }
 
-// errTimeout stands for the failure of an operation whose deadline has passed.
+// errTimeout represents the error of an operation whose deadline has passed.
 var errTimeout = errors.New("deadline")
 
 func isTimeout(err error) bool {
