--- a/internal/stall/doc.go
+++ b/internal/stall/doc.go
@@ -2,8 +2,8 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Package stall measures for how long a process did not run.
+// Package stall measures for how long a process was not scheduled.
 //
-// A process that is paused, or gets no processor, finds that its deadlines have passed and
-// that its peers have been silent. How long it stood still tells its own delay from theirs.
+// A process that is paused or gets no processor time finds that its deadlines have passed and
+// that its peers have been silent. The measured delay tells its own stalls from theirs.
 package stall
--- a/internal/stall/monitor.go
+++ b/internal/stall/monitor.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// period is the time between two ticks of a Monitor.
+	// tickInterval is the time between two ticks of a Monitor.
 	tickInterval = 50 * time.Millisecond
-	// least is the delay of a tick from which it is kept.
+	// minDelay is the smallest delay of a tick that is recorded.
 	minDelay = 10 * time.Millisecond
-	// kept is the number of delays that are kept.
+	// maxDelays is the number of delays that are kept.
 	maxDelays = 64
 )
 
@@ -24,17 +24,17 @@
 // be called from any goroutine.
 type Monitor struct {
 	mu       sync.Mutex
-	lastTick time.Time // of the ticks, zero before the first
-	delays   []delay   // the oldest first
+	lastTick time.Time // of the last tick, zero before the first
+	delays   []delay   // oldest first
 }
 
-// delay is that of one tick.
+// delay is the delay of one tick.
 type delay struct {
 	ended time.Time
 	took  time.Duration
 }
 
-// Run measures until ctx ends.
+// Run measures delays until ctx ends.
 func (m *Monitor) Run(ctx context.Context) {
 	next := time.NewTimer(0)
 	defer next.Stop()
@@ -49,7 +49,7 @@
 	}
 }
 
-// tick takes in a tick.
+// tick records a tick.
 func (m *Monitor) tick(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -65,7 +65,7 @@
 	m.lastTick = now
 }
 
-// overdue returns for how long a tick has been due. The lock is held.
+// overdue returns by how much the next tick is late. The lock is held.
 func (m *Monitor) overdue(now time.Time) time.Duration {
 	if m.lastTick.IsZero() {
 		return 0
@@ -73,8 +73,8 @@
 	return max(0, now.Sub(m.lastTick)-tickInterval)
 }
 
-// Longest returns the longest delay of a tick that ended after the given moment, or of one that is
-// due now. Delays under 10 ms count as none.
+// LongestDelay returns the longest delay of a tick that came after the given moment, or of the
+// next one if it is late. Delays under 10 ms count as none.
 func (m *Monitor) LongestDelay(since time.Time) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/stall/monitor_test.go
+++ b/internal/stall/monitor_test.go
@@ -19,15 +19,15 @@
 		pending time.Duration   // after the last of them
 		want    time.Duration
 	}{
-		"no tick yet":      {pending: time.Second},
-		"in time":          {gaps: []time.Duration{0, tickInterval, tickInterval}, since: time.Second, pending: tickInterval},
-		"late once":        {gaps: []time.Duration{0, tickInterval, tickInterval + 300*time.Millisecond, tickInterval}, since: time.Second, want: 300 * time.Millisecond},
-		"the longest":      {gaps: []time.Duration{0, tickInterval + 300*time.Millisecond, tickInterval + 100*time.Millisecond}, since: time.Second, want: 300 * time.Millisecond},
-		"before":           {gaps: []time.Duration{0, tickInterval + 300*time.Millisecond, tickInterval}, since: tickInterval},
-		"overdue":          {gaps: []time.Duration{0}, since: time.Second, pending: tickInterval + 700*time.Millisecond, want: 700 * time.Millisecond},
-		"too short":        {gaps: []time.Duration{0, tickInterval + minDelay - 1}, since: time.Second},
-		"more than kept":   {gaps: append([]time.Duration{0, time.Second}, repeat(tickInterval+minDelay, maxDelays)...), since: time.Minute, want: minDelay},
-		"fewer than those": {gaps: append([]time.Duration{0, time.Second}, repeat(tickInterval+minDelay, maxDelays-1)...), since: time.Minute, want: time.Second - tickInterval},
+		"no tick yet":         {pending: time.Second},
+		"on time":             {gaps: []time.Duration{0, tickInterval, tickInterval}, since: time.Second, pending: tickInterval},
+		"late once":           {gaps: []time.Duration{0, tickInterval, tickInterval + 300*time.Millisecond, tickInterval}, since: time.Second, want: 300 * time.Millisecond},
+		"the longest":         {gaps: []time.Duration{0, tickInterval + 300*time.Millisecond, tickInterval + 100*time.Millisecond}, since: time.Second, want: 300 * time.Millisecond},
+		"before":              {gaps: []time.Duration{0, tickInterval + 300*time.Millisecond, tickInterval}, since: tickInterval},
+		"next tick late":      {gaps: []time.Duration{0}, since: time.Second, pending: tickInterval + 700*time.Millisecond, want: 700 * time.Millisecond},
+		"below minDelay":      {gaps: []time.Duration{0, tickInterval + minDelay - 1}, since: time.Second},
+		"more than maxDelays": {gaps: append([]time.Duration{0, time.Second}, repeat(tickInterval+minDelay, maxDelays)...), since: time.Minute, want: minDelay},
+		"maxDelays":           {gaps: append([]time.Duration{0, time.Second}, repeat(tickInterval+minDelay, maxDelays-1)...), since: time.Minute, want: time.Second - tickInterval},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
