--- a/internal/tcp/dialer.go
+++ b/internal/tcp/dialer.go
@@ -12,9 +12,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Dialer returns a dialer whose connections are opened within the given time,
-// and end with ETIMEDOUT once what was written to them has been without an
-// acknowledgement for as long as silence says (TCP_USER_TIMEOUT, see RFC 5482).
+// Dialer returns a dialer whose connections are opened within the given timeout, and fail
+// with ETIMEDOUT once written data has been unacknowledged for userTimeout (TCP_USER_TIMEOUT,
+// see RFC 5482).
 func Dialer(timeout, userTimeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout: timeout,
@@ -22,7 +22,7 @@
 	}
 }
 
-// setSilence sets TCP_USER_TIMEOUT.
+// setUserTimeout sets TCP_USER_TIMEOUT.
 func setUserTimeout(raw syscall.RawConn, userTimeout time.Duration) error {
 	var failure error
 	err := raw.Control(func(fd uintptr) {
--- a/internal/tcp/doc.go
+++ b/internal/tcp/doc.go
@@ -2,10 +2,9 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Package tcp opens TCP connections that notice when their peer has fallen
-// silent.
+// Package tcp opens TCP connections that detect that their peer has become unreachable.
 //
-// The kernel sends what is not acknowledged again for a quarter of an hour
-// before it gives up. Peers that lose power, or connections that a device on the
-// way has forgotten, look like slow ones until then.
+// By default the kernel retransmits unacknowledged data for a quarter of an hour before it
+// gives up. Until then, a peer that has lost power, or a connection that a device on the path
+// has forgotten, looks like a slow one.
 package tcp
--- a/internal/tcp/socket.go
+++ b/internal/tcp/socket.go
@@ -13,10 +13,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// SetSilence changes for how long what was written to a connection may be without an
-// acknowledgement. Zero means as long as the kernel allows by itself. Data for which the
-// receiver has no room counts as unacknowledged, though its kernel answers: a receiver that
-// reads late is then taken for a silent one. A connection that is no socket is left as it is.
+// SetUserTimeout changes the time for which written data of a connection may be
+// unacknowledged. Zero means the kernel's default. Data for which the receiver has no room
+// counts as unacknowledged, although its kernel responds: a receiver that reads late is then
+// taken for an unreachable one. A connection that is not a socket is left as it is.
 func SetUserTimeout(c net.Conn, userTimeout time.Duration) error {
 	s, ok := c.(syscall.Conn)
 	if !ok {
@@ -26,14 +26,14 @@
 	if err == nil {
 		err = setUserTimeout(raw, userTimeout)
 	}
-	return eris.Wrap(err, "set the bound on silence")
+	return eris.Wrap(err, "set the user timeout")
 }
 
-// errNoSocket is that a connection is none of the kernel's.
-var errNotSocket = eris.New("no socket")
+// errNotSocket means that a connection has no file descriptor.
+var errNotSocket = eris.New("not a socket")
 
-// Unacknowledged returns how many bytes that were written to a connection the peer's kernel has not
-// acknowledged (SIOCOUTQ, see tcp(7)).
+// UnacknowledgedBytes returns how many bytes that were written to a connection the peer's
+// kernel has not acknowledged (SIOCOUTQ, see tcp(7)).
 func UnacknowledgedBytes(c net.Conn) (n int, err error) {
 	err = onSocket(c, func(fd int) (err error) {
 		n, err = unix.IoctlGetInt(fd, unix.SIOCOUTQ)
@@ -42,7 +42,7 @@
 	return n, eris.Wrap(err, "unacknowledged bytes")
 }
 
-// onSocket calls f with the descriptor of a connection.
+// onSocket calls f with the file descriptor of a connection.
 func onSocket(c net.Conn, f func(fd int) error) error {
 	s, ok := c.(syscall.Conn)
 	if !ok {
@@ -59,25 +59,25 @@
 	return failure
 }
 
-// Acknowledgement says what the peer's kernel has answered to what was written to a connection.
+// AckState describes what the peer's kernel has acknowledged of the data written to a connection.
 type AckState struct {
-	// Outstanding is whether anything has not been acknowledged.
+	// Outstanding is whether there is unacknowledged data.
 	Outstanding bool
-	// Full is whether the peer's kernel has said that it has no room for more, as its process reads
-	// nothing.
+	// PeerWindowFull is whether the peer's kernel has advertised a window without room for a
+	// segment, as its process does not read.
 	PeerWindowFull bool
-	// Repeated is whether the latest repetition of what is outstanding, or the latest question for
-	// room, has not been answered.
+	// Retransmitting is whether the latest retransmission of outstanding data, or the latest
+	// zero-window probe, has not been answered.
 	Retransmitting bool
-	// Age is the time since the latest acknowledgement of anything.
+	// SinceLastAck is the time since the latest acknowledgement.
 	SinceLastAck time.Duration
 }
 
-// errNoState is that the kernel tells nothing of a connection.
-var errNoTCPInfo = eris.New("no state of the connection")
+// errNoTCPInfo means that the kernel has no state of a connection.
+var errNoTCPInfo = eris.New("no TCP state of the connection")
 
-// Acknowledged returns the Acknowledgement of a connection that is open (TCP_INFO, see tcp(7)). An
-// error means that the kernel does not tell.
+// ReadAckState returns the AckState of an open connection (TCP_INFO, see tcp(7)). An error
+// means that the kernel does not provide it.
 func ReadAckState(c net.Conn) (a AckState, err error) {
 	n, err := UnacknowledgedBytes(c)
 	if err != nil {
@@ -102,16 +102,16 @@
 	}, nil
 }
 
-// Probe has the kernel ask the peer's for a connection on which nothing is said, each time that
-// the given time has passed, and end it after count questions in a row without an answer. The
-// kernel of a process that is gone answers by a reset, and that of one that works, however long
-// it says nothing, acknowledges. A connection that is no TCP socket is left as it is.
+// EnableKeepAlive makes the kernel probe the peer of an idle connection at the given interval,
+// and end the connection after count probes in a row without a response. The kernel of a
+// terminated process responds with a reset, and that of a running process acknowledges, however
+// long the process sends nothing. A connection that is not a TCP socket is left as it is.
 func EnableKeepAlive(c net.Conn, interval time.Duration, count int) error {
 	t, ok := c.(*net.TCPConn)
 	if !ok {
 		return nil
 	}
-	// With a bound on silence the first question that is lost would end the connection.
+	// With a user timeout, the first lost probe would end the connection.
 	if err := SetUserTimeout(c, 0); err != nil {
 		return err
 	}
@@ -121,5 +121,5 @@
 		Interval: interval,
 		Count:    count,
 	})
-	return eris.Wrap(err, "probe a connection")
+	return eris.Wrap(err, "enable keep-alive probes")
 }
--- a/internal/tcp/socket_test.go
+++ b/internal/tcp/socket_test.go
@@ -37,11 +37,11 @@
 	pipe, other := net.Pipe()
 	defer pipe.Close()
 	defer other.Close()
-	qt.Check(t, tcp.SetUserTimeout(pipe, 0), qt.IsNil, qt.Commentf("no socket"))
+	qt.Check(t, tcp.SetUserTimeout(pipe, 0), qt.IsNil, qt.Commentf("not a socket"))
 }
 
-// TestUnacknowledged writes to a peer that reads nothing: its kernel acknowledges what it has room
-// for, and no more.
+// TestUnacknowledgedBytes writes to a peer that reads nothing: its kernel acknowledges only
+// what it has room for.
 func TestUnacknowledgedBytes(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
@@ -60,7 +60,7 @@
 	data := make([]byte, 1<<20)
 	for n := 0; n == 0; {
 		qt.Assert(t, c.SetWriteDeadline(time.Now().Add(50*time.Millisecond)), qt.IsNil)
-		_, _ = c.Write(data) // fails once there is no more room
+		_, _ = c.Write(data) // fails once the buffers are full
 		n, err = tcp.UnacknowledgedBytes(c)
 		qt.Assert(t, err, qt.IsNil)
 	}
@@ -71,5 +71,5 @@
 	defer pipe.Close()
 	defer other.Close()
 	_, err = tcp.UnacknowledgedBytes(pipe)
-	qt.Check(t, err, qt.IsNotNil, qt.Commentf("no socket"))
+	qt.Check(t, err, qt.IsNotNil, qt.Commentf("not a socket"))
 }
