--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -22,22 +22,22 @@
 	"sassafrasfront.example/verdict"
 )
 
-// Setup says where traces go. The zero value makes none, and costs nothing.
+// Config configures the export of traces. The zero value disables it, at no cost.
 type Config struct {
-	// URL is the OTLP collector's, such as http://10.0.0.1:4318/v1/traces.
+	// URL is the URL of the OTLP collector, such as http://10.0.0.1:4318/v1/traces.
 	URL string
-	// Sample is the share of the traces begun here that are kept. Traces begun
-	// by a caller keep the caller's choice.
+	// SampleRatio is the fraction of the traces begun here that are sampled. Traces begun
+	// by a caller keep the caller's decision.
 	SampleRatio float64
-	// Node, Zone name this process in its spans.
+	// Node and Zone identify this process in its spans.
 	Node, Zone string
 }
 
-// maxQueue bounds the spans that wait for the collector. More are dropped, so
-// that traffic never waits.
+// maxQueuedSpans bounds the spans that wait for the collector. More are dropped, so that
+// requests never wait for it.
 const maxQueuedSpans = 2048
 
-// Tracer returns a tracer, and a function that sends what is left and stops it.
+// Tracer returns a tracer, and a function that flushes the pending spans and stops it.
 func (s Config) Tracer(ctx context.Context) (trace.Tracer, func(context.Context) error, error) {
 	if s.URL == "" {
 		return noop.NewTracerProvider().Tracer(""), func(context.Context) error { return nil }, nil
@@ -58,7 +58,7 @@
 	return provider.Tracer("sassafrasfront.example"), provider.Shutdown, nil
 }
 
-// propagator reads and writes W3C trace contexts.
+// propagator decodes and encodes W3C trace contexts.
 var propagator = propagation.TraceContext{}
 
 // Extract returns ctx with the trace context of the header h.
@@ -71,7 +71,7 @@
 	propagator.Inject(ctx, h)
 }
 
-// Fields is a list of header fields as a carrier of trace contexts.
+// FieldCarrier is a list of header fields as a carrier of trace contexts.
 type FieldCarrier struct {
 	List []peer.Field
 }
@@ -110,8 +110,8 @@
 	return keys
 }
 
-// End ends a span with the verdict on its request. A nil failure means that
-// the request was answered with the given status.
+// EndSpan ends a span with the verdict on its request. A nil failure means that
+// the request got a response with the given status.
 func EndSpan(span trace.Span, status int, failure *verdict.Error) {
 	if failure == nil {
 		span.SetAttributes(attribute.Int("http.response.status_code", status), attribute.String("sassafras.verdict", verdict.Ran.String()))
--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -52,8 +52,8 @@
 	qt.Check(t, out.Keys(), qt.HasLen, 1)
 }
 
-// TestDeadCollectorNeverBlocks makes many more spans than the queue holds while
-// nobody takes them.
+// TestUnresponsiveCollectorNeverBlocks makes many more spans than the queue holds while the
+// collector does not respond.
 func TestUnresponsiveCollectorNeverBlocks(t *testing.T) {
 	hold := make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-hold }))
@@ -72,14 +72,14 @@
 	select {
 	case <-done:
 	case <-time.After(30 * time.Second):
-		t.Fatal("making spans waits for the collector")
+		t.Fatal("creating spans blocks on the collector")
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	_ = stop(ctx)
 }
 
-// TestFieldsCopyOnSet checks that a list that is shared is not changed.
+// TestFieldCarrierCopiesOnSet checks that Set does not modify a shared list.
 func TestFieldCarrierCopiesOnSet(t *testing.T) {
 	shared := []peer.Field{{Name: "Traceparent", Value: "old"}, {Name: "A", Value: "1"}}
 	f := &tracing.FieldCarrier{List: shared}
