--- a/internal/objectapitest/store.go
+++ b/internal/objectapitest/store.go
@@ -25,26 +25,26 @@
 	changed chan struct{} // closed at the next change
 }
 
-// event is a change at a version of the whole store.
+// event is a change to an object at a version of the whole store.
 type event struct {
 	version uint64
 	objectapi.Event
 }
 
-// refusal is an HTTP status with a reason.
-type refusal struct {
+// statusError is an HTTP status with a reason.
+type statusError struct {
 	status int
 	reason string
 }
 
 func key(collection, name string) string { return collection + "/" + name }
 
-func (s *store) get(collection, name string) (*objectapi.Object, *refusal) {
+func (s *store) get(collection, name string) (*objectapi.Object, *statusError) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	o := s.objects[key(collection, name)]
 	if o == nil {
-		return nil, &refusal{
+		return nil, &statusError{
 			status: http.StatusNotFound,
 			reason: name + " not found",
 		}
@@ -66,8 +66,8 @@
 	return l
 }
 
-// put creates or replaces an object. An empty version means to create.
-func (s *store) put(collection string, o *objectapi.Object, create bool) (*objectapi.Object, *refusal) {
+// put creates or replaces an object. An empty version replaces any version.
+func (s *store) put(collection string, o *objectapi.Object, create bool) (*objectapi.Object, *statusError) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k := key(collection, o.Metadata.Name)
@@ -76,7 +76,7 @@
 	case create && old != nil:
 		return nil, conflict("already exists")
 	case !create && old == nil:
-		return nil, &refusal{
+		return nil, &statusError{
 			status: http.StatusNotFound,
 			reason: o.Metadata.Name + " not found",
 		}
@@ -90,14 +90,14 @@
 	return s.record(k, kind, o), nil
 }
 
-func (s *store) delete(collection, name, version string) *refusal {
+func (s *store) delete(collection, name, version string) *statusError {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k := key(collection, name)
 	old := s.objects[k]
 	switch {
 	case old == nil:
-		return &refusal{
+		return &statusError{
 			status: http.StatusNotFound,
 			reason: name + " not found",
 		}
@@ -109,14 +109,14 @@
 	return nil
 }
 
-func conflict(reason string) *refusal {
-	return &refusal{
+func conflict(reason string) *statusError {
+	return &statusError{
 		status: http.StatusConflict,
 		reason: reason,
 	}
 }
 
-// record stores o under the next version and wakes the watches.
+// record stores o under the next version and wakes up the watches.
 func (s *store) record(k, kind string, o *objectapi.Object) *objectapi.Object {
 	s.version++
 	o = o.WithResourceVersion(strconv.FormatUint(s.version, 10))
@@ -156,8 +156,8 @@
 	return append([]event(nil), s.history[i:]...), s.changed, true
 }
 
-// forget drops the history, so that watches from before now fail.
-func (s *store) forget() {
+// dropHistory drops the history, so that watches from before now fail.
+func (s *store) dropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version++
--- a/peer/client.go
+++ b/peer/client.go
@@ -18,35 +18,36 @@
 	"sassafrasfront.example/verdict"
 )
 
-// Client sends calls or control requests to one peer over one connection,
-// which it opens when it is needed. The exported fields are set before the
-// first call. Its methods may be called from any goroutine.
+// Client sends calls or control requests to one peer over one connection, which it opens on
+// demand. The exported fields are set before the first call. Its methods may be called from
+// any goroutine.
 type Client struct {
-	// Addr is the peer's address, as an IP number and port.
+	// Addr is the peer's address, as an IP address and port.
 	Addr string
-	// Hello introduces this process.
+	// Hello identifies this process to the peer.
 	Hello Hello
-	// Limits bounds the connection.
+	// Limits holds the limits of the connection.
 	Limits Limits
 	// Counters, if not nil, counts the traffic.
 	Counters *Counters
-	// Report, if not nil, is called with each load report that arrives. It
+	// OnReport, if not nil, is called with each load report that arrives. It
 	// must not block.
 	OnReport func(Report)
-	// Noticed, if not nil, is called with what the peer's upstream has said of the requests that it
-	// wants, before the answer or failure that tells it is passed on, and with nil once the peer
-	// has answered a call with a Notice that this is over. It must not block.
+	// OnNotice, if not nil, is called with each notice of the peer's upstream, before the
+	// response or failure that carries it is passed on. It is called with nil once a call
+	// with a Notice is answered without one: the earlier notice no longer applies. It must
+	// not block.
 	OnNotice func(*Notice)
 	// Dial opens the connection. Nil means TCP.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
 
-	mu      sync.Mutex
-	current *link
-	former  map[*link]struct{} // the open connections that were current before
-	dialing chan struct{}      // closed when the dialling in progress has ended
-	abort   context.CancelFunc // ends the dialling in progress
-	failure error              // of the last dialling
-	stopped bool
+	mu         sync.Mutex
+	current    *link
+	former     map[*link]struct{} // open connections that have been replaced
+	dialing    chan struct{}      // closed when the dial in progress has ended
+	cancelDial context.CancelFunc // cancels the dial in progress
+	dialErr    error              // of the last dial
+	stopped    bool
 }
 
 // connect returns the open connection, or opens one.
@@ -64,7 +65,7 @@
 		case c.dialing == nil:
 			c.dialing = make(chan struct{})
 			var dialing context.Context
-			dialing, c.abort = context.WithCancel(context.Background())
+			dialing, c.cancelDial = context.WithCancel(context.Background())
 			go c.open(dialing, c.dialing)
 		}
 		wait := c.dialing
@@ -75,7 +76,7 @@
 			return nil, context.Cause(ctx)
 		}
 		c.mu.Lock()
-		err := c.failure
+		err := c.dialErr
 		c.mu.Unlock()
 		if err != nil {
 			return nil, err
@@ -83,31 +84,31 @@
 	}
 }
 
-// open dials and greets, and closes done at its end. It does not stop when the
-// call that began it is cancelled, as others may wait for it too.
+// open dials and performs the handshake, and closes done at its end. It does not stop when
+// the call that started it is cancelled, as others may wait for the connection too.
 func (c *Client) open(ctx context.Context, done chan struct{}) {
 	l, err := c.dial(ctx)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.abort()
+	c.cancelDial()
 	if c.stopped {
 		if l != nil {
-			l.shut(errClosed)
+			l.closeWith(errClosed)
 		}
-		return // nobody waits any more
+		return // no goroutine waits any more
 	}
 	if l != nil || !c.current.alive() {
 		c.replace(l)
 	}
-	c.failure = err
+	c.dialErr = err
 	c.dialing = nil
 	close(done)
 }
 
-// longAgo is a deadline that has passed.
-var longAgo = time.Unix(1, 0)
+// pastDeadline is a deadline that has passed.
+var pastDeadline = time.Unix(1, 0)
 
-// replace makes l, or nothing, the connection for new calls. The lock is held.
+// replace makes l, which may be nil, the connection for new calls. The lock is held.
 func (c *Client) replace(l *link) {
 	old := c.current
 	c.current = l
@@ -142,49 +143,50 @@
 		return nil, err
 	}
 	n := newConn(raw, limits, c.Counters)
-	stop := context.AfterFunc(ctx, func() { _ = raw.SetDeadline(longAgo) })
-	other, err := n.greet(c.Hello, true)
+	stop := context.AfterFunc(ctx, func() { _ = raw.SetDeadline(pastDeadline) })
+	other, err := n.handshake(c.Hello, true)
 	if !stop() && err == nil {
 		err = context.Cause(ctx)
 	}
 	if err != nil {
-		n.shut(err)
+		n.closeWith(err)
 		return nil, err
 	}
 	l := &link{
 		conn:      n,
 		peer:      *other,
-		report:    c.OnReport,
-		noticed:   c.OnNotice,
+		onReport:  c.OnReport,
+		onNotice:  c.OnNotice,
 		control:   c.Hello.Control,
 		exchanges: make(map[uint64]*Exchange),
 		requests:  make(map[uint64]chan *Reply),
 		idleSince: time.Now(),
-		begun:     make(chan struct{}, 1),
-		starting:  make(chan struct{}, 1),
+		wakeup:    make(chan struct{}, 1),
+		startLock: make(chan struct{}, 1),
 	}
 	go l.readLoop()
-	go l.watch()
+	go l.monitor()
 	return l, nil
 }
 
-// errClosed is why the connections of a Client end that is closed.
+// errClosed is the reason for the end of the connections of a closed Client.
 var errClosed = errors.New("client closed")
 
-// Close closes the connection. Open calls fail.
+// Close closes all connections. Open calls fail.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stop()
 	if c.current != nil {
-		c.current.shut(errClosed)
+		c.current.closeWith(errClosed)
 	}
 	for l := range c.former {
-		l.shut(errClosed)
+		l.closeWith(errClosed)
 	}
 }
 
-// Retire has the client take no more calls. Its connections end with what is open on them.
+// Retire makes the client accept no more calls. Its connections close once nothing is open
+// on them.
 func (c *Client) Retire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -192,49 +194,50 @@
 	c.replace(nil)
 }
 
-// stop has the client open no connection any more, and nobody wait for one. The lock is held.
+// stop prevents new connections and releases the goroutines that wait for one. The lock is
+// held.
 func (c *Client) stop() {
 	c.stopped = true
 	if c.dialing != nil {
-		c.failure = errClosed
-		c.abort()
+		c.dialErr = errClosed
+		c.cancelDial()
 		close(c.dialing)
 		c.dialing = nil
 	}
 }
 
-// live returns a connection that the peer is not known to have closed. A call
-// that is written to one that it has closed may have run, for all that is known.
-func (c *Client) live(ctx context.Context) (*link, error) {
+// connectLive returns a connection that the peer is not known to have closed. A call written
+// to a connection that the peer has closed would have to count as one that may have run.
+func (c *Client) connectLive(ctx context.Context) (*link, error) {
 	l, err := c.connect(ctx)
-	if err != nil || !l.gone() {
+	if err != nil || !l.closedByPeer() {
 		return l, err
 	}
-	l.shut(eris.New("closed by the peer"))
+	l.closeWith(eris.New("closed by the peer"))
 	return c.connect(ctx)
 }
 
-// Start sends a call. The ID of the call is set here. If the call streams, its
-// body is read from body once the peer has admitted it. The exchange ends with
-// ctx at the latest; the caller must call Close on it in any case. An error
-// means that the call has not run. Start waits no longer than the call's time lasts.
+// Start sends a call and sets its ID. If the call streams, its body is read from body once
+// the peer has admitted it. The exchange ends with ctx at the latest; the caller must call
+// Close on it in any case. An error means that the call has not run. Start waits no longer
+// than the call's Remaining time.
 func (c *Client) Start(ctx context.Context, call *Call, body io.Reader) (*Exchange, *verdict.Error) {
 	dialing, cancel := context.WithTimeout(ctx, call.Remaining)
 	defer cancel()
 	var x *Exchange
-	err := errNotTaken
-	for try := 0; try < 2 && errors.Is(err, errNotTaken); try++ { // a connection may close for idleness meanwhile
-		l, dialErr := c.live(dialing)
+	err := errNoNewCalls
+	for attempt := 0; attempt < 2 && errors.Is(err, errNoNewCalls); attempt++ { // an idle connection may be closed meanwhile
+		l, dialErr := c.connectLive(dialing)
 		switch {
 		case dialErr == nil:
 		case ctx.Err() != nil:
-			return nil, verdict.New(verdict.NotWritten, dialErr) // which says nothing of the peer
+			return nil, verdict.New(verdict.NotWritten, dialErr) // this says nothing about the peer
 		case dialing.Err() != nil:
 			return nil, verdict.New(verdict.DeadlinePassed, dialErr)
 		default:
 			return nil, verdict.New(verdict.DialFailed, dialErr)
 		}
-		x, err = l.begin(ctx, call)
+		x, err = l.startCall(ctx, call)
 	}
 	if err != nil {
 		return nil, verdict.New(verdict.NotWritten, err)
@@ -245,8 +248,8 @@
 	return x, nil
 }
 
-// Request sends a control request and returns the payload of its reply. If
-// notify is set, there is none, and Request returns once it is written.
+// Request sends a control request and returns the payload of its reply. If notify is set,
+// there is no reply, and Request returns once the request is written.
 func (c *Client) Request(ctx context.Context, topic string, payload []byte, notify bool) ([]byte, error) {
 	l, err := c.connect(ctx)
 	if err != nil {
@@ -257,8 +260,8 @@
 		Payload: payload,
 	}
 	if notify {
-		l.used()
-		c.Counters.requested(topic, len(payload), 0)
+		l.markUsed()
+		c.Counters.recordRequest(topic, len(payload), 0)
 		return nil, l.send(KindRequest, request)
 	}
 	reply := make(chan *Reply, 1)
@@ -269,13 +272,13 @@
 	}
 	select {
 	case r := <-reply:
-		c.Counters.requested(topic, len(payload), len(r.Payload))
+		c.Counters.recordRequest(topic, len(payload), len(r.Payload))
 		if r.Detail != "" {
 			return nil, eris.Errorf("peer: %s", r.Detail)
 		}
 		return r.Payload, nil
 	case <-l.closed:
-		return nil, l.why()
+		return nil, l.closeReason()
 	case <-ctx.Done():
 		return nil, context.Cause(ctx)
 	}
--- a/peer/conn.go
+++ b/peer/conn.go
@@ -20,99 +20,99 @@
 	"github.com/rotisserie/eris"
 )
 
-// Counters counts the traffic of connections. They may be shared.
+// Counters counts the traffic of connections. It may be shared between connections.
 type Counters struct {
 	BytesIn, BytesOut   atomic.Uint64
 	FramesIn, FramesOut atomic.Uint64
-	// Requested, if not nil, is called with each control request by its topic, with the bytes
-	// of its payload and of the reply's. It is set before the first request.
+	// OnRequest, if not nil, is called for each control request with its topic and with the
+	// sizes in bytes of its payload and of the reply's. It is set before the first request.
 	OnRequest func(topic string, sent, received int)
 }
 
-// requested notes a control request.
-func (c *Counters) requested(topic string, sent, received int) {
+// recordRequest records a control request.
+func (c *Counters) recordRequest(topic string, sent, received int) {
 	if c != nil && c.OnRequest != nil {
 		c.OnRequest(topic, sent, received)
 	}
 }
 
-// conn is one connection, from either side: it frames, counts and keeps the
-// bounds. One goroutine reads; any may write.
+// conn is one connection, on either side. It frames messages, counts traffic and enforces the
+// limits. One goroutine reads; any goroutine may write.
 type conn struct {
 	net.Conn
-	limits   Limits
-	counters *Counters
-	reader   *bufio.Reader
-	heard    atomic.Int64  // time of the last bytes, in ns since the epoch of base
-	written  atomic.Uint64 // bytes written since then
+	limits       Limits
+	counters     *Counters
+	reader       *bufio.Reader
+	lastReceived atomic.Int64  // time of the last bytes received, in ns since timeBase
+	writtenSince atomic.Uint64 // bytes written since then
 
-	writing chan struct{} // has a value while frames are written
+	writeLock chan struct{} // holds a value while frames are written
 
-	closing sync.Once
-	closed  chan struct{}
-	reason  error // set before closed is closed
+	closeOnce sync.Once
+	closed    chan struct{}
+	reason    error // set before closed is closed
 }
 
-var base = time.Now()
+var timeBase = time.Now()
 
-const readBuffer = 16 << 10
+const readBufferBytes = 16 << 10
 
 func newConn(c net.Conn, l Limits, counters *Counters) *conn {
 	if counters == nil {
 		counters = new(Counters)
 	}
 	n := &conn{
-		Conn:     c,
-		limits:   l,
-		counters: counters,
-		closed:   make(chan struct{}),
-		writing:  make(chan struct{}, 1),
+		Conn:      c,
+		limits:    l,
+		counters:  counters,
+		closed:    make(chan struct{}),
+		writeLock: make(chan struct{}, 1),
 	}
-	n.reader = bufio.NewReaderSize(&heeding{conn: n}, readBuffer)
-	n.hear()
+	n.reader = bufio.NewReaderSize(&activityReader{conn: n}, readBufferBytes)
+	n.markReceived()
 	return n
 }
 
-// hear notes that the peer gave a sign of life.
-func (c *conn) hear() {
-	c.heard.Store(int64(time.Since(base)))
-	c.written.Store(0)
+// markReceived records that bytes have been received from the peer.
+func (c *conn) markReceived() {
+	c.lastReceived.Store(int64(time.Since(timeBase)))
+	c.writtenSince.Store(0)
 }
 
-// heeding reads from a connection and takes each piece that arrives for a sign of
-// life, so that a frame that takes long on a slow link does not look like silence.
-type heeding struct {
+// activityReader reads from a connection and records every chunk as activity, so that a frame
+// that takes long on a slow link is not mistaken for silence.
+type activityReader struct {
 	conn *conn
 }
 
 // Read implements io.Reader.
-func (h *heeding) Read(p []byte) (int, error) {
+func (h *activityReader) Read(p []byte) (int, error) {
 	n, err := h.conn.Conn.Read(p)
 	if n > 0 {
-		h.conn.hear()
+		h.conn.markReceived()
 	}
 	return n, err
 }
 
-// shut closes the connection. The first reason given is kept.
-func (c *conn) shut(reason error) {
-	c.closing.Do(func() {
+// closeWith closes the connection. The first reason given is kept.
+func (c *conn) closeWith(reason error) {
+	c.closeOnce.Do(func() {
 		c.reason = reason
 		close(c.closed)
 		_ = c.Close()
 	})
 }
 
-// why returns the reason of the closing. The connection is closed.
-func (c *conn) why() error {
+// closeReason waits until the connection is closed and returns the reason.
+func (c *conn) closeReason() error {
 	<-c.closed
 	return c.reason
 }
 
-// ended returns the error for what comes after the closing. The reason is
-// shared between goroutines, and eris.Wrap changes what it wraps.
-func (c *conn) ended() error {
-	return fmt.Errorf("connection closed: %w", c.why())
+// closedError returns the error of operations on the closed connection. It is not made by
+// eris.Wrap, which changes the error that it wraps: the reason is shared between goroutines.
+func (c *conn) closedError() error {
+	return fmt.Errorf("connection closed: %w", c.closeReason())
 }
 
 // read returns the next frame.
@@ -126,15 +126,14 @@
 	return k, payload, nil
 }
 
-// silence returns the time since the last bytes arrived.
+// silence returns the time since the last bytes were received.
 func (c *conn) silence() time.Duration {
-	return time.Since(base) - time.Duration(c.heard.Load())
+	return time.Since(timeBase) - time.Duration(c.lastReceived.Load())
 }
 
-// gone returns whether the peer has closed the connection, as far as the kernel
-// knows, although the reading goroutine has not come to it. What the peer has
-// sent stays to be read.
-func (c *conn) gone() bool {
+// closedByPeer returns whether the peer has closed the connection according to the kernel,
+// even if the reading goroutine has not noticed it yet. It leaves received data unread.
+func (c *conn) closedByPeer() bool {
 	s, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return false
@@ -161,23 +160,24 @@
 	message any
 }
 
-// write hands frames to the kernel in one call, unless ctx ends before its turn comes. If it
-// returns an error, the last of them was not wholly handed over, so the receiver can't have it.
+// write writes frames to the socket in one call, unless ctx ends before it gets the write
+// lock. If it returns an error, the last frame was not written completely, so the receiver
+// can't have it.
 func (c *conn) write(ctx context.Context, frames ...frame) error {
 	b, err := c.encode(frames...)
-	defer buffers.Put(b)
+	defer bufferPool.Put(b)
 	if err == nil {
-		err = c.turn(ctx)
+		err = c.lockWrite(ctx)
 	}
 	if err != nil {
 		return err
 	}
-	return c.put(b, len(frames))
+	return c.writeAndUnlock(b, len(frames))
 }
 
-// encode returns a buffer with the frames, which goes back to buffers in any case.
+// encode returns a buffer with the frames. The caller returns it to bufferPool in any case.
 func (c *conn) encode(frames ...frame) (*bytes.Buffer, error) {
-	b := buffers.Get().(*bytes.Buffer)
+	b := bufferPool.Get().(*bytes.Buffer)
 	b.Reset()
 	for _, f := range frames {
 		if err := appendFrame(b, f.kind, f.message); err != nil {
@@ -190,25 +190,25 @@
 	return b, nil
 }
 
-// turn waits for the turn to write, which put ends.
-func (c *conn) turn(ctx context.Context) error {
+// lockWrite acquires the write lock, which writeAndUnlock releases.
+func (c *conn) lockWrite(ctx context.Context) error {
 	select {
-	case c.writing <- struct{}{}:
+	case c.writeLock <- struct{}{}:
 	case <-c.closed:
-		return c.ended()
+		return c.closedError()
 	case <-ctx.Done():
 		return context.Cause(ctx)
 	}
 	if c.isClosed() {
-		<-c.writing
-		return c.ended()
+		<-c.writeLock
+		return c.closedError()
 	}
 	return nil
 }
 
-// put hands a number of frames to the kernel, which is this goroutine's turn.
-func (c *conn) put(b *bytes.Buffer, frames int) error {
-	defer func() { <-c.writing }()
+// writeAndUnlock writes encoded frames to the socket. The caller holds the write lock.
+func (c *conn) writeAndUnlock(b *bytes.Buffer, frames int) error {
+	defer func() { <-c.writeLock }()
 	for left := b.Bytes(); ; {
 		_ = c.SetWriteDeadline(time.Now().Add(c.limits.WriteTimeout))
 		n, err := c.Write(left)
@@ -216,12 +216,12 @@
 			break
 		}
 		left = left[n:]
-		if !errors.Is(err, os.ErrDeadlineExceeded) || c.isClosed() || !c.acknowledged() {
-			c.shut(eris.Wrap(err, "write"))
+		if !errors.Is(err, os.ErrDeadlineExceeded) || c.isClosed() || !c.peerAcknowledges() {
+			c.closeWith(eris.Wrap(err, "write"))
 			return err
 		}
 	}
-	c.written.Add(uint64(b.Len()))
+	c.writtenSince.Add(uint64(b.Len()))
 	c.counters.FramesOut.Add(uint64(frames))
 	c.counters.BytesOut.Add(uint64(b.Len()))
 	return nil
@@ -245,8 +245,8 @@
 	})
 }
 
-// greet exchanges Hellos. The side that dialled speaks first.
-func (c *conn) greet(own Hello, first bool) (*Hello, error) {
+// handshake exchanges Hellos. The side that dialled sends first.
+func (c *conn) handshake(own Hello, first bool) (*Hello, error) {
 	own.Version = Version
 	_ = c.SetReadDeadline(time.Now().Add(c.limits.HandshakeTimeout))
 	if first {
@@ -259,7 +259,7 @@
 		return nil, err
 	}
 	if k != KindHello {
-		return nil, eris.Wrapf(ErrProtocol, "kind %d in place of a hello", k)
+		return nil, eris.Wrapf(ErrProtocol, "kind %d instead of a hello", k)
 	}
 	other, err := decode[Hello](payload)
 	if err != nil {
--- a/peer/fullwindow_test.go
+++ b/peer/fullwindow_test.go
@@ -17,49 +17,49 @@
 	"sassafrasfront.example/peer"
 )
 
-// heldListener is a listener whose connections can be kept from being read.
-type heldListener struct {
+// pausableListener is a listener whose connections can be kept from being read.
+type pausableListener struct {
 	net.Listener
 	mu sync.RWMutex // held while nothing is read
 }
 
 // Accept implements net.Listener.
-func (l *heldListener) Accept() (net.Conn, error) {
+func (l *pausableListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	_ = c.(*net.TCPConn).SetReadBuffer(32 << 10)
-	return &heldConn{TCPConn: c.(*net.TCPConn), listener: l}, nil
+	return &pausableConn{TCPConn: c.(*net.TCPConn), listener: l}, nil
 }
 
-// heldConn is a connection of a heldListener.
-type heldConn struct {
+// pausableConn is a connection of a pausableListener.
+type pausableConn struct {
 	*net.TCPConn
-	listener *heldListener
+	listener *pausableListener
 }
 
 // Read implements net.Conn.
-func (c *heldConn) Read(p []byte) (int, error) {
+func (c *pausableConn) Read(p []byte) (int, error) {
 	c.listener.mu.RLock()
 	defer c.listener.mu.RUnlock()
 	return c.TCPConn.Read(p)
 }
 
-// TestPeerReadsNothing guards against calls that are given up (peerLost) at a node which is at work
-// on one and reads nothing for longer than Loss and Write say, until its kernel has no more room: it
-// acknowledges all the while.
+// TestPeerReadsNothing guards against calls that are given up (peerLost) at a node which runs a
+// call and reads nothing for longer than AckTimeout and WriteTimeout, until its receive window is
+// full: its kernel acknowledges all the while.
 func TestPeerReadsNothing(t *testing.T) {
 	tests := map[string]peer.Limits{
-		"longer than Loss":  {SilenceTimeout: 400 * time.Millisecond, AckTimeout: 2 * time.Second},
-		"longer than Write": {SilenceTimeout: 400 * time.Millisecond, AckTimeout: 8 * time.Second, WriteTimeout: time.Second},
+		"longer than AckTimeout":   {SilenceTimeout: 400 * time.Millisecond, AckTimeout: 2 * time.Second},
+		"longer than WriteTimeout": {SilenceTimeout: 400 * time.Millisecond, AckTimeout: 8 * time.Second, WriteTimeout: time.Second},
 	}
 	for name, limits := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			raw, err := net.Listen("tcp", "127.0.0.1:0")
 			qt.Assert(t, err, qt.IsNil)
-			l := &heldListener{Listener: raw}
+			l := &pausableListener{Listener: raw}
 			ctx, cancel := context.WithCancel(context.Background())
 			finish := make(chan struct{})
 			server := &peer.Server{HandleCall: func(in *peer.InboundCall) {
@@ -100,7 +100,7 @@
 			exchanges := []*peer.Exchange{start(1)}
 			l.mu.Lock()
 			blocked := make(chan *peer.Exchange, 1)
-			go func() { // its writing waits for room
+			go func() { // the write blocks on the full window
 				m := newCall()
 				m.Remaining = time.Minute
 				m.Body = make([]byte, 500<<10)
--- a/peer/session.go
+++ b/peer/session.go
@@ -19,25 +19,26 @@
 // session is one connection of a Server.
 type session struct {
 	*conn
-	server  *Server
-	from    Hello
-	greeted atomic.Bool            // whether from is set
-	report  atomic.Pointer[Report] // that waits to be sent, or nil
+	server        *Server
+	from          Hello
+	handshakeDone atomic.Bool            // whether from is set
+	pendingReport atomic.Pointer[Report] // report to be sent, or nil
 
 	mu     sync.Mutex
 	open   map[uint64]*InboundCall
 	lastID uint64
 }
 
-// run greets the peer and handles its frames. It returns why it ended.
+// run performs the handshake and handles frames until the connection ends. It returns the
+// reason for the end.
 func (n *session) run(ctx context.Context) error {
-	from, err := n.greet(n.server.Hello, false)
+	from, err := n.handshake(n.server.Hello, false)
 	if err != nil {
 		return err
 	}
 	n.from = *from
-	n.greeted.Store(true)
-	// The calls end with the connection, whose end has a reason.
+	n.handshakeDone.Store(true)
+	// Calls end with the connection and not with ctx: their cause is the connection's reason.
 	ctx, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
 	for {
 		k, payload, err := n.read()
@@ -45,43 +46,43 @@
 			err = n.handle(ctx, k, payload)
 		}
 		if err != nil {
-			n.shut(err)
-			cancel(verdict.New(verdict.PeerLost, n.why()))
+			n.closeWith(err)
+			cancel(verdict.New(verdict.PeerLost, n.closeReason()))
 			return err
 		}
 	}
 }
 
-// handle takes in one frame. An error ends the connection.
+// handle handles one frame. An error closes the connection.
 func (n *session) handle(ctx context.Context, k Kind, payload []byte) error {
 	switch {
 	case k == KindPing:
-		return with(payload, func(m *Ping) error { return n.send(KindPong, &Pong{Number: m.Number}) })
+		return handleMessage(payload, func(m *Ping) error { return n.send(KindPong, &Pong{Number: m.Number}) })
 	case n.from.Control && k == KindRequest:
-		return with(payload, func(m *Request) error { return n.handleRequest(ctx, m) })
+		return handleMessage(payload, func(m *Request) error { return n.handleRequest(ctx, m) })
 	case n.from.Control:
 		return eris.Wrapf(ErrProtocol, "kind %d on a control connection", k)
 	}
 	switch k {
 	case KindCall:
-		return with(payload, func(m *Call) error { return n.handleCall(ctx, m) })
+		return handleMessage(payload, func(m *Call) error { return n.handleCall(ctx, m) })
 	case KindBody:
-		return with(payload, n.handleBody)
+		return handleMessage(payload, n.handleBody)
 	case KindEnd:
-		return with(payload, n.handleEnd)
+		return handleMessage(payload, n.handleEnd)
 	case KindCancel:
-		return with(payload, n.handleCancel)
+		return handleMessage(payload, n.handleCancel)
 	case KindRevoke:
-		return with(payload, n.handleRevoke)
+		return handleMessage(payload, n.handleRevoke)
 	case KindCredit:
-		return with(payload, n.handleCredit)
+		return handleMessage(payload, n.handleCredit)
 	}
 	return eris.Wrapf(ErrProtocol, "unexpected kind %d", k)
 }
 
 func (n *session) handleRequest(ctx context.Context, m *Request) error {
 	if n.server.HandleControl == nil {
-		return eris.Wrap(ErrProtocol, "no control here")
+		return eris.Wrap(ErrProtocol, "control requests are not accepted")
 	}
 	payload, err := n.server.HandleControl(ctx, n.from, m)
 	if m.ID == 0 {
@@ -102,7 +103,7 @@
 		return err
 	}
 	if m.EarlyBody && (!m.Streams || m.Length < 0 || m.Length > MaxEarlyBodyBytes) {
-		return eris.Wrapf(ErrProtocol, "a body of %d bytes ahead", m.Length)
+		return eris.Wrapf(ErrProtocol, "early body of %d bytes", m.Length)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -111,19 +112,19 @@
 	}
 	n.lastID = m.ID
 	if len(n.open) >= n.limits.MaxOpenCalls {
-		// The peer counts a call that it has cancelled as over before this side does.
-		go n.refuse(m.ID, len(n.open))
+		// The peer stops counting a cancelled call before this side does.
+		go n.rejectCall(m.ID, len(n.open))
 		return nil
 	}
-	in := newInbound(ctx, n, m)
+	in := newInboundCall(ctx, n, m)
 	n.open[m.ID] = in
 	n.server.calls.Add(1)
 	go in.serve()
 	return nil
 }
 
-// refuse ends a call that is one too many.
-func (n *session) refuse(id uint64, open int) {
+// rejectCall fails a call that exceeds the limit of open calls.
+func (n *session) rejectCall(id uint64, open int) {
 	_ = n.send(KindFailure, &Failure{
 		ID:     id,
 		Cause:  string(verdict.Refused),
@@ -131,13 +132,13 @@
 	})
 }
 
-// bodies returns the quota of the link that bodies cross to this node, or nil if the peer is
-// this node itself.
-func (n *session) bodies() *quota {
+// bodyLimiter returns the limiter for the link that carries bodies to this node, or nil if the
+// peer is this node itself.
+func (n *session) bodyLimiter() *inFlightLimiter {
 	if n.from.Node == n.server.Hello.Node && n.from.Node != "" {
 		return nil
 	}
-	return n.server.bodies
+	return n.server.bodyLimiter
 }
 
 func (n *session) find(id uint64) *InboundCall {
@@ -154,7 +155,7 @@
 
 func (n *session) handleBody(m *Body) error {
 	if in := n.find(m.ID); in != nil {
-		n.bodies().arrived(&in.demand, len(m.Data))
+		n.bodyLimiter().received(&in.flow, len(m.Data))
 		return in.body.put(m.Data)
 	}
 	return nil
@@ -165,7 +166,7 @@
 		return err
 	}
 	if in := n.find(m.ID); in != nil {
-		n.bodies().leave(&in.demand)
+		n.bodyLimiter().close(&in.flow)
 		in.body.end(io.EOF, m.Trailer)
 	}
 	return nil
--- a/peer/slowlink_test.go
+++ b/peer/slowlink_test.go
@@ -21,27 +21,27 @@
 )
 
 const (
-	// linkRate is that of a link of 10 Mbit/s, in bytes per second.
-	linkRate = 10e6 / 8
-	// linkBuffer is what a connection's sender may have in its kernel.
-	linkBuffer = 512 << 10
-	// linkPiece is what the link carries at a time, in bytes.
-	linkPiece = 1500
+	// linkBytesPerSecond is the bandwidth of a link of 10 Mbit/s.
+	linkBytesPerSecond = 10e6 / 8
+	// sendBufferBytes is the size of the send buffer of a connection.
+	sendBufferBytes = 512 << 10
+	// packetBytes is what the link carries at a time.
+	packetBytes = 1500
 )
 
-// slowLink carries all connections to one instance, a piece of each in turn.
+// slowLink carries all connections to one instance, one packet of each in turn.
 type slowLink struct {
-	accept chan net.Conn
-	turn   chan struct{} // held while a piece is carried
+	accept       chan net.Conn
+	transmitting chan struct{} // holds a value while a packet is transmitted
 
-	mu  sync.Mutex
-	cut bool
+	mu      sync.Mutex
+	severed bool
 }
 
 func newSlowLink() *slowLink {
 	return &slowLink{
-		accept: make(chan net.Conn),
-		turn:   make(chan struct{}, 1),
+		accept:       make(chan net.Conn),
+		transmitting: make(chan struct{}, 1),
 	}
 }
 
@@ -67,13 +67,13 @@
 	return near, nil
 }
 
-// carry takes what is written into the sender's buffer and brings it across.
+// carry reads what is written into the sender's buffer and transmits it.
 func (l *slowLink) carry(to, from net.Conn) {
-	buffer := make(chan []byte, linkBuffer/linkPiece)
+	buffer := make(chan []byte, sendBufferBytes/packetBytes)
 	go func() {
 		defer close(buffer)
 		for {
-			p := make([]byte, linkPiece)
+			p := make([]byte, packetBytes)
 			n, err := from.Read(p)
 			if err != nil {
 				return
@@ -82,10 +82,10 @@
 		}
 	}()
 	for p := range buffer {
-		l.turn <- struct{}{}
-		time.Sleep(time.Duration(float64(len(p)) / linkRate * float64(time.Second)))
-		<-l.turn
-		if l.isCut() {
+		l.transmitting <- struct{}{}
+		time.Sleep(time.Duration(float64(len(p)) / linkBytesPerSecond * float64(time.Second)))
+		<-l.transmitting
+		if l.isSevered() {
 			continue
 		}
 		if _, err := to.Write(p); err != nil {
@@ -96,37 +96,37 @@
 	_ = to.Close()
 }
 
-// severable drops what is written to it while the link is cut.
+// severable drops what is written to it while the link is severed.
 type severable struct {
 	io.Writer
 	link *slowLink
 }
 
 func (s *severable) Write(p []byte) (int, error) {
-	if s.link.isCut() {
+	if s.link.isSevered() {
 		return len(p), nil
 	}
 	return s.Writer.Write(p)
 }
 
-func (l *slowLink) isCut() bool {
+func (l *slowLink) isSevered() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.cut
+	return l.severed
 }
 
 func (l *slowLink) sever() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cut = true
+	l.severed = true
 }
 
-// TestBodiesOnSlowLink sends large bodies over a link of 10 Mbit/s, which takes
-// 100 ms for each, from a dozen nodes at once, beside calls that have no body and
-// run for a second. None may be silent in the meantime, and where the link is cut all
-// are told that it is as soon as silence says so, or taken back if they can't have run. The figures are those of a site with
-// requests of 60 KB on average and 360 KB at most on instances with such links, where
-// 486 requests of 32 s were lost in this way before bodies were bounded.
+// TestBodiesOnSlowLink sends large bodies, which take 100 ms each on a link of 10 Mbit/s, from
+// a dozen nodes at once, besides calls without bodies that run for a second. No connection may
+// be silent meanwhile. If the link is severed, all calls learn of the silence after the silence
+// timeout, or are withdrawn if they can't have run. At a site with requests of 60 KB on average
+// and 360 KB at most over such links, 486 requests in 32 s were lost in this way before the
+// bytes in flight were limited.
 func TestBodiesOnSlowLink(t *testing.T) {
 	const (
 		silence = 600 * time.Millisecond
@@ -134,7 +134,7 @@
 		nodes   = 12
 		work    = time.Second
 	)
-	for name, cut := range map[string]bool{"whole": false, "cut": true} {
+	for name, severed := range map[string]bool{"whole": false, "cut": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				link := newSlowLink()
@@ -162,7 +162,7 @@
 					})
 				}
 				var calls sync.WaitGroup
-				one := func(c *peer.Client, body []byte) {
+				call := func(c *peer.Client, body []byte) {
 					m := newCall()
 					m.Length = int64(len(body))
 					m.Streams = len(body) > 0
@@ -175,27 +175,27 @@
 					case <-x.Silent():
 						silent = true
 					}
-					if !cut || !silent {
+					if !severed || !silent {
 						_, failed = x.Wait()
 					}
 					switch {
-					case cut:
+					case severed:
 						qt.Check(t, silent || failed != nil && failed.Cause == verdict.NotWritten, qt.IsTrue, qt.Commentf("%v", failed))
 					default:
 						qt.Check(t, !silent && failed == nil, qt.IsTrue, qt.Commentf("silent %v, %v", silent, failed))
 					}
 				}
 				for _, c := range clients {
-					calls.Go(func() { one(c, make([]byte, size)) })
-					calls.Go(func() { one(c, nil) })
+					calls.Go(func() { call(c, make([]byte, size)) })
+					calls.Go(func() { call(c, nil) })
 				}
 				time.Sleep(100 * time.Millisecond)
 				began := time.Now()
-				if cut {
+				if severed {
 					link.sever()
 				}
 				calls.Wait()
-				if cut {
+				if severed {
 					qt.Check(t, time.Since(began) <= silence*5/4, qt.IsTrue, qt.Commentf("known after %v", time.Since(began)))
 				}
 				for _, c := range clients {
