--- a/caller/answer.go
+++ b/caller/answer.go
@@ -35,15 +35,15 @@
 }
 
 // problemType starts the type of each problem.
-const problemType = "https://sassafrasfront.example/problems/"
+const problemTypePrefix = "https://sassafrasfront.example/problems/"
 
 // fail answers the caller with a failure.
-func (x *exchange) fail(e *verdict.Error) {
+func (x *exchange) writeFailure(e *verdict.Error) {
 	status := e.Status()
 	x.outcome.Status = status
 	x.outcome.Failure = e
 	p := Problem{
-		Type:         problemType + string(e.Cause),
+		Type:         problemTypePrefix + string(e.Cause),
 		Title:        http.StatusText(status),
 		Status:       status,
 		Verdict:      e.Verdict().String(),
@@ -67,23 +67,23 @@
 		h.Set("WWW-Authenticate", bearer.Challenge(x.r.Header))
 	}
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
-		h.Set("Retry-After", retryAfter(e.RetryAfter, names.FractionalRetryAfter))
+		h.Set("Retry-After", formatRetryAfter(e.RetryAfter, names.FractionalRetryAfter))
 	}
 	body, err := json.Marshal(p)
 	if err != nil {
 		panic(err) // a Problem holds strings and numbers
 	}
 	h.Set("Content-Length", strconv.Itoa(len(body)))
-	x.closes = x.bodyOutlasts()
-	x.writeHead(status)
+	x.closesConnection = x.remainderTooLong()
+	x.writeHeader(status)
 	_, _ = x.w.Write(body)
 }
 
 // writeHead writes the head of the final answer. It is the last answer of the
 // connection if nobody can be sure where the next request begins, or the connection is
 // to end.
-func (x *exchange) writeHead(status int) {
-	if x.broken.Load() || x.closes || leaving(x.r) || twoLengths(x.r) {
+func (x *exchange) writeHeader(status int) {
+	if x.bodyReadFailed.Load() || x.closesConnection || keepAlivesDisabled(x.r) || hasBothLengths(x.r) {
 		x.w.Header().Set("Connection", "close")
 	}
 	x.w.WriteHeader(status)
@@ -91,24 +91,24 @@
 
 // bodyOutlasts returns whether the rest of the body is too long to be read for the sake of the
 // connection, which then ends with the answer.
-func (x *exchange) bodyOutlasts() bool {
-	return x.streamed != nil && x.r.ProtoMajor == 1 && x.streamed.outlasts()
+func (x *exchange) remainderTooLong() bool {
+	return x.streamed != nil && x.r.ProtoMajor == 1 && x.streamed.exceedsDrainLimit()
 }
 
 // retryAfter returns d as the value of Retry-After, in whole seconds unless
 // callers take fractions.
-func retryAfter(d time.Duration, fractional bool) string {
+func formatRetryAfter(d time.Duration, fractional bool) string {
 	if fractional {
 		return strconv.FormatFloat(d.Seconds(), 'f', 3, 64)
 	}
-	return strconv.Itoa(seconds(d))
+	return strconv.Itoa(ceilSeconds(d))
 }
 
 // seconds returns d in whole seconds, rounded up, and at least one.
-func seconds(d time.Duration) int { return max(1, int(math.Ceil(d.Seconds()))) }
+func ceilSeconds(d time.Duration) int { return max(1, int(math.Ceil(d.Seconds()))) }
 
 // inform passes an informational answer on.
-func (x *exchange) inform(m *peer.Informational) {
+func (x *exchange) writeInformational(m *peer.Informational) {
 	h := x.w.Header()
 	for _, f := range m.Header {
 		h.Add(f.Name, f.Value)
@@ -118,10 +118,10 @@
 }
 
 // answer passes an answer on. It returns whether it must be cut.
-func (x *exchange) answer(result *entry.Result) (cut bool) {
+func (x *exchange) writeResponse(result *entry.Result) (truncated bool) {
 	x.outcome.Status = result.Status
 	h := x.w.Header()
-	copyHeader(h, result.Header, x.handler.Node)
+	copyResponseHeader(h, result.Header, x.handler.Node)
 	h.Set(x.handler.FieldNames.OrDefault().RequestID, x.outcome.ID)
 	h.Set(upstream.VerdictHeader, verdict.Ran.String())
 	if result.Node != "" {
@@ -129,8 +129,8 @@
 	}
 	// The end of an answer without a length goes out when the handler returns, and
 	// so not while the rest of the body is read.
-	x.closes = h.Get("Content-Length") == "" && x.streamed != nil && !x.streamed.ended() || x.bodyOutlasts()
-	x.writeHead(result.Status)
+	x.closesConnection = h.Get("Content-Length") == "" && x.streamed != nil && !x.streamed.ended() || x.remainderTooLong()
+	x.writeHeader(result.Status)
 	if err := x.copyBody(result); err != nil {
 		x.outcome.Failure = verdict.As(err, verdict.CallerGone)
 		_ = http.NewResponseController(x.w).Flush() // what there is
@@ -143,7 +143,7 @@
 }
 
 // copyBuffer is the size of the pieces in which an answer is passed on.
-const copyBuffer = 32 << 10
+const copyBufferBytes = 32 << 10
 
 // copyBody passes the body of an answer on. If its length is not known, each
 // piece goes out as it comes.
@@ -154,7 +154,7 @@
 	}
 	control := http.NewResponseController(x.w)
 	_ = control.Flush()
-	buffer := make([]byte, copyBuffer)
+	buffer := make([]byte, copyBufferBytes)
 	for {
 		n, err := result.Body.Read(buffer)
 		if n > 0 {
--- a/caller/backlog_test.go
+++ b/caller/backlog_test.go
@@ -19,12 +19,12 @@
 )
 
 // lateListener accepts as late as a process whose processor is scarce.
-type lateListener struct {
+type slowListener struct {
 	*net.TCPListener
 }
 
 // Accept implements net.Listener.
-func (l lateListener) Accept() (net.Conn, error) {
+func (l slowListener) Accept() (net.Conn, error) {
 	time.Sleep(20 * time.Millisecond)
 	return l.TCPListener.Accept()
 }
@@ -34,7 +34,7 @@
 func TestStopBeforeAccept(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
-	l := &caller.Listener{Listener: lateListener{inner.(*net.TCPListener)}}
+	l := &caller.Listener{Listener: slowListener{inner.(*net.TCPListener)}}
 	server := &http.Server{
 		Handler:     http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}),
 		ConnState:   caller.ConnState,
--- a/caller/body.go
+++ b/caller/body.go
@@ -23,8 +23,8 @@
 	// drainTime and drainBytes bound what is read of a body after its answer, so
 	// that the connection can be used again, and of a connection after its last answer. A caller sends 256 KiB in 210 ms over a
 	// link of 10 Mbit/s.
-	drainTime  = time.Second
-	drainBytes = 256 << 10
+	maxDrainTime  = time.Second
+	maxDrainBytes = 256 << 10
 )
 
 // errAnswered is what a reader of a body gets once its request has been answered.
@@ -34,15 +34,15 @@
 // by a goroutine that may still read when the answer has been given. It implements
 // peer.Trailered.
 type streamedBody struct {
-	reader  io.Reader
-	request *http.Request
-	broken  *atomic.Bool
-	taken   atomic.Int64 // bytes that have been read
+	reader     io.Reader
+	request    *http.Request
+	readFailed *atomic.Bool
+	bytesRead  atomic.Int64 // bytes that have been read
 	// withheld are the fields that its trailer can't bear.
-	withheld []string
+	reservedFields []string
 
 	mu       sync.Mutex // held while the body is read
-	ahead    []byte     // read by peek, and not by others yet
+	peeked   []byte     // read by peek, and not by others yet
 	answered bool
 	err      error // that ended the body, or nil
 }
@@ -55,12 +55,12 @@
 	if b.answered {
 		return 0, errAnswered
 	}
-	if len(b.ahead) > 0 {
-		n := copy(p, b.ahead)
-		b.ahead = b.ahead[n:]
+	if len(b.peeked) > 0 {
+		n := copy(p, b.peeked)
+		b.peeked = b.peeked[n:]
 		return n, nil
 	}
-	n, err := b.read(p)
+	n, err := b.readLocked(p)
 	if _, ok := errors.AsType[*http.MaxBytesError](err); ok {
 		return n, verdict.New(verdict.BodyLost, eris.New("the body is over the limit"))
 	}
@@ -72,8 +72,8 @@
 func (b *streamedBody) peek(n int64) ([]byte, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	data, err := io.ReadAll(io.LimitReader(readerFunc(b.read), n))
-	b.ahead = data
+	data, err := io.ReadAll(io.LimitReader(readerFunc(b.readLocked), n))
+	b.peeked = data
 	return data, err
 }
 
@@ -84,14 +84,14 @@
 func (f readerFunc) Read(p []byte) (int, error) { return f(p) }
 
 // read reads, and notes how the body ends. The lock is held.
-func (b *streamedBody) read(p []byte) (int, error) {
+func (b *streamedBody) readLocked(p []byte) (int, error) {
 	n, err := b.reader.Read(p)
-	b.taken.Add(int64(n))
+	b.bytesRead.Add(int64(n))
 	if err != nil {
 		b.err = err
 	}
 	if err != nil && err != io.EOF {
-		b.broken.Store(true)
+		b.readFailed.Store(true)
 	}
 	return n, err
 }
@@ -99,7 +99,7 @@
 // Trailer implements peer.Trailered.
 func (b *streamedBody) Trailer() []peer.Field {
 	trailer := b.request.Trailer.Clone()
-	for _, name := range b.withheld {
+	for _, name := range b.reservedFields {
 		trailer.Del(name)
 	}
 	return httpfield.FromHeader(trailer)
@@ -115,19 +115,19 @@
 }
 
 // outlasts returns whether more of the body is known to be left than finish reads.
-func (b *streamedBody) outlasts() bool {
-	return b.request.ContentLength-b.taken.Load() > drainBytes
+func (b *streamedBody) exceedsDrainLimit() bool {
+	return b.request.ContentLength-b.bytesRead.Load() > maxDrainBytes
 }
 
 // finish ends the reading by others, and reads what little is left. It returns
 // whether the body has ended, so that another request may follow it.
-func (b *streamedBody) finish() bool {
+func (b *streamedBody) drain() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.answered = true
-	buffer := make([]byte, copyBuffer)
-	for n := 0; n < drainBytes && b.err == nil; {
-		m, _ := b.read(buffer) // b.err tells
+	buffer := make([]byte, copyBufferBytes)
+	for n := 0; n < maxDrainBytes && b.err == nil; {
+		m, _ := b.readLocked(buffer) // b.err tells
 		n += m
 	}
 	return b.err == io.EOF
@@ -142,9 +142,9 @@
 	}
 	control := http.NewResponseController(x.w)
 	_ = control.Flush()
-	_ = control.SetReadDeadline(time.Now().Add(drainTime))
-	if x.closes {
+	_ = control.SetReadDeadline(time.Now().Add(maxDrainTime))
+	if x.closesConnection {
 		return true // the end of the answer must not wait for that of the body
 	}
-	return x.streamed.finish()
+	return x.streamed.drain()
 }
--- a/caller/body_test.go
+++ b/caller/body_test.go
@@ -29,15 +29,15 @@
 
 // hasty answers each request as soon as it has read the first bytes of its body, one at least, and
 // leaves the reading of the rest to a goroutine, as a sending does whose gate has answered.
-type hasty struct {
-	refuses bool
-	length  int64
-	first   int
-	reading sync.WaitGroup
+type earlyResponder struct {
+	refuses    bool
+	length     int64
+	firstBytes int
+	reading    sync.WaitGroup
 }
 
 // Do implements caller.Dispatcher.
-func (h *hasty) Do(_ context.Context, r *entry.Request) (*entry.Result, *verdict.Error) {
+func (h *earlyResponder) Do(_ context.Context, r *entry.Request) (*entry.Result, *verdict.Error) {
 	body := r.Stream
 	if r.Spooled != nil {
 		body = r.Spooled.NewReader()
@@ -45,7 +45,7 @@
 	if body != nil {
 		first := make(chan struct{})
 		h.reading.Go(func() {
-			_, _ = io.ReadFull(body, make([]byte, max(1, h.first)))
+			_, _ = io.ReadFull(body, make([]byte, max(1, h.firstBytes)))
 			close(first)
 			_, _ = io.Copy(io.Discard, body)
 		})
@@ -73,33 +73,33 @@
 // answered before it has come in. The caller gets the answer whole, and its next request on the same
 // connection is answered too, unless the first answer said that none may follow. It guards against
 // one that was sent and got no answer, as the connection was closed for the rest of the body.
-func TestAnswerBeforeBody(t *testing.T) {
+func TestResponseBeforeBody(t *testing.T) {
 	const kept, once, part, little = 200 << 10, 300 << 10, 100 << 10, 20 << 10
 	tests := map[string]struct {
-		dispatcher *hasty
+		dispatcher *earlyResponder
 		size, sent int // sent before the answer
 		status     int
 		closes     bool
 	}{
-		"kept, refused":                 {&hasty{refuses: true}, kept, kept / 2, 503, false},
-		"kept, answered":                {&hasty{length: 4}, kept, kept / 2, 200, false},
-		"kept, answered without length": {&hasty{length: -1}, kept, kept / 2, 200, true},
-		"refused":                       {&hasty{refuses: true, first: part}, once, once / 2, 503, false},
-		"refused, little sent":          {&hasty{refuses: true}, once, little, 503, true},
-		"answered":                      {&hasty{length: 4, first: part}, once, once / 2, 200, false},
-		"answered, little sent":         {&hasty{length: 4}, once, little, 200, true},
-		"answered without length":       {&hasty{length: -1}, once, once / 2, 200, true},
+		"kept, refused":                 {&earlyResponder{refuses: true}, kept, kept / 2, 503, false},
+		"kept, answered":                {&earlyResponder{length: 4}, kept, kept / 2, 200, false},
+		"kept, answered without length": {&earlyResponder{length: -1}, kept, kept / 2, 200, true},
+		"refused":                       {&earlyResponder{refuses: true, firstBytes: part}, once, once / 2, 503, false},
+		"refused, little sent":          {&earlyResponder{refuses: true}, once, little, 503, true},
+		"answered":                      {&earlyResponder{length: 4, firstBytes: part}, once, once / 2, 200, false},
+		"answered, little sent":         {&earlyResponder{length: 4}, once, little, 200, true},
+		"answered without length":       {&earlyResponder{length: -1}, once, once / 2, 200, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			var complaints bytes.Buffer
+			var serverLog bytes.Buffer
 			service := &entry.Service{Name: "service", Config: operator.Service{}.WithDefaults()}
 			front := httptest.NewUnstartedServer(&caller.Handler{
 				Lookup:     func(string) (*entry.Service, bool) { return service, true },
 				Dispatcher: test.dispatcher,
 				Tracer:     noop.NewTracerProvider().Tracer(""),
 			})
-			front.Config.ErrorLog = log.New(&complaints, "", 0)
+			front.Config.ErrorLog = log.New(&serverLog, "", 0)
 			front.Start()
 			c, err := net.Dial("tcp", front.Listener.Addr().String())
 			qt.Assert(t, err, qt.IsNil)
@@ -123,20 +123,20 @@
 			c.Close()
 			test.dispatcher.reading.Wait()
 			front.Close()
-			qt.Check(t, complaints.String(), qt.Equals, "")
+			qt.Check(t, serverLog.String(), qt.Equals, "")
 		})
 	}
 }
 
 // TestBodyIsSentOnAsItComesIn has a caller send half of a body and wait: the request is sent
 // on, and its first half can be read, by each sending from the start.
-func TestBodyIsSentOnAsItComesIn(t *testing.T) {
+func TestBodyForwardedWhileReceived(t *testing.T) {
 	const size = 60_000
 	service := &entry.Service{Name: "service", Config: operator.Service{}.WithDefaults()}
 	requests := make(chan *entry.Request)
 	front := httptest.NewServer(&caller.Handler{
 		Lookup:     func(string) (*entry.Service, bool) { return service, true },
-		Dispatcher: handOver(requests),
+		Dispatcher: blockingDispatcher(requests),
 		Tracer:     noop.NewTracerProvider().Tracer(""),
 	})
 	defer front.Close()
@@ -165,10 +165,10 @@
 
 // handOver is a Dispatcher that hands each request to a test, and refuses it when it is told
 // to go on.
-type handOver chan *entry.Request
+type blockingDispatcher chan *entry.Request
 
 // Do implements caller.Dispatcher.
-func (h handOver) Do(_ context.Context, r *entry.Request) (*entry.Result, *verdict.Error) {
+func (h blockingDispatcher) Do(_ context.Context, r *entry.Request) (*entry.Result, *verdict.Error) {
 	h <- r
 	<-h
 	return nil, verdict.New(verdict.Refused, nil)
--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -33,13 +33,13 @@
 
 // path is an entry and a gate in this process, before an upstream that the
 // test plays.
-type path struct {
+type proxy struct {
 	front *httptest.Server
 	gate  *gate.Gate
 }
 
 // newPath serves the given upstream through the whole path.
-func newPath(t *testing.T, config operator.Service, h http.Handler) *path {
+func newProxy(t *testing.T, config operator.Service, h http.Handler) *proxy {
 	t.Helper()
 	back := httptest.NewServer(h)
 	tracer := noop.NewTracerProvider().Tracer("")
@@ -90,11 +90,11 @@
 		back.CloseClientConnections()
 		back.Close()
 	})
-	return &path{front: front, gate: g}
+	return &proxy{front: front, gate: g}
 }
 
 // raw sends bytes to the front and returns what comes back until it closes.
-func (p *path) raw(t *testing.T, request string) string {
+func (p *proxy) raw(t *testing.T, request string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", p.front.Listener.Addr().String())
 	qt.Assert(t, err, qt.IsNil)
@@ -102,8 +102,8 @@
 	_ = c.SetDeadline(time.Now().Add(10 * time.Second))
 	_, err = io.WriteString(c, strings.ReplaceAll(request, "\n", "\r\n"))
 	qt.Assert(t, err, qt.IsNil)
-	answer, _ := io.ReadAll(c)
-	return string(answer)
+	response, _ := io.ReadAll(c)
+	return string(response)
 }
 
 // TestRequests has one row for each thing that a request may be. The upstream
@@ -251,7 +251,7 @@
 			want:    []string{"Sassafras-Timeout-Ms="},
 		},
 	}
-	p := newPath(t, operator.Service{MaxBodyBytes: 1 << 20}, http.HandlerFunc(tell))
+	p := newProxy(t, operator.Service{MaxBodyBytes: 1 << 20}, http.HandlerFunc(echo))
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -267,7 +267,7 @@
 }
 
 // tell is an upstream that answers with what it got.
-func tell(w http.ResponseWriter, r *http.Request) {
+func echo(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/204":
 		w.WriteHeader(http.StatusNoContent)
@@ -326,31 +326,31 @@
 
 // TestManyFieldsHurtNobodyElse has a caller send too many header fields while
 // another's request is under way on the same connection between the nodes.
-func TestManyFieldsHurtNobodyElse(t *testing.T) {
+func TestTooManyFieldsAffectNoOthers(t *testing.T) {
 	began, release := make(chan struct{}), make(chan struct{})
-	p := newPath(t, operator.Service{}, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	p := newProxy(t, operator.Service{}, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/fields" {
-			tell(w, r)
+			echo(w, r)
 			return
 		}
 		close(began)
 		<-release
 	}))
-	answer := make(chan string, 1)
+	response := make(chan string, 1)
 	go func() {
-		answer <- p.raw(t, "POST / HTTP/1.1\nHost: service.example\nContent-Length: 0\nConnection: close\n\n")
+		response <- p.raw(t, "POST / HTTP/1.1\nHost: service.example\nContent-Length: 0\nConnection: close\n\n")
 	}()
 	<-began
 	p.raw(t, "GET / HTTP/1.1\nHost: service.example\n"+strings.Repeat("X-Many: 1\n", 300)+"Connection: close\n\n")
 	p.raw(t, "GET /fields HTTP/1.1\nHost: service.example\nConnection: close\n\n")
 	close(release)
-	qt.Check(t, <-answer, qt.Contains, "200 OK")
+	qt.Check(t, <-response, qt.Contains, "200 OK")
 }
 
 // TestLargeBodiesFlow sends and receives bodies far larger than any window, over
 // HTTP/1.1 and h2c.
-func TestLargeBodiesFlow(t *testing.T) {
-	p := newPath(t, operator.Service{MaxBodyBytes: 64 << 20}, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+func TestLargeBodies(t *testing.T) {
+	p := newProxy(t, operator.Service{MaxBodyBytes: 64 << 20}, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_ = http.NewResponseController(w).EnableFullDuplex()
 		if _, err := io.Copy(w, r.Body); err != nil {
 			panic(http.ErrAbortHandler)
@@ -384,7 +384,7 @@
 func TestExpectContinue(t *testing.T) {
 	for name, drained := range map[string]bool{"admitted": false, "refused": true} {
 		t.Run(name, func(t *testing.T) {
-			p := newPath(t, operator.Service{}, http.HandlerFunc(tell))
+			p := newProxy(t, operator.Service{}, http.HandlerFunc(echo))
 			if drained {
 				p.gate.Drain()
 			}
@@ -404,8 +404,8 @@
 	}
 }
 
-func TestEarlyHintsPass(t *testing.T) {
-	p := newPath(t, operator.Service{}, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+func TestEarlyHintsForwarded(t *testing.T) {
+	p := newProxy(t, operator.Service{}, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Link", "</x.css>")
 		w.WriteHeader(http.StatusEarlyHints)
 		w.Header().Del("Link")
@@ -430,12 +430,12 @@
 
 // TestCallerGoneReachesTheUpstream has the caller leave, and expects the
 // upstream to see its own request cancelled.
-func TestCallerGoneReachesTheUpstream(t *testing.T) {
-	began, gone := make(chan struct{}), make(chan struct{})
-	p := newPath(t, operator.Service{}, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+func TestDisconnectCancelsUpstreamRequest(t *testing.T) {
+	began, cancelled := make(chan struct{}), make(chan struct{})
+	p := newProxy(t, operator.Service{}, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		close(began)
 		<-r.Context().Done()
-		close(gone)
+		close(cancelled)
 	}))
 	c, err := net.Dial("tcp", p.front.Listener.Addr().String())
 	qt.Assert(t, err, qt.IsNil)
@@ -443,7 +443,7 @@
 	<-began
 	c.Close()
 	select {
-	case <-gone:
+	case <-cancelled:
 	case <-time.After(20 * time.Second):
 		t.Fatal("the upstream still runs")
 	}
@@ -451,9 +451,9 @@
 
 // TestStreamsAsItComes reads the first part of an answer before the upstream
 // has written the second.
-func TestStreamsAsItComes(t *testing.T) {
+func TestResponseStreamed(t *testing.T) {
 	next := make(chan struct{})
-	p := newPath(t, operator.Service{}, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	p := newProxy(t, operator.Service{}, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprintln(w, "first")
 		_ = http.NewResponseController(w).Flush()
 		<-next
@@ -476,7 +476,7 @@
 
 // TestProblem reads a failure as a document.
 func TestProblem(t *testing.T) {
-	p := newPath(t, operator.Service{}, http.HandlerFunc(tell))
+	p := newProxy(t, operator.Service{}, http.HandlerFunc(echo))
 	p.gate.Drain()
 	r, _ := http.NewRequest("POST", p.front.URL, strings.NewReader("x"))
 	r.Host = "service.example"
@@ -522,7 +522,7 @@
 }
 
 // TestHeadLimit has heads at and over the limit of a route's table.
-func TestHeadLimit(t *testing.T) {
+func TestHeaderLimit(t *testing.T) {
 	table, err := routes.New(routes.Table{
 		Version: 1,
 		Limits:  routes.Limits{MaxHeaderBytes: 1000},
--- a/caller/closing_test.go
+++ b/caller/closing_test.go
@@ -29,44 +29,44 @@
 )
 
 // dialled is a listener of pipes that can be closed.
-type dialled struct {
-	pipes
+type closablePipes struct {
+	pipeListener
 	done chan struct{}
 }
 
-func (d dialled) Accept() (net.Conn, error) {
+func (d closablePipes) Accept() (net.Conn, error) {
 	select {
-	case c := <-d.pipes:
+	case c := <-d.pipeListener:
 		return c, nil
 	case <-d.done:
 		return nil, net.ErrClosed
 	}
 }
 
-func (d dialled) Close() error {
+func (d closablePipes) Close() error {
 	close(d.done)
 	return nil
 }
 
 // served is a server of callers on the runtime's clock, with one connection.
-type served struct {
-	t        *testing.T
-	listener *caller.Listener
-	server   *http.Server
-	source   dialled
-	conn     net.Conn                // the caller's end
-	cut      context.CancelCauseFunc // ends the contexts of all requests
-	cancels  atomic.Int32            // requests whose contexts ended under their handlers
+type testServer struct {
+	t         *testing.T
+	listener  *caller.Listener
+	server    *http.Server
+	source    closablePipes
+	conn      net.Conn                // the caller's end
+	cancel    context.CancelCauseFunc // ends the contexts of all requests
+	cancelled atomic.Int32            // requests whose contexts ended under their handlers
 }
 
 // serve starts a server whose requests take a second each. Hook, if not nil, is called after the
 // listener has taken in a new state of the connection.
-func serve(t *testing.T, hook func(c net.Conn, s http.ConnState)) *served {
-	s := &served{
+func newTestServer(t *testing.T, hook func(c net.Conn, s http.ConnState)) *testServer {
+	s := &testServer{
 		t: t,
-		source: dialled{
-			pipes: make(pipes, 1),
-			done:  make(chan struct{}),
+		source: closablePipes{
+			pipeListener: make(pipeListener, 1),
+			done:         make(chan struct{}),
 		},
 	}
 	s.listener = &caller.Listener{Listener: s.source}
@@ -94,12 +94,12 @@
 	}
 	s.server.Protocols.SetHTTP1(true)
 	s.server.Protocols.SetUnencryptedHTTP2(true)
-	requests, cut := context.WithCancelCause(t.Context())
-	s.cut = cut
+	requests, cancel := context.WithCancelCause(t.Context())
+	s.cancel = cancel
 	s.server.BaseContext = func(net.Listener) context.Context { return requests }
 	var theirs net.Conn
 	s.conn, theirs = net.Pipe()
-	s.source.pipes <- theirs
+	s.source.pipeListener <- theirs
 	go s.server.Serve(s.listener)
 	t.Cleanup(func() {
 		_ = s.conn.Close()
@@ -110,7 +110,7 @@
 }
 
 // Do implements caller.Dispatcher. A request takes a second from the end of its body.
-func (s *served) Do(ctx context.Context, r *entry.Request) (*entry.Result, *verdict.Error) {
+func (s *testServer) Do(ctx context.Context, r *entry.Request) (*entry.Result, *verdict.Error) {
 	body := r.Body
 	if r.Stream != nil {
 		var err error
@@ -121,14 +121,14 @@
 	select {
 	case <-time.After(time.Second):
 	case <-ctx.Done():
-		s.cancels.Add(1)
+		s.cancelled.Add(1)
 		return nil, verdict.New(verdict.CallerGone, context.Cause(ctx))
 	}
-	answer := fmt.Sprintf("%s %s", r.Target, body)
+	text := fmt.Sprintf("%s %s", r.Target, body)
 	response := &peer.Response{
 		Status:  http.StatusOK,
-		Length:  int64(len(answer)),
-		Body:    strings.NewReader(answer),
+		Length:  int64(len(text)),
+		Body:    strings.NewReader(text),
 		Trailer: func() []peer.Field { return nil },
 	}
 	if r.Target == "/abort" {
@@ -138,13 +138,13 @@
 }
 
 // send writes to the server, without waiting for it.
-func (s *served) send(text string) {
+func (s *testServer) send(text string) {
 	go func() { _, _ = io.WriteString(s.conn, strings.ReplaceAll(text, "\n", "\r\n")) }()
 	synctest.Wait()
 }
 
 // answers yields the bodies of all answers, and is closed when the connection ends.
-func (s *served) answers() <-chan string {
+func (s *testServer) responses() <-chan string {
 	all := make(chan string, 10)
 	go func() {
 		defer close(all)
@@ -165,12 +165,12 @@
 }
 
 // quiet checks that the listener's connections end, and that no handler lost its caller.
-func (s *served) quiet() {
+func (s *testServer) checkClosed() {
 	s.t.Helper()
 	ctx, cancel := context.WithTimeout(s.t.Context(), time.Minute)
 	defer cancel()
 	qt.Check(s.t, s.listener.AwaitClosed(ctx), qt.IsNil)
-	qt.Check(s.t, s.cancels.Load(), qt.Equals, int32(0), qt.Commentf("requests whose contexts ended"))
+	qt.Check(s.t, s.cancelled.Load(), qt.Equals, int32(0), qt.Commentf("requests whose contexts ended"))
 }
 
 // nth returns a function that calls f at its nth call.
@@ -192,7 +192,7 @@
 // TestCloseMeetsRequest has a server close a connection that it took for idle when a request on
 // it is already being handled, or has come in with the one before. Those requests lost their
 // answers, or their contexts ended, which gave up the upstream's run.
-func TestCloseMeetsRequest(t *testing.T) {
+func TestCloseDuringRequest(t *testing.T) {
 	tests := map[string]struct {
 		state http.ConnState // when the connection is closed
 		nth   int            // the how manieth of that state
@@ -213,13 +213,13 @@
 			synctest.Test(t, func(t *testing.T) {
 				var conn net.Conn
 				closes := nth(test.nth, func() { _ = conn.Close() })
-				s := serve(t, func(c net.Conn, state http.ConnState) {
+				s := newTestServer(t, func(c net.Conn, state http.ConnState) {
 					conn = c
 					if state == test.state {
 						closes()
 					}
 				})
-				answers := s.answers()
+				responses := s.responses()
 				for _, text := range test.sent {
 					s.send(text)
 					time.Sleep(50 * time.Millisecond)
@@ -228,11 +228,11 @@
 					}
 				}
 				for _, want := range test.want {
-					qt.Check(t, <-answers, qt.Equals, want)
+					qt.Check(t, <-responses, qt.Equals, want)
 				}
-				_, more := <-answers
+				_, more := <-responses
 				qt.Check(t, more, qt.IsFalse, qt.Commentf("the connection ends"))
-				s.quiet()
+				s.checkClosed()
 			})
 		})
 	}
@@ -240,9 +240,9 @@
 
 // TestBodyLate has the body of a request not come in by its deadline, and nothing more come from the
 // caller. The answer was held back until something did.
-func TestBodyLate(t *testing.T) {
+func TestLateBody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := serve(t, nil)
+		s := newTestServer(t, nil)
 		s.send("POST /two HTTP/1.1\nHost: service.example\nSassafras-Timeout-Ms: 50\nContent-Length: 10\n\nhalf")
 		all, err := io.ReadAll(s.conn)
 		qt.Check(t, err, qt.IsNil)
@@ -253,7 +253,7 @@
 
 // TestStopBeforeSent has a node stop for good while requests have not been sent on, or have been.
 // Only those that have not are told so.
-func TestStopBeforeSent(t *testing.T) {
+func TestStopBeforeForwarding(t *testing.T) {
 	tests := map[string]struct {
 		sent string
 		want []string
@@ -270,10 +270,10 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := serve(t, nil)
+				s := newTestServer(t, nil)
 				s.listener.DisableKeepAlives()
 				s.send(test.sent)
-				s.cut(verdict.New(verdict.NotSent, nil).WithRetryAfter(time.Millisecond))
+				s.cancel(verdict.New(verdict.NotSent, nil).WithRetryAfter(time.Millisecond))
 				all, err := io.ReadAll(s.conn)
 				qt.Check(t, err, qt.IsNil)
 				for _, want := range test.want {
--- a/caller/connection.go
+++ b/caller/connection.go
@@ -19,19 +19,19 @@
 type phase uint8
 
 const (
-	phaseHead    phase = iota // the head of a request is due or coming in
-	phaseHandled              // a request is being handled
+	phaseHeader  phase = iota // the head of a request is due or coming in
+	phaseHandler              // a request is being handled
 	phaseIdle                 // nothing of the next request has come in
 )
 
 // ending is how far a connection is that is to end.
-type ending uint8
+type closeState uint8
 
 const (
-	endingNot   ending = iota
-	endingAfter        // once the request that is being handled has its answer
-	endingTold         // its reader has been told to stop
-	endingLook         // its reader looks once more for a request that has come in
+	closeNone          closeState = iota
+	closeAfterResponse            // once the request that is being handled has its answer
+	closeInterrupted              // its reader has been told to stop
+	closeLastRead                 // its reader looks once more for a request that has come in
 )
 
 // connection is a caller's connection. It notes whether a head with a
@@ -42,38 +42,38 @@
 	net.Conn
 	listener *Listener
 
-	mu      sync.Mutex
-	phase   phase
-	begun   bool      // whether part of the present head has been read
-	served  bool      // whether the present request has come to its handler
-	ending  ending    // whether the connection is to end unless a request has begun
-	asked   time.Time // the deadline that the server set last
-	streams bool      // whether it speaks HTTP/2, whose server ends it in good order
-	length  bool      // whether a Content-Length came in
-	tail    []byte    // the last bytes read, where the field's name may have begun
+	mu               sync.Mutex
+	phase            phase
+	headerBegun      bool       // whether part of the present head has been read
+	handlerStarted   bool       // whether the present request has come to its handler
+	closeState       closeState // whether the connection is to end unless a request has begun
+	serverDeadline   time.Time  // the deadline that the server set last
+	isHTTP2          bool       // whether it speaks HTTP/2, whose server ends it in good order
+	hasContentLength bool       // whether a Content-Length came in
+	scanTail         []byte     // the last bytes read, where the field's name may have begun
 }
 
 const (
 	// lengthField is what a Content-Length looks like on the wire, in lower case. A
 	// body may hold the same bytes, which then costs its connection and nothing
 	// else.
-	lengthField = "\ncontent-length"
+	contentLengthField = "\ncontent-length"
 	// streamsPreface is how a connection of HTTP/2 begins (RFC 9113, section 3.4).
-	streamsPreface = "PRI "
+	http2Preface = "PRI "
 	// headAfterClose bounds the rest of a head whose first bytes crossed the closing
 	// of its connection, where no other bound is in force. Heads come in within a few
 	// round trips.
-	headAfterClose = 2 * time.Second
+	headerTimeoutAfterClose = 2 * time.Second
 	// crossing is how long a reader that has been told to stop still looks for a
 	// request. A read after its deadline returns nothing, also where something has
 	// come in.
-	crossing = 100 * time.Millisecond
+	lastReadTimeout = 100 * time.Millisecond
 )
 
 // Read implements net.Conn.
 func (c *connection) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if n == 0 && c.mayLook(err) {
+	if n == 0 && c.allowsLastRead(err) {
 		n, err = c.Conn.Read(p)
 	}
 	if n > 0 {
@@ -84,17 +84,17 @@
 
 // mayLook returns whether a read that ended by err is done once more, because it
 // was told to stop.
-func (c *connection) mayLook(err error) bool {
+func (c *connection) allowsLastRead(err error) bool {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ending != endingTold {
+	if c.closeState != closeInterrupted {
 		return false
 	}
-	c.ending = endingLook
-	return c.Conn.SetReadDeadline(time.Now().Add(crossing)) == nil
+	c.closeState = closeLastRead
+	return c.Conn.SetReadDeadline(time.Now().Add(lastReadTimeout)) == nil
 }
 
 // scan takes in what was read. The server reads only when it has used up what it
@@ -102,34 +102,34 @@
 func (c *connection) scan(p []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.phase == phaseIdle && !c.streams {
-		c.phase = phaseHead
-		c.length = false
-		c.tail = c.tail[:0]
+	if c.phase == phaseIdle && !c.isHTTP2 {
+		c.phase = phaseHeader
+		c.hasContentLength = false
+		c.scanTail = c.scanTail[:0]
 	}
-	if c.phase == phaseHead && !c.begun {
-		c.begin(p)
+	if c.phase == phaseHeader && !c.headerBegun {
+		c.beginHeader(p)
 	}
-	if c.length {
+	if c.hasContentLength {
 		return
 	}
-	seen := append(c.tail, bytes.ToLower(p)...)
-	c.length = bytes.Contains(seen, []byte(lengthField))
-	c.tail = append(c.tail[:0], seen[max(0, len(seen)-len(lengthField)+1):]...)
+	seen := append(c.scanTail, bytes.ToLower(p)...)
+	c.hasContentLength = bytes.Contains(seen, []byte(contentLengthField))
+	c.scanTail = append(c.scanTail[:0], seen[max(0, len(seen)-len(contentLengthField)+1):]...)
 }
 
 // begin takes in the first bytes of a request. The lock is held.
-func (c *connection) begin(p []byte) {
-	c.begun = true
-	c.streams = c.streams || bytes.HasPrefix(p, []byte(streamsPreface))
-	if c.ending >= endingTold {
-		c.ending = endingAfter
-		_ = c.Conn.SetReadDeadline(c.deadline(time.Now().Add(headAfterClose)))
+func (c *connection) beginHeader(p []byte) {
+	c.headerBegun = true
+	c.isHTTP2 = c.isHTTP2 || bytes.HasPrefix(p, []byte(http2Preface))
+	if c.closeState >= closeInterrupted {
+		c.closeState = closeAfterResponse
+		_ = c.Conn.SetReadDeadline(c.boundDeadline(time.Now().Add(headerTimeoutAfterClose)))
 	}
 }
 
 // longAgo is a deadline that has passed.
-var longAgo = time.Unix(1, 0)
+var pastDeadline = time.Unix(1, 0)
 
 // SetReadDeadline implements net.Conn. The server sets a deadline before it
 // reads a head, another while it waits for the next request, and none while a
@@ -137,28 +137,28 @@
 func (c *connection) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.asked = t
-	if c.ending >= endingTold {
+	c.serverDeadline = t
+	if c.closeState >= closeInterrupted {
 		return nil // that of the ending is in force
 	}
-	return c.Conn.SetReadDeadline(c.deadline(t))
+	return c.Conn.SetReadDeadline(c.boundDeadline(t))
 }
 
 // deadline returns t, or what the bounds say if that is earlier. The lock is
 // held.
-func (c *connection) deadline(t time.Time) time.Time {
+func (c *connection) boundDeadline(t time.Time) time.Time {
 	bounds := c.listener.Timeouts
 	if t.IsZero() || bounds == nil {
 		return t
 	}
-	var most time.Duration
+	var timeout time.Duration
 	switch c.phase {
-	case phaseHead:
-		most = bounds().Header
+	case phaseHeader:
+		timeout = bounds().Header
 	case phaseIdle:
-		most = bounds().Idle
+		timeout = bounds().Idle
 	}
-	if limit := time.Now().Add(most); most > 0 && limit.Before(t) {
+	if limit := time.Now().Add(timeout); timeout > 0 && limit.Before(t) {
 		return limit
 	}
 	return t
@@ -172,35 +172,35 @@
 // closed the connection, which changed takes in.
 func (c *connection) Close() error {
 	c.mu.Lock()
-	serverDone := c.streams && c.phase != phaseHead
+	serverDone := c.isHTTP2 && c.phase != phaseHeader
 	c.mu.Unlock()
 	if serverDone {
-		return c.end() // the server of HTTP/2 closes its connections itself, when it is done with them
+		return c.closeNow() // the server of HTTP/2 closes its connections itself, when it is done with them
 	}
-	c.stop()
+	c.closeWhenIdle()
 	return nil
 }
 
 // stop has the connection end as soon as it bears no request. Between two requests
 // its reader is told to stop, and finds either nothing, or a request that it lets
 // in. A connection with a request ends after the answer.
-func (c *connection) stop() {
+func (c *connection) closeWhenIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.streams || c.ending != endingNot:
-	case c.phase == phaseHandled || c.begun:
-		c.ending = endingAfter
+	case c.isHTTP2 || c.closeState != closeNone:
+	case c.phase == phaseHandler || c.headerBegun:
+		c.closeState = closeAfterResponse
 	default:
-		c.stopReading()
+		c.interruptRead()
 	}
 }
 
 // stopReading tells the reader of a connection between two requests to stop. The
 // lock is held.
-func (c *connection) stopReading() {
-	c.ending = endingTold
-	_ = c.Conn.SetReadDeadline(longAgo) // it fails if the connection is closed
+func (c *connection) interruptRead() {
+	c.closeState = closeInterrupted
+	_ = c.Conn.SetReadDeadline(pastDeadline) // it fails if the connection is closed
 }
 
 // awaitsHandler returns whether a request is due or coming in, or has not come to its
@@ -208,18 +208,18 @@
 func (c *connection) awaitsHandler() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.streams {
-		return c.phase == phaseHead
+	if c.isHTTP2 {
+		return c.phase == phaseHeader
 	}
-	return !c.served
+	return !c.handlerStarted
 }
 
 // serve takes in that the present request has come to its handler.
-func (c *connection) serve() {
+func (c *connection) markHandlerStarted() {
 	c.mu.Lock()
-	c.served = true
+	c.handlerStarted = true
 	c.mu.Unlock()
-	c.listener.changed(c, false)
+	c.listener.notify(c, false)
 }
 
 // linger closes the connection, which its server has done with. After an answer it waits until
@@ -227,60 +227,60 @@
 // such as a further request, resets it, and what has not arrived of the answer is lost.
 func (c *connection) linger() {
 	c.mu.Lock()
-	answered := c.phase == phaseHandled && !c.streams
+	answered := c.phase == phaseHandler && !c.isHTTP2
 	c.mu.Unlock()
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if !answered || !ok || half.CloseWrite() != nil {
-		_ = c.end() // no-one reads from it any more
+		_ = c.closeNow() // no-one reads from it any more
 		return
 	}
 	go func() {
-		_ = c.Conn.SetReadDeadline(time.Now().Add(drainTime))
-		_, _ = io.Copy(io.Discard, io.LimitReader(c.Conn, drainBytes))
-		_ = c.end()
+		_ = c.Conn.SetReadDeadline(time.Now().Add(maxDrainTime))
+		_, _ = io.Copy(io.Discard, io.LimitReader(c.Conn, maxDrainBytes))
+		_ = c.closeNow()
 	}()
 }
 
 // end closes the connection in any case.
-func (c *connection) end() error {
-	defer c.listener.changed(c, true)
+func (c *connection) closeNow() error {
+	defer c.listener.notify(c, true)
 	return c.Conn.Close()
 }
 
 // changed takes in the connection's new state.
-func (c *connection) changed(s http.ConnState) {
+func (c *connection) stateChanged(s http.ConnState) {
 	if s == http.StateClosed {
 		c.linger()
 		return
 	}
-	c.take(s)
-	c.listener.changed(c, false)
+	c.applyState(s)
+	c.listener.notify(c, false)
 }
 
 // take does what changed says for a connection that is not closed.
-func (c *connection) take(s http.ConnState) {
+func (c *connection) applyState(s http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.begun = false
-	c.served = false
+	c.headerBegun = false
+	c.handlerStarted = false
 	switch s {
 	case http.StateActive:
-		c.phase = phaseHandled
-		if c.ending >= endingTold { // the head had come in with the request before
-			c.ending = endingAfter
-			_ = c.Conn.SetReadDeadline(c.asked)
+		c.phase = phaseHandler
+		if c.closeState >= closeInterrupted { // the head had come in with the request before
+			c.closeState = closeAfterResponse
+			_ = c.Conn.SetReadDeadline(c.serverDeadline)
 		}
 	case http.StateIdle:
 		c.phase = phaseIdle
-		if c.ending == endingAfter && !c.streams {
-			c.stopReading()
+		if c.closeState == closeAfterResponse && !c.isHTTP2 {
+			c.interruptRead()
 		}
 	}
 }
 
 // ambiguous returns whether a Content-Length came in with the present request.
-func (c *connection) ambiguous() bool {
+func (c *connection) receivedContentLength() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.length
+	return c.hasContentLength
 }
--- a/caller/draining_test.go
+++ b/caller/draining_test.go
@@ -22,22 +22,22 @@
 
 // The moments of a stop in the tests below, from their beginnings.
 const (
-	leaves = 10 * time.Second
-	drains = 11 * time.Second
+	stopTime  = 10 * time.Second
+	drainTime = 11 * time.Second
 )
 
 // stop stops the server as a node does.
-func (s *served) stop() {
-	time.Sleep(leaves)
+func (s *testServer) stop() {
+	time.Sleep(stopTime)
 	s.listener.DisableKeepAlives()
-	time.Sleep(drains - leaves)
+	time.Sleep(drainTime - stopTime)
 	qt.Check(s.t, s.listener.Drain(s.t.Context()), qt.IsNil)
 	qt.Check(s.t, s.server.Shutdown(s.t.Context()), qt.IsNil)
-	s.quiet()
+	s.checkClosed()
 }
 
 // part is what a caller writes at a moment.
-type part struct {
+type timedWrite struct {
 	at   time.Duration
 	text string
 }
@@ -45,38 +45,38 @@
 // TestRequestsCrossStop has requests come in around the moments of a stop. Those whose heads were
 // read while the server shut down got no answer, and neither did those that came in on a
 // kept connection just when it was closed.
-func TestRequestsCrossStop(t *testing.T) {
+func TestRequestsDuringStop(t *testing.T) {
 	const moment = time.Millisecond
-	first := part{5 * time.Second, firstRequest}
+	first := timedWrite{5 * time.Second, firstRequest}
 	tests := map[string]struct {
-		sent []part
+		sent []timedWrite
 		want []string
 	}{
-		"running as it leaves":            {sent: []part{{leaves - moment, firstRequest}}, want: []string{"/one "}},
-		"running as it drains":            {sent: []part{{drains - moment, firstRequest}}, want: []string{"/one "}},
-		"fresh, in between":               {sent: []part{{leaves + moment, firstRequest}}, want: []string{"/one "}},
-		"fresh, crossing the drain":       {sent: []part{{drains + moment, firstRequest}}, want: []string{"/one "}},
-		"kept, crossing the leave":        {sent: []part{first, {leaves + moment, secondRequest}}, want: []string{"/one ", "/two "}},
-		"kept, in between":                {sent: []part{first, {leaves + 500*moment, secondRequest}}, want: []string{"/one ", "/two "}},
-		"kept, crossing the drain":        {sent: []part{first, {drains + moment, secondRequest}}, want: []string{"/one ", "/two "}},
-		"kept, nothing more comes":        {sent: []part{first}, want: []string{"/one "}},
+		"running as it leaves":            {sent: []timedWrite{{stopTime - moment, firstRequest}}, want: []string{"/one "}},
+		"running as it drains":            {sent: []timedWrite{{drainTime - moment, firstRequest}}, want: []string{"/one "}},
+		"fresh, in between":               {sent: []timedWrite{{stopTime + moment, firstRequest}}, want: []string{"/one "}},
+		"fresh, crossing the drain":       {sent: []timedWrite{{drainTime + moment, firstRequest}}, want: []string{"/one "}},
+		"kept, crossing the leave":        {sent: []timedWrite{first, {stopTime + moment, secondRequest}}, want: []string{"/one ", "/two "}},
+		"kept, in between":                {sent: []timedWrite{first, {stopTime + 500*moment, secondRequest}}, want: []string{"/one ", "/two "}},
+		"kept, crossing the drain":        {sent: []timedWrite{first, {drainTime + moment, secondRequest}}, want: []string{"/one ", "/two "}},
+		"kept, nothing more comes":        {sent: []timedWrite{first}, want: []string{"/one "}},
 		"nothing comes":                   {},
-		"head in halves over the leave":   {sent: []part{{leaves - moment, firstRequest[:20]}, {leaves + moment, firstRequest[20:]}}, want: []string{"/one "}},
-		"head in halves over the drain":   {sent: []part{{drains - moment, firstRequest[:20]}, {drains + 900*moment, firstRequest[20:]}}, want: []string{"/one "}},
-		"kept, in halves over the drain":  {sent: []part{first, {drains - moment, secondRequest[:20]}, {drains + 900*moment, secondRequest[20:]}}, want: []string{"/one ", "/two "}},
-		"pipelined before it leaves":      {sent: []part{{leaves - 1500*moment, firstRequest + secondRequest}}, want: []string{"/one ", "/two "}},
-		"pipelined, the first runs on":    {sent: []part{{leaves - moment, firstRequest + secondRequest}}, want: []string{"/one "}},
-		"a body through all of it":        {sent: []part{{leaves - moment, chunkedPost + "2\nhi\n"}, {drains - moment, "2\nho\n"}, {drains + 5*time.Second, "2\nhu\n0\n\n"}}, want: []string{"/two hihohu"}},
-		"a body whose head crosses":       {sent: []part{{drains - moment, chunkedPost[:30]}, {drains + moment, chunkedPost[30:]}, {drains + 5*time.Second, "2\nhu\n0\n\n"}}, want: []string{"/two hu"}},
-		"a pipelined body crosses":        {sent: []part{{drains - 1001*moment, firstRequest + chunkedPost}, {drains + 5*time.Second, "2\nhu\n0\n\n"}}, want: []string{"/one "}},
-		"a body after a kept request":     {sent: []part{first, {drains + moment, chunkedPost}, {drains + 5*time.Second, "2\nhu\n0\n\n"}}, want: []string{"/one ", "/two hu"}},
-		"an aborted answer, then nothing": {sent: []part{first, {leaves + moment, strings.Replace(firstRequest, "/one", "/abort", 1)}}, want: []string{"/one "}},
+		"head in halves over the leave":   {sent: []timedWrite{{stopTime - moment, firstRequest[:20]}, {stopTime + moment, firstRequest[20:]}}, want: []string{"/one "}},
+		"head in halves over the drain":   {sent: []timedWrite{{drainTime - moment, firstRequest[:20]}, {drainTime + 900*moment, firstRequest[20:]}}, want: []string{"/one "}},
+		"kept, in halves over the drain":  {sent: []timedWrite{first, {drainTime - moment, secondRequest[:20]}, {drainTime + 900*moment, secondRequest[20:]}}, want: []string{"/one ", "/two "}},
+		"pipelined before it leaves":      {sent: []timedWrite{{stopTime - 1500*moment, firstRequest + secondRequest}}, want: []string{"/one ", "/two "}},
+		"pipelined, the first runs on":    {sent: []timedWrite{{stopTime - moment, firstRequest + secondRequest}}, want: []string{"/one "}},
+		"a body through all of it":        {sent: []timedWrite{{stopTime - moment, chunkedPost + "2\nhi\n"}, {drainTime - moment, "2\nho\n"}, {drainTime + 5*time.Second, "2\nhu\n0\n\n"}}, want: []string{"/two hihohu"}},
+		"a body whose head crosses":       {sent: []timedWrite{{drainTime - moment, chunkedPost[:30]}, {drainTime + moment, chunkedPost[30:]}, {drainTime + 5*time.Second, "2\nhu\n0\n\n"}}, want: []string{"/two hu"}},
+		"a pipelined body crosses":        {sent: []timedWrite{{drainTime - 1001*moment, firstRequest + chunkedPost}, {drainTime + 5*time.Second, "2\nhu\n0\n\n"}}, want: []string{"/one "}},
+		"a body after a kept request":     {sent: []timedWrite{first, {drainTime + moment, chunkedPost}, {drainTime + 5*time.Second, "2\nhu\n0\n\n"}}, want: []string{"/one ", "/two hu"}},
+		"an aborted answer, then nothing": {sent: []timedWrite{first, {stopTime + moment, strings.Replace(firstRequest, "/one", "/abort", 1)}}, want: []string{"/one "}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := serve(t, nil)
-				answers := s.answers()
+				s := newTestServer(t, nil)
+				responses := s.responses()
 				var sending sync.WaitGroup
 				sending.Go(func() {
 					began := time.Now()
@@ -88,7 +88,7 @@
 				s.stop()
 				sending.Wait()
 				var got []string
-				for a := range answers {
+				for a := range responses {
 					got = append(got, a)
 				}
 				qt.Check(t, got, qt.DeepEquals, test.want)
@@ -99,25 +99,25 @@
 
 // TestStreamsCrossStop does the same over HTTP/2, where a caller is told which requests have not
 // been taken up.
-func TestStreamsCrossStop(t *testing.T) {
+func TestHTTP2RequestsDuringStop(t *testing.T) {
 	const moment = time.Millisecond
 	tests := map[string][]time.Duration{
-		"running as it leaves":     {leaves - moment},
-		"running as it drains":     {drains - moment},
-		"in between":               {leaves + moment},
-		"kept, in between":         {5 * time.Second, leaves + moment},
-		"kept, crossing the drain": {5 * time.Second, drains - 2*moment, drains - moment},
-		"all at once":              {leaves - moment, leaves, leaves + moment, drains - moment},
+		"running as it leaves":     {stopTime - moment},
+		"running as it drains":     {drainTime - moment},
+		"in between":               {stopTime + moment},
+		"kept, in between":         {5 * time.Second, stopTime + moment},
+		"kept, crossing the drain": {5 * time.Second, drainTime - 2*moment, drainTime - moment},
+		"all at once":              {stopTime - moment, stopTime, stopTime + moment, drainTime - moment},
 	}
 	for name, moments := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := serve(t, nil)
+				s := newTestServer(t, nil)
 				transport := &http.Transport{
 					Protocols: new(http.Protocols),
 					DialContext: func(context.Context, string, string) (net.Conn, error) {
 						ours, theirs := net.Pipe()
-						s.source.pipes <- theirs
+						s.source.pipeListener <- theirs
 						return ours, nil
 					},
 				}
@@ -148,18 +148,18 @@
 }
 
 // toldListener says when it is first told to close, or to look for a time only.
-type toldListener struct {
+type notifyingListener struct {
 	*net.TCPListener
-	told func()
+	notify func()
 }
 
-func (l *toldListener) SetDeadline(t time.Time) error {
-	defer l.told()
+func (l *notifyingListener) SetDeadline(t time.Time) error {
+	defer l.notify()
 	return l.TCPListener.SetDeadline(t)
 }
 
-func (l *toldListener) Close() error {
-	defer l.told()
+func (l *notifyingListener) Close() error {
+	defer l.notify()
 	return l.TCPListener.Close()
 }
 
@@ -168,12 +168,12 @@
 func TestConnectionOpenedBeforeDrain(t *testing.T) {
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
-	s := serve(t, nil)
-	told := make(chan struct{})
+	s := newTestServer(t, nil)
+	notified := make(chan struct{})
 	listener := &caller.Listener{
-		Listener: &toldListener{
+		Listener: &notifyingListener{
 			TCPListener: tcp.(*net.TCPListener),
-			told:        sync.OnceFunc(func() { close(told) }),
+			notify:      sync.OnceFunc(func() { close(notified) }),
 		},
 	}
 	c, err := net.Dial("tcp", tcp.Addr().String())
@@ -183,7 +183,7 @@
 	qt.Assert(t, err, qt.IsNil)
 	drained := make(chan error)
 	go func() { drained <- listener.Drain(t.Context()) }()
-	<-told
+	<-notified
 	go s.server.Serve(listener)
 	all, err := io.ReadAll(c)
 	qt.Check(t, err, qt.IsNil)
--- a/caller/handler.go
+++ b/caller/handler.go
@@ -106,7 +106,7 @@
 	// Ended, if not nil, is called at the end of each request.
 	OnRequestEnd func(Outcome)
 
-	underWay underWay
+	inFlight inFlight
 }
 
 // exchange is the handling of one request.
@@ -118,22 +118,22 @@
 	outcome Outcome
 	// broken is whether reading the body failed, after which nobody knows where
 	// the next request begins.
-	broken atomic.Bool
+	bodyReadFailed atomic.Bool
 	// streamed is the body if it is read while the request is under way, or nil.
 	streamed *streamedBody
 	// kept is the body if it is kept besides, or nil.
-	kept *spool.Body
+	spooled *spool.Body
 	// closes is whether the answer is the last one of its connection.
-	closes bool
+	closesConnection bool
 	// pass is what its organisation's rate limit lets it in by, or nil.
-	pass *ratelimit.Permit
+	permit *ratelimit.Permit
 }
 
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	began := time.Now()
 	if c := connectionOf(r); c != nil {
-		c.serve()
+		c.markHandlerStarted()
 	}
 	x := &exchange{
 		handler: h,
@@ -146,17 +146,17 @@
 			Path:   r.URL.Path,
 		},
 	}
-	h.underWay.add(x)
-	defer h.underWay.remove(x)
+	h.inFlight.add(x)
+	defer h.inFlight.remove(x)
 	ctx := tracing.Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 	ctx, span := h.Tracer.Start(ctx, "entry", trace.WithSpanKind(trace.SpanKindServer))
-	cut := x.serve(ctx)
+	truncated := x.serve(ctx)
 	if f := x.outcome.Failure; f != nil && f.Verdict() == verdict.NotRun {
-		x.pass.Refund()
+		x.permit.Refund()
 	}
 	x.outcome.Duration = time.Since(began)
-	x.noteBody()
-	cut = !x.finishBody() || cut
+	x.recordBodyTime()
+	truncated = !x.finishBody() || truncated
 	if span.IsRecording() {
 		span.SetAttributes(attribute.String("http.request.method", r.Method), attribute.String("sassafras.service", x.outcome.Service), attribute.Int("sassafras.tries", x.outcome.Attempts))
 	}
@@ -164,41 +164,41 @@
 	if h.OnRequestEnd != nil {
 		h.OnRequestEnd(x.outcome)
 	}
-	if cut {
+	if truncated {
 		panic(http.ErrAbortHandler)
 	}
 }
 
 // noteBody notes how long the body took to come in.
-func (x *exchange) noteBody() {
-	if x.kept == nil {
+func (x *exchange) recordBodyTime() {
+	if x.spooled == nil {
 		return
 	}
-	x.outcome.BodyBytes = x.kept.Length
-	if took, whole := x.kept.ReceiveTime(); whole {
+	x.outcome.BodyBytes = x.spooled.Length
+	if took, whole := x.spooled.ReceiveTime(); whole {
 		x.outcome.BodyReceiveTime = took
 	}
 }
 
 // requestID returns the caller's request id if it is a plain one, or a new one.
 func requestID(r *http.Request, name string) string {
-	const most = 128
+	const maxLength = 128
 	id := r.Header.Get(name)
 	plain := strings.IndexFunc(id, func(c rune) bool { return c <= ' ' || c > '~' }) < 0
-	if id != "" && len(id) <= most && plain {
+	if id != "" && len(id) <= maxLength && plain {
 		return id
 	}
 	return rand.Text()
 }
 
 // serve handles the request. It returns whether the answer must be cut.
-func (x *exchange) serve(ctx context.Context) (cut bool) {
+func (x *exchange) serve(ctx context.Context) (truncated bool) {
 	target, failure := x.resolver().Resolve(x.r)
 	if failure == nil {
-		failure = carriable(x.r, target.MaxHeaderBytes)
+		failure = checkSupported(x.r, target.MaxHeaderBytes)
 	}
 	if failure != nil {
-		x.fail(failure)
+		x.writeFailure(failure)
 		return false
 	}
 	s := target.Service
@@ -207,19 +207,19 @@
 	x.outcome.Route = target.Route
 	x.outcome.Organisation = target.Organisation
 	if failure := x.admit(ctx, target); failure != nil {
-		x.fail(failure)
+		x.writeFailure(failure)
 		return false
 	}
-	q, failure := x.request(ctx, target)
+	q, failure := x.buildRequest(ctx, target)
 	if failure == nil {
-		failure = x.inTime(q)
+		failure = x.checkShutdown(q)
 	}
 	if failure != nil {
-		x.fail(failure)
+		x.writeFailure(failure)
 		return false
 	}
 	if key := x.r.Header.Get(IdempotencyKey); key != "" && s.Config.Resend.Enabled && !q.Idempotent {
-		return x.claimed(ctx, s, q, key)
+		return x.serveClaimed(ctx, s, q, key)
 	}
 	return x.dispatch(ctx, q, nil)
 }
@@ -230,14 +230,14 @@
 	if t.Organisation == "" || x.handler.Admit == nil {
 		return nil
 	}
-	left, err := timeoutOf(x.r, x.handler.FieldNames.OrDefault().Timeout, math.MaxInt64)
+	remaining, err := timeoutOf(x.r, x.handler.FieldNames.OrDefault().Timeout, math.MaxInt64)
 	if err != nil {
 		return verdict.New(verdict.BadRequest, err)
 	}
-	x.pass, failure = x.handler.Admit(ctx, ratelimit.Request{
+	x.permit, failure = x.handler.Admit(ctx, ratelimit.Request{
 		Organisation: t.Organisation,
 		Class:        t.Class,
-		Remaining:    left,
+		Remaining:    remaining,
 		Objective:    t.Objective,
 	})
 	return failure
@@ -248,12 +248,12 @@
 const RetryElsewhereDelay = 250 * time.Millisecond
 
 // inTime returns why a request is not taken that may still be under way when all are cut.
-func (x *exchange) inTime(q *entry.Request) *verdict.Error {
+func (x *exchange) checkShutdown(q *entry.Request) *verdict.Error {
 	if x.handler.ShutdownDeadline == nil {
 		return nil
 	}
-	ends := x.handler.ShutdownDeadline()
-	if ends.IsZero() || !q.Deadline.After(ends) {
+	deadline := x.handler.ShutdownDeadline()
+	if deadline.IsZero() || !q.Deadline.After(deadline) {
 		return nil
 	}
 	return verdict.New(verdict.NotSent, eris.New("this node stops before the request's time is over")).WithRetryAfter(RetryElsewhereDelay)
@@ -264,33 +264,33 @@
 	if x.handler.Resolver != nil {
 		return x.handler.Resolver
 	}
-	return byHost(x.handler.Lookup)
+	return hostResolver(x.handler.Lookup)
 }
 
 // dispatch sends the request and passes its answer on. Keep, if not nil, gets
 // the answer as well.
-func (x *exchange) dispatch(ctx context.Context, q *entry.Request, keep *keeper) (cut bool) {
+func (x *exchange) dispatch(ctx context.Context, q *entry.Request, recorder *claimRecorder) (truncated bool) {
 	result, failure := x.handler.Dispatcher.Do(ctx, q)
 	x.outcome.Steps = q.Steps
 	x.outcome.Attempts = entry.CountAttempts(q.Steps)
 	if failure != nil {
-		failure = x.stopped(failure)
+		failure = x.shutdownFailure(failure)
 	}
-	keep.begin(result, failure)
+	recorder.recordResult(result, failure)
 	if failure != nil {
-		x.fail(failure)
+		x.writeFailure(failure)
 		return false
 	}
 	defer result.Close()
 	x.outcome.TransferTime, x.outcome.QueueTime = result.TransferTime, result.QueueTime
-	cut = x.answer(result)
-	keep.end(cut)
-	return cut
+	truncated = x.writeResponse(result)
+	recorder.recordEnd(truncated)
+	return truncated
 }
 
 // stopped returns the failure of a request that has been sent on, which its caller is not
 // to blame for if the request's context ended because the node had to stop.
-func (x *exchange) stopped(failure *verdict.Error) *verdict.Error {
+func (x *exchange) shutdownFailure(failure *verdict.Error) *verdict.Error {
 	reason, ok := errors.AsType[*verdict.Error](context.Cause(x.r.Context()))
 	if !ok || failure.Cause != verdict.CallerGone {
 		return failure
@@ -299,7 +299,7 @@
 }
 
 // classOf returns the first class that the request matches, or the first class.
-func classOf(s *operator.Service, r *http.Request) string {
+func matchClass(s *operator.Service, r *http.Request) string {
 	for _, c := range s.Classes {
 		values := r.Header.Values(c.Header)
 		if c.Header != "" && len(values) > 0 && (c.Value == "" || c.Value == values[0]) {
--- a/caller/header.go
+++ b/caller/header.go
@@ -44,19 +44,19 @@
 }
 
 // forward returns the header of r as it is sent on.
-func (h *Handler) forward(r *http.Request) http.Header {
+func (h *Handler) forwardedHeader(r *http.Request) http.Header {
 	fields := r.Header.Clone()
 	stripHopByHop(fields)
 	fields.Del("Expect")
 	fields.Add("Via", fmt.Sprintf("%d.%d %s", r.ProtoMajor, r.ProtoMinor, h.Node))
 	if !h.LocalCallers {
-		sayWhence(fields, r)
+		addForwarded(fields, r)
 	}
 	return fields
 }
 
 // sayWhence adds where r comes from.
-func sayWhence(h http.Header, r *http.Request) {
+func addForwarded(h http.Header, r *http.Request) {
 	client, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
 		client = r.RemoteAddr
@@ -88,7 +88,7 @@
 const NodeHeader = "Sassafras-Node"
 
 // copyHeader copies an answer's fields for the caller.
-func copyHeader(to http.Header, from []peer.Field, node string) {
+func copyResponseHeader(to http.Header, from []peer.Field, node string) {
 	for _, f := range from {
 		to.Add(f.Name, f.Value)
 	}
@@ -99,7 +99,7 @@
 
 // headSize returns the size of a request's head on the wire, in bytes. The
 // server has taken Host out of the fields.
-func headSize(r *http.Request) int {
+func headerSize(r *http.Request) int {
 	const (
 		lineEnd = len("\r\n")
 		colon   = len(": ")
--- a/caller/keys.go
+++ b/caller/keys.go
@@ -36,34 +36,34 @@
 }
 
 // admit returns the target of a request that needs a key, for the organisation that has it.
-func (k *Keys) admit(target *Target, t *routes.Table, route *routes.Route, h http.Header) (*Target, *verdict.Error) {
+func (k *Keys) authenticate(target *Target, t *routes.Table, route *routes.Route, h http.Header) (*Target, *verdict.Error) {
 	key, err := bearer.Key(h)
 	if err != nil {
 		return nil, verdict.New(verdict.Unauthorized, err)
 	}
 	o := t.OrganisationSet().ByKey(key)
-	if failure := k.judge(t.Version, o != nil); failure != nil {
+	if failure := k.evaluate(t.Version, o != nil); failure != nil {
 		return nil, failure
 	}
 	target.Organisation = o.Name
-	if target.Regions, err = regionsOf(route.Regions, o.Regions); err != nil {
+	if target.Regions, err = commonRegions(route.Regions, o.Regions); err != nil {
 		return nil, verdict.New(verdict.NoUpstream, err)
 	}
-	target.Class = classFor(&target.Service.Config, route, o)
+	target.Class = organisationClass(&target.Service.Config, route, o)
 	return target, nil
 }
 
 // judge returns why a request with a key, which the table has or has not, can't be taken.
-func (k *Keys) judge(version uint64, held bool) *verdict.Error {
+func (k *Keys) evaluate(version uint64, keyKnown bool) *verdict.Error {
 	var age freshness.Age
 	if k.Age != nil {
 		age = k.Age(version)
 	}
-	j := k.Bounds.Evaluate(age, held)
-	if k.OnEvaluated != nil && held {
-		k.OnEvaluated(j != freshness.Stale, version, age)
+	status := k.Bounds.Evaluate(age, keyKnown)
+	if k.OnEvaluated != nil && keyKnown {
+		k.OnEvaluated(status != freshness.Stale, version, age)
 	}
-	switch j {
+	switch status {
 	case freshness.Stale:
 		return verdict.New(verdict.KeysStale, eris.Errorf("version %d was known to be the latest %v ago", version, age)).WithRetryAfter(k.RetryAfter)
 	case freshness.Unknown:
@@ -75,28 +75,28 @@
 
 // regionsOf returns the regions that both a route and an organisation allow. None means
 // all for either, so that it is a failure if they have none in common.
-func regionsOf(route, organisation []string) ([]string, error) {
+func commonRegions(route, organisation []string) ([]string, error) {
 	if len(organisation) == 0 {
 		return route, nil
 	}
 	if len(route) == 0 {
 		return organisation, nil
 	}
-	var both []string
+	var common []string
 	for _, r := range route {
 		if slices.Contains(organisation, r) {
-			both = append(both, r)
+			common = append(common, r)
 		}
 	}
-	if len(both) == 0 {
+	if len(common) == 0 {
 		return nil, eris.New("no region is allowed both to the route and to the organisation")
 	}
-	return both, nil
+	return common, nil
 }
 
 // classFor returns the class of an organisation's requests on a route: its priority goes
 // before the route's, where the service has a class for it.
-func classFor(s *operator.Service, route *routes.Route, o *organisation.Organisation) string {
+func organisationClass(s *operator.Service, route *routes.Route, o *organisation.Organisation) string {
 	own := ClassName(route.Priority, route.Objective)
 	if o.Priority == nil {
 		return own
@@ -110,7 +110,7 @@
 
 // nameOrganisation sets the field by which the upstream knows the organisation, whatever
 // the caller has sent in it.
-func nameOrganisation(h http.Header, field, name string) {
+func setOrganisation(h http.Header, field, name string) {
 	if field == "" {
 		return
 	}
@@ -122,6 +122,6 @@
 
 // withheld returns the fields that a trailer can't bear: an upstream that merges it into
 // the header would take them for the node's (RFC 9110, section 6.5.1).
-func withheld(names upstream.FieldNames) []string {
+func reservedFields(names upstream.FieldNames) []string {
 	return []string{bearer.Field, names.RequestID, names.Timeout, names.CallerService, names.ExpectedInstance, names.Organisation}
 }
--- a/caller/keys_test.go
+++ b/caller/keys_test.go
@@ -34,17 +34,17 @@
 )
 
 // taken is a Dispatcher that keeps the requests that it gets.
-type taken struct {
+type recorder struct {
 	requests []*entry.Request
 }
 
-func (d *taken) Do(_ context.Context, r *entry.Request) (*entry.Result, *verdict.Error) {
+func (d *recorder) Do(_ context.Context, r *entry.Request) (*entry.Result, *verdict.Error) {
 	d.requests = append(d.requests, r)
 	return nil, verdict.New(verdict.Refused, nil)
 }
 
 // values returns the values of a field of the one request that was taken.
-func (d *taken) values(name string) (list []string) {
+func (d *recorder) values(name string) (list []string) {
 	for _, f := range d.requests[0].Header {
 		if f.Name == name {
 			list = append(list, f.Value)
@@ -55,7 +55,7 @@
 
 // keyed returns a handler for a table with organisations, with the routes /keyed/ and
 // /public/, and what it dispatches to.
-func keyed(t testing.TB, keys caller.Keys) (*caller.Handler, *taken) {
+func newKeyedHandler(t testing.TB, keys caller.Keys) (*caller.Handler, *recorder) {
 	urgent, unknown := 0, 7
 	table, err := routes.New(routes.Table{
 		Version:      8,
@@ -77,7 +77,7 @@
 	service := &entry.Service{Name: "s", Config: operator.Service{
 		Classes: []operator.Class{{Name: "priority1-0ms"}, {Name: "priority0-0ms"}},
 	}.WithDefaults()}
-	d := new(taken)
+	d := new(recorder)
 	return &caller.Handler{
 		LocalCallers: true,
 		FieldNames:   upstream.FieldNames{RequestID: "X-Request-Id", Timeout: "X-Timeout", Organisation: organisationField, FractionalRetryAfter: true},
@@ -92,7 +92,7 @@
 }
 
 // ask has a handler take a request with the given head lines.
-func ask(t testing.TB, h http.Handler, path string, lines ...string) *httptest.ResponseRecorder {
+func post(t testing.TB, h http.Handler, path string, lines ...string) *httptest.ResponseRecorder {
 	raw := "POST " + path + " HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n" + strings.Join(append(lines, ""), "\r\n") + "\r\nhi"
 	r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(raw)))
 	qt.Assert(t, err, qt.IsNil)
@@ -106,9 +106,9 @@
 	const admitted = http.StatusServiceUnavailable // by the dispatcher that refuses all
 	long := strings.Repeat("k", 8<<10)
 	for name, row := range map[string]struct {
-		lines  []string
-		status int
-		says   string // WWW-Authenticate
+		lines     []string
+		status    int
+		challenge string // WWW-Authenticate
 	}{
 		"a key":                         {[]string{"Authorization: Bearer " + key}, admitted, ""},
 		"the scheme in other case":      {[]string{"AUTHORIZATION: bEARER " + key}, admitted, ""},
@@ -136,10 +136,10 @@
 		"by the name, as a call inside": {[]string{organisationField + ": right", "X-Request-Id: a.b"}, 401, "Bearer"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h, d := keyed(t, caller.Keys{})
-			w := ask(t, h, "/keyed/x", row.lines...)
+			h, d := newKeyedHandler(t, caller.Keys{})
+			w := post(t, h, "/keyed/x", row.lines...)
 			qt.Check(t, w.Code, qt.Equals, row.status, qt.Commentf("%s", w.Body))
-			qt.Check(t, w.Header().Get("WWW-Authenticate"), qt.Equals, row.says)
+			qt.Check(t, w.Header().Get("WWW-Authenticate"), qt.Equals, row.challenge)
 			qt.Check(t, len(d.requests), qt.Equals, map[bool]int{true: 1}[row.status == admitted])
 			for _, line := range row.lines {
 				_, sent, _ := strings.Cut(line, "Bearer ")
@@ -158,7 +158,7 @@
 
 // TestOrganisationIsNamed has callers that try to name an organisation themselves, or to
 // have the name or the key treated as another field.
-func TestOrganisationIsNamed(t *testing.T) {
+func TestOrganisationField(t *testing.T) {
 	auth := "Authorization: Bearer " + key
 	for name, row := range map[string]struct {
 		path          string
@@ -176,8 +176,8 @@
 		"public, of another":  {"/public/x", []string{"Authorization: Basic dTpw"}, nil, []string{"Basic dTpw"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h, d := keyed(t, caller.Keys{})
-			w := ask(t, h, row.path, row.lines...)
+			h, d := newKeyedHandler(t, caller.Keys{})
+			w := post(t, h, row.path, row.lines...)
 			qt.Assert(t, len(d.requests), qt.Equals, 1, qt.Commentf("%s", w.Body))
 			qt.Check(t, d.values(organisationField), qt.DeepEquals, row.organisation)
 			qt.Check(t, d.values("Authorization"), qt.DeepEquals, row.authorization)
@@ -187,7 +187,7 @@
 }
 
 // TestOrganisationBinds has what an organisation sets besides the route.
-func TestOrganisationBinds(t *testing.T) {
+func TestOrganisationSettings(t *testing.T) {
 	for name, row := range map[string]struct {
 		path, key string
 		class     string
@@ -204,8 +204,8 @@
 		"a public route, with an own": {"/public/x", "urgent", "priority1-0ms", nil, 503},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h, d := keyed(t, caller.Keys{})
-			w := ask(t, h, row.path, "Authorization: Bearer "+row.key)
+			h, d := newKeyedHandler(t, caller.Keys{})
+			w := post(t, h, row.path, "Authorization: Bearer "+row.key)
 			qt.Check(t, w.Code, qt.Equals, row.status)
 			if row.class == "" {
 				qt.Check(t, len(d.requests), qt.Equals, 0)
@@ -221,25 +221,25 @@
 // TestStaleTable has a node that does not know how fresh its table is: what needs a key is
 // refused as not run, and what does not is served.
 func TestStaleTable(t *testing.T) {
-	var told []bool
-	h, d := keyed(t, caller.Keys{
+	var evaluated []bool
+	h, d := newKeyedHandler(t, caller.Keys{
 		Bounds:      freshness.Bounds{MaxRevokeDelay: 5 * time.Second, MaxApplyDelay: 2 * time.Second},
 		Age:         func(uint64) freshness.Age { return freshness.Age{Known: true, Time: 6 * time.Second} },
-		OnEvaluated: func(admitted bool, _ uint64, _ freshness.Age) { told = append(told, admitted) },
+		OnEvaluated: func(admitted bool, _ uint64, _ freshness.Age) { evaluated = append(evaluated, admitted) },
 		RetryAfter:  500 * time.Millisecond,
 	})
 	for _, lines := range [][]string{{"Authorization: Bearer " + key}, {"Authorization: Bearer added-just-now"}} {
-		w := ask(t, h, "/keyed/x", lines...)
+		w := post(t, h, "/keyed/x", lines...)
 		qt.Check(t, w.Code, qt.Equals, 503)
 		qt.Check(t, w.Header().Get("Retry-After"), qt.Equals, "0.500")
 		qt.Check(t, w.Header().Get(upstream.VerdictHeader), qt.Equals, "notRun")
 		qt.Check(t, strings.Contains(w.Body.String(), `"notFresh"`), qt.IsTrue, qt.Commentf("%s", w.Body))
 	}
-	qt.Check(t, ask(t, h, "/keyed/x").Code, qt.Equals, 401, qt.Commentf("no table admits it"))
-	qt.Check(t, ask(t, h, "/nowhere/").Code, qt.Equals, 404)
+	qt.Check(t, post(t, h, "/keyed/x").Code, qt.Equals, 401, qt.Commentf("no table admits it"))
+	qt.Check(t, post(t, h, "/nowhere/").Code, qt.Equals, 404)
 	qt.Check(t, len(d.requests), qt.Equals, 0)
-	qt.Check(t, told, qt.DeepEquals, []bool{false}, qt.Commentf("of the key that the table has"))
-	ask(t, h, "/public/x", "Authorization: Bearer "+key)
+	qt.Check(t, evaluated, qt.DeepEquals, []bool{false}, qt.Commentf("of the key that the table has"))
+	post(t, h, "/public/x", "Authorization: Bearer "+key)
 	qt.Check(t, len(d.requests), qt.Equals, 1)
 }
 
@@ -258,12 +258,12 @@
 			return
 		}
 		sent := slices.Clone(r.Header["Authorization"])
-		h, d := keyed(t, caller.Keys{})
+		h, d := newKeyedHandler(t, caller.Keys{})
 		h.ServeHTTP(httptest.NewRecorder(), r)
 		if len(d.requests) == 0 {
 			return
 		}
-		if len(sent) != 1 || !strings.HasSuffix(sent[0], " "+key) && !isOther(sent[0]) {
+		if len(sent) != 1 || !strings.HasSuffix(sent[0], " "+key) && !hasOtherKey(sent[0]) {
 			t.Fatalf("admitted with %q", sent)
 		}
 		if got := d.values(organisationField); len(got) != 1 || got[0] != d.requests[0].Organisation {
@@ -276,7 +276,7 @@
 }
 
 // isOther returns whether a field bears one of the other keys of the table.
-func isOther(value string) bool {
+func hasOtherKey(value string) bool {
 	_, sent, _ := strings.Cut(value, " ")
 	return slices.Contains([]string{"urgent", "odd", "near", "far"}, strings.TrimSpace(sent))
 }
--- a/caller/linger_test.go
+++ b/caller/linger_test.go
@@ -25,10 +25,10 @@
 )
 
 // large answers each request with so many bytes.
-type large int64
+type largeResponder int64
 
 // Do implements caller.Dispatcher.
-func (l large) Do(context.Context, *entry.Request) (*entry.Result, *verdict.Error) {
+func (l largeResponder) Do(context.Context, *entry.Request) (*entry.Result, *verdict.Error) {
 	return &entry.Result{
 		Response: &peer.Response{
 			Status:  http.StatusOK,
@@ -43,7 +43,7 @@
 // TestLastAnswerBeforeMoreInput has a caller at a node that leaves send more than one request, and read
 // slowly. The last answer of the connection was cut by the reset that follows the closing of a
 // connection with unread input.
-func TestLastAnswerBeforeMoreInput(t *testing.T) {
+func TestLastResponseWithUnreadInput(t *testing.T) {
 	const size = 1 << 20
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
@@ -57,7 +57,7 @@
 					Config: operator.Service{Hosts: []string{"service.example"}}.WithDefaults(),
 				}, true
 			},
-			Dispatcher: large(size),
+			Dispatcher: largeResponder(size),
 			Tracer:     noop.NewTracerProvider().Tracer(""),
 		},
 		ConnContext: caller.ConnContext,
--- a/caller/listener.go
+++ b/caller/listener.go
@@ -38,22 +38,22 @@
 	// Bounds returns the bounds in force. Nil means none beside the server's own.
 	Timeouts func() Timeouts
 
-	leaving atomic.Bool
-	closes  sync.Once
+	keepAlivesDisabled atomic.Bool
+	closeOnce          sync.Once
 
-	mu       sync.Mutex
-	open     map[*connection]struct{} // connections that are not closed
-	draining bool                     // whether those that are accepted still are to end
-	drained  time.Time                // since when
-	closed   bool                     // whether the listener is closed
-	changes  chan struct{}            // closed at the next change of one, if anybody waits for it
+	mu         sync.Mutex
+	open       map[*connection]struct{} // connections that are not closed
+	draining   bool                     // whether those that are accepted still are to end
+	drainStart time.Time                // since when
+	closed     bool                     // whether the listener is closed
+	changes    chan struct{}            // closed at the next change of one, if anybody waits for it
 }
 
 // Accept implements net.Listener.
 func (l *Listener) Accept() (net.Conn, error) {
 	raw, err := l.Listener.Accept()
 	for errors.Is(err, os.ErrDeadlineExceeded) {
-		if !l.mayLook() {
+		if !l.allowsLastAccept() {
 			_ = l.Close()
 			return nil, net.ErrClosed
 		}
@@ -73,30 +73,30 @@
 	}
 	l.open[c] = struct{}{}
 	if l.draining {
-		c.stop()
+		c.closeWhenIdle()
 		if d, ok := l.Listener.(deadliner); ok {
-			_ = d.SetDeadline(longAgo) // the next one is accepted if it waits already
+			_ = d.SetDeadline(pastDeadline) // the next one is accepted if it waits already
 		}
 	}
 	return c, nil
 }
 
 // acceptWithin bounds an Accept for which a connection waits.
-const acceptWithin = time.Second
+const lastAcceptTimeout = time.Second
 
 // mayLook returns whether a listener that has been told to close accepts once more, as callers
 // have opened connections that wait: to close it resets those.
-func (l *Listener) mayLook() bool {
+func (l *Listener) allowsLastAccept() bool {
 	l.mu.Lock()
-	looks := l.draining && time.Since(l.drained) < headAfterClose
+	inTime := l.draining && time.Since(l.drainStart) < headerTimeoutAfterClose
 	l.mu.Unlock()
 	d, ok := l.Listener.(deadliner)
-	return ok && looks && waits(d) && d.SetDeadline(time.Now().Add(acceptWithin)) == nil
+	return ok && inTime && hasPending(d) && d.SetDeadline(time.Now().Add(lastAcceptTimeout)) == nil
 }
 
 // waits returns whether a connection waits to be accepted. An Accept whose deadline has passed
 // does not tell.
-func waits(l deadliner) bool {
+func hasPending(l deadliner) bool {
 	raw, err := l.SyscallConn()
 	if err != nil {
 		return false
@@ -117,19 +117,19 @@
 // Close implements net.Listener. It may be called more than once: the server that
 // accepts from it closes it as well.
 func (l *Listener) Close() (err error) {
-	l.closes.Do(func() {
+	l.closeOnce.Do(func() {
 		err = l.Listener.Close()
 		l.mu.Lock()
 		l.closed = true
 		l.mu.Unlock()
-		l.changed(nil, false)
+		l.notify(nil, false)
 	})
 	return err
 }
 
 // Leave makes each answer of a Handler the last one of its connection. Connections
 // without a request stay open: a caller that sends one more gets its answer.
-func (l *Listener) DisableKeepAlives() { l.leaving.Store(true) }
+func (l *Listener) DisableKeepAlives() { l.keepAlivesDisabled.Store(true) }
 
 // Drain closes the listener, and the connections on which nothing of a request has
 // come in. It returns once a Handler has the request of each other one, or it speaks
@@ -138,27 +138,27 @@
 // fails if ctx ends first.
 func (l *Listener) Drain(ctx context.Context) error {
 	l.DisableKeepAlives()
-	l.closeLooking(ctx)
+	l.closeAfterAccepting(ctx)
 	for _, c := range l.connections() {
-		c.stop()
+		c.closeWhenIdle()
 	}
-	heads, cancel := context.WithTimeout(ctx, headAfterClose)
+	heads, cancel := context.WithTimeout(ctx, headerTimeoutAfterClose)
 	defer cancel()
-	_ = l.await(heads, l.without((*connection).awaitsHandler))
+	_ = l.await(heads, l.noneMatches((*connection).awaitsHandler))
 	return context.Cause(ctx)
 }
 
 // closeLooking closes the listener once its Accept has taken the connections that
 // callers have opened, or does not come to it in time.
-func (l *Listener) closeLooking(ctx context.Context) {
+func (l *Listener) closeAfterAccepting(ctx context.Context) {
 	l.mu.Lock()
 	l.draining = true
-	l.drained = time.Now()
+	l.drainStart = time.Now()
 	l.mu.Unlock()
-	if d, ok := l.Listener.(deadliner); ok && d.SetDeadline(longAgo) == nil {
-		looking, cancel := context.WithTimeout(ctx, headAfterClose)
+	if d, ok := l.Listener.(deadliner); ok && d.SetDeadline(pastDeadline) == nil {
+		accepting, cancel := context.WithTimeout(ctx, headerTimeoutAfterClose)
 		defer cancel()
-		_ = l.await(looking, func() bool {
+		_ = l.await(accepting, func() bool {
 			l.mu.Lock()
 			defer l.mu.Unlock()
 			return l.closed
@@ -170,7 +170,7 @@
 // Quiesce waits until all connections are closed, or ctx ends. A server that is
 // shut down does not wait for those that it took for idle while a request came in.
 func (l *Listener) AwaitClosed(ctx context.Context) error {
-	return l.await(ctx, l.without(func(*connection) bool { return true }))
+	return l.await(ctx, l.noneMatches(func(*connection) bool { return true }))
 }
 
 // Cut closes all connections, whatever is under way on them, and returns how many
@@ -178,7 +178,7 @@
 func (l *Listener) CloseAll() int {
 	list := l.connections()
 	for _, c := range list {
-		_ = c.end()
+		_ = c.closeNow()
 	}
 	return len(list)
 }
@@ -191,12 +191,12 @@
 }
 
 // without returns what says whether no connection is such.
-func (l *Listener) without(such func(*connection) bool) func() bool {
-	return func() bool { return !slices.ContainsFunc(l.connections(), such) }
+func (l *Listener) noneMatches(matches func(*connection) bool) func() bool {
+	return func() bool { return !slices.ContainsFunc(l.connections(), matches) }
 }
 
 // await waits until a condition holds that changed tells of, or ctx ends.
-func (l *Listener) await(ctx context.Context, holds func() bool) error {
+func (l *Listener) await(ctx context.Context, condition func() bool) error {
 	for {
 		l.mu.Lock()
 		if l.changes == nil {
@@ -204,7 +204,7 @@
 		}
 		changes := l.changes
 		l.mu.Unlock()
-		if holds() {
+		if condition() {
 			return nil
 		}
 		select {
@@ -217,7 +217,7 @@
 
 // changed takes in that a connection is in another state, or closed, or that the listener
 // is.
-func (l *Listener) changed(c *connection, closed bool) {
+func (l *Listener) notify(c *connection, closed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if closed {
@@ -232,7 +232,7 @@
 // ConnState takes in what a server says of a connection.
 func ConnState(c net.Conn, s http.ConnState) {
 	if o, ok := c.(*connection); ok {
-		o.changed(s)
+		o.stateChanged(s)
 	}
 }
 
@@ -252,15 +252,15 @@
 }
 
 // leaving returns whether the answer of a request is the last one of its connection.
-func leaving(r *http.Request) bool {
+func keepAlivesDisabled(r *http.Request) bool {
 	c := connectionOf(r)
-	return c != nil && c.listener.leaving.Load()
+	return c != nil && c.listener.keepAlivesDisabled.Load()
 }
 
 // twoLengths returns whether a request came in with both a Content-Length and
 // the chunked coding. The server has ignored the length, as RFC 9112, section
 // 6.3, wants it; other servers on the way may have not.
-func twoLengths(r *http.Request) bool {
+func hasBothLengths(r *http.Request) bool {
 	c := connectionOf(r)
-	return c != nil && len(r.TransferEncoding) > 0 && c.ambiguous()
+	return c != nil && len(r.TransferEncoding) > 0 && c.receivedContentLength()
 }
--- a/caller/listener_test.go
+++ b/caller/listener_test.go
@@ -25,7 +25,7 @@
 
 // kept writes requests to the front over one connection and returns all that
 // comes back until the front closes it, or nothing comes for a while.
-func (p *path) kept(t *testing.T, requests ...string) string {
+func (p *proxy) sendAll(t *testing.T, requests ...string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", p.front.Listener.Addr().String())
 	qt.Assert(t, err, qt.IsNil)
@@ -33,8 +33,8 @@
 	var all strings.Builder
 	for _, r := range requests {
 		_, _ = io.WriteString(c, strings.ReplaceAll(r, "\n", "\r\n"))
-		answer, closed := readQuiet(c)
-		all.Write(answer)
+		data, closed := readQuiet(c)
+		all.Write(data)
 		if closed {
 			all.WriteString("[closed]")
 			break
@@ -67,7 +67,7 @@
 }
 
 // TestConnections has requests after which a connection may or may not go on.
-func TestConnections(t *testing.T) {
+func TestConnectionReuse(t *testing.T) {
 	const (
 		plain   = "GET /second HTTP/1.1\nHost: service.example\n\n"
 		chunked = "POST / HTTP/1.1\nHost: service.example\nTransfer-Encoding: chunked\n\n5\nhello\n0\n\n"
@@ -75,28 +75,28 @@
 		both    = "POST / HTTP/1.1\nHost: service.example\nContent-Length: 5\nTransfer-Encoding: chunked\n\n5\nhello\n0\n\n"
 	)
 	tests := map[string]struct {
-		requests []string
-		answers  int
-		closed   bool
-		want     string
+		requests  []string
+		responses int
+		closed    bool
+		want      string
 	}{
-		"plain ones":                    {requests: []string{plain, plain}, answers: 2},
-		"chunked, then one more":        {requests: []string{chunked, plain}, answers: 2},
-		"a length, then chunked":        {requests: []string{sized, chunked, plain}, answers: 3},
-		"both lengths":                  {requests: []string{both, plain}, answers: 1, closed: true, want: "Connection: close"},
-		"both lengths, in two pieces":   {requests: []string{both[:50], both[50:], plain}, answers: 1, closed: true, want: "Connection: close"},
-		"both lengths after a plain":    {requests: []string{plain, both, plain}, answers: 2, closed: true, want: "Connection: close"},
-		"both lengths after a length":   {requests: []string{sized, both, plain}, answers: 2, closed: true, want: "Connection: close"},
-		"a chunk that is none":          {requests: []string{strings.Replace(chunked, "5\nhello", "z\nhello", 1), plain}, answers: 1, closed: true, want: "400 Bad Request"},
-		"a chunk extension of 20 KB":    {requests: []string{strings.Replace(chunked, "5\n", "5;"+strings.Repeat("x", 20<<10)+"\n", 1), plain}, answers: 1, closed: true, want: "400 Bad Request"},
-		"a small body that doesn't end": {requests: []string{strings.Replace(sized[:len(sized)-2], "Host:", "Sassafras-Timeout-Ms: 50\nHost:", 1), plain}, answers: 1, closed: true, want: "400 Bad Request"},
+		"plain ones":                    {requests: []string{plain, plain}, responses: 2},
+		"chunked, then one more":        {requests: []string{chunked, plain}, responses: 2},
+		"a length, then chunked":        {requests: []string{sized, chunked, plain}, responses: 3},
+		"both lengths":                  {requests: []string{both, plain}, responses: 1, closed: true, want: "Connection: close"},
+		"both lengths, in two pieces":   {requests: []string{both[:50], both[50:], plain}, responses: 1, closed: true, want: "Connection: close"},
+		"both lengths after a plain":    {requests: []string{plain, both, plain}, responses: 2, closed: true, want: "Connection: close"},
+		"both lengths after a length":   {requests: []string{sized, both, plain}, responses: 2, closed: true, want: "Connection: close"},
+		"a chunk that is none":          {requests: []string{strings.Replace(chunked, "5\nhello", "z\nhello", 1), plain}, responses: 1, closed: true, want: "400 Bad Request"},
+		"a chunk extension of 20 KB":    {requests: []string{strings.Replace(chunked, "5\n", "5;"+strings.Repeat("x", 20<<10)+"\n", 1), plain}, responses: 1, closed: true, want: "400 Bad Request"},
+		"a small body that doesn't end": {requests: []string{strings.Replace(sized[:len(sized)-2], "Host:", "Sassafras-Timeout-Ms: 50\nHost:", 1), plain}, responses: 1, closed: true, want: "400 Bad Request"},
 	}
-	p := newPath(t, operator.Service{MaxBodyBytes: 1 << 20}, http.HandlerFunc(tell))
+	p := newProxy(t, operator.Service{MaxBodyBytes: 1 << 20}, http.HandlerFunc(echo))
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			got := p.kept(t, test.requests...)
-			qt.Check(t, strings.Count(got, "HTTP/1.1 "), qt.Equals, test.answers, qt.Commentf("%s", got))
+			got := p.sendAll(t, test.requests...)
+			qt.Check(t, strings.Count(got, "HTTP/1.1 "), qt.Equals, test.responses, qt.Commentf("%s", got))
 			qt.Check(t, strings.HasSuffix(got, "[closed]"), qt.Equals, test.closed)
 			qt.Check(t, got, qt.Contains, test.want)
 		})
@@ -104,38 +104,38 @@
 }
 
 // deadlines is a connection that notes the deadlines that it gets.
-type deadlines struct {
+type deadlineRecorder struct {
 	net.Conn
 	last time.Time
 }
 
-func (d *deadlines) SetReadDeadline(t time.Time) error {
+func (d *deadlineRecorder) SetReadDeadline(t time.Time) error {
 	d.last = t
 	return nil
 }
 
-func (d *deadlines) Read(p []byte) (int, error) { return copy(p, "GET /"), nil }
+func (d *deadlineRecorder) Read(p []byte) (int, error) { return copy(p, "GET /"), nil }
 
 // once is a listener with one connection.
-type once struct {
+type singleListener struct {
 	net.Listener
 	conn net.Conn
 }
 
-func (o *once) Accept() (net.Conn, error) { return o.conn, nil }
+func (o *singleListener) Accept() (net.Conn, error) { return o.conn, nil }
 
 // TestBounds follows the deadlines of a connection through two requests, as a
 // server sets them.
-func TestBounds(t *testing.T) {
-	raw := new(deadlines)
-	bounds := caller.Timeouts{Header: time.Minute, Idle: time.Hour}
+func TestTimeouts(t *testing.T) {
+	raw := new(deadlineRecorder)
+	timeouts := caller.Timeouts{Header: time.Minute, Idle: time.Hour}
 	var mu sync.Mutex
 	l := &caller.Listener{
-		Listener: &once{conn: raw},
+		Listener: &singleListener{conn: raw},
 		Timeouts: func() caller.Timeouts {
 			mu.Lock()
 			defer mu.Unlock()
-			return bounds
+			return timeouts
 		},
 	}
 	c, err := l.Accept()
@@ -152,7 +152,7 @@
 	qt.Check(t, set(), qt.Equals, time.Hour, qt.Commentf("idle"))
 	_, _ = c.Read(make([]byte, 10))
 	qt.Check(t, set(), qt.Equals, time.Minute, qt.Commentf("second head"))
-	bounds = caller.Timeouts{}
+	timeouts = caller.Timeouts{}
 	qt.Check(t, set(), qt.Equals, 24*time.Hour, qt.Commentf("no bounds"))
 	_ = c.SetReadDeadline(time.Time{})
 	qt.Check(t, raw.last.IsZero(), qt.IsTrue)
@@ -160,24 +160,24 @@
 
 // pipes is a listener whose connections are pipes, on which a write returns once
 // it has been read.
-type pipes chan net.Conn
+type pipeListener chan net.Conn
 
-func (p pipes) Accept() (net.Conn, error) {
+func (p pipeListener) Accept() (net.Conn, error) {
 	c, ok := <-p
 	if !ok {
 		return nil, net.ErrClosed
 	}
 	return c, nil
 }
-func (p pipes) Close() error   { return nil }
-func (p pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (p pipeListener) Close() error   { return nil }
+func (p pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 // TestStopWhileRequestComesIn has a server turn its callers away between the two
 // halves of a request's head, on a connection that was idle before.
-func TestStopWhileRequestComesIn(t *testing.T) {
+func TestStopDuringHeader(t *testing.T) {
 	const head = "GET / HTTP/1.1\r\nHost: service.example\r\n\r\n"
 	ours, theirs := net.Pipe()
-	source := make(pipes, 1)
+	source := make(pipeListener, 1)
 	source <- theirs
 	listener := &caller.Listener{Listener: source}
 	server := &http.Server{
--- a/caller/request.go
+++ b/caller/request.go
@@ -30,13 +30,13 @@
 // claimLimit is the largest body, in bytes, that is read before a request with an
 // IdempotencyKey is sent on: it is claimed by its whole body. Others are gathered as far as
 // they go with the call.
-const claimLimit = 64 << 10
+const maxClaimBodyBytes = 64 << 10
 
 // carriable returns why the request can't be carried, or nil if it can. A head
 // of more than maxHead bytes can't, unless maxHead is 0.
-func carriable(r *http.Request, maxHead int) *verdict.Error {
-	if n := headSize(r); maxHead > 0 && n > maxHead {
-		return verdict.New(verdict.HeadTooLarge, eris.Errorf("a head of %d bytes is over %d", n, maxHead))
+func checkSupported(r *http.Request, maxHeader int) *verdict.Error {
+	if n := headerSize(r); maxHeader > 0 && n > maxHeader {
+		return verdict.New(verdict.HeadTooLarge, eris.Errorf("a head of %d bytes is over %d", n, maxHeader))
 	}
 	if r.Method == http.MethodConnect {
 		return verdict.New(verdict.NotSupported, eris.New("CONNECT is not supported"))
@@ -51,7 +51,7 @@
 }
 
 // request returns the request as it is sent on.
-func (x *exchange) request(ctx context.Context, t *Target) (*entry.Request, *verdict.Error) {
+func (x *exchange) buildRequest(ctx context.Context, t *Target) (*entry.Request, *verdict.Error) {
 	r := x.r
 	names := x.handler.FieldNames.OrDefault()
 	timeout, err := timeoutOf(r, names.Timeout, t.Timeout)
@@ -71,16 +71,16 @@
 		Regions:         t.Regions,
 		Objective:       t.Objective,
 		Deadline:        x.began.Add(timeout),
-		OnInformational: x.inform,
+		OnInformational: x.writeInformational,
 	}
-	if failure := x.body(q, t.MaxBodyBytes); failure != nil {
+	if failure := x.readBody(q, t.MaxBodyBytes); failure != nil {
 		return nil, failure
 	}
-	if failure := x.print(q); failure != nil {
+	if failure := x.setFingerprint(q); failure != nil {
 		return nil, failure
 	}
-	h := x.handler.forward(r)
-	x.name(h, names, t)
+	h := x.handler.forwardedHeader(r)
+	x.setFields(h, names, t)
 	tracing.Inject(ctx, propagation.HeaderCarrier(h))
 	q.Header = httpfield.FromHeader(h)
 	if len(q.Header) > peer.MaxFields {
@@ -92,7 +92,7 @@
 // print takes the fingerprint of the request. A body that is streamed is part of it only
 // if a request with this head is suspected of ending upstreams: its first bytes are then
 // waited for.
-func (x *exchange) print(q *entry.Request) *verdict.Error {
+func (x *exchange) setFingerprint(q *entry.Request) *verdict.Error {
 	q.Fingerprint = quarantine.NewFingerprint(x.handler.Service, q.Method, q.Host, q.Target)
 	switch {
 	case q.Spooled == nil && q.Stream == nil:
@@ -100,7 +100,7 @@
 	case x.handler.MaySuspect != nil && x.handler.MaySuspect(q.Fingerprint):
 		body, err := x.readUntil(q.Deadline, func() ([]byte, error) { return x.streamed.peek(quarantine.MaxBodyBytes) })
 		if err != nil {
-			return x.unread(err)
+			return x.bodyReadFailure(err)
 		}
 		q.Fingerprint = q.Fingerprint.WithBody(body)
 	}
@@ -115,7 +115,7 @@
 	_ = control.SetReadDeadline(until)
 	ended := make(chan struct{})
 	stop := context.AfterFunc(x.r.Context(), func() {
-		_ = control.SetReadDeadline(longAgo)
+		_ = control.SetReadDeadline(pastDeadline)
 		close(ended)
 	})
 	data, err := read()
@@ -124,7 +124,7 @@
 	}
 	if err != nil {
 		// The server looks for the rest of the body ahead of the answer, and must not wait for it.
-		_ = control.SetReadDeadline(longAgo)
+		_ = control.SetReadDeadline(pastDeadline)
 		return nil, err
 	}
 	_ = control.SetReadDeadline(time.Time{})
@@ -133,7 +133,7 @@
 
 // unread returns the failure of a request whose body could not be read: the cause that
 // its context ended by, if that says it, or else the caller.
-func (x *exchange) unread(err error) *verdict.Error {
+func (x *exchange) bodyReadFailure(err error) *verdict.Error {
 	if e, ok := errors.AsType[*verdict.Error](context.Cause(x.r.Context())); ok {
 		return e
 	}
@@ -142,7 +142,7 @@
 
 // name sets the fields by which the upstream knows the request, and removes the caller's
 // key.
-func (x *exchange) name(h http.Header, names upstream.FieldNames, t *Target) {
+func (x *exchange) setFields(h http.Header, names upstream.FieldNames, t *Target) {
 	h.Del(names.Timeout)
 	if names.GeneratesRequestIDs() {
 		h.Set(names.RequestID, x.outcome.ID)
@@ -155,22 +155,22 @@
 	}
 	if t.Keyed {
 		bearer.Strip(h, t.Organisation == "")
-		nameOrganisation(h, names.Organisation, t.Organisation)
+		setOrganisation(h, names.Organisation, t.Organisation)
 	}
 }
 
 // timeoutOf returns the time that the request has: what the caller asks for, but
 // no more than most.
-func timeoutOf(r *http.Request, name string, most time.Duration) (time.Duration, error) {
+func timeoutOf(r *http.Request, name string, limit time.Duration) (time.Duration, error) {
 	v := r.Header.Get(name)
 	if v == "" {
-		return most, nil
+		return limit, nil
 	}
 	ms, err := strconv.ParseInt(v, 10, 32)
 	if err != nil || ms < 0 {
 		return 0, eris.Errorf("%s: %q is not a number of milliseconds", name, v)
 	}
-	return min(most, time.Duration(ms)*time.Millisecond), nil
+	return min(limit, time.Duration(ms)*time.Millisecond), nil
 }
 
 // idempotent returns whether running a request with the method twice does no
@@ -184,22 +184,22 @@
 }
 
 // gatherLimit returns the largest body, in bytes, that is read before the request is sent on.
-func (x *exchange) gatherLimit() int64 {
+func (x *exchange) maxBufferedBody() int64 {
 	if x.r.Header.Get(IdempotencyKey) != "" {
-		return claimLimit
+		return maxClaimBodyBytes
 	}
 	return entry.MaxInlineBodyBytes
 }
 
 // stream has the body read while the request is under way: an answer may begin before it
 // has ended.
-func (x *exchange) stream(most int64) *streamedBody {
+func (x *exchange) streamBody(limit int64) *streamedBody {
 	_ = http.NewResponseController(x.w).EnableFullDuplex()
 	x.streamed = &streamedBody{
-		reader:   http.MaxBytesReader(x.w, x.r.Body, most),
-		request:  x.r,
-		broken:   &x.broken,
-		withheld: withheld(x.handler.FieldNames.OrDefault()),
+		reader:         http.MaxBytesReader(x.w, x.r.Body, limit),
+		request:        x.r,
+		readFailed:     &x.bodyReadFailed,
+		reservedFields: reservedFields(x.handler.FieldNames.OrDefault()),
 	}
 	return x.streamed
 }
@@ -208,28 +208,28 @@
 // be sent again, and a very large one sent on without being kept. A caller that expects
 // 100-continue is asked for its body only once an upstream has admitted the
 // request.
-func (x *exchange) body(q *entry.Request, most int64) *verdict.Error {
+func (x *exchange) readBody(q *entry.Request, limit int64) *verdict.Error {
 	r := x.r
 	switch {
-	case r.ContentLength > most:
-		return verdict.New(verdict.TooLarge, eris.Errorf("a body of %d bytes is over %d", r.ContentLength, most))
+	case r.ContentLength > limit:
+		return verdict.New(verdict.TooLarge, eris.Errorf("a body of %d bytes is over %d", r.ContentLength, limit))
 	case r.ContentLength == 0:
 		return nil
 	case r.ContentLength < 0 || r.ContentLength > peer.MaxEarlyBodyBytes || r.Header.Get("Expect") != "":
-		q.Stream = entry.ReadOnce(x.stream(most))
+		q.Stream = entry.ReadOnce(x.streamBody(limit))
 		return nil
-	case r.ContentLength > x.gatherLimit():
-		x.kept = &spool.Body{
-			Reader: x.stream(most),
+	case r.ContentLength > x.maxBufferedBody():
+		x.spooled = &spool.Body{
+			Reader: x.streamBody(limit),
 			Length: r.ContentLength,
 		}
-		q.Spooled = x.kept
+		q.Spooled = x.spooled
 		return nil
 	}
 	data, err := x.readUntil(q.Deadline, func() ([]byte, error) { return io.ReadAll(r.Body) })
 	if err != nil {
-		x.broken.Store(true)
-		return x.unread(err)
+		x.bodyReadFailed.Store(true)
+		return x.bodyReadFailure(err)
 	}
 	q.Body = data
 	return nil
--- a/caller/resend.go
+++ b/caller/resend.go
@@ -29,17 +29,17 @@
 
 // claimed runs a request if no other sending of it has been claimed, and
 // otherwise answers from what that one left.
-func (x *exchange) claimed(ctx context.Context, s *entry.Service, q *entry.Request, key string) (cut bool) {
-	ledger := x.handler.Claims
+func (x *exchange) serveClaimed(ctx context.Context, s *entry.Service, q *entry.Request, key string) (truncated bool) {
+	store := x.handler.Claims
 	switch {
-	case ledger == nil:
-		x.fail(verdict.New(verdict.ClaimFailed, eris.New("this node has no platform to claim the request on")))
+	case store == nil:
+		x.writeFailure(verdict.New(verdict.ClaimFailed, eris.New("this node has no platform to claim the request on")))
 		return false
-	case !ledger.Allow(s.Name, s.Config.Resend.WritesPerSecond):
-		x.fail(verdict.New(verdict.ClaimFailed, eris.New("over the service's budget of claims")))
+	case !store.Allow(s.Name, s.Config.Resend.WritesPerSecond):
+		x.writeFailure(verdict.New(verdict.ClaimFailed, eris.New("over the service's budget of claims")))
 		return false
 	}
-	c, kept, failure := ledger.Begin(ctx, claim.Request{
+	c, stored, failure := store.Begin(ctx, claim.Request{
 		Service:   s.Name,
 		Key:       key,
 		Parts:     []string{q.Method, q.Target, string(q.Body)},
@@ -47,17 +47,17 @@
 	})
 	switch {
 	case failure != nil:
-		x.fail(failure.WithGivenUp())
+		x.writeFailure(failure.WithGivenUp())
 		return false
-	case kept != nil:
+	case stored != nil:
 		x.w.Header().Set(ReplayedHeader, "true")
-		return x.answer(replay(kept))
+		return x.writeResponse(storedResult(stored))
 	}
-	return x.dispatch(ctx, q, &keeper{claim: c})
+	return x.dispatch(ctx, q, &claimRecorder{claim: c})
 }
 
 // replay returns a kept answer as a result.
-func replay(a *claim.StoredResponse) *entry.Result {
+func storedResult(a *claim.StoredResponse) *entry.Result {
 	return &entry.Result{
 		Response: &peer.Response{
 			Status:  a.Status,
@@ -71,16 +71,16 @@
 
 // keeper writes down what becomes of a claimed request. A nil keeper does
 // nothing.
-type keeper struct {
-	claim  *claim.Claim
-	answer *claim.StoredResponse
-	body   bytes.Buffer
-	small  bool
+type claimRecorder struct {
+	claim      *claim.Claim
+	response   *claim.StoredResponse
+	body       bytes.Buffer
+	storesBody bool
 }
 
 // begin takes in the outcome of the request. The body of a small answer is
 // copied as it is passed on.
-func (k *keeper) begin(result *entry.Result, failure *verdict.Error) {
+func (k *claimRecorder) recordResult(result *entry.Result, failure *verdict.Error) {
 	switch {
 	case k == nil:
 	case failure != nil:
@@ -88,24 +88,24 @@
 			k.claim.Release()
 		}
 	default:
-		k.answer = &claim.StoredResponse{
+		k.response = &claim.StoredResponse{
 			Status: result.Status,
 			Header: result.Header,
 		}
-		if k.small = result.Length >= 0 && result.Length <= claim.MaxBodyBytes; k.small {
+		if k.storesBody = result.Length >= 0 && result.Length <= claim.MaxBodyBytes; k.storesBody {
 			result.Body = io.TeeReader(result.Body, &k.body)
 		}
 	}
 }
 
 // end takes in that the answer has been passed on, or was cut.
-func (k *keeper) end(cut bool) {
+func (k *claimRecorder) recordEnd(truncated bool) {
 	switch {
 	case k == nil:
-	case cut || !k.small || k.answer.Status >= http.StatusInternalServerError:
+	case truncated || !k.storesBody || k.response.Status >= http.StatusInternalServerError:
 		k.claim.Finish(nil)
 	default:
-		k.answer.Body = k.body.Bytes()
-		k.claim.Finish(k.answer)
+		k.response.Body = k.body.Bytes()
+		k.claim.Finish(k.response)
 	}
 }
--- a/caller/target.go
+++ b/caller/target.go
@@ -55,13 +55,13 @@
 // notReadyWait is when a caller may come back to a node that has no
 // configuration yet. A node learns it in well under a second where the platform
 // answers.
-const notReadyWait = 250 * time.Millisecond
+const notReadyRetryAfter = 250 * time.Millisecond
 
 // byHost resolves by the service that has the host.
-type byHost func(host string) (s *entry.Service, ready bool)
+type hostResolver func(host string) (s *entry.Service, ready bool)
 
 // Resolve implements Resolver.
-func (f byHost) Resolve(r *http.Request) (*Target, *verdict.Error) {
+func (f hostResolver) Resolve(r *http.Request) (*Target, *verdict.Error) {
 	host := strings.ToLower(r.Host)
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
@@ -75,7 +75,7 @@
 	}
 	return &Target{
 		Service:      s,
-		Class:        classOf(&s.Config, r),
+		Class:        matchClass(&s.Config, r),
 		Idempotent:   idempotent(r.Method),
 		Timeout:      s.Config.Timeout.Std(),
 		MaxBodyBytes: s.Config.MaxBodyBytes,
@@ -99,7 +99,7 @@
 func (b *RouteResolver) Resolve(r *http.Request) (*Target, *verdict.Error) {
 	t := b.Table()
 	if t == nil {
-		return nil, verdict.New(verdict.NotReady, nil).WithRetryAfter(notReadyWait)
+		return nil, verdict.New(verdict.NotReady, nil).WithRetryAfter(notReadyRetryAfter)
 	}
 	route := t.Match(r.Host, r.URL.EscapedPath())
 	if route == nil {
@@ -130,7 +130,7 @@
 	if !t.KeysRequired || route.Public {
 		return target, nil
 	}
-	return b.Keys.admit(target, t, route, r.Header)
+	return b.Keys.authenticate(target, t, route, r.Header)
 }
 
 // ClassOf returns the name of the class of the requests with a priority and a
--- a/caller/trailer_test.go
+++ b/caller/trailer_test.go
@@ -24,7 +24,7 @@
 			"X-Request-Id":   {"other"},
 			"X-Sum":          {"1"},
 		}},
-		withheld: withheld(upstream.FieldNames{RequestID: "X-Request-Id", Organisation: "X-Organisation"}),
+		reservedFields: reservedFields(upstream.FieldNames{RequestID: "X-Request-Id", Organisation: "X-Organisation"}),
 	}
 	qt.Check(t, b.Trailer(), qt.DeepEquals, []peer.Field{{Name: "X-Sum", Value: "1"}})
 }
