--- a/caller/answer.go
+++ b/caller/answer.go
@@ -19,7 +19,7 @@
 	"sassafrasfront.example/verdict"
 )
 
-// Problem is the body of a failure's answer (RFC 9457).
+// Problem is the body of an error response (RFC 9457).
 type Problem struct {
 	Type   string `json:"type"`
 	Title  string `json:"title"`
@@ -28,16 +28,16 @@
 	// Verdict says whether the request may have run.
 	Verdict string `json:"verdict"`
 	Cause   string `json:"cause"`
-	// RetryAfterMs is when to come back, in milliseconds. It is finer than the
-	// header Retry-After, which counts whole seconds.
+	// RetryAfterMs is the time after which the caller may retry, in milliseconds. It is
+	// finer than the header field Retry-After, which counts whole seconds.
 	RetryAfterMs int64  `json:"retryAfterMs,omitempty"`
 	RequestID    string `json:"requestId"`
 }
 
-// problemType starts the type of each problem.
+// problemTypePrefix is the common prefix of the types of all problems.
 const problemTypePrefix = "https://sassafrasfront.example/problems/"
 
-// fail answers the caller with a failure.
+// writeFailure sends the caller an error response for the failure e.
 func (x *exchange) writeFailure(e *verdict.Error) {
 	status := e.Status()
 	x.outcome.Status = status
@@ -71,7 +71,7 @@
 	}
 	body, err := json.Marshal(p)
 	if err != nil {
-		panic(err) // a Problem holds strings and numbers
+		panic(err) // not reached: a Problem has only strings and numbers
 	}
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	x.closesConnection = x.remainderTooLong()
@@ -79,9 +79,9 @@
 	_, _ = x.w.Write(body)
 }
 
-// writeHead writes the head of the final answer. It is the last answer of the
-// connection if nobody can be sure where the next request begins, or the connection is
-// to end.
+// writeHeader writes the header of the final response. The response is the last one of the
+// connection if the start of the next request can't be determined, or the connection is to
+// be closed.
 func (x *exchange) writeHeader(status int) {
 	if x.bodyReadFailed.Load() || x.closesConnection || keepAlivesDisabled(x.r) || hasBothLengths(x.r) {
 		x.w.Header().Set("Connection", "close")
@@ -89,14 +89,14 @@
 	x.w.WriteHeader(status)
 }
 
-// bodyOutlasts returns whether the rest of the body is too long to be read for the sake of the
-// connection, which then ends with the answer.
+// remainderTooLong returns whether the rest of the body is too long to be read for the sake of
+// reusing the connection, which is then closed after the response.
 func (x *exchange) remainderTooLong() bool {
 	return x.streamed != nil && x.r.ProtoMajor == 1 && x.streamed.exceedsDrainLimit()
 }
 
-// retryAfter returns d as the value of Retry-After, in whole seconds unless
-// callers take fractions.
+// formatRetryAfter returns d as the value of the field Retry-After, in whole seconds unless
+// callers accept fractions.
 func formatRetryAfter(d time.Duration, fractional bool) string {
 	if fractional {
 		return strconv.FormatFloat(d.Seconds(), 'f', 3, 64)
@@ -104,10 +104,10 @@
 	return strconv.Itoa(ceilSeconds(d))
 }
 
-// seconds returns d in whole seconds, rounded up, and at least one.
+// ceilSeconds returns d in whole seconds, rounded up, and at least one.
 func ceilSeconds(d time.Duration) int { return max(1, int(math.Ceil(d.Seconds()))) }
 
-// inform passes an informational answer on.
+// writeInformational forwards an informational response.
 func (x *exchange) writeInformational(m *peer.Informational) {
 	h := x.w.Header()
 	for _, f := range m.Header {
@@ -117,7 +117,7 @@
 	clear(h)
 }
 
-// answer passes an answer on. It returns whether it must be cut.
+// writeResponse forwards a response. It returns whether the response must be truncated.
 func (x *exchange) writeResponse(result *entry.Result) (truncated bool) {
 	x.outcome.Status = result.Status
 	h := x.w.Header()
@@ -127,13 +127,13 @@
 	if result.Node != "" {
 		h.Set(NodeHeader, result.Node)
 	}
-	// The end of an answer without a length goes out when the handler returns, and
-	// so not while the rest of the body is read.
+	// The end of a response without a length is written when the handler returns, and so
+	// not while the rest of the body is read.
 	x.closesConnection = h.Get("Content-Length") == "" && x.streamed != nil && !x.streamed.ended() || x.remainderTooLong()
 	x.writeHeader(result.Status)
 	if err := x.copyBody(result); err != nil {
 		x.outcome.Failure = verdict.As(err, verdict.CallerGone)
-		_ = http.NewResponseController(x.w).Flush() // what there is
+		_ = http.NewResponseController(x.w).Flush() // what has been written
 		return true
 	}
 	for _, f := range result.Trailer() {
@@ -142,11 +142,11 @@
 	return false
 }
 
-// copyBuffer is the size of the pieces in which an answer is passed on.
+// copyBufferBytes is the size of the buffer through which a response body is forwarded.
 const copyBufferBytes = 32 << 10
 
-// copyBody passes the body of an answer on. If its length is not known, each
-// piece goes out as it comes.
+// copyBody forwards the body of a response. If its length is not known, each part is flushed
+// as soon as it is received.
 func (x *exchange) copyBody(result *entry.Result) error {
 	if result.Length >= 0 {
 		_, err := io.Copy(x.w, result.Body)
--- a/caller/backlog_test.go
+++ b/caller/backlog_test.go
@@ -18,7 +18,7 @@
 	"sassafrasfront.example/caller"
 )
 
-// lateListener accepts as late as a process whose processor is scarce.
+// slowListener accepts connections with a delay, as a process short of CPU time does.
 type slowListener struct {
 	*net.TCPListener
 }
@@ -29,8 +29,8 @@
 	return l.TCPListener.Accept()
 }
 
-// TestStopBeforeAccept guards against requests that end without an answer, as their connections
-// have been opened and not accepted when the listener closes.
+// TestStopBeforeAccept guards against requests that get no response because their connections
+// were opened, but not yet accepted, when the listener closed.
 func TestStopBeforeAccept(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
--- a/caller/body.go
+++ b/caller/body.go
@@ -20,35 +20,34 @@
 )
 
 const (
-	// drainTime and drainBytes bound what is read of a body after its answer, so
-	// that the connection can be used again, and of a connection after its last answer. A caller sends 256 KiB in 210 ms over a
-	// link of 10 Mbit/s.
+	// maxDrainTime and maxDrainBytes bound how much of a body is read after its response, so
+	// that the connection can be reused, and how much of a connection is read after its last
+	// response. A caller sends 256 KiB in 210 ms over a link of 10 Mbit/s.
 	maxDrainTime  = time.Second
 	maxDrainBytes = 256 << 10
 )
 
-// errAnswered is what a reader of a body gets once its request has been answered.
+// errAnswered is returned to readers of a body whose request has been answered.
 var errAnswered = eris.New("the request has been answered")
 
-// streamedBody is a caller's body that is read while its request is under way,
-// by a goroutine that may still read when the answer has been given. It implements
-// peer.Trailered.
+// streamedBody is a request body that is read while the request is in flight, by a goroutine
+// that may still read when the response has been written. It implements peer.TrailerReader.
 type streamedBody struct {
 	reader     io.Reader
 	request    *http.Request
 	readFailed *atomic.Bool
-	bytesRead  atomic.Int64 // bytes that have been read
-	// withheld are the fields that its trailer can't bear.
+	bytesRead  atomic.Int64 // number of bytes read from the connection
+	// reservedFields are removed from its trailer.
 	reservedFields []string
 
 	mu       sync.Mutex // held while the body is read
-	peeked   []byte     // read by peek, and not by others yet
+	peeked   []byte     // read by peek, and not by Read yet
 	answered bool
-	err      error // that ended the body, or nil
+	err      error // error that ended the body, or nil
 }
 
-// Read implements io.Reader. A body that is over the limit fails with that
-// verdict.
+// Read implements io.Reader. For a body over the size limit it returns an error with the
+// cause verdict.BodyLost.
 func (b *streamedBody) Read(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -62,13 +61,13 @@
 	}
 	n, err := b.readLocked(p)
 	if _, ok := errors.AsType[*http.MaxBytesError](err); ok {
-		return n, verdict.New(verdict.BodyLost, eris.New("the body is over the limit"))
+		return n, verdict.New(verdict.BodyLost, eris.New("the body exceeds the size limit"))
 	}
 	return n, err
 }
 
-// peek reads the first n bytes of the body, or all of it if it has fewer, and leaves them
-// to be read. It is called before the first Read.
+// peek reads the first n bytes of the body, or all of it if it is shorter, without consuming
+// them. It is called before the first Read.
 func (b *streamedBody) peek(n int64) ([]byte, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -77,13 +76,13 @@
 	return data, err
 }
 
-// readerFunc is a function as an io.Reader.
+// readerFunc adapts a function to io.Reader.
 type readerFunc func(p []byte) (int, error)
 
 // Read implements io.Reader.
 func (f readerFunc) Read(p []byte) (int, error) { return f(p) }
 
-// read reads, and notes how the body ends. The lock is held.
+// readLocked reads from the connection and records how the body ends. The caller holds b.mu.
 func (b *streamedBody) readLocked(p []byte) (int, error) {
 	n, err := b.reader.Read(p)
 	b.bytesRead.Add(int64(n))
@@ -96,7 +95,7 @@
 	return n, err
 }
 
-// Trailer implements peer.Trailered.
+// Trailer implements peer.TrailerReader.
 func (b *streamedBody) Trailer() []peer.Field {
 	trailer := b.request.Trailer.Clone()
 	for _, name := range b.reservedFields {
@@ -108,18 +107,18 @@
 // ended returns whether the body is known to have ended.
 func (b *streamedBody) ended() bool {
 	if !b.mu.TryLock() {
-		return false // it is being read
+		return false // another goroutine is reading it
 	}
 	defer b.mu.Unlock()
 	return b.err == io.EOF
 }
 
-// outlasts returns whether more of the body is known to be left than finish reads.
+// exceedsDrainLimit returns whether more of the body is known to remain than drain reads.
 func (b *streamedBody) exceedsDrainLimit() bool {
 	return b.request.ContentLength-b.bytesRead.Load() > maxDrainBytes
 }
 
-// finish ends the reading by others, and reads what little is left. It returns
+// drain makes other readers fail, and reads the rest of the body up to a limit. It returns
 // whether the body has ended, so that another request may follow it.
 func (b *streamedBody) drain() bool {
 	b.mu.Lock()
@@ -127,24 +126,24 @@
 	b.answered = true
 	buffer := make([]byte, copyBufferBytes)
 	for n := 0; n < maxDrainBytes && b.err == nil; {
-		m, _ := b.readLocked(buffer) // b.err tells
+		m, _ := b.readLocked(buffer) // b.err has the error
 		n += m
 	}
 	return b.err == io.EOF
 }
 
-// finishBody sees to it that nothing reads the body any more when the handler
-// returns: the server, which looks for the next request then, gives up a connection
-// that is being read. It returns false if the connection can't be used again.
+// finishBody makes sure that nothing reads the body when the handler returns: the server then
+// reads the next request, and closes a connection on which another read is in progress. It
+// returns false if the connection can't be reused.
 func (x *exchange) finishBody() bool {
 	if x.streamed == nil || x.r.ProtoMajor != 1 || x.r.Header.Get("Expect") != "" {
-		return true // the server keeps the streams of a connection apart, and closes after an unsent body
+		return true // HTTP/2 streams are independent, and the server closes a connection after an unsent body
 	}
 	control := http.NewResponseController(x.w)
 	_ = control.Flush()
 	_ = control.SetReadDeadline(time.Now().Add(maxDrainTime))
 	if x.closesConnection {
-		return true // the end of the answer must not wait for that of the body
+		return true // the end of the response must not wait for that of the body
 	}
 	return x.streamed.drain()
 }
--- a/caller/body_test.go
+++ b/caller/body_test.go
@@ -27,8 +27,8 @@
 	"sassafrasfront.example/verdict"
 )
 
-// hasty answers each request as soon as it has read the first bytes of its body, one at least, and
-// leaves the reading of the rest to a goroutine, as a sending does whose gate has answered.
+// earlyResponder responds to each request as soon as it has read the first bytes of its body, at
+// least one, and leaves the rest to a goroutine, as an attempt does whose gate has responded.
 type earlyResponder struct {
 	refuses    bool
 	length     int64
@@ -69,26 +69,26 @@
 	}, nil
 }
 
-// TestAnswerBeforeBody has a caller send a large body, which is kept or not, that is
-// answered before it has come in. The caller gets the answer whole, and its next request on the same
-// connection is answered too, unless the first answer said that none may follow. It guards against
-// one that was sent and got no answer, as the connection was closed for the rest of the body.
+// TestResponseBeforeBody sends a large body, spooled or not, that is answered before all of it has
+// been received. The caller must get the whole response, and a response to its next request on the
+// same connection, unless the first response has closed it. It guards against a request without a
+// response because the connection was closed while the rest of the body arrived.
 func TestResponseBeforeBody(t *testing.T) {
-	const kept, once, part, little = 200 << 10, 300 << 10, 100 << 10, 20 << 10
+	const spooled, streamed, part, little = 200 << 10, 300 << 10, 100 << 10, 20 << 10
 	tests := map[string]struct {
 		dispatcher *earlyResponder
-		size, sent int // sent before the answer
+		size, sent int // sent: bytes sent before the response
 		status     int
 		closes     bool
 	}{
-		"kept, refused":                 {&earlyResponder{refuses: true}, kept, kept / 2, 503, false},
-		"kept, answered":                {&earlyResponder{length: 4}, kept, kept / 2, 200, false},
-		"kept, answered without length": {&earlyResponder{length: -1}, kept, kept / 2, 200, true},
-		"refused":                       {&earlyResponder{refuses: true, firstBytes: part}, once, once / 2, 503, false},
-		"refused, little sent":          {&earlyResponder{refuses: true}, once, little, 503, true},
-		"answered":                      {&earlyResponder{length: 4, firstBytes: part}, once, once / 2, 200, false},
-		"answered, little sent":         {&earlyResponder{length: 4}, once, little, 200, true},
-		"answered without length":       {&earlyResponder{length: -1}, once, once / 2, 200, true},
+		"spooled, refused":                 {&earlyResponder{refuses: true}, spooled, spooled / 2, 503, false},
+		"spooled, answered":                {&earlyResponder{length: 4}, spooled, spooled / 2, 200, false},
+		"spooled, answered without length": {&earlyResponder{length: -1}, spooled, spooled / 2, 200, true},
+		"refused":                          {&earlyResponder{refuses: true, firstBytes: part}, streamed, streamed / 2, 503, false},
+		"refused, little sent":             {&earlyResponder{refuses: true}, streamed, little, 503, true},
+		"answered":                         {&earlyResponder{length: 4, firstBytes: part}, streamed, streamed / 2, 200, false},
+		"answered, little sent":            {&earlyResponder{length: 4}, streamed, little, 200, true},
+		"answered without length":          {&earlyResponder{length: -1}, streamed, streamed / 2, 200, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -128,8 +128,8 @@
 	}
 }
 
-// TestBodyIsSentOnAsItComesIn has a caller send half of a body and wait: the request is sent
-// on, and its first half can be read, by each sending from the start.
+// TestBodyForwardedWhileReceived sends half of a body and waits: the request must be forwarded, and
+// each attempt must be able to read the first half from the start.
 func TestBodyForwardedWhileReceived(t *testing.T) {
 	const size = 60_000
 	service := &entry.Service{Name: "service", Config: operator.Service{}.WithDefaults()}
@@ -163,8 +163,7 @@
 	qt.Check(t, a.StatusCode, qt.Equals, 503)
 }
 
-// handOver is a Dispatcher that hands each request to a test, and refuses it when it is told
-// to go on.
+// blockingDispatcher passes each request to the test, and refuses it when the test sends a value.
 type blockingDispatcher chan *entry.Request
 
 // Do implements caller.Dispatcher.
--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -31,14 +31,13 @@
 	"sassafrasfront.example/upstream"
 )
 
-// path is an entry and a gate in this process, before an upstream that the
-// test plays.
+// proxy is an entry and a gate in this process, in front of an upstream that the test provides.
 type proxy struct {
 	front *httptest.Server
 	gate  *gate.Gate
 }
 
-// newPath serves the given upstream through the whole path.
+// newProxy forwards requests through an entry and a gate to the given upstream.
 func newProxy(t *testing.T, config operator.Service, h http.Handler) *proxy {
 	t.Helper()
 	back := httptest.NewServer(h)
@@ -93,7 +92,7 @@
 	return &proxy{front: front, gate: g}
 }
 
-// raw sends bytes to the front and returns what comes back until it closes.
+// raw sends bytes to the front and returns what it receives until the connection is closed.
 func (p *proxy) raw(t *testing.T, request string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", p.front.Listener.Addr().String())
@@ -106,8 +105,8 @@
 	return string(response)
 }
 
-// TestRequests has one row for each thing that a request may be. The upstream
-// answers with what it got.
+// TestRequests has one row for each kind of request. The upstream responds with what it
+// received.
 func TestRequests(t *testing.T) {
 	const end = "Connection: close\n\n"
 	tests := map[string]struct {
@@ -123,7 +122,7 @@
 			request: "GET / HTTP/1.1\nHost: SERVICE.example:8080\n" + end,
 			want:    []string{"200 OK", "host=SERVICE.example:8080"},
 		},
-		"hop by hop": {
+		"hop-by-hop fields": {
 			request: "GET / HTTP/1.1\nHost: service.example\nConnection: close, X-Hop\nX-Hop: 1\nX-Keep: 1\nKeep-Alive: 5\nProxy-Authorization: x\nTe: trailers\n\n",
 			want:    []string{"200 OK", "X-Keep=1"},
 			not:     []string{"X-Hop", "Keep-Alive=", "Proxy-Authorization", "Te="},
@@ -162,15 +161,15 @@
 			request: "GET /304 HTTP/1.1\nHost: service.example\n" + end,
 			want:    []string{"304 Not Modified"},
 		},
-		"trailer in the answer": {
+		"trailer in the response": {
 			request: "GET /trailer HTTP/1.1\nHost: service.example\n" + end,
 			want:    []string{"200 OK", "X-After: 9"},
 		},
-		"cut answer of known length": {
+		"truncated response of known length": {
 			request: "GET /cut HTTP/1.1\nHost: service.example\n" + end,
 			want:    []string{"200 OK", "Content-Length: 100", "half"},
 		},
-		"cut answer of unknown length": {
+		"truncated response of unknown length": {
 			request: "GET /cutchunked HTTP/1.1\nHost: service.example\n" + end,
 			want:    []string{"200 OK", "half"},
 			not:     []string{"\r\n0\r\n"},
@@ -207,11 +206,11 @@
 			request: "POST / HTTP/1.1\nHost: service.example\nContent-Length: 2000000\n" + end,
 			want:    []string{"413 Request Entity Too Large", `"verdict":"notRun"`},
 		},
-		"body cut": {
+		"truncated body": {
 			request: "POST / HTTP/1.1\nHost: service.example\nContent-Length: 5\nSassafras-Timeout-Ms: 100\n" + end + "he",
 			want:    []string{"400 Bad Request", `"verdict":"notRun"`},
 		},
-		"upstream dies unanswered": {
+		"upstream closes without a response": {
 			request: "POST /die HTTP/1.1\nHost: service.example\nContent-Length: 0\n" + end,
 			want:    []string{"502 Bad Gateway", `"verdict":"mayHaveRun"`, "Sassafras-Given-Up: true"},
 		},
@@ -226,19 +225,19 @@
 		"both lengths": {
 			request: "POST / HTTP/1.1\nHost: service.example\nContent-Length: 5\nTransfer-Encoding: chunked\n" + end + "0\n\n",
 			// RFC 9112, section 6.3: the chunked coding overrides the length.
-			// What goes on has that one framing only.
+			// The forwarded request has only that framing.
 			want: []string{"200 OK", "length=-1 body=\n"},
 			not:  []string{"Content-Length=", "Transfer-Encoding="},
 		},
-		"more header fields than a frame takes": {
+		"too many header fields for a frame": {
 			request: "GET / HTTP/1.1\nHost: service.example\n" + strings.Repeat("X-Many: 1\n", 300) + end,
 			want:    []string{"413 Request Entity Too Large", `"verdict":"notRun"`},
 		},
-		"an answer with more fields than a frame takes": {
+		"too many response header fields for a frame": {
 			request: "GET /fields HTTP/1.1\nHost: service.example\n" + end,
 			want:    []string{"502 Bad Gateway", `"cause":"answerInvalid"`, `"verdict":"ran"`},
 		},
-		"more trailer fields than a frame takes": {
+		"too many trailer fields for a frame": {
 			request: "POST / HTTP/1.1\nHost: service.example\nTransfer-Encoding: chunked\nTrailer: X-Many\n" + end + "5\nhello\n0\n" + strings.Repeat("X-Many: 1\n", 300) + "\n",
 			want:    []string{"502 Bad Gateway", `"cause":"bodyLost"`},
 		},
@@ -246,7 +245,7 @@
 			request: "GET / HTTP/1.1\nHost: service.example\nX-Request-Id: abc\n" + end,
 			want:    []string{"X-Request-Id: abc", "X-Request-Id=abc"},
 		},
-		"the timeout goes on": {
+		"timeout forwarded": {
 			request: "GET / HTTP/1.1\nHost: service.example\nSassafras-Timeout-Ms: 5000\n" + end,
 			want:    []string{"Sassafras-Timeout-Ms="},
 		},
@@ -266,7 +265,7 @@
 	}
 }
 
-// tell is an upstream that answers with what it got.
+// echo is an upstream that responds with what it received.
 func echo(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/204":
@@ -324,8 +323,8 @@
 	_, _ = io.WriteString(w, b.String())
 }
 
-// TestManyFieldsHurtNobodyElse has a caller send too many header fields while
-// another's request is under way on the same connection between the nodes.
+// TestTooManyFieldsAffectNoOthers guards against too many header fields of one request failing
+// other requests on the same connection between the nodes.
 func TestTooManyFieldsAffectNoOthers(t *testing.T) {
 	began, release := make(chan struct{}), make(chan struct{})
 	p := newProxy(t, operator.Service{}, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -347,7 +346,7 @@
 	qt.Check(t, <-response, qt.Contains, "200 OK")
 }
 
-// TestLargeBodiesFlow sends and receives bodies far larger than any window, over
+// TestLargeBodies sends and receives bodies far larger than any flow-control window, over
 // HTTP/1.1 and h2c.
 func TestLargeBodies(t *testing.T) {
 	p := newProxy(t, operator.Service{MaxBodyBytes: 64 << 20}, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -379,8 +378,8 @@
 
 func (zeros) Read(p []byte) (int, error) { return len(p), nil }
 
-// TestExpectContinue has a caller that sends its body only when asked. It is
-// asked once the request has been admitted, and not at all if it is refused.
+// TestExpectContinue checks that a caller that expects 100-continue is asked for its body once
+// the request has been admitted, and not at all if it is refused.
 func TestExpectContinue(t *testing.T) {
 	for name, drained := range map[string]bool{"admitted": false, "refused": true} {
 		t.Run(name, func(t *testing.T) {
@@ -428,8 +427,8 @@
 	qt.Check(t, a.Header.Get("Link"), qt.Equals, "")
 }
 
-// TestCallerGoneReachesTheUpstream has the caller leave, and expects the
-// upstream to see its own request cancelled.
+// TestDisconnectCancelsUpstreamRequest checks that the upstream's request is cancelled when the
+// caller disconnects.
 func TestDisconnectCancelsUpstreamRequest(t *testing.T) {
 	began, cancelled := make(chan struct{}), make(chan struct{})
 	p := newProxy(t, operator.Service{}, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -445,11 +444,11 @@
 	select {
 	case <-cancelled:
 	case <-time.After(20 * time.Second):
-		t.Fatal("the upstream still runs")
+		t.Fatal("the upstream's request is still running")
 	}
 }
 
-// TestStreamsAsItComes reads the first part of an answer before the upstream
+// TestResponseStreamed checks that the first part of a response can be read before the upstream
 // has written the second.
 func TestResponseStreamed(t *testing.T) {
 	next := make(chan struct{})
@@ -474,7 +473,7 @@
 	qt.Check(t, line, qt.Equals, "second\n")
 }
 
-// TestProblem reads a failure as a document.
+// TestProblem checks the problem document of a failure.
 func TestProblem(t *testing.T) {
 	p := newProxy(t, operator.Service{}, http.HandlerFunc(echo))
 	p.gate.Drain()
@@ -491,9 +490,8 @@
 	qt.Check(t, problem.RequestID, qt.Not(qt.Equals), "")
 }
 
-// FuzzHeader sends arbitrary header names and values to the front. It must
-// answer every connection, and what it passes on must not carry hop-by-hop
-// fields.
+// FuzzHeader sends arbitrary header names and values to a handler without upstreams, which must
+// answer each request with an error status.
 func FuzzHeader(f *testing.F) {
 	f.Add("X-A", "1")
 	f.Add("Connection", "x, y, Host")
@@ -521,7 +519,7 @@
 	})
 }
 
-// TestHeadLimit has heads at and over the limit of a route's table.
+// TestHeaderLimit sends headers at and over the size limit of a table of routes.
 func TestHeaderLimit(t *testing.T) {
 	table, err := routes.New(routes.Table{
 		Version: 1,
--- a/caller/closing_test.go
+++ b/caller/closing_test.go
@@ -28,7 +28,7 @@
 	"sassafrasfront.example/verdict"
 )
 
-// dialled is a listener of pipes that can be closed.
+// closablePipes is a pipeListener that can be closed.
 type closablePipes struct {
 	pipeListener
 	done chan struct{}
@@ -48,19 +48,19 @@
 	return nil
 }
 
-// served is a server of callers on the runtime's clock, with one connection.
+// testServer is an HTTP server with a Handler and one connection, in a synctest bubble.
 type testServer struct {
 	t         *testing.T
 	listener  *caller.Listener
 	server    *http.Server
 	source    closablePipes
 	conn      net.Conn                // the caller's end
-	cancel    context.CancelCauseFunc // ends the contexts of all requests
-	cancelled atomic.Int32            // requests whose contexts ended under their handlers
+	cancel    context.CancelCauseFunc // cancels the contexts of all requests
+	cancelled atomic.Int32            // requests whose contexts ended before their handlers returned
 }
 
-// serve starts a server whose requests take a second each. Hook, if not nil, is called after the
-// listener has taken in a new state of the connection.
+// newTestServer starts a server whose requests take a second each. Hook, if not nil, is called
+// after the listener has handled a new state of the connection.
 func newTestServer(t *testing.T, hook func(c net.Conn, s http.ConnState)) *testServer {
 	s := &testServer{
 		t: t,
@@ -109,7 +109,7 @@
 	return s
 }
 
-// Do implements caller.Dispatcher. A request takes a second from the end of its body.
+// Do implements caller.Dispatcher. A request takes one second after the end of its body.
 func (s *testServer) Do(ctx context.Context, r *entry.Request) (*entry.Result, *verdict.Error) {
 	body := r.Body
 	if r.Stream != nil {
@@ -137,13 +137,13 @@
 	return &entry.Result{Response: response}, nil
 }
 
-// send writes to the server, without waiting for it.
+// send writes to the server without waiting until it has read.
 func (s *testServer) send(text string) {
 	go func() { _, _ = io.WriteString(s.conn, strings.ReplaceAll(text, "\n", "\r\n")) }()
 	synctest.Wait()
 }
 
-// answers yields the bodies of all answers, and is closed when the connection ends.
+// responses returns a channel with the bodies of all responses, closed when the connection ends.
 func (s *testServer) responses() <-chan string {
 	all := make(chan string, 10)
 	go func() {
@@ -164,7 +164,7 @@
 	return all
 }
 
-// quiet checks that the listener's connections end, and that no handler lost its caller.
+// checkClosed checks that the listener's connections are closed, and that no request was cancelled.
 func (s *testServer) checkClosed() {
 	s.t.Helper()
 	ctx, cancel := context.WithTimeout(s.t.Context(), time.Minute)
@@ -173,7 +173,7 @@
 	qt.Check(s.t, s.cancelled.Load(), qt.Equals, int32(0), qt.Commentf("requests whose contexts ended"))
 }
 
-// nth returns a function that calls f at its nth call.
+// nth returns a function that calls f on its nth call.
 func nth(n int, f func()) func() {
 	var calls atomic.Int32
 	return func() {
@@ -189,24 +189,24 @@
 	chunkedPost   = "POST /two HTTP/1.1\nHost: service.example\nTransfer-Encoding: chunked\n\n"
 )
 
-// TestCloseMeetsRequest has a server close a connection that it took for idle when a request on
-// it is already being handled, or has come in with the one before. Those requests lost their
-// answers, or their contexts ended, which gave up the upstream's run.
+// TestCloseDuringRequest has a server close a connection that it considers idle, although a request
+// on it is already being handled or was received with the previous one. It guards against a lost
+// response, or a cancelled context, which cancelled the request at the upstream too.
 func TestCloseDuringRequest(t *testing.T) {
 	tests := map[string]struct {
 		state http.ConnState // when the connection is closed
-		nth   int            // the how manieth of that state
+		nth   int            // ordinal of the change to that state
 		sent  []string
 		want  []string
 	}{
-		"a fresh one":               {state: http.StateActive, nth: 1, sent: []string{firstRequest}, want: []string{"/one "}},
-		"a kept one":                {state: http.StateActive, nth: 2, sent: []string{firstRequest, secondRequest}, want: []string{"/one ", "/two "}},
-		"a pipelined one":           {state: http.StateActive, nth: 2, sent: []string{firstRequest + secondRequest}, want: []string{"/one ", "/two "}},
-		"before a pipelined one":    {state: http.StateIdle, nth: 1, sent: []string{firstRequest + secondRequest}, want: []string{"/one ", "/two "}},
-		"before a pipelined body":   {state: http.StateIdle, nth: 1, sent: []string{firstRequest + chunkedPost + "2\nhi\n0\n\n"}, want: []string{"/one ", "/two hi"}},
-		"half of a pipelined head":  {state: http.StateIdle, nth: 1, sent: []string{firstRequest + secondRequest[:20], secondRequest[20:]}, want: []string{"/one ", "/two "}},
-		"a body that is coming in":  {state: http.StateActive, nth: 1, sent: []string{chunkedPost + "2\nhi\n", "3\n ho\n0\n\n"}, want: []string{"/two hi ho"}},
-		"an answer that is aborted": {state: http.StateActive, nth: 2, sent: []string{firstRequest, strings.Replace(firstRequest, "/one", "/abort", 1)}, want: []string{"/one "}},
+		"first request":              {state: http.StateActive, nth: 1, sent: []string{firstRequest}, want: []string{"/one "}},
+		"second request":             {state: http.StateActive, nth: 2, sent: []string{firstRequest, secondRequest}, want: []string{"/one ", "/two "}},
+		"pipelined request":          {state: http.StateActive, nth: 2, sent: []string{firstRequest + secondRequest}, want: []string{"/one ", "/two "}},
+		"before a pipelined request": {state: http.StateIdle, nth: 1, sent: []string{firstRequest + secondRequest}, want: []string{"/one ", "/two "}},
+		"before a pipelined body":    {state: http.StateIdle, nth: 1, sent: []string{firstRequest + chunkedPost + "2\nhi\n0\n\n"}, want: []string{"/one ", "/two hi"}},
+		"half of a pipelined header": {state: http.StateIdle, nth: 1, sent: []string{firstRequest + secondRequest[:20], secondRequest[20:]}, want: []string{"/one ", "/two "}},
+		"body being received":        {state: http.StateActive, nth: 1, sent: []string{chunkedPost + "2\nhi\n", "3\n ho\n0\n\n"}, want: []string{"/two hi ho"}},
+		"aborted response":           {state: http.StateActive, nth: 2, sent: []string{firstRequest, strings.Replace(firstRequest, "/one", "/abort", 1)}, want: []string{"/one "}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -231,15 +231,15 @@
 					qt.Check(t, <-responses, qt.Equals, want)
 				}
 				_, more := <-responses
-				qt.Check(t, more, qt.IsFalse, qt.Commentf("the connection ends"))
+				qt.Check(t, more, qt.IsFalse, qt.Commentf("the connection is closed"))
 				s.checkClosed()
 			})
 		})
 	}
 }
 
-// TestBodyLate has the body of a request not come in by its deadline, and nothing more come from the
-// caller. The answer was held back until something did.
+// TestLateBody sends part of a body until the request's deadline, and nothing after it. It guards
+// against a response that is held back until the caller sends more.
 func TestLateBody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestServer(t, nil)
@@ -251,18 +251,18 @@
 	})
 }
 
-// TestStopBeforeSent has a node stop for good while requests have not been sent on, or have been.
-// Only those that have not are told so.
+// TestStopBeforeForwarding has a node cancel requests that have been forwarded, or have not. Only
+// those that have not must be reported as not run.
 func TestStopBeforeForwarding(t *testing.T) {
 	tests := map[string]struct {
 		sent string
 		want []string
 	}{
-		"its body is coming in": {
+		"body being received": {
 			sent: "POST /two HTTP/1.1\nHost: service.example\nContent-Length: 10\n\nhalf",
 			want: []string{"503 Service Unavailable", "Sassafras-Verdict: notRun", "Retry-After: 1", "Connection: close", `"cause":"notSent"`},
 		},
-		"its upstream works": {
+		"upstream running it": {
 			sent: firstRequest,
 			want: []string{"502 Bad Gateway", "Sassafras-Verdict: mayHaveRun", `"cause":"stopped"`},
 		},
--- a/caller/connection.go
+++ b/caller/connection.go
@@ -15,58 +15,56 @@
 	"time"
 )
 
-// phase is where a connection stands between two requests.
+// phase is the state of a connection between two requests.
 type phase uint8
 
 const (
-	phaseHeader  phase = iota // the head of a request is due or coming in
+	phaseHeader  phase = iota // the header of a request is expected or being received
 	phaseHandler              // a request is being handled
-	phaseIdle                 // nothing of the next request has come in
+	phaseIdle                 // nothing of the next request has been received
 )
 
-// ending is how far a connection is that is to end.
+// closeState is the progress of closing a connection.
 type closeState uint8
 
 const (
 	closeNone          closeState = iota
-	closeAfterResponse            // once the request that is being handled has its answer
-	closeInterrupted              // its reader has been told to stop
-	closeLastRead                 // its reader looks once more for a request that has come in
+	closeAfterResponse            // to be closed after the response to the current request
+	closeInterrupted              // its reader has been interrupted
+	closeLastRead                 // its reader reads once more, in case a request was received
 )
 
-// connection is a caller's connection. It notes whether a head with a
-// Content-Length came in since the connection was last idle, keeps the server's
-// deadlines for reading within the bounds, and is not closed under a request that
-// has begun to come in.
+// connection is a caller's connection. It records whether a header with a Content-Length was
+// received since the connection was last idle, keeps the server's read deadlines within the
+// configured timeouts, and is not closed while a request is being received.
 type connection struct {
 	net.Conn
 	listener *Listener
 
 	mu               sync.Mutex
 	phase            phase
-	headerBegun      bool       // whether part of the present head has been read
-	handlerStarted   bool       // whether the present request has come to its handler
-	closeState       closeState // whether the connection is to end unless a request has begun
-	serverDeadline   time.Time  // the deadline that the server set last
-	isHTTP2          bool       // whether it speaks HTTP/2, whose server ends it in good order
-	hasContentLength bool       // whether a Content-Length came in
-	scanTail         []byte     // the last bytes read, where the field's name may have begun
+	headerBegun      bool       // whether part of the current header has been read
+	handlerStarted   bool       // whether the current request has reached its handler
+	closeState       closeState // progress of closing the connection
+	serverDeadline   time.Time  // read deadline that the server set last
+	isHTTP2          bool       // whether it uses HTTP/2, whose server closes it gracefully
+	hasContentLength bool       // whether a Content-Length was received
+	scanTail         []byte     // the last bytes read, which may be the start of contentLengthField
 }
 
 const (
-	// lengthField is what a Content-Length looks like on the wire, in lower case. A
-	// body may hold the same bytes, which then costs its connection and nothing
-	// else.
+	// contentLengthField is the start of a Content-Length field on the wire, in lower
+	// case. A body may contain the same bytes, which only prevents the connection from
+	// being reused.
 	contentLengthField = "\ncontent-length"
-	// streamsPreface is how a connection of HTTP/2 begins (RFC 9113, section 3.4).
+	// http2Preface is the start of an HTTP/2 connection (RFC 9113, section 3.4).
 	http2Preface = "PRI "
-	// headAfterClose bounds the rest of a head whose first bytes crossed the closing
-	// of its connection, where no other bound is in force. Heads come in within a few
-	// round trips.
+	// headerTimeoutAfterClose bounds the time for the rest of a request header whose first
+	// bytes arrived while the connection was being closed, if no shorter timeout applies. A
+	// header arrives within a few round trips.
 	headerTimeoutAfterClose = 2 * time.Second
-	// crossing is how long a reader that has been told to stop still looks for a
-	// request. A read after its deadline returns nothing, also where something has
-	// come in.
+	// lastReadTimeout is how long an interrupted reader still looks for a request. A read
+	// after its deadline returns nothing, even if data has been received.
 	lastReadTimeout = 100 * time.Millisecond
 )
 
@@ -82,8 +80,8 @@
 	return n, err
 }
 
-// mayLook returns whether a read that ended by err is done once more, because it
-// was told to stop.
+// allowsLastRead returns whether a read that ended with err is repeated once, because it was
+// interrupted in order to close the connection.
 func (c *connection) allowsLastRead(err error) bool {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return false
@@ -97,8 +95,8 @@
 	return c.Conn.SetReadDeadline(time.Now().Add(lastReadTimeout)) == nil
 }
 
-// scan takes in what was read. The server reads only when it has used up what it
-// read before, so what comes in on an idle connection begins a request.
+// scan records what was read. The server reads only when it has consumed what it read
+// before, so data received on an idle connection begins a request.
 func (c *connection) scan(p []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -118,7 +116,7 @@
 	c.scanTail = append(c.scanTail[:0], seen[max(0, len(seen)-len(contentLengthField)+1):]...)
 }
 
-// begin takes in the first bytes of a request. The lock is held.
+// beginHeader records the first bytes of a request. The caller holds c.mu.
 func (c *connection) beginHeader(p []byte) {
 	c.headerBegun = true
 	c.isHTTP2 = c.isHTTP2 || bytes.HasPrefix(p, []byte(http2Preface))
@@ -128,35 +126,35 @@
 	}
 }
 
-// longAgo is a deadline that has passed.
+// pastDeadline is a deadline that has passed.
 var pastDeadline = time.Unix(1, 0)
 
 // SetReadDeadline implements net.Conn. The server sets a deadline before it
-// reads a head, another while it waits for the next request, and none while a
+// reads a header, another while it waits for the next request, and none while a
 // handler runs.
 func (c *connection) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.serverDeadline = t
 	if c.closeState >= closeInterrupted {
-		return nil // that of the ending is in force
+		return nil // the deadline for closing applies
 	}
 	return c.Conn.SetReadDeadline(c.boundDeadline(t))
 }
 
-// deadline returns t, or what the bounds say if that is earlier. The lock is
-// held.
+// boundDeadline returns t, or the deadline of the configured timeout if that is earlier. The
+// caller holds c.mu.
 func (c *connection) boundDeadline(t time.Time) time.Time {
-	bounds := c.listener.Timeouts
-	if t.IsZero() || bounds == nil {
+	timeouts := c.listener.Timeouts
+	if t.IsZero() || timeouts == nil {
 		return t
 	}
 	var timeout time.Duration
 	switch c.phase {
 	case phaseHeader:
-		timeout = bounds().Header
+		timeout = timeouts().Header
 	case phaseIdle:
-		timeout = bounds().Idle
+		timeout = timeouts().Idle
 	}
 	if limit := time.Now().Add(timeout); timeout > 0 && limit.Before(t) {
 		return limit
@@ -164,26 +162,26 @@
 	return t
 }
 
-// Close implements net.Conn. A server that stops closes the connections that it
-// takes for idle, and takes them so until the head of the next request has been
-// read to its end, or longer: it looks at a connection's state first and closes the
-// connection afterwards. The answer of such a request would be lost. So nothing is
-// closed here, and the connection is only stopped. The server then says that it has
-// closed the connection, which changed takes in.
+// Close implements net.Conn. A server that shuts down closes the connections that it considers
+// idle. It considers a connection idle until the header of the next request has been read
+// completely, or longer: it checks the state of a connection first and closes it afterwards.
+// The response to such a request would be lost. So Close does not close the connection, but
+// only has it end when it has no request. The server then reports the connection as closed,
+// which stateChanged handles.
 func (c *connection) Close() error {
 	c.mu.Lock()
 	serverDone := c.isHTTP2 && c.phase != phaseHeader
 	c.mu.Unlock()
 	if serverDone {
-		return c.closeNow() // the server of HTTP/2 closes its connections itself, when it is done with them
+		return c.closeNow() // the HTTP/2 server closes a connection only when it has finished with it
 	}
 	c.closeWhenIdle()
 	return nil
 }
 
-// stop has the connection end as soon as it bears no request. Between two requests
-// its reader is told to stop, and finds either nothing, or a request that it lets
-// in. A connection with a request ends after the answer.
+// closeWhenIdle closes the connection as soon as it has no request. Between two requests its
+// reader is interrupted, and then finds either nothing or a request, which is served. A
+// connection with a request is closed after the response.
 func (c *connection) closeWhenIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -196,15 +194,15 @@
 	}
 }
 
-// stopReading tells the reader of a connection between two requests to stop. The
-// lock is held.
+// interruptRead interrupts the reader of a connection between two requests. The caller holds
+// c.mu.
 func (c *connection) interruptRead() {
 	c.closeState = closeInterrupted
-	_ = c.Conn.SetReadDeadline(pastDeadline) // it fails if the connection is closed
+	_ = c.Conn.SetReadDeadline(pastDeadline) // fails if the connection is closed
 }
 
-// awaitsHandler returns whether a request is due or coming in, or has not come to its
-// handler. Of HTTP/2 this is over once its server has taken the connection.
+// awaitsHandler returns whether a request is expected or being received, or has not reached
+// its handler. For HTTP/2 it returns false once the server has taken over the connection.
 func (c *connection) awaitsHandler() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -214,7 +212,7 @@
 	return !c.handlerStarted
 }
 
-// serve takes in that the present request has come to its handler.
+// markHandlerStarted records that the current request has reached its handler.
 func (c *connection) markHandlerStarted() {
 	c.mu.Lock()
 	c.handlerStarted = true
@@ -222,16 +220,17 @@
 	c.listener.notify(c, false)
 }
 
-// linger closes the connection, which its server has done with. After an answer it waits until
-// the caller has closed its side, or drainTime or drainBytes are over: to close a connection with unread input,
-// such as a further request, resets it, and what has not arrived of the answer is lost.
+// linger closes the connection, which its server no longer uses. After a response it waits until
+// the caller has closed its side, at most for maxDrainTime and maxDrainBytes: closing a
+// connection with unread input, such as a further request, resets it, and loses what has not
+// arrived of the response.
 func (c *connection) linger() {
 	c.mu.Lock()
 	answered := c.phase == phaseHandler && !c.isHTTP2
 	c.mu.Unlock()
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if !answered || !ok || half.CloseWrite() != nil {
-		_ = c.closeNow() // no-one reads from it any more
+		_ = c.closeNow() // nothing reads from it any more
 		return
 	}
 	go func() {
@@ -241,13 +240,13 @@
 	}()
 }
 
-// end closes the connection in any case.
+// closeNow closes the connection immediately.
 func (c *connection) closeNow() error {
 	defer c.listener.notify(c, true)
 	return c.Conn.Close()
 }
 
-// changed takes in the connection's new state.
+// stateChanged handles a change of the connection's state in its server.
 func (c *connection) stateChanged(s http.ConnState) {
 	if s == http.StateClosed {
 		c.linger()
@@ -257,7 +256,7 @@
 	c.listener.notify(c, false)
 }
 
-// take does what changed says for a connection that is not closed.
+// applyState records the new state of a connection that is not closed.
 func (c *connection) applyState(s http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -266,7 +265,7 @@
 	switch s {
 	case http.StateActive:
 		c.phase = phaseHandler
-		if c.closeState >= closeInterrupted { // the head had come in with the request before
+		if c.closeState >= closeInterrupted { // the header was received with the previous request
 			c.closeState = closeAfterResponse
 			_ = c.Conn.SetReadDeadline(c.serverDeadline)
 		}
@@ -278,7 +277,7 @@
 	}
 }
 
-// ambiguous returns whether a Content-Length came in with the present request.
+// receivedContentLength returns whether the current request had a Content-Length.
 func (c *connection) receivedContentLength() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/caller/draining_test.go
+++ b/caller/draining_test.go
@@ -20,13 +20,13 @@
 	"sassafrasfront.example/caller"
 )
 
-// The moments of a stop in the tests below, from their beginnings.
+// The times at which a server begins to stop and to drain in the tests below.
 const (
 	stopTime  = 10 * time.Second
 	drainTime = 11 * time.Second
 )
 
-// stop stops the server as a node does.
+// stop stops the server in the same steps as a node.
 func (s *testServer) stop() {
 	time.Sleep(stopTime)
 	s.listener.DisableKeepAlives()
@@ -36,15 +36,15 @@
 	s.checkClosed()
 }
 
-// part is what a caller writes at a moment.
+// timedWrite is a text that a caller writes at a given time.
 type timedWrite struct {
 	at   time.Duration
 	text string
 }
 
-// TestRequestsCrossStop has requests come in around the moments of a stop. Those whose heads were
-// read while the server shut down got no answer, and neither did those that came in on a
-// kept connection just when it was closed.
+// TestRequestsDuringStop sends requests around the steps of a stop. It guards against missing
+// responses to requests whose headers were read while the server shut down, and to those received
+// on an idle connection just when it was closed.
 func TestRequestsDuringStop(t *testing.T) {
 	const moment = time.Millisecond
 	first := timedWrite{5 * time.Second, firstRequest}
@@ -52,33 +52,33 @@
 		sent []timedWrite
 		want []string
 	}{
-		"running as it leaves":            {sent: []timedWrite{{stopTime - moment, firstRequest}}, want: []string{"/one "}},
-		"running as it drains":            {sent: []timedWrite{{drainTime - moment, firstRequest}}, want: []string{"/one "}},
-		"fresh, in between":               {sent: []timedWrite{{stopTime + moment, firstRequest}}, want: []string{"/one "}},
-		"fresh, crossing the drain":       {sent: []timedWrite{{drainTime + moment, firstRequest}}, want: []string{"/one "}},
-		"kept, crossing the leave":        {sent: []timedWrite{first, {stopTime + moment, secondRequest}}, want: []string{"/one ", "/two "}},
-		"kept, in between":                {sent: []timedWrite{first, {stopTime + 500*moment, secondRequest}}, want: []string{"/one ", "/two "}},
-		"kept, crossing the drain":        {sent: []timedWrite{first, {drainTime + moment, secondRequest}}, want: []string{"/one ", "/two "}},
-		"kept, nothing more comes":        {sent: []timedWrite{first}, want: []string{"/one "}},
-		"nothing comes":                   {},
-		"head in halves over the leave":   {sent: []timedWrite{{stopTime - moment, firstRequest[:20]}, {stopTime + moment, firstRequest[20:]}}, want: []string{"/one "}},
-		"head in halves over the drain":   {sent: []timedWrite{{drainTime - moment, firstRequest[:20]}, {drainTime + 900*moment, firstRequest[20:]}}, want: []string{"/one "}},
-		"kept, in halves over the drain":  {sent: []timedWrite{first, {drainTime - moment, secondRequest[:20]}, {drainTime + 900*moment, secondRequest[20:]}}, want: []string{"/one ", "/two "}},
-		"pipelined before it leaves":      {sent: []timedWrite{{stopTime - 1500*moment, firstRequest + secondRequest}}, want: []string{"/one ", "/two "}},
-		"pipelined, the first runs on":    {sent: []timedWrite{{stopTime - moment, firstRequest + secondRequest}}, want: []string{"/one "}},
-		"a body through all of it":        {sent: []timedWrite{{stopTime - moment, chunkedPost + "2\nhi\n"}, {drainTime - moment, "2\nho\n"}, {drainTime + 5*time.Second, "2\nhu\n0\n\n"}}, want: []string{"/two hihohu"}},
-		"a body whose head crosses":       {sent: []timedWrite{{drainTime - moment, chunkedPost[:30]}, {drainTime + moment, chunkedPost[30:]}, {drainTime + 5*time.Second, "2\nhu\n0\n\n"}}, want: []string{"/two hu"}},
-		"a pipelined body crosses":        {sent: []timedWrite{{drainTime - 1001*moment, firstRequest + chunkedPost}, {drainTime + 5*time.Second, "2\nhu\n0\n\n"}}, want: []string{"/one "}},
-		"a body after a kept request":     {sent: []timedWrite{first, {drainTime + moment, chunkedPost}, {drainTime + 5*time.Second, "2\nhu\n0\n\n"}}, want: []string{"/one ", "/two hu"}},
-		"an aborted answer, then nothing": {sent: []timedWrite{first, {stopTime + moment, strings.Replace(firstRequest, "/one", "/abort", 1)}}, want: []string{"/one "}},
+		"running at the stop":                          {sent: []timedWrite{{stopTime - moment, firstRequest}}, want: []string{"/one "}},
+		"running at the drain":                         {sent: []timedWrite{{drainTime - moment, firstRequest}}, want: []string{"/one "}},
+		"first request, between stop and drain":        {sent: []timedWrite{{stopTime + moment, firstRequest}}, want: []string{"/one "}},
+		"first request, just after the drain":          {sent: []timedWrite{{drainTime + moment, firstRequest}}, want: []string{"/one "}},
+		"second request, just after the stop":          {sent: []timedWrite{first, {stopTime + moment, secondRequest}}, want: []string{"/one ", "/two "}},
+		"second request, between stop and drain":       {sent: []timedWrite{first, {stopTime + 500*moment, secondRequest}}, want: []string{"/one ", "/two "}},
+		"second request, just after the drain":         {sent: []timedWrite{first, {drainTime + moment, secondRequest}}, want: []string{"/one ", "/two "}},
+		"no second request":                            {sent: []timedWrite{first}, want: []string{"/one "}},
+		"no request":                                   {},
+		"header in halves around the stop":             {sent: []timedWrite{{stopTime - moment, firstRequest[:20]}, {stopTime + moment, firstRequest[20:]}}, want: []string{"/one "}},
+		"header in halves around the drain":            {sent: []timedWrite{{drainTime - moment, firstRequest[:20]}, {drainTime + 900*moment, firstRequest[20:]}}, want: []string{"/one "}},
+		"second header in halves around the drain":     {sent: []timedWrite{first, {drainTime - moment, secondRequest[:20]}, {drainTime + 900*moment, secondRequest[20:]}}, want: []string{"/one ", "/two "}},
+		"pipelined before the stop":                    {sent: []timedWrite{{stopTime - 1500*moment, firstRequest + secondRequest}}, want: []string{"/one ", "/two "}},
+		"pipelined, the first running at the stop":     {sent: []timedWrite{{stopTime - moment, firstRequest + secondRequest}}, want: []string{"/one "}},
+		"body from before the stop to after the drain": {sent: []timedWrite{{stopTime - moment, chunkedPost + "2\nhi\n"}, {drainTime - moment, "2\nho\n"}, {drainTime + 5*time.Second, "2\nhu\n0\n\n"}}, want: []string{"/two hihohu"}},
+		"header of a body in halves around the drain":  {sent: []timedWrite{{drainTime - moment, chunkedPost[:30]}, {drainTime + moment, chunkedPost[30:]}, {drainTime + 5*time.Second, "2\nhu\n0\n\n"}}, want: []string{"/two hu"}},
+		"pipelined body after the drain":               {sent: []timedWrite{{drainTime - 1001*moment, firstRequest + chunkedPost}, {drainTime + 5*time.Second, "2\nhu\n0\n\n"}}, want: []string{"/one "}},
+		"body of a second request after the drain":     {sent: []timedWrite{first, {drainTime + moment, chunkedPost}, {drainTime + 5*time.Second, "2\nhu\n0\n\n"}}, want: []string{"/one ", "/two hu"}},
+		"aborted response, then no request":            {sent: []timedWrite{first, {stopTime + moment, strings.Replace(firstRequest, "/one", "/abort", 1)}}, want: []string{"/one "}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newTestServer(t, nil)
 				responses := s.responses()
-				var sending sync.WaitGroup
-				sending.Go(func() {
+				var writes sync.WaitGroup
+				writes.Go(func() {
 					began := time.Now()
 					for _, p := range test.sent {
 						time.Sleep(p.at - time.Since(began))
@@ -86,7 +86,7 @@
 					}
 				})
 				s.stop()
-				sending.Wait()
+				writes.Wait()
 				var got []string
 				for a := range responses {
 					got = append(got, a)
@@ -97,17 +97,17 @@
 	}
 }
 
-// TestStreamsCrossStop does the same over HTTP/2, where a caller is told which requests have not
-// been taken up.
+// TestHTTP2RequestsDuringStop does the same over HTTP/2, where the caller learns which requests have
+// not been processed.
 func TestHTTP2RequestsDuringStop(t *testing.T) {
 	const moment = time.Millisecond
 	tests := map[string][]time.Duration{
-		"running as it leaves":     {stopTime - moment},
-		"running as it drains":     {drainTime - moment},
-		"in between":               {stopTime + moment},
-		"kept, in between":         {5 * time.Second, stopTime + moment},
-		"kept, crossing the drain": {5 * time.Second, drainTime - 2*moment, drainTime - moment},
-		"all at once":              {stopTime - moment, stopTime, stopTime + moment, drainTime - moment},
+		"running at the stop":                             {stopTime - moment},
+		"running at the drain":                            {drainTime - moment},
+		"between stop and drain":                          {stopTime + moment},
+		"second request, between stop and drain":          {5 * time.Second, stopTime + moment},
+		"second and third request, just before the drain": {5 * time.Second, drainTime - 2*moment, drainTime - moment},
+		"all at once":                                     {stopTime - moment, stopTime, stopTime + moment, drainTime - moment},
 	}
 	for name, moments := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -147,7 +147,7 @@
 	}
 }
 
-// toldListener says when it is first told to close, or to look for a time only.
+// notifyingListener calls notify when it is closed or gets a deadline.
 type notifyingListener struct {
 	*net.TCPListener
 	notify func()
@@ -163,8 +163,8 @@
 	return l.TCPListener.Close()
 }
 
-// TestConnectionOpenedBeforeDrain has a caller open a connection and send a request, which the server comes
-// to after the node has begun to close its listener. The connection was reset.
+// TestConnectionOpenedBeforeDrain guards against resetting a connection that a caller has opened, and
+// sent a request on, before the listener is closed, and that the server accepts only afterwards.
 func TestConnectionOpenedBeforeDrain(t *testing.T) {
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
--- a/caller/handler.go
+++ b/caller/handler.go
@@ -35,37 +35,37 @@
 	Do(ctx context.Context, r *entry.Request) (*entry.Result, *verdict.Error)
 }
 
-// Outcome is what became of a request.
+// Outcome describes a request that has ended.
 type Outcome struct {
-	// ID is the request id.
+	// ID is the request ID.
 	ID string
-	// Service and Class are what the request was taken for. They are empty if
-	// its host is unknown.
+	// Service and Class are the service and class of the request. They are empty if its host
+	// is unknown.
 	Service, Class string
 	// Route is the name of its route, or empty.
 	Route string
 	// Organisation is the name of the organisation on whose behalf it was sent, or empty.
 	Organisation string
-	// Method and Path are the request's.
+	// Method and Path are those of the request.
 	Method, Path string
-	// Print tells the request from others. It is zero if the request was not taken up.
+	// Fingerprint identifies the request. It is zero if the request was not accepted.
 	Fingerprint quarantine.Fingerprint
-	// Status is the HTTP status that the caller got.
+	// Status is the HTTP status of the response to the caller.
 	Status int
-	// Failure is why there was no answer, or why it was cut, or nil.
+	// Failure is why there was no response, or why it was truncated, or nil.
 	Failure *verdict.Error
-	// Tries is the number of sendings.
+	// Attempts is the number of attempts.
 	Attempts int
-	// Steps are the decisions on the request.
+	// Steps are the decisions made on the request.
 	Steps []entry.Step
-	// Took is the time from the head of the request to the end of the answer.
+	// Duration is the time from the header of the request to the end of the response.
 	Duration time.Duration
-	// Body is the length of a body that was kept as it came in, in bytes, and BodyTook how
-	// long it took to come in from the caller; 0 if it has not.
+	// BodyBytes is the length of a body that was spooled, and BodyReceiveTime the time that
+	// it took to receive it from the caller; 0 if it was not received completely.
 	BodyBytes       int64
 	BodyReceiveTime time.Duration
-	// Arrived and Waited are how long that body took to the upstream's node, and the
-	// request then waited there for a slot, if it was answered.
+	// TransferTime is the time that the transfer of that body to the upstream's node took, and
+	// QueueTime the time that the request then waited there for a slot, if it was answered.
 	TransferTime, QueueTime time.Duration
 }
 
@@ -77,33 +77,34 @@
 	Lookup func(host string) (s *entry.Service, ready bool)
 	// Resolver, if not nil, finds the targets of requests in place of Lookup.
 	Resolver Resolver
-	// Names are the header fields that callers use.
+	// FieldNames are the names of the header fields that callers use.
 	FieldNames upstream.FieldNames
-	// Service is the service that runs beside this node. It is named to the
-	// upstream as the one that the request comes from, if there is a field for it.
+	// Service is the service that runs beside this node. Upstreams are told this name as
+	// the origin of requests, if there is a field for it.
 	Service string
-	// Beside is whether all callers are on this node's instance. Nothing is added
-	// then to a request of where it comes from: Service says it.
+	// LocalCallers is whether all callers are on this node's instance. Requests then get no
+	// fields that describe their origin, as Service does so.
 	LocalCallers bool
 	// Dispatcher sends the requests.
 	Dispatcher Dispatcher
-	// Suspects, if not nil, returns whether a request with the head of p may be one that
-	// ends upstreams.
+	// MaySuspect, if not nil, returns whether a request with the header of p may be
+	// suspected of crashing upstreams.
 	MaySuspect func(p quarantine.Fingerprint) bool
-	// Admit, if not nil, lets a request in as far as its organisation's rate limit allows,
-	// or returns why it must not run.
+	// Admit, if not nil, admits a request under its organisation's rate limit, or returns
+	// why it must not run.
 	Admit func(ctx context.Context, r ratelimit.Request) (*ratelimit.Permit, *verdict.Error)
-	// Ends, if not nil, returns when the requests that are under way are cut, or the zero
-	// time if that is not to come. One that may take longer is refused.
+	// ShutdownDeadline, if not nil, returns when the requests in flight are cancelled, or the
+	// zero time if the node is not stopping. A request that may take longer is refused.
 	ShutdownDeadline func() time.Time
-	// Claims keeps resent requests from running twice, for the services that ask
-	// for it. Nil refuses their requests that have an IdempotencyKey.
+	// Claims keeps retried requests from running twice, for the services that enable
+	// this. If it is nil, their requests with an IdempotencyKey are refused.
 	Claims *claim.Store
-	// Node is named in Via and in the header that says where a request ran.
+	// Node is the node's name, for Via and for the header field that names the node of the
+	// upstream.
 	Node string
-	// Tracer makes a span for each request.
+	// Tracer starts a span for each request.
 	Tracer trace.Tracer
-	// Ended, if not nil, is called at the end of each request.
+	// OnRequestEnd, if not nil, is called at the end of each request.
 	OnRequestEnd func(Outcome)
 
 	inFlight inFlight
@@ -116,16 +117,16 @@
 	r       *http.Request
 	began   time.Time
 	outcome Outcome
-	// broken is whether reading the body failed, after which nobody knows where
-	// the next request begins.
+	// bodyReadFailed is whether reading the body failed, after which the start of the next
+	// request can't be determined.
 	bodyReadFailed atomic.Bool
-	// streamed is the body if it is read while the request is under way, or nil.
+	// streamed is the body if it is read while the request is in flight, or nil.
 	streamed *streamedBody
-	// kept is the body if it is kept besides, or nil.
+	// spooled is the body if it is spooled as well, or nil.
 	spooled *spool.Body
-	// closes is whether the answer is the last one of its connection.
+	// closesConnection is whether the response is the last one of its connection.
 	closesConnection bool
-	// pass is what its organisation's rate limit lets it in by, or nil.
+	// permit is the permit of the organisation's rate limit, or nil.
 	permit *ratelimit.Permit
 }
 
@@ -150,13 +151,13 @@
 	defer h.inFlight.remove(x)
 	ctx := tracing.Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 	ctx, span := h.Tracer.Start(ctx, "entry", trace.WithSpanKind(trace.SpanKindServer))
-	truncated := x.serve(ctx)
+	abort := x.serve(ctx)
 	if f := x.outcome.Failure; f != nil && f.Verdict() == verdict.NotRun {
 		x.permit.Refund()
 	}
 	x.outcome.Duration = time.Since(began)
 	x.recordBodyTime()
-	truncated = !x.finishBody() || truncated
+	abort = !x.finishBody() || abort
 	if span.IsRecording() {
 		span.SetAttributes(attribute.String("http.request.method", r.Method), attribute.String("sassafras.service", x.outcome.Service), attribute.Int("sassafras.tries", x.outcome.Attempts))
 	}
@@ -164,12 +165,12 @@
 	if h.OnRequestEnd != nil {
 		h.OnRequestEnd(x.outcome)
 	}
-	if truncated {
+	if abort {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// noteBody notes how long the body took to come in.
+// recordBodyTime records how long it took to receive the body.
 func (x *exchange) recordBodyTime() {
 	if x.spooled == nil {
 		return
@@ -180,7 +181,7 @@
 	}
 }
 
-// requestID returns the caller's request id if it is a plain one, or a new one.
+// requestID returns the caller's request ID if it is valid, or a new one.
 func requestID(r *http.Request, name string) string {
 	const maxLength = 128
 	id := r.Header.Get(name)
@@ -191,7 +192,7 @@
 	return rand.Text()
 }
 
-// serve handles the request. It returns whether the answer must be cut.
+// serve handles the request. It returns whether the response must be truncated.
 func (x *exchange) serve(ctx context.Context) (truncated bool) {
 	target, failure := x.resolver().Resolve(x.r)
 	if failure == nil {
@@ -224,8 +225,8 @@
 	return x.dispatch(ctx, q, nil)
 }
 
-// admit lets the request in as far as its organisation's rate limit allows. What is sent
-// again on its behalf is the same request.
+// admit admits the request under its organisation's rate limit. Retries on its behalf count as
+// the same request.
 func (x *exchange) admit(ctx context.Context, t *Target) (failure *verdict.Error) {
 	if t.Organisation == "" || x.handler.Admit == nil {
 		return nil
@@ -243,11 +244,11 @@
 	return failure
 }
 
-// ComeBackElsewhere is what callers are told to wait for whose requests a stopping node does
-// not take, or does not send on any more. Other nodes take them.
+// RetryElsewhereDelay is the time after which callers may retry whose requests a stopping node
+// refuses, or no longer forwards. Other nodes accept them.
 const RetryElsewhereDelay = 250 * time.Millisecond
 
-// inTime returns why a request is not taken that may still be under way when all are cut.
+// checkShutdown returns a failure if the request may still be in flight when all are cancelled.
 func (x *exchange) checkShutdown(q *entry.Request) *verdict.Error {
 	if x.handler.ShutdownDeadline == nil {
 		return nil
@@ -256,10 +257,10 @@
 	if deadline.IsZero() || !q.Deadline.After(deadline) {
 		return nil
 	}
-	return verdict.New(verdict.NotSent, eris.New("this node stops before the request's time is over")).WithRetryAfter(RetryElsewhereDelay)
+	return verdict.New(verdict.NotSent, eris.New("this node stops before the request's deadline")).WithRetryAfter(RetryElsewhereDelay)
 }
 
-// resolver returns what finds the target of a request.
+// resolver returns the resolver of the request's target.
 func (x *exchange) resolver() Resolver {
 	if x.handler.Resolver != nil {
 		return x.handler.Resolver
@@ -267,8 +268,8 @@
 	return hostResolver(x.handler.Lookup)
 }
 
-// dispatch sends the request and passes its answer on. Keep, if not nil, gets
-// the answer as well.
+// dispatch sends the request and forwards its response. Recorder, if not nil, also gets the
+// response.
 func (x *exchange) dispatch(ctx context.Context, q *entry.Request, recorder *claimRecorder) (truncated bool) {
 	result, failure := x.handler.Dispatcher.Do(ctx, q)
 	x.outcome.Steps = q.Steps
@@ -288,8 +289,8 @@
 	return truncated
 }
 
-// stopped returns the failure of a request that has been sent on, which its caller is not
-// to blame for if the request's context ended because the node had to stop.
+// shutdownFailure returns the failure of a request that has been forwarded: the cause Stopped in
+// place of CallerGone if the request's context ended because the node had to stop.
 func (x *exchange) shutdownFailure(failure *verdict.Error) *verdict.Error {
 	reason, ok := errors.AsType[*verdict.Error](context.Cause(x.r.Context()))
 	if !ok || failure.Cause != verdict.CallerGone {
@@ -298,7 +299,7 @@
 	return verdict.New(verdict.Stopped, reason.Err).WithGivenUp()
 }
 
-// classOf returns the first class that the request matches, or the first class.
+// matchClass returns the first class that the request matches, or the first class.
 func matchClass(s *operator.Service, r *http.Request) string {
 	for _, c := range s.Classes {
 		values := r.Header.Values(c.Header)
--- a/caller/header.go
+++ b/caller/header.go
@@ -14,8 +14,7 @@
 	"sassafrasfront.example/upstream"
 )
 
-// hopByHop are the header fields that are meant for one hop, beside those that
-// Connection names.
+// hopByHop are the hop-by-hop header fields, besides those that Connection lists.
 var hopByHop = []string{
 	"Connection",
 	"Proxy-Connection",
@@ -29,7 +28,7 @@
 	"Http2-Settings",
 }
 
-// stripHopByHop removes the fields that are meant for one hop.
+// stripHopByHop removes the hop-by-hop fields.
 func stripHopByHop(h http.Header) {
 	for _, v := range h["Connection"] {
 		for name := range strings.SplitSeq(v, ",") {
@@ -43,7 +42,7 @@
 	}
 }
 
-// forward returns the header of r as it is sent on.
+// forwardedHeader returns the header of r as it is sent to the upstream.
 func (h *Handler) forwardedHeader(r *http.Request) http.Header {
 	fields := r.Header.Clone()
 	stripHopByHop(fields)
@@ -55,7 +54,7 @@
 	return fields
 }
 
-// sayWhence adds where r comes from.
+// addForwarded adds the fields that describe the origin of r.
 func addForwarded(h http.Header, r *http.Request) {
 	client, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
@@ -76,7 +75,7 @@
 	}
 }
 
-// forwardedFor returns an address as RFC 7239, section 6, wants it.
+// forwardedFor returns an address in the form of RFC 7239, section 6.
 func forwardedFor(client string) string {
 	if strings.Contains(client, ":") {
 		return `"[` + client + `]"`
@@ -84,10 +83,10 @@
 	return client
 }
 
-// NodeHeader says at which node a request ran.
+// NodeHeader names the node whose upstream ran the request.
 const NodeHeader = "Sassafras-Node"
 
-// copyHeader copies an answer's fields for the caller.
+// copyResponseHeader copies a response's header fields for the caller.
 func copyResponseHeader(to http.Header, from []peer.Field, node string) {
 	for _, f := range from {
 		to.Add(f.Name, f.Value)
@@ -97,8 +96,8 @@
 	to.Add("Via", "1.1 "+node)
 }
 
-// headSize returns the size of a request's head on the wire, in bytes. The
-// server has taken Host out of the fields.
+// headerSize returns the size of a request's header on the wire, in bytes. The server has
+// removed Host from the fields.
 func headerSize(r *http.Request) int {
 	const (
 		lineEnd = len("\r\n")
--- a/caller/inflight.go
+++ b/caller/inflight.go
@@ -9,10 +9,11 @@
 	"sync"
 )
 
-// underWay are the requests that a Handler has not ended. The zero value is ready for use.
+// inFlight is the set of requests that a Handler has not completed. The zero value is ready for
+// use.
 type inFlight struct {
 	mu       sync.Mutex
-	begun    uint64
+	started  uint64
 	requests map[*exchange]struct{}
 }
 
@@ -22,7 +23,7 @@
 	if u.requests == nil {
 		u.requests = make(map[*exchange]struct{})
 	}
-	u.begun++
+	u.started++
 	u.requests[x] = struct{}{}
 }
 
@@ -32,16 +33,16 @@
 	delete(u.requests, x)
 }
 
-// Count returns how many requests are under way, and how many have begun so far, those
-// included. It may be called from any goroutine.
-func (h *Handler) RequestCounts() (open int, begun uint64) {
+// RequestCounts returns how many requests are in flight, and how many have been started so far,
+// including those. It may be called from any goroutine.
+func (h *Handler) RequestCounts() (inFlight int, started uint64) {
 	h.inFlight.mu.Lock()
 	defer h.inFlight.mu.Unlock()
-	return len(h.inFlight.requests), h.inFlight.begun
+	return len(h.inFlight.requests), h.inFlight.started
 }
 
-// Open returns the ids of the requests that are under way, at most so many, the oldest
-// ones first. It may be called from any goroutine.
+// InFlightIDs returns the IDs of the requests in flight, at most limit, the oldest ones first.
+// It may be called from any goroutine.
 func (h *Handler) InFlightIDs(limit int) []string {
 	h.inFlight.mu.Lock()
 	list := make([]*exchange, 0, len(h.inFlight.requests))
--- a/caller/keys.go
+++ b/caller/keys.go
@@ -20,22 +20,24 @@
 	"sassafrasfront.example/verdict"
 )
 
-// Keys says how the keys of organisations are judged. The zero value goes by the table of
-// routes alone.
+// Keys defines how the keys of organisations are checked. With the zero value only the table
+// of routes decides.
 type Keys struct {
-	// Bounds are how fresh a table has to be.
+	// Bounds are the limits on the staleness of a table.
 	Bounds freshness.Bounds
-	// Age returns for how long a table with the version may have been out of date. Nil
-	// means that this is not known, and not asked for.
+	// Age returns for how long a table with the version may have been out of date. If it is
+	// nil, the age is unknown.
 	Age func(version uint64) freshness.Age
-	// Judged, if not nil, is told whether a request is admitted whose key the table has.
+	// OnEvaluated, if not nil, is called with whether a request is admitted whose key is in
+	// the table.
 	OnEvaluated func(admitted bool, version uint64, age freshness.Age)
-	// RetryAfter is when the caller of a node that has not heard for too long may come
-	// back.
+	// RetryAfter is the time after which a caller may retry at a node whose table is too
+	// stale.
 	RetryAfter time.Duration
 }
 
-// admit returns the target of a request that needs a key, for the organisation that has it.
+// authenticate returns the target of a request that needs a key, for the organisation of the
+// key.
 func (k *Keys) authenticate(target *Target, t *routes.Table, route *routes.Route, h http.Header) (*Target, *verdict.Error) {
 	key, err := bearer.Key(h)
 	if err != nil {
@@ -53,7 +55,8 @@
 	return target, nil
 }
 
-// judge returns why a request with a key, which the table has or has not, can't be taken.
+// evaluate returns the failure of a request with a key, or nil. KeyKnown is whether the key is in
+// the table.
 func (k *Keys) evaluate(version uint64, keyKnown bool) *verdict.Error {
 	var age freshness.Age
 	if k.Age != nil {
@@ -73,8 +76,8 @@
 	}
 }
 
-// regionsOf returns the regions that both a route and an organisation allow. None means
-// all for either, so that it is a failure if they have none in common.
+// commonRegions returns the regions that both a route and an organisation allow. An empty list
+// allows all regions, so it is an error if the two have none in common.
 func commonRegions(route, organisation []string) ([]string, error) {
 	if len(organisation) == 0 {
 		return route, nil
@@ -89,13 +92,13 @@
 		}
 	}
 	if len(common) == 0 {
-		return nil, eris.New("no region is allowed both to the route and to the organisation")
+		return nil, eris.New("no region is allowed by both the route and the organisation")
 	}
 	return common, nil
 }
 
-// classFor returns the class of an organisation's requests on a route: its priority goes
-// before the route's, where the service has a class for it.
+// organisationClass returns the class of an organisation's requests on a route: its priority
+// overrides the route's if the service has a class for it.
 func organisationClass(s *operator.Service, route *routes.Route, o *organisation.Organisation) string {
 	own := ClassName(route.Priority, route.Objective)
 	if o.Priority == nil {
@@ -108,8 +111,8 @@
 	return name
 }
 
-// nameOrganisation sets the field by which the upstream knows the organisation, whatever
-// the caller has sent in it.
+// setOrganisation sets the field that names the organisation to the upstream, and discards
+// any value that the caller has sent in it.
 func setOrganisation(h http.Header, field, name string) {
 	if field == "" {
 		return
@@ -120,8 +123,8 @@
 	}
 }
 
-// withheld returns the fields that a trailer can't bear: an upstream that merges it into
-// the header would take them for the node's (RFC 9110, section 6.5.1).
+// reservedFields returns the fields that are not allowed in a trailer: an upstream that merges
+// the trailer into the header would mistake them for the node's (RFC 9110, section 6.5.1).
 func reservedFields(names upstream.FieldNames) []string {
 	return []string{bearer.Field, names.RequestID, names.Timeout, names.CallerService, names.ExpectedInstance, names.Organisation}
 }
--- a/caller/keys_test.go
+++ b/caller/keys_test.go
@@ -27,13 +27,13 @@
 	"sassafrasfront.example/verdict"
 )
 
-// key is the key of the organisation "right", whose name the field organisationField bears.
+// key is the key of the organisation "right", whose name is in the field organisationField.
 const (
 	key               = "2thhkmgjqnirth5mgjy5"
 	organisationField = "X-Organisation"
 )
 
-// taken is a Dispatcher that keeps the requests that it gets.
+// recorder is a Dispatcher that records the requests that it gets, and refuses them.
 type recorder struct {
 	requests []*entry.Request
 }
@@ -43,7 +43,7 @@
 	return nil, verdict.New(verdict.Refused, nil)
 }
 
-// values returns the values of a field of the one request that was taken.
+// values returns the values of a field of the first request.
 func (d *recorder) values(name string) (list []string) {
 	for _, f := range d.requests[0].Header {
 		if f.Name == name {
@@ -53,8 +53,8 @@
 	return list
 }
 
-// keyed returns a handler for a table with organisations, with the routes /keyed/ and
-// /public/, and what it dispatches to.
+// newKeyedHandler returns a handler for a table with organisations, with the routes /keyed/,
+// /bound/ and /public/, and its Dispatcher.
 func newKeyedHandler(t testing.TB, keys caller.Keys) (*caller.Handler, *recorder) {
 	urgent, unknown := 0, 7
 	table, err := routes.New(routes.Table{
@@ -91,7 +91,7 @@
 	}, d
 }
 
-// ask has a handler take a request with the given head lines.
+// post has a handler serve a POST request with the given header lines.
 func post(t testing.TB, h http.Handler, path string, lines ...string) *httptest.ResponseRecorder {
 	raw := "POST " + path + " HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n" + strings.Join(append(lines, ""), "\r\n") + "\r\nhi"
 	r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(raw)))
@@ -101,39 +101,39 @@
 	return w
 }
 
-// TestAuthorization has one row for each way in which a caller shows a key, or none.
+// TestAuthorization has one row for each way of sending a key, or none.
 func TestAuthorization(t *testing.T) {
-	const admitted = http.StatusServiceUnavailable // by the dispatcher that refuses all
+	const admitted = http.StatusServiceUnavailable // the recorder refuses all requests
 	long := strings.Repeat("k", 8<<10)
 	for name, row := range map[string]struct {
 		lines     []string
 		status    int
 		challenge string // WWW-Authenticate
 	}{
-		"a key":                         {[]string{"Authorization: Bearer " + key}, admitted, ""},
-		"the scheme in other case":      {[]string{"AUTHORIZATION: bEARER " + key}, admitted, ""},
-		"spaces after it":               {[]string{"Authorization: Bearer " + key + "  \t"}, admitted, ""},
-		"spaces before it":              {[]string{"Authorization:    Bearer   " + key}, admitted, ""},
-		"named in Connection":           {[]string{"Connection: authorization", "Authorization: Bearer " + key}, admitted, ""},
-		"none":                          {nil, 401, "Bearer"},
-		"empty":                         {[]string{"Authorization:"}, 401, `Bearer error="invalid_token"`},
-		"no key":                        {[]string{"Authorization: Bearer"}, 401, `Bearer error="invalid_token"`},
-		"another key":                   {[]string{"Authorization: Bearer nobody"}, 401, `Bearer error="invalid_token"`},
-		"the key in other case":         {[]string{"Authorization: Bearer " + strings.ToUpper(key)}, 401, `Bearer error="invalid_token"`},
-		"the start of a key":            {[]string{"Authorization: Bearer " + key[:10]}, 401, `Bearer error="invalid_token"`},
-		"more than a key":               {[]string{"Authorization: Bearer " + key + "x"}, 401, `Bearer error="invalid_token"`},
-		"two words":                     {[]string{"Authorization: Bearer " + key + " " + key}, 401, `Bearer error="invalid_token"`},
-		"two keys":                      {[]string{"Authorization: Bearer " + key + "," + key}, 401, `Bearer error="invalid_token"`},
-		"twice the same":                {[]string{"Authorization: Bearer " + key, "Authorization: Bearer " + key}, 401, `Bearer error="invalid_token"`},
-		"a good and a bad one":          {[]string{"Authorization: Bearer " + key, "authorization: Bearer another-key"}, 401, `Bearer error="invalid_token"`},
-		"another scheme":                {[]string{"Authorization: Basic " + key}, 401, `Bearer error="invalid_token"`},
-		"no scheme":                     {[]string{"Authorization: " + key}, 401, `Bearer error="invalid_token"`},
-		"a tab":                         {[]string{"Authorization: Bearer\t" + key}, 401, `Bearer error="invalid_token"`},
-		"8 kB":                          {[]string{"Authorization: Bearer " + long}, 401, `Bearer error="invalid_token"`},
-		"not ASCII":                     {[]string{"Authorization: Bearer k\xc3\xa9y"}, 401, `Bearer error="invalid_token"`},
-		"as a proxy's":                  {[]string{"Proxy-Authorization: Bearer " + key}, 401, "Bearer"},
-		"by the name":                   {[]string{organisationField + ": right"}, 401, "Bearer"},
-		"by the name, as a call inside": {[]string{organisationField + ": right", "X-Request-Id: a.b"}, 401, "Bearer"},
+		"a key":                            {[]string{"Authorization: Bearer " + key}, admitted, ""},
+		"the scheme in other case":         {[]string{"AUTHORIZATION: bEARER " + key}, admitted, ""},
+		"spaces after it":                  {[]string{"Authorization: Bearer " + key + "  \t"}, admitted, ""},
+		"spaces before it":                 {[]string{"Authorization:    Bearer   " + key}, admitted, ""},
+		"named in Connection":              {[]string{"Connection: authorization", "Authorization: Bearer " + key}, admitted, ""},
+		"none":                             {nil, 401, "Bearer"},
+		"empty":                            {[]string{"Authorization:"}, 401, `Bearer error="invalid_token"`},
+		"no key":                           {[]string{"Authorization: Bearer"}, 401, `Bearer error="invalid_token"`},
+		"another key":                      {[]string{"Authorization: Bearer nobody"}, 401, `Bearer error="invalid_token"`},
+		"the key in other case":            {[]string{"Authorization: Bearer " + strings.ToUpper(key)}, 401, `Bearer error="invalid_token"`},
+		"the start of a key":               {[]string{"Authorization: Bearer " + key[:10]}, 401, `Bearer error="invalid_token"`},
+		"more than a key":                  {[]string{"Authorization: Bearer " + key + "x"}, 401, `Bearer error="invalid_token"`},
+		"two words":                        {[]string{"Authorization: Bearer " + key + " " + key}, 401, `Bearer error="invalid_token"`},
+		"two keys":                         {[]string{"Authorization: Bearer " + key + "," + key}, 401, `Bearer error="invalid_token"`},
+		"twice the same":                   {[]string{"Authorization: Bearer " + key, "Authorization: Bearer " + key}, 401, `Bearer error="invalid_token"`},
+		"a good and a bad one":             {[]string{"Authorization: Bearer " + key, "authorization: Bearer another-key"}, 401, `Bearer error="invalid_token"`},
+		"another scheme":                   {[]string{"Authorization: Basic " + key}, 401, `Bearer error="invalid_token"`},
+		"no scheme":                        {[]string{"Authorization: " + key}, 401, `Bearer error="invalid_token"`},
+		"a tab":                            {[]string{"Authorization: Bearer\t" + key}, 401, `Bearer error="invalid_token"`},
+		"8 kB":                             {[]string{"Authorization: Bearer " + long}, 401, `Bearer error="invalid_token"`},
+		"not ASCII":                        {[]string{"Authorization: Bearer k\xc3\xa9y"}, 401, `Bearer error="invalid_token"`},
+		"in Proxy-Authorization":           {[]string{"Proxy-Authorization: Bearer " + key}, 401, "Bearer"},
+		"organisation name only":           {[]string{organisationField + ": right"}, 401, "Bearer"},
+		"organisation name and request ID": {[]string{organisationField + ": right", "X-Request-Id: a.b"}, 401, "Bearer"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h, d := newKeyedHandler(t, caller.Keys{})
@@ -156,8 +156,8 @@
 	}
 }
 
-// TestOrganisationIsNamed has callers that try to name an organisation themselves, or to
-// have the name or the key treated as another field.
+// TestOrganisationField has callers that try to name an organisation themselves, or to have the
+// name or the key treated as another field.
 func TestOrganisationField(t *testing.T) {
 	auth := "Authorization: Bearer " + key
 	for name, row := range map[string]struct {
@@ -166,14 +166,14 @@
 		organisation  []string
 		authorization []string
 	}{
-		"forged":              {"/keyed/x", []string{auth, organisationField + ": other"}, []string{"right"}, nil},
-		"forged twice":        {"/keyed/x", []string{auth, "x-ORGANISATION: other", organisationField + ": third"}, []string{"right"}, nil},
-		"named as hop-by-hop": {"/keyed/x", []string{auth, "Connection: x-organisation, close"}, []string{"right"}, nil},
-		"public":              {"/public/x", nil, nil, nil},
-		"public, forged":      {"/public/x", []string{organisationField + ": other", organisationField + ": right"}, nil, nil},
-		"public, a key":       {"/public/x", []string{auth}, nil, nil},
-		"public, two":         {"/public/x", []string{"Authorization: Basic dTpw", "Authorization: bearer x"}, nil, nil},
-		"public, of another":  {"/public/x", []string{"Authorization: Basic dTpw"}, nil, []string{"Basic dTpw"}},
+		"forged":                 {"/keyed/x", []string{auth, organisationField + ": other"}, []string{"right"}, nil},
+		"forged twice":           {"/keyed/x", []string{auth, "x-ORGANISATION: other", organisationField + ": third"}, []string{"right"}, nil},
+		"named as hop-by-hop":    {"/keyed/x", []string{auth, "Connection: x-organisation, close"}, []string{"right"}, nil},
+		"public":                 {"/public/x", nil, nil, nil},
+		"public, forged":         {"/public/x", []string{organisationField + ": other", organisationField + ": right"}, nil, nil},
+		"public, a key":          {"/public/x", []string{auth}, nil, nil},
+		"public, two":            {"/public/x", []string{"Authorization: Basic dTpw", "Authorization: bearer x"}, nil, nil},
+		"public, another scheme": {"/public/x", []string{"Authorization: Basic dTpw"}, nil, []string{"Basic dTpw"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h, d := newKeyedHandler(t, caller.Keys{})
@@ -186,7 +186,8 @@
 	}
 }
 
-// TestOrganisationBinds has what an organisation sets besides the route.
+// TestOrganisationSettings checks that an organisation's priority and regions apply besides the
+// route's.
 func TestOrganisationSettings(t *testing.T) {
 	for name, row := range map[string]struct {
 		path, key string
@@ -194,14 +195,14 @@
 		regions   []string
 		status    int
 	}{
-		"nothing":                     {"/keyed/x", key, "priority1-0ms", nil, 503},
-		"a priority":                  {"/keyed/x", "urgent", "priority0-0ms", nil, 503},
-		"one without a class":         {"/keyed/x", "odd", "priority1-0ms", nil, 503},
-		"regions":                     {"/keyed/x", "near", "priority1-0ms", []string{"r1", "r3"}, 503},
-		"the route's regions":         {"/bound/x", key, "priority1-0ms", []string{"r1", "r2"}, 503},
-		"both have regions":           {"/bound/x", "near", "priority1-0ms", []string{"r1"}, 503},
-		"both, and none in common":    {"/bound/x", "far", "", nil, 503},
-		"a public route, with an own": {"/public/x", "urgent", "priority1-0ms", nil, 503},
+		"nothing":                    {"/keyed/x", key, "priority1-0ms", nil, 503},
+		"a priority":                 {"/keyed/x", "urgent", "priority0-0ms", nil, 503},
+		"a priority without a class": {"/keyed/x", "odd", "priority1-0ms", nil, 503},
+		"regions":                    {"/keyed/x", "near", "priority1-0ms", []string{"r1", "r3"}, 503},
+		"the route's regions":        {"/bound/x", key, "priority1-0ms", []string{"r1", "r2"}, 503},
+		"both have regions":          {"/bound/x", "near", "priority1-0ms", []string{"r1"}, 503},
+		"both, and none in common":   {"/bound/x", "far", "", nil, 503},
+		"a public route, with a key": {"/public/x", "urgent", "priority1-0ms", nil, 503},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h, d := newKeyedHandler(t, caller.Keys{})
@@ -218,8 +219,8 @@
 	}
 }
 
-// TestStaleTable has a node that does not know how fresh its table is: what needs a key is
-// refused as not run, and what does not is served.
+// TestStaleTable has a node whose table is too stale: requests that need a key are refused as not
+// run, and others are served.
 func TestStaleTable(t *testing.T) {
 	var evaluated []bool
 	h, d := newKeyedHandler(t, caller.Keys{
@@ -238,13 +239,13 @@
 	qt.Check(t, post(t, h, "/keyed/x").Code, qt.Equals, 401, qt.Commentf("no table admits it"))
 	qt.Check(t, post(t, h, "/nowhere/").Code, qt.Equals, 404)
 	qt.Check(t, len(d.requests), qt.Equals, 0)
-	qt.Check(t, evaluated, qt.DeepEquals, []bool{false}, qt.Commentf("of the key that the table has"))
+	qt.Check(t, evaluated, qt.DeepEquals, []bool{false}, qt.Commentf("only for the key in the table"))
 	post(t, h, "/public/x", "Authorization: Bearer "+key)
 	qt.Check(t, len(d.requests), qt.Equals, 1)
 }
 
-// FuzzAuthorization has fields of any form: whoever gets in has sent the one key in one
-// field, and nobody's key or name is passed on.
+// FuzzAuthorization sends arbitrary fields: only requests with one valid key in one field may be
+// admitted, and no key or organisation name of the caller's may be forwarded.
 func FuzzAuthorization(f *testing.F) {
 	f.Add("Authorization", "Bearer "+key, "X-A", "b")
 	f.Add("authorization", "bearer  "+key+" ", "Connection", "X-Organisation")
@@ -275,7 +276,7 @@
 	})
 }
 
-// isOther returns whether a field bears one of the other keys of the table.
+// hasOtherKey returns whether a field has one of the other keys of the table.
 func hasOtherKey(value string) bool {
 	_, sent, _ := strings.Cut(value, " ")
 	return slices.Contains([]string{"urgent", "odd", "near", "far"}, strings.TrimSpace(sent))
--- a/caller/linger_test.go
+++ b/caller/linger_test.go
@@ -24,7 +24,7 @@
 	"sassafrasfront.example/verdict"
 )
 
-// large answers each request with so many bytes.
+// largeResponder responds to each request with a body of that many bytes.
 type largeResponder int64
 
 // Do implements caller.Dispatcher.
@@ -40,9 +40,9 @@
 	}, nil
 }
 
-// TestLastAnswerBeforeMoreInput has a caller at a node that leaves send more than one request, and read
-// slowly. The last answer of the connection was cut by the reset that follows the closing of a
-// connection with unread input.
+// TestLastResponseWithUnreadInput has a caller at a stopping node send more than one request, and
+// read slowly. It guards against a truncated last response: closing a connection with unread input
+// resets it.
 func TestLastResponseWithUnreadInput(t *testing.T) {
 	const size = 1 << 20
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
--- a/caller/listener.go
+++ b/caller/listener.go
@@ -20,22 +20,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// Bounds limit how long a caller may take. A zero field leaves the server's own
-// limit as it is.
+// Timeouts limit how long a caller may take. A zero field leaves the server's own
+// timeout as it is.
 type Timeouts struct {
-	// Head bounds the time in which the head of a request has to come in.
+	// Header bounds the time in which the header of a request has to be received.
 	Header time.Duration
 	// Idle bounds the time between two requests of a connection.
 	Idle time.Duration
 }
 
-// Listener gives out callers' connections that know more of their requests than
-// a server tells its handlers, and ends them in good order. ConnContext and ConnState
-// are to be those of the server that accepts from it. The exported fields are set
-// before the first Accept.
+// Listener accepts callers' connections, records what a server does not tell its handlers
+// about their requests, and closes them gracefully. ConnContext and ConnState must be set in the
+// server that accepts from it. The exported fields are set before the first Accept.
 type Listener struct {
 	net.Listener
-	// Bounds returns the bounds in force. Nil means none beside the server's own.
+	// Timeouts returns the current timeouts. If it is nil, only the server's own apply.
 	Timeouts func() Timeouts
 
 	keepAlivesDisabled atomic.Bool
@@ -43,10 +42,10 @@
 
 	mu         sync.Mutex
 	open       map[*connection]struct{} // connections that are not closed
-	draining   bool                     // whether those that are accepted still are to end
-	drainStart time.Time                // since when
+	draining   bool                     // whether newly accepted connections are to be closed
+	drainStart time.Time                // when draining was set
 	closed     bool                     // whether the listener is closed
-	changes    chan struct{}            // closed at the next change of one, if anybody waits for it
+	changes    chan struct{}            // closed by the next call of notify; nil if nothing waits for it
 }
 
 // Accept implements net.Listener.
@@ -75,17 +74,17 @@
 	if l.draining {
 		c.closeWhenIdle()
 		if d, ok := l.Listener.(deadliner); ok {
-			_ = d.SetDeadline(pastDeadline) // the next one is accepted if it waits already
+			_ = d.SetDeadline(pastDeadline) // accept the next one only if it is pending
 		}
 	}
 	return c, nil
 }
 
-// acceptWithin bounds an Accept for which a connection waits.
+// lastAcceptTimeout bounds an Accept that is called when a connection is pending.
 const lastAcceptTimeout = time.Second
 
-// mayLook returns whether a listener that has been told to close accepts once more, as callers
-// have opened connections that wait: to close it resets those.
+// allowsLastAccept returns whether a listener that is being closed accepts once more, because
+// connections are pending: closing the listener would reset them.
 func (l *Listener) allowsLastAccept() bool {
 	l.mu.Lock()
 	inTime := l.draining && time.Since(l.drainStart) < headerTimeoutAfterClose
@@ -94,8 +93,8 @@
 	return ok && inTime && hasPending(d) && d.SetDeadline(time.Now().Add(lastAcceptTimeout)) == nil
 }
 
-// waits returns whether a connection waits to be accepted. An Accept whose deadline has passed
-// does not tell.
+// hasPending returns whether a connection is waiting to be accepted. An Accept whose deadline
+// has passed does not tell.
 func hasPending(l deadliner) bool {
 	raw, err := l.SyscallConn()
 	if err != nil {
@@ -108,7 +107,7 @@
 	return err == nil && ready > 0
 }
 
-// deadliner is a listener whose Accept can be told to return.
+// deadliner is a listener whose Accept can be interrupted.
 type deadliner interface {
 	syscall.Conn
 	SetDeadline(t time.Time) error
@@ -127,38 +126,38 @@
 	return err
 }
 
-// Leave makes each answer of a Handler the last one of its connection. Connections
-// without a request stay open: a caller that sends one more gets its answer.
+// DisableKeepAlives makes each response of a Handler the last one of its connection.
+// Connections without a request stay open: a caller that sends one more gets its response.
 func (l *Listener) DisableKeepAlives() { l.keepAlivesDisabled.Store(true) }
 
-// Drain closes the listener, and the connections on which nothing of a request has
-// come in. It returns once a Handler has the request of each other one, or it speaks
-// HTTP/2; a head that is coming in gets a short time for that. A server must not be
-// shut down before: it drops the requests that have not come to their handlers. Drain
-// fails if ctx ends first.
+// Drain closes the listener, and the connections on which nothing of a request has been
+// received. It returns once a Handler has the request of each remaining connection, or the
+// connection uses HTTP/2; a header that is being received gets a short time for that. A server
+// must not be shut down before: it drops the requests that have not reached their handlers.
+// Drain fails if ctx ends first.
 func (l *Listener) Drain(ctx context.Context) error {
 	l.DisableKeepAlives()
 	l.closeAfterAccepting(ctx)
 	for _, c := range l.connections() {
 		c.closeWhenIdle()
 	}
-	heads, cancel := context.WithTimeout(ctx, headerTimeoutAfterClose)
+	waitCtx, cancel := context.WithTimeout(ctx, headerTimeoutAfterClose)
 	defer cancel()
-	_ = l.await(heads, l.noneMatches((*connection).awaitsHandler))
+	_ = l.await(waitCtx, l.noneMatches((*connection).awaitsHandler))
 	return context.Cause(ctx)
 }
 
-// closeLooking closes the listener once its Accept has taken the connections that
-// callers have opened, or does not come to it in time.
+// closeAfterAccepting closes the listener once Accept has returned the connections that callers
+// have opened, or a timeout has passed.
 func (l *Listener) closeAfterAccepting(ctx context.Context) {
 	l.mu.Lock()
 	l.draining = true
 	l.drainStart = time.Now()
 	l.mu.Unlock()
 	if d, ok := l.Listener.(deadliner); ok && d.SetDeadline(pastDeadline) == nil {
-		accepting, cancel := context.WithTimeout(ctx, headerTimeoutAfterClose)
+		waitCtx, cancel := context.WithTimeout(ctx, headerTimeoutAfterClose)
 		defer cancel()
-		_ = l.await(accepting, func() bool {
+		_ = l.await(waitCtx, func() bool {
 			l.mu.Lock()
 			defer l.mu.Unlock()
 			return l.closed
@@ -167,14 +166,14 @@
 	_ = l.Close()
 }
 
-// Quiesce waits until all connections are closed, or ctx ends. A server that is
-// shut down does not wait for those that it took for idle while a request came in.
+// AwaitClosed waits until all connections are closed, or ctx ends. A server that is shut down
+// does not wait for the connections that it considered idle while a request was received.
 func (l *Listener) AwaitClosed(ctx context.Context) error {
 	return l.await(ctx, l.noneMatches(func(*connection) bool { return true }))
 }
 
-// Cut closes all connections, whatever is under way on them, and returns how many
-// they were.
+// CloseAll closes all connections, even those with requests in flight, and returns their
+// number.
 func (l *Listener) CloseAll() int {
 	list := l.connections()
 	for _, c := range list {
@@ -190,12 +189,13 @@
 	return slices.Collect(maps.Keys(l.open))
 }
 
-// without returns what says whether no connection is such.
+// noneMatches returns a function that returns whether no open connection matches.
 func (l *Listener) noneMatches(matches func(*connection) bool) func() bool {
 	return func() bool { return !slices.ContainsFunc(l.connections(), matches) }
 }
 
-// await waits until a condition holds that changed tells of, or ctx ends.
+// await waits until the condition holds, or ctx ends. The condition is checked again after each
+// call of notify.
 func (l *Listener) await(ctx context.Context, condition func() bool) error {
 	for {
 		l.mu.Lock()
@@ -215,8 +215,8 @@
 	}
 }
 
-// changed takes in that a connection is in another state, or closed, or that the listener
-// is.
+// notify records that the state of a connection or of the listener has changed, or that the
+// connection c has been closed.
 func (l *Listener) notify(c *connection, closed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -229,7 +229,7 @@
 	}
 }
 
-// ConnState takes in what a server says of a connection.
+// ConnState records a change of a connection's state. It is for http.Server.ConnState.
 func ConnState(c net.Conn, s http.ConnState) {
 	if o, ok := c.(*connection); ok {
 		o.stateChanged(s)
@@ -239,7 +239,8 @@
 // connectionKey is the key of a request's *connection in its context.
 type connectionKey struct{}
 
-// ConnContext lets the requests of a connection know it.
+// ConnContext adds the connection to the context of its requests. It is for
+// http.Server.ConnContext.
 func ConnContext(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connectionKey{}, c)
 }
@@ -251,15 +252,16 @@
 	return c
 }
 
-// leaving returns whether the answer of a request is the last one of its connection.
+// keepAlivesDisabled returns whether the response to a request is the last one of its
+// connection.
 func keepAlivesDisabled(r *http.Request) bool {
 	c := connectionOf(r)
 	return c != nil && c.listener.keepAlivesDisabled.Load()
 }
 
-// twoLengths returns whether a request came in with both a Content-Length and
-// the chunked coding. The server has ignored the length, as RFC 9112, section
-// 6.3, wants it; other servers on the way may have not.
+// hasBothLengths returns whether a request was received with both a Content-Length and the
+// chunked coding. The server has ignored the length, as RFC 9112, section 6.3, requires; other
+// servers on the way may not have.
 func hasBothLengths(r *http.Request) bool {
 	c := connectionOf(r)
 	return c != nil && len(r.TransferEncoding) > 0 && c.receivedContentLength()
--- a/caller/listener_test.go
+++ b/caller/listener_test.go
@@ -23,8 +23,8 @@
 	"sassafrasfront.example/operator"
 )
 
-// kept writes requests to the front over one connection and returns all that
-// comes back until the front closes it, or nothing comes for a while.
+// sendAll writes requests to the front over one connection and returns all that it receives until
+// the front closes the connection, or sends nothing for a while.
 func (p *proxy) sendAll(t *testing.T, requests ...string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", p.front.Listener.Addr().String())
@@ -43,9 +43,9 @@
 	return all.String()
 }
 
-// readQuiet reads from a connection until nothing comes for a while, or it is closed, which it
-// returns. The while is of many short waits: one long wait is over at once in a process that has not
-// run meanwhile, before the front in it has had a turn.
+// readQuiet reads from a connection until nothing arrives for a while, or it is closed, which it
+// reports. It waits in many short intervals: one long wait would end at once in a process that was
+// suspended meanwhile, before the front in it had run.
 func readQuiet(c net.Conn) (all []byte, closed bool) {
 	const (
 		waits = 30
@@ -66,7 +66,7 @@
 	return all, false
 }
 
-// TestConnections has requests after which a connection may or may not go on.
+// TestConnectionReuse has requests after which a connection may or may not be reused.
 func TestConnectionReuse(t *testing.T) {
 	const (
 		plain   = "GET /second HTTP/1.1\nHost: service.example\n\n"
@@ -80,14 +80,14 @@
 		closed    bool
 		want      string
 	}{
-		"plain ones":                    {requests: []string{plain, plain}, responses: 2},
+		"no bodies":                     {requests: []string{plain, plain}, responses: 2},
 		"chunked, then one more":        {requests: []string{chunked, plain}, responses: 2},
 		"a length, then chunked":        {requests: []string{sized, chunked, plain}, responses: 3},
 		"both lengths":                  {requests: []string{both, plain}, responses: 1, closed: true, want: "Connection: close"},
-		"both lengths, in two pieces":   {requests: []string{both[:50], both[50:], plain}, responses: 1, closed: true, want: "Connection: close"},
-		"both lengths after a plain":    {requests: []string{plain, both, plain}, responses: 2, closed: true, want: "Connection: close"},
+		"both lengths, in two writes":   {requests: []string{both[:50], both[50:], plain}, responses: 1, closed: true, want: "Connection: close"},
+		"both lengths after no body":    {requests: []string{plain, both, plain}, responses: 2, closed: true, want: "Connection: close"},
 		"both lengths after a length":   {requests: []string{sized, both, plain}, responses: 2, closed: true, want: "Connection: close"},
-		"a chunk that is none":          {requests: []string{strings.Replace(chunked, "5\nhello", "z\nhello", 1), plain}, responses: 1, closed: true, want: "400 Bad Request"},
+		"invalid chunk":                 {requests: []string{strings.Replace(chunked, "5\nhello", "z\nhello", 1), plain}, responses: 1, closed: true, want: "400 Bad Request"},
 		"a chunk extension of 20 KB":    {requests: []string{strings.Replace(chunked, "5\n", "5;"+strings.Repeat("x", 20<<10)+"\n", 1), plain}, responses: 1, closed: true, want: "400 Bad Request"},
 		"a small body that doesn't end": {requests: []string{strings.Replace(sized[:len(sized)-2], "Host:", "Sassafras-Timeout-Ms: 50\nHost:", 1), plain}, responses: 1, closed: true, want: "400 Bad Request"},
 	}
@@ -103,7 +103,7 @@
 	}
 }
 
-// deadlines is a connection that notes the deadlines that it gets.
+// deadlineRecorder is a connection that records the deadline that it got last.
 type deadlineRecorder struct {
 	net.Conn
 	last time.Time
@@ -116,7 +116,7 @@
 
 func (d *deadlineRecorder) Read(p []byte) (int, error) { return copy(p, "GET /"), nil }
 
-// once is a listener with one connection.
+// singleListener is a listener with one connection.
 type singleListener struct {
 	net.Listener
 	conn net.Conn
@@ -124,8 +124,8 @@
 
 func (o *singleListener) Accept() (net.Conn, error) { return o.conn, nil }
 
-// TestBounds follows the deadlines of a connection through two requests, as a
-// server sets them.
+// TestTimeouts checks the deadlines of a connection through two requests, as a server sets
+// them.
 func TestTimeouts(t *testing.T) {
 	raw := new(deadlineRecorder)
 	timeouts := caller.Timeouts{Header: time.Minute, Idle: time.Hour}
@@ -145,21 +145,21 @@
 		_ = c.SetReadDeadline(later)
 		return time.Until(raw.last).Round(time.Minute)
 	}
-	qt.Check(t, set(), qt.Equals, time.Minute, qt.Commentf("head"))
+	qt.Check(t, set(), qt.Equals, time.Minute, qt.Commentf("header"))
 	caller.ConnState(c, http.StateActive)
 	qt.Check(t, set(), qt.Equals, 24*time.Hour, qt.Commentf("body"))
 	caller.ConnState(c, http.StateIdle)
 	qt.Check(t, set(), qt.Equals, time.Hour, qt.Commentf("idle"))
 	_, _ = c.Read(make([]byte, 10))
-	qt.Check(t, set(), qt.Equals, time.Minute, qt.Commentf("second head"))
+	qt.Check(t, set(), qt.Equals, time.Minute, qt.Commentf("second header"))
 	timeouts = caller.Timeouts{}
-	qt.Check(t, set(), qt.Equals, 24*time.Hour, qt.Commentf("no bounds"))
+	qt.Check(t, set(), qt.Equals, 24*time.Hour, qt.Commentf("no timeouts"))
 	_ = c.SetReadDeadline(time.Time{})
 	qt.Check(t, raw.last.IsZero(), qt.IsTrue)
 }
 
-// pipes is a listener whose connections are pipes, on which a write returns once
-// it has been read.
+// pipeListener is a listener whose connections are pipes, on which a write returns once it has
+// been read.
 type pipeListener chan net.Conn
 
 func (p pipeListener) Accept() (net.Conn, error) {
@@ -172,10 +172,10 @@
 func (p pipeListener) Close() error   { return nil }
 func (p pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// TestStopWhileRequestComesIn has a server turn its callers away between the two
-// halves of a request's head, on a connection that was idle before.
+// TestStopDuringHeader has a server disable keep-alives between the two halves of a request's
+// header, on a connection that was idle before.
 func TestStopDuringHeader(t *testing.T) {
-	const head = "GET / HTTP/1.1\r\nHost: service.example\r\n\r\n"
+	const header = "GET / HTTP/1.1\r\nHost: service.example\r\n\r\n"
 	ours, theirs := net.Pipe()
 	source := make(pipeListener, 1)
 	source <- theirs
@@ -201,14 +201,14 @@
 		_, err := io.WriteString(ours, s)
 		qt.Assert(t, err, qt.IsNil)
 	}
-	write(head)
+	write(header)
 	qt.Check(t, read(), qt.Equals, "whole")
-	write(head[:20])
+	write(header[:20])
 	server.SetKeepAlivesEnabled(false)
-	write(head[20:])
+	write(header[20:])
 	qt.Check(t, read(), qt.Equals, "whole")
 	_, err := reader.ReadByte()
-	qt.Check(t, err, qt.Equals, io.EOF, qt.Commentf("the connection ends after its last answer"))
+	qt.Check(t, err, qt.Equals, io.EOF, qt.Commentf("the connection is closed after its last response"))
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	qt.Check(t, listener.AwaitClosed(ctx), qt.IsNil)
--- a/caller/request.go
+++ b/caller/request.go
@@ -27,16 +27,16 @@
 	"sassafrasfront.example/verdict"
 )
 
-// claimLimit is the largest body, in bytes, that is read before a request with an
-// IdempotencyKey is sent on: it is claimed by its whole body. Others are gathered as far as
-// they go with the call.
+// maxClaimBodyBytes is the largest body that is read before a request with an IdempotencyKey
+// is forwarded: the claim covers the whole body. Bodies of other requests are read up to the
+// size that can be sent within the call.
 const maxClaimBodyBytes = 64 << 10
 
-// carriable returns why the request can't be carried, or nil if it can. A head
-// of more than maxHead bytes can't, unless maxHead is 0.
-func checkSupported(r *http.Request, maxHeader int) *verdict.Error {
-	if n := headerSize(r); maxHeader > 0 && n > maxHeader {
-		return verdict.New(verdict.HeadTooLarge, eris.Errorf("a head of %d bytes is over %d", n, maxHeader))
+// checkSupported returns a failure if the request can't be forwarded, or nil. A header of more
+// than maxHeaderBytes can't, unless maxHeaderBytes is 0.
+func checkSupported(r *http.Request, maxHeaderBytes int) *verdict.Error {
+	if n := headerSize(r); maxHeaderBytes > 0 && n > maxHeaderBytes {
+		return verdict.New(verdict.HeadTooLarge, eris.Errorf("a header of %d bytes exceeds the limit of %d", n, maxHeaderBytes))
 	}
 	if r.Method == http.MethodConnect {
 		return verdict.New(verdict.NotSupported, eris.New("CONNECT is not supported"))
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// request returns the request as it is sent on.
+// buildRequest returns the request as it is passed to the Dispatcher.
 func (x *exchange) buildRequest(ctx context.Context, t *Target) (*entry.Request, *verdict.Error) {
 	r := x.r
 	names := x.handler.FieldNames.OrDefault()
@@ -84,14 +84,14 @@
 	tracing.Inject(ctx, propagation.HeaderCarrier(h))
 	q.Header = httpfield.FromHeader(h)
 	if len(q.Header) > peer.MaxFields {
-		return nil, verdict.New(verdict.TooLarge, eris.Errorf("%d header fields are over %d", len(q.Header), peer.MaxFields))
+		return nil, verdict.New(verdict.TooLarge, eris.Errorf("%d header fields exceed the limit of %d", len(q.Header), peer.MaxFields))
 	}
 	return q, nil
 }
 
-// print takes the fingerprint of the request. A body that is streamed is part of it only
-// if a request with this head is suspected of ending upstreams: its first bytes are then
-// waited for.
+// setFingerprint sets the fingerprint of the request. It includes a streamed body only if a
+// request with this header is suspected of crashing upstreams: the first bytes of the body are
+// then waited for.
 func (x *exchange) setFingerprint(q *entry.Request) *verdict.Error {
 	q.Fingerprint = quarantine.NewFingerprint(x.handler.Service, q.Method, q.Host, q.Target)
 	switch {
@@ -108,8 +108,8 @@
 	return nil
 }
 
-// readUntil returns what read reads of the body, which fails if the caller has not sent
-// it by then, or the request's context ends.
+// readUntil returns what read reads of the body. It fails if the caller has not sent it by the
+// given time, or if the request's context ends.
 func (x *exchange) readUntil(until time.Time, read func() ([]byte, error)) ([]byte, error) {
 	control := http.NewResponseController(x.w)
 	_ = control.SetReadDeadline(until)
@@ -123,7 +123,7 @@
 		<-ended
 	}
 	if err != nil {
-		// The server looks for the rest of the body ahead of the answer, and must not wait for it.
+		// The server reads the rest of the body before it writes the response, and must not wait for it.
 		_ = control.SetReadDeadline(pastDeadline)
 		return nil, err
 	}
@@ -131,8 +131,8 @@
 	return data, nil
 }
 
-// unread returns the failure of a request whose body could not be read: the cause that
-// its context ended by, if that says it, or else the caller.
+// bodyReadFailure returns the failure of a request whose body could not be read: the cause with
+// which its context was cancelled, if that is a verdict, or else a bad request.
 func (x *exchange) bodyReadFailure(err error) *verdict.Error {
 	if e, ok := errors.AsType[*verdict.Error](context.Cause(x.r.Context())); ok {
 		return e
@@ -140,8 +140,8 @@
 	return verdict.New(verdict.BadRequest, eris.Wrap(err, "body"))
 }
 
-// name sets the fields by which the upstream knows the request, and removes the caller's
-// key.
+// setFields sets the fields that identify the request to the upstream, and removes the
+// caller's key.
 func (x *exchange) setFields(h http.Header, names upstream.FieldNames, t *Target) {
 	h.Del(names.Timeout)
 	if names.GeneratesRequestIDs() {
@@ -159,8 +159,8 @@
 	}
 }
 
-// timeoutOf returns the time that the request has: what the caller asks for, but
-// no more than most.
+// timeoutOf returns the timeout of the request: the one that the caller requests, but at
+// most limit.
 func timeoutOf(r *http.Request, name string, limit time.Duration) (time.Duration, error) {
 	v := r.Header.Get(name)
 	if v == "" {
@@ -183,7 +183,8 @@
 	return false
 }
 
-// gatherLimit returns the largest body, in bytes, that is read before the request is sent on.
+// maxBufferedBody returns the size in bytes up to which a body is read before the request is
+// forwarded.
 func (x *exchange) maxBufferedBody() int64 {
 	if x.r.Header.Get(IdempotencyKey) != "" {
 		return maxClaimBodyBytes
@@ -191,8 +192,8 @@
 	return entry.MaxInlineBodyBytes
 }
 
-// stream has the body read while the request is under way: an answer may begin before it
-// has ended.
+// streamBody has the body read while the request is in flight: the response may begin before
+// the body has ended.
 func (x *exchange) streamBody(limit int64) *streamedBody {
 	_ = http.NewResponseController(x.w).EnableFullDuplex()
 	x.streamed = &streamedBody{
@@ -204,15 +205,14 @@
 	return x.streamed
 }
 
-// body reads a small body, has a larger one sent on as it comes in and kept, so that it can
-// be sent again, and a very large one sent on without being kept. A caller that expects
-// 100-continue is asked for its body only once an upstream has admitted the
-// request.
+// readBody reads a small body; spools a larger one while it is forwarded, so that it can be
+// sent again; and forwards a very large one without spooling it. A caller that expects
+// 100-continue is asked for its body only once an upstream has admitted the request.
 func (x *exchange) readBody(q *entry.Request, limit int64) *verdict.Error {
 	r := x.r
 	switch {
 	case r.ContentLength > limit:
-		return verdict.New(verdict.TooLarge, eris.Errorf("a body of %d bytes is over %d", r.ContentLength, limit))
+		return verdict.New(verdict.TooLarge, eris.Errorf("a body of %d bytes exceeds the limit of %d", r.ContentLength, limit))
 	case r.ContentLength == 0:
 		return nil
 	case r.ContentLength < 0 || r.ContentLength > peer.MaxEarlyBodyBytes || r.Header.Get("Expect") != "":
--- a/caller/resend.go
+++ b/caller/resend.go
@@ -19,24 +19,23 @@
 )
 
 const (
-	// IdempotencyKey is the header by which a caller names a request that it may
-	// send again.
+	// IdempotencyKey is the header field that identifies a request that the caller may
+	// retry.
 	IdempotencyKey = "Idempotency-Key"
-	// ReplayedHeader, if it is "true", says that an answer was kept from an
-	// earlier sending.
+	// ReplayedHeader, if it is "true", marks the stored response of an earlier attempt.
 	ReplayedHeader = "Sassafras-Replayed"
 )
 
-// claimed runs a request if no other sending of it has been claimed, and
-// otherwise answers from what that one left.
+// serveClaimed runs a request if no earlier attempt of it has been claimed, and otherwise
+// responds with what that attempt stored.
 func (x *exchange) serveClaimed(ctx context.Context, s *entry.Service, q *entry.Request, key string) (truncated bool) {
 	store := x.handler.Claims
 	switch {
 	case store == nil:
-		x.writeFailure(verdict.New(verdict.ClaimFailed, eris.New("this node has no platform to claim the request on")))
+		x.writeFailure(verdict.New(verdict.ClaimFailed, eris.New("this node has no platform on which to claim the request")))
 		return false
 	case !store.Allow(s.Name, s.Config.Resend.WritesPerSecond):
-		x.writeFailure(verdict.New(verdict.ClaimFailed, eris.New("over the service's budget of claims")))
+		x.writeFailure(verdict.New(verdict.ClaimFailed, eris.New("the service's budget of claims per second is spent")))
 		return false
 	}
 	c, stored, failure := store.Begin(ctx, claim.Request{
@@ -56,7 +55,7 @@
 	return x.dispatch(ctx, q, &claimRecorder{claim: c})
 }
 
-// replay returns a kept answer as a result.
+// storedResult returns a stored response as a result.
 func storedResult(a *claim.StoredResponse) *entry.Result {
 	return &entry.Result{
 		Response: &peer.Response{
@@ -69,8 +68,7 @@
 	}
 }
 
-// keeper writes down what becomes of a claimed request. A nil keeper does
-// nothing.
+// claimRecorder records the outcome of a claimed request. A nil claimRecorder does nothing.
 type claimRecorder struct {
 	claim      *claim.Claim
 	response   *claim.StoredResponse
@@ -78,8 +76,8 @@
 	storesBody bool
 }
 
-// begin takes in the outcome of the request. The body of a small answer is
-// copied as it is passed on.
+// recordResult records the outcome of the request. The body of a small response is copied while
+// it is forwarded.
 func (k *claimRecorder) recordResult(result *entry.Result, failure *verdict.Error) {
 	switch {
 	case k == nil:
@@ -98,7 +96,7 @@
 	}
 }
 
-// end takes in that the answer has been passed on, or was cut.
+// recordEnd records that the response has been forwarded, or was truncated.
 func (k *claimRecorder) recordEnd(truncated bool) {
 	switch {
 	case k == nil:
--- a/caller/shutdown_test.go
+++ b/caller/shutdown_test.go
@@ -13,17 +13,17 @@
 	"sassafrasfront.example/caller"
 )
 
-// TestRequestOverTheEnd guards against requests that a stopping node takes and cuts while their
-// upstreams work: it knows that they may last longer than itself.
+// TestRequestOutlastsShutdown guards against a stopping node that accepts requests which may take
+// longer than it will run, and then cancels them at their upstreams.
 func TestRequestOutlastsShutdown(t *testing.T) {
 	tests := map[string]struct {
-		shutdown time.Duration // from now, or 0 if the node does not stop
+		shutdown time.Duration // from now, or 0 if the node is not stopping
 		admitted bool
 	}{
-		"no end is known":         {admitted: true},
-		"the route's time ends":   {shutdown: time.Minute, admitted: true},
-		"the node's time does":    {shutdown: 500 * time.Millisecond},
-		"the node's time is over": {shutdown: -time.Second},
+		"not stopping":                 {admitted: true},
+		"deadline before the shutdown": {shutdown: time.Minute, admitted: true},
+		"deadline after the shutdown":  {shutdown: 500 * time.Millisecond},
+		"shutdown deadline passed":     {shutdown: -time.Second},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -36,7 +36,7 @@
 			}
 			w := post(t, h, "/public/x", "X-Timeout: 60000")
 			qt.Check(t, len(d.requests) == 1, qt.Equals, test.admitted)
-			qt.Check(t, w.Code, qt.Equals, 503) // by the dispatcher that refuses all, if it is taken
+			qt.Check(t, w.Code, qt.Equals, 503) // an admitted request is refused by the recorder
 			if !test.admitted {
 				qt.Check(t, w.Header().Get("Retry-After"), qt.Equals, "0.250")
 				qt.Check(t, w.Body.String(), qt.Contains, `"notSent"`)
--- a/caller/target.go
+++ b/caller/target.go
@@ -18,7 +18,7 @@
 	"sassafrasfront.example/verdict"
 )
 
-// Target is where a request goes and what holds for it.
+// Target is the destination of a request and the rules that apply to it.
 type Target struct {
 	// Service is the service that runs it.
 	Service *entry.Service
@@ -26,24 +26,24 @@
 	Route string
 	// Class is the request's class.
 	Class string
-	// Organisation is the name of the organisation whose key the caller shows, or empty.
+	// Organisation is the name of the organisation whose key the caller sent, or empty.
 	Organisation string
-	// Keyed is whether callers show keys of organisations, which are not passed on.
+	// Keyed is whether callers send keys of organisations, which are not forwarded.
 	Keyed bool
-	// Idempotent is whether running it twice does no harm.
+	// Idempotent is whether the request may safely run twice.
 	Idempotent bool
-	// Timeout is the longest time that the caller is kept waiting.
+	// Timeout is the longest time that the caller waits for a response.
 	Timeout time.Duration
-	// Objective is the latency within which the answer is of full value, or 0.
+	// Objective is the latency up to which a response is of full value, or 0.
 	Objective time.Duration
-	// Attempts bounds the upstreams that it is sent to. Zero means that the
-	// service's configuration says so.
+	// MaxAttempts bounds the number of attempts. Zero means the limit of the service's
+	// configuration.
 	MaxAttempts int
-	// Regions are those that it may be sent to. None means all.
+	// Regions are those whose upstreams may run the request. None means all.
 	Regions []string
-	// MaxBody is the largest body, in bytes.
+	// MaxBodyBytes is the size of the largest body.
 	MaxBodyBytes int64
-	// MaxHead is the largest head, in bytes. Zero means the server's own limit.
+	// MaxHeaderBytes is the size of the largest header. Zero means the server's own limit.
 	MaxHeaderBytes int
 }
 
@@ -52,12 +52,11 @@
 	Resolve(r *http.Request) (*Target, *verdict.Error)
 }
 
-// notReadyWait is when a caller may come back to a node that has no
-// configuration yet. A node learns it in well under a second where the platform
-// answers.
+// notReadyRetryAfter is the time after which a caller may retry at a node that has no
+// configuration yet. A node receives it in well under a second if the platform responds.
 const notReadyRetryAfter = 250 * time.Millisecond
 
-// byHost resolves by the service that has the host.
+// hostResolver resolves requests by the service that has the host.
 type hostResolver func(host string) (s *entry.Service, ready bool)
 
 // Resolve implements Resolver.
@@ -82,14 +81,14 @@
 	}, nil
 }
 
-// ByRoute resolves by a table of routes. The exported fields are set before the
+// RouteResolver resolves requests by a table of routes. The exported fields are set before the
 // first request.
 type RouteResolver struct {
-	// Table returns the table in force, or nil if none is known.
+	// Table returns the active table, or nil if none is known.
 	Table func() *routes.Table
-	// Service returns a service in force, or nil.
+	// Service returns an active service, or nil.
 	Service func(name string) *entry.Service
-	// Keys is what holds for the keys of organisations.
+	// Keys defines how the keys of organisations are checked.
 	Keys Keys
 
 	splitter routes.Splitter
@@ -133,9 +132,9 @@
 	return b.Keys.authenticate(target, t, route, r.Header)
 }
 
-// ClassOf returns the name of the class of the requests with a priority and a
-// latency objective, or 0 for none. Requests with the same priority differ in how
-// long they run and may wait; their objectives tell them apart.
+// ClassName returns the name of the class of the requests with a priority and a latency
+// objective, or 0 for none. Requests with the same priority differ in how long they run and may
+// wait; their objectives distinguish them.
 func ClassName(priority int, objective time.Duration) string {
 	return "priority" + strconv.Itoa(priority) + "-" + strconv.FormatInt(objective.Milliseconds(), 10) + "ms"
 }
--- a/caller/trailer_test.go
+++ b/caller/trailer_test.go
@@ -14,7 +14,7 @@
 	"sassafrasfront.example/upstream"
 )
 
-// TestTrailer has a trailer with fields that are the node's to set, or that bear a key: an
+// TestTrailer has a trailer with fields that only the node may set, or that contain a key: an
 // upstream may merge it into the header.
 func TestTrailer(t *testing.T) {
 	b := &streamedBody{
