--- a/contact/discovery.go
+++ b/contact/discovery.go
@@ -19,39 +19,39 @@
 	// lookFirst is the wait between two looks into the book at the start, which
 	// grows by lookGrowth each time up to lookOften for the first node of a zone. Others look
 	// again after lookSeldom, once they know any.
-	lookFirst  = 500 * time.Millisecond
-	lookOften  = 10 * time.Second
-	lookSeldom = 2 * time.Minute
-	lookGrowth = 4
+	initialLookupInterval   = 500 * time.Millisecond
+	firstNodeLookupInterval = 10 * time.Second
+	lookupInterval          = 2 * time.Minute
+	lookupIntervalGrowth    = 4
 	// rankCheck is how often a node looks whether it has become the first of its zone,
 	// which looks more often.
-	rankCheck = time.Second
+	rankCheckInterval = time.Second
 	// tryAgain is the wait before the same addresses are tried again, and tries how
 	// often they are tried, by a node that knew none to answer: at a start of all at
 	// once, some are up a little later.
-	tryAgain = 150 * time.Millisecond
-	tries    = 4
+	joinRetryInterval = 150 * time.Millisecond
+	maxJoinAttempts   = 4
 	// joinAtOnce is the number of nodes that are joined after one look, and that are
 	// tried at the same time.
-	joinAtOnce = 3
+	joinsPerLookup = 3
 	// enough is the number of nodes in the book up to which others write
 	// themselves in, and the number of those that are expected to where many start at once;
 	// of a few, each does with the chance of registerChance. After a loss of power a
 	// tenth of 200 nodes tells the others of all, each some ten of them: a few hundred
 	// KB. Each entry costs a call, and is kept over restarts.
-	enough         = 24
-	registerChance = 0.25
+	targetEntries       = 24
+	registerProbability = 0.25
 	// registerAfter is the mean time after which a node that is not the first of its zone
 	// decides on that: it then knows how many there are.
-	registerAfter = 2 * time.Second
+	meanRegisterDelay = 2 * time.Second
 	// firstPeersTime is how long a node that has first peers waits for one to answer before
 	// it looks into the book, and firstPeersCheck how often it looks whether one has. A
 	// look is a call, and where all start at once beside an empty book, those that find
 	// nobody write themselves in.
-	firstPeersTime  = 400 * time.Millisecond
-	firstPeersCheck = 20 * time.Millisecond
+	firstPeerTimeout       = 400 * time.Millisecond
+	firstPeerCheckInterval = 20 * time.Millisecond
 	// seekEvery is the least time between the end of a look and one that Seek asks for.
-	seekEvery = 250 * time.Millisecond
+	minTriggerInterval = 250 * time.Millisecond
 )
 
 // Directory is a book of contacts. A Book is one.
@@ -89,32 +89,32 @@
 	// FirstPeers is whether the node also asks first peers that its settings name.
 	HasFirstPeers bool
 
-	listed atomic.Int32 // how many stood in the book at the latest look, or notLooked
-	looks  atomic.Int32 // so far
-	once   sync.Once
-	sought chan struct{} // has a value when a look is asked for
+	listed    atomic.Int32 // how many stood in the book at the latest look, or notLooked
+	lookups   atomic.Int32 // so far
+	once      sync.Once
+	triggered chan struct{} // has a value when a look is asked for
 }
 
 // init makes the state once.
 func (d *Discovery) init() {
-	d.once.Do(func() { d.sought = make(chan struct{}, 1) })
+	d.once.Do(func() { d.triggered = make(chan struct{}, 1) })
 }
 
 // Seek has the book looked into soon, whatever this node knows. It does not wait.
 func (d *Discovery) Trigger() {
 	d.init()
 	select {
-	case d.sought <- struct{}{}:
+	case d.triggered <- struct{}{}:
 	default:
 	}
 }
 
 // Looks returns how often the book has been looked into and those who stood there asked, whether
 // anybody stood there or not.
-func (d *Discovery) Lookups() int { return int(d.looks.Load()) }
+func (d *Discovery) Lookups() int { return int(d.lookups.Load()) }
 
 // notLooked is the number of listed nodes before the first look.
-const notLooked = -1
+const noLookup = -1
 
 // Run looks into the book for nodes that this one does not know, and learns from
 // some of them, time and again until ctx ends: two groups of nodes that have met only among
@@ -123,36 +123,36 @@
 // in the book and looks into it.
 func (d *Discovery) Run(ctx context.Context) {
 	d.init()
-	d.listed.Store(notLooked)
+	d.listed.Store(noLookup)
 	var late sync.WaitGroup
 	defer late.Wait()
 	late.Go(func() { d.registerLate(ctx) })
 	d.awaitFirstPeer(ctx)
-	pause := lookFirst
+	pause := initialLookupInterval
 	for n := 0; ctx.Err() == nil; n++ {
 		if n > 0 || d.Node.Isolated() || d.Node.IsFirstInZone() {
 			d.join(ctx)
 		}
-		if d.registersAsFirst(n) {
+		if d.shouldRegisterAsFirst(n) {
 			d.Registry.Register(ctx)
 		}
-		d.rest(ctx, pause)
-		pause = min(lookGrowth*pause, lookOften)
+		d.waitForNext(ctx, pause)
+		pause = min(lookupIntervalGrowth*pause, firstNodeLookupInterval)
 		if d.Node.Isolated() {
-			pause = lookFirst
+			pause = initialLookupInterval
 		}
 	}
 }
 
 // awaitFirstPeer waits until a first peer has answered, but not for long.
 func (d *Discovery) awaitFirstPeer(ctx context.Context) {
-	for began := time.Now(); d.HasFirstPeers && time.Since(began) < firstPeersTime && ctx.Err() == nil && d.Node.Isolated(); {
-		sleep.For(ctx, firstPeersCheck)
+	for began := time.Now(); d.HasFirstPeers && time.Since(began) < firstPeerTimeout && ctx.Err() == nil && d.Node.Isolated(); {
+		sleep.For(ctx, firstPeerCheckInterval)
 	}
 }
 
 // look returns the addresses in the book.
-func (d *Discovery) look(ctx context.Context) []string {
+func (d *Discovery) lookup(ctx context.Context) []string {
 	addrs := d.Registry.Addresses(ctx)
 	d.listed.Store(int32(len(addrs)))
 	return addrs
@@ -160,13 +160,13 @@
 
 // join looks into the book and learns from some nodes there that this one does not know.
 func (d *Discovery) join(ctx context.Context) {
-	addrs := d.look(ctx)
+	addrs := d.lookup(ctx)
 	d.joinSome(ctx, d.Node.UnknownAddresses(slices.Clone(addrs)))
-	for try := 1; try < tries && len(addrs) > 0 && d.Node.Isolated() && ctx.Err() == nil; try++ {
-		sleep.For(ctx, tryAgain/2+rand.N(tryAgain))
+	for attempt := 1; attempt < maxJoinAttempts && len(addrs) > 0 && d.Node.Isolated() && ctx.Err() == nil; attempt++ {
+		sleep.For(ctx, joinRetryInterval/2+rand.N(joinRetryInterval))
 		d.joinSome(ctx, d.Node.UnknownAddresses(slices.Clone(addrs)))
 	}
-	d.looks.Add(1)
+	d.lookups.Add(1)
 }
 
 // joinSome learns from a few of some addresses that answer. Several are tried at
@@ -180,10 +180,10 @@
 	}
 	close(untried)
 	var all sync.WaitGroup
-	for range joinAtOnce {
+	for range joinsPerLookup {
 		all.Go(func() {
 			for addr := range untried {
-				if joined.Load() >= joinAtOnce || ctx.Err() != nil {
+				if joined.Load() >= joinsPerLookup || ctx.Err() != nil {
 					return
 				}
 				if joined.Load() > 0 && len(d.Node.UnknownAddresses([]string{addr})) == 0 {
@@ -205,16 +205,16 @@
 // registerLate writes this node into the book, some time after its start, if it is drawn. Only
 // one that is drawn looks whether enough stand there, if it has not looked yet.
 func (d *Discovery) registerLate(ctx context.Context) {
-	sleep.For(ctx, registerAfter/2+rand.N(registerAfter))
+	sleep.For(ctx, meanRegisterDelay/2+rand.N(meanRegisterDelay))
 	nodes := d.Node.Nodes()
 	draw := rand.Float64()
-	if ctx.Err() != nil || !registers(nodes, int(d.listed.Load()), draw) {
+	if ctx.Err() != nil || !shouldRegister(nodes, int(d.listed.Load()), draw) {
 		return
 	}
-	if d.listed.Load() == notLooked {
-		d.look(ctx)
+	if d.listed.Load() == noLookup {
+		d.lookup(ctx)
 	}
-	if registers(nodes, int(d.listed.Load()), draw) {
+	if shouldRegister(nodes, int(d.listed.Load()), draw) {
 		d.Registry.Register(ctx)
 	}
 }
@@ -222,15 +222,15 @@
 // registers returns whether a node that is not the first of its zone writes itself into the
 // book, given how many nodes it knows, how many stand there, and a draw within 0 and 1: of
 // all that start at once some enough do, however many they are.
-func registers(nodes, listed int, draw float64) bool {
-	chance := min(registerChance, enough/float64(max(1, nodes)))
-	return listed < enough && draw < chance
+func shouldRegister(nodes, listed int, draw float64) bool {
+	probability := min(registerProbability, targetEntries/float64(max(1, nodes)))
+	return listed < targetEntries && draw < probability
 }
 
 // registersAsFirst returns whether this node writes itself into the book after look n, from 0,
 // as the first of its zone or as one that knows no other. At a start of all at once nobody
 // stands there, and the first ones that have waited for a moment are enough.
-func (d *Discovery) registersAsFirst(n int) bool {
+func (d *Discovery) shouldRegisterAsFirst(n int) bool {
 	if n == 0 && d.Node.Isolated() {
 		return false
 	}
@@ -239,28 +239,28 @@
 
 // rest waits until the next look: for about the given time at the first node of a zone, and
 // for long at another, unless Seek is called.
-func (d *Discovery) rest(ctx context.Context, often time.Duration) {
-	often = often/2 + rand.N(often)
-	seldom := lookSeldom/2 + rand.N(lookSeldom)
+func (d *Discovery) waitForNext(ctx context.Context, interval time.Duration) {
+	interval = interval/2 + rand.N(interval)
+	longInterval := lookupInterval/2 + rand.N(lookupInterval)
 	began := time.Now()
-	sought := d.await(ctx, often)
-	for !sought && ctx.Err() == nil && !d.Node.IsFirstInZone() && time.Since(began) < seldom {
-		sought = d.await(ctx, rankCheck)
+	triggered := d.wait(ctx, interval)
+	for !triggered && ctx.Err() == nil && !d.Node.IsFirstInZone() && time.Since(began) < longInterval {
+		triggered = d.wait(ctx, rankCheckInterval)
 	}
-	if sought {
-		sleep.For(ctx, seekEvery-time.Since(began))
+	if triggered {
+		sleep.For(ctx, minTriggerInterval-time.Since(began))
 	}
 }
 
 // await waits for the given time, or until Seek is called, which it returns.
-func (d *Discovery) await(ctx context.Context, most time.Duration) (sought bool) {
-	t := time.NewTimer(most)
+func (d *Discovery) wait(ctx context.Context, timeout time.Duration) (triggered bool) {
+	t := time.NewTimer(timeout)
 	defer t.Stop()
 	select {
 	case <-t.C:
 	case <-ctx.Done():
-	case <-d.sought:
-		sought = true
+	case <-d.triggered:
+		triggered = true
 	}
-	return sought
+	return triggered
 }
--- a/contact/discovery_test.go
+++ b/contact/discovery_test.go
@@ -22,38 +22,38 @@
 
 // world is nodes that find one another. Who learns from a node knows all that it knows, and the
 // reverse, a little later; what others know spreads by gossip.
-type world struct {
+type network struct {
 	zones int
 
 	mu      sync.Mutex
-	nodes   map[string]*worldNode
+	nodes   map[string]*networkNode
 	entries []string
-	looks   int
+	lookups int
 }
 
 // worldNode is a node of a world.
-type worldNode struct {
-	w     *world
+type networkNode struct {
+	w     *network
 	i     int
 	addr  string
-	known map[string]*worldNode
+	known map[string]*networkNode
 }
 
 const (
 	// exchangeTime is how long it takes to learn from a node, and gossipEvery the time
 	// between two exchanges of a node with one that it knows.
-	exchangeTime = 5 * time.Millisecond
-	gossipEvery  = 50 * time.Millisecond
+	exchangeTime   = 5 * time.Millisecond
+	gossipInterval = 50 * time.Millisecond
 )
 
 // add starts a node.
-func (w *world) add(i int) *worldNode {
-	n := &worldNode{
+func (w *network) add(i int) *networkNode {
+	n := &networkNode{
 		w:    w,
 		i:    i,
 		addr: fmt.Sprint("10.0.0.", i),
 	}
-	n.known = map[string]*worldNode{n.addr: n}
+	n.known = map[string]*networkNode{n.addr: n}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.nodes[n.addr] = n
@@ -61,15 +61,15 @@
 }
 
 // Addresses implements contact.Directory.
-func (n *worldNode) Addresses(context.Context) []string {
+func (n *networkNode) Addresses(context.Context) []string {
 	n.w.mu.Lock()
 	defer n.w.mu.Unlock()
-	n.w.looks++
+	n.w.lookups++
 	return slices.DeleteFunc(slices.Clone(n.w.entries), func(a string) bool { return a == n.addr })
 }
 
 // Register implements contact.Directory.
-func (n *worldNode) Register(context.Context) {
+func (n *networkNode) Register(context.Context) {
 	n.w.mu.Lock()
 	defer n.w.mu.Unlock()
 	if !slices.Contains(n.w.entries, n.addr) {
@@ -78,20 +78,20 @@
 }
 
 // Met implements contact.Directory.
-func (n *worldNode) RecordReachability(context.Context, string, bool) {}
+func (n *networkNode) RecordReachability(context.Context, string, bool) {}
 
 // Alone implements contact.Node.
-func (n *worldNode) Isolated() bool { return n.Nodes() == 1 }
+func (n *networkNode) Isolated() bool { return n.Nodes() == 1 }
 
 // Nodes implements contact.Node.
-func (n *worldNode) Nodes() int {
+func (n *networkNode) Nodes() int {
 	n.w.mu.Lock()
 	defer n.w.mu.Unlock()
 	return len(n.known)
 }
 
 // FirstOfZone implements contact.Node.
-func (n *worldNode) IsFirstInZone() bool {
+func (n *networkNode) IsFirstInZone() bool {
 	n.w.mu.Lock()
 	defer n.w.mu.Unlock()
 	for _, o := range n.known {
@@ -103,14 +103,14 @@
 }
 
 // Unknown implements contact.Node.
-func (n *worldNode) UnknownAddresses(addrs []string) []string {
+func (n *networkNode) UnknownAddresses(addrs []string) []string {
 	n.w.mu.Lock()
 	defer n.w.mu.Unlock()
 	return slices.DeleteFunc(addrs, func(a string) bool { return n.known[a] != nil })
 }
 
 // LearnFrom implements contact.Node.
-func (n *worldNode) FetchState(_ context.Context, addrs []string) bool {
+func (n *networkNode) FetchState(_ context.Context, addrs []string) bool {
 	time.Sleep(exchangeTime)
 	n.w.mu.Lock()
 	defer n.w.mu.Unlock()
@@ -126,16 +126,16 @@
 }
 
 // exchange has two nodes know what either knows.
-func (n *worldNode) exchange(o *worldNode) {
+func (n *networkNode) exchange(o *networkNode) {
 	maps.Copy(n.known, o.known)
 	maps.Copy(o.known, n.known)
 }
 
 // gossip has each node exchange what it knows with one that it knows, time and again until ctx
 // ends or all know all.
-func (w *world) gossip(ctx context.Context, nodes int) {
+func (w *network) gossip(ctx context.Context, nodes int) {
 	random := rand.New(rand.NewPCG(1, 1))
-	for whole := 0; ctx.Err() == nil && whole < nodes; time.Sleep(gossipEvery) {
+	for whole := 0; ctx.Err() == nil && whole < nodes; time.Sleep(gossipInterval) {
 		w.mu.Lock()
 		whole = 0
 		for _, addr := range slices.Sorted(maps.Keys(w.nodes)) {
@@ -152,7 +152,7 @@
 }
 
 // all returns whether each node knows each.
-func (w *world) all(nodes int) bool {
+func (w *network) allKnown(nodes int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, n := range w.nodes {
@@ -164,7 +164,7 @@
 }
 
 // firstPeers does what a node with first peers does besides.
-func (n *worldNode) firstPeers(ctx context.Context, addrs []string) {
+func (n *networkNode) fetchFromFirstPeers(ctx context.Context, addrs []string) {
 	for ctx.Err() == nil && !n.FetchState(ctx, addrs) {
 		time.Sleep(100 * time.Millisecond)
 	}
@@ -176,27 +176,27 @@
 // All must find each other. The entries may nowhere grow with the nodes, and the looks not where
 // first peers answer: the first node of each of five zones looks four times in ten seconds, and
 // each of some 24 that are drawn looks once.
-func TestDiscoveryOfManyStarts(t *testing.T) {
+func TestDiscoveryManyStarts(t *testing.T) {
 	const spread = 300 * time.Millisecond
 	tests := map[string]struct {
 		nodes      int
 		firstPeers []string
 		within     time.Duration // until all know each other
-		looks      int           // in ten seconds, at most
+		lookups    int           // in ten seconds, at most
 		entries    int           // at most
 	}{
-		"10, no first peer":      {nodes: 10, within: 5 * time.Second, looks: 60, entries: 10},
-		"10, one first peer":     {nodes: 10, firstPeers: []string{"10.0.0.3"}, within: 2 * time.Second, looks: 60, entries: 10},
-		"300, three first peers": {nodes: 300, firstPeers: []string{"10.0.0.3", "10.0.0.9", "10.0.0.12"}, within: 2 * time.Second, looks: 60, entries: 48},
-		"600, three of them":     {nodes: 600, firstPeers: []string{"10.0.0.3", "10.0.0.9", "10.0.0.12"}, within: 2 * time.Second, looks: 60, entries: 48},
-		"300, they are gone":     {nodes: 300, firstPeers: []string{"10.9.9.9"}, within: 5 * time.Second, looks: 900, entries: 72},
+		"10, no first peer":      {nodes: 10, within: 5 * time.Second, lookups: 60, entries: 10},
+		"10, one first peer":     {nodes: 10, firstPeers: []string{"10.0.0.3"}, within: 2 * time.Second, lookups: 60, entries: 10},
+		"300, three first peers": {nodes: 300, firstPeers: []string{"10.0.0.3", "10.0.0.9", "10.0.0.12"}, within: 2 * time.Second, lookups: 60, entries: 48},
+		"600, three of them":     {nodes: 600, firstPeers: []string{"10.0.0.3", "10.0.0.9", "10.0.0.12"}, within: 2 * time.Second, lookups: 60, entries: 48},
+		"300, they are gone":     {nodes: 300, firstPeers: []string{"10.9.9.9"}, within: 5 * time.Second, lookups: 900, entries: 72},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := &world{
+				w := &network{
 					zones: 5,
-					nodes: make(map[string]*worldNode),
+					nodes: make(map[string]*networkNode),
 				}
 				ctx, cancel := context.WithCancel(t.Context())
 				var all sync.WaitGroup
@@ -206,7 +206,7 @@
 						time.Sleep(spread * time.Duration(i) / time.Duration(test.nodes))
 						n := w.add(i)
 						if len(test.firstPeers) > 0 {
-							all.Go(func() { n.firstPeers(ctx, test.firstPeers) })
+							all.Go(func() { n.fetchFromFirstPeers(ctx, test.firstPeers) })
 						}
 						d := &contact.Discovery{
 							Registry:      n,
@@ -217,14 +217,14 @@
 					})
 				}
 				time.Sleep(spread + test.within)
-				qt.Check(t, w.all(test.nodes), qt.IsTrue)
+				qt.Check(t, w.allKnown(test.nodes), qt.IsTrue)
 				time.Sleep(10 * time.Second)
 				w.mu.Lock()
-				looks, entries := w.looks, len(w.entries)
+				lookups, entries := w.lookups, len(w.entries)
 				w.mu.Unlock()
 				cancel()
 				all.Wait()
-				qt.Check(t, looks <= test.looks, qt.IsTrue, qt.Commentf("%d looks", looks))
+				qt.Check(t, lookups <= test.lookups, qt.IsTrue, qt.Commentf("%d looks", lookups))
 				qt.Check(t, entries >= 1 && entries <= test.entries, qt.IsTrue, qt.Commentf("%d entries", entries))
 			})
 		})
--- a/contact/register_test.go
+++ b/contact/register_test.go
@@ -14,22 +14,22 @@
 
 // TestRegistersOfManyStarts has many nodes start at once beside an empty book, and beside one in
 // which enough stand: the entries that they write don't grow with them.
-func TestRegistersOfManyStarts(t *testing.T) {
+func TestShouldRegisterManyStarts(t *testing.T) {
 	for _, nodes := range []int{12, 100, 1000, 18000} {
 		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
 			random := rand.New(rand.NewPCG(1, uint64(nodes)))
-			var empty, full int
+			var empty, withEntries int
 			for range nodes {
 				draw := random.Float64()
-				if registers(nodes, 0, draw) {
+				if shouldRegister(nodes, 0, draw) {
 					empty++
 				}
-				if registers(nodes, enough, draw) {
-					full++
+				if shouldRegister(nodes, targetEntries, draw) {
+					withEntries++
 				}
 			}
-			qt.Check(t, empty >= 1 && empty <= 2*enough, qt.IsTrue, qt.Commentf("%d", empty))
-			qt.Check(t, full, qt.Equals, 0)
+			qt.Check(t, empty >= 1 && empty <= 2*targetEntries, qt.IsTrue, qt.Commentf("%d", empty))
+			qt.Check(t, withEntries, qt.Equals, 0)
 		})
 	}
 }
--- a/contact/registry.go
+++ b/contact/registry.go
@@ -56,18 +56,18 @@
 	// Log takes the failures.
 	Log zerolog.Logger
 
-	mu      sync.Mutex
-	present *objectapi.Object            // this node's own, as read last, or nil
-	wrote   time.Time                    // when this node's own was written
-	lost    bool                         // whether its own stood there, and may have been lost
-	written Entry                        // what was written then
-	listed  map[string]*objectapi.Object // by address, as read last
-	silent  map[string]time.Time         // since when nobody answers, by address
+	mu           sync.Mutex
+	ownObject    *objectapi.Object            // this node's own, as read last, or nil
+	writtenAt    time.Time                    // when this node's own was written
+	mayBeLost    bool                         // whether its own stood there, and may have been lost
+	writtenEntry Entry                        // what was written then
+	listed       map[string]*objectapi.Object // by address, as read last
+	silentSince  map[string]time.Time         // since when nobody answers, by address
 }
 
 // staleness is how old a stale read may be at most, with a margin: the platform
 // says seconds.
-const staleness = time.Minute
+const maxStaleness = time.Minute
 
 // Forget is how long nobody has to answer at an address before it is taken out
 // of the book. It is far longer than an instance is away for a restart; one that
@@ -84,7 +84,7 @@
 		return nil
 	}
 	var near, far []string
-	var present *objectapi.Object
+	var ownObject *objectapi.Object
 	var nodes int
 	listed := make(map[string]*objectapi.Object, len(list.Items))
 	for _, o := range list.Items {
@@ -96,7 +96,7 @@
 			nodes = max(nodes, e.NodeCount)
 		}
 		if o.Metadata.Name == b.Node {
-			present = o
+			ownObject = o
 			continue
 		}
 		if err != nil {
@@ -110,7 +110,7 @@
 			far = append(far, e.Address)
 		}
 	}
-	b.took(listed, present)
+	b.recordList(listed, ownObject)
 	if b.OnNodeCount != nil && nodes > 0 {
 		b.OnNodeCount(nodes)
 	}
@@ -120,14 +120,14 @@
 }
 
 // took keeps what was read.
-func (b *PlatformRegistry) took(listed map[string]*objectapi.Object, present *objectapi.Object) {
+func (b *PlatformRegistry) recordList(listed map[string]*objectapi.Object, ownObject *objectapi.Object) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.listed = listed
-	b.present = present
-	for addr := range b.silent {
+	b.ownObject = ownObject
+	for addr := range b.silentSince {
 		if listed[addr] == nil {
-			delete(b.silent, addr)
+			delete(b.silentSince, addr)
 		}
 	}
 }
@@ -139,16 +139,16 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	o := b.listed[addr]
-	since, silent := b.silent[addr]
+	since, silent := b.silentSince[addr]
 	switch {
 	case answered || o == nil:
-		delete(b.silent, addr)
+		delete(b.silentSince, addr)
 		return
 	case !silent:
-		if b.silent == nil {
-			b.silent = make(map[string]time.Time)
+		if b.silentSince == nil {
+			b.silentSince = make(map[string]time.Time)
 		}
-		b.silent[addr] = time.Now()
+		b.silentSince[addr] = time.Now()
 		return
 	case time.Since(since) < RemovalTimeout:
 		return
@@ -158,7 +158,7 @@
 		return
 	}
 	b.Log.Info().Str("node", o.Metadata.Name).Str("address", addr).Dur("silentMs", time.Since(since)).Msg("contact removed")
-	delete(b.silent, addr)
+	delete(b.silentSince, addr)
 	delete(b.listed, addr)
 }
 
@@ -171,115 +171,115 @@
 func (b *PlatformRegistry) Register(ctx context.Context) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.count()
-	if b.stands(b.present) || time.Since(b.wrote) < staleness && b.written.covers(b.Entry) {
+	b.updateNodeCount()
+	if b.isCurrent(b.ownObject) || time.Since(b.writtenAt) < maxStaleness && b.writtenEntry.suffices(b.Entry) {
 		return
 	}
-	err := b.write(ctx, b.present)
+	err := b.write(ctx, b.ownObject)
 	if objectapi.IsConflict(err) {
 		// The read was stale, or an answer was lost: what is there now decides.
-		var now *objectapi.Object
-		if now, err = b.API.Get(ctx, Kind, b.Node); err == nil && !b.stands(now) {
-			err = b.write(ctx, now)
+		var current *objectapi.Object
+		if current, err = b.API.Get(ctx, Kind, b.Node); err == nil && !b.isCurrent(current) {
+			err = b.write(ctx, current)
 		}
 	}
 	if err != nil {
 		b.Log.Warn().Err(err).Msg("contact not written")
 		return
 	}
-	b.wrote = time.Now()
-	b.written = b.Entry
+	b.writtenAt = time.Now()
+	b.writtenEntry = b.Entry
 }
 
 // count puts the number of nodes into the entry. While it isn't known, what the platform has
 // stays.
-func (b *PlatformRegistry) count() {
+func (b *PlatformRegistry) updateNodeCount() {
 	if b.NodeCount == nil {
 		return
 	}
 	b.Entry.NodeCount = b.NodeCount()
-	if b.Entry.NodeCount > 0 || b.present == nil {
+	if b.Entry.NodeCount > 0 || b.ownObject == nil {
 		return
 	}
-	if e, err := objectapi.DecodeSpec[Entry](b.present); err == nil {
+	if e, err := objectapi.DecodeSpec[Entry](b.ownObject); err == nil {
 		b.Entry.NodeCount = e.NodeCount
 	}
 }
 
 // rewriteTries is how often the writing again of an entry is tried, with pauses that grow to
 // some seconds.
-const rewriteTries = 8
+const maxRestoreAttempts = 8
 
 // WriteAgain takes in that the platform may have lost what was written: this node's entry is
 // looked for if it stood there, and written again if it does not. What was read before is
 // forgotten. It returns when the entry is there, or was given up after some tries: the next
 // look into the book then decides.
 func (b *PlatformRegistry) Restore(ctx context.Context) {
-	stood := b.forget()
-	for try := 0; stood && try < rewriteTries && ctx.Err() == nil; try++ {
-		err := b.restore(ctx)
+	registered := b.reset()
+	for attempt := 0; registered && attempt < maxRestoreAttempts && ctx.Err() == nil; attempt++ {
+		err := b.restoreOnce(ctx)
 		if err == nil {
 			return
 		}
-		b.Log.Warn().Err(err).Int("try", try+1).Msg("contact not written again")
-		sleep.For(ctx, objectapi.Backoff(try, err))
+		b.Log.Warn().Err(err).Int("try", attempt+1).Msg("contact not written again")
+		sleep.For(ctx, objectapi.Backoff(attempt, err))
 	}
 }
 
 // forget forgets what was read and written, and returns whether this node's entry stood there.
-func (b *PlatformRegistry) forget() (stood bool) {
+func (b *PlatformRegistry) reset() (registered bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.lost = b.lost || b.stands(b.present) || !b.wrote.IsZero()
-	b.present = nil
+	b.mayBeLost = b.mayBeLost || b.isCurrent(b.ownObject) || !b.writtenAt.IsZero()
+	b.ownObject = nil
 	b.listed = nil
-	b.wrote = time.Time{}
-	return b.lost
+	b.writtenAt = time.Time{}
+	return b.mayBeLost
 }
 
 // restore writes this node's entry if it does not stand there.
-func (b *PlatformRegistry) restore(ctx context.Context) error {
+func (b *PlatformRegistry) restoreOnce(ctx context.Context) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	now, err := b.API.Get(ctx, Kind, b.Node)
+	current, err := b.API.Get(ctx, Kind, b.Node)
 	if err == nil {
-		b.present = now
+		b.ownObject = current
 	}
-	b.count()
+	b.updateNodeCount()
 	switch {
 	case objectapi.IsNotFound(err):
 		err = b.write(ctx, nil)
-	case err == nil && !b.stands(now):
-		err = b.write(ctx, now)
+	case err == nil && !b.isCurrent(current):
+		err = b.write(ctx, current)
 	}
 	if err == nil {
-		b.wrote = time.Now()
-		b.written = b.Entry
-		b.lost = false
+		b.writtenAt = time.Now()
+		b.writtenEntry = b.Entry
+		b.mayBeLost = false
 	}
 	return err
 }
 
 // stands returns whether an object is this node's entry. One that can't be read is
 // not.
-func (b *PlatformRegistry) stands(o *objectapi.Object) bool {
+func (b *PlatformRegistry) isCurrent(o *objectapi.Object) bool {
 	if o == nil {
 		return false
 	}
 	e, err := objectapi.DecodeSpec[Entry](o)
-	return err == nil && e.covers(b.Entry)
+	return err == nil && e.suffices(b.Entry)
 }
 
 // covers returns whether e may stand where o is to be written: it has the same address, and
 // a number of nodes that is not smaller, as nodes may come back, nor far larger.
-func (e Entry) covers(o Entry) bool {
+func (e Entry) suffices(o Entry) bool {
 	same := e.Address == o.Address && e.Zone == o.Zone
-	return same && (o.NodeCount == 0 || e.NodeCount >= o.NodeCount && e.NodeCount <= max(2*o.NodeCount, manyNodes))
+	return same && (o.NodeCount == 0 || e.NodeCount >= o.NodeCount && e.NodeCount <= max(2*o.NodeCount, nodeCountTolerance))
 }
 
 // manyNodes is the number of nodes up to which an entry is left as it is, however few there
 // are now.
-const manyNodes = 100
+const nodeCountTolerance = 100
 
 // write creates this node's object, or replaces the one that is there.
 func (b *PlatformRegistry) write(ctx context.Context, present *objectapi.Object) error {
--- a/contact/registry_test.go
+++ b/contact/registry_test.go
@@ -23,7 +23,7 @@
 )
 
 // TestBook has nodes register and find each other, one of them at a new address.
-func TestBook(t *testing.T) {
+func TestRegistry(t *testing.T) {
 	store := new(objectapitest.Server)
 	server := httptest.NewServer(store)
 	defer server.Close()
@@ -47,38 +47,38 @@
 
 // TestBookCountsNodes has nodes leave their number for those that start, and not write it anew
 // unless it has grown.
-func TestBookCountsNodes(t *testing.T) {
+func TestRegistryNodeCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
-		store := newMemory()
-		var known, told int
+		store := newMemoryAPI()
+		var known, reported int
 		open := func() *contact.PlatformRegistry {
-			told = 0
+			reported = 0
 			return &contact.PlatformRegistry{
 				API:         store,
 				Node:        "a",
 				Entry:       contact.Entry{Address: "10.0.0.1:1", Zone: "z"},
 				NodeCount:   func() int { return known },
-				OnNodeCount: func(n int) { told = n },
+				OnNodeCount: func(n int) { reported = n },
 				Log:         zerolog.Nop(),
 			}
 		}
 		steps := []struct {
-			name        string
-			restart     bool
-			known, told int
-			writes      bool
+			name            string
+			restart         bool
+			known, reported int
+			writes          bool
 		}{
 			{name: "not known yet", writes: true},
 			{name: "known", known: 60, writes: true},
-			{name: "the same", known: 60, told: 60},
-			{name: "more", known: 70, told: 60, writes: true},
-			{name: "a few fewer", known: 50, told: 70},
-			{name: "after a restart", restart: true, told: 70},
-			{name: "known again", known: 70, told: 70},
-			{name: "many more", known: 1000, told: 70, writes: true},
-			{name: "far fewer", known: 80, told: 1000, writes: true},
-			{name: "fewer", known: 80, told: 80},
+			{name: "the same", known: 60, reported: 60},
+			{name: "more", known: 70, reported: 60, writes: true},
+			{name: "a few fewer", known: 50, reported: 70},
+			{name: "after a restart", restart: true, reported: 70},
+			{name: "known again", known: 70, reported: 70},
+			{name: "many more", known: 1000, reported: 70, writes: true},
+			{name: "far fewer", known: 80, reported: 1000, writes: true},
+			{name: "fewer", known: 80, reported: 80},
 		}
 		b := open()
 		for _, s := range steps {
@@ -88,7 +88,7 @@
 			known = s.known
 			before := store.revision
 			b.Addresses(ctx)
-			qt.Check(t, told, qt.Equals, s.told, qt.Commentf(s.name))
+			qt.Check(t, reported, qt.Equals, s.reported, qt.Commentf(s.name))
 			b.Register(ctx)
 			qt.Check(t, store.revision > before, qt.Equals, s.writes, qt.Commentf(s.name))
 			time.Sleep(2 * time.Minute)
@@ -97,17 +97,17 @@
 }
 
 // TestBookWithoutPlatform returns nothing rather than failing.
-func TestBookWithoutPlatform(t *testing.T) {
+func TestRegistryPlatformUnreachable(t *testing.T) {
 	api := &objectapi.Client{JSONClient: objectapi.JSONClient{URL: "http://127.0.0.1:1"}, Namespace: "test"}
 	b := &contact.PlatformRegistry{API: api, Node: "a", Log: zerolog.Nop()}
 	qt.Check(t, b.Addresses(context.Background()), qt.HasLen, 0)
 }
 
 // TestBookForgets has a node go for good, and another that is slow to come back.
-func TestBookForgets(t *testing.T) {
+func TestRegistryRemovesUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
-		store := newMemory()
+		store := newMemoryAPI()
 		open := func(node, address string) *contact.PlatformRegistry {
 			b := &contact.PlatformRegistry{API: store, Node: node, Entry: contact.Entry{Address: address, Zone: "z"}, Log: zerolog.Nop()}
 			b.Addresses(ctx)
@@ -117,7 +117,7 @@
 		open("gone", "10.0.0.1:1")
 		back := open("back", "10.0.0.2:1")
 		b := open("a", "10.0.0.3:1")
-		look := func() []string {
+		lookup := func() []string {
 			list := b.Addresses(ctx)
 			for _, addr := range list {
 				b.RecordReachability(ctx, addr, false)
@@ -125,32 +125,32 @@
 			slices.Sort(list)
 			return list
 		}
-		qt.Check(t, look(), qt.DeepEquals, []string{"10.0.0.1:1", "10.0.0.2:1"})
+		qt.Check(t, lookup(), qt.DeepEquals, []string{"10.0.0.1:1", "10.0.0.2:1"})
 		time.Sleep(contact.RemovalTimeout - time.Second)
-		qt.Check(t, look(), qt.HasLen, 2, qt.Commentf("not yet"))
+		qt.Check(t, lookup(), qt.HasLen, 2, qt.Commentf("not yet"))
 		b.RecordReachability(ctx, "10.0.0.2:1", true)
 		time.Sleep(2 * time.Second)
-		look()
-		qt.Check(t, look(), qt.DeepEquals, []string{"10.0.0.2:1"}, qt.Commentf("only the one that was silent all the time"))
+		lookup()
+		qt.Check(t, lookup(), qt.DeepEquals, []string{"10.0.0.2:1"}, qt.Commentf("only the one that was silent all the time"))
 		time.Sleep(contact.RemovalTimeout)
-		look()
-		qt.Check(t, look(), qt.HasLen, 0)
+		lookup()
+		qt.Check(t, lookup(), qt.HasLen, 0)
 		back.Addresses(ctx)
 		back.Register(ctx)
-		qt.Check(t, look(), qt.DeepEquals, []string{"10.0.0.2:1"}, qt.Commentf("who was removed writes itself in again"))
+		qt.Check(t, lookup(), qt.DeepEquals, []string{"10.0.0.2:1"}, qt.Commentf("who was removed writes itself in again"))
 	})
 }
 
 // memory is an object API in memory.
-type memory struct {
+type memoryAPI struct {
 	objectapi.API
 	objects  map[string]*objectapi.Object
 	revision int
 }
 
-func newMemory() *memory { return &memory{objects: make(map[string]*objectapi.Object)} }
+func newMemoryAPI() *memoryAPI { return &memoryAPI{objects: make(map[string]*objectapi.Object)} }
 
-func (m *memory) List(context.Context, string) (*objectapi.List, error) {
+func (m *memoryAPI) List(context.Context, string) (*objectapi.List, error) {
 	l := new(objectapi.List)
 	for _, o := range m.objects {
 		l.Items = append(l.Items, o)
@@ -158,38 +158,38 @@
 	return l, nil
 }
 
-func (m *memory) ListStale(ctx context.Context, kind string) (*objectapi.List, error) {
+func (m *memoryAPI) ListStale(ctx context.Context, kind string) (*objectapi.List, error) {
 	return m.List(ctx, kind)
 }
 
-func (m *memory) Create(_ context.Context, o *objectapi.Object) (*objectapi.Object, error) {
+func (m *memoryAPI) Create(_ context.Context, o *objectapi.Object) (*objectapi.Object, error) {
 	if m.objects[o.Metadata.Name] != nil {
 		return nil, &objectapi.Error{Status: 409}
 	}
 	return m.store(o), nil
 }
 
-func (m *memory) store(o *objectapi.Object) *objectapi.Object {
+func (m *memoryAPI) store(o *objectapi.Object) *objectapi.Object {
 	m.revision++
 	m.objects[o.Metadata.Name] = o.WithResourceVersion(strconv.Itoa(m.revision))
 	return m.objects[o.Metadata.Name]
 }
 
-func (m *memory) Get(_ context.Context, _, name string) (*objectapi.Object, error) {
+func (m *memoryAPI) Get(_ context.Context, _, name string) (*objectapi.Object, error) {
 	if o := m.objects[name]; o != nil {
 		return o, nil
 	}
 	return nil, &objectapi.Error{Status: 404}
 }
 
-func (m *memory) Update(_ context.Context, o *objectapi.Object) (*objectapi.Object, error) {
+func (m *memoryAPI) Update(_ context.Context, o *objectapi.Object) (*objectapi.Object, error) {
 	if old := m.objects[o.Metadata.Name]; old == nil || old.Metadata.ResourceVersion != o.Metadata.ResourceVersion {
 		return nil, &objectapi.Error{Status: 409}
 	}
 	return m.store(o), nil
 }
 
-func (m *memory) Delete(_ context.Context, _, name, version string) error {
+func (m *memoryAPI) Delete(_ context.Context, _, name, version string) error {
 	if o := m.objects[name]; o == nil || o.Metadata.ResourceVersion != version {
 		return &objectapi.Error{Status: 409}
 	}
@@ -199,7 +199,7 @@
 
 // TestContactsOfOtherWriters has one row for each entry that leads nowhere: the
 // others hold, and the node's own is written anew.
-func TestContactsOfOtherWriters(t *testing.T) {
+func TestInvalidEntries(t *testing.T) {
 	for name, spec := range map[string]string{
 		"no bytes":         ``,
 		"not JSON":         `{"address":`,
@@ -210,7 +210,7 @@
 		"a list":           `["10.0.0.7:1"]`,
 	} {
 		t.Run(name, func(t *testing.T) {
-			store := newMemory()
+			store := newMemoryAPI()
 			bad := func(name string) {
 				store.objects[name] = (&objectapi.Object{Kind: contact.Kind, Metadata: objectapi.Metadata{Name: name}, Spec: []byte(spec)}).WithResourceVersion("1")
 			}
@@ -232,7 +232,7 @@
 func FuzzEntry(f *testing.F) {
 	f.Add([]byte(`{"address":"10.0.0.7:1","zone":"z"}`))
 	f.Fuzz(func(t *testing.T, spec []byte) {
-		store := newMemory()
+		store := newMemoryAPI()
 		store.objects["x"] = (&objectapi.Object{Kind: contact.Kind, Metadata: objectapi.Metadata{Name: "x"}, Spec: spec}).WithResourceVersion("1")
 		b := &contact.PlatformRegistry{API: store, Node: "a", Log: zerolog.Nop()}
 		for _, addr := range b.Addresses(context.Background()) {
@@ -246,7 +246,7 @@
 
 // TestRegisterAfterAStaleRead has a node's entry written since the read that did not
 // show it: as it should be, with another address, or by another program.
-func TestRegisterAfterAStaleRead(t *testing.T) {
+func TestRegisterAfterStaleRead(t *testing.T) {
 	own := contact.Entry{Address: "10.0.0.1:1", Zone: "z"}
 	for name, there := range map[string]any{
 		"as it should be":   own,
@@ -254,7 +254,7 @@
 		"by another writer": 7,
 	} {
 		t.Run(name, func(t *testing.T) {
-			store := newMemory()
+			store := newMemoryAPI()
 			b := &contact.PlatformRegistry{API: store, Node: "a", Entry: own, Log: zerolog.Nop()}
 			b.Addresses(context.Background())
 			store.store(objectapi.NewObject(contact.Kind, "a", there))
--- a/contact/restore_test.go
+++ b/contact/restore_test.go
@@ -19,58 +19,58 @@
 )
 
 // turningAway is a memory that turns the first calls away.
-type turningAway struct {
-	*memory
-	calls int
+type failingAPI struct {
+	*memoryAPI
+	failures int
 }
 
-func (m *turningAway) Get(ctx context.Context, kind, name string) (*objectapi.Object, error) {
-	if m.calls--; m.calls >= 0 {
+func (m *failingAPI) Get(ctx context.Context, kind, name string) (*objectapi.Object, error) {
+	if m.failures--; m.failures >= 0 {
 		return nil, &objectapi.Error{Status: 503}
 	}
-	return m.memory.Get(ctx, kind, name)
+	return m.memoryAPI.Get(ctx, kind, name)
 }
 
 // TestWriteAgain has a platform come back from a copy. The entry that stood there is there
 // again within two seconds, as it was, and nothing else is written.
-func TestWriteAgain(t *testing.T) {
+func TestRestore(t *testing.T) {
 	own := contact.Entry{Address: "10.0.0.1:1", Zone: "z"}
 	earlier := contact.Entry{Address: "10.0.0.9:1", Zone: "z"}
 	tests := map[string]struct {
-		copied    any  // what the copy has, or nil
-		never     bool // whether the node never stood there
-		turned    int  // the calls that are turned away
-		revisions int  // that are given out when it is written again
-		want      any
+		backup          any  // what the copy has, or nil
+		neverRegistered bool // whether the node never stood there
+		failures        int  // the calls that are turned away
+		revisions       int  // that are given out when it is written again
+		want            any
 	}{
 		"lost":                      {revisions: 1, want: own},
-		"in the copy":               {copied: own, want: own},
-		"the copy is of before":     {copied: earlier, revisions: 1, want: own},
-		"another wrote it":          {copied: 7, revisions: 1, want: own},
-		"never stood there":         {never: true},
-		"lost, and turned away":     {turned: 3, revisions: 1, want: own},
-		"in the copy, turned away":  {copied: own, turned: 3, want: own},
-		"never stood, turned away":  {never: true, turned: 3},
-		"turned away for very long": {turned: 1000},
+		"in the copy":               {backup: own, want: own},
+		"the copy is of before":     {backup: earlier, revisions: 1, want: own},
+		"another wrote it":          {backup: 7, revisions: 1, want: own},
+		"never stood there":         {neverRegistered: true},
+		"lost, and turned away":     {failures: 3, revisions: 1, want: own},
+		"in the copy, turned away":  {backup: own, failures: 3, want: own},
+		"never stood, turned away":  {neverRegistered: true, failures: 3},
+		"turned away for very long": {failures: 1000},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx := context.Background()
-				m := &turningAway{memory: newMemory()}
+				m := &failingAPI{memoryAPI: newMemoryAPI()}
 				b := &contact.PlatformRegistry{API: m, Node: "a", Entry: own, Log: zerolog.Nop()}
 				b.Addresses(ctx)
-				if !test.never {
+				if !test.neverRegistered {
 					b.Register(ctx)
 				}
 				m.objects = make(map[string]*objectapi.Object)
-				if test.copied != nil {
-					m.store(objectapi.NewObject(contact.Kind, "a", test.copied))
+				if test.backup != nil {
+					m.store(objectapi.NewObject(contact.Kind, "a", test.backup))
 				}
-				m.calls = test.turned
+				m.failures = test.failures
 				before, began := m.revision, time.Now()
 				b.Restore(ctx)
-				if test.turned <= 3 {
+				if test.failures <= 3 {
 					qt.Check(t, time.Since(began) <= 2*time.Second, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
 				}
 				qt.Check(t, m.revision-before, qt.Equals, test.revisions)
@@ -88,19 +88,19 @@
 
 // TestWriteAgainBegunAnew has the platform come back a second time while the first writing is
 // still being turned away: the entry is there again.
-func TestWriteAgainBegunAnew(t *testing.T) {
+func TestRestoreTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &turningAway{memory: newMemory()}
+		m := &failingAPI{memoryAPI: newMemoryAPI()}
 		b := &contact.PlatformRegistry{API: m, Node: "a", Entry: contact.Entry{Address: "10.0.0.1:1", Zone: "z"}, Log: zerolog.Nop()}
 		b.Addresses(context.Background())
 		b.Register(context.Background())
 		m.objects = make(map[string]*objectapi.Object)
-		m.calls = 1000
+		m.failures = 1000
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		b.Restore(ctx)
 		qt.Check(t, m.objects["a"], qt.IsNil)
-		m.calls = 0
+		m.failures = 0
 		b.Restore(context.Background())
 		qt.Check(t, m.objects["a"], qt.IsNotNil)
 	})
@@ -109,10 +109,10 @@
 // TestForgetAfterRestore has nodes list an entry that nobody answers at, before the platform
 // comes back from a copy. The entry that has the same revision after that is another one, and
 // stays.
-func TestForgetAfterRestore(t *testing.T) {
+func TestRemoveAfterRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
-		m := newMemory()
+		m := newMemoryAPI()
 		m.store(objectapi.NewObject(contact.Kind, "gone", contact.Entry{Address: "10.0.0.1:1", Zone: "z"}))
 		b := &contact.PlatformRegistry{API: m, Node: "a", Entry: contact.Entry{Address: "10.0.0.2:1", Zone: "z"}, Log: zerolog.Nop()}
 		b.Addresses(ctx)
