--- a/bearer/bearer.go
+++ b/bearer/bearer.go
@@ -18,7 +18,7 @@
 	// scheme is the scheme of keys, in any case.
 	scheme = "Bearer"
 	// maxKey is the longest key that is looked up, in bytes: each costs a digest.
-	maxKey = 1 << 10
+	maxKeyBytes = 1 << 10
 	// challenge is sent to a caller without a key, and challengeInvalid to one with
 	// another key than an organisation's (RFC 6750, section 3).
 	challenge        = scheme
@@ -27,10 +27,10 @@
 
 // Why a request has no key. No message quotes what was sent.
 var (
-	errNone    = eris.New("no Authorization")
-	errSeveral = eris.New("several Authorization fields")
-	errScheme  = eris.New("Authorization is not by a bearer key")
-	errForm    = eris.Errorf("the bearer key is not 1 to %d visible characters", maxKey)
+	errMissing   = eris.New("no Authorization")
+	errMultiple  = eris.New("several Authorization fields")
+	errScheme    = eris.New("Authorization is not by a bearer key")
+	errMalformed = eris.Errorf("the bearer key is not 1 to %d visible characters", maxKeyBytes)
 )
 
 // Key returns the key that a request shows, or why it shows none.
@@ -38,18 +38,18 @@
 	values := h[Field]
 	switch {
 	case len(values) == 0:
-		return "", errNone
+		return "", errMissing
 	case len(values) > 1:
-		return "", errSeveral
+		return "", errMultiple
 	}
 	name, key, _ := strings.Cut(values[0], " ")
 	if !strings.EqualFold(name, scheme) {
 		return "", errScheme
 	}
 	key = strings.TrimLeft(key, " ")
-	hidden := func(c rune) bool { return c <= ' ' || c > '~' }
-	if key == "" || len(key) > maxKey || strings.ContainsFunc(key, hidden) {
-		return "", errForm
+	invisible := func(c rune) bool { return c <= ' ' || c > '~' }
+	if key == "" || len(key) > maxKeyBytes || strings.ContainsFunc(key, invisible) {
+		return "", errMalformed
 	}
 	return key, nil
 }
@@ -57,13 +57,13 @@
 // Strip removes what may bear an organisation's key, in whatever form. Credentials of other
 // schemes on a public route are the upstream's own business.
 func Strip(h http.Header, public bool) {
-	if !public || slices.ContainsFunc(h[Field], mayBearKey) {
+	if !public || slices.ContainsFunc(h[Field], mayHoldKey) {
 		h.Del(Field)
 	}
 }
 
 // mayBearKey returns whether a value is not credentials of another scheme.
-func mayBearKey(value string) bool {
+func mayHoldKey(value string) bool {
 	name, credentials, _ := strings.Cut(value, " ")
 	return credentials == "" || strings.HasPrefix(strings.ToLower(name), strings.ToLower(scheme))
 }
--- a/spool/body.go
+++ b/spool/body.go
@@ -20,43 +20,43 @@
 	// Length is the length of the body in bytes.
 	Length int64
 
-	mu      sync.Mutex
-	data    []byte
-	err     error         // that ended the body, or nil
-	read    chan struct{} // closed when the reading in progress has ended, nil if there is none
-	began   time.Time     // when the first Read was called
-	reached time.Time     // when the last byte was there
+	mu         sync.Mutex
+	data       []byte
+	err        error         // that ended the body, or nil
+	readDone   chan struct{} // closed when the reading in progress has ended, nil if there is none
+	began      time.Time     // when the first Read was called
+	lastReadAt time.Time     // when the last byte was there
 }
 
 // Open returns a reader of the body from its start. It implements peer.Trailered.
-func (b *Body) NewReader() io.Reader { return &view{body: b} }
+func (b *Body) NewReader() io.Reader { return &bodyReader{body: b} }
 
 // Took returns how long the body took to come in, from the first Read to its end. The
 // second result is false if it has not ended well yet.
 func (b *Body) ReceiveTime() (time.Duration, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.reached.Sub(b.began), b.err == io.EOF
+	return b.lastReadAt.Sub(b.began), b.err == io.EOF
 }
 
 // view is the body as one sending reads it.
-type view struct {
-	body *Body
-	at   int
+type bodyReader struct {
+	body   *Body
+	offset int
 }
 
 // Read implements io.Reader.
-func (v *view) Read(p []byte) (int, error) {
+func (v *bodyReader) Read(p []byte) (int, error) {
 	if len(p) == 0 {
 		return 0, nil
 	}
-	n, err := v.body.readAt(p, v.at)
-	v.at += n
+	n, err := v.body.readAt(p, v.offset)
+	v.offset += n
 	return n, err
 }
 
 // Trailer implements peer.Trailered.
-func (v *view) Trailer() []peer.Field {
+func (v *bodyReader) Trailer() []peer.Field {
 	if t, ok := v.body.Reader.(peer.TrailerReader); ok {
 		return t.Trailer()
 	}
@@ -64,24 +64,24 @@
 }
 
 // readAt reads the body from the given offset, and waits for more if there is none yet.
-func (b *Body) readAt(p []byte, at int) (int, error) {
+func (b *Body) readAt(p []byte, offset int) (int, error) {
 	for {
 		b.mu.Lock()
 		switch {
-		case at < len(b.data):
-			n := copy(p, b.data[at:])
+		case offset < len(b.data):
+			n := copy(p, b.data[offset:])
 			b.mu.Unlock()
 			return n, nil
 		case b.err != nil:
 			defer b.mu.Unlock()
 			return 0, b.err
-		case b.read != nil:
-			wait := b.read
+		case b.readDone != nil:
+			wait := b.readDone
 			b.mu.Unlock()
 			<-wait
 			continue
 		}
-		b.read = make(chan struct{})
+		b.readDone = make(chan struct{})
 		if b.data == nil {
 			b.data = make([]byte, 0, b.Length)
 			b.began = time.Now()
@@ -93,14 +93,14 @@
 
 // piece is how many bytes are waited for, if as many are asked for. A body comes in by
 // packets, and each one that is sent on by itself costs a frame.
-const piece = 8 << 10
+const minFetchBytes = 8 << 10
 
 // fetch reads up to most bytes more. Another goroutine may read what is there meanwhile.
-func (b *Body) fetch(most int) {
-	buffer := make([]byte, most)
+func (b *Body) fetch(limit int) {
+	buffer := make([]byte, limit)
 	var n int
 	var err error
-	for n < min(most, piece) && err == nil {
+	for n < min(limit, minFetchBytes) && err == nil {
 		var m int
 		m, err = b.Reader.Read(buffer[n:])
 		n += m
@@ -109,7 +109,7 @@
 	defer b.mu.Unlock()
 	b.data = append(b.data, buffer[:n]...)
 	b.err = err
-	b.reached = time.Now()
-	close(b.read)
-	b.read = nil
+	b.lastReadAt = time.Now()
+	close(b.readDone)
+	b.readDone = nil
 }
--- a/spool/body_test.go
+++ b/spool/body_test.go
@@ -39,7 +39,7 @@
 
 // TestReadersShareABody has a body read by one sending from its start and by others that
 // begin while it comes in or once it has: all get all of it, or how it broke off.
-func TestReadersShareABody(t *testing.T) {
+func TestConcurrentReaders(t *testing.T) {
 	broken := eris.New("broken")
 	for name, end := range map[string]error{"whole": io.EOF, "broken": broken} {
 		t.Run(name, func(t *testing.T) {
