--- a/caller/inflight.go
+++ b/caller/inflight.go
@@ -17,20 +17,20 @@
 	requests map[*exchange]struct{}
 }
 
-func (u *inFlight) add(x *exchange) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.requests == nil {
-		u.requests = make(map[*exchange]struct{})
+func (f *inFlight) add(x *exchange) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.requests == nil {
+		f.requests = make(map[*exchange]struct{})
 	}
-	u.started++
-	u.requests[x] = struct{}{}
+	f.started++
+	f.requests[x] = struct{}{}
 }
 
-func (u *inFlight) remove(x *exchange) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	delete(u.requests, x)
+func (f *inFlight) remove(x *exchange) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	delete(f.requests, x)
 }
 
 // RequestCounts returns how many requests are in flight, and how many have been started so far,
--- a/caller/resend.go
+++ b/caller/resend.go
@@ -78,32 +78,32 @@
 
 // recordResult records the outcome of the request. The body of a small response is copied while
 // it is forwarded.
-func (k *claimRecorder) recordResult(result *entry.Result, failure *verdict.Error) {
+func (cr *claimRecorder) recordResult(result *entry.Result, failure *verdict.Error) {
 	switch {
-	case k == nil:
+	case cr == nil:
 	case failure != nil:
 		if failure.Verdict() == verdict.NotRun {
-			k.claim.Release()
+			cr.claim.Release()
 		}
 	default:
-		k.response = &claim.StoredResponse{
+		cr.response = &claim.StoredResponse{
 			Status: result.Status,
 			Header: result.Header,
 		}
-		if k.storesBody = result.Length >= 0 && result.Length <= claim.MaxBodyBytes; k.storesBody {
-			result.Body = io.TeeReader(result.Body, &k.body)
+		if cr.storesBody = result.Length >= 0 && result.Length <= claim.MaxBodyBytes; cr.storesBody {
+			result.Body = io.TeeReader(result.Body, &cr.body)
 		}
 	}
 }
 
 // recordEnd records that the response has been forwarded, or was truncated.
-func (k *claimRecorder) recordEnd(truncated bool) {
+func (cr *claimRecorder) recordEnd(truncated bool) {
 	switch {
-	case k == nil:
-	case truncated || !k.storesBody || k.response.Status >= http.StatusInternalServerError:
-		k.claim.Finish(nil)
+	case cr == nil:
+	case truncated || !cr.storesBody || cr.response.Status >= http.StatusInternalServerError:
+		cr.claim.Finish(nil)
 	default:
-		k.response.Body = k.body.Bytes()
-		k.claim.Finish(k.response)
+		cr.response.Body = cr.body.Bytes()
+		cr.claim.Finish(cr.response)
 	}
 }
--- a/caller/target.go
+++ b/caller/target.go
@@ -95,8 +95,8 @@
 }
 
 // Resolve implements Resolver.
-func (b *RouteResolver) Resolve(r *http.Request) (*Target, *verdict.Error) {
-	t := b.Table()
+func (rr *RouteResolver) Resolve(r *http.Request) (*Target, *verdict.Error) {
+	t := rr.Table()
 	if t == nil {
 		return nil, verdict.New(verdict.NotReady, nil).WithRetryAfter(notReadyRetryAfter)
 	}
@@ -104,8 +104,8 @@
 	if route == nil {
 		return nil, verdict.New(verdict.UnknownHost, eris.Errorf("no route for %s%s in version %d", r.Host, r.URL.EscapedPath(), t.Version))
 	}
-	name := b.splitter.Choose(route)
-	s := b.Service(name)
+	name := rr.splitter.Choose(route)
+	s := rr.Service(name)
 	if s == nil {
 		return nil, verdict.New(verdict.NoUpstream, eris.Errorf("route %s leads to the unknown service %q", route.Name, name))
 	}
@@ -129,7 +129,7 @@
 	if !t.KeysRequired || route.Public {
 		return target, nil
 	}
-	return b.Keys.authenticate(target, t, route, r.Header)
+	return rr.Keys.authenticate(target, t, route, r.Header)
 }
 
 // ClassName returns the name of the class of the requests with a priority and a latency
