--- a/contact/discovery.go
+++ b/contact/discovery.go
@@ -16,91 +16,92 @@
 )
 
 const (
-	// lookFirst is the wait between two looks into the book at the start, which
-	// grows by lookGrowth each time up to lookOften for the first node of a zone. Others look
-	// again after lookSeldom, once they know any.
+	// initialLookupInterval is the time between two lookups after the start, which grows by
+	// lookupIntervalGrowth each time up to firstNodeLookupInterval for the first node of a
+	// zone. Other nodes wait for lookupInterval once they know any.
 	initialLookupInterval   = 500 * time.Millisecond
 	firstNodeLookupInterval = 10 * time.Second
 	lookupInterval          = 2 * time.Minute
 	lookupIntervalGrowth    = 4
-	// rankCheck is how often a node looks whether it has become the first of its zone,
-	// which looks more often.
+	// rankCheckInterval is how often a node checks whether it has become the first of its
+	// zone, which does more lookups.
 	rankCheckInterval = time.Second
-	// tryAgain is the wait before the same addresses are tried again, and tries how
-	// often they are tried, by a node that knew none to answer: at a start of all at
-	// once, some are up a little later.
+	// joinRetryInterval is the time before the same addresses are contacted again, and
+	// maxJoinAttempts how often they are, by a node that knows no other: if all nodes start
+	// at once, some are up a little later.
 	joinRetryInterval = 150 * time.Millisecond
 	maxJoinAttempts   = 4
-	// joinAtOnce is the number of nodes that are joined after one look, and that are
-	// tried at the same time.
+	// joinsPerLookup is the number of nodes that are joined after a lookup, and that are
+	// contacted at the same time.
 	joinsPerLookup = 3
-	// enough is the number of nodes in the book up to which others write
-	// themselves in, and the number of those that are expected to where many start at once;
-	// of a few, each does with the chance of registerChance. After a loss of power a
-	// tenth of 200 nodes tells the others of all, each some ten of them: a few hundred
-	// KB. Each entry costs a call, and is kept over restarts.
+	// targetEntries is the number of entries up to which nodes register that are not the
+	// first of their zones, and the number of those that are expected to if many start at
+	// once; if only a few start, each does with a probability of registerProbability. After
+	// a power failure a tenth of 200 nodes sends the others the addresses of all, each to
+	// some ten of them: a few hundred KB. Each entry costs a call, and is kept over restarts.
 	targetEntries       = 24
 	registerProbability = 0.25
-	// registerAfter is the mean time after which a node that is not the first of its zone
-	// decides on that: it then knows how many there are.
+	// meanRegisterDelay is the mean time after which a node that is not the first of its
+	// zone decides whether to register: by then it knows how many nodes there are.
 	meanRegisterDelay = 2 * time.Second
-	// firstPeersTime is how long a node that has first peers waits for one to answer before
-	// it looks into the book, and firstPeersCheck how often it looks whether one has. A
-	// look is a call, and where all start at once beside an empty book, those that find
-	// nobody write themselves in.
+	// firstPeerTimeout is how long a node that has first peers waits for one to answer before
+	// its first lookup, and firstPeerCheckInterval how often it checks whether one has. A
+	// lookup costs a call, and if all nodes start at once beside an empty registry, those
+	// that find none register.
 	firstPeerTimeout       = 400 * time.Millisecond
 	firstPeerCheckInterval = 20 * time.Millisecond
-	// seekEvery is the least time between the end of a look and one that Seek asks for.
+	// minTriggerInterval is the minimum time between the end of a lookup and one that
+	// Trigger requests.
 	minTriggerInterval = 250 * time.Millisecond
 )
 
-// Directory is a book of contacts. A Book is one.
+// Registry is a registry of contacts. PlatformRegistry implements it.
 type Registry interface {
-	// Addresses returns the addresses of other nodes, those to try first coming first.
+	// Addresses returns the addresses of other nodes, in the order in which to contact them.
 	Addresses(ctx context.Context) []string
-	// Register writes this node into the book, unless it stands there.
+	// Register writes this node's entry, unless it is up to date.
 	Register(ctx context.Context)
-	// Met takes in whether a node answered at an address.
+	// RecordReachability records whether a node answered at an address.
 	RecordReachability(ctx context.Context, addr string, answered bool)
 }
 
-// Node is what a Discovery needs of its node. The methods may be called from any goroutine.
+// Node is the node that a Discovery works for. The methods may be called from any goroutine.
 type Node interface {
-	// Alone returns whether the node knows no other, and Nodes how many it knows, itself
+	// Isolated returns whether the node knows no other, and Nodes how many it knows, itself
 	// included.
 	Isolated() bool
 	Nodes() int
-	// FirstOfZone returns whether the node looks after the book for its zone. One that knows
-	// no other does.
+	// IsFirstInZone returns whether the node maintains the registry for its zone. A node that
+	// knows no other does.
 	IsFirstInZone() bool
-	// Unknown returns those of some addresses that no known node has.
+	// UnknownAddresses returns those of some addresses that no known node has.
 	UnknownAddresses(addrs []string) []string
-	// LearnFrom learns what a node at one of some addresses knows, and returns whether one
-	// answered.
+	// FetchState fetches what the first node that answers at one of some addresses knows, and
+	// returns whether one answered.
 	FetchState(ctx context.Context, addrs []string) bool
 }
 
-// Discovery has a node find others by a book of contacts. The fields are set before Run.
+// Discovery finds other nodes by a registry of contacts. The fields are set before Run.
 type Discovery struct {
-	// Book is where nodes stand.
+	// Registry holds the contacts.
 	Registry Registry
-	// Node is the node that looks for others.
+	// Node is the node that is to find others.
 	Node Node
-	// FirstPeers is whether the node also asks first peers that its settings name.
+	// HasFirstPeers is whether the node also contacts first peers from its settings.
 	HasFirstPeers bool
 
-	listed    atomic.Int32 // how many stood in the book at the latest look, or notLooked
-	lookups   atomic.Int32 // so far
+	listed    atomic.Int32 // number of entries of others at the latest lookup, or noLookup
+	lookups   atomic.Int32 // lookups after which the listed nodes have been contacted
 	once      sync.Once
-	triggered chan struct{} // has a value when a look is asked for
+	triggered chan struct{} // has a value when a lookup is requested
 }
 
-// init makes the state once.
+// init initialises the state on the first call.
 func (d *Discovery) init() {
 	d.once.Do(func() { d.triggered = make(chan struct{}, 1) })
 }
 
-// Seek has the book looked into soon, whatever this node knows. It does not wait.
+// Trigger requests a lookup soon, whatever this node knows. It does not wait for it.
 func (d *Discovery) Trigger() {
 	d.init()
 	select {
@@ -109,18 +110,17 @@
 	}
 }
 
-// Looks returns how often the book has been looked into and those who stood there asked, whether
-// anybody stood there or not.
+// Lookups returns the number of lookups after which the listed nodes have been contacted, also
+// of those that found none.
 func (d *Discovery) Lookups() int { return int(d.lookups.Load()) }
 
-// notLooked is the number of listed nodes before the first look.
+// noLookup is the number of listed nodes before the first lookup.
 const noLookup = -1
 
-// Run looks into the book for nodes that this one does not know, and learns from
-// some of them, time and again until ctx ends: two groups of nodes that have met only among
-// themselves, as may happen at a start of all at once or after a partition, would
-// otherwise never hear of each other. The first node of each zone in each group stands
-// in the book and looks into it.
+// Run looks up nodes that this one does not know and learns from some of them, repeatedly until
+// ctx ends: two groups of nodes that know only their own members, as may happen if all start at
+// once or after a partition, would otherwise never discover each other. The first node of each
+// zone in each group registers and repeats its lookups.
 func (d *Discovery) Run(ctx context.Context) {
 	d.init()
 	d.listed.Store(noLookup)
@@ -144,21 +144,21 @@
 	}
 }
 
-// awaitFirstPeer waits until a first peer has answered, but not for long.
+// awaitFirstPeer waits until a first peer has answered, or firstPeerTimeout has passed.
 func (d *Discovery) awaitFirstPeer(ctx context.Context) {
 	for began := time.Now(); d.HasFirstPeers && time.Since(began) < firstPeerTimeout && ctx.Err() == nil && d.Node.Isolated(); {
 		sleep.For(ctx, firstPeerCheckInterval)
 	}
 }
 
-// look returns the addresses in the book.
+// lookup returns the addresses in the registry.
 func (d *Discovery) lookup(ctx context.Context) []string {
 	addrs := d.Registry.Addresses(ctx)
 	d.listed.Store(int32(len(addrs)))
 	return addrs
 }
 
-// join looks into the book and learns from some nodes there that this one does not know.
+// join does a lookup and learns from some of the listed nodes that this one does not know.
 func (d *Discovery) join(ctx context.Context) {
 	addrs := d.lookup(ctx)
 	d.joinSome(ctx, d.Node.UnknownAddresses(slices.Clone(addrs)))
@@ -169,9 +169,8 @@
 	d.lookups.Add(1)
 }
 
-// joinSome learns from a few of some addresses that answer. Several are tried at
-// once: those of instances that are gone are silent for as long as the opening of
-// a connection may take.
+// joinSome learns from a few of the nodes that answer at some addresses. It contacts several at
+// once, as those of removed instances don't answer for as long as opening a connection may take.
 func (d *Discovery) joinSome(ctx context.Context, addrs []string) {
 	var joined atomic.Int32
 	untried := make(chan string, len(addrs))
@@ -187,7 +186,7 @@
 					return
 				}
 				if joined.Load() > 0 && len(d.Node.UnknownAddresses([]string{addr})) == 0 {
-					continue // learnt of meanwhile
+					continue // discovered meanwhile
 				}
 				answered := d.Node.FetchState(ctx, []string{addr})
 				if ctx.Err() == nil {
@@ -202,8 +201,8 @@
 	all.Wait()
 }
 
-// registerLate writes this node into the book, some time after its start, if it is drawn. Only
-// one that is drawn looks whether enough stand there, if it has not looked yet.
+// registerLate registers this node some time after its start if it is selected at random. Only
+// a node that is selected checks the number of entries, if it has done no lookup yet.
 func (d *Discovery) registerLate(ctx context.Context) {
 	sleep.For(ctx, meanRegisterDelay/2+rand.N(meanRegisterDelay))
 	nodes := d.Node.Nodes()
@@ -219,17 +218,17 @@
 	}
 }
 
-// registers returns whether a node that is not the first of its zone writes itself into the
-// book, given how many nodes it knows, how many stand there, and a draw within 0 and 1: of
-// all that start at once some enough do, however many they are.
+// shouldRegister returns whether a node that is not the first of its zone registers, given how
+// many nodes it knows, the number of entries, and a random number between 0 and 1: of all that
+// start at once about targetEntries do, however many they are.
 func shouldRegister(nodes, listed int, draw float64) bool {
 	probability := min(registerProbability, targetEntries/float64(max(1, nodes)))
 	return listed < targetEntries && draw < probability
 }
 
-// registersAsFirst returns whether this node writes itself into the book after look n, from 0,
-// as the first of its zone or as one that knows no other. At a start of all at once nobody
-// stands there, and the first ones that have waited for a moment are enough.
+// shouldRegisterAsFirst returns whether this node registers after lookup n, from 0, as the first
+// of its zone or as one that knows no other. If all nodes start at once nobody is registered, and
+// the first ones to have waited for a moment are enough.
 func (d *Discovery) shouldRegisterAsFirst(n int) bool {
 	if n == 0 && d.Node.Isolated() {
 		return false
@@ -237,8 +236,8 @@
 	return d.Node.IsFirstInZone()
 }
 
-// rest waits until the next look: for about the given time at the first node of a zone, and
-// for long at another, unless Seek is called.
+// waitForNext waits until the next lookup: about the given time at the first node of a zone, and
+// about lookupInterval at another, unless Trigger is called.
 func (d *Discovery) waitForNext(ctx context.Context, interval time.Duration) {
 	interval = interval/2 + rand.N(interval)
 	longInterval := lookupInterval/2 + rand.N(lookupInterval)
@@ -252,7 +251,7 @@
 	}
 }
 
-// await waits for the given time, or until Seek is called, which it returns.
+// wait waits for the given time, or until Trigger is called, and returns whether it was.
 func (d *Discovery) wait(ctx context.Context, timeout time.Duration) (triggered bool) {
 	t := time.NewTimer(timeout)
 	defer t.Stop()
--- a/contact/doc.go
+++ b/contact/doc.go
@@ -2,11 +2,12 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Package contact lets nodes find one another at their start, and again after they were
-// parted.
+// Package contact lets nodes discover one another when they start, and again after a network
+// partition.
 //
-// A Book holds the peer addresses of some nodes on the platform, one small object each. An
-// object that is already there as it should be is not written again, and one at whose address
-// nobody answers for long is removed. A Discovery decides when a node looks there, whom it
-// learns from, and whether it writes itself in; what there is to learn is its Node's matter.
+// A Registry holds the peer addresses of some of the nodes; a PlatformRegistry keeps them on the
+// platform, one small object each. An object that is up to date is not written again, and one at
+// whose address no node answers for long is removed. A Discovery decides when a node reads the
+// registry, which nodes it contacts, and whether it registers itself; what it learns from them is
+// up to its Node.
 package contact
--- a/contact/register_test.go
+++ b/contact/register_test.go
@@ -12,8 +12,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestRegistersOfManyStarts has many nodes start at once beside an empty book, and beside one in
-// which enough stand: the entries that they write don't grow with them.
+// TestShouldRegisterManyStarts has many nodes start at once beside an empty registry, and beside one
+// with enough entries: the number of entries that they write must not grow with that of nodes.
 func TestShouldRegisterManyStarts(t *testing.T) {
 	for _, nodes := range []int{12, 100, 1000, 18000} {
 		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
--- a/contact/registry.go
+++ b/contact/registry.go
@@ -21,18 +21,18 @@
 // Kind is the kind of the objects.
 const Kind = "contact"
 
-// Entry is the spec of an object, which has the node's name.
+// Entry is the spec of an object, whose name is the node's.
 type Entry struct {
-	// Address is where the node takes peer connections.
+	// Address is where the node accepts peer connections.
 	Address string `json:"address"`
 	// Zone is the node's availability zone.
 	Zone string `json:"zone"`
-	// Nodes is the number of nodes that there were when it was written, or 0.
+	// NodeCount is the number of nodes at the time of writing, or 0 if unknown.
 	NodeCount int `json:"nodes,omitempty"`
 }
 
-// check returns why nobody can be reached by an entry, or nil. Another program may
-// have written it.
+// check returns an error if the address of an entry is invalid. Another program may have written
+// it.
 func (e Entry) check() error {
 	host, port, err := net.SplitHostPort(e.Address)
 	if err != nil || net.ParseIP(host) == nil || port == "" {
@@ -41,46 +41,45 @@
 	return nil
 }
 
-// Book is the nodes' addresses as the platform holds them. The exported fields
-// are set before the first call.
+// PlatformRegistry is the Registry that is kept on the platform. The exported fields are set
+// before the first call.
 type PlatformRegistry struct {
-	// API is the platform.
+	// API is the platform's API.
 	API objectapi.Objects
-	// Node and Entry are what this node registers.
+	// Node and Entry are the name and the entry that this node registers.
 	Node  string
 	Entry Entry
-	// Nodes, if not nil, returns the number of nodes to put into the entry, and Counted is
-	// called with the largest one that other entries have.
+	// NodeCount, if not nil, returns the number of nodes to put into the entry, and
+	// OnNodeCount is called with the largest one in any entry.
 	NodeCount   func() int
 	OnNodeCount func(nodes int)
-	// Log takes the failures.
+	// Log is the log for failures.
 	Log zerolog.Logger
 
 	mu           sync.Mutex
-	ownObject    *objectapi.Object            // this node's own, as read last, or nil
-	writtenAt    time.Time                    // when this node's own was written
-	mayBeLost    bool                         // whether its own stood there, and may have been lost
-	writtenEntry Entry                        // what was written then
-	listed       map[string]*objectapi.Object // by address, as read last
-	silentSince  map[string]time.Time         // since when nobody answers, by address
+	ownObject    *objectapi.Object            // this node's object when last read, or nil
+	writtenAt    time.Time                    // when this node's entry was written, or zero
+	mayBeLost    bool                         // whether this node's entry was there, and may have been lost
+	writtenEntry Entry                        // the entry that was written then
+	listed       map[string]*objectapi.Object // objects of other nodes when last read, by address
+	silentSince  map[string]time.Time         // since when no node has answered, by address
 }
 
-// staleness is how old a stale read may be at most, with a margin: the platform
-// says seconds.
+// maxStaleness bounds the age of a stale read, with a margin: the platform promises some
+// seconds.
 const maxStaleness = time.Minute
 
-// Forget is how long nobody has to answer at an address before it is taken out
-// of the book. It is far longer than an instance is away for a restart; one that
-// comes back later writes itself in again.
+// RemovalTimeout is how long no node must have answered at an address before its entry is
+// removed. It is far longer than an instance takes to restart; one that returns later registers
+// again.
 const RemovalTimeout = 10 * time.Minute
 
-// Addresses returns the addresses of other nodes in random order, those of the
-// node's own zone first, as the platform had them at some time: it is a stale read.
-// It returns none if the platform does not answer.
-func (b *PlatformRegistry) Addresses(ctx context.Context) []string {
-	list, err := b.API.ListStale(ctx, Kind)
+// Addresses returns the addresses of other nodes in random order, those of the node's own zone
+// first. It is a stale read, and returns none if the platform does not respond.
+func (r *PlatformRegistry) Addresses(ctx context.Context) []string {
+	list, err := r.API.ListStale(ctx, Kind)
 	if err != nil {
-		b.Log.Warn().Err(err).Msg("contacts not read")
+		r.Log.Warn().Err(err).Msg("contacts not read")
 		return nil
 	}
 	var near, far []string
@@ -95,200 +94,200 @@
 		if err == nil {
 			nodes = max(nodes, e.NodeCount)
 		}
-		if o.Metadata.Name == b.Node {
+		if o.Metadata.Name == r.Node {
 			ownObject = o
 			continue
 		}
 		if err != nil {
-			b.Log.Warn().Err(err).Str("node", o.Metadata.Name).Msg("contact can't be used")
+			r.Log.Warn().Err(err).Str("node", o.Metadata.Name).Msg("contact can't be used")
 			continue
 		}
 		listed[e.Address] = o
-		if e.Zone == b.Entry.Zone {
+		if e.Zone == r.Entry.Zone {
 			near = append(near, e.Address)
 		} else {
 			far = append(far, e.Address)
 		}
 	}
-	b.recordList(listed, ownObject)
-	if b.OnNodeCount != nil && nodes > 0 {
-		b.OnNodeCount(nodes)
+	r.recordList(listed, ownObject)
+	if r.OnNodeCount != nil && nodes > 0 {
+		r.OnNodeCount(nodes)
 	}
 	shuffle(near)
 	shuffle(far)
 	return append(near, far...)
 }
 
-// took keeps what was read.
-func (b *PlatformRegistry) recordList(listed map[string]*objectapi.Object, ownObject *objectapi.Object) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.listed = listed
-	b.ownObject = ownObject
-	for addr := range b.silentSince {
+// recordList records the entries that were read.
+func (r *PlatformRegistry) recordList(listed map[string]*objectapi.Object, ownObject *objectapi.Object) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.listed = listed
+	r.ownObject = ownObject
+	for addr := range r.silentSince {
 		if listed[addr] == nil {
-			delete(b.silentSince, addr)
+			delete(r.silentSince, addr)
 		}
 	}
 }
 
-// Met takes in whether a node answered at an address of the book. An address at
-// which nobody has answered for long is taken out, unless it was written anew
-// meanwhile.
-func (b *PlatformRegistry) RecordReachability(ctx context.Context, addr string, answered bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	o := b.listed[addr]
-	since, silent := b.silentSince[addr]
+// RecordReachability records whether a node answered at a listed address. The entry of an address
+// at which no node has answered for RemovalTimeout is removed, unless it has been written since
+// it was read.
+func (r *PlatformRegistry) RecordReachability(ctx context.Context, addr string, answered bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	o := r.listed[addr]
+	since, silent := r.silentSince[addr]
 	switch {
 	case answered || o == nil:
-		delete(b.silentSince, addr)
+		delete(r.silentSince, addr)
 		return
 	case !silent:
-		if b.silentSince == nil {
-			b.silentSince = make(map[string]time.Time)
+		if r.silentSince == nil {
+			r.silentSince = make(map[string]time.Time)
 		}
-		b.silentSince[addr] = time.Now()
+		r.silentSince[addr] = time.Now()
 		return
 	case time.Since(since) < RemovalTimeout:
 		return
 	}
-	if err := b.API.Delete(ctx, Kind, o.Metadata.Name, o.Metadata.ResourceVersion); err != nil && !objectapi.IsNotFound(err) {
-		b.Log.Warn().Err(err).Str("address", addr).Msg("contact not removed")
+	if err := r.API.Delete(ctx, Kind, o.Metadata.Name, o.Metadata.ResourceVersion); err != nil && !objectapi.IsNotFound(err) {
+		r.Log.Warn().Err(err).Str("address", addr).Msg("contact not removed")
 		return
 	}
-	b.Log.Info().Str("node", o.Metadata.Name).Str("address", addr).Dur("silentMs", time.Since(since)).Msg("contact removed")
-	delete(b.silentSince, addr)
-	delete(b.listed, addr)
+	r.Log.Info().Str("node", o.Metadata.Name).Str("address", addr).Dur("silentMs", time.Since(since)).Msg("contact removed")
+	delete(r.silentSince, addr)
+	delete(r.listed, addr)
 }
 
 func shuffle(list []string) {
 	rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 }
 
-// Register writes this node into the book, unless it stood there as it should when
-// the addresses were read last, or was written since.
-func (b *PlatformRegistry) Register(ctx context.Context) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.updateNodeCount()
-	if b.isCurrent(b.ownObject) || time.Since(b.writtenAt) < maxStaleness && b.writtenEntry.suffices(b.Entry) {
+// Register writes this node's entry, unless it was up to date when the entries were read last, or
+// has been written since.
+func (r *PlatformRegistry) Register(ctx context.Context) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.updateNodeCount()
+	if r.isCurrent(r.ownObject) || time.Since(r.writtenAt) < maxStaleness && r.writtenEntry.suffices(r.Entry) {
 		return
 	}
-	err := b.write(ctx, b.ownObject)
+	err := r.write(ctx, r.ownObject)
 	if objectapi.IsConflict(err) {
-		// The read was stale, or an answer was lost: what is there now decides.
+		// The read was stale, or a response was lost: the current object decides.
 		var current *objectapi.Object
-		if current, err = b.API.Get(ctx, Kind, b.Node); err == nil && !b.isCurrent(current) {
-			err = b.write(ctx, current)
+		if current, err = r.API.Get(ctx, Kind, r.Node); err == nil && !r.isCurrent(current) {
+			err = r.write(ctx, current)
 		}
 	}
 	if err != nil {
-		b.Log.Warn().Err(err).Msg("contact not written")
+		r.Log.Warn().Err(err).Msg("contact not written")
 		return
 	}
-	b.writtenAt = time.Now()
-	b.writtenEntry = b.Entry
+	r.writtenAt = time.Now()
+	r.writtenEntry = r.Entry
 }
 
-// count puts the number of nodes into the entry. While it isn't known, what the platform has
-// stays.
-func (b *PlatformRegistry) updateNodeCount() {
-	if b.NodeCount == nil {
+// updateNodeCount sets the number of nodes in the entry. While it is unknown, the number on the
+// platform is kept.
+func (r *PlatformRegistry) updateNodeCount() {
+	if r.NodeCount == nil {
 		return
 	}
-	b.Entry.NodeCount = b.NodeCount()
-	if b.Entry.NodeCount > 0 || b.ownObject == nil {
+	r.Entry.NodeCount = r.NodeCount()
+	if r.Entry.NodeCount > 0 || r.ownObject == nil {
 		return
 	}
-	if e, err := objectapi.DecodeSpec[Entry](b.ownObject); err == nil {
-		b.Entry.NodeCount = e.NodeCount
+	if e, err := objectapi.DecodeSpec[Entry](r.ownObject); err == nil {
+		r.Entry.NodeCount = e.NodeCount
 	}
 }
 
-// rewriteTries is how often the writing again of an entry is tried, with pauses that grow to
+// maxRestoreAttempts is the number of attempts to restore an entry, with a backoff that grows to
 // some seconds.
 const maxRestoreAttempts = 8
 
-// WriteAgain takes in that the platform may have lost what was written: this node's entry is
-// looked for if it stood there, and written again if it does not. What was read before is
-// forgotten. It returns when the entry is there, or was given up after some tries: the next
-// look into the book then decides.
-func (b *PlatformRegistry) Restore(ctx context.Context) {
-	registered := b.reset()
+// Restore handles the restoring of the platform from a backup, which may have lost this node's
+// entry: if the node was registered, its entry is written again unless it is there. What was read
+// before is discarded. Restore returns when the entry is there, or after some failed attempts, in
+// which case the entry is written after the next lookup if necessary.
+func (r *PlatformRegistry) Restore(ctx context.Context) {
+	registered := r.reset()
 	for attempt := 0; registered && attempt < maxRestoreAttempts && ctx.Err() == nil; attempt++ {
-		err := b.restoreOnce(ctx)
+		err := r.restoreOnce(ctx)
 		if err == nil {
 			return
 		}
-		b.Log.Warn().Err(err).Int("try", attempt+1).Msg("contact not written again")
+		r.Log.Warn().Err(err).Int("try", attempt+1).Msg("contact not written again")
 		sleep.For(ctx, objectapi.Backoff(attempt, err))
 	}
 }
 
-// forget forgets what was read and written, and returns whether this node's entry stood there.
-func (b *PlatformRegistry) reset() (registered bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.mayBeLost = b.mayBeLost || b.isCurrent(b.ownObject) || !b.writtenAt.IsZero()
-	b.ownObject = nil
-	b.listed = nil
-	b.writtenAt = time.Time{}
-	return b.mayBeLost
+// reset discards what was read and written, and returns whether this node was registered.
+func (r *PlatformRegistry) reset() (registered bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.mayBeLost = r.mayBeLost || r.isCurrent(r.ownObject) || !r.writtenAt.IsZero()
+	r.ownObject = nil
+	r.listed = nil
+	r.writtenAt = time.Time{}
+	return r.mayBeLost
 }
 
-// restore writes this node's entry if it does not stand there.
-func (b *PlatformRegistry) restoreOnce(ctx context.Context) error {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	current, err := b.API.Get(ctx, Kind, b.Node)
+// restoreOnce writes this node's entry unless it is there.
+func (r *PlatformRegistry) restoreOnce(ctx context.Context) error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	current, err := r.API.Get(ctx, Kind, r.Node)
 	if err == nil {
-		b.ownObject = current
+		r.ownObject = current
 	}
-	b.updateNodeCount()
+	r.updateNodeCount()
 	switch {
 	case objectapi.IsNotFound(err):
-		err = b.write(ctx, nil)
-	case err == nil && !b.isCurrent(current):
-		err = b.write(ctx, current)
+		err = r.write(ctx, nil)
+	case err == nil && !r.isCurrent(current):
+		err = r.write(ctx, current)
 	}
 	if err == nil {
-		b.writtenAt = time.Now()
-		b.writtenEntry = b.Entry
-		b.mayBeLost = false
+		r.writtenAt = time.Now()
+		r.writtenEntry = r.Entry
+		r.mayBeLost = false
 	}
 	return err
 }
 
-// stands returns whether an object is this node's entry. One that can't be read is
-// not.
-func (b *PlatformRegistry) isCurrent(o *objectapi.Object) bool {
+// isCurrent returns whether an object is this node's entry and up to date. One that can't be
+// decoded is not.
+func (r *PlatformRegistry) isCurrent(o *objectapi.Object) bool {
 	if o == nil {
 		return false
 	}
 	e, err := objectapi.DecodeSpec[Entry](o)
-	return err == nil && e.suffices(b.Entry)
+	return err == nil && e.suffices(r.Entry)
 }
 
-// covers returns whether e may stand where o is to be written: it has the same address, and
-// a number of nodes that is not smaller, as nodes may come back, nor far larger.
+// suffices returns whether e may stay in place of o: it has the same address and zone, and a
+// number of nodes that is not smaller, as nodes may return, nor far larger.
 func (e Entry) suffices(o Entry) bool {
 	same := e.Address == o.Address && e.Zone == o.Zone
 	return same && (o.NodeCount == 0 || e.NodeCount >= o.NodeCount && e.NodeCount <= max(2*o.NodeCount, nodeCountTolerance))
 }
 
-// manyNodes is the number of nodes up to which an entry is left as it is, however few there
-// are now.
+// nodeCountTolerance is the number of nodes up to which an entry is kept, however few there are
+// now.
 const nodeCountTolerance = 100
 
-// write creates this node's object, or replaces the one that is there.
-func (b *PlatformRegistry) write(ctx context.Context, present *objectapi.Object) error {
-	o := objectapi.NewObject(Kind, b.Node, b.Entry)
+// write creates this node's object, or replaces the present one.
+func (r *PlatformRegistry) write(ctx context.Context, present *objectapi.Object) error {
+	o := objectapi.NewObject(Kind, r.Node, r.Entry)
 	var err error
 	if present == nil {
-		_, err = b.API.Create(ctx, o)
+		_, err = r.API.Create(ctx, o)
 	} else {
-		_, err = b.API.Update(ctx, o.WithResourceVersion(present.Metadata.ResourceVersion))
+		_, err = r.API.Update(ctx, o.WithResourceVersion(present.Metadata.ResourceVersion))
 	}
 	return err
 }
--- a/contact/registry_test.go
+++ b/contact/registry_test.go
@@ -22,7 +22,7 @@
 	"sassafrasfront.example/objectapi"
 )
 
-// TestBook has nodes register and find each other, one of them at a new address.
+// TestRegistry has nodes register and find each other, one of them at a new address.
 func TestRegistry(t *testing.T) {
 	store := new(objectapitest.Server)
 	server := httptest.NewServer(store)
@@ -35,18 +35,18 @@
 		calls := api.Calls()
 		again := b.Addresses(context.Background())
 		b.Register(context.Background())
-		qt.Check(t, api.Calls()-calls, qt.Equals, uint64(1), qt.Commentf("what is registered is not written again"))
+		qt.Check(t, api.Calls()-calls, qt.Equals, uint64(1), qt.Commentf("an entry that is up to date is not written again"))
 		qt.Check(t, len(again), qt.Equals, len(first))
 		return first
 	}
 	qt.Check(t, open("a", "10.0.0.1:1", "near"), qt.HasLen, 0)
 	qt.Check(t, open("b", "10.0.0.2:1", "far"), qt.DeepEquals, []string{"10.0.0.1:1"})
 	qt.Check(t, open("c", "10.0.0.3:1", "near"), qt.DeepEquals, []string{"10.0.0.1:1", "10.0.0.2:1"})
-	qt.Check(t, open("a", "10.0.0.9:1", "far"), qt.DeepEquals, []string{"10.0.0.2:1", "10.0.0.3:1"}, qt.Commentf("the own zone first"))
+	qt.Check(t, open("a", "10.0.0.9:1", "far"), qt.DeepEquals, []string{"10.0.0.2:1", "10.0.0.3:1"}, qt.Commentf("its own zone first"))
 }
 
-// TestBookCountsNodes has nodes leave their number for those that start, and not write it anew
-// unless it has grown.
+// TestRegistryNodeCount has a node store the number of nodes for those that start, and write it
+// again only if it has grown or shrunk a lot.
 func TestRegistryNodeCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
@@ -96,14 +96,14 @@
 	})
 }
 
-// TestBookWithoutPlatform returns nothing rather than failing.
+// TestRegistryPlatformUnreachable expects no addresses rather than a failure.
 func TestRegistryPlatformUnreachable(t *testing.T) {
 	api := &objectapi.Client{JSONClient: objectapi.JSONClient{URL: "http://127.0.0.1:1"}, Namespace: "test"}
 	b := &contact.PlatformRegistry{API: api, Node: "a", Log: zerolog.Nop()}
 	qt.Check(t, b.Addresses(context.Background()), qt.HasLen, 0)
 }
 
-// TestBookForgets has a node go for good, and another that is slow to come back.
+// TestRegistryRemovesUnreachable has a node leave for good, and another that is slow to restart.
 func TestRegistryRemovesUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
@@ -131,17 +131,17 @@
 		b.RecordReachability(ctx, "10.0.0.2:1", true)
 		time.Sleep(2 * time.Second)
 		lookup()
-		qt.Check(t, lookup(), qt.DeepEquals, []string{"10.0.0.2:1"}, qt.Commentf("only the one that was silent all the time"))
+		qt.Check(t, lookup(), qt.DeepEquals, []string{"10.0.0.2:1"}, qt.Commentf("only the entry of the node that never answered is removed"))
 		time.Sleep(contact.RemovalTimeout)
 		lookup()
 		qt.Check(t, lookup(), qt.HasLen, 0)
 		back.Addresses(ctx)
 		back.Register(ctx)
-		qt.Check(t, lookup(), qt.DeepEquals, []string{"10.0.0.2:1"}, qt.Commentf("who was removed writes itself in again"))
+		qt.Check(t, lookup(), qt.DeepEquals, []string{"10.0.0.2:1"}, qt.Commentf("a node whose entry was removed registers again"))
 	})
 }
 
-// memory is an object API in memory.
+// memoryAPI is an object API in memory.
 type memoryAPI struct {
 	objectapi.API
 	objects  map[string]*objectapi.Object
@@ -197,8 +197,8 @@
 	return nil
 }
 
-// TestContactsOfOtherWriters has one row for each entry that leads nowhere: the
-// others hold, and the node's own is written anew.
+// TestInvalidEntries has one row for each invalid entry: the valid ones must be used, and the
+// node's own must be replaced.
 func TestInvalidEntries(t *testing.T) {
 	for name, spec := range map[string]string{
 		"no bytes":         ``,
@@ -227,8 +227,8 @@
 	}
 }
 
-// FuzzEntry has any bytes come as a contact: addresses that are tried are of an IP
-// number.
+// FuzzEntry reads arbitrary bytes as an entry: only addresses with an IP number may be
+// returned.
 func FuzzEntry(f *testing.F) {
 	f.Add([]byte(`{"address":"10.0.0.7:1","zone":"z"}`))
 	f.Fuzz(func(t *testing.T, spec []byte) {
@@ -244,12 +244,12 @@
 	})
 }
 
-// TestRegisterAfterAStaleRead has a node's entry written since the read that did not
-// show it: as it should be, with another address, or by another program.
+// TestRegisterAfterStaleRead has a node's entry written after the read that did not show it: the
+// same entry, one with another address, or one by another program.
 func TestRegisterAfterStaleRead(t *testing.T) {
 	own := contact.Entry{Address: "10.0.0.1:1", Zone: "z"}
 	for name, there := range map[string]any{
-		"as it should be":   own,
+		"the same entry":    own,
 		"another address":   contact.Entry{Address: "10.0.0.9:1", Zone: "z"},
 		"by another writer": 7,
 	} {
--- a/contact/restore_test.go
+++ b/contact/restore_test.go
@@ -18,7 +18,7 @@
 	"sassafrasfront.example/objectapi"
 )
 
-// turningAway is a memory that turns the first calls away.
+// failingAPI is a memoryAPI whose first calls fail.
 type failingAPI struct {
 	*memoryAPI
 	failures int
@@ -31,27 +31,27 @@
 	return m.memoryAPI.Get(ctx, kind, name)
 }
 
-// TestWriteAgain has a platform come back from a copy. The entry that stood there is there
-// again within two seconds, as it was, and nothing else is written.
+// TestRestore has the platform restored from a backup. An entry that was registered must be there
+// again within two seconds, and nothing else may be written.
 func TestRestore(t *testing.T) {
 	own := contact.Entry{Address: "10.0.0.1:1", Zone: "z"}
 	earlier := contact.Entry{Address: "10.0.0.9:1", Zone: "z"}
 	tests := map[string]struct {
-		backup          any  // what the copy has, or nil
-		neverRegistered bool // whether the node never stood there
-		failures        int  // the calls that are turned away
-		revisions       int  // that are given out when it is written again
+		backup          any  // the spec in the backup, or nil
+		neverRegistered bool // whether the node had not registered
+		failures        int  // number of calls that fail
+		revisions       int  // number of writes
 		want            any
 	}{
-		"lost":                      {revisions: 1, want: own},
-		"in the copy":               {backup: own, want: own},
-		"the copy is of before":     {backup: earlier, revisions: 1, want: own},
-		"another wrote it":          {backup: 7, revisions: 1, want: own},
-		"never stood there":         {neverRegistered: true},
-		"lost, and turned away":     {failures: 3, revisions: 1, want: own},
-		"in the copy, turned away":  {backup: own, failures: 3, want: own},
-		"never stood, turned away":  {neverRegistered: true, failures: 3},
-		"turned away for very long": {failures: 1000},
+		"lost":                             {revisions: 1, want: own},
+		"in the backup":                    {backup: own, want: own},
+		"an earlier address in the backup": {backup: earlier, revisions: 1, want: own},
+		"written by another program":       {backup: 7, revisions: 1, want: own},
+		"never registered":                 {neverRegistered: true},
+		"lost, and calls fail":             {failures: 3, revisions: 1, want: own},
+		"in the backup, calls fail":        {backup: own, failures: 3, want: own},
+		"never registered, calls fail":     {neverRegistered: true, failures: 3},
+		"all attempts fail":                {failures: 1000},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -86,8 +86,8 @@
 	}
 }
 
-// TestWriteAgainBegunAnew has the platform come back a second time while the first writing is
-// still being turned away: the entry is there again.
+// TestRestoreTwice has the platform restored a second time while the attempts after the first time
+// still fail: the entry must be written.
 func TestRestoreTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &failingAPI{memoryAPI: newMemoryAPI()}
@@ -106,9 +106,9 @@
 	})
 }
 
-// TestForgetAfterRestore has nodes list an entry that nobody answers at, before the platform
-// comes back from a copy. The entry that has the same revision after that is another one, and
-// stays.
+// TestRemoveAfterRestore has a node list an entry at whose address no node answers, before the
+// platform is restored from a backup. An entry with the same revision after that is another one and
+// must stay.
 func TestRemoveAfterRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
