--- a/bearer/bearer.go
+++ b/bearer/bearer.go
@@ -13,27 +13,27 @@
 )
 
 const (
-	// Field is the header field that bears a caller's key.
+	// Field is the header field that contains a caller's key.
 	Field = "Authorization"
-	// scheme is the scheme of keys, in any case.
+	// scheme is the authentication scheme of keys, which is not case-sensitive.
 	scheme = "Bearer"
-	// maxKey is the longest key that is looked up, in bytes: each costs a digest.
+	// maxKeyBytes is the length of the longest key that is looked up: each costs a digest.
 	maxKeyBytes = 1 << 10
-	// challenge is sent to a caller without a key, and challengeInvalid to one with
-	// another key than an organisation's (RFC 6750, section 3).
+	// challenge is sent to a caller without a key, and challengeInvalid to one whose key is
+	// not an organisation's (RFC 6750, section 3).
 	challenge        = scheme
 	challengeInvalid = scheme + ` error="invalid_token"`
 )
 
-// Why a request has no key. No message quotes what was sent.
+// The reasons why a request has no key. No message quotes what was sent.
 var (
-	errMissing   = eris.New("no Authorization")
-	errMultiple  = eris.New("several Authorization fields")
-	errScheme    = eris.New("Authorization is not by a bearer key")
+	errMissing   = eris.New("the Authorization field is missing")
+	errMultiple  = eris.New("more than one Authorization field")
+	errScheme    = eris.New("the Authorization scheme is not Bearer")
 	errMalformed = eris.Errorf("the bearer key is not 1 to %d visible characters", maxKeyBytes)
 )
 
-// Key returns the key that a request shows, or why it shows none.
+// Key returns the key that a request contains, or an error with the reason why it has none.
 func Key(h http.Header) (string, error) {
 	values := h[Field]
 	switch {
@@ -54,21 +54,21 @@
 	return key, nil
 }
 
-// Strip removes what may bear an organisation's key, in whatever form. Credentials of other
-// schemes on a public route are the upstream's own business.
+// Strip removes fields that may contain an organisation's key, in whatever form. Credentials of
+// other schemes are left to the upstream on a public route.
 func Strip(h http.Header, public bool) {
 	if !public || slices.ContainsFunc(h[Field], mayHoldKey) {
 		h.Del(Field)
 	}
 }
 
-// mayBearKey returns whether a value is not credentials of another scheme.
+// mayHoldKey returns whether a value is anything but credentials of another scheme.
 func mayHoldKey(value string) bool {
 	name, credentials, _ := strings.Cut(value, " ")
 	return credentials == "" || strings.HasPrefix(strings.ToLower(name), strings.ToLower(scheme))
 }
 
-// Challenge returns the challenge to a caller that is not let in.
+// Challenge returns the challenge for a caller that is not authorised.
 func Challenge(h http.Header) string {
 	if len(h[Field]) == 0 {
 		return challenge
--- a/bearer/bearer_test.go
+++ b/bearer/bearer_test.go
@@ -14,29 +14,29 @@
 	"sassafrasfront.example/bearer"
 )
 
-// TestKey has one row for each form of the field. What callers get for them is in package
+// TestKey has one row for each form of the field. The responses to them are tested in package
 // caller.
 func TestKey(t *testing.T) {
 	for name, row := range map[string]struct {
 		values []string
-		want   string // empty if there is none
+		want   string // empty if there is no key
 	}{
-		"a key":             {[]string{"Bearer abc-._~+/="}, "abc-._~+/="},
-		"other case":        {[]string{"bEaReR abc"}, "abc"},
-		"spaces":            {[]string{"Bearer    abc"}, "abc"},
-		"the longest":       {[]string{"Bearer " + strings.Repeat("k", 1024)}, strings.Repeat("k", 1024)},
-		"longer":            {[]string{"Bearer " + strings.Repeat("k", 1025)}, ""},
-		"none":              {nil, ""},
-		"several":           {[]string{"Bearer abc", "Bearer abc"}, ""},
-		"an empty one more": {[]string{"Bearer abc", ""}, ""},
-		"empty":             {[]string{""}, ""},
-		"the scheme alone":  {[]string{"Bearer"}, ""},
-		"nothing after it":  {[]string{"Bearer "}, ""},
-		"another scheme":    {[]string{"Basic abc"}, ""},
-		"a longer scheme":   {[]string{"Bearers abc"}, ""},
-		"two words":         {[]string{"Bearer abc def"}, ""},
-		"a control":         {[]string{"Bearer a\x7fc"}, ""},
-		"not ASCII":         {[]string{"Bearer \u00e9"}, ""},
+		"a key":                  {[]string{"Bearer abc-._~+/="}, "abc-._~+/="},
+		"other case":             {[]string{"bEaReR abc"}, "abc"},
+		"spaces":                 {[]string{"Bearer    abc"}, "abc"},
+		"the longest":            {[]string{"Bearer " + strings.Repeat("k", 1024)}, strings.Repeat("k", 1024)},
+		"longer":                 {[]string{"Bearer " + strings.Repeat("k", 1025)}, ""},
+		"none":                   {nil, ""},
+		"several":                {[]string{"Bearer abc", "Bearer abc"}, ""},
+		"a second, empty field":  {[]string{"Bearer abc", ""}, ""},
+		"empty":                  {[]string{""}, ""},
+		"the scheme alone":       {[]string{"Bearer"}, ""},
+		"the scheme and a space": {[]string{"Bearer "}, ""},
+		"another scheme":         {[]string{"Basic abc"}, ""},
+		"a longer scheme":        {[]string{"Bearers abc"}, ""},
+		"two words":              {[]string{"Bearer abc def"}, ""},
+		"a control character":    {[]string{"Bearer a\x7fc"}, ""},
+		"not ASCII":              {[]string{"Bearer \u00e9"}, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			key, err := bearer.Key(http.Header{"Authorization": row.values})
@@ -49,7 +49,7 @@
 	}
 }
 
-// TestStrip has what is left of the field on public routes and others.
+// TestStrip checks which values of the field are left on public routes and on others.
 func TestStrip(t *testing.T) {
 	for value, left := range map[string]bool{
 		"Basic dTpw":    true,
--- a/spool/body.go
+++ b/spool/body.go
@@ -12,52 +12,52 @@
 	"sassafrasfront.example/peer"
 )
 
-// Body is a body that is read once and kept. The exported fields are set before the
-// first call. Its methods may be called from any goroutine.
+// Body is a body that is read once and stored. The exported fields are set before the first
+// call. Its methods may be called from any goroutine.
 type Body struct {
-	// Reader yields the body. It is read by one goroutine at a time.
+	// Reader is the source of the body. It is read by one goroutine at a time.
 	Reader io.Reader
 	// Length is the length of the body in bytes.
 	Length int64
 
 	mu         sync.Mutex
 	data       []byte
-	err        error         // that ended the body, or nil
-	readDone   chan struct{} // closed when the reading in progress has ended, nil if there is none
+	err        error         // error that ended the body, or nil
+	readDone   chan struct{} // closed when the fetch in progress has ended; nil if there is none
 	began      time.Time     // when the first Read was called
-	lastReadAt time.Time     // when the last byte was there
+	lastReadAt time.Time     // when the last bytes were received
 }
 
-// Open returns a reader of the body from its start. It implements peer.Trailered.
+// NewReader returns a reader of the body from its start, which implements peer.TrailerReader.
 func (b *Body) NewReader() io.Reader { return &bodyReader{body: b} }
 
-// Took returns how long the body took to come in, from the first Read to its end. The
-// second result is false if it has not ended well yet.
+// ReceiveTime returns how long it took to receive the body, from the first Read to its end. The
+// second result is false if the body has not been received completely.
 func (b *Body) ReceiveTime() (time.Duration, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.lastReadAt.Sub(b.began), b.err == io.EOF
 }
 
-// view is the body as one sending reads it.
+// bodyReader reads the body for one attempt.
 type bodyReader struct {
 	body   *Body
 	offset int
 }
 
 // Read implements io.Reader.
-func (v *bodyReader) Read(p []byte) (int, error) {
+func (r *bodyReader) Read(p []byte) (int, error) {
 	if len(p) == 0 {
 		return 0, nil
 	}
-	n, err := v.body.readAt(p, v.offset)
-	v.offset += n
+	n, err := r.body.readAt(p, r.offset)
+	r.offset += n
 	return n, err
 }
 
-// Trailer implements peer.Trailered.
-func (v *bodyReader) Trailer() []peer.Field {
-	if t, ok := v.body.Reader.(peer.TrailerReader); ok {
+// Trailer implements peer.TrailerReader.
+func (r *bodyReader) Trailer() []peer.Field {
+	if t, ok := r.body.Reader.(peer.TrailerReader); ok {
 		return t.Trailer()
 	}
 	return nil
@@ -91,11 +91,11 @@
 	}
 }
 
-// piece is how many bytes are waited for, if as many are asked for. A body comes in by
-// packets, and each one that is sent on by itself costs a frame.
+// minFetchBytes is the number of bytes that are waited for, if as many are requested. A body
+// arrives in packets, and each one that is forwarded by itself costs a frame.
 const minFetchBytes = 8 << 10
 
-// fetch reads up to most bytes more. Another goroutine may read what is there meanwhile.
+// fetch reads up to limit more bytes. Other goroutines may read the stored ones meanwhile.
 func (b *Body) fetch(limit int) {
 	buffer := make([]byte, limit)
 	var n int
--- a/spool/body_test.go
+++ b/spool/body_test.go
@@ -19,7 +19,7 @@
 	"sassafrasfront.example/spool"
 )
 
-// slowReader yields a body in pieces, each after some time, and then err.
+// slowReader returns a body in pieces, each after a pause, and then err.
 type slowReader struct {
 	pieces [][]byte
 	pause  time.Duration
@@ -37,8 +37,8 @@
 	return n, nil
 }
 
-// TestReadersShareABody has a body read by one sending from its start and by others that
-// begin while it comes in or once it has: all get all of it, or how it broke off.
+// TestConcurrentReaders has a body read from its start by several attempts, which begin before it is
+// received, meanwhile and afterwards: each must get the whole body, or the error that ended it.
 func TestConcurrentReaders(t *testing.T) {
 	broken := eris.New("broken")
 	for name, end := range map[string]error{"whole": io.EOF, "broken": broken} {
@@ -72,7 +72,7 @@
 	}
 }
 
-// TestReader holds the reader of a body to the rules of io.Reader.
+// TestReader checks the reader of a body against the rules of io.Reader.
 func TestReader(t *testing.T) {
 	data := bytes.Repeat([]byte("abc"), 1000)
 	b := &spool.Body{
