--- a/caller/backlog_test.go
+++ b/caller/backlog_test.go
@@ -18,23 +18,23 @@
 	"sassafrasfront.example/caller"
 )
 
-// lateListener accepts as late as a process whose processor is scarce.
-type lateListener struct {
+// slowListener accepts connections with a delay, as a process short of CPU time does.
+type slowListener struct {
 	*net.TCPListener
 }
 
 // Accept implements net.Listener.
-func (l lateListener) Accept() (net.Conn, error) {
+func (l slowListener) Accept() (net.Conn, error) {
 	time.Sleep(20 * time.Millisecond)
 	return l.TCPListener.Accept()
 }
 
-// TestStopBeforeAccept guards against requests that end without an answer, as their connections
-// have been opened and not accepted when the listener closes.
+// TestStopBeforeAccept guards against requests that get no response because their connections
+// were opened, but not yet accepted, when the listener closed.
 func TestStopBeforeAccept(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
-	l := &caller.Listener{Listener: lateListener{inner.(*net.TCPListener)}}
+	l := &caller.Listener{Listener: slowListener{inner.(*net.TCPListener)}}
 	server := &http.Server{
 		Handler:     http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}),
 		ConnState:   caller.ConnState,
--- a/caller/connection.go
+++ b/caller/connection.go
@@ -15,65 +15,63 @@
 	"time"
 )
 
-// phase is where a connection stands between two requests.
+// phase is the state of a connection between two requests.
 type phase uint8
 
 const (
-	phaseHead    phase = iota // the head of a request is due or coming in
-	phaseHandled              // a request is being handled
-	phaseIdle                 // nothing of the next request has come in
+	phaseHeader  phase = iota // the header of a request is expected or being received
+	phaseHandler              // a request is being handled
+	phaseIdle                 // nothing of the next request has been received
 )
 
-// ending is how far a connection is that is to end.
-type ending uint8
+// closeState is the progress of closing a connection.
+type closeState uint8
 
 const (
-	endingNot   ending = iota
-	endingAfter        // once the request that is being handled has its answer
-	endingTold         // its reader has been told to stop
-	endingLook         // its reader looks once more for a request that has come in
+	closeNone          closeState = iota
+	closeAfterResponse            // to be closed after the response to the current request
+	closeInterrupted              // its reader has been interrupted
+	closeLastRead                 // its reader reads once more, in case a request was received
 )
 
-// connection is a caller's connection. It notes whether a head with a
-// Content-Length came in since the connection was last idle, keeps the server's
-// deadlines for reading within the bounds, and is not closed under a request that
-// has begun to come in.
+// connection is a caller's connection. It records whether a header with a Content-Length was
+// received since the connection was last idle, keeps the server's read deadlines within the
+// configured timeouts, and is not closed while a request is being received.
 type connection struct {
 	net.Conn
 	listener *Listener
 
-	mu      sync.Mutex
-	phase   phase
-	begun   bool      // whether part of the present head has been read
-	served  bool      // whether the present request has come to its handler
-	ending  ending    // whether the connection is to end unless a request has begun
-	asked   time.Time // the deadline that the server set last
-	streams bool      // whether it speaks HTTP/2, whose server ends it in good order
-	length  bool      // whether a Content-Length came in
-	tail    []byte    // the last bytes read, where the field's name may have begun
+	mu               sync.Mutex
+	phase            phase
+	headerBegun      bool       // whether part of the current header has been read
+	handlerStarted   bool       // whether the current request has reached its handler
+	closeState       closeState // progress of closing the connection
+	serverDeadline   time.Time  // read deadline that the server set last
+	isHTTP2          bool       // whether it uses HTTP/2, whose server closes it gracefully
+	hasContentLength bool       // whether a Content-Length was received
+	scanTail         []byte     // the last bytes read, which may be the start of contentLengthField
 }
 
 const (
-	// lengthField is what a Content-Length looks like on the wire, in lower case. A
-	// body may hold the same bytes, which then costs its connection and nothing
-	// else.
-	lengthField = "\ncontent-length"
-	// streamsPreface is how a connection of HTTP/2 begins (RFC 9113, section 3.4).
-	streamsPreface = "PRI "
-	// headAfterClose bounds the rest of a head whose first bytes crossed the closing
-	// of its connection, where no other bound is in force. Heads come in within a few
-	// round trips.
-	headAfterClose = 2 * time.Second
-	// crossing is how long a reader that has been told to stop still looks for a
-	// request. A read after its deadline returns nothing, also where something has
-	// come in.
-	crossing = 100 * time.Millisecond
+	// contentLengthField is the start of a Content-Length field on the wire, in lower
+	// case. A body may contain the same bytes, which only prevents the connection from
+	// being reused.
+	contentLengthField = "\ncontent-length"
+	// http2Preface is the start of an HTTP/2 connection (RFC 9113, section 3.4).
+	http2Preface = "PRI "
+	// headerTimeoutAfterClose bounds the time for the rest of a request header whose first
+	// bytes arrived while the connection was being closed, if no shorter timeout applies. A
+	// header arrives within a few round trips.
+	headerTimeoutAfterClose = 2 * time.Second
+	// lastReadTimeout is how long an interrupted reader still looks for a request. A read
+	// after its deadline returns nothing, even if data has been received.
+	lastReadTimeout = 100 * time.Millisecond
 )
 
 // Read implements net.Conn.
 func (c *connection) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if n == 0 && c.mayLook(err) {
+	if n == 0 && c.allowsLastRead(err) {
 		n, err = c.Conn.Read(p)
 	}
 	if n > 0 {
@@ -82,205 +80,206 @@
 	return n, err
 }
 
-// mayLook returns whether a read that ended by err is done once more, because it
-// was told to stop.
-func (c *connection) mayLook(err error) bool {
+// allowsLastRead returns whether a read that ended with err is repeated once, because it was
+// interrupted in order to close the connection.
+func (c *connection) allowsLastRead(err error) bool {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ending != endingTold {
+	if c.closeState != closeInterrupted {
 		return false
 	}
-	c.ending = endingLook
-	return c.Conn.SetReadDeadline(time.Now().Add(crossing)) == nil
+	c.closeState = closeLastRead
+	return c.Conn.SetReadDeadline(time.Now().Add(lastReadTimeout)) == nil
 }
 
-// scan takes in what was read. The server reads only when it has used up what it
-// read before, so what comes in on an idle connection begins a request.
+// scan records what was read. The server reads only when it has consumed what it read
+// before, so data received on an idle connection begins a request.
 func (c *connection) scan(p []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.phase == phaseIdle && !c.streams {
-		c.phase = phaseHead
-		c.length = false
-		c.tail = c.tail[:0]
+	if c.phase == phaseIdle && !c.isHTTP2 {
+		c.phase = phaseHeader
+		c.hasContentLength = false
+		c.scanTail = c.scanTail[:0]
 	}
-	if c.phase == phaseHead && !c.begun {
-		c.begin(p)
+	if c.phase == phaseHeader && !c.headerBegun {
+		c.beginHeader(p)
 	}
-	if c.length {
+	if c.hasContentLength {
 		return
 	}
-	seen := append(c.tail, bytes.ToLower(p)...)
-	c.length = bytes.Contains(seen, []byte(lengthField))
-	c.tail = append(c.tail[:0], seen[max(0, len(seen)-len(lengthField)+1):]...)
+	seen := append(c.scanTail, bytes.ToLower(p)...)
+	c.hasContentLength = bytes.Contains(seen, []byte(contentLengthField))
+	c.scanTail = append(c.scanTail[:0], seen[max(0, len(seen)-len(contentLengthField)+1):]...)
 }
 
-// begin takes in the first bytes of a request. The lock is held.
-func (c *connection) begin(p []byte) {
-	c.begun = true
-	c.streams = c.streams || bytes.HasPrefix(p, []byte(streamsPreface))
-	if c.ending >= endingTold {
-		c.ending = endingAfter
-		_ = c.Conn.SetReadDeadline(c.deadline(time.Now().Add(headAfterClose)))
+// beginHeader records the first bytes of a request. The caller holds c.mu.
+func (c *connection) beginHeader(p []byte) {
+	c.headerBegun = true
+	c.isHTTP2 = c.isHTTP2 || bytes.HasPrefix(p, []byte(http2Preface))
+	if c.closeState >= closeInterrupted {
+		c.closeState = closeAfterResponse
+		_ = c.Conn.SetReadDeadline(c.boundDeadline(time.Now().Add(headerTimeoutAfterClose)))
 	}
 }
 
-// longAgo is a deadline that has passed.
-var longAgo = time.Unix(1, 0)
+// pastDeadline is a deadline that has passed.
+var pastDeadline = time.Unix(1, 0)
 
 // SetReadDeadline implements net.Conn. The server sets a deadline before it
-// reads a head, another while it waits for the next request, and none while a
+// reads a header, another while it waits for the next request, and none while a
 // handler runs.
 func (c *connection) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.asked = t
-	if c.ending >= endingTold {
-		return nil // that of the ending is in force
+	c.serverDeadline = t
+	if c.closeState >= closeInterrupted {
+		return nil // the deadline for closing applies
 	}
-	return c.Conn.SetReadDeadline(c.deadline(t))
+	return c.Conn.SetReadDeadline(c.boundDeadline(t))
 }
 
-// deadline returns t, or what the bounds say if that is earlier. The lock is
-// held.
-func (c *connection) deadline(t time.Time) time.Time {
-	bounds := c.listener.Timeouts
-	if t.IsZero() || bounds == nil {
+// boundDeadline returns t, or the deadline of the configured timeout if that is earlier. The
+// caller holds c.mu.
+func (c *connection) boundDeadline(t time.Time) time.Time {
+	timeouts := c.listener.Timeouts
+	if t.IsZero() || timeouts == nil {
 		return t
 	}
-	var most time.Duration
+	var timeout time.Duration
 	switch c.phase {
-	case phaseHead:
-		most = bounds().Header
+	case phaseHeader:
+		timeout = timeouts().Header
 	case phaseIdle:
-		most = bounds().Idle
+		timeout = timeouts().Idle
 	}
-	if limit := time.Now().Add(most); most > 0 && limit.Before(t) {
+	if limit := time.Now().Add(timeout); timeout > 0 && limit.Before(t) {
 		return limit
 	}
 	return t
 }
 
-// Close implements net.Conn. A server that stops closes the connections that it
-// takes for idle, and takes them so until the head of the next request has been
-// read to its end, or longer: it looks at a connection's state first and closes the
-// connection afterwards. The answer of such a request would be lost. So nothing is
-// closed here, and the connection is only stopped. The server then says that it has
-// closed the connection, which changed takes in.
+// Close implements net.Conn. A server that shuts down closes the connections that it considers
+// idle. It considers a connection idle until the header of the next request has been read
+// completely, or longer: it checks the state of a connection first and closes it afterwards.
+// The response to such a request would be lost. So Close does not close the connection, but
+// only has it end when it has no request. The server then reports the connection as closed,
+// which stateChanged handles.
 func (c *connection) Close() error {
 	c.mu.Lock()
-	serverDone := c.streams && c.phase != phaseHead
+	serverDone := c.isHTTP2 && c.phase != phaseHeader
 	c.mu.Unlock()
 	if serverDone {
-		return c.end() // the server of HTTP/2 closes its connections itself, when it is done with them
+		return c.closeNow() // the HTTP/2 server closes a connection only when it has finished with it
 	}
-	c.stop()
+	c.closeWhenIdle()
 	return nil
 }
 
-// stop has the connection end as soon as it bears no request. Between two requests
-// its reader is told to stop, and finds either nothing, or a request that it lets
-// in. A connection with a request ends after the answer.
-func (c *connection) stop() {
+// closeWhenIdle closes the connection as soon as it has no request. Between two requests its
+// reader is interrupted, and then finds either nothing or a request, which is served. A
+// connection with a request is closed after the response.
+func (c *connection) closeWhenIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.streams || c.ending != endingNot:
-	case c.phase == phaseHandled || c.begun:
-		c.ending = endingAfter
+	case c.isHTTP2 || c.closeState != closeNone:
+	case c.phase == phaseHandler || c.headerBegun:
+		c.closeState = closeAfterResponse
 	default:
-		c.stopReading()
+		c.interruptRead()
 	}
 }
 
-// stopReading tells the reader of a connection between two requests to stop. The
-// lock is held.
-func (c *connection) stopReading() {
-	c.ending = endingTold
-	_ = c.Conn.SetReadDeadline(longAgo) // it fails if the connection is closed
+// interruptRead interrupts the reader of a connection between two requests. The caller holds
+// c.mu.
+func (c *connection) interruptRead() {
+	c.closeState = closeInterrupted
+	_ = c.Conn.SetReadDeadline(pastDeadline) // fails if the connection is closed
 }
 
-// awaitsHandler returns whether a request is due or coming in, or has not come to its
-// handler. Of HTTP/2 this is over once its server has taken the connection.
+// awaitsHandler returns whether a request is expected or being received, or has not reached
+// its handler. For HTTP/2 it returns false once the server has taken over the connection.
 func (c *connection) awaitsHandler() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.streams {
-		return c.phase == phaseHead
+	if c.isHTTP2 {
+		return c.phase == phaseHeader
 	}
-	return !c.served
+	return !c.handlerStarted
 }
 
-// serve takes in that the present request has come to its handler.
-func (c *connection) serve() {
+// markHandlerStarted records that the current request has reached its handler.
+func (c *connection) markHandlerStarted() {
 	c.mu.Lock()
-	c.served = true
+	c.handlerStarted = true
 	c.mu.Unlock()
-	c.listener.changed(c, false)
+	c.listener.notify(c, false)
 }
 
-// linger closes the connection, which its server has done with. After an answer it waits until
-// the caller has closed its side, or drainTime or drainBytes are over: to close a connection with unread input,
-// such as a further request, resets it, and what has not arrived of the answer is lost.
+// linger closes the connection, which its server no longer uses. After a response it waits until
+// the caller has closed its side, at most for maxDrainTime and maxDrainBytes: closing a
+// connection with unread input, such as a further request, resets it, and loses what has not
+// arrived of the response.
 func (c *connection) linger() {
 	c.mu.Lock()
-	answered := c.phase == phaseHandled && !c.streams
+	answered := c.phase == phaseHandler && !c.isHTTP2
 	c.mu.Unlock()
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if !answered || !ok || half.CloseWrite() != nil {
-		_ = c.end() // no-one reads from it any more
+		_ = c.closeNow() // nothing reads from it any more
 		return
 	}
 	go func() {
-		_ = c.Conn.SetReadDeadline(time.Now().Add(drainTime))
-		_, _ = io.Copy(io.Discard, io.LimitReader(c.Conn, drainBytes))
-		_ = c.end()
+		_ = c.Conn.SetReadDeadline(time.Now().Add(maxDrainTime))
+		_, _ = io.Copy(io.Discard, io.LimitReader(c.Conn, maxDrainBytes))
+		_ = c.closeNow()
 	}()
 }
 
-// end closes the connection in any case.
-func (c *connection) end() error {
-	defer c.listener.changed(c, true)
+// closeNow closes the connection immediately.
+func (c *connection) closeNow() error {
+	defer c.listener.notify(c, true)
 	return c.Conn.Close()
 }
 
-// changed takes in the connection's new state.
-func (c *connection) changed(s http.ConnState) {
+// stateChanged handles a change of the connection's state in its server.
+func (c *connection) stateChanged(s http.ConnState) {
 	if s == http.StateClosed {
 		c.linger()
 		return
 	}
-	c.take(s)
-	c.listener.changed(c, false)
+	c.applyState(s)
+	c.listener.notify(c, false)
 }
 
-// take does what changed says for a connection that is not closed.
-func (c *connection) take(s http.ConnState) {
+// applyState records the new state of a connection that is not closed.
+func (c *connection) applyState(s http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.begun = false
-	c.served = false
+	c.headerBegun = false
+	c.handlerStarted = false
 	switch s {
 	case http.StateActive:
-		c.phase = phaseHandled
-		if c.ending >= endingTold { // the head had come in with the request before
-			c.ending = endingAfter
-			_ = c.Conn.SetReadDeadline(c.asked)
+		c.phase = phaseHandler
+		if c.closeState >= closeInterrupted { // the header was received with the previous request
+			c.closeState = closeAfterResponse
+			_ = c.Conn.SetReadDeadline(c.serverDeadline)
 		}
 	case http.StateIdle:
 		c.phase = phaseIdle
-		if c.ending == endingAfter && !c.streams {
-			c.stopReading()
+		if c.closeState == closeAfterResponse && !c.isHTTP2 {
+			c.interruptRead()
 		}
 	}
 }
 
-// ambiguous returns whether a Content-Length came in with the present request.
-func (c *connection) ambiguous() bool {
+// receivedContentLength returns whether the current request had a Content-Length.
+func (c *connection) receivedContentLength() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.length
+	return c.hasContentLength
 }
--- a/caller/resend.go
+++ b/caller/resend.go
@@ -19,27 +19,26 @@
 )
 
 const (
-	// IdempotencyKey is the header by which a caller names a request that it may
-	// send again.
+	// IdempotencyKey is the header field that identifies a request that the caller may
+	// retry.
 	IdempotencyKey = "Idempotency-Key"
-	// ReplayedHeader, if it is "true", says that an answer was kept from an
-	// earlier sending.
+	// ReplayedHeader, if it is "true", marks the stored response of an earlier attempt.
 	ReplayedHeader = "Sassafras-Replayed"
 )
 
-// claimed runs a request if no other sending of it has been claimed, and
-// otherwise answers from what that one left.
-func (x *exchange) claimed(ctx context.Context, s *entry.Service, q *entry.Request, key string) (cut bool) {
-	ledger := x.handler.Claims
+// serveClaimed runs a request if no earlier attempt of it has been claimed, and otherwise
+// responds with what that attempt stored.
+func (x *exchange) serveClaimed(ctx context.Context, s *entry.Service, q *entry.Request, key string) (truncated bool) {
+	store := x.handler.Claims
 	switch {
-	case ledger == nil:
-		x.fail(verdict.New(verdict.ClaimFailed, eris.New("this node has no platform to claim the request on")))
+	case store == nil:
+		x.writeFailure(verdict.New(verdict.ClaimFailed, eris.New("this node has no platform on which to claim the request")))
 		return false
-	case !ledger.Allow(s.Name, s.Config.Resend.WritesPerSecond):
-		x.fail(verdict.New(verdict.ClaimFailed, eris.New("over the service's budget of claims")))
+	case !store.Allow(s.Name, s.Config.Resend.WritesPerSecond):
+		x.writeFailure(verdict.New(verdict.ClaimFailed, eris.New("the service's budget of claims per second is spent")))
 		return false
 	}
-	c, kept, failure := ledger.Begin(ctx, claim.Request{
+	c, stored, failure := store.Begin(ctx, claim.Request{
 		Service:   s.Name,
 		Key:       key,
 		Parts:     []string{q.Method, q.Target, string(q.Body)},
@@ -47,17 +46,17 @@
 	})
 	switch {
 	case failure != nil:
-		x.fail(failure.WithGivenUp())
+		x.writeFailure(failure.WithGivenUp())
 		return false
-	case kept != nil:
+	case stored != nil:
 		x.w.Header().Set(ReplayedHeader, "true")
-		return x.answer(replay(kept))
+		return x.writeResponse(storedResult(stored))
 	}
-	return x.dispatch(ctx, q, &keeper{claim: c})
+	return x.dispatch(ctx, q, &claimRecorder{claim: c})
 }
 
-// replay returns a kept answer as a result.
-func replay(a *claim.StoredResponse) *entry.Result {
+// storedResult returns a stored response as a result.
+func storedResult(a *claim.StoredResponse) *entry.Result {
 	return &entry.Result{
 		Response: &peer.Response{
 			Status:  a.Status,
@@ -69,43 +68,42 @@
 	}
 }
 
-// keeper writes down what becomes of a claimed request. A nil keeper does
-// nothing.
-type keeper struct {
-	claim  *claim.Claim
-	answer *claim.StoredResponse
-	body   bytes.Buffer
-	small  bool
+// claimRecorder records the outcome of a claimed request. A nil claimRecorder does nothing.
+type claimRecorder struct {
+	claim      *claim.Claim
+	response   *claim.StoredResponse
+	body       bytes.Buffer
+	storesBody bool
 }
 
-// begin takes in the outcome of the request. The body of a small answer is
-// copied as it is passed on.
-func (k *keeper) begin(result *entry.Result, failure *verdict.Error) {
+// recordResult records the outcome of the request. The body of a small response is copied while
+// it is forwarded.
+func (cr *claimRecorder) recordResult(result *entry.Result, failure *verdict.Error) {
 	switch {
-	case k == nil:
+	case cr == nil:
 	case failure != nil:
 		if failure.Verdict() == verdict.NotRun {
-			k.claim.Release()
+			cr.claim.Release()
 		}
 	default:
-		k.answer = &claim.StoredResponse{
+		cr.response = &claim.StoredResponse{
 			Status: result.Status,
 			Header: result.Header,
 		}
-		if k.small = result.Length >= 0 && result.Length <= claim.MaxBodyBytes; k.small {
-			result.Body = io.TeeReader(result.Body, &k.body)
+		if cr.storesBody = result.Length >= 0 && result.Length <= claim.MaxBodyBytes; cr.storesBody {
+			result.Body = io.TeeReader(result.Body, &cr.body)
 		}
 	}
 }
 
-// end takes in that the answer has been passed on, or was cut.
-func (k *keeper) end(cut bool) {
+// recordEnd records that the response has been forwarded, or was truncated.
+func (cr *claimRecorder) recordEnd(truncated bool) {
 	switch {
-	case k == nil:
-	case cut || !k.small || k.answer.Status >= http.StatusInternalServerError:
-		k.claim.Finish(nil)
+	case cr == nil:
+	case truncated || !cr.storesBody || cr.response.Status >= http.StatusInternalServerError:
+		cr.claim.Finish(nil)
 	default:
-		k.answer.Body = k.body.Bytes()
-		k.claim.Finish(k.answer)
+		cr.response.Body = cr.body.Bytes()
+		cr.claim.Finish(cr.response)
 	}
 }
--- a/caller/trailer_test.go
+++ b/caller/trailer_test.go
@@ -14,7 +14,7 @@
 	"sassafrasfront.example/upstream"
 )
 
-// TestTrailer has a trailer with fields that are the node's to set, or that bear a key: an
+// TestTrailer has a trailer with fields that only the node may set, or that contain a key: an
 // upstream may merge it into the header.
 func TestTrailer(t *testing.T) {
 	b := &streamedBody{
@@ -24,7 +24,7 @@
 			"X-Request-Id":   {"other"},
 			"X-Sum":          {"1"},
 		}},
-		withheld: withheld(upstream.FieldNames{RequestID: "X-Request-Id", Organisation: "X-Organisation"}),
+		reservedFields: reservedFields(upstream.FieldNames{RequestID: "X-Request-Id", Organisation: "X-Organisation"}),
 	}
 	qt.Check(t, b.Trailer(), qt.DeepEquals, []peer.Field{{Name: "X-Sum", Value: "1"}})
 }
