--- a/operator/check.go
+++ b/operator/check.go
@@ -65,13 +65,13 @@
 	MaxClasses = 16
 	maxTimeout = Duration(time.Hour)
 	// maxCrossing bounds what another zone may cost, in service times.
-	maxCrossing = 100.0
-	maxWait     = Duration(10 * time.Second)
-	maxKeep     = Duration(7 * 24 * time.Hour)
-	maxBody     = int64(1) << 40
-	maxQueue    = 10000
-	maxTries    = 10
-	maxWrites   = 100.0
+	maxCrossingCost    = 100.0
+	maxWait            = Duration(10 * time.Second)
+	maxRetention       = Duration(7 * 24 * time.Hour)
+	maxBodyBytes       = int64(1) << 40
+	maxQueueLength     = 10000
+	maxAttempts        = 10
+	maxWritesPerSecond = 100.0
 )
 
 var (
@@ -98,24 +98,24 @@
 	}
 	s.checkClasses(&f)
 	within(&f, "timeout", s.Timeout, Duration(time.Millisecond), maxTimeout)
-	within(&f, "maxBody", s.MaxBodyBytes, 0, maxBody)
-	within(&f, "queue.length", s.Queue.MaxLength, 0, maxQueue)
+	within(&f, "maxBody", s.MaxBodyBytes, 0, maxBodyBytes)
+	within(&f, "queue.length", s.Queue.MaxLength, 0, maxQueueLength)
 	within(&f, "queue.wait", s.Queue.MaxWait, 0, maxWait)
 	within(&f, "queue.slowStart", s.Queue.SlowStart, 0, maxTimeout)
 	within(&f, "serviceTime", s.ServiceTime, 0, maxTimeout)
-	within(&f, "retry.maxTries", s.Retry.MaxAttempts, 1, maxTries)
+	within(&f, "retry.maxTries", s.Retry.MaxAttempts, 1, maxAttempts)
 	within(&f, "retry.share", s.Retry.Ratio, 0, 1)
-	within(&f, "retry.burst", s.Retry.Burst, 0, maxQueue)
+	within(&f, "retry.burst", s.Retry.Burst, 0, maxQueueLength)
 	within(&f, "retry.window", s.Retry.Window, 0, Duration(time.Hour))
 	within(&f, "hedge.share", s.Hedge.Ratio, 0, 0.5)
 	within(&f, "hedge.quantile", s.Hedge.Quantile, 0.5, 0.999)
 	within(&f, "hedge.minDelay", s.Hedge.MinDelay, 0, maxWait)
-	within(&f, "resend.writesPerSecond", s.Resend.WritesPerSecond, 0, maxWrites)
-	within(&f, "resend.keep", s.Resend.Retention, Duration(time.Minute), maxKeep)
+	within(&f, "resend.writesPerSecond", s.Resend.WritesPerSecond, 0, maxWritesPerSecond)
+	within(&f, "resend.keep", s.Resend.Retention, Duration(time.Minute), maxRetention)
 	within(&f, "retry.reserve", s.Retry.ReservedFraction, 0, 1)
 	within(&f, "hedge.part", s.Hedge.BudgetFraction, 0, 1)
 	within(&f, "zoneCost", s.ZoneCost, 0, maxWait)
-	within(&f, "crossing", s.ZoneCrossingCost, 0, maxCrossing)
+	within(&f, "crossing", s.ZoneCrossingCost, 0, maxCrossingCost)
 	within(&f, "regionCost", s.RegionCost, 0, maxWait)
 	_, ok := route.ByName(s.Policy)
 	f.add(ok, "policy", "%q is not twoChoice, random, roundRobin, leastOutstanding or hotCold", s.Policy)
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -46,9 +46,9 @@
 				qt.Assert(t, err, qt.ErrorMatches, test.text)
 				return
 			}
-			faults, _ := errors.AsType[operator.FieldErrors](err)
+			errs, _ := errors.AsType[operator.FieldErrors](err)
 			var fields []string
-			for _, f := range faults {
+			for _, f := range errs {
 				fields = append(fields, f.Field)
 			}
 			qt.Assert(t, fields, qt.DeepEquals, test.fields)
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestServiceSurvivesJSON(t *testing.T) {
+func TestServiceJSONRoundTrip(t *testing.T) {
 	s, err := operator.ParseService([]byte(`{"hosts":["a"],"classes":[{"name":"x","weight":3}],"queue":{"adaptive":false}}`))
 	qt.Assert(t, err, qt.IsNil)
 	data, err := json.Marshal(s)
--- a/operator/service.go
+++ b/operator/service.go
@@ -153,41 +153,41 @@
 
 // The defaults of a Service.
 const (
-	defaultTimeout    = 10 * time.Second
-	defaultMaxBody    = 16 << 20
-	defaultWait       = 50 * time.Millisecond
-	defaultLength     = 64
-	defaultTries      = 3
-	defaultShare      = 0.1
-	defaultBurst      = 20
-	defaultQuantile   = 0.95
-	defaultMinDelay   = 5 * time.Millisecond
-	defaultHedgeBurst = 10
-	defaultZoneCost   = 2 * time.Millisecond
-	defaultRegionCost = 40 * time.Millisecond
-	defaultWrites     = 5
-	defaultKeep       = 24 * time.Hour
-	defaultPolicy     = "twoChoice"
+	defaultTimeout         = 10 * time.Second
+	defaultMaxBodyBytes    = 16 << 20
+	defaultMaxWait         = 50 * time.Millisecond
+	defaultQueueLength     = 64
+	defaultAttempts        = 3
+	defaultRetryRatio      = 0.1
+	defaultRetryBurst      = 20
+	defaultQuantile        = 0.95
+	defaultMinDelay        = 5 * time.Millisecond
+	defaultHedgeBurst      = 10
+	defaultZoneCost        = 2 * time.Millisecond
+	defaultRegionCost      = 40 * time.Millisecond
+	defaultWritesPerSecond = 5
+	defaultRetention       = 24 * time.Hour
+	defaultPolicy          = "twoChoice"
 )
 
 // WithDefaults returns a copy of s with its unset fields filled in.
 func (s Service) WithDefaults() Service {
 	yes := true
 	fill(&s.Timeout, Duration(defaultTimeout))
-	fill(&s.MaxBodyBytes, defaultMaxBody)
-	fill(&s.Queue.MaxWait, Duration(defaultWait))
-	fill(&s.Queue.MaxLength, defaultLength)
+	fill(&s.MaxBodyBytes, defaultMaxBodyBytes)
+	fill(&s.Queue.MaxWait, Duration(defaultMaxWait))
+	fill(&s.Queue.MaxLength, defaultQueueLength)
 	if s.Queue.Adaptive == nil {
 		s.Queue.Adaptive = &yes
 	}
-	fill(&s.Retry.MaxAttempts, defaultTries)
-	fill(&s.Retry.Ratio, defaultShare)
-	fill(&s.Retry.Burst, defaultBurst)
+	fill(&s.Retry.MaxAttempts, defaultAttempts)
+	fill(&s.Retry.Ratio, defaultRetryRatio)
+	fill(&s.Retry.Burst, defaultRetryBurst)
 	fill(&s.Hedge.Quantile, defaultQuantile)
 	fill(&s.Hedge.MinDelay, Duration(defaultMinDelay))
 	fill(&s.Hedge.Burst, defaultHedgeBurst)
-	fill(&s.Resend.WritesPerSecond, defaultWrites)
-	fill(&s.Resend.Retention, Duration(defaultKeep))
+	fill(&s.Resend.WritesPerSecond, defaultWritesPerSecond)
+	fill(&s.Resend.Retention, Duration(defaultRetention))
 	fill(&s.Policy, defaultPolicy)
 	fill(&s.ZoneCost, Duration(defaultZoneCost))
 	fill(&s.RegionCost, Duration(defaultRegionCost))
