--- a/operator/check.go
+++ b/operator/check.go
@@ -15,15 +15,15 @@
 	"sassafrasfront.example/route"
 )
 
-// Fault is what is wrong with one field.
+// FieldError is an error in one field.
 type FieldError struct {
 	// Field is the path of the field.
 	Field string `json:"field"`
-	// Message says what is wrong, and what would be right.
+	// Message says what is wrong and what is allowed.
 	Message string `json:"message"`
 }
 
-// Faults are all faults of one resource. They are an error if there are any.
+// FieldErrors are all errors of one resource. They are an error if there are any.
 type FieldErrors []FieldError
 
 // Error implements the error interface.
@@ -35,7 +35,7 @@
 	return strings.Join(lines, "; ")
 }
 
-// add appends a fault unless ok.
+// add appends an error for the field unless ok.
 func (f *FieldErrors) add(ok bool, field, format string, args ...any) {
 	if !ok {
 		*f = append(*f, FieldError{
@@ -45,12 +45,12 @@
 	}
 }
 
-// within appends a fault unless low <= v <= high.
+// within appends an error for the field unless low <= v <= high.
 func within[T int | int64 | float64 | Duration](f *FieldErrors, field string, v, low, high T) {
 	f.add(v >= low && v <= high, field, "%v is not within %v and %v", text(v), text(low), text(high))
 }
 
-// text returns v as an operator writes it.
+// text returns v in the form in which an operator writes it.
 func text(v any) any {
 	if d, ok := v.(Duration); ok {
 		return d.Std()
@@ -64,7 +64,7 @@
 	// MaxClasses is the largest number of classes that a service may have.
 	MaxClasses = 16
 	maxTimeout = Duration(time.Hour)
-	// maxCrossing bounds what another zone may cost, in service times.
+	// maxCrossingCost bounds the cost of another zone, in service times.
 	maxCrossingCost    = 100.0
 	maxWait            = Duration(10 * time.Second)
 	maxRetention       = Duration(7 * 24 * time.Hour)
@@ -79,14 +79,14 @@
 	hostPattern = regexp.MustCompile(`^[a-z0-9]([-a-z0-9]*[a-z0-9])?(\.[a-z0-9]([-a-z0-9]*[a-z0-9])?)*$`)
 )
 
-// CheckName returns what is wrong with the name of a service, or nil.
+// CheckName returns the errors in the name of a service.
 func CheckName(name string) FieldErrors {
 	var f FieldErrors
 	f.add(namePattern.MatchString(name), "metadata.name", "%q is not a name of at most 63 lower-case letters, digits and dashes", name)
 	return f
 }
 
-// Check returns the faults of s, whose defaults are filled in.
+// Check returns the errors in s, whose defaults have to be filled in.
 func (s Service) Check() FieldErrors {
 	var f FieldErrors
 	f.add(len(s.Hosts) > 0 && len(s.Hosts) <= maxHosts, "hosts", "%d hosts are not within 1 and %d", len(s.Hosts), maxHosts)
--- a/operator/doc.go
+++ b/operator/doc.go
@@ -2,11 +2,11 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Package operator holds what operators write and read through the platform's
-// object API: the kinds of resources, their defaults and their checks.
+// Package operator defines the resources that operators write and read through
+// the platform's object API, with their defaults and their validation.
 //
-// The checks here are the only ones. The daemons use them to accept a change,
-// and the command line tool to validate a file offline, so both say the same.
-// A fault names the field in camel case with dots and indexes, such as
+// The daemons validate changes with this package, and the command line tool
+// validates files offline with it, so that both report the same errors.
+// An error names its field in camel case with dots and indexes, such as
 // classes[1].weight.
 package operator
--- a/operator/duration.go
+++ b/operator/duration.go
@@ -6,7 +6,7 @@
 
 import "time"
 
-// Duration is a time.Duration that is written as text, such as "50ms".
+// Duration is a time.Duration that is encoded as text, such as "50ms".
 type Duration time.Duration
 
 // MarshalText implements encoding.TextMarshaler.
--- a/operator/kinds.go
+++ b/operator/kinds.go
@@ -6,28 +6,28 @@
 
 import "time"
 
-// The kinds of resources, as they stand in objects of the platform.
+// The kinds of resources, as in objects of the platform.
 const (
 	// KindService is an operator's intent. Only operators write it.
 	KindService = "Service"
-	// KindServiceStatus is what became of the intent. The system writes it.
+	// KindServiceStatus is the status of the intent. The system writes it.
 	KindServiceStatus = "ServiceStatus"
-	// KindAccepted is the configuration in force. The system writes it.
+	// KindAccepted is the active configuration. The system writes it.
 	KindAccepted = "Accepted"
 	// KindRepresentative is the lease of an availability zone's representative.
 	KindRepresentative = "Representative"
-	// KindClaim records a non-idempotent request that may be sent again.
+	// KindClaim is the claim of a non-idempotent request that its caller may send again.
 	KindClaim = "Claim"
 )
 
-// Phase is what became of the latest intent.
+// Phase says whether the latest intent was accepted.
 type Phase string
 
 const (
-	// PhaseAccepted means that the intent is in force, or being rolled out.
+	// PhaseAccepted means that the intent is active or being propagated to the nodes.
 	PhaseAccepted Phase = "accepted"
-	// PhaseRefused means that the intent is invalid. What was in force before
-	// still is.
+	// PhaseRefused means that the intent is invalid. The previous configuration
+	// remains active.
 	PhaseRefused Phase = "refused"
 	// PhaseDeleted means that the service was deleted.
 	PhaseDeleted Phase = "deleted"
@@ -36,51 +36,51 @@
 // ServiceStatus is the spec of a ServiceStatus object, which has the name of
 // its service.
 type ServiceStatus struct {
-	// Phase is what became of the intent with the version Observed.
+	// Phase is the phase of the intent with the version ObservedVersion.
 	Phase Phase `json:"phase"`
-	// Observed is the resource version of the intent that Phase speaks of.
+	// ObservedVersion is the resource version of the intent that Phase refers to.
 	ObservedVersion string `json:"observed"`
-	// Faults say why the intent was refused.
+	// Errors say why the intent was refused.
 	Errors FieldErrors `json:"faults,omitempty"`
-	// Sequence is that of the configuration in force.
+	// Sequence is the sequence of the active configuration.
 	Sequence uint64 `json:"sequence"`
-	// Since is when it was accepted.
+	// AcceptedAt is when the active configuration was accepted.
 	AcceptedAt time.Time `json:"since"`
-	// Zones say how far each availability zone has it.
+	// Zones holds the state of the propagation to each availability zone.
 	Zones map[string]ZoneStatus `json:"zones,omitempty"`
 }
 
-// ZoneStatus is how far one availability zone has the configuration.
+// ZoneStatus is the state of the propagation of a configuration to one availability zone.
 type ZoneStatus struct {
-	// Sequence is the one that Having speaks of.
+	// Sequence is the sequence that UpToDate refers to.
 	Sequence uint64 `json:"sequence"`
-	// Members is the number of nodes in the zone.
+	// Nodes is the number of nodes in the zone.
 	Nodes int `json:"members"`
-	// Asked is how many of them were asked: all, or a random sample.
+	// Queried is the number of nodes that were queried: all, or a random sample.
 	Queried int `json:"asked"`
-	// Having is how many of those asked have the sequence in force.
+	// UpToDate is the number of queried nodes on which the sequence is active.
 	UpToDate int `json:"having"`
 	// Upstreams is the number of upstreams of the service in the zone that
-	// take requests.
+	// accept requests.
 	Upstreams int `json:"upstreams"`
-	// At is when this was found.
+	// CheckedAt is when the nodes were queried.
 	CheckedAt time.Time `json:"at"`
 }
 
 // Accepted is the spec of an Accepted object, which has the name of its
 // service.
 type Accepted struct {
-	// Sequence grows by one with each change of the object.
+	// Sequence is incremented with each change of the object.
 	Sequence uint64 `json:"sequence"`
-	// Source is the resource version of the intent that was accepted, or of
-	// its deletion.
+	// SourceVersion is the resource version of the intent that was accepted, or
+	// of its deletion.
 	SourceVersion uint64 `json:"source"`
-	// At is when it was accepted.
+	// AcceptedAt is when the intent was accepted.
 	AcceptedAt time.Time `json:"at"`
-	// Deleted is whether the service was deleted. The object stays, so that
-	// the sequence does.
+	// Deleted is whether the service was deleted. The object is kept to preserve
+	// the sequence.
 	Deleted bool `json:"deleted,omitempty"`
-	// Service is the configuration in force, with its defaults filled in.
+	// Service is the active configuration, with its defaults filled in.
 	Service Service `json:"service"`
 }
 
@@ -88,13 +88,13 @@
 type Representative struct {
 	// Holder is the node that holds the lease.
 	Holder string `json:"holder"`
-	// Incarnation is the holder's.
+	// Incarnation is the incarnation of the holder.
 	Incarnation uint64 `json:"incarnation"`
-	// Renewals counts the renewals. A lease lapses when the count stands still
-	// for the lease's duration, as each observer's own clock measures it.
+	// Renewals is the number of renewals. The lease lapses when the number has not
+	// changed for the duration of the lease, measured on each observer's own clock.
 	Renewals uint64 `json:"renewals"`
-	// Duration is the lease's duration.
+	// Duration is the duration of the lease.
 	Duration Duration `json:"duration"`
-	// Contacts are control addresses of live nodes, for nodes that start.
+	// Contacts are control addresses of live nodes, for nodes that are starting.
 	Contacts []string `json:"contacts"`
 }
--- a/operator/limit.go
+++ b/operator/limit.go
@@ -6,32 +6,32 @@
 
 import "time"
 
-// The sources from which a node knows what an upstream has said.
+// The sources of what a node knows about an upstream.
 const (
-	// SourceUpstream is the upstream beside the node.
+	// SourceUpstream means the upstream beside the node.
 	SourceUpstream = "upstream"
-	// SourceCalls are the calls of nodes that have been told by the process before this one.
+	// SourceCalls means the calls of other nodes, which this node's previous process had told.
 	SourceCalls = "calls"
-	// SourceAnswers are the answers of the node beside the upstream.
+	// SourceResponses means the responses of the node beside the upstream.
 	SourceResponses = "answers"
 )
 
-// UpstreamLimit is what a node tells an operator of an upstream that names a limit or leaves.
+// UpstreamLimit is a node's report on an upstream that advertises a limit or is leaving.
 type UpstreamLimit struct {
-	// Node is the one beside the upstream, and Start the upstream's start.
+	// Node is the node beside the upstream. StartID identifies the upstream's start.
 	Node    string `json:"node"`
 	StartID string `json:"start"`
-	// Source says from where the node that answers knows it.
+	// Source says where the reporting node has the information from.
 	Source string `json:"source"`
-	// Limited is whether it names a limit, and Limit its requests a second.
+	// Limited is whether the upstream advertises a limit. Limit is in requests per second.
 	Limited bool    `json:"limited"`
 	Limit   float64 `json:"limit"`
-	// Leaving is whether it has said in its answers that it leaves.
+	// Leaving is whether the upstream's responses say that it is leaving.
 	Leaving bool `json:"leaving"`
-	// Since is when the last of these was heard first, or told last for SourceAnswers.
+	// Since is when the later of the two was first received, or last received for SourceResponses.
 	Since time.Time `json:"since"`
-	// Used is the part of the limit that was used in the last seconds, and Refused counts the
-	// requests refused for it since the node's start. Only the node beside the upstream knows.
+	// UsedFraction is the fraction of the limit used in the last seconds. Refused is the number of
+	// requests refused because of it since the node's start. Only the node beside the upstream sets them.
 	UsedFraction float64 `json:"used"`
 	Refused      uint64  `json:"refused"`
 }
--- a/operator/node.go
+++ b/operator/node.go
@@ -4,11 +4,11 @@
 
 package operator
 
-// NodeAddress is what a node tells an operator of another node.
+// NodeAddress is a node's report on another node.
 type NodeAddress struct {
 	// Node is the node's name, and Zone its availability zone.
 	Node string `json:"node"`
 	Zone string `json:"zone"`
-	// Address is where it takes peer connections, as an IP number and port.
+	// Address is where it accepts peer connections, as an IP address and port.
 	Address string `json:"address"`
 }
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -18,7 +18,7 @@
 func TestParseService(t *testing.T) {
 	tests := map[string]struct {
 		spec string
-		// fields are those that have faults; text is part of another error.
+		// fields are the fields with errors. text matches any other error.
 		fields []string
 		text   string
 	}{
@@ -37,7 +37,7 @@
 		"class twice":             {spec: `{"hosts":["a"],"classes":[{"name":"x"},{"name":"x"}]}`, fields: []string{"classes[1].name"}},
 		"class of a foreign host": {spec: `{"hosts":["a"],"classes":[{"name":"x","hosts":["b"]}]}`, fields: []string{"classes[0].hosts[0]"}},
 		"value without header":    {spec: `{"hosts":["a"],"classes":[{"name":"x","value":"1"}]}`, fields: []string{"classes[0].value"}},
-		"all faults at once":      {spec: `{"hosts":["a"],"maxBody":-1,"retry":{"share":2,"maxTries":99},"hedge":{"quantile":0.1}}`, fields: []string{"maxBody", "retry.maxTries", "retry.share", "hedge.quantile"}},
+		"several errors":          {spec: `{"hosts":["a"],"maxBody":-1,"retry":{"share":2,"maxTries":99},"hedge":{"quantile":0.1}}`, fields: []string{"maxBody", "retry.maxTries", "retry.share", "hedge.quantile"}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/operator/service.go
+++ b/operator/service.go
@@ -17,137 +17,139 @@
 	// Hosts are the host names that callers use for the service, without
 	// ports.
 	Hosts []string `json:"hosts"`
-	// Classes are the kinds of requests that share the service's upstreams.
-	// The first one takes the requests that match none.
+	// Classes are the classes of requests that share the service's upstreams.
+	// The first one takes the requests that match no class.
 	Classes []Class `json:"classes,omitempty"`
-	// Queue says how requests wait at an upstream.
+	// Queue configures the queue at an upstream.
 	Queue Queue `json:"queue"`
-	// Cold bounds the requests to cold upstreams. It is set where the configuration is a
-	// table of routes.
+	// Cold bounds the requests to cold upstreams. It is set only if the configuration
+	// is a table of routes.
 	Cold Cold `json:"cold,omitzero"`
-	// Timeout is the deadline of a request whose caller sets none, and the
+	// Timeout is the timeout of a request whose caller sets none, and the
 	// largest that a caller may set.
 	Timeout Duration `json:"timeout"`
-	// MaxBody is the largest body of a request, in bytes.
+	// MaxBodyBytes is the largest size of a request body.
 	MaxBodyBytes int64 `json:"maxBody"`
-	// Retry bounds the second sendings after failures.
+	// Retry bounds the retries after failures.
 	Retry Retry `json:"retry"`
-	// Hedge bounds the second sendings of slow idempotent requests.
+	// Hedge bounds the hedging of slow idempotent requests.
 	Hedge Hedge `json:"hedge"`
-	// Resend is the rule for requests that a caller sends again under the same
-	// idempotency key.
+	// Resend configures how requests that a caller sends again under the same
+	// idempotency key are handled.
 	Resend Resend `json:"resend"`
 	// Policy is the routing policy.
 	Policy string `json:"policy"`
-	// ServiceTime is what a request is expected to take until the first one has
-	// been seen to end. Zero means that nothing is expected.
+	// ServiceTime is the expected service time until a request has completed.
+	// Zero means that nothing is known in advance.
 	ServiceTime Duration `json:"serviceTime,omitempty"`
-	// ZoneCost is the cost that routing gives to another availability zone.
+	// ZoneCost is the routing cost of another availability zone.
 	ZoneCost Duration `json:"zoneCost"`
-	// Crossing is what sending to another availability zone or region costs besides,
-	// in usual service times.
+	// ZoneCrossingCost is a further routing cost of another availability zone or region,
+	// in mean service times.
 	ZoneCrossingCost float64 `json:"crossing,omitempty"`
-	// RegionCost is the cost that routing gives to another region.
+	// RegionCost is the routing cost of another region.
 	RegionCost Duration `json:"regionCost"`
 }
 
-// Class is a kind of request.
+// Class is a class of requests.
 type Class struct {
 	// Name identifies the class.
 	Name string `json:"name"`
-	// Weight is its part of the slots relative to the other classes.
+	// Weight is its weight in the division of the slots among the classes.
 	Weight float64 `json:"weight"`
-	// MaxShare is the largest part of the slots that it may hold.
+	// MaxShare is the largest share of the slots that it may hold.
 	MaxShare float64 `json:"maxShare"`
-	// Priority orders the classes for shedding; the lowest goes first.
+	// Priority orders the classes for shedding; the lowest is shed first.
 	Priority int `json:"priority"`
-	// Wait is the longest time that its requests wait. Zero means what Objective
-	// leaves beside their run or, without one, the queue's.
+	// MaxWait is the longest time that its requests wait. Zero means Objective less
+	// the service time or, without an Objective, the MaxWait of the queue.
 	MaxWait Duration `json:"wait,omitempty"`
-	// Objective is the latency within which an answer is of full value. Zero means
-	// that there is none.
+	// Objective is the latency up to which a response has its full value. Zero
+	// means that there is none.
 	Objective Duration `json:"objective,omitempty"`
 	// Header and Value select the requests of the class: those that have the
-	// header with that value. An empty Value stands for any.
+	// header field with that value. An empty Value matches any value.
 	Header string `json:"header,omitempty"`
 	Value  string `json:"value,omitempty"`
 	// Hosts select requests by host. They are among the service's hosts.
 	Hosts []string `json:"hosts,omitempty"`
 }
 
-// Queue says how requests wait at an upstream.
+// Queue configures the queue at an upstream.
 type Queue struct {
-	// Length is the largest number of waiting requests.
+	// MaxLength is the largest number of waiting requests.
 	MaxLength int `json:"length"`
-	// Wait is the longest time that a request waits.
+	// MaxWait is the longest time that a request waits.
 	MaxWait Duration `json:"wait"`
-	// SlowStart is the time over which a cold upstream gets its full load.
+	// SlowStart is the time over which a cold upstream is given its full load.
 	SlowStart Duration `json:"slowStart"`
-	// SlotShare is the part of an upstream's slots that is used, in (0, 1]. Zero
+	// SlotFraction is the fraction of an upstream's slots that is used, in (0, 1]. Zero
 	// means all. Upstreams that are nearly full run each request more slowly.
 	SlotFraction float64 `json:"slotShare,omitempty"`
-	// Hold is whether requests wait for an upstream that has just slowed down to be
-	// quick again, if they are expected to end sooner for that.
+	// HoldWhileSlow is whether requests wait for an upstream that has just slowed down to
+	// recover, if they are expected to complete sooner that way.
 	HoldWhileSlow bool `json:"hold,omitempty"`
-	// Adaptive is whether an upstream that slows down is given fewer requests
-	// at once.
+	// Adaptive is whether an upstream that slows down is sent fewer concurrent
+	// requests.
 	Adaptive *bool `json:"adaptive,omitempty"`
 }
 
-// Cold bounds the requests to an upstream that says that it is cold. Zero fields bound
-// nothing.
+// Cold bounds the requests to an upstream that reports that it is cold. Zero fields set
+// no bound.
 type Cold struct {
-	// Pace is the number of requests that are admitted in any second, and Most the number
-	// that are sent, which comes to more where some were held up between the two.
+	// MaxAdmittedPerSecond bounds the requests that are admitted in any second, and
+	// MaxSentPerSecond those that are sent. More may be sent in a second than were admitted
+	// in it, if some were delayed in between.
 	MaxAdmittedPerSecond int `json:"pace,omitempty"`
 	MaxSentPerSecond     int `json:"most,omitempty"`
-	// Lasts is how long an upstream that has just started is taken to be cold before it
-	// says so itself.
+	// AssumedDuration is how long an upstream that has just started is assumed to be cold
+	// until it reports so itself.
 	AssumedDuration Duration `json:"lasts,omitempty"`
 }
 
-// Retry bounds second sendings after failures.
+// Retry bounds the retries after failures.
 type Retry struct {
-	// MaxTries is the largest number of sendings, the first included.
+	// MaxAttempts is the largest number of attempts, including the first.
 	MaxAttempts int `json:"maxTries"`
-	// Share is the number of retries per request that cost an upstream work.
+	// Ratio is the number of retries per request. Only retries that cost an upstream work count.
 	Ratio float64 `json:"share"`
-	// Burst is the number of such retries beyond that, in each Window.
+	// Burst is the number of such retries allowed beyond Ratio, in each Window.
 	Burst float64 `json:"burst"`
-	// Reserve is the part of the budget that is kept for the most urgent class. The
-	// least urgent one may spend the rest, and those between them a part between.
+	// ReservedFraction is the fraction of the budget that is reserved for the most urgent
+	// class. The least urgent class may only spend the rest; the limits of the classes in
+	// between lie between these two.
 	ReservedFraction float64 `json:"reserve,omitempty"`
-	// Window is the time over which Share and Burst hold, for hedges as well.
+	// Window is the time over which Ratio and Burst apply, also those of Hedge.
 	Window Duration `json:"window,omitempty"`
-	// OnError is whether an idempotent request that an upstream answers with status
-	// 500 is sent to another, if that upstream fails far more than the others.
+	// OnError is whether an idempotent request that failed with status 500 is retried at
+	// another upstream, if the first one fails far more often than the others.
 	OnError bool `json:"onError,omitempty"`
 }
 
-// Hedge bounds second sendings of slow idempotent requests.
+// Hedge bounds the hedging of slow idempotent requests.
 type Hedge struct {
-	// Share is the number of hedges per request. Zero means none.
+	// Ratio is the number of hedges per request. Zero means none.
 	Ratio float64 `json:"share"`
-	// Quantile is the quantile of the latest request times after which a
+	// Quantile is the quantile of the recent request times after which a
 	// request counts as slow.
 	Quantile float64 `json:"quantile"`
-	// MinDelay is the least time before a hedge.
+	// MinDelay is the shortest delay before a hedge.
 	MinDelay Duration `json:"minDelay"`
-	// Burst is the number of hedges beyond that, in each window of the retries.
+	// Burst is the number of hedges allowed beyond Ratio, in each Window of Retry.
 	Burst float64 `json:"burst,omitempty"`
-	// Part, if not 0, has hedges draw on the budget of the retries, as long as no more
-	// than this part of it is spent, in place of Share and Burst.
+	// BudgetFraction, if not 0, replaces Ratio and Burst: hedges draw on the retry budget
+	// as long as no more than this fraction of it is spent.
 	BudgetFraction float64 `json:"part,omitempty"`
 }
 
-// Resend is the rule for resent requests.
+// Resend configures how resent requests are handled.
 type Resend struct {
 	// Enabled is whether non-idempotent requests with an Idempotency-Key are
 	// claimed on the platform before they run.
 	Enabled bool `json:"enabled"`
-	// WritesPerSecond is each node's budget of claims.
+	// WritesPerSecond is the rate at which each node may write claims.
 	WritesPerSecond float64 `json:"writesPerSecond"`
-	// Keep is how long a claim is kept.
+	// Retention is how long a claim is kept.
 	Retention Duration `json:"keep"`
 }
 
@@ -170,7 +172,7 @@
 	defaultPolicy          = "twoChoice"
 )
 
-// WithDefaults returns a copy of s with its unset fields filled in.
+// WithDefaults returns a copy of s in which unset fields have their defaults.
 func (s Service) WithDefaults() Service {
 	yes := true
 	fill(&s.Timeout, Duration(defaultTimeout))
@@ -216,9 +218,9 @@
 	}
 }
 
-// ParseService reads a Service from JSON, fills in its defaults and checks it.
-// An unknown field is an error. The faults of a Service that could be read are
-// returned as Faults.
+// ParseService decodes a Service from JSON, fills in its defaults and checks it.
+// Unknown fields are errors. If the Service could be decoded but is invalid, the
+// error is of type FieldErrors.
 func ParseService(data []byte) (Service, error) {
 	var s Service
 	d := json.NewDecoder(bytes.NewReader(data))
--- a/operator/suspect.go
+++ b/operator/suspect.go
@@ -6,17 +6,17 @@
 
 import "time"
 
-// Suspect is what a node tells an operator of a request with which upstreams have ended.
+// Suspect is a node's report on a request that was in flight when upstreams crashed.
 type Suspect struct {
-	// Print is the request's fingerprint, as it stands in logs.
+	// Fingerprint is the request's fingerprint, as in logs.
 	Fingerprint string `json:"print"`
-	// Standing is what is thought of it: seen, isolated or blocked.
+	// State is seen, isolated or blocked.
 	State string `json:"standing"`
-	// Ends is the number of upstreams that have ended with it at hand, and Upstreams
-	// are their starts.
+	// Crashes is the number of upstreams that crashed while it was in flight. Upstreams are
+	// the IDs of their starts.
 	Crashes   int      `json:"ends"`
 	Upstreams []string `json:"upstreams"`
-	// Since is when the last of them did, and Until when a block ends.
+	// LastCrash is when the last of them crashed. BlockedUntil is when a block ends.
 	LastCrash    time.Time  `json:"since"`
 	BlockedUntil *time.Time `json:"until,omitempty"`
 }
--- a/operator/zone.go
+++ b/operator/zone.go
@@ -6,19 +6,19 @@
 
 import "time"
 
-// Zone is what a node tells an operator of an evacuated availability zone.
+// EvacuatedZone is a node's report on an evacuated availability zone.
 type EvacuatedZone struct {
 	// Zone is its name.
 	Zone string `json:"zone"`
-	// Era and Revision are the platform's, at which the evacuated zones were found as they
-	// are now.
+	// Era and Revision are the platform's when the current set of evacuated zones was
+	// read.
 	Era      uint64 `json:"era,omitempty"`
 	Revision uint64 `json:"revision"`
-	// Since is when the node that answers learnt of the evacuation.
+	// Since is when the reporting node received the evacuation.
 	Since time.Time `json:"since"`
-	// Upstreams is the number of upstreams there that would take requests.
+	// Upstreams is the number of upstreams there that would otherwise accept requests.
 	Upstreams int `json:"upstreams"`
-	// Running is the number of requests at the upstream beside the node that answers, if
-	// that is in the zone: 0 once the evacuation is done there.
+	// InFlight, if not nil, is the number of requests in flight at the upstream beside the
+	// reporting node, if that is in the zone. It is 0 once the evacuation is complete there.
 	InFlight *int `json:"running,omitempty"`
 }
