--- a/routes/routes_test.go
+++ b/routes/routes_test.go
@@ -13,11 +13,11 @@
 	"sassafrasfront.example/routes"
 )
 
-func route(name, host, prefix string, parts ...routes.WeightedService) routes.Route {
-	if len(parts) == 0 {
-		parts = []routes.WeightedService{{Service: name, Weight: 1}}
+func route(name, host, prefix string, services ...routes.WeightedService) routes.Route {
+	if len(services) == 0 {
+		services = []routes.WeightedService{{Service: name, Weight: 1}}
 	}
-	return routes.Route{Name: name, Host: host, Prefix: prefix, Services: parts, Timeout: time.Second}
+	return routes.Route{Name: name, Host: host, Prefix: prefix, Services: services, Timeout: time.Second}
 }
 
 func TestMatch(t *testing.T) {
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestNewRefuses(t *testing.T) {
+func TestInvalidRoutes(t *testing.T) {
 	good := route("r", "a.example", "/x/")
 	tests := map[string]func(*routes.Route){
 		"no host":     func(r *routes.Route) { r.Host = "" },
@@ -57,10 +57,10 @@
 		"no parts":    func(r *routes.Route) { r.Services = nil },
 		"no timeout":  func(r *routes.Route) { r.Timeout = 0 },
 	}
-	for name, spoil := range tests {
+	for name, invalidate := range tests {
 		t.Run(name, func(t *testing.T) {
 			r := good
-			spoil(&r)
+			invalidate(&r)
 			_, err := routes.New(routes.Table{Routes: []routes.Route{r}})
 			qt.Check(t, err, qt.IsNotNil)
 		})
--- a/routes/splitter.go
+++ b/routes/splitter.go
@@ -16,13 +16,13 @@
 // of them.
 type Splitter struct {
 	mu     sync.Mutex
-	states map[string]*split
+	states map[string]*splitState
 }
 
 // split is the state of one route.
-type split struct {
-	parts  []WeightedService
-	credit []int
+type splitState struct {
+	services []WeightedService
+	credits  []int
 }
 
 // Choose returns the service for the next request of the route. A route whose
@@ -37,22 +37,22 @@
 }
 
 // state returns the state of a route. It begins anew when the parts change.
-func (s *Splitter) state(r *Route) *split {
+func (s *Splitter) state(r *Route) *splitState {
 	if s.states == nil {
-		s.states = make(map[string]*split)
+		s.states = make(map[string]*splitState)
 	}
 	x := s.states[r.Name]
-	if x == nil || !sameParts(x.parts, r.Services) {
-		x = &split{
-			parts:  r.Services,
-			credit: make([]int, len(r.Services)),
+	if x == nil || !equalServices(x.services, r.Services) {
+		x = &splitState{
+			services: r.Services,
+			credits:  make([]int, len(r.Services)),
 		}
 		s.states[r.Name] = x
 	}
 	return x
 }
 
-func sameParts(a, b []WeightedService) bool {
+func equalServices(a, b []WeightedService) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -65,15 +65,15 @@
 }
 
 // next returns the service that has the largest credit.
-func (x *split) next() string {
+func (x *splitState) next() string {
 	best, sum := 0, 0
-	for i, p := range x.parts {
-		x.credit[i] += p.Weight
+	for i, p := range x.services {
+		x.credits[i] += p.Weight
 		sum += p.Weight
-		if x.credit[i] > x.credit[best] {
+		if x.credits[i] > x.credits[best] {
 			best = i
 		}
 	}
-	x.credit[best] -= sum
-	return x.parts[best].Service
+	x.credits[best] -= sum
+	return x.services[best].Service
 }
--- a/routes/table.go
+++ b/routes/table.go
@@ -174,7 +174,7 @@
 func (t *Table) Match(host, path string) *Route {
 	list, ok := t.hosts[host]
 	if !ok {
-		list = t.hosts[bare(host)]
+		list = t.hosts[canonicalHost(host)]
 	}
 	for _, r := range list {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -188,7 +188,7 @@
 func (t *Table) OrganisationSet() *organisation.Set { return t.organisations }
 
 // bare returns a host in lower case and without its port.
-func bare(host string) string {
+func canonicalHost(host string) string {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
 	}
