--- a/routes/doc.go
+++ b/routes/doc.go
@@ -3,12 +3,12 @@
 // license that can be found in the LICENSE file.
 
 // Package routes holds the whole configuration of a system as one versioned
-// table: which route takes a request, which services a route leads to, and what
-// each route allows.
+// table of routes, services and limits.
 //
-// A Table is an immutable value. It is matched by host and by the longest path
-// prefix. Whether a request may be repeated is said by its route, never by its
-// method. A Splitter divides the requests of a route among its parts exactly.
+// A Table is an immutable value. Requests are matched by host and by the longest
+// path prefix. Whether a request may run more than once depends on its route, not
+// on its method. A Splitter divides the requests of a route among its services
+// exactly in proportion to their weights.
 //
-// The package does no input or output and starts no goroutine.
+// The package does no I/O and starts no goroutines.
 package routes
--- a/routes/routes_test.go
+++ b/routes/routes_test.go
@@ -52,10 +52,10 @@
 func TestInvalidRoutes(t *testing.T) {
 	good := route("r", "a.example", "/x/")
 	tests := map[string]func(*routes.Route){
-		"no host":     func(r *routes.Route) { r.Host = "" },
-		"bare prefix": func(r *routes.Route) { r.Prefix = "/x" },
-		"no parts":    func(r *routes.Route) { r.Services = nil },
-		"no timeout":  func(r *routes.Route) { r.Timeout = 0 },
+		"no host":        func(r *routes.Route) { r.Host = "" },
+		"no final slash": func(r *routes.Route) { r.Prefix = "/x" },
+		"no services":    func(r *routes.Route) { r.Services = nil },
+		"no timeout":     func(r *routes.Route) { r.Timeout = 0 },
 	}
 	for name, invalidate := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -67,7 +67,7 @@
 	}
 }
 
-// TestEncode has a table survive its encoding.
+// TestEncode encodes and decodes a table.
 func TestEncode(t *testing.T) {
 	table, err := routes.New(routes.Table{
 		Version:  7,
@@ -86,7 +86,7 @@
 	qt.Check(t, s.MaxConnections, qt.Equals, 5)
 }
 
-// TestSplit has each part's share stay within one request of its weight.
+// TestSplit checks that each service's number of requests stays within one of its weight's share.
 func TestSplit(t *testing.T) {
 	r := route("r", "a.example", "/", routes.WeightedService{Service: "a", Weight: 90}, routes.WeightedService{Service: "b", Weight: 10}, routes.WeightedService{Service: "c", Weight: 0})
 	var s routes.Splitter
@@ -95,7 +95,7 @@
 		counts[s.Choose(&r)]++
 		for _, p := range r.Services {
 			off := counts[p.Service]*100 - n*p.Weight
-			qt.Assert(t, off >= -100 && off <= 100, qt.IsTrue, qt.Commentf("part %s has %d of %d", p.Service, counts[p.Service], n))
+			qt.Assert(t, off >= -100 && off <= 100, qt.IsTrue, qt.Commentf("service %s has %d of %d", p.Service, counts[p.Service], n))
 		}
 	}
 }
--- a/routes/splitter.go
+++ b/routes/splitter.go
@@ -6,27 +6,27 @@
 
 import "sync"
 
-// Splitter divides the requests of each route among its parts in proportion to
-// their weights. Its zero value is ready, and its methods may be called from any
-// goroutine.
+// Splitter divides the requests of each route among its services in proportion to
+// their weights, by smooth weighted round-robin. Its zero value is ready for use, and
+// its methods may be called from any goroutine.
 //
-// Each part has a credit that grows by its weight with each request. The part
+// Each service has a credit that grows by its weight with each request. The service
 // with the largest credit gets the request and pays the sum W of all weights, so
-// that after n requests a part of weight w has had between nw/W - 1 and nw/W + 1
+// that after n requests a service of weight w has had between nw/W - 1 and nw/W + 1
 // of them.
 type Splitter struct {
 	mu     sync.Mutex
 	states map[string]*splitState
 }
 
-// split is the state of one route.
+// splitState is the state of one route.
 type splitState struct {
 	services []WeightedService
 	credits  []int
 }
 
-// Choose returns the service for the next request of the route. A route whose
-// weights are all zero has its first part chosen.
+// Choose returns the service for the next request of the route. If all weights are
+// zero it is the first one.
 func (s *Splitter) Choose(r *Route) string {
 	if len(r.Services) == 1 {
 		return r.Services[0].Service
@@ -36,7 +36,7 @@
 	return s.state(r).next()
 }
 
-// state returns the state of a route. It begins anew when the parts change.
+// state returns the state of a route. It is reset when the services change.
 func (s *Splitter) state(r *Route) *splitState {
 	if s.states == nil {
 		s.states = make(map[string]*splitState)
@@ -64,7 +64,7 @@
 	return true
 }
 
-// next returns the service that has the largest credit.
+// next returns the service with the largest credit and charges it.
 func (x *splitState) next() string {
 	best, sum := 0, 0
 	for i, p := range x.services {
