--- a/objectapi/caller.go
+++ b/objectapi/caller.go
@@ -27,9 +27,9 @@
 const (
 	defaultTimeout = 3 * time.Second
 	// maxList bounds the answer to a list.
-	maxList = 256 << 20
+	maxListBytes = 256 << 20
 	// maxRetryAfter bounds the wait that the platform may ask for, in seconds.
-	maxRetryAfter = 3600
+	maxRetryAfterSeconds = 3600
 )
 
 // Caller makes calls with JSON bodies to an object API of any dialect. The
@@ -76,7 +76,7 @@
 // Do makes one call and decodes its answer, within the timeout, and returns the era of
 // the answer. Body is encoded as JSON unless it is nil; a nil answer is not decoded. Every
 // failure is an *Error.
-func (c *JSONClient) Do(ctx context.Context, method, path string, body, answer any) (era uint64, err error) {
+func (c *JSONClient) Do(ctx context.Context, method, path string, body, response any) (era uint64, err error) {
 	timeout := c.Timeout
 	if timeout == 0 {
 		timeout = defaultTimeout
@@ -89,14 +89,14 @@
 	}
 	defer r.Body.Close()
 	era = c.ResponseEra(r)
-	data, err := io.ReadAll(io.LimitReader(r.Body, maxList))
+	data, err := io.ReadAll(io.LimitReader(r.Body, maxListBytes))
 	if err != nil {
 		return era, readError(err)
 	}
-	if answer == nil {
+	if response == nil {
 		return era, nil
 	}
-	if err := json.Unmarshal(data, answer); err != nil {
+	if err := json.Unmarshal(data, response); err != nil {
 		return era, readError(eris.Wrap(err, "answer"))
 	}
 	return era, nil
@@ -146,7 +146,7 @@
 		}
 		return nil, readError(err)
 	}
-	if err := c.check(r); err != nil {
+	if err := c.checkEra(r); err != nil {
 		_ = r.Body.Close()
 		return nil, readError(err)
 	}
@@ -192,7 +192,7 @@
 		e.Verdict = verdict.MayHaveRun
 	}
 	if s, err := strconv.ParseFloat(r.Header.Get("Retry-After"), 64); err == nil && s > 0 {
-		e.RetryAfter = time.Duration(min(s, maxRetryAfter) * float64(time.Second))
+		e.RetryAfter = time.Duration(min(s, maxRetryAfterSeconds) * float64(time.Second))
 	}
 	return e
 }
--- a/objectapi/client.go
+++ b/objectapi/client.go
@@ -52,16 +52,16 @@
 
 // list makes the call for a list.
 func (c *Client) list(ctx context.Context, path string) (*List, error) {
-	var answer struct {
+	var response struct {
 		Metadata Metadata          `json:"metadata"`
 		Items    []json.RawMessage `json:"items"`
 	}
-	if _, err := c.Do(ctx, http.MethodGet, path, nil, &answer); err != nil {
+	if _, err := c.Do(ctx, http.MethodGet, path, nil, &response); err != nil {
 		return nil, err
 	}
 	return &List{
-		Metadata: answer.Metadata,
-		Items:    DecodeEach[Object](answer.Items, c.OnSkipped),
+		Metadata: response.Metadata,
+		Items:    DecodeEach[Object](response.Items, c.OnSkipped),
 	}, nil
 }
 
--- a/objectapi/era.go
+++ b/objectapi/era.go
@@ -22,10 +22,10 @@
 
 // eras is what a Caller knows of the eras of its API.
 type eras struct {
-	mu       sync.Mutex
-	highest  uint64
-	named    bool // whether an era was ever named
-	answered bool // whether an answer has told of what the platform holds
+	mu        sync.Mutex
+	highest   uint64
+	named     bool // whether an era was ever named
+	responded bool // whether an answer has told of what the platform holds
 }
 
 // Era returns the highest era that is known, or 0 if there is none.
@@ -39,22 +39,22 @@
 // not used from now on.
 func (c *JSONClient) AdvanceEra(era uint64) {
 	c.eras.mu.Lock()
-	change, risen := c.eras.raise(era)
+	change, advanced := c.eras.advance(era)
 	c.eras.mu.Unlock()
-	if risen && c.OnEraChange != nil {
+	if advanced && c.OnEraChange != nil {
 		c.OnEraChange(change)
 	}
 }
 
 // raise takes in an era, and returns what has changed if it is a later one.
-func (e *eras) raise(era uint64) (change EraChange, risen bool) {
+func (e *eras) advance(era uint64) (change EraChange, advanced bool) {
 	if e.named && era <= e.highest || era < e.highest {
 		return EraChange{}, false
 	}
 	change = EraChange{
 		Old:      e.highest,
 		New:      era,
-		Restored: e.answered && era > e.highest,
+		Restored: e.responded && era > e.highest,
 	}
 	e.named = true
 	e.highest = era
@@ -63,16 +63,16 @@
 
 // check takes in the era of an answer, or returns why the answer can't be used: it was
 // sent before the platform came back from a copy, or tells no era.
-func (c *JSONClient) check(r *http.Response) error {
+func (c *JSONClient) checkEra(r *http.Response) error {
 	if c.ParseEra == nil {
 		return nil
 	}
 	c.eras.mu.Lock()
 	era, named, err := c.ParseEra(r.Header)
-	change, risen, err := c.eras.take(era, named, err)
-	c.eras.answered = c.eras.answered || err == nil && !saysNothing(r.StatusCode)
+	change, advanced, err := c.eras.record(era, named, err)
+	c.eras.responded = c.eras.responded || err == nil && !isStateless(r.StatusCode)
 	c.eras.mu.Unlock()
-	if risen && c.OnEraChange != nil {
+	if advanced && c.OnEraChange != nil {
 		c.OnEraChange(change)
 	}
 	if err == nil {
@@ -81,7 +81,7 @@
 	if c.OnRejected != nil {
 		c.OnRejected(err)
 	}
-	if saysNothing(r.StatusCode) {
+	if isStateless(r.StatusCode) {
 		return nil
 	}
 	return err
@@ -89,7 +89,7 @@
 
 // take takes in the era of an answer, if it names one, or why it can't be read. It returns
 // what has changed if the era has risen, or why the answer is not used.
-func (e *eras) take(era uint64, named bool, err error) (change EraChange, risen bool, refused error) {
+func (e *eras) record(era uint64, named bool, err error) (change EraChange, advanced bool, rejected error) {
 	switch {
 	case err != nil:
 		return change, false, eris.Wrap(err, "answer not used")
@@ -99,9 +99,9 @@
 		return change, false, eris.Errorf("answer not used: it is of the era %d, after the era %d", era, e.highest)
 	}
 	if named {
-		change, risen = e.raise(era)
+		change, advanced = e.advance(era)
 	}
-	return change, risen, nil
+	return change, advanced, nil
 }
 
 // EraIn returns the era of an answer that was checked.
@@ -115,6 +115,6 @@
 
 // saysNothing returns whether an answer with a status says nothing of what the platform
 // holds, so that its era does not matter.
-func saysNothing(status int) bool {
+func isStateless(status int) bool {
 	return status == http.StatusTooManyRequests || status >= http.StatusInternalServerError
 }
--- a/objectapi/era_test.go
+++ b/objectapi/era_test.go
@@ -19,13 +19,13 @@
 )
 
 // TestPoint has points in their order, each with its resource version.
-func TestPoint(t *testing.T) {
-	points := []string{"0", "7", "900", "1/1", "1/870", "1/900", "2/0", "2/870", "10/3"}
-	for i, a := range points {
+func TestResourceVersionOrder(t *testing.T) {
+	versions := []string{"0", "7", "900", "1/1", "1/870", "1/900", "2/0", "2/870", "10/3"}
+	for i, a := range versions {
 		p, err := objectapi.ParseResourceVersion(a)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Check(t, p.String(), qt.Equals, a)
-		for k, b := range points {
+		for k, b := range versions {
 			q, err := objectapi.ParseResourceVersion(b)
 			qt.Assert(t, err, qt.IsNil)
 			qt.Check(t, p.Less(q), qt.Equals, i < k, qt.Commentf("%s and %s", a, b))
@@ -38,7 +38,7 @@
 }
 
 // answered is what a platform answers to one call.
-type answered struct {
+type response struct {
 	era    string // none if empty
 	status int
 }
@@ -46,35 +46,35 @@
 // TestEras has a platform answer with eras in some order: those that can't be right are
 // refused with a reason, and the era that was known stays.
 func TestEras(t *testing.T) {
-	ok := func(era string) answered { return answered{era: era, status: 200} }
+	ok := func(era string) response { return response{era: era, status: 200} }
 	tests := map[string]struct {
-		answers []answered
-		raised  uint64 // by others, before the last answer
-		refused bool   // the last answer
-		failed  bool   // it, or it is an error of its own
-		era     uint64 // at the end
-		changes []objectapi.EraChange
+		responses []response
+		advanceTo uint64 // by others, before the last answer
+		rejected  bool   // the last answer
+		failed    bool   // it, or it is an error of its own
+		era       uint64 // at the end
+		changes   []objectapi.EraChange
 	}{
-		"none":                         {answers: []answered{ok(""), ok("")}},
-		"the first":                    {answers: []answered{ok("5")}, era: 5, changes: []objectapi.EraChange{{New: 5}}},
-		"the first is zero":            {answers: []answered{ok("0"), ok("0")}, changes: []objectapi.EraChange{{}}},
-		"the same":                     {answers: []answered{ok("5"), ok("5")}, era: 5, changes: []objectapi.EraChange{{New: 5}}},
-		"rises":                        {answers: []answered{ok("5"), ok("6")}, era: 6, changes: []objectapi.EraChange{{New: 5}, {Old: 5, New: 6, Restored: true}}},
-		"rises from none":              {answers: []answered{ok(""), ok("1")}, era: 1, changes: []objectapi.EraChange{{New: 1, Restored: true}}},
-		"rises twice":                  {answers: []answered{ok("0"), ok("2")}, era: 2, changes: []objectapi.EraChange{{}, {New: 2, Restored: true}}},
-		"the first after turned away":  {answers: []answered{{status: 503}, ok("5")}, era: 5, changes: []objectapi.EraChange{{New: 5}}},
-		"rises with a failure":         {answers: []answered{ok("5"), {era: "6", status: 404}}, failed: true, era: 6, changes: []objectapi.EraChange{{New: 5}, {Old: 5, New: 6, Restored: true}}},
-		"late":                         {answers: []answered{ok("5"), ok("6"), ok("5")}, refused: true, failed: true, era: 6, changes: []objectapi.EraChange{{New: 5}, {Old: 5, New: 6, Restored: true}}},
-		"missing after one":            {answers: []answered{ok("5"), ok("")}, refused: true, failed: true, era: 5, changes: []objectapi.EraChange{{New: 5}}},
-		"no number":                    {answers: []answered{ok("5"), ok("six")}, refused: true, failed: true, era: 5, changes: []objectapi.EraChange{{New: 5}}},
-		"negative":                     {answers: []answered{ok("-1")}, refused: true, failed: true},
-		"others have seen a later one": {answers: []answered{ok("5"), ok("5")}, raised: 6, refused: true, failed: true, era: 6, changes: []objectapi.EraChange{{New: 5}, {Old: 5, New: 6, Restored: true}}},
-		"others have seen this one":    {answers: []answered{ok("5"), ok("6")}, raised: 6, era: 6, changes: []objectapi.EraChange{{New: 5}, {Old: 5, New: 6, Restored: true}}},
-		"missing where turned away":    {answers: []answered{ok("5"), {status: 503}}, refused: true, failed: true, era: 5, changes: []objectapi.EraChange{{New: 5}}},
+		"none":                         {responses: []response{ok(""), ok("")}},
+		"the first":                    {responses: []response{ok("5")}, era: 5, changes: []objectapi.EraChange{{New: 5}}},
+		"the first is zero":            {responses: []response{ok("0"), ok("0")}, changes: []objectapi.EraChange{{}}},
+		"the same":                     {responses: []response{ok("5"), ok("5")}, era: 5, changes: []objectapi.EraChange{{New: 5}}},
+		"rises":                        {responses: []response{ok("5"), ok("6")}, era: 6, changes: []objectapi.EraChange{{New: 5}, {Old: 5, New: 6, Restored: true}}},
+		"rises from none":              {responses: []response{ok(""), ok("1")}, era: 1, changes: []objectapi.EraChange{{New: 1, Restored: true}}},
+		"rises twice":                  {responses: []response{ok("0"), ok("2")}, era: 2, changes: []objectapi.EraChange{{}, {New: 2, Restored: true}}},
+		"the first after turned away":  {responses: []response{{status: 503}, ok("5")}, era: 5, changes: []objectapi.EraChange{{New: 5}}},
+		"rises with a failure":         {responses: []response{ok("5"), {era: "6", status: 404}}, failed: true, era: 6, changes: []objectapi.EraChange{{New: 5}, {Old: 5, New: 6, Restored: true}}},
+		"late":                         {responses: []response{ok("5"), ok("6"), ok("5")}, rejected: true, failed: true, era: 6, changes: []objectapi.EraChange{{New: 5}, {Old: 5, New: 6, Restored: true}}},
+		"missing after one":            {responses: []response{ok("5"), ok("")}, rejected: true, failed: true, era: 5, changes: []objectapi.EraChange{{New: 5}}},
+		"no number":                    {responses: []response{ok("5"), ok("six")}, rejected: true, failed: true, era: 5, changes: []objectapi.EraChange{{New: 5}}},
+		"negative":                     {responses: []response{ok("-1")}, rejected: true, failed: true},
+		"others have seen a later one": {responses: []response{ok("5"), ok("5")}, advanceTo: 6, rejected: true, failed: true, era: 6, changes: []objectapi.EraChange{{New: 5}, {Old: 5, New: 6, Restored: true}}},
+		"others have seen this one":    {responses: []response{ok("5"), ok("6")}, advanceTo: 6, era: 6, changes: []objectapi.EraChange{{New: 5}, {Old: 5, New: 6, Restored: true}}},
+		"missing where turned away":    {responses: []response{ok("5"), {status: 503}}, rejected: true, failed: true, era: 5, changes: []objectapi.EraChange{{New: 5}}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			var next answered
+			var next response
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				if next.era != "" {
 					w.Header().Set("Era", next.era)
@@ -85,7 +85,7 @@
 			}))
 			defer server.Close()
 			var changes []objectapi.EraChange
-			var refused error
+			var rejected error
 			c := &objectapi.JSONClient{
 				URL: server.URL,
 				ParseEra: func(h http.Header) (uint64, bool, error) {
@@ -96,17 +96,17 @@
 					return era, true, err
 				},
 				OnEraChange: func(e objectapi.EraChange) { changes = append(changes, e) },
-				OnRejected:  func(reason error) { refused = reason },
+				OnRejected:  func(reason error) { rejected = reason },
 			}
 			var err error
-			for i, a := range test.answers {
-				if i == len(test.answers)-1 && test.raised > 0 {
-					c.AdvanceEra(test.raised)
+			for i, a := range test.responses {
+				if i == len(test.responses)-1 && test.advanceTo > 0 {
+					c.AdvanceEra(test.advanceTo)
 				}
-				next, refused = a, nil
+				next, rejected = a, nil
 				_, err = c.Do(context.Background(), http.MethodGet, "/", nil, nil)
 			}
-			qt.Check(t, refused != nil, qt.Equals, test.refused, qt.Commentf("%v", refused))
+			qt.Check(t, rejected != nil, qt.Equals, test.rejected, qt.Commentf("%v", rejected))
 			qt.Check(t, err != nil, qt.Equals, test.failed, qt.Commentf("%v", err))
 			qt.Check(t, c.Era(), qt.Equals, test.era)
 			qt.Check(t, changes, qt.DeepEquals, test.changes)
@@ -115,7 +115,7 @@
 				qt.Assert(t, ok, qt.IsTrue)
 				qt.Check(t, e.Status, qt.Equals, 503, qt.Commentf("it stays what it is"))
 				qt.Check(t, e.RetryAfter, qt.Equals, 3*time.Second)
-			} else if test.refused {
+			} else if test.rejected {
 				e, ok := err.(*objectapi.Error)
 				qt.Assert(t, ok, qt.IsTrue)
 				qt.Check(t, e.Verdict, qt.Equals, verdict.MayHaveRun, qt.Commentf("a write may have taken effect"))
--- a/objectapi/follower.go
+++ b/objectapi/follower.go
@@ -97,7 +97,7 @@
 	for time.Now().Before(until) && ctx.Err() == nil {
 		began := time.Now()
 		err := f.API.Watch(ctx, f.Kind, version, func(e Event) {
-			if pointOf(version).Less(pointOf(e.Object.Metadata.ResourceVersion)) {
+			if versionOrZero(version).Less(versionOrZero(e.Object.Metadata.ResourceVersion)) {
 				version = e.Object.Metadata.ResourceVersion
 			}
 			f.OnChange(e)
--- a/objectapi/listing.go
+++ b/objectapi/listing.go
@@ -26,18 +26,18 @@
 // Read reads the objects as they are.
 func (l *Lister) Read(ctx context.Context) error {
 	list, err := l.API.List(ctx, l.Kind)
-	return l.take(list, err, true)
+	return l.handle(list, err, true)
 }
 
 // First reads the objects as they were at some time, which may be seconds ago: it costs the
 // platform little.
 func (l *Lister) ReadInitial(ctx context.Context) error {
 	list, err := l.API.ListStale(ctx, l.Kind)
-	return l.take(list, err, false)
+	return l.handle(list, err, false)
 }
 
 // take takes in a list, or returns why there is none.
-func (l *Lister) take(list *List, err error, current bool) error {
+func (l *Lister) handle(list *List, err error, current bool) error {
 	if err != nil {
 		return eris.Wrap(err, "list "+l.Kind)
 	}
--- a/objectapi/object.go
+++ b/objectapi/object.go
@@ -90,10 +90,10 @@
 func (o *Object) Revision() uint64 { return ParseRevision(o.Metadata.ResourceVersion) }
 
 // ParseVersion returns the revision of a resource version, or 0 if it is none.
-func ParseRevision(v string) uint64 { return pointOf(v).Revision }
+func ParseRevision(v string) uint64 { return versionOrZero(v).Revision }
 
 // pointOf returns the Point of a resource version, or the zero Point if it is none.
-func pointOf(version string) ResourceVersion {
+func versionOrZero(version string) ResourceVersion {
 	p, err := ParseResourceVersion(version)
 	if err != nil {
 		return ResourceVersion{}
--- a/objectapi/objectapi_test.go
+++ b/objectapi/objectapi_test.go
@@ -124,10 +124,10 @@
 	ctx := context.Background()
 	_, api := start(t)
 	huge := objectapi.NewObject("Service", "huge", strings.Repeat("x", objectapi.MaxObjectBytes))
-	nobody := &objectapi.Client{JSONClient: objectapi.JSONClient{URL: "http://127.0.0.1:1"}, Namespace: "test"}
+	unreachable := &objectapi.Client{JSONClient: objectapi.JSONClient{URL: "http://127.0.0.1:1"}, Namespace: "test"}
 	for name, call := range map[string]func() error{
 		"too large": func() error { _, err := api.Create(ctx, huge); return err },
-		"refused":   func() error { _, err := nobody.Create(ctx, object("a", 1)); return err },
+		"refused":   func() error { _, err := unreachable.Create(ctx, object("a", 1)); return err },
 	} {
 		t.Run(name, func(t *testing.T) {
 			e, ok := errors.AsType[*objectapi.Error](call())
@@ -140,7 +140,7 @@
 // TestPutSurvivesLostAnswers has writers race under lost answers, each adding
 // one to a counter. An acknowledged write counts exactly once, one that was
 // told not to have run counts not at all, and the others may count.
-func TestPutSurvivesLostAnswers(t *testing.T) {
+func TestPutSurvivesLostResponses(t *testing.T) {
 	ctx := context.Background()
 	s, api := start(t)
 	_, err := api.Create(ctx, object("a", 0))
@@ -180,7 +180,7 @@
 	qt.Check(t, got <= acknowledged+unknown, qt.IsTrue, comment)
 }
 
-func TestPutTellsOfTheOtherWrite(t *testing.T) {
+func TestPutReturnsConflictingObject(t *testing.T) {
 	ctx := context.Background()
 	_, api := start(t)
 	first, err := objectapi.Put(ctx, api, object("a", 1))
@@ -198,8 +198,8 @@
 // the follower to know the last state in the end.
 func TestFollowerConverges(t *testing.T) {
 	tests := map[string]struct {
-		faults objectapitest.Faults
-		forget bool
+		faults      objectapitest.Faults
+		dropHistory bool
 	}{
 		"none":            {},
 		"dropped events":  {faults: objectapitest.Faults{DropEvents: 0.5}},
@@ -207,7 +207,7 @@
 		"silent watches":  {faults: objectapitest.Faults{SilentWatches: true}},
 		"failing":         {faults: objectapitest.Faults{FailureRatio: 0.5}},
 		"garbage":         {faults: objectapitest.Faults{MalformedReads: 0.5}},
-		"too old":         {forget: true},
+		"too old":         {dropHistory: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -216,7 +216,7 @@
 			s, api := start(t)
 			var mu sync.Mutex
 			known := make(map[string]uint64)
-			take := func(o *objectapi.Object) { known[o.Metadata.Name] = max(known[o.Metadata.Name], o.Revision()) }
+			record := func(o *objectapi.Object) { known[o.Metadata.Name] = max(known[o.Metadata.Name], o.Revision()) }
 			f := &objectapi.Follower{
 				API:    api,
 				Kind:   "Service",
@@ -228,13 +228,13 @@
 					mu.Lock()
 					defer mu.Unlock()
 					for _, o := range l.Items {
-						take(o)
+						record(o)
 					}
 				},
 				OnChange: func(e objectapi.Event) {
 					mu.Lock()
 					defer mu.Unlock()
-					take(e.Object)
+					record(e.Object)
 				},
 			}
 			var done sync.WaitGroup
@@ -255,7 +255,7 @@
 						break
 					}
 				}
-				if test.forget && i == 10 {
+				if test.dropHistory && i == 10 {
 					s.DropHistory()
 				}
 			}
--- a/objectapi/put.go
+++ b/objectapi/put.go
@@ -16,7 +16,7 @@
 const writeID = Group + "/write-id"
 
 // putTries bounds the tries of one Put.
-const putTries = 4
+const putAttempts = 4
 
 // Put creates o if it names no resource version, and updates it otherwise. If
 // the answer is lost, Put reads the object back: if it bears the id of this
@@ -29,8 +29,8 @@
 	id := rand.Text()
 	o = o.withAnnotation(writeID, id)
 	var err error
-	lost := verdict.NotRun
-	for range putTries {
+	conflictVerdict := verdict.NotRun
+	for range putAttempts {
 		var written *Object
 		if o.Metadata.ResourceVersion == "" {
 			written, err = api.Create(ctx, o)
@@ -44,15 +44,15 @@
 			return nil, err
 		}
 		if mayHaveRun(err) {
-			lost = verdict.MayHaveRun
+			conflictVerdict = verdict.MayHaveRun
 		}
 		// A conflict may be with an earlier try of this very write.
-		present, readErr := api.Get(ctx, o.Kind, o.Metadata.Name)
+		current, readErr := api.Get(ctx, o.Kind, o.Metadata.Name)
 		switch {
-		case readErr == nil && present.Metadata.Annotations[writeID] == id:
-			return present, nil
-		case readErr == nil && present.Metadata.ResourceVersion != o.Metadata.ResourceVersion:
-			return nil, conflict(present, lost)
+		case readErr == nil && current.Metadata.Annotations[writeID] == id:
+			return current, nil
+		case readErr == nil && current.Metadata.ResourceVersion != o.Metadata.ResourceVersion:
+			return nil, conflict(current, conflictVerdict)
 		case IsNotFound(readErr) && o.Metadata.ResourceVersion != "":
 			return nil, readErr
 		case readErr != nil && !IsNotFound(readErr):
@@ -66,11 +66,11 @@
 }
 
 // conflict returns the failure of a write that another one came before.
-func conflict(present *Object, v verdict.Verdict) *Error {
+func conflict(current *Object, v verdict.Verdict) *Error {
 	return &Error{
 		Status:  http.StatusConflict,
 		Verdict: v,
-		Err:     &ConflictError{Current: present},
+		Err:     &ConflictError{Current: current},
 	}
 }
 
--- a/objectapi/reader.go
+++ b/objectapi/reader.go
@@ -48,17 +48,17 @@
 // First reads all objects as they were at some time, which may be seconds ago: it
 // costs the platform little, and the reads after it find what has changed since.
 func (r *Reader) ReadInitial(ctx context.Context) error {
-	return r.take(r.API.ListStale(ctx, r.Kind))
+	return r.handle(r.API.ListStale(ctx, r.Kind))
 }
 
 // Read finds what has changed, as soon as something does or after the given time.
 func (r *Reader) Read(ctx context.Context, wait time.Duration) error {
 	if r.version == "" || time.Since(r.listed) > defaultRelist {
-		return r.take(r.API.List(ctx, r.Kind))
+		return r.handle(r.API.List(ctx, r.Kind))
 	}
 	changes, err := r.API.Changes(ctx, r.Kind, r.version, wait)
 	if IsGone(err) {
-		return r.take(r.API.List(ctx, r.Kind))
+		return r.handle(r.API.List(ctx, r.Kind))
 	}
 	if err != nil {
 		return err
@@ -73,7 +73,7 @@
 }
 
 // take takes in a read of all objects, or returns why it failed.
-func (r *Reader) take(list *List, err error) error {
+func (r *Reader) handle(list *List, err error) error {
 	if err != nil {
 		return err
 	}
--- a/objectapi/whole.go
+++ b/objectapi/whole.go
@@ -9,7 +9,7 @@
 // ReadWhole reads all objects as they are now. A platform may answer this while its watches
 // hear nothing.
 func (r *Reader) ReadAll(ctx context.Context) error {
-	return r.take(r.API.List(ctx, r.Kind))
+	return r.handle(r.API.List(ctx, r.Kind))
 }
 
 // IsUnanswered returns whether err says that a call got no answer, or none that says what
