--- a/settings/check.go
+++ b/settings/check.go
@@ -51,12 +51,12 @@
 
 // checker gathers faults.
 type checker struct {
-	faults SettingErrors
+	errs SettingErrors
 }
 
 func (c *checker) add(ok bool, key, format string, args ...any) {
 	if !ok {
-		c.faults = append(c.faults, SettingError{
+		c.errs = append(c.errs, SettingError{
 			Key:     key,
 			Message: fmt.Sprintf(format, args...),
 		})
@@ -145,7 +145,7 @@
 	within(c, "processors", s.Processors, 0, 1024)
 	_, ok := route.ByName(s.Policy)
 	c.add(ok, "policy", "%q is not twoChoice, random, roundRobin, leastOutstanding or hotCold", s.Policy)
-	return c.faults
+	return c.errs
 }
 
 // PeerList returns the addresses in Peers.
--- a/settings/read.go
+++ b/settings/read.go
@@ -39,42 +39,42 @@
 	}
 	f.name = fs.Lookup(configFlag).Value.String()
 	s.File = f.name
-	faults := f.faults
-	for _, fault := range s.Check() {
-		if _, set := f.broken[fault.Key]; !set {
-			faults = append(faults, fault)
+	errs := f.errs
+	for _, settingErr := range s.Check() {
+		if _, set := f.invalid[settingErr.Key]; !set {
+			errs = append(errs, settingErr)
 		}
 	}
-	f.locate(faults)
-	if len(faults) > 0 {
-		return nil, faults
+	f.locate(errs)
+	if len(errs) > 0 {
+		return nil, errs
 	}
 	return s, nil
 }
 
 // file reads settings from YAML.
 type file struct {
-	flags  *flag.FlagSet
-	name   string
-	lines  map[string]int
-	broken map[string]bool // settings whose value in the file can't be read
-	faults SettingErrors
+	flags   *flag.FlagSet
+	name    string
+	lines   map[string]int
+	invalid map[string]bool // settings whose value in the file can't be read
+	errs    SettingErrors
 }
 
 // locate fills in where faulty settings were set.
-func (f *file) locate(faults SettingErrors) {
-	for i := range faults {
-		if line, ok := f.lines[faults[i].Key]; ok {
-			faults[i].File = f.name
-			faults[i].Line = line
+func (f *file) locate(errs SettingErrors) {
+	for i := range errs {
+		if line, ok := f.lines[errs[i].Key]; ok {
+			errs[i].File = f.name
+			errs[i].Line = line
 		}
 	}
 }
 
-func (f *file) fault(key string, line int, message string) {
+func (f *file) addError(key string, line int, message string) {
 	f.lines[key] = line
-	f.broken[key] = true
-	f.faults = append(f.faults, SettingError{
+	f.invalid[key] = true
+	f.errs = append(f.errs, SettingError{
 		Key:     key,
 		Message: message,
 	})
@@ -87,7 +87,7 @@
 // at the first one.
 func (f *file) parse(r io.Reader, set func(name, value string) error) error {
 	f.lines = make(map[string]int)
-	f.broken = make(map[string]bool)
+	f.invalid = make(map[string]bool)
 	data, err := io.ReadAll(r)
 	if err != nil {
 		return err
@@ -98,7 +98,7 @@
 		if m := yamlLine.FindStringSubmatch(err.Error()); m != nil {
 			line, _ = strconv.Atoi(m[1])
 		}
-		f.fault("(file)", line, err.Error())
+		f.addError("(file)", line, err.Error())
 		return nil
 	}
 	if len(doc.Content) == 0 {
@@ -106,7 +106,7 @@
 	}
 	root := doc.Content[0]
 	if root.Kind != yaml.MappingNode {
-		f.fault("(file)", root.Line, "not a list of settings and their values")
+		f.addError("(file)", root.Line, "not a list of settings and their values")
 		return nil
 	}
 	for i := 0; i+1 < len(root.Content); i += 2 {
@@ -122,21 +122,21 @@
 	known := f.flags.Lookup(name) != nil && name != configFlag
 	switch {
 	case !known:
-		f.fault(name, key.Line, "unknown setting")
+		f.addError(name, key.Line, "unknown setting")
 	case twice:
-		f.fault(name, key.Line, "set twice")
+		f.addError(name, key.Line, "set twice")
 	case value.Kind != yaml.ScalarNode:
-		f.fault(name, key.Line, "not a single value")
+		f.addError(name, key.Line, "not a single value")
 	default:
 		f.lines[name] = key.Line
-		if err := f.try(name, value.Value, set); err != nil {
-			f.fault(name, key.Line, err.Error())
+		if err := f.setFlag(name, value.Value, set); err != nil {
+			f.addError(name, key.Line, err.Error())
 		}
 	}
 }
 
 // try has a value parsed by its flag.
-func (f *file) try(name, value string, set func(name, value string) error) error {
+func (f *file) setFlag(name, value string, set func(name, value string) error) error {
 	err := set(name, value)
 	if err == nil {
 		return nil
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -64,12 +64,12 @@
 				qt.Check(t, s.Zone, qt.Equals, "z")
 				return
 			}
-			faults, ok := errors.AsType[settings.SettingErrors](err)
+			errs, ok := errors.AsType[settings.SettingErrors](err)
 			qt.Assert(t, ok, qt.IsTrue, qt.Commentf("%v", err))
 			for _, w := range test.want {
 				qt.Check(t, err.Error(), qt.Contains, w)
 			}
-			qt.Check(t, len(faults) >= len(test.want), qt.IsTrue)
+			qt.Check(t, len(errs) >= len(test.want), qt.IsTrue)
 		})
 	}
 }
@@ -103,7 +103,7 @@
 }
 
 // TestDrainWithin has nodes that know how long they may live after SIGTERM, and nodes that don't.
-func TestDrainWithin(t *testing.T) {
+func TestDrainDeadline(t *testing.T) {
 	tests := map[string]struct {
 		grace, leave, drain time.Duration
 		wantLeave, want     time.Duration
