--- a/objectapi/jsonclient.go
+++ b/objectapi/jsonclient.go
@@ -97,7 +97,7 @@
 		return era, nil
 	}
 	if err := json.Unmarshal(data, response); err != nil {
-		return era, readError(eris.Wrap(err, "response"))
+		return era, readError(eris.Wrap(err, "answer"))
 	}
 	return era, nil
 }
--- a/objectapi/objectapi_test.go
+++ b/objectapi/objectapi_test.go
@@ -87,14 +87,14 @@
 		verdict verdict.Verdict // of the write; Ran means no error
 		effect  bool
 	}{
-		"none":            {readOK: true, verdict: verdict.Ran, effect: true},
-		"down":            {faults: objectapitest.Faults{Down: true}, verdict: verdict.MayHaveRun},
-		"hangs":           {faults: objectapitest.Faults{Hang: true}, verdict: verdict.MayHaveRun},
-		"slow":            {faults: objectapitest.Faults{DelayMillis: 50}, readOK: true, verdict: verdict.Ran, effect: true},
-		"too slow":        {faults: objectapitest.Faults{DelayMillis: 600}, verdict: verdict.MayHaveRun, effect: true},
-		"5xx":             {faults: objectapitest.Faults{FailureRatio: 1}, verdict: verdict.MayHaveRun},
-		"lost response":   {faults: objectapitest.Faults{LoseWrites: 1}, readOK: true, verdict: verdict.MayHaveRun, effect: true},
-		"malformed reads": {faults: objectapitest.Faults{MalformedReads: 1}, verdict: verdict.Ran, effect: true},
+		"none":          {readOK: true, verdict: verdict.Ran, effect: true},
+		"down":          {faults: objectapitest.Faults{Down: true}, verdict: verdict.MayHaveRun},
+		"hangs":         {faults: objectapitest.Faults{Hang: true}, verdict: verdict.MayHaveRun},
+		"slow":          {faults: objectapitest.Faults{DelayMillis: 50}, readOK: true, verdict: verdict.Ran, effect: true},
+		"too slow":      {faults: objectapitest.Faults{DelayMillis: 600}, verdict: verdict.MayHaveRun, effect: true},
+		"5xx":           {faults: objectapitest.Faults{FailureRatio: 1}, verdict: verdict.MayHaveRun},
+		"lost response": {faults: objectapitest.Faults{LoseWrites: 1}, readOK: true, verdict: verdict.MayHaveRun, effect: true},
+		"garbage":       {faults: objectapitest.Faults{MalformedReads: 1}, verdict: verdict.Ran, effect: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -206,7 +206,7 @@
 		"repeated events": {faults: objectapitest.Faults{RepeatEvents: 1}},
 		"silent watches":  {faults: objectapitest.Faults{SilentWatches: true}},
 		"failing":         {faults: objectapitest.Faults{FailureRatio: 0.5}},
-		"malformed reads": {faults: objectapitest.Faults{MalformedReads: 0.5}},
+		"garbage":         {faults: objectapitest.Faults{MalformedReads: 0.5}},
 		"dropped history": {dropHistory: true},
 	}
 	for name, test := range tests {
