--- a/settings/check.go
+++ b/settings/check.go
@@ -15,33 +15,33 @@
 	"sassafrasfront.example/route"
 )
 
-// Fault is what is wrong with one setting.
+// SettingError is an error in one setting.
 type SettingError struct {
 	// Key is the name of the setting.
 	Key string
-	// File and Line say where it was set, if that was in a file.
+	// File and Line are where it was set, if that was in a file.
 	File string
 	Line int
-	// Message says what is wrong, and what would be right.
+	// Message says what is wrong and what is allowed.
 	Message string
 }
 
-// String returns the fault as one line.
-func (f SettingError) String() string {
-	where := f.Key
-	if f.File != "" {
-		where = fmt.Sprintf("%s:%d: %s", f.File, f.Line, f.Key)
+// String returns the error as one line.
+func (e SettingError) String() string {
+	where := e.Key
+	if e.File != "" {
+		where = fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Key)
 	}
-	return where + ": " + f.Message
+	return where + ": " + e.Message
 }
 
-// Faults are all faults of the settings. They are an error if there are any.
+// SettingErrors are all errors in the settings. They are an error if there are any.
 type SettingErrors []SettingError
 
 // Error implements the error interface.
-func (f SettingErrors) Error() string {
-	lines := make([]string, len(f))
-	for i, x := range f {
+func (e SettingErrors) Error() string {
+	lines := make([]string, len(e))
+	for i, x := range e {
 		lines[i] = x.String()
 	}
 	return strings.Join(lines, "\n")
@@ -49,7 +49,7 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([-a-z0-9.]{0,61}[a-z0-9])?$`)
 
-// checker gathers faults.
+// checker collects errors.
 type checker struct {
 	errs SettingErrors
 }
@@ -70,7 +70,7 @@
 func (c *checker) address(key, v string, loopback bool) {
 	host, port, err := net.SplitHostPort(v)
 	ip := net.ParseIP(host)
-	c.add(err == nil && ip != nil && port != "", key, "%q is not an IP number and port", v)
+	c.add(err == nil && ip != nil && port != "", key, "%q is not an IP address and port", v)
 	c.add(err != nil || ip == nil || !loopback || ip.IsLoopback(), key, "%q is not on loopback", v)
 }
 
@@ -83,7 +83,7 @@
 	c.add(v >= low && v <= high, key, "%v is not within %v and %v", v, low, high)
 }
 
-// Check returns the faults of s.
+// Check returns the errors in s.
 func (s *Settings) Check() SettingErrors {
 	c := new(checker)
 	c.name("node", s.Node)
@@ -151,12 +151,12 @@
 // PeerList returns the addresses in Peers.
 func (s *Settings) PeerList() []string { return split(s.Peers) }
 
-// FirstPeers returns the addresses in Peers and those of the nodes at Seeds.
+// FirstPeers returns the addresses in Peers and the peer addresses of the nodes in Seeds.
 func (s *Settings) FirstPeers() []string {
 	list := s.PeerList()
 	_, port, err := net.SplitHostPort(s.EffectivePeerAddress())
 	if err != nil {
-		return list // which Check refuses
+		return list // Check reports the error
 	}
 	for _, a := range split(s.Seeds) {
 		if host, _, err := net.SplitHostPort(a); err == nil {
@@ -166,7 +166,7 @@
 	return list
 }
 
-// split returns the parts of a text that commas separate, without space around them.
+// split returns the elements of a comma-separated list, without surrounding space.
 func split(text string) []string {
 	var list []string
 	for p := range strings.SplitSeq(text, ",") {
--- a/settings/doc.go
+++ b/settings/doc.go
@@ -6,7 +6,7 @@
 // environment variables, and checks them.
 //
 // Each setting has one name, in camel case: pledge: x in the file, -pledge x on
-// the command line, SASSAFRAS_PLEDGE=x in the environment. A flag goes before a
-// variable, and that before the file. All faults are reported at once, those in
-// the file with their line.
+// the command line, SASSAFRAS_PLEDGE=x in the environment. Flags take precedence
+// over variables, and variables over the file. All errors are reported at once,
+// those in the file with their line.
 package settings
--- a/settings/read.go
+++ b/settings/read.go
@@ -15,15 +15,15 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// EnvPrefix starts the names of the environment variables.
+// EnvPrefix is the prefix of the names of the environment variables.
 const EnvPrefix = "SASSAFRAS"
 
-// configFlag names the file.
+// configFlag is the flag that names the file.
 const configFlag = "config"
 
 // Read reads the settings from the arguments, the environment and the file that
-// -config names, and checks them. Faults are returned as Faults; any other
-// error says that the arguments or the file could not be read at all.
+// -config names, and checks them. Invalid settings are returned as SettingErrors; any
+// other error says that the arguments or the file could not be read at all.
 func Read(fs *flag.FlagSet, args []string) (*Settings, error) {
 	s := new(Settings)
 	s.Register(fs)
@@ -57,11 +57,11 @@
 	flags   *flag.FlagSet
 	name    string
 	lines   map[string]int
-	invalid map[string]bool // settings whose value in the file can't be read
+	invalid map[string]bool // settings whose value in the file is invalid
 	errs    SettingErrors
 }
 
-// locate fills in where faulty settings were set.
+// locate fills in where the invalid settings were set.
 func (f *file) locate(errs SettingErrors) {
 	for i := range errs {
 		if line, ok := f.lines[errs[i].Key]; ok {
@@ -80,10 +80,10 @@
 	})
 }
 
-// yamlLine finds the line in an error of the YAML library.
+// yamlLine matches the line number in an error of the YAML library.
 var yamlLine = regexp.MustCompile(`line (\d+)`)
 
-// parse implements ff.ConfigFileParser. It gathers faults rather than stopping
+// parse implements ff.ConfigFileParser. It collects errors rather than stopping
 // at the first one.
 func (f *file) parse(r io.Reader, set func(name, value string) error) error {
 	f.lines = make(map[string]int)
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// set takes in one setting of the file.
+// set applies one setting of the file.
 func (f *file) set(key, value *yaml.Node, set func(name, value string) error) {
 	name := key.Value
 	_, twice := f.lines[name]
@@ -135,11 +135,11 @@
 	}
 }
 
-// try has a value parsed by its flag.
+// setFlag sets a flag and returns an error if it can't parse the value.
 func (f *file) setFlag(name, value string, set func(name, value string) error) error {
 	err := set(name, value)
 	if err == nil {
 		return nil
 	}
-	return eris.Errorf("%q can't be read: %v", value, eris.Cause(err))
+	return eris.Errorf("%q is not a valid value: %v", value, eris.Cause(err))
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -28,7 +28,7 @@
 	return settings.Read(fs, append([]string{"-config", name}, args...))
 }
 
-// TestRead has one row for each kind of fault. Each wanted text is a line of
+// TestRead has one row for each kind of error. Each wanted text is part of a line of
 // the error.
 func TestRead(t *testing.T) {
 	tests := map[string]struct {
@@ -36,25 +36,25 @@
 		args []string
 		want []string
 	}{
-		"good":              {yaml: good},
-		"flag before file":  {yaml: good + "logLevel: loud\n", args: []string{"-logLevel", "debug"}},
-		"unknown key":       {yaml: good + "zones: x\n", want: []string{"node.yaml:5: zones: unknown setting"}},
-		"set twice":         {yaml: good + "zone: x\n", want: []string{"node.yaml:5: zone: set twice"}},
-		"list":              {yaml: good + "peers: [a]\n", want: []string{"node.yaml:5: peers: not a single value"}},
-		"bad number":        {yaml: good + "reportBytes: many\n", want: []string{"node.yaml:5: reportBytes: "}},
-		"out of range":      {yaml: good + "traceSample: 2\n", want: []string{"node.yaml:5: traceSample: 2 is not within 0 and 1"}},
-		"bad address":       {yaml: good + "peerAddress: localhost:1\n", want: []string{"node.yaml:5: peerAddress: "}},
-		"not on loopback":   {yaml: good + "announceAddress: 10.0.0.1:1\n", want: []string{"announceAddress: \"10.0.0.1:1\" is not on loopback"}},
-		"bad flag value":    {yaml: good, args: []string{"-lease", "1ms"}, want: []string{"lease: 1ms is not within"}},
-		"missing":           {yaml: "zone: z\n", want: []string{"node: ", "region: ", "platformURL: "}},
-		"all at once":       {yaml: good + "zones: x\nlease: soon\npolicy: best\n", want: []string{":5: zones", ":6: lease", ":7: policy"}},
-		"not YAML":          {yaml: "node: [\n", want: []string{"node.yaml:"}},
-		"not a mapping":     {yaml: "- a\n", want: []string{"not a list of settings"}},
-		"empty":             {yaml: "", want: []string{"node: "}},
-		"short grace":       {yaml: good + "gracePeriod: 900ms\n", want: []string{"node.yaml:5: gracePeriod: 900ms is not 0, nor within 1s"}},
-		"least grace":       {yaml: good + "leaveDelay: 2s\ngracePeriod: 1s\n"},
-		"bad seed":          {yaml: good + "seeds: 127.0.0.1:1, somewhere\n", want: []string{"node.yaml:5: seeds: \"somewhere\""}},
-		"peers in place of": {yaml: "node: a\nregion: r\nzone: z\npeers: 127.0.0.1:1, 127.0.0.1:2\n"},
+		"good":                     {yaml: good},
+		"flag before file":         {yaml: good + "logLevel: loud\n", args: []string{"-logLevel", "debug"}},
+		"unknown key":              {yaml: good + "zones: x\n", want: []string{"node.yaml:5: zones: unknown setting"}},
+		"set twice":                {yaml: good + "zone: x\n", want: []string{"node.yaml:5: zone: set twice"}},
+		"list":                     {yaml: good + "peers: [a]\n", want: []string{"node.yaml:5: peers: not a single value"}},
+		"bad number":               {yaml: good + "reportBytes: many\n", want: []string{"node.yaml:5: reportBytes: "}},
+		"out of range":             {yaml: good + "traceSample: 2\n", want: []string{"node.yaml:5: traceSample: 2 is not within 0 and 1"}},
+		"bad address":              {yaml: good + "peerAddress: localhost:1\n", want: []string{"node.yaml:5: peerAddress: "}},
+		"not on loopback":          {yaml: good + "announceAddress: 10.0.0.1:1\n", want: []string{"announceAddress: \"10.0.0.1:1\" is not on loopback"}},
+		"bad flag value":           {yaml: good, args: []string{"-lease", "1ms"}, want: []string{"lease: 1ms is not within"}},
+		"missing":                  {yaml: "zone: z\n", want: []string{"node: ", "region: ", "platformURL: "}},
+		"several errors":           {yaml: good + "zones: x\nlease: soon\npolicy: best\n", want: []string{":5: zones", ":6: lease", ":7: policy"}},
+		"not YAML":                 {yaml: "node: [\n", want: []string{"node.yaml:"}},
+		"not a mapping":            {yaml: "- a\n", want: []string{"not a list of settings"}},
+		"empty":                    {yaml: "", want: []string{"node: "}},
+		"short grace":              {yaml: good + "gracePeriod: 900ms\n", want: []string{"node.yaml:5: gracePeriod: 900ms is not 0, nor within 1s"}},
+		"shortest grace":           {yaml: good + "leaveDelay: 2s\ngracePeriod: 1s\n"},
+		"bad seed":                 {yaml: good + "seeds: 127.0.0.1:1, somewhere\n", want: []string{"node.yaml:5: seeds: \"somewhere\""}},
+		"peers without a platform": {yaml: "node: a\nregion: r\nzone: z\npeers: 127.0.0.1:1, 127.0.0.1:2\n"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -74,8 +74,7 @@
 	}
 }
 
-// TestFirstPeers has settings name nodes by their peer addresses, and instances by addresses on
-// other ports.
+// TestFirstPeers reads peer addresses, and seeds with other ports.
 func TestFirstPeers(t *testing.T) {
 	tests := map[string]struct {
 		yaml string
@@ -102,7 +101,7 @@
 	}
 }
 
-// TestDrainWithin has nodes that know how long they may live after SIGTERM, and nodes that don't.
+// TestDrainDeadline has nodes with and without a known grace period.
 func TestDrainDeadline(t *testing.T) {
 	tests := map[string]struct {
 		grace, leave, drain time.Duration
@@ -132,8 +131,8 @@
 	qt.Check(t, s.Zone, qt.Equals, "fromenv")
 }
 
-// TestExampleNamesEverySetting loads the documented example, and checks that it
-// has each setting with its default.
+// TestExampleNamesEverySetting reads the documented example and checks that it has each
+// setting with its default.
 func TestExampleNamesEverySetting(t *testing.T) {
 	data, err := os.ReadFile("../cmd/sassafrasnode/example.yaml")
 	qt.Assert(t, err, qt.IsNil)
