--- a/acceptance/accept.go
+++ b/acceptance/accept.go
@@ -23,28 +23,28 @@
 }
 
 // acceptTries bounds the tries of one Accept against other representatives.
-const acceptTries = 5
+const acceptAttempts = 5
 
 // Accept makes an intent the configuration in force, unless that has been done
 // or the intent is invalid. Any number of representatives may do so at once, and each
 // may be paused at any point: the conditional write decides.
 func Accept(ctx context.Context, api objectapi.API, in Intent) (Result, error) {
 	var lastErr error
-	for range acceptTries {
-		present, err := api.Get(ctx, operator.KindAccepted, in.Name)
+	for range acceptAttempts {
+		current, err := api.Get(ctx, operator.KindAccepted, in.Name)
 		if objectapi.IsNotFound(err) {
-			present, err = nil, nil
+			current, err = nil, nil
 		}
 		if err != nil {
 			return Result{}, err
 		}
-		d, err := Decide(in, present, time.Now())
+		d, err := Decide(in, current, time.Now())
 		if err != nil {
 			return Result{}, err
 		}
 		if d.Write == nil {
 			return Result{
-				Object: present,
+				Object: current,
 				Errors: d.Errors,
 			}, nil
 		}
--- a/acceptance/acceptance_test.go
+++ b/acceptance/acceptance_test.go
@@ -32,30 +32,30 @@
 func TestDecide(t *testing.T) {
 	valid, invalid := []byte(`{"hosts":["a"]}`), []byte(`{"hosts":[]}`)
 	tests := map[string]struct {
-		present  *objectapi.Object
+		current  *objectapi.Object
 		source   uint64
 		spec     []byte
 		sequence uint64 // of the write, or 0
 		deleted  bool
-		refused  bool
+		invalid  bool
 	}{
 		"first":                             {source: 1, spec: valid, sequence: 1},
-		"newer":                             {present: accepted(4, 8, false), source: 9, spec: valid, sequence: 5},
-		"the same again":                    {present: accepted(4, 9, false), source: 9, spec: valid},
-		"older, by a paused representative": {present: accepted(4, 9, false), source: 8, spec: valid},
-		"invalid":                           {present: accepted(4, 8, false), source: 9, spec: invalid, refused: true},
-		"invalid and old":                   {present: accepted(4, 9, false), source: 8, spec: invalid},
-		"deleted":                           {present: accepted(4, 8, false), source: 9, sequence: 5, deleted: true},
-		"deleted before":                    {present: accepted(4, 8, true), source: 9},
+		"newer":                             {current: accepted(4, 8, false), source: 9, spec: valid, sequence: 5},
+		"the same again":                    {current: accepted(4, 9, false), source: 9, spec: valid},
+		"older, by a paused representative": {current: accepted(4, 9, false), source: 8, spec: valid},
+		"invalid":                           {current: accepted(4, 8, false), source: 9, spec: invalid, invalid: true},
+		"invalid and old":                   {current: accepted(4, 9, false), source: 8, spec: invalid},
+		"deleted":                           {current: accepted(4, 8, false), source: 9, sequence: 5, deleted: true},
+		"deleted before":                    {current: accepted(4, 8, true), source: 9},
 		"never there":                       {source: 9},
-		"gone from an old list":             {present: accepted(4, 9, false), source: 8},
-		"created again":                     {present: accepted(4, 8, true), source: 9, spec: valid, sequence: 5},
+		"gone from an old list":             {current: accepted(4, 9, false), source: 8},
+		"created again":                     {current: accepted(4, 8, true), source: 9, spec: valid, sequence: 5},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			d, err := acceptance.Decide(acceptance.Intent{Name: "pledgebook", Source: test.source, Spec: test.spec}, test.present, time.Now())
+			d, err := acceptance.Decide(acceptance.Intent{Name: "pledgebook", Source: test.source, Spec: test.spec}, test.current, time.Now())
 			qt.Assert(t, err, qt.IsNil)
-			qt.Check(t, len(d.Errors) > 0, qt.Equals, test.refused)
+			qt.Check(t, len(d.Errors) > 0, qt.Equals, test.invalid)
 			if test.sequence == 0 {
 				qt.Check(t, d.Write == nil, qt.IsTrue)
 				return
@@ -65,7 +65,7 @@
 			qt.Assert(t, err, qt.IsNil)
 			qt.Check(t, a.Sequence, qt.Equals, test.sequence)
 			qt.Check(t, a.Deleted, qt.Equals, test.deleted)
-			if test.present != nil {
+			if test.current != nil {
 				qt.Check(t, d.Write.Metadata.ResourceVersion, qt.Equals, "7")
 			}
 		})
@@ -85,12 +85,12 @@
 
 // paused is an API whose holder is paused between its read and its write, while
 // between acts.
-type paused struct {
+type pausedAPI struct {
 	objectapi.API
 	between func()
 }
 
-func (p *paused) Get(ctx context.Context, kind, name string) (*objectapi.Object, error) {
+func (p *pausedAPI) Get(ctx context.Context, kind, name string) (*objectapi.Object, error) {
 	o, err := p.API.Get(ctx, kind, name)
 	if f := p.between; f != nil {
 		p.between = nil
@@ -106,7 +106,7 @@
 	_, api := start(t)
 	old := acceptance.Intent{Name: "a", Source: 5, Spec: []byte(`{"hosts":["old"]}`)}
 	next := acceptance.Intent{Name: "a", Source: 6, Spec: []byte(`{"hosts":["next"]}`)}
-	slow := &paused{API: api, between: func() {
+	slow := &pausedAPI{API: api, between: func() {
 		_, err := acceptance.Accept(ctx, api, next)
 		qt.Assert(t, err, qt.IsNil)
 	}}
@@ -162,7 +162,7 @@
 	qt.Check(t, a.Service.Hosts, qt.DeepEquals, []string{fmt.Sprintf("h%d", intents)})
 }
 
-func TestConfigSurvivesTheObject(t *testing.T) {
+func TestConfigFromAcceptedObject(t *testing.T) {
 	d, err := acceptance.Decide(acceptance.Intent{Name: "a", Source: 1, Spec: []byte(`{"hosts":["x"],"policy":"random"}`)}, nil, time.Now())
 	qt.Assert(t, err, qt.IsNil)
 	a, err := objectapi.DecodeSpec[operator.Accepted](d.Write)
--- a/acceptance/decide.go
+++ b/acceptance/decide.go
@@ -47,11 +47,11 @@
 // An intent that is not newer than the one in force is done already: a representative
 // that was paused, or reads old state, then writes nothing. If the present
 // object is itself out of date, the conditional write fails.
-func Decide(in Intent, present *objectapi.Object, now time.Time) (Decision, error) {
+func Decide(in Intent, current *objectapi.Object, now time.Time) (Decision, error) {
 	var accepted operator.Accepted
-	if present != nil {
+	if current != nil {
 		var err error
-		if accepted, err = objectapi.DecodeSpec[operator.Accepted](present); err != nil {
+		if accepted, err = objectapi.DecodeSpec[operator.Accepted](current); err != nil {
 			return Decision{}, err
 		}
 	}
@@ -64,25 +64,25 @@
 		AcceptedAt:    now.UTC(),
 	}
 	if in.Spec == nil {
-		if present == nil || accepted.Deleted {
+		if current == nil || accepted.Deleted {
 			return Decision{}, nil
 		}
 		next.Deleted = true
-		return Decision{Write: object(in.Name, next, present)}, nil
+		return Decision{Write: object(in.Name, next, current)}, nil
 	}
 	if f := operator.CheckName(in.Name); len(f) > 0 {
 		return Decision{Errors: f}, nil
 	}
 	s, err := operator.ParseService(in.Spec)
 	if err != nil {
-		return Decision{Errors: faultsOf(err)}, nil
+		return Decision{Errors: fieldErrors(err)}, nil
 	}
 	next.Service = s
-	return Decision{Write: object(in.Name, next, present)}, nil
+	return Decision{Write: object(in.Name, next, current)}, nil
 }
 
 // faultsOf returns an error of ParseService as faults.
-func faultsOf(err error) operator.FieldErrors {
+func fieldErrors(err error) operator.FieldErrors {
 	if f, ok := errors.AsType[operator.FieldErrors](err); ok {
 		return f
 	}
@@ -93,10 +93,10 @@
 }
 
 // object returns the Accepted object that replaces the present one.
-func object(name string, a operator.Accepted, present *objectapi.Object) *objectapi.Object {
+func object(name string, a operator.Accepted, current *objectapi.Object) *objectapi.Object {
 	o := objectapi.NewObject(operator.KindAccepted, name, a)
-	if present != nil {
-		o = o.WithResourceVersion(present.Metadata.ResourceVersion)
+	if current != nil {
+		o = o.WithResourceVersion(current.Metadata.ResourceVersion)
 	}
 	return o
 }
--- a/acceptance/evacuated.go
+++ b/acceptance/evacuated.go
@@ -22,10 +22,10 @@
 
 // stoodPrefix begins the names of the Configs which say that a zone has stood on the platform in
 // an era, though the platform had lost it. They end with the zone's.
-const stoodPrefix = "*stood:"
+const seenZonePrefix = "*stood:"
 
 // StoodName returns the name of the Config which says that a zone has stood on the platform.
-func SeenZoneName(zone string) string { return stoodPrefix + zone }
+func SeenZoneName(zone string) string { return seenZonePrefix + zone }
 
 // FromStood returns that a zone has stood on the platform in an era, as nodes pass it on.
 func FromSeenZone(zone string, era uint64) Config {
@@ -37,7 +37,7 @@
 
 // Stood returns the zone that a Config of FromStood names. The second result is false if c is
 // none.
-func (c Config) SeenZone() (zone string, ok bool) { return strings.CutPrefix(c.Name, stoodPrefix) }
+func (c Config) SeenZone() (zone string, ok bool) { return strings.CutPrefix(c.Name, seenZonePrefix) }
 
 // FromZones returns evacuated zones as nodes pass them on. Its rank is the Point at which
 // they were found.
