--- a/operator/service.go
+++ b/operator/service.go
@@ -232,8 +232,8 @@
 		return s, eris.New("spec: more than one value")
 	}
 	s = s.WithDefaults()
-	if f := s.Check(); len(f) > 0 {
-		return s, f
+	if errs := s.Check(); len(errs) > 0 {
+		return s, errs
 	}
 	return s, nil
 }
