--- a/acceptance/accept.go
+++ b/acceptance/accept.go
@@ -12,22 +12,22 @@
 	"sassafrasfront.example/operator"
 )
 
-// Accepted is what became of an intent.
+// Result is the result of accepting an intent.
 type Result struct {
-	// Object is the Accepted object as it now is, or nil if there is none.
+	// Object is the current Accepted object, or nil if there is none.
 	Object *objectapi.Object
-	// Wrote is whether this call wrote it.
+	// Written is whether this call wrote it.
 	Written bool
-	// Refused says why the intent is invalid, if it is.
+	// Errors say why the intent is invalid, if it is.
 	Errors operator.FieldErrors
 }
 
-// acceptTries bounds the tries of one Accept against other representatives.
+// acceptAttempts bounds the attempts of one Accept that conflict with other representatives.
 const acceptAttempts = 5
 
-// Accept makes an intent the configuration in force, unless that has been done
-// or the intent is invalid. Any number of representatives may do so at once, and each
-// may be paused at any point: the conditional write decides.
+// Accept makes an intent the active configuration, unless it already is or is invalid.
+// Several representatives may do so concurrently, and each may be paused at any point:
+// the conditional write decides.
 func Accept(ctx context.Context, api objectapi.API, in Intent) (Result, error) {
 	var lastErr error
 	for range acceptAttempts {
--- a/acceptance/acceptance_test.go
+++ b/acceptance/acceptance_test.go
@@ -35,7 +35,7 @@
 		current  *objectapi.Object
 		source   uint64
 		spec     []byte
-		sequence uint64 // of the write, or 0
+		sequence uint64 // of the object to write, or 0 for none
 		deleted  bool
 		invalid  bool
 	}{
@@ -47,8 +47,8 @@
 		"invalid and old":                   {current: accepted(4, 9, false), source: 8, spec: invalid},
 		"deleted":                           {current: accepted(4, 8, false), source: 9, sequence: 5, deleted: true},
 		"deleted before":                    {current: accepted(4, 8, true), source: 9},
-		"never there":                       {source: 9},
-		"gone from an old list":             {current: accepted(4, 9, false), source: 8},
+		"never existed":                     {source: 9},
+		"missing from an old list":          {current: accepted(4, 9, false), source: 8},
 		"created again":                     {current: accepted(4, 8, true), source: 9, spec: valid, sequence: 5},
 	}
 	for name, test := range tests {
@@ -83,8 +83,8 @@
 	return s, &objectapi.Client{JSONClient: objectapi.JSONClient{URL: h.URL, Timeout: time.Second}, Namespace: "test"}
 }
 
-// paused is an API whose holder is paused between its read and its write, while
-// between acts.
+// pausedAPI is an API that calls between after its first Get, as if its user were paused
+// between its read and its write.
 type pausedAPI struct {
 	objectapi.API
 	between func()
@@ -99,8 +99,8 @@
 	return o, err
 }
 
-// TestPausedRepresentativeIsHarmless has one representative read, then another accept a newer
-// intent, and then the first go on with its old one.
+// TestPausedRepresentativeIsHarmless guards against an old configuration that overwrites a newer
+// one: a representative is paused after its read, while another one accepts a newer intent.
 func TestPausedRepresentativeIsHarmless(t *testing.T) {
 	ctx := context.Background()
 	_, api := start(t)
@@ -119,9 +119,9 @@
 	qt.Check(t, a.Sequence, qt.Equals, uint64(1))
 }
 
-// TestRepresentativesRace has three representatives accept a stream of intents at once, with
-// answers lost. The sequences that they see form one growing history, and the
-// last intent is in force at the end.
+// TestRepresentativesRace has three representatives accept a series of intents concurrently
+// while responses are lost. The sequences that they see must form one history, and the last
+// intent must be active at the end.
 func TestRepresentativesRace(t *testing.T) {
 	ctx := context.Background()
 	s, api := start(t)
--- a/acceptance/config.go
+++ b/acceptance/config.go
@@ -14,27 +14,27 @@
 	"sassafrasfront.example/operator"
 )
 
-// Config is the configuration of one service as nodes pass it on. It is an
+// Config is the configuration of one service in the form that nodes exchange. It is an
 // immutable value.
 type Config struct {
 	// Name is the name of the service.
 	Name string `msgpack:"name"`
-	// Era is the platform's for what is numbered by its revisions, and 0 for all else.
+	// Era is the platform's era if Sequence is a revision of the platform, and 0 otherwise.
 	Era uint64 `msgpack:"era,omitempty"`
-	// Sequence is that of the Accepted object.
+	// Sequence is the sequence of the Accepted object.
 	Sequence uint64 `msgpack:"sequence"`
-	// At is when it was accepted.
+	// At is when the configuration was accepted.
 	At time.Time `msgpack:"at"`
 	// Deleted is whether the service was deleted.
 	Deleted bool `msgpack:"deleted,omitempty"`
-	// Spec is the operator.Service as JSON.
+	// Spec is the operator.Service, encoded as JSON.
 	Spec []byte `msgpack:"spec,omitempty"`
 }
 
 // Key implements gossip.Record.
 func (c Config) Key() string { return c.Name }
 
-// Rank implements gossip.Record.
+// GossipVersion implements gossip.Record.
 func (c Config) GossipVersion() gossip.Version {
 	return gossip.Version{
 		Major: c.Era,
@@ -42,7 +42,7 @@
 	}
 }
 
-// Service returns the configuration as a value.
+// Service decodes the configuration.
 func (c Config) Service() (operator.Service, error) {
 	var s operator.Service
 	if err := json.Unmarshal(c.Spec, &s); err != nil {
@@ -51,8 +51,8 @@
 	return s.WithDefaults(), nil
 }
 
-// FromAccepted returns the configuration that the Accepted object of a service
-// holds. It panics if the service can't be encoded.
+// FromAccepted returns the configuration in the Accepted object of a service. It panics if the
+// service can't be encoded.
 func FromAccepted(name string, a operator.Accepted) Config {
 	spec, err := json.Marshal(a.Service)
 	if err != nil {
--- a/acceptance/decide.go
+++ b/acceptance/decide.go
@@ -12,18 +12,18 @@
 	"sassafrasfront.example/operator"
 )
 
-// Intent is what is known of an operator's wish for one service.
+// Intent is an operator's intent for one service, as it was read.
 type Intent struct {
 	// Name is the name of the service.
 	Name string
 	// Source is the resource version of the Service object, of its deletion,
-	// or of a list that does not have it.
+	// or of a list that does not contain it.
 	Source uint64
-	// Spec is the spec of the Service object, or nil if it is gone.
+	// Spec is the spec of the Service object, or nil if the object does not exist.
 	Spec []byte
 }
 
-// IntentOf returns the intent that a Service object states.
+// NewIntent returns the intent of a Service object.
 func NewIntent(o *objectapi.Object) Intent {
 	return Intent{
 		Name:   o.Metadata.Name,
@@ -34,18 +34,18 @@
 
 // Decision is what to do about an intent.
 type Decision struct {
-	// Write is the Accepted object to write, conditionally, or nil if nothing
-	// is to be written.
+	// Write is the Accepted object to write conditionally, or nil if there is
+	// nothing to write.
 	Write *objectapi.Object
-	// Refused says why the intent is invalid, if it is. What is in force stays.
+	// Errors say why the intent is invalid, if it is. The active configuration stays.
 	Errors operator.FieldErrors
 }
 
-// Decide returns what to do about an intent, given the present Accepted object
+// Decide returns what to do about an intent, given the current Accepted object
 // or nil if there is none.
 //
-// An intent that is not newer than the one in force is done already: a representative
-// that was paused, or reads old state, then writes nothing. If the present
+// Nothing is written for an intent that is not newer than the active one, as it
+// comes from a representative that was paused or has read old state. If the given
 // object is itself out of date, the conditional write fails.
 func Decide(in Intent, current *objectapi.Object, now time.Time) (Decision, error) {
 	var accepted operator.Accepted
@@ -70,8 +70,8 @@
 		next.Deleted = true
 		return Decision{Write: object(in.Name, next, current)}, nil
 	}
-	if f := operator.CheckName(in.Name); len(f) > 0 {
-		return Decision{Errors: f}, nil
+	if errs := operator.CheckName(in.Name); len(errs) > 0 {
+		return Decision{Errors: errs}, nil
 	}
 	s, err := operator.ParseService(in.Spec)
 	if err != nil {
@@ -81,10 +81,10 @@
 	return Decision{Write: object(in.Name, next, current)}, nil
 }
 
-// faultsOf returns an error of ParseService as faults.
+// fieldErrors converts an error of ParseService.
 func fieldErrors(err error) operator.FieldErrors {
-	if f, ok := errors.AsType[operator.FieldErrors](err); ok {
-		return f
+	if errs, ok := errors.AsType[operator.FieldErrors](err); ok {
+		return errs
 	}
 	return operator.FieldErrors{{
 		Field:   "spec",
@@ -92,7 +92,7 @@
 	}}
 }
 
-// object returns the Accepted object that replaces the present one.
+// object returns the Accepted object that replaces the current one.
 func object(name string, a operator.Accepted, current *objectapi.Object) *objectapi.Object {
 	o := objectapi.NewObject(operator.KindAccepted, name, a)
 	if current != nil {
--- a/acceptance/evacuated.go
+++ b/acceptance/evacuated.go
@@ -11,23 +11,23 @@
 	"sassafrasfront.example/evacuation"
 )
 
-// The names of the Configs that hold evacuated zones rather than a service. No service can
-// have them.
+// The names of the Configs that hold evacuated zones rather than a service. They are not
+// valid names of services.
 const (
-	// Evacuated holds the zones as they were read from the platform.
+	// EvacuatedName holds the zones as they were read from the platform.
 	EvacuatedName = "*evacuated"
-	// Retained holds those that were in force when an era of the platform ended.
+	// RetainedName holds the zones that were evacuated when an era of the platform ended.
 	RetainedName = "*retained"
 )
 
-// stoodPrefix begins the names of the Configs which say that a zone has stood on the platform in
-// an era, though the platform had lost it. They end with the zone's.
+// seenZonePrefix is the prefix of the names of the Configs which record that a zone was read from
+// the platform in an era, after the platform had lost it. The zone's name follows.
 const seenZonePrefix = "*stood:"
 
-// StoodName returns the name of the Config which says that a zone has stood on the platform.
+// SeenZoneName returns the name of the Config which records that a zone was seen on the platform.
 func SeenZoneName(zone string) string { return seenZonePrefix + zone }
 
-// FromStood returns that a zone has stood on the platform in an era, as nodes pass it on.
+// FromSeenZone returns the Config which records that a zone was seen on the platform in an era.
 func FromSeenZone(zone string, era uint64) Config {
 	return Config{
 		Name: SeenZoneName(zone),
@@ -35,16 +35,16 @@
 	}
 }
 
-// Stood returns the zone that a Config of FromStood names. The second result is false if c is
-// none.
+// SeenZone returns the zone of a Config that FromSeenZone returned. The second result is false for
+// other Configs.
 func (c Config) SeenZone() (zone string, ok bool) { return strings.CutPrefix(c.Name, seenZonePrefix) }
 
-// FromZones returns evacuated zones as nodes pass them on. Its rank is the Point at which
-// they were found.
+// FromZones returns evacuated zones in the form that nodes exchange. The Config has the resource
+// version at which they were read.
 func FromZones(s evacuation.Set) Config { return fromSet(EvacuatedName, s, time.Time{}) }
 
-// FromRetained returns the zones that were in force when an era ended, as nodes pass them on,
-// with when its successor was first seen.
+// FromRetained returns the zones that were evacuated when an era ended, in the form that nodes
+// exchange, with the time at which the next era was first seen.
 func FromRetained(s evacuation.Set, seen time.Time) Config {
 	return fromSet(RetainedName, s, seen.UTC())
 }
@@ -59,5 +59,5 @@
 	}
 }
 
-// Zones returns the evacuated zones that the Config named Evacuated or Retained holds.
+// Zones decodes the evacuated zones of the Config named EvacuatedName or RetainedName.
 func (c Config) Zones() (evacuation.Set, error) { return evacuation.Decode(c.Spec) }
--- a/acceptance/rollout.go
+++ b/acceptance/rollout.go
@@ -10,14 +10,14 @@
 	"sassafrasfront.example/rollout"
 )
 
-// rolloutPrefix begins the names of the Configs that hold roll-outs, which end with the
-// service's. No service can have such a name.
+// rolloutPrefix is the prefix of the names of the Configs that hold roll-outs. The service's name
+// follows. They are not valid names of services.
 const rolloutPrefix = "*rollout:"
 
 // RolloutName returns the name of the Config that holds the roll-out of a service.
 func RolloutName(service string) string { return rolloutPrefix + service }
 
-// FromRollout returns the state of a roll-out as nodes pass it on.
+// FromRollout returns the state of a roll-out in the form that nodes exchange.
 func FromRollout(s rollout.State) Config {
 	era, sequence := s.Rank()
 	return Config{
@@ -32,5 +32,5 @@
 // IsRollout returns whether c holds a roll-out.
 func (c Config) IsRollout() bool { return strings.HasPrefix(c.Name, rolloutPrefix) }
 
-// Rollout returns the state that a Config of FromRollout holds.
+// Rollout decodes the state of a roll-out from a Config that FromRollout returned.
 func (c Config) Rollout() (rollout.State, error) { return rollout.Decode(c.Spec) }
--- a/acceptance/whole.go
+++ b/acceptance/table.go
@@ -10,12 +10,12 @@
 	"sassafrasfront.example/routes"
 )
 
-// Whole is the name of the Config that holds a whole table of routes rather than
-// one service. No service can have it.
+// TableName is the name of the Config that holds a table of routes rather than one service. It
+// is not a valid name of a service.
 const TableName = "*"
 
-// FromTable returns the table as nodes pass it on. Its sequence is the version
-// of the table. It panics if the table can't be encoded.
+// FromTable returns a table of routes in the form that nodes exchange. The sequence is the
+// version of the table. It panics if the table can't be encoded.
 func FromTable(t *routes.Table) Config {
 	spec, err := t.Encode()
 	if err != nil {
@@ -29,5 +29,5 @@
 	}
 }
 
-// Table returns the table that the Config named Whole holds.
+// Table decodes the table of the Config named TableName.
 func (c Config) Table() (*routes.Table, error) { return routes.Decode(c.Spec) }
