--- a/objectapi/era.go
+++ b/objectapi/era.go
@@ -24,7 +24,7 @@
 type eras struct {
 	mu        sync.Mutex
 	highest   uint64
-	named     bool // whether a response has ever had an era
+	known     bool // whether any era is known
 	responded bool // whether a response has ever depended on the stored state
 }
 
@@ -48,7 +48,7 @@
 
 // advance records an era. If it is later than the highest one it returns the change.
 func (e *eras) advance(era uint64) (change EraChange, advanced bool) {
-	if e.named && era <= e.highest || era < e.highest {
+	if e.known && era <= e.highest || era < e.highest {
 		return EraChange{}, false
 	}
 	change = EraChange{
@@ -56,7 +56,7 @@
 		New:      era,
 		Restored: e.responded && era > e.highest,
 	}
-	e.named = true
+	e.known = true
 	e.highest = era
 	return change, true
 }
@@ -68,8 +68,8 @@
 		return nil
 	}
 	c.eras.mu.Lock()
-	era, named, err := c.ParseEra(r.Header)
-	change, advanced, err := c.eras.record(era, named, err)
+	era, present, err := c.ParseEra(r.Header)
+	change, advanced, err := c.eras.record(era, present, err)
 	c.eras.responded = c.eras.responded || err == nil && !isStateless(r.StatusCode)
 	c.eras.mu.Unlock()
 	if advanced && c.OnEraChange != nil {
@@ -89,16 +89,16 @@
 
 // record records the era of a response, or the error of parsing it. It returns the change if the
 // era has advanced, and an error if the response is rejected.
-func (e *eras) record(era uint64, named bool, err error) (change EraChange, advanced bool, rejected error) {
+func (e *eras) record(era uint64, present bool, err error) (change EraChange, advanced bool, rejected error) {
 	switch {
 	case err != nil:
 		return change, false, eris.Wrap(err, "response rejected")
-	case !named && e.named:
+	case !present && e.known:
 		return change, false, eris.Errorf("response rejected: it has no era, but era %d was seen", e.highest)
-	case named && era < e.highest:
+	case present && era < e.highest:
 		return change, false, eris.Errorf("response rejected: it is of era %d, but era %d was seen", era, e.highest)
 	}
-	if named {
+	if present {
 		change, advanced = e.advance(era)
 	}
 	return change, advanced, nil
--- a/objectapi/jsonclient.go
+++ b/objectapi/jsonclient.go
@@ -50,9 +50,9 @@
 	// OnCall, if not nil, is called before each call, with the operation and the kind
 	// of the objects.
 	OnCall func(call, kind string)
-	// ParseEra, if not nil, returns the era in the header of a response, if it has one.
+	// ParseEra, if not nil, returns the era in the header of a response, and whether it is present.
 	// Nil means that the API has no eras.
-	ParseEra func(h http.Header) (era uint64, named bool, err error)
+	ParseEra func(h http.Header) (era uint64, present bool, err error)
 	// OnEraChange, if not nil, is called when a later era becomes known, before the
 	// response that names it is returned.
 	OnEraChange func(EraChange)
--- a/operator/limit.go
+++ b/operator/limit.go
@@ -10,7 +10,7 @@
 const (
 	// SourceUpstream means the upstream beside the node.
 	SourceUpstream = "upstream"
-	// SourceCalls means the calls of other nodes, which this node's previous process had told.
+	// SourceCalls means the calls of other nodes, to which the node's previous process had sent it.
 	SourceCalls = "calls"
 	// SourceResponses means the responses of the node beside the upstream.
 	SourceResponses = "answers"
@@ -28,7 +28,8 @@
 	Limit   float64 `json:"limit"`
 	// Leaving is whether the upstream's responses say that it is leaving.
 	Leaving bool `json:"leaving"`
-	// Since is when the later of the two was first received, or last received for SourceResponses.
+	// Since is when the later of limit and leaving notice was first received. For SourceResponses it
+	// is when they were last received.
 	Since time.Time `json:"since"`
 	// UsedFraction is the fraction of the limit used in the last seconds. Refused is the number of
 	// requests refused because of it since the node's start. Only the node beside the upstream sets them.
