--- a/objectapi/objectapi_test.go
+++ b/objectapi/objectapi_test.go
@@ -20,7 +20,7 @@
 	"sassafrasfront.example/verdict"
 )
 
-// start returns a stand-in and a client of it.
+// start starts a fake platform and returns it with a client.
 func start(t *testing.T) (*objectapitest.Server, *objectapi.Client) {
 	t.Helper()
 	s := new(objectapitest.Server)
@@ -78,7 +78,7 @@
 	c.Check(l.Items, qt.HasLen, 0)
 }
 
-// TestFaults says for each way of failing what a read and a write return, and
+// TestFaults checks for each fault of the platform what a read and a write return, and
 // whether the write took effect.
 func TestFaults(t *testing.T) {
 	tests := map[string]struct {
@@ -87,14 +87,14 @@
 		verdict verdict.Verdict // of the write; Ran means no error
 		effect  bool
 	}{
-		"none":        {readOK: true, verdict: verdict.Ran, effect: true},
-		"down":        {faults: objectapitest.Faults{Down: true}, verdict: verdict.MayHaveRun},
-		"hangs":       {faults: objectapitest.Faults{Hang: true}, verdict: verdict.MayHaveRun},
-		"slow":        {faults: objectapitest.Faults{DelayMillis: 50}, readOK: true, verdict: verdict.Ran, effect: true},
-		"too slow":    {faults: objectapitest.Faults{DelayMillis: 600}, verdict: verdict.MayHaveRun, effect: true},
-		"5xx":         {faults: objectapitest.Faults{FailureRatio: 1}, verdict: verdict.MayHaveRun},
-		"lost answer": {faults: objectapitest.Faults{LoseWrites: 1}, readOK: true, verdict: verdict.MayHaveRun, effect: true},
-		"garbage":     {faults: objectapitest.Faults{MalformedReads: 1}, verdict: verdict.Ran, effect: true},
+		"none":          {readOK: true, verdict: verdict.Ran, effect: true},
+		"down":          {faults: objectapitest.Faults{Down: true}, verdict: verdict.MayHaveRun},
+		"hangs":         {faults: objectapitest.Faults{Hang: true}, verdict: verdict.MayHaveRun},
+		"slow":          {faults: objectapitest.Faults{DelayMillis: 50}, readOK: true, verdict: verdict.Ran, effect: true},
+		"too slow":      {faults: objectapitest.Faults{DelayMillis: 600}, verdict: verdict.MayHaveRun, effect: true},
+		"5xx":           {faults: objectapitest.Faults{FailureRatio: 1}, verdict: verdict.MayHaveRun},
+		"lost response": {faults: objectapitest.Faults{LoseWrites: 1}, readOK: true, verdict: verdict.MayHaveRun, effect: true},
+		"garbage":       {faults: objectapitest.Faults{MalformedReads: 1}, verdict: verdict.Ran, effect: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -124,10 +124,10 @@
 	ctx := context.Background()
 	_, api := start(t)
 	huge := objectapi.NewObject("Service", "huge", strings.Repeat("x", objectapi.MaxObjectBytes))
-	nobody := &objectapi.Client{JSONClient: objectapi.JSONClient{URL: "http://127.0.0.1:1"}, Namespace: "test"}
+	unreachable := &objectapi.Client{JSONClient: objectapi.JSONClient{URL: "http://127.0.0.1:1"}, Namespace: "test"}
 	for name, call := range map[string]func() error{
 		"too large": func() error { _, err := api.Create(ctx, huge); return err },
-		"refused":   func() error { _, err := nobody.Create(ctx, object("a", 1)); return err },
+		"refused":   func() error { _, err := unreachable.Create(ctx, object("a", 1)); return err },
 	} {
 		t.Run(name, func(t *testing.T) {
 			e, ok := errors.AsType[*objectapi.Error](call())
@@ -137,10 +137,10 @@
 	}
 }
 
-// TestPutSurvivesLostAnswers has writers race under lost answers, each adding
-// one to a counter. An acknowledged write counts exactly once, one that was
-// told not to have run counts not at all, and the others may count.
-func TestPutSurvivesLostAnswers(t *testing.T) {
+// TestPutSurvivesLostResponses guards against writes that are counted twice or lost when
+// responses are lost. Concurrent writers each add one to a counter: an acknowledged write
+// counts exactly once, one with the verdict NotRun does not count, and others may count.
+func TestPutSurvivesLostResponses(t *testing.T) {
 	ctx := context.Background()
 	s, api := start(t)
 	_, err := api.Create(ctx, object("a", 0))
@@ -180,7 +180,7 @@
 	qt.Check(t, got <= acknowledged+unknown, qt.IsTrue, comment)
 }
 
-func TestPutTellsOfTheOtherWrite(t *testing.T) {
+func TestPutReturnsConflictingObject(t *testing.T) {
 	ctx := context.Background()
 	_, api := start(t)
 	first, err := objectapi.Put(ctx, api, object("a", 1))
@@ -194,12 +194,12 @@
 	qt.Check(t, value(t, c.Current), qt.Equals, 2)
 }
 
-// TestFollowerConverges makes changes under each fault of watches, and expects
-// the follower to know the last state in the end.
+// TestFollowerConverges makes changes under each fault of watches and checks that the
+// follower ends up with the last state.
 func TestFollowerConverges(t *testing.T) {
 	tests := map[string]struct {
-		faults objectapitest.Faults
-		forget bool
+		faults      objectapitest.Faults
+		dropHistory bool
 	}{
 		"none":            {},
 		"dropped events":  {faults: objectapitest.Faults{DropEvents: 0.5}},
@@ -207,7 +207,7 @@
 		"silent watches":  {faults: objectapitest.Faults{SilentWatches: true}},
 		"failing":         {faults: objectapitest.Faults{FailureRatio: 0.5}},
 		"garbage":         {faults: objectapitest.Faults{MalformedReads: 0.5}},
-		"too old":         {forget: true},
+		"dropped history": {dropHistory: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -216,25 +216,25 @@
 			s, api := start(t)
 			var mu sync.Mutex
 			known := make(map[string]uint64)
-			take := func(o *objectapi.Object) { known[o.Metadata.Name] = max(known[o.Metadata.Name], o.Revision()) }
+			record := func(o *objectapi.Object) { known[o.Metadata.Name] = max(known[o.Metadata.Name], o.Revision()) }
 			f := &objectapi.Follower{
 				API:    api,
 				Kind:   "Service",
 				Relist: 400 * time.Millisecond,
-				// With the default of 5 s, seven failures in a row of a store that fails
-				// half of the calls take up the 10 s in which it has to converge.
+				// With the default of 5 s, seven errors in a row from a platform that fails
+				// half of the calls use up the 10 s within which it has to converge.
 				MaxBackoff: 200 * time.Millisecond,
 				OnList: func(l *objectapi.List) {
 					mu.Lock()
 					defer mu.Unlock()
 					for _, o := range l.Items {
-						take(o)
+						record(o)
 					}
 				},
 				OnChange: func(e objectapi.Event) {
 					mu.Lock()
 					defer mu.Unlock()
-					take(e.Object)
+					record(e.Object)
 				},
 			}
 			var done sync.WaitGroup
@@ -255,7 +255,7 @@
 						break
 					}
 				}
-				if test.forget && i == 10 {
+				if test.dropHistory && i == 10 {
 					s.DropHistory()
 				}
 			}
@@ -268,7 +268,7 @@
 				}
 				time.Sleep(10 * time.Millisecond)
 			}
-			t.Fatalf("knows %v, not version %d", known, last.Revision())
+			t.Fatalf("follower has %v, not revision %d", known, last.Revision())
 		})
 	}
 }
--- a/objectapi/put.go
+++ b/objectapi/put.go
@@ -12,25 +12,25 @@
 	"sassafrasfront.example/verdict"
 )
 
-// writeID is the annotation that tells one write from another.
+// writeID is the annotation that identifies a write.
 const writeID = Group + "/write-id"
 
-// putTries bounds the tries of one Put.
-const putTries = 4
+// putAttempts bounds the attempts of one Put.
+const putAttempts = 4
 
-// Put creates o if it names no resource version, and updates it otherwise. If
-// the answer is lost, Put reads the object back: if it bears the id of this
-// write, the write took effect. An error that IsConflict means that another
-// write has come; its Verdict is NotRun if this one certainly had no effect, and
-// MayHaveRun if an answer was lost and the object was overwritten since. Any
-// other error leaves it open whether the write took
-// effect, unless its Verdict says otherwise.
+// Put creates o if it has no resource version, and updates it otherwise. If the
+// response is lost, Put reads the object back: if it has the ID of this write, the
+// write took effect. An error for which IsConflict is true means that there was
+// another write; its Verdict is NotRun if this one certainly had no effect, and
+// MayHaveRun if a response was lost and the object was overwritten since. After any
+// other error the write may or may not have taken effect, unless its Verdict says
+// otherwise.
 func Put(ctx context.Context, api API, o *Object) (*Object, error) {
 	id := rand.Text()
 	o = o.withAnnotation(writeID, id)
 	var err error
-	lost := verdict.NotRun
-	for range putTries {
+	conflictVerdict := verdict.NotRun
+	for range putAttempts {
 		var written *Object
 		if o.Metadata.ResourceVersion == "" {
 			written, err = api.Create(ctx, o)
@@ -44,15 +44,15 @@
 			return nil, err
 		}
 		if mayHaveRun(err) {
-			lost = verdict.MayHaveRun
+			conflictVerdict = verdict.MayHaveRun
 		}
-		// A conflict may be with an earlier try of this very write.
-		present, readErr := api.Get(ctx, o.Kind, o.Metadata.Name)
+		// The conflict may be with an earlier attempt of this Put.
+		current, readErr := api.Get(ctx, o.Kind, o.Metadata.Name)
 		switch {
-		case readErr == nil && present.Metadata.Annotations[writeID] == id:
-			return present, nil
-		case readErr == nil && present.Metadata.ResourceVersion != o.Metadata.ResourceVersion:
-			return nil, conflict(present, lost)
+		case readErr == nil && current.Metadata.Annotations[writeID] == id:
+			return current, nil
+		case readErr == nil && current.Metadata.ResourceVersion != o.Metadata.ResourceVersion:
+			return nil, conflict(current, conflictVerdict)
 		case IsNotFound(readErr) && o.Metadata.ResourceVersion != "":
 			return nil, readErr
 		case readErr != nil && !IsNotFound(readErr):
@@ -65,22 +65,22 @@
 	return nil, err
 }
 
-// conflict returns the failure of a write that another one came before.
-func conflict(present *Object, v verdict.Verdict) *Error {
+// conflict returns the error of a write that was preceded by another one.
+func conflict(current *Object, v verdict.Verdict) *Error {
 	return &Error{
 		Status:  http.StatusConflict,
 		Verdict: v,
-		Err:     &ConflictError{Current: present},
+		Err:     &ConflictError{Current: current},
 	}
 }
 
-// Conflict is the underlying error of a Put that lost to another write.
+// ConflictError is the underlying error of a Put that was preceded by another write.
 type ConflictError struct {
-	// Present is the object as the other write left it.
+	// Current is the object that the other write has left.
 	Current *Object
 }
 
 // Error implements the error interface.
 func (c *ConflictError) Error() string {
-	return "the object is at version " + c.Current.Metadata.ResourceVersion
+	return "object has resource version " + c.Current.Metadata.ResourceVersion
 }
--- a/settings/read.go
+++ b/settings/read.go
@@ -15,15 +15,15 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// EnvPrefix starts the names of the environment variables.
+// EnvPrefix is the prefix of the names of the environment variables.
 const EnvPrefix = "SASSAFRAS"
 
-// configFlag names the file.
+// configFlag is the flag that names the file.
 const configFlag = "config"
 
 // Read reads the settings from the arguments, the environment and the file that
-// -config names, and checks them. Faults are returned as Faults; any other
-// error says that the arguments or the file could not be read at all.
+// -config names, and checks them. Invalid settings are returned as SettingErrors; any
+// other error says that the arguments or the file could not be read at all.
 func Read(fs *flag.FlagSet, args []string) (*Settings, error) {
 	s := new(Settings)
 	s.Register(fs)
@@ -39,55 +39,55 @@
 	}
 	f.name = fs.Lookup(configFlag).Value.String()
 	s.File = f.name
-	faults := f.faults
-	for _, fault := range s.Check() {
-		if _, set := f.broken[fault.Key]; !set {
-			faults = append(faults, fault)
+	errs := f.errs
+	for _, settingErr := range s.Check() {
+		if _, set := f.invalid[settingErr.Key]; !set {
+			errs = append(errs, settingErr)
 		}
 	}
-	f.locate(faults)
-	if len(faults) > 0 {
-		return nil, faults
+	f.locate(errs)
+	if len(errs) > 0 {
+		return nil, errs
 	}
 	return s, nil
 }
 
 // file reads settings from YAML.
 type file struct {
-	flags  *flag.FlagSet
-	name   string
-	lines  map[string]int
-	broken map[string]bool // settings whose value in the file can't be read
-	faults SettingErrors
+	flags   *flag.FlagSet
+	name    string
+	lines   map[string]int
+	invalid map[string]bool // settings whose value in the file is invalid
+	errs    SettingErrors
 }
 
-// locate fills in where faulty settings were set.
-func (f *file) locate(faults SettingErrors) {
-	for i := range faults {
-		if line, ok := f.lines[faults[i].Key]; ok {
-			faults[i].File = f.name
-			faults[i].Line = line
+// locate fills in where the invalid settings were set.
+func (f *file) locate(errs SettingErrors) {
+	for i := range errs {
+		if line, ok := f.lines[errs[i].Key]; ok {
+			errs[i].File = f.name
+			errs[i].Line = line
 		}
 	}
 }
 
-func (f *file) fault(key string, line int, message string) {
+func (f *file) addError(key string, line int, message string) {
 	f.lines[key] = line
-	f.broken[key] = true
-	f.faults = append(f.faults, SettingError{
+	f.invalid[key] = true
+	f.errs = append(f.errs, SettingError{
 		Key:     key,
 		Message: message,
 	})
 }
 
-// yamlLine finds the line in an error of the YAML library.
+// yamlLine matches the line number in an error of the YAML library.
 var yamlLine = regexp.MustCompile(`line (\d+)`)
 
-// parse implements ff.ConfigFileParser. It gathers faults rather than stopping
+// parse implements ff.ConfigFileParser. It collects errors rather than stopping
 // at the first one.
 func (f *file) parse(r io.Reader, set func(name, value string) error) error {
 	f.lines = make(map[string]int)
-	f.broken = make(map[string]bool)
+	f.invalid = make(map[string]bool)
 	data, err := io.ReadAll(r)
 	if err != nil {
 		return err
@@ -98,7 +98,7 @@
 		if m := yamlLine.FindStringSubmatch(err.Error()); m != nil {
 			line, _ = strconv.Atoi(m[1])
 		}
-		f.fault("(file)", line, err.Error())
+		f.addError("(file)", line, err.Error())
 		return nil
 	}
 	if len(doc.Content) == 0 {
@@ -106,7 +106,7 @@
 	}
 	root := doc.Content[0]
 	if root.Kind != yaml.MappingNode {
-		f.fault("(file)", root.Line, "not a list of settings and their values")
+		f.addError("(file)", root.Line, "not a list of settings and their values")
 		return nil
 	}
 	for i := 0; i+1 < len(root.Content); i += 2 {
@@ -115,31 +115,31 @@
 	return nil
 }
 
-// set takes in one setting of the file.
+// set applies one setting of the file.
 func (f *file) set(key, value *yaml.Node, set func(name, value string) error) {
 	name := key.Value
 	_, twice := f.lines[name]
 	known := f.flags.Lookup(name) != nil && name != configFlag
 	switch {
 	case !known:
-		f.fault(name, key.Line, "unknown setting")
+		f.addError(name, key.Line, "unknown setting")
 	case twice:
-		f.fault(name, key.Line, "set twice")
+		f.addError(name, key.Line, "set twice")
 	case value.Kind != yaml.ScalarNode:
-		f.fault(name, key.Line, "not a single value")
+		f.addError(name, key.Line, "not a single value")
 	default:
 		f.lines[name] = key.Line
-		if err := f.try(name, value.Value, set); err != nil {
-			f.fault(name, key.Line, err.Error())
+		if err := f.setFlag(name, value.Value, set); err != nil {
+			f.addError(name, key.Line, err.Error())
 		}
 	}
 }
 
-// try has a value parsed by its flag.
-func (f *file) try(name, value string, set func(name, value string) error) error {
+// setFlag sets a flag and returns an error if it can't parse the value.
+func (f *file) setFlag(name, value string, set func(name, value string) error) error {
 	err := set(name, value)
 	if err == nil {
 		return nil
 	}
-	return eris.Errorf("%q can't be read: %v", value, eris.Cause(err))
+	return eris.Errorf("%q is not a valid value: %v", value, eris.Cause(err))
 }
