--- a/cmd/sassafrasnode/main.go
+++ b/cmd/sassafrasnode/main.go
@@ -49,7 +49,7 @@
 	signal.Notify(make(chan os.Signal, 1), syscall.SIGHUP) // it must not end a process that is starting
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	err := root().ParseAndRun(ctx, os.Args[1:])
+	err := rootCommand().ParseAndRun(ctx, os.Args[1:])
 	if err == nil || errors.Is(err, flag.ErrHelp) {
 		return
 	}
@@ -62,7 +62,7 @@
 
 // root returns the command line. The settings are parsed by package settings,
 // so the subcommands take their arguments as they are.
-func root() *ffcli.Command {
+func rootCommand() *ffcli.Command {
 	return &ffcli.Command{
 		Name:       "sassafrasnode",
 		ShortUsage: "sassafrasnode <run|check|version> [flags]",
@@ -80,7 +80,7 @@
 	case "run":
 		return run(ctx, args[1:])
 	case "check":
-		_, err := read(args[1:])
+		_, err := readSettings(args[1:])
 		if err == nil {
 			fmt.Println("settings are good")
 		}
@@ -93,7 +93,7 @@
 }
 
 // read reads the settings.
-func read(args []string) (*settings.Settings, error) {
+func readSettings(args []string) (*settings.Settings, error) {
 	s, err := settings.Read(flag.NewFlagSet("sassafrasnode", flag.ContinueOnError), args)
 	if err != nil && !errors.Is(err, flag.ErrHelp) {
 		return nil, usageError{err}
@@ -103,7 +103,7 @@
 
 // run runs the node until ctx ends.
 func run(ctx context.Context, args []string) error {
-	s, err := read(args)
+	s, err := readSettings(args)
 	if err != nil {
 		return err
 	}
@@ -112,7 +112,7 @@
 	}
 	if s.MemoryMB > 0 {
 		debug.SetGCPercent(gcPercent)
-		debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryMB) * (1 << 20)))
+		debug.SetMemoryLimit(int64(memoryLimitFraction * float64(s.MemoryMB) * (1 << 20)))
 	}
 	out := logfmt.NonBlocking(os.Stdout)
 	defer out.Close()
@@ -121,7 +121,7 @@
 		Log:      logfmt.New(out, s.LogLevel).With().Str("node", s.Node).Logger(),
 	}
 	if s.Dialect == settings.DialectManaged {
-		n.Platform = managed()
+		n.Platform = managedPlatform()
 	}
 	go reload(ctx, n, args)
 	return n.Run(ctx)
@@ -129,7 +129,7 @@
 
 // watchFileEvery is the time between two looks at the file with the settings,
 // which may change without a signal.
-const watchFileEvery = 2 * time.Second
+const filePollInterval = 2 * time.Second
 
 // reload reads the settings again at each SIGHUP and when their file changes,
 // until ctx ends. Settings that can't be read change nothing. The signal stays
@@ -137,21 +137,21 @@
 func reload(ctx context.Context, n *node.Node, args []string) {
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
-	tick := time.NewTicker(watchFileEvery)
+	tick := time.NewTicker(filePollInterval)
 	defer tick.Stop()
-	seen := changedAt(n.Settings.File)
+	lastModified := modTime(n.Settings.File)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-hangup:
 		case <-tick.C:
-			if changedAt(n.Settings.File).Equal(seen) {
+			if modTime(n.Settings.File).Equal(lastModified) {
 				continue
 			}
 		}
-		seen = changedAt(n.Settings.File)
-		s, err := read(args)
+		lastModified = modTime(n.Settings.File)
+		s, err := readSettings(args)
 		if err != nil {
 			n.Log.Error().Err(err).Msg("changed settings refused, the old ones stay")
 			continue
@@ -162,7 +162,7 @@
 
 // changedAt returns when a file was last changed, or the zero time if there is
 // none.
-func changedAt(name string) time.Time {
+func modTime(name string) time.Time {
 	info, err := os.Stat(name)
 	if err != nil {
 		return time.Time{}
@@ -176,10 +176,10 @@
 
 // memoryShare is the part of the memory at which the garbage collector works
 // harder. The rest is for what it does not count.
-const memoryShare = 0.7
+const memoryLimitFraction = 0.7
 
 // managed returns the users' platform.
-func managed() *node.Platform {
+func managedPlatform() *node.Platform {
 	return &node.Platform{
 		FieldNames:  platform.FieldNames(),
 		NewAPI:      func(c *objectapi.JSONClient) objectapi.PollingAPI { return &platform.Store{JSONClient: c} },
--- a/cmd/sassafrasnode/reload_test.go
+++ b/cmd/sassafrasnode/reload_test.go
@@ -33,7 +33,7 @@
 	return b.Buffer.Write(p)
 }
 
-func (b *lockedBuffer) has(text string) bool {
+func (b *lockedBuffer) contains(text string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return strings.Contains(b.String(), text)
@@ -51,7 +51,7 @@
 	at := time.Now().Add(-time.Hour)
 	write("0.1", at)
 	args := []string{"-config", file}
-	s, err := read(args)
+	s, err := readSettings(args)
 	qt.Assert(t, err, qt.IsNil)
 	log := new(lockedBuffer)
 	n := &node.Node{Settings: *s, Log: zerolog.New(log)}
@@ -61,7 +61,7 @@
 	eventually := func(text string) {
 		t.Helper()
 		for range 1000 {
-			if log.has(text) {
+			if log.contains(text) {
 				return
 			}
 			_ = syscall.Kill(os.Getpid(), syscall.SIGHUP)
--- a/cmd/sassafrasnode/stop_test.go
+++ b/cmd/sassafrasnode/stop_test.go
@@ -21,10 +21,10 @@
 )
 
 // runsNode, if set in the environment, has the test's program be a node's process.
-const runsNode = "SASSAFRASNODE_TEST_RUNS_NODE"
+const runNodeEnv = "SASSAFRASNODE_TEST_RUNS_NODE"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(runsNode) != "" {
+	if os.Getenv(runNodeEnv) != "" {
 		main()
 		return
 	}
@@ -33,10 +33,10 @@
 
 // process is a node's process with its log.
 type process struct {
-	t      *testing.T
-	cmd    *exec.Cmd
-	log    *bufio.Scanner
-	caller string // the address for callers
+	t          *testing.T
+	cmd        *exec.Cmd
+	log        *bufio.Scanner
+	callerAddr string // the address for callers
 }
 
 // startProcess starts a node whose settings have the given lines besides.
@@ -48,14 +48,14 @@
 		qt.Assert(t, err, qt.IsNil)
 		text += fmt.Sprintf("%s: %s\n", name, l.Addr())
 		if name == "callerAddress" {
-			p.caller = l.Addr().String()
+			p.callerAddr = l.Addr().String()
 		}
 		_ = l.Close()
 	}
 	file := filepath.Join(t.TempDir(), "node.yaml")
 	qt.Assert(t, os.WriteFile(file, []byte(text), 0o600), qt.IsNil)
 	p.cmd = exec.Command(os.Args[0], "run", "-config", file)
-	p.cmd.Env = append(os.Environ(), runsNode+"=1")
+	p.cmd.Env = append(os.Environ(), runNodeEnv+"=1")
 	p.cmd.Stderr = os.Stderr
 	out, err := p.cmd.StdoutPipe()
 	qt.Assert(t, err, qt.IsNil)
@@ -66,7 +66,7 @@
 }
 
 // logged reads the log up to the line of an event, and returns it.
-func (p *process) logged(event string) string {
+func (p *process) awaitLog(event string) string {
 	p.t.Helper()
 	for p.log.Scan() {
 		if strings.Contains(p.log.Text(), event) {
@@ -86,10 +86,10 @@
 }
 
 // ended reads the rest of the log and checks that the process has ended as planned.
-func (p *process) ended() {
+func (p *process) awaitExit() {
 	p.t.Helper()
-	p.logged("drained")
-	p.logged("node stopped")
+	p.awaitLog("drained")
+	p.awaitLog("node stopped")
 	qt.Check(p.t, p.cmd.Wait(), qt.IsNil)
 }
 
@@ -108,14 +108,14 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p := startProcess(t, "gracePeriod: 20s\nleaveDelay: 300ms\n")
-			p.logged("node started")
-			c, err := net.Dial("tcp", p.caller)
+			p.awaitLog("node started")
+			c, err := net.Dial("tcp", p.callerAddr)
 			qt.Assert(t, err, qt.IsNil)
 			defer c.Close()
 			_, err = io.WriteString(c, "GET / HTTP/1.1\r\n")
 			qt.Assert(t, err, qt.IsNil)
 			p.signal(syscall.SIGTERM)
-			p.logged("leaving")
+			p.awaitLog("leaving")
 			p.signal(signals...)
 			_, err = io.WriteString(c, "Host: service.example\r\n\r\n")
 			qt.Assert(t, err, qt.IsNil)
@@ -126,7 +126,7 @@
 			for _, x := range signals {
 				_ = p.cmd.Process.Signal(x) // it may have ended
 			}
-			p.ended()
+			p.awaitExit()
 		})
 	}
 }
@@ -135,8 +135,8 @@
 func TestStopWhileStarting(t *testing.T) {
 	for range 5 {
 		p := startProcess(t, "gracePeriod: 20s\nleaveDelay: 10ms\n")
-		p.logged("node started")
+		p.awaitLog("node started")
 		p.signal(syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM)
-		p.ended()
+		p.awaitExit()
 	}
 }
