--- a/cmd/sassafrasnode/main.go
+++ b/cmd/sassafrasnode/main.go
@@ -2,12 +2,13 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Command sassafrasnode runs beside an upstream. It takes callers' requests for
-// any service and sends them to an upstream of that service, guards the
-// upstream beside it, and keeps up with the other nodes.
+// Command sassafrasnode is the load balancer's process beside an upstream. It
+// accepts callers' requests for any service and forwards each to an upstream of
+// that service, admits requests to the upstream beside it, and exchanges state
+// with the other nodes.
 //
 // Exit codes: 0 after a planned stop, 1 if the node could not start or run, 2 if
-// the command line or the settings are wrong.
+// the command line or the settings are invalid.
 package main
 
 import (
@@ -31,22 +32,22 @@
 	"sassafrasfront.example/settings"
 )
 
-// The exit codes.
+// Exit codes.
 const (
 	exitFailed = 1
 	exitUsage  = 2
 )
 
-// version is set by the linker for releases.
+// version is set by the linker in release builds.
 var version = "development"
 
-// usageError is a fault in the command line or the settings.
+// usageError is an error in the command line or the settings.
 type usageError struct {
 	error
 }
 
 func main() {
-	signal.Notify(make(chan os.Signal, 1), syscall.SIGHUP) // it must not end a process that is starting
+	signal.Notify(make(chan os.Signal, 1), syscall.SIGHUP) // SIGHUP must not terminate the process during startup
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	err := rootCommand().ParseAndRun(ctx, os.Args[1:])
@@ -60,8 +61,8 @@
 	os.Exit(exitFailed)
 }
 
-// root returns the command line. The settings are parsed by package settings,
-// so the subcommands take their arguments as they are.
+// rootCommand returns the command line. Package settings parses the flags of the
+// subcommands, so they receive their arguments unparsed.
 func rootCommand() *ffcli.Command {
 	return &ffcli.Command{
 		Name:       "sassafrasnode",
@@ -89,10 +90,10 @@
 		fmt.Println(versionLine())
 		return nil
 	}
-	return usageError{fmt.Errorf("unknown command %q; there are run, check and version", args[0])}
+	return usageError{fmt.Errorf("unknown command %q; the commands are run, check and version", args[0])}
 }
 
-// read reads the settings.
+// readSettings reads the settings from the arguments, the environment and the settings file.
 func readSettings(args []string) (*settings.Settings, error) {
 	s, err := settings.Read(flag.NewFlagSet("sassafrasnode", flag.ContinueOnError), args)
 	if err != nil && !errors.Is(err, flag.ErrHelp) {
@@ -101,7 +102,7 @@
 	return s, err
 }
 
-// run runs the node until ctx ends.
+// run runs the node until ctx is done.
 func run(ctx context.Context, args []string) error {
 	s, err := readSettings(args)
 	if err != nil {
@@ -127,13 +128,13 @@
 	return n.Run(ctx)
 }
 
-// watchFileEvery is the time between two looks at the file with the settings,
-// which may change without a signal.
+// filePollInterval is the interval at which the settings file is checked for changes that
+// no signal announces.
 const filePollInterval = 2 * time.Second
 
-// reload reads the settings again at each SIGHUP and when their file changes,
-// until ctx ends. Settings that can't be read change nothing. The signal stays
-// caught after that: a SIGHUP must not end a process that is stopping.
+// reload rereads the settings at each SIGHUP and whenever their file changes, until
+// ctx is done. Invalid settings are ignored. It does not stop catching SIGHUP when it
+// returns: the signal must not terminate a process that is stopping.
 func reload(ctx context.Context, n *node.Node, args []string) {
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
@@ -153,14 +154,14 @@
 		lastModified = modTime(n.Settings.File)
 		s, err := readSettings(args)
 		if err != nil {
-			n.Log.Error().Err(err).Msg("changed settings refused, the old ones stay")
+			n.Log.Error().Err(err).Msg("changed settings refused; keeping the current ones")
 			continue
 		}
 		n.Reload(*s)
 	}
 }
 
-// changedAt returns when a file was last changed, or the zero time if there is
+// modTime returns the modification time of a file, or the zero time if there is
 // none.
 func modTime(name string) time.Time {
 	info, err := os.Stat(name)
@@ -170,15 +171,15 @@
 	return info.ModTime()
 }
 
-// gcPercent is the garbage collector's GOGC where memory is bounded: a node's
-// heap is a few MB, and the process stands beside an upstream that needs the rest.
+// gcPercent is the GOGC value used if memory is limited: a node's heap is a few MB, and
+// the upstream on the same instance needs the remaining memory.
 const gcPercent = 40
 
-// memoryShare is the part of the memory at which the garbage collector works
-// harder. The rest is for what it does not count.
+// memoryLimitFraction is the fraction of the permitted memory that is set as the garbage
+// collector's soft limit. The rest is for memory that the limit does not count.
 const memoryLimitFraction = 0.7
 
-// managed returns the users' platform.
+// managedPlatform returns the adapter for the users' platform.
 func managedPlatform() *node.Platform {
 	return &node.Platform{
 		FieldNames:  platform.FieldNames(),
--- a/cmd/sassafrasnode/reload_test.go
+++ b/cmd/sassafrasnode/reload_test.go
@@ -21,7 +21,7 @@
 	"sassafrasfront.example/node"
 )
 
-// lockedBuffer is a log that may be read while it is written.
+// lockedBuffer is a log buffer that can be read while it is written.
 type lockedBuffer struct {
 	mu sync.Mutex
 	bytes.Buffer
@@ -39,8 +39,8 @@
 	return strings.Contains(b.String(), text)
 }
 
-// TestReload sends SIGHUP, which must not end the process, with settings that are
-// good, that are broken, and that have changed without a signal.
+// TestReload changes the settings file to valid and to invalid settings, and sends SIGHUP, which
+// must not terminate the process.
 func TestReload(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "node.yaml")
 	write := func(ratio string, at time.Time) {
@@ -69,15 +69,15 @@
 		}
 		t.Fatalf("never logged: %s", text)
 	}
-	time.Sleep(50 * time.Millisecond) // until the signal is taken
+	time.Sleep(50 * time.Millisecond) // until the signal handler is installed
 	write("0.3", at)
 	eventually("RetryRatio")
 	write("many", at)
 	eventually("changed settings refused")
 }
 
-// TestHangupWhileStopping sends SIGHUP after the stop has begun. It ended the
-// process, this test's as well, when the signal was given back too early.
+// TestHangupWhileStopping sends SIGHUP after the node has begun to stop. The signal terminated
+// the process, here that of the test, if its handler was removed too early.
 func TestHangupWhileStopping(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -86,7 +86,7 @@
 		reload(ctx, n, nil)
 		close(done)
 	}()
-	time.Sleep(50 * time.Millisecond) // until the signal is taken
+	time.Sleep(50 * time.Millisecond) // until the signal handler is installed
 	cancel()
 	<-done
 	for range 3 {
--- a/cmd/sassafrasnode/stop_test.go
+++ b/cmd/sassafrasnode/stop_test.go
@@ -20,7 +20,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// runsNode, if set in the environment, has the test's program be a node's process.
+// runNodeEnv is an environment variable that makes the test binary run as a node.
 const runNodeEnv = "SASSAFRASNODE_TEST_RUNS_NODE"
 
 func TestMain(m *testing.M) {
@@ -31,15 +31,15 @@
 	os.Exit(m.Run())
 }
 
-// process is a node's process with its log.
+// process is a node's process and its log.
 type process struct {
 	t          *testing.T
 	cmd        *exec.Cmd
 	log        *bufio.Scanner
-	callerAddr string // the address for callers
+	callerAddr string // the listen address for callers
 }
 
-// startProcess starts a node whose settings have the given lines besides.
+// startProcess starts a node whose settings include the given lines.
 func startProcess(t *testing.T, lines string) *process {
 	p := &process{t: t}
 	text := "node: a\nregion: r\nzone: z\nplatformURL: http://127.0.0.1:1\n" + lines
@@ -65,7 +65,7 @@
 	return p
 }
 
-// logged reads the log up to the line of an event, and returns it.
+// awaitLog reads the log up to the line of an event and returns that line.
 func (p *process) awaitLog(event string) string {
 	p.t.Helper()
 	for p.log.Scan() {
@@ -77,7 +77,7 @@
 	return ""
 }
 
-// signal sends signals to the process.
+// signal sends signals to the process, in order.
 func (p *process) signal(list ...syscall.Signal) {
 	p.t.Helper()
 	for _, s := range list {
@@ -85,7 +85,7 @@
 	}
 }
 
-// ended reads the rest of the log and checks that the process has ended as planned.
+// awaitExit reads the rest of the log and checks that the process drained and exited cleanly.
 func (p *process) awaitExit() {
 	p.t.Helper()
 	p.awaitLog("drained")
@@ -93,16 +93,17 @@
 	qt.Check(p.t, p.cmd.Wait(), qt.IsNil)
 }
 
-// TestSignalsWhileStopping sends further signals while a process stops, with a request under way whose
-// head comes in over all of them. It must get its answer, and the process end as planned.
+// TestSignalsWhileStopping sends further signals to a process that is stopping while it still
+// receives the header of a request. The request must be answered, and the process must exit
+// cleanly.
 func TestSignalsWhileStopping(t *testing.T) {
 	tests := map[string][]syscall.Signal{
-		"none":               {},
-		"SIGTERM":            {syscall.SIGTERM},
-		"SIGTERM, often":     {syscall.SIGTERM, syscall.SIGTERM, syscall.SIGTERM},
-		"SIGHUP":             {syscall.SIGHUP},
-		"SIGINT":             {syscall.SIGINT},
-		"all of them, mixed": {syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP, syscall.SIGTERM},
+		"none":             {},
+		"SIGTERM":          {syscall.SIGTERM},
+		"repeated SIGTERM": {syscall.SIGTERM, syscall.SIGTERM, syscall.SIGTERM},
+		"SIGHUP":           {syscall.SIGHUP},
+		"SIGINT":           {syscall.SIGINT},
+		"mixed signals":    {syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP, syscall.SIGTERM},
 	}
 	for name, signals := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -124,14 +125,14 @@
 			qt.Check(t, r.StatusCode, qt.Equals, http.StatusServiceUnavailable, qt.Commentf("no service is known"))
 			qt.Check(t, r.Close, qt.IsTrue)
 			for _, x := range signals {
-				_ = p.cmd.Process.Signal(x) // it may have ended
+				_ = p.cmd.Process.Signal(x) // the process may have exited
 			}
 			p.awaitExit()
 		})
 	}
 }
 
-// TestStopWhileStarting stops processes that have just started.
+// TestStopWhileStarting stops processes right after their start.
 func TestStopWhileStarting(t *testing.T) {
 	for range 5 {
 		p := startProcess(t, "gracePeriod: 20s\nleaveDelay: 10ms\n")
