--- a/cmd/sassafrasctl/busiest.go
+++ b/cmd/sassafrasctl/busiest.go
@@ -23,11 +23,11 @@
 
 const (
 	// readAtOnce is how many nodes are read at the same time.
-	readAtOnce = 32
+	maxConcurrentReads = 32
 	// shownNodes is the number of nodes that are shown if the flag does not say so.
-	shownNodes = 5
+	defaultShownNodes = 5
 	// shownCauses is the number of causes that are shown for a node.
-	shownCauses = 3
+	maxShownCauses = 3
 )
 
 // usage is what a node uses, per second but for memory and files.
@@ -49,15 +49,15 @@
 
 // measures are the figures by which nodes can be compared, and the metrics that explain them.
 var measures = map[string]struct {
-	of     func(u usage) float64
+	value  func(u usage) float64
 	causes []string
 }{
-	"bytes":    {of: func(u usage) float64 { return u.Bytes }, causes: []string{"sassafras_control_bytes_total", "sassafras_peer_bytes_total", "sassafras_gate_body_bytes_total"}},
-	"cores":    {of: func(u usage) float64 { return u.Cores }, causes: []string{"sassafras_control_requests_total", "sassafras_requests_total", "sassafras_gate_calls_total"}},
-	"memory":   {of: func(u usage) float64 { return u.Memory }, causes: []string{"sassafras_gate_body_bytes_total", "sassafras_peer_bytes_total"}},
-	"files":    {of: func(u usage) float64 { return u.Files }, causes: []string{"sassafras_control_requests_total", "sassafras_requests_total", "sassafras_gate_calls_total"}},
-	"refused":  {of: func(u usage) float64 { return u.Refused }, causes: []string{"sassafras_upstream_limit_refused_total", "sassafras_gate_calls_total"}},
-	"platform": {of: func(u usage) float64 { return u.Calls }, causes: []string{"sassafras_platform_calls_by_kind_total"}},
+	"bytes":    {value: func(u usage) float64 { return u.Bytes }, causes: []string{"sassafras_control_bytes_total", "sassafras_peer_bytes_total", "sassafras_gate_body_bytes_total"}},
+	"cores":    {value: func(u usage) float64 { return u.Cores }, causes: []string{"sassafras_control_requests_total", "sassafras_requests_total", "sassafras_gate_calls_total"}},
+	"memory":   {value: func(u usage) float64 { return u.Memory }, causes: []string{"sassafras_gate_body_bytes_total", "sassafras_peer_bytes_total"}},
+	"files":    {value: func(u usage) float64 { return u.Files }, causes: []string{"sassafras_control_requests_total", "sassafras_requests_total", "sassafras_gate_calls_total"}},
+	"refused":  {value: func(u usage) float64 { return u.Refused }, causes: []string{"sassafras_upstream_limit_refused_total", "sassafras_gate_calls_total"}},
+	"platform": {value: func(u usage) float64 { return u.Calls }, causes: []string{"sassafras_platform_calls_by_kind_total"}},
 }
 
 // measureNames returns the names of the measures in order.
@@ -72,44 +72,44 @@
 
 // busiest shows which nodes use most, what all use in the middle, and what it comes from.
 func (t *tool) busiest(ctx context.Context, args []string) error {
-	measure, ok := measures[t.by]
+	measure, ok := measures[t.measure]
 	switch {
 	case len(args) > 0:
 		return exitError{exitUsage, errors.New("usage: sassafrasctl busiest -node ADDRESS [-by MEASURE] [-over TIME] [-show N]")}
 	case !ok:
-		return exitError{exitUsage, fmt.Errorf("-by: %q is not one of %s", t.by, strings.Join(measureNames(), ", "))}
-	case t.over <= 0:
-		return exitError{exitUsage, fmt.Errorf("-over: %v is not positive", t.over)}
-	case t.show <= 0:
-		return exitError{exitUsage, fmt.Errorf("-show: %d is not positive", t.show)}
+		return exitError{exitUsage, fmt.Errorf("-by: %q is not one of %s", t.measure, strings.Join(measureNames(), ", "))}
+	case t.interval <= 0:
+		return exitError{exitUsage, fmt.Errorf("-over: %v is not positive", t.interval)}
+	case t.maxRows <= 0:
+		return exitError{exitUsage, fmt.Errorf("-show: %d is not positive", t.maxRows)}
 	}
-	list, silent, err := t.usages(ctx, measure.causes)
+	list, failures, err := t.usages(ctx, measure.causes)
 	if err != nil {
 		return err
 	}
 	if len(list) == 0 {
-		return fmt.Errorf("none of %d nodes answers at the port of %s", len(silent), t.node)
+		return fmt.Errorf("none of %d nodes answers at the port of %s", len(failures), t.node)
 	}
 	slices.SortFunc(list, func(a, b usage) int {
-		return cmp.Or(cmp.Compare(measure.of(b), measure.of(a)), cmp.Compare(a.Node, b.Node))
+		return cmp.Or(cmp.Compare(measure.value(b), measure.value(a)), cmp.Compare(a.Node, b.Node))
 	})
 	if t.output == "json" {
-		return json.NewEncoder(t.out).Encode(list[:min(t.show, len(list))])
+		return json.NewEncoder(t.out).Encode(list[:min(t.maxRows, len(list))])
 	}
-	middle := list[len(list)/2]
+	median := list[len(list)/2]
 	w := tabwriter.NewWriter(t.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "NODE\tZONE\tCORES\tKB/S\tMEMORY MB\tFILES\tPLATFORM CALLS/S\tMOSTLY, PER SECOND")
-	for _, u := range list[:min(t.show, len(list))] {
+	for _, u := range list[:min(t.maxRows, len(list))] {
 		fmt.Fprintln(w, u.row())
 	}
-	middle.Node = fmt.Sprintf("middle of %d", len(list))
-	middle.Zone = "-"
-	fmt.Fprintln(w, middle.row())
+	median.Node = fmt.Sprintf("middle of %d", len(list))
+	median.Zone = "-"
+	fmt.Fprintln(w, median.row())
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	if len(silent) > 0 {
-		fmt.Fprintf(t.out, "%d nodes not read, %s among them: %v\n", len(silent), silent[0].node, silent[0].err)
+	if len(failures) > 0 {
+		fmt.Fprintf(t.out, "%d nodes not read, %s among them: %v\n", len(failures), failures[0].node, failures[0].err)
 	}
 	return nil
 }
@@ -123,21 +123,21 @@
 	slices.SortFunc(names, func(a, b string) int {
 		return cmp.Or(cmp.Compare(u.Causes[b], u.Causes[a]), cmp.Compare(a, b))
 	})
-	var mostly []string
-	for _, name := range names[:min(shownCauses, len(names))] {
-		mostly = append(mostly, fmt.Sprintf("%s %.4g", name, u.Causes[name]))
+	var causes []string
+	for _, name := range names[:min(maxShownCauses, len(names))] {
+		causes = append(causes, fmt.Sprintf("%s %.4g", name, u.Causes[name]))
 	}
-	return fmt.Sprintf("%s\t%s\t%.3f\t%.1f\t%.1f\t%.0f\t%.2f\t%s", u.Node, u.Zone, u.Cores, u.Bytes/1000, u.Memory/1e6, u.Files, u.Calls, strings.Join(mostly, ", "))
+	return fmt.Sprintf("%s\t%s\t%.3f\t%.1f\t%.1f\t%.0f\t%.2f\t%s", u.Node, u.Zone, u.Cores, u.Bytes/1000, u.Memory/1e6, u.Files, u.Calls, strings.Join(causes, ", "))
 }
 
 // unread is a node that could not be read, and why.
-type unread struct {
+type readFailure struct {
 	node string
 	err  error
 }
 
 // usages reads all nodes twice.
-func (t *tool) usages(ctx context.Context, causes []string) (list []usage, silent []unread, err error) {
+func (t *tool) usages(ctx context.Context, causes []string) (list []usage, failures []readFailure, err error) {
 	data, err := t.callNode(ctx, http.MethodGet, "/v1/nodes")
 	if err != nil {
 		return nil, nil, err
@@ -154,67 +154,67 @@
 	select {
 	case <-ctx.Done():
 		return nil, nil, ctx.Err()
-	case <-time.After(t.over):
+	case <-time.After(t.interval):
 	}
 	after := readAll(ctx, nodes, port)
 	for i, n := range nodes {
 		if err := errors.Join(before[i].err, after[i].err); err != nil {
-			silent = append(silent, unread{
+			failures = append(failures, readFailure{
 				node: n.Node,
 				err:  err,
 			})
 			continue
 		}
-		list = append(list, usageOf(n, before[i], after[i], causes))
+		list = append(list, usageBetween(n, before[i], after[i], causes))
 	}
-	return list, silent, nil
+	return list, failures, nil
 }
 
 // reading is the metrics of a node at one moment.
-type reading struct {
+type sample struct {
 	at     time.Time
 	values map[string]float64
 	err    error
 }
 
 // readAll reads the metrics of nodes, whose operator addresses have the given port.
-func readAll(ctx context.Context, nodes []operator.NodeAddress, port string) []reading {
-	list := make([]reading, len(nodes))
-	todo := make(chan int)
+func readAll(ctx context.Context, nodes []operator.NodeAddress, port string) []sample {
+	list := make([]sample, len(nodes))
+	indexes := make(chan int)
 	var all sync.WaitGroup
-	for range readAtOnce {
+	for range maxConcurrentReads {
 		all.Go(func() {
-			for i := range todo {
+			for i := range indexes {
 				list[i] = read(ctx, nodes[i], port)
 			}
 		})
 	}
 	for i := range nodes {
-		todo <- i
+		indexes <- i
 	}
-	close(todo)
+	close(indexes)
 	all.Wait()
 	return list
 }
 
 // read reads the metrics of one node.
-func read(ctx context.Context, n operator.NodeAddress, port string) reading {
+func read(ctx context.Context, n operator.NodeAddress, port string) sample {
 	host, _, err := net.SplitHostPort(n.Address)
 	if err != nil {
-		return reading{err: err}
+		return sample{err: err}
 	}
 	data, err := callNode(ctx, net.JoinHostPort(host, port), http.MethodGet, "/metrics")
 	if err != nil {
-		return reading{err: err}
+		return sample{err: err}
 	}
-	return reading{
+	return sample{
 		at:     time.Now(),
 		values: parseMetrics(string(data)),
 	}
 }
 
 // usageOf returns what a node used between two readings.
-func usageOf(n operator.NodeAddress, before, after reading, causes []string) usage {
+func usageBetween(n operator.NodeAddress, before, after sample, causes []string) usage {
 	seconds := after.at.Sub(before.at).Seconds()
 	rate := func(name string) float64 { return max(0, after.values[name]-before.values[name]) / seconds }
 	u := usage{
--- a/cmd/sassafrasctl/busiest_test.go
+++ b/cmd/sassafrasctl/busiest_test.go
@@ -20,12 +20,12 @@
 
 // apart is how many times more one node uses than the next one, so that their order does not hang
 // on how long the reading of each takes.
-const apart = 1000
+const usageFactor = 1000
 
 // fleetOf starts nodes on one port of several addresses, each of which sends far more than the one
 // before it and makes far fewer calls to the platform. Another one that they know is gone. It
 // returns the operator address of the first.
-func fleetOf(t *testing.T, nodes int) string {
+func startNodes(t *testing.T, nodes int) string {
 	first, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	_, port, _ := net.SplitHostPort(first.Addr().String())
@@ -42,10 +42,10 @@
 		var reads atomic.Int64
 		sends, calls := int64(1000), int64(1)
 		for range i {
-			sends *= apart
+			sends *= usageFactor
 		}
 		for range nodes - i {
-			calls *= apart
+			calls *= usageFactor
 		}
 		s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == "/v1/nodes" {
@@ -69,7 +69,7 @@
 
 // TestBusiest compares nodes of which one does not answer.
 func TestBusiest(t *testing.T) {
-	node := fleetOf(t, 5)
+	node := startNodes(t, 5)
 	tests := map[string]struct {
 		args []string
 		code int
--- a/cmd/sassafrasctl/commands.go
+++ b/cmd/sassafrasctl/commands.go
@@ -36,17 +36,17 @@
 		return err
 	}
 	api := t.api()
-	present, err := api.Get(ctx, o.Kind, o.Metadata.Name)
+	current, err := api.Get(ctx, o.Kind, o.Metadata.Name)
 	switch {
 	case objectapi.IsNotFound(err):
 	case err != nil:
 		return err
 	case o.Metadata.ResourceVersion == "":
-		o = o.WithResourceVersion(present.Metadata.ResourceVersion)
+		o = o.WithResourceVersion(current.Metadata.ResourceVersion)
 	}
 	written, err := objectapi.Put(ctx, api, o)
 	if objectapi.IsConflict(err) {
-		return exitError{exitConflict, conflictText(o, err)}
+		return exitError{exitConflict, conflictError(o, err)}
 	}
 	if err != nil {
 		return err
@@ -56,17 +56,17 @@
 }
 
 // conflictText shows both sides of a conflict.
-func conflictText(o *objectapi.Object, err error) error {
-	present := "unknown"
+func conflictError(o *objectapi.Object, err error) error {
+	current := "unknown"
 	if c, ok := errors.AsType[*objectapi.ConflictError](err); ok {
-		present = fmt.Sprintf("version %s\n%s", c.Current.Metadata.ResourceVersion, indent(c.Current.Spec))
+		current = fmt.Sprintf("version %s\n%s", c.Current.Metadata.ResourceVersion, indent(c.Current.Spec))
 	}
 	effect := "nothing was written"
 	if e, ok := errors.AsType[*objectapi.Error](err); ok && e.Verdict == verdict.MayHaveRun {
 		effect = "an answer was lost, so this may have been written and then overwritten"
 	}
 	return fmt.Errorf("another change came first; %s\n--- yours, for version %s\n%s\n--- on the platform, %s",
-		effect, o.Metadata.ResourceVersion, indent(o.Spec), present)
+		effect, o.Metadata.ResourceVersion, indent(o.Spec), current)
 }
 
 func indent(spec json.RawMessage) string {
@@ -88,10 +88,10 @@
 		return err
 	}
 	var old string
-	present, err := t.api().Get(ctx, o.Kind, o.Metadata.Name)
+	current, err := t.api().Get(ctx, o.Kind, o.Metadata.Name)
 	switch {
 	case err == nil:
-		old = indent(present.Spec)
+		old = indent(current.Spec)
 	case !objectapi.IsNotFound(err):
 		return err
 	}
@@ -118,7 +118,7 @@
 // get shows services.
 func (t *tool) get(ctx context.Context, args []string) error {
 	objects, err := t.objects(ctx, operator.KindService, args)
-	if err != nil || t.json(objects) {
+	if err != nil || t.printJSON(objects) {
 		return err
 	}
 	w := tabwriter.NewWriter(t.out, 0, 0, 2, ' ', 0)
@@ -158,7 +158,7 @@
 }
 
 // json prints v as JSON if that is asked for, and returns whether it was.
-func (t *tool) json(v any) bool {
+func (t *tool) printJSON(v any) bool {
 	if t.output != "json" {
 		return false
 	}
@@ -176,7 +176,7 @@
 		return err
 	}
 	var refused error
-	if !t.json(objects) {
+	if !t.printJSON(objects) {
 		fmt.Fprintln(t.out, statusHeader)
 	}
 	for _, o := range objects {
@@ -214,7 +214,7 @@
 func (t *tool) watch(ctx context.Context, _ []string) error {
 	show := func(o *objectapi.Object) {
 		s, err := objectapi.DecodeSpec[operator.ServiceStatus](o)
-		if err != nil || t.json(o) {
+		if err != nil || t.printJSON(o) {
 			return
 		}
 		t.printStatus(o.Metadata.Name, s)
--- a/cmd/sassafrasctl/explain.go
+++ b/cmd/sassafrasctl/explain.go
@@ -19,7 +19,7 @@
 )
 
 // maxLine bounds a log line, in bytes.
-const maxLine = 1 << 20
+const maxLineBytes = 1 << 20
 
 // explain prints the lines of a request from the logs of any number of nodes in
 // the order of their times, and what ended it.
@@ -34,7 +34,7 @@
 		if err != nil {
 			return err
 		}
-		found, err := linesOf(f, id)
+		found, err := linesWithID(f, id)
 		_ = f.Close()
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
@@ -48,7 +48,7 @@
 	for _, l := range lines {
 		fmt.Fprintln(t.out, l.text)
 	}
-	fmt.Fprintln(t.out, summary(lines))
+	fmt.Fprintln(t.out, summarize(lines))
 	return nil
 }
 
@@ -61,10 +61,10 @@
 func (l logLine) field(key string) string { return l.fields[key] }
 
 // linesOf returns the lines that have the request id.
-func linesOf(r io.Reader, id string) ([]logLine, error) {
+func linesWithID(r io.Reader, id string) ([]logLine, error) {
 	var list []logLine
 	s := bufio.NewScanner(r)
-	s.Buffer(nil, maxLine)
+	s.Buffer(nil, maxLineBytes)
 	for s.Scan() {
 		if !strings.Contains(s.Text(), id) {
 			continue
@@ -109,14 +109,14 @@
 
 // summary names what ended the request, by its last line and the failures
 // before it.
-func summary(lines []logLine) string {
-	var causes, trial []string
+func summarize(lines []logLine) string {
+	var causes, canaries []string
 	end := logLine{}
 	for _, l := range lines {
 		switch l.field("event") {
 		case "request sent":
 			if l.field("trial") == "true" {
-				trial = append(trial, l.field("to"))
+				canaries = append(canaries, l.field("to"))
 			}
 		case "request failed":
 			cause := l.field("cause") + " at " + l.field("to")
@@ -141,8 +141,8 @@
 	if by := end.field("by"); by != "" {
 		text += fmt.Sprintf("; ended by the %s while the node was %s", by, end.field("phase"))
 	}
-	if len(trial) > 0 {
-		text += "; sent to a version on trial at " + strings.Join(trial, ", ")
+	if len(canaries) > 0 {
+		text += "; sent to a version on trial at " + strings.Join(canaries, ", ")
 	}
 	if len(causes) > 0 {
 		text += "; " + strings.Join(causes, "; ")
--- a/cmd/sassafrasctl/explain_test.go
+++ b/cmd/sassafrasctl/explain_test.go
@@ -58,20 +58,20 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			qt.Check(t, summary([]logLine{parseLine(test.line)}), qt.Matches, ".*"+test.want)
+			qt.Check(t, summarize([]logLine{parseLine(test.line)}), qt.Matches, ".*"+test.want)
 		})
 	}
 }
 
 // TestSummaryOfTrial has a request be sent to an upstream of a version on trial first.
-func TestSummaryOfTrial(t *testing.T) {
+func TestSummaryOfCanary(t *testing.T) {
 	lines := []logLine{
 		parseLine(`event="request sent" to=n2 trial=true`),
 		parseLine(`event="request failed" cause=upstreamLost to=n2`),
 		parseLine(`event="request sent" to=n3`),
 		parseLine(`event="request ended" status=200 verdict=ran tries=2`),
 	}
-	qt.Check(t, summary(lines), qt.Matches, ".*; sent to a version on trial at n2; upstreamLost at n2")
+	qt.Check(t, summarize(lines), qt.Matches, ".*; sent to a version on trial at n2; upstreamLost at n2")
 }
 
 func TestExplain(t *testing.T) {
--- a/cmd/sassafrasctl/failures.go
+++ b/cmd/sassafrasctl/failures.go
@@ -25,11 +25,11 @@
 
 // failureCount is what is known of the failed requests of one kind.
 type failureCount struct {
-	key     failureKey
-	count   int
-	first   string         // the id of the first one, for explain
-	at      time.Time      // of the first one
-	refused map[string]int // by the node whose gate refused a sending
+	key            failureKey
+	count          int
+	firstID        string         // the id of the first one, for explain
+	firstTime      time.Time      // of the first one
+	refusalsByNode map[string]int // by the node whose gate refused a sending
 }
 
 // failures prints which requests of a service failed between two times, by class,
@@ -64,10 +64,10 @@
 
 // failureCounter counts failed requests.
 type failureCounter struct {
-	service  string
-	from, to time.Time
-	counts   map[failureKey]*failureCount
-	leftOut  int // lines that the nodes say they have left out
+	service      string
+	from, to     time.Time
+	counts       map[failureKey]*failureCount
+	droppedLines int // lines that the nodes say they have left out
 }
 
 // readFile counts the failures of one node's log.
@@ -87,7 +87,7 @@
 func (c *failureCounter) read(r io.Reader) error {
 	refusals := make(map[string][]string) // the nodes that refused, by request
 	s := bufio.NewScanner(r)
-	s.Buffer(nil, maxLine)
+	s.Buffer(nil, maxLineBytes)
 	for s.Scan() {
 		switch {
 		case strings.Contains(s.Text(), `event="request failed"`):
@@ -99,7 +99,7 @@
 			c.add(l, refusals[l.field("requestId")])
 			delete(refusals, l.field("requestId"))
 		case strings.Contains(s.Text(), `event="log lines left out"`):
-			c.leftOut++
+			c.droppedLines++
 		}
 	}
 	return s.Err()
@@ -120,18 +120,18 @@
 	n := c.counts[key]
 	if n == nil {
 		n = &failureCount{
-			key:     key,
-			refused: make(map[string]int),
+			key:            key,
+			refusalsByNode: make(map[string]int),
 		}
 		c.counts[key] = n
 	}
 	n.count++
-	if n.first == "" || at.Before(n.at) {
-		n.first = l.field("requestId")
-		n.at = at
+	if n.firstID == "" || at.Before(n.firstTime) {
+		n.firstID = l.field("requestId")
+		n.firstTime = at
 	}
 	for _, node := range refused {
-		n.refused[node]++
+		n.refusalsByNode[node]++
 	}
 }
 
@@ -142,29 +142,29 @@
 		list = append(list, n)
 	}
 	slices.SortFunc(list, func(a, b *failureCount) int {
-		return cmp.Or(-cmp.Compare(a.count, b.count), cmp.Compare(a.first, b.first))
+		return cmp.Or(-cmp.Compare(a.count, b.count), cmp.Compare(a.firstID, b.firstID))
 	})
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "COUNT\tCLASS\tSTATUS\tCAUSE\tVERDICT\tREFUSED MOST BY\tFIRST REQUEST")
 	for _, n := range list {
-		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%s\t%s\n", n.count, n.key.class, n.key.status, n.key.cause, n.key.verdict, n.most(), n.first)
+		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%s\t%s\n", n.count, n.key.class, n.key.status, n.key.cause, n.key.verdict, n.topRefuser(), n.firstID)
 	}
 	_ = w.Flush()
-	if c.leftOut > 0 {
-		fmt.Fprintf(out, "the nodes have left lines out %d times (see log lines left out): there were more\n", c.leftOut)
+	if c.droppedLines > 0 {
+		fmt.Fprintf(out, "the nodes have left lines out %d times (see log lines left out): there were more\n", c.droppedLines)
 	}
 }
 
 // most returns the node that refused most sendings of the requests.
-func (n *failureCount) most() string {
+func (n *failureCount) topRefuser() string {
 	best := ""
-	for node, count := range n.refused {
-		if best == "" || count > n.refused[best] || count == n.refused[best] && node < best {
+	for node, count := range n.refusalsByNode {
+		if best == "" || count > n.refusalsByNode[best] || count == n.refusalsByNode[best] && node < best {
 			best = node
 		}
 	}
 	if best == "" {
 		return "-"
 	}
-	return fmt.Sprintf("%s (%d)", best, n.refused[best])
+	return fmt.Sprintf("%s (%d)", best, n.refusalsByNode[best])
 }
--- a/cmd/sassafrasctl/limits.go
+++ b/cmd/sassafrasctl/limits.go
@@ -18,7 +18,7 @@
 	if len(args) > 0 {
 		return exitError{exitUsage, errors.New("usage: sassafrasctl limits -node ADDRESS")}
 	}
-	return showNode(ctx, t, "/v1/limits", "NODE\tSTART\tLIMIT\tUSED\tREFUSED\tLEAVING\tSINCE\tTOLD BY", func(l operator.UpstreamLimit) string {
+	return showNodeList(ctx, t, "/v1/limits", "NODE\tSTART\tLIMIT\tUSED\tREFUSED\tLEAVING\tSINCE\tTOLD BY", func(l operator.UpstreamLimit) string {
 		limit, used, refused, leaving := "-", "-", "-", "no"
 		if l.Limited {
 			limit = fmt.Sprintf("%g/s", l.Limit)
--- a/cmd/sassafrasctl/main.go
+++ b/cmd/sassafrasctl/main.go
@@ -57,7 +57,7 @@
 // execute runs the command line and returns the exit code.
 func execute(ctx context.Context, args []string, out, errOut io.Writer) int {
 	t := &tool{out: out}
-	err := t.root(errOut).ParseAndRun(ctx, args)
+	err := t.rootCommand(errOut).ParseAndRun(ctx, args)
 	if err == nil || errors.Is(err, flag.ErrHelp) {
 		return 0
 	}
@@ -78,13 +78,13 @@
 	node      string
 
 	// of busiest
-	by   string
-	over time.Duration
-	show int
+	measure  string
+	interval time.Duration
+	maxRows  int
 }
 
 // usesNode are the commands that ask a node.
-var usesNode = map[string]bool{
+var nodeCommands = map[string]bool{
 	"suspects":      true,
 	"release":       true,
 	"zones":         true,
@@ -95,25 +95,25 @@
 }
 
 // root returns the command line.
-func (t *tool) root(errOut io.Writer) *ffcli.Command {
+func (t *tool) rootCommand(errOut io.Writer) *ffcli.Command {
 	fs := flag.NewFlagSet("sassafrasctl", flag.ContinueOnError)
 	fs.SetOutput(errOut)
 	fs.StringVar(&t.url, "platformURL", "http://127.0.0.1:8001", "root of the platform's object API")
 	fs.StringVar(&t.namespace, "namespace", "sassafrasfront", "namespace of the system's objects")
 	fs.StringVar(&t.output, "o", "table", "output: table or json")
-	command := func(name, usage, help string, exec func(context.Context, []string) error) *ffcli.Command {
+	newCommand := func(name, usage, help string, exec func(context.Context, []string) error) *ffcli.Command {
 		f := flag.NewFlagSet(name, flag.ContinueOnError)
 		f.SetOutput(errOut)
 		if name == "validate" || name == "apply" || name == "diff" {
 			f.StringVar(&t.file, "f", "", "file with a Service in YAML or JSON")
 		}
-		if usesNode[name] {
+		if nodeCommands[name] {
 			f.StringVar(&t.node, "node", "", "operator address of a node, such as 10.1.0.38:8141")
 		}
 		if name == "busiest" {
-			f.StringVar(&t.by, "by", "bytes", "what to compare nodes by: "+strings.Join(measureNames(), ", "))
-			f.DurationVar(&t.over, "over", 5*time.Second, "time between the two readings of each node")
-			f.IntVar(&t.show, "show", shownNodes, "number of nodes to show")
+			f.StringVar(&t.measure, "by", "bytes", "what to compare nodes by: "+strings.Join(measureNames(), ", "))
+			f.DurationVar(&t.interval, "over", 5*time.Second, "time between the two readings of each node")
+			f.IntVar(&t.maxRows, "show", defaultShownNodes, "number of nodes to show")
 		}
 		return &ffcli.Command{
 			Name:       name,
@@ -129,22 +129,22 @@
 		FlagSet:    fs,
 		Options:    []ff.Option{ff.WithEnvVarPrefix("SASSAFRAS")},
 		Subcommands: []*ffcli.Command{
-			command("validate", "validate -f FILE", "check a file with the checks that the system uses", t.validate),
-			command("apply", "apply -f FILE", "write a Service, unless it has changed since the file was read", t.apply),
-			command("diff", "diff -f FILE", "show what apply would change", t.diff),
-			command("get", "get [NAME]", "show services", t.get),
-			command("status", "status [NAME]", "show what became of services", t.status),
-			command("watch", "watch", "show statuses as they change", t.watch),
-			command("delete", "delete NAME", "delete a service", t.remove),
-			command("explain", "explain REQUEST-ID FILE...", "show what the logs of nodes say of a request", t.explain),
-			command("failures", "failures SERVICE FROM TO FILE...", "count a service's failed requests in the logs of nodes", t.failures),
-			command("suspects", "suspects -node ADDRESS", "show the requests under which upstreams have ended", t.suspects),
-			command("release", "release -node ADDRESS PRINT", "let such a request run again, at all nodes", t.release),
-			command("zones", "zones -node ADDRESS", "show the evacuated availability zones", t.zones),
-			command("rollouts", "rollouts -node ADDRESS", "show how far versions are rolled out", t.rollouts),
-			command("busiest", "busiest -node ADDRESS [-by MEASURE] [-over TIME] [-show N]", "show which nodes use most, and what for", t.busiest),
-			command("limits", "limits -node ADDRESS", "show the upstreams that name a limit or leave", t.limits),
-			command("organisations", "organisations -node ADDRESS", "show the organisations' rate limits and what they use", t.organisations),
+			newCommand("validate", "validate -f FILE", "check a file with the checks that the system uses", t.validate),
+			newCommand("apply", "apply -f FILE", "write a Service, unless it has changed since the file was read", t.apply),
+			newCommand("diff", "diff -f FILE", "show what apply would change", t.diff),
+			newCommand("get", "get [NAME]", "show services", t.get),
+			newCommand("status", "status [NAME]", "show what became of services", t.status),
+			newCommand("watch", "watch", "show statuses as they change", t.watch),
+			newCommand("delete", "delete NAME", "delete a service", t.remove),
+			newCommand("explain", "explain REQUEST-ID FILE...", "show what the logs of nodes say of a request", t.explain),
+			newCommand("failures", "failures SERVICE FROM TO FILE...", "count a service's failed requests in the logs of nodes", t.failures),
+			newCommand("suspects", "suspects -node ADDRESS", "show the requests under which upstreams have ended", t.suspects),
+			newCommand("release", "release -node ADDRESS PRINT", "let such a request run again, at all nodes", t.release),
+			newCommand("zones", "zones -node ADDRESS", "show the evacuated availability zones", t.zones),
+			newCommand("rollouts", "rollouts -node ADDRESS", "show how far versions are rolled out", t.rollouts),
+			newCommand("busiest", "busiest -node ADDRESS [-by MEASURE] [-over TIME] [-show N]", "show which nodes use most, and what for", t.busiest),
+			newCommand("limits", "limits -node ADDRESS", "show the upstreams that name a limit or leave", t.limits),
+			newCommand("organisations", "organisations -node ADDRESS", "show the organisations' rate limits and what they use", t.organisations),
 		},
 		Exec: func(context.Context, []string) error {
 			return exitError{exitUsage, errors.New("usage: sassafrasctl [flags] <validate|apply|diff|get|status|watch|delete|explain|failures|suspects|release|zones|rollouts|limits|organisations|busiest>")}
--- a/cmd/sassafrasctl/main_test.go
+++ b/cmd/sassafrasctl/main_test.go
@@ -19,7 +19,7 @@
 	"sassafrasfront.example/operator"
 )
 
-const good = `apiVersion: sassafrasfront.example/v1
+const validService = `apiVersion: sassafrasfront.example/v1
 kind: Service
 metadata: {name: pledgebook}
 spec:
@@ -37,15 +37,15 @@
 		out  string
 	}{
 		"no command":           {code: exitUsage, out: "usage"},
-		"validate":             {file: good, args: []string{"validate"}, out: "pledgebook is valid"},
-		"validate a bad field": {file: good + "  retry: {share: 9}\n", args: []string{"validate"}, code: exitInvalid, out: "retry.share"},
-		"validate unknown key": {file: good + "  tiemout: 5s\n", args: []string{"validate"}, code: exitInvalid, out: "tiemout"},
+		"validate":             {file: validService, args: []string{"validate"}, out: "pledgebook is valid"},
+		"validate a bad field": {file: validService + "  retry: {share: 9}\n", args: []string{"validate"}, code: exitInvalid, out: "retry.share"},
+		"validate unknown key": {file: validService + "  tiemout: 5s\n", args: []string{"validate"}, code: exitInvalid, out: "tiemout"},
 		"validate other kind":  {file: "kind: Pod\n", args: []string{"validate"}, code: exitInvalid, out: "Pod"},
 		"validate no file":     {args: []string{"validate"}, code: exitUsage, out: "-f"},
-		"apply":                {file: good, args: []string{"apply"}, out: "pledgebook written"},
-		"apply an old version": {file: good + "x-unused: 1\n", args: []string{"apply"}, out: "written"},
+		"apply":                {file: validService, args: []string{"apply"}, out: "pledgebook written"},
+		"apply an old version": {file: validService + "x-unused: 1\n", args: []string{"apply"}, out: "written"},
 		"conflict":             {file: `{"apiVersion":"sassafrasfront.example/v1","kind":"Service","metadata":{"name":"pledgebook","resourceVersion":"99"},"spec":{"hosts":["mine"]}}`, args: []string{"apply"}, code: exitConflict, out: "before.example"},
-		"diff":                 {file: good, args: []string{"diff"}, out: "+     \"pledgebook.example\""},
+		"diff":                 {file: validService, args: []string{"diff"}, out: "+     \"pledgebook.example\""},
 		"get":                  {args: []string{"get"}, out: "before.example"},
 		"get as JSON":          {args: []string{"-o", "json", "get", "pledgebook"}, out: `"resourceVersion": "1"`},
 		"get none":             {args: []string{"get", "other"}, code: exitFailed, out: "404"},
--- a/cmd/sassafrasctl/node.go
+++ b/cmd/sassafrasctl/node.go
@@ -20,12 +20,12 @@
 	// nodeTimeout bounds a call to a node.
 	nodeTimeout = 5 * time.Second
 	// maxNodeAnswer is the most that is read of its answer, in bytes.
-	maxNodeAnswer = 4 << 20
+	maxNodeResponseBytes = 4 << 20
 )
 
 // showNode shows the list that a node answers with, as it is or as a table with a row for each
 // element.
-func showNode[T any](ctx context.Context, t *tool, path, header string, row func(T) string) error {
+func showNodeList[T any](ctx context.Context, t *tool, path, header string, row func(T) string) error {
 	data, err := t.callNode(ctx, http.MethodGet, path)
 	if err != nil {
 		return err
@@ -67,7 +67,7 @@
 		return nil, err
 	}
 	defer response.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxNodeAnswer))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxNodeResponseBytes))
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", node, err)
 	}
--- a/cmd/sassafrasctl/node_test.go
+++ b/cmd/sassafrasctl/node_test.go
@@ -15,7 +15,7 @@
 )
 
 // TestSuspects runs the commands on suspected requests against a node that blocks one.
-func TestSuspects(t *testing.T) {
+func TestNodeCommands(t *testing.T) {
 	const blocked = `[{"print":"00.01","standing":"blocked","ends":3,"upstreams":["n1/i-1/0"],"since":"2026-01-02T03:04:05Z","until":"2026-01-02T03:14:05Z"}]`
 	const evacuated = `[{"zone":"z1","revision":412,"since":"2026-01-02T03:04:05Z","upstreams":24,"running":3},{"zone":"z2","revision":412,"since":"2026-01-02T03:04:05Z","upstreams":0}]`
 	const organisations = `[{"organisation":"o1","rate":272,"burst":136,"here":12.25,"all":49,"limited":7,"unknown":2},{"organisation":"o2","rate":1.5,"burst":0,"here":0,"all":0,"limited":0,"unknown":0}]`
--- a/cmd/sassafrasctl/organisations.go
+++ b/cmd/sassafrasctl/organisations.go
@@ -18,7 +18,7 @@
 	if len(args) > 0 {
 		return exitError{exitUsage, errors.New("usage: sassafrasctl organisations -node ADDRESS")}
 	}
-	return showNode(ctx, t, "/v1/organisations", "ORGANISATION\tRATE\tBURST\tNOW\tHERE\tSHARE\tREFUSED: LIMIT\tUNKNOWN", func(o operator.Organisation) string {
+	return showNodeList(ctx, t, "/v1/organisations", "ORGANISATION\tRATE\tBURST\tNOW\tHERE\tSHARE\tREFUSED: LIMIT\tUNKNOWN", func(o operator.Organisation) string {
 		all, share := "-", "-"
 		if o.TotalRate > 0 {
 			all = fmt.Sprintf("%.1f", o.TotalRate)
--- a/cmd/sassafrasctl/rollouts.go
+++ b/cmd/sassafrasctl/rollouts.go
@@ -18,7 +18,7 @@
 	if len(args) > 0 {
 		return exitError{exitUsage, errors.New("usage: sassafrasctl rollouts -node ADDRESS")}
 	}
-	return showNode(ctx, t, "/v1/rollouts", "SERVICE\tVERSION\tPHASE\tSHARE\tCHANGED\tDECIDED BY\tREASON", func(r operator.Rollout) string {
+	return showNodeList(ctx, t, "/v1/rollouts", "SERVICE\tVERSION\tPHASE\tSHARE\tCHANGED\tDECIDED BY\tREASON", func(r operator.Rollout) string {
 		return fmt.Sprintf("%s\t%s\t%s\t%.3f\t%s\t%s\t%s", r.Service, r.Version, r.Phase, r.Share, r.ChangedAt.Format(time.RFC3339), r.Node, r.Reason)
 	})
 }
--- a/cmd/sassafrasctl/suspects.go
+++ b/cmd/sassafrasctl/suspects.go
@@ -21,7 +21,7 @@
 	if len(args) > 0 {
 		return exitError{exitUsage, errors.New("usage: sassafrasctl suspects -node ADDRESS")}
 	}
-	return showNode(ctx, t, "/v1/suspects", "PRINT\tSTANDING\tENDS\tSINCE\tUNTIL\tUPSTREAMS", func(s operator.Suspect) string {
+	return showNodeList(ctx, t, "/v1/suspects", "PRINT\tSTANDING\tENDS\tSINCE\tUNTIL\tUPSTREAMS", func(s operator.Suspect) string {
 		until := "-"
 		if s.BlockedUntil != nil {
 			until = s.BlockedUntil.Format(time.RFC3339)
--- a/cmd/sassafrasctl/zones.go
+++ b/cmd/sassafrasctl/zones.go
@@ -20,7 +20,7 @@
 	if len(args) > 0 {
 		return exitError{exitUsage, errors.New("usage: sassafrasctl zones -node ADDRESS")}
 	}
-	return showNode(ctx, t, "/v1/zones", "ZONE\tREVISION\tSINCE\tUPSTREAMS\tRUNNING HERE", func(z operator.EvacuatedZone) string {
+	return showNodeList(ctx, t, "/v1/zones", "ZONE\tREVISION\tSINCE\tUPSTREAMS\tRUNNING HERE", func(z operator.EvacuatedZone) string {
 		running := "-"
 		if z.InFlight != nil {
 			running = strconv.Itoa(*z.InFlight)
