--- a/cmd/sassafrasctl/busiest.go
+++ b/cmd/sassafrasctl/busiest.go
@@ -22,32 +22,33 @@
 )
 
 const (
-	// readAtOnce is how many nodes are read at the same time.
+	// maxConcurrentReads is the number of nodes whose metrics are read concurrently.
 	maxConcurrentReads = 32
-	// shownNodes is the number of nodes that are shown if the flag does not say so.
+	// defaultShownNodes is the default number of nodes that are shown.
 	defaultShownNodes = 5
-	// shownCauses is the number of causes that are shown for a node.
+	// maxShownCauses is the maximum number of causes that are shown for a node.
 	maxShownCauses = 3
 )
 
-// usage is what a node uses, per second but for memory and files.
+// usage is the resource usage of a node. Except for memory and files it is per second.
 type usage struct {
 	Node string `json:"node"`
 	Zone string `json:"zone"`
-	// Cores is processor time, Bytes what peers are sent and send, Memory the resident bytes,
-	// Files the open descriptors and Calls the calls to the platform.
+	// Cores is the processor time, Bytes the traffic to and from peers, Memory the resident
+	// bytes, Files the open file descriptors, and Calls the calls to the platform.
 	Cores  float64 `json:"cores"`
 	Bytes  float64 `json:"bytesPerSecond"`
 	Memory float64 `json:"memoryBytes"`
 	Files  float64 `json:"openFiles"`
 	Calls  float64 `json:"platformCallsPerSecond"`
-	// Refused is the requests refused for the limit that the upstream beside the node names.
+	// Refused is the number of requests refused because of the limit that the upstream beside
+	// the node advertises.
 	Refused float64 `json:"refusedForLimitPerSecond"`
-	// Causes are rates of what the figure in question may come from, by name.
+	// Causes are the rates of the metrics that may explain the chosen measure, by name.
 	Causes map[string]float64 `json:"causesPerSecond"`
 }
 
-// measures are the figures by which nodes can be compared, and the metrics that explain them.
+// measures are the measures by which nodes can be compared, with the metrics that explain them.
 var measures = map[string]struct {
 	value  func(u usage) float64
 	causes []string
@@ -60,7 +61,7 @@
 	"platform": {value: func(u usage) float64 { return u.Calls }, causes: []string{"sassafras_platform_calls_by_kind_total"}},
 }
 
-// measureNames returns the names of the measures in order.
+// measureNames returns the sorted names of the measures.
 func measureNames() []string {
 	var names []string
 	for name := range measures {
@@ -70,7 +71,8 @@
 	return names
 }
 
-// busiest shows which nodes use most, what all use in the middle, and what it comes from.
+// busiest shows the nodes with the highest resource usage, the median node, and the metrics
+// that explain the usage.
 func (t *tool) busiest(ctx context.Context, args []string) error {
 	measure, ok := measures[t.measure]
 	switch {
@@ -88,7 +90,7 @@
 		return err
 	}
 	if len(list) == 0 {
-		return fmt.Errorf("none of %d nodes answers at the port of %s", len(failures), t.node)
+		return fmt.Errorf("none of the %d nodes responds on the port of %s", len(failures), t.node)
 	}
 	slices.SortFunc(list, func(a, b usage) int {
 		return cmp.Or(cmp.Compare(measure.value(b), measure.value(a)), cmp.Compare(a.Node, b.Node))
@@ -114,7 +116,7 @@
 	return nil
 }
 
-// row returns a line of the table.
+// row formats the usage as a row of the table.
 func (u usage) row() string {
 	var names []string
 	for name := range u.Causes {
@@ -130,13 +132,13 @@
 	return fmt.Sprintf("%s\t%s\t%.3f\t%.1f\t%.1f\t%.0f\t%.2f\t%s", u.Node, u.Zone, u.Cores, u.Bytes/1000, u.Memory/1e6, u.Files, u.Calls, strings.Join(causes, ", "))
 }
 
-// unread is a node that could not be read, and why.
+// readFailure is a node whose metrics could not be read.
 type readFailure struct {
 	node string
 	err  error
 }
 
-// usages reads all nodes twice.
+// usages reads the metrics of all nodes twice and returns their usage in between.
 func (t *tool) usages(ctx context.Context, causes []string) (list []usage, failures []readFailure, err error) {
 	data, err := t.callNode(ctx, http.MethodGet, "/v1/nodes")
 	if err != nil {
@@ -170,14 +172,14 @@
 	return list, failures, nil
 }
 
-// reading is the metrics of a node at one moment.
+// sample is the metrics of a node at one time.
 type sample struct {
 	at     time.Time
 	values map[string]float64
 	err    error
 }
 
-// readAll reads the metrics of nodes, whose operator addresses have the given port.
+// readAll reads the metrics of all nodes from the given port, which their operator addresses share.
 func readAll(ctx context.Context, nodes []operator.NodeAddress, port string) []sample {
 	list := make([]sample, len(nodes))
 	indexes := make(chan int)
@@ -213,7 +215,7 @@
 	}
 }
 
-// usageOf returns what a node used between two readings.
+// usageBetween returns the usage of a node between two samples.
 func usageBetween(n operator.NodeAddress, before, after sample, causes []string) usage {
 	seconds := after.at.Sub(before.at).Seconds()
 	rate := func(name string) float64 { return max(0, after.values[name]-before.values[name]) / seconds }
@@ -240,8 +242,8 @@
 	return u
 }
 
-// parseMetrics reads metrics in the text format of Prometheus. Lines that it does not know are
-// left out.
+// parseMetrics parses metrics in the Prometheus text format. Lines in any other format are
+// skipped.
 func parseMetrics(text string) map[string]float64 {
 	values := make(map[string]float64)
 	for line := range strings.Lines(text) {
--- a/cmd/sassafrasctl/busiest_test.go
+++ b/cmd/sassafrasctl/busiest_test.go
@@ -18,13 +18,13 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// apart is how many times more one node uses than the next one, so that their order does not hang
-// on how long the reading of each takes.
+// usageFactor is the ratio between the usage of consecutive nodes. It is so large that the time
+// each reading takes does not affect their order.
 const usageFactor = 1000
 
-// fleetOf starts nodes on one port of several addresses, each of which sends far more than the one
-// before it and makes far fewer calls to the platform. Another one that they know is gone. It
-// returns the operator address of the first.
+// startNodes starts nodes on the same port of several addresses. Each sends far more bytes than
+// the one before it and makes far fewer calls to the platform. They also list one node that does
+// not run. It returns the operator address of the first.
 func startNodes(t *testing.T, nodes int) string {
 	first, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
@@ -67,7 +67,7 @@
 	return first.Addr().String()
 }
 
-// TestBusiest compares nodes of which one does not answer.
+// TestBusiest compares nodes, one of which does not respond.
 func TestBusiest(t *testing.T) {
 	node := startNodes(t, 5)
 	tests := map[string]struct {
--- a/cmd/sassafrasctl/commands.go
+++ b/cmd/sassafrasctl/commands.go
@@ -18,7 +18,7 @@
 	"sassafrasfront.example/verdict"
 )
 
-// validate checks a file.
+// validate checks the file without writing it.
 func (t *tool) validate(context.Context, []string) error {
 	o, err := t.readFile()
 	if err != nil {
@@ -28,8 +28,8 @@
 	return nil
 }
 
-// apply writes a Service. If the file names a resource version, the object must
-// still have it; otherwise it must have the one that apply reads first.
+// apply writes a Service. The write succeeds only if the object still has the resource
+// version in the file or, if the file has none, the one that apply reads first.
 func (t *tool) apply(ctx context.Context, _ []string) error {
 	o, err := t.readFile()
 	if err != nil {
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// conflictText shows both sides of a conflict.
+// conflictError returns an error that shows both versions of the object.
 func conflictError(o *objectapi.Object, err error) error {
 	current := "unknown"
 	if c, ok := errors.AsType[*objectapi.ConflictError](err); ok {
@@ -63,9 +63,9 @@
 	}
 	effect := "nothing was written"
 	if e, ok := errors.AsType[*objectapi.Error](err); ok && e.Verdict == verdict.MayHaveRun {
-		effect = "an answer was lost, so this may have been written and then overwritten"
+		effect = "a response was lost, so this change may have been written and then overwritten"
 	}
-	return fmt.Errorf("another change came first; %s\n--- yours, for version %s\n%s\n--- on the platform, %s",
+	return fmt.Errorf("the resource was changed concurrently; %s\n--- yours, for version %s\n%s\n--- on the platform, %s",
 		effect, o.Metadata.ResourceVersion, indent(o.Spec), current)
 }
 
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// get shows services.
+// get shows one service or all of them.
 func (t *tool) get(ctx context.Context, args []string) error {
 	objects, err := t.objects(ctx, operator.KindService, args)
 	if err != nil || t.printJSON(objects) {
@@ -138,10 +138,10 @@
 	return w.Flush()
 }
 
-// objects returns one object by name, or all of a kind.
+// objects returns the named object, or all objects of the kind.
 func (t *tool) objects(ctx context.Context, kind string, args []string) ([]*objectapi.Object, error) {
 	if len(args) > 1 {
-		return nil, exitError{exitUsage, errors.New("at most one name")}
+		return nil, exitError{exitUsage, errors.New("at most one name can be given")}
 	}
 	if len(args) == 1 {
 		o, err := t.api().Get(ctx, kind, args[0])
@@ -157,7 +157,7 @@
 	return l.Items, nil
 }
 
-// json prints v as JSON if that is asked for, and returns whether it was.
+// printJSON prints v as JSON if that is the output format, and returns whether it did.
 func (t *tool) printJSON(v any) bool {
 	if t.output != "json" {
 		return false
@@ -168,8 +168,8 @@
 	return true
 }
 
-// status shows what became of services. A service whose latest intent was
-// refused makes the command fail.
+// status shows the status of services. It fails if the latest intent of one was
+// refused.
 func (t *tool) status(ctx context.Context, args []string) error {
 	objects, err := t.objects(ctx, operator.KindServiceStatus, args)
 	if err != nil {
@@ -196,7 +196,7 @@
 
 const statusHeader = "NAME PHASE OBSERVED SEQUENCE SINCE ZONE=HAVING/ASKED(MEMBERS)"
 
-// printStatus prints one status as a line.
+// printStatus prints a status as one line.
 func (t *tool) printStatus(name string, s operator.ServiceStatus) {
 	var zones []string
 	for zone, z := range s.Zones {
@@ -210,7 +210,7 @@
 	fmt.Fprintf(t.out, "%s %s %s %d %s %s\n", name, s.Phase, s.ObservedVersion, s.Sequence, s.AcceptedAt.Format("2006-01-02T15:04:05Z"), strings.Join(zones, " "))
 }
 
-// watch prints statuses as they change, until it is interrupted.
+// watch prints statuses as they change, until ctx is done.
 func (t *tool) watch(ctx context.Context, _ []string) error {
 	show := func(o *objectapi.Object) {
 		s, err := objectapi.DecodeSpec[operator.ServiceStatus](o)
@@ -237,7 +237,7 @@
 // remove deletes a service.
 func (t *tool) remove(ctx context.Context, args []string) error {
 	if len(args) != 1 {
-		return exitError{exitUsage, errors.New("delete takes one name")}
+		return exitError{exitUsage, errors.New("delete takes exactly one name")}
 	}
 	o, err := t.api().Get(ctx, operator.KindService, args[0])
 	if err != nil {
--- a/cmd/sassafrasctl/explain.go
+++ b/cmd/sassafrasctl/explain.go
@@ -18,11 +18,11 @@
 	"sassafrasfront.example/verdict"
 )
 
-// maxLine bounds a log line, in bytes.
+// maxLineBytes bounds the length of a log line.
 const maxLineBytes = 1 << 20
 
-// explain prints the lines of a request from the logs of any number of nodes in
-// the order of their times, and what ended it.
+// explain prints a request's lines from the logs of any number of nodes, ordered by
+// time, and a summary of how the request ended.
 func (t *tool) explain(_ context.Context, args []string) error {
 	if len(args) < 2 {
 		return exitError{exitUsage, errors.New("usage: sassafrasctl explain REQUEST-ID FILE [FILE]")}
@@ -42,7 +42,7 @@
 		lines = append(lines, found...)
 	}
 	if len(lines) == 0 {
-		return fmt.Errorf("no line names the request %q: its lines may have been left out (sassafras_log_lines_left_out_total), or it ended well and was not sampled", id)
+		return fmt.Errorf("no log line has the request ID %q: its lines may have been dropped (sassafras_log_lines_left_out_total), or it succeeded and was not sampled", id)
 	}
 	sort.SliceStable(lines, func(i, j int) bool { return lines[i].field("time") < lines[j].field("time") })
 	for _, l := range lines {
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// logLine is a line of a log with its fields.
+// logLine is a log line and its fields.
 type logLine struct {
 	text   string
 	fields map[string]string
@@ -60,7 +60,7 @@
 
 func (l logLine) field(key string) string { return l.fields[key] }
 
-// linesOf returns the lines that have the request id.
+// linesWithID returns the lines whose request ID is id.
 func linesWithID(r io.Reader, id string) ([]logLine, error) {
 	var list []logLine
 	s := bufio.NewScanner(r)
@@ -76,8 +76,8 @@
 	return list, s.Err()
 }
 
-// parseLine reads key=value pairs, whose values may be quoted. What is no pair is
-// passed over.
+// parseLine parses key=value pairs, whose values may be quoted. Words that are not
+// pairs are skipped.
 func parseLine(text string) logLine {
 	l := logLine{
 		text:   text,
@@ -107,7 +107,7 @@
 	return l
 }
 
-// summary names what ended the request, by its last line and the failures
+// summarize describes how the request ended, from its last line and the failures
 // before it.
 func summarize(lines []logLine) string {
 	var causes, canaries []string
@@ -135,7 +135,7 @@
 		}
 	}
 	if end.fields == nil {
-		return "summary: no node's log says how it ended; failures: " + strings.Join(causes, "; ")
+		return "summary: no log has the end of the request; failures: " + strings.Join(causes, "; ")
 	}
 	text := fmt.Sprintf("summary: status %s, verdict %s, cause %s, after %s ms and %s sendings, version %s in force", end.field("status"), end.field("verdict"), end.field("cause"), end.field("tookMs"), end.field("tries"), end.field("version"))
 	if by := end.field("by"); by != "" {
@@ -156,8 +156,8 @@
 	return text
 }
 
-// hints say what stands behind causes for which nothing was sent.
+// hints explain the causes that end a request before its first attempt.
 var hints = map[verdict.Cause]string{
-	verdict.Unauthorized: "the caller has to show a key that this version holds; a version that has just added one is named by 'configuration in force'",
+	verdict.Unauthorized: "the caller has to show a key that this version holds; the event 'configuration in force' shows when a version with a new key became active",
 	verdict.KeysStale:    "the node had not heard for too long which keys are valid; look for 'keys can't be judged' and 'configuration not read' there",
 }
--- a/cmd/sassafrasctl/explain_test.go
+++ b/cmd/sassafrasctl/explain_test.go
@@ -26,7 +26,7 @@
 time=2026-12-02T10:00:01.101Z level=info event="call not answered" allowed=8 cause=refused node=n2 requestId=r1 running=8 slowdown=4 waiting=16
 `
 
-// TestSummary has requests that were refused by a rate limit. The summary gives the reason.
+// TestSummary checks the summaries of single lines, such as those of rate limits and failed attempts.
 func TestSummary(t *testing.T) {
 	tests := map[string]struct {
 		line, want string
@@ -39,7 +39,7 @@
 			line: `event="request ended" cause=limitUnknown reason="home n7 can't say yet" status=503 verdict=notRun`,
 			want: `status 503, .*; home n7 can't say yet`,
 		},
-		"named limit": {
+		"advertised limit": {
 			line: `event="call not answered" cause=refused node=n2 running=1 allowed=8 waiting=3 slowdown=1 limit=7.6 limitUsed=1 freeMs=400`,
 			want: `refused told by n2 \(running 1 of 8, waiting 3, slowdown 1, limit 7.6/s named by the upstream\)`,
 		},
@@ -47,7 +47,7 @@
 			line: `event="request ended" by=link cause=peerLost phase=leaving status=502 verdict=mayHaveRun`,
 			want: `cause peerLost, .*; ended by the link while the node was leaving`,
 		},
-		"reason of a sending": {
+		"reason of an attempt": {
 			line: `event="request failed" cause=peerLost reason="nothing heard for 612ms" to=n2`,
 			want: `peerLost at n2 \(nothing heard for 612ms\)`,
 		},
@@ -63,7 +63,7 @@
 	}
 }
 
-// TestSummaryOfTrial has a request be sent to an upstream of a version on trial first.
+// TestSummaryOfCanary checks the summary of a request whose first attempt went to a canary.
 func TestSummaryOfCanary(t *testing.T) {
 	lines := []logLine{
 		parseLine(`event="request sent" to=n2 trial=true`),
@@ -100,13 +100,13 @@
 			lines := bytes.SplitAfter(out.Bytes(), []byte("\n"))
 			qt.Check(t, lines, qt.HasLen, 6)
 			qt.Check(t, string(lines[4]), qt.Equals, test.want)
-			qt.Check(t, bytes.Contains(lines[1], []byte("call not answered")), qt.IsTrue, qt.Commentf("in the order of time"))
+			qt.Check(t, bytes.Contains(lines[1], []byte("call not answered")), qt.IsTrue, qt.Commentf("lines are not ordered by time"))
 		})
 	}
 }
 
-// TestExplainKeys has requests that were refused before anything was sent: the summary gives
-// the reason and where to look.
+// TestExplainKeys checks requests that were refused before the first attempt: the summary
+// has the reason and a hint at where to look.
 func TestExplainKeys(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "n1")
 	log := `time=2026-12-02T10:00:01.103Z level=info event="request ended" cause=unauthorized node=n1 reason="no organisation of version 7 has the key" requestId=r1 status=401 tookMs=0 tries=0 verdict=notRun version=7
--- a/cmd/sassafrasctl/failures.go
+++ b/cmd/sassafrasctl/failures.go
@@ -18,23 +18,24 @@
 	"time"
 )
 
-// failureKey is what failed requests are counted by.
+// failureKey identifies a kind of failure.
 type failureKey struct {
 	class, status, cause, verdict string
 }
 
-// failureCount is what is known of the failed requests of one kind.
+// failureCount counts the failures of one kind.
 type failureCount struct {
 	key            failureKey
 	count          int
-	firstID        string         // the id of the first one, for explain
-	firstTime      time.Time      // of the first one
-	refusalsByNode map[string]int // by the node whose gate refused a sending
+	firstID        string         // ID of the first request
+	firstTime      time.Time      // when the first request ended
+	refusalsByNode map[string]int // number of refused attempts by node
 }
 
-// failures prints which requests of a service failed between two times, by class,
-// status and cause, from the logs of any number of nodes: how many, the node that
-// refused most, and the first one's id for explain.
+// failures prints a service's failed requests between two times, from the logs of any
+// number of nodes. They are grouped by class, status, cause and verdict, each group with
+// its count, the node that refused most attempts, and the ID of its first request, which
+// can be passed to explain.
 func (t *tool) failures(_ context.Context, args []string) error {
 	if len(args) < 4 {
 		return exitError{exitUsage, errors.New("usage: sassafrasctl failures SERVICE FROM TO FILE [FILE]; FROM and TO as in 2026-12-02T10:00:01Z")}
@@ -67,10 +68,10 @@
 	service      string
 	from, to     time.Time
 	counts       map[failureKey]*failureCount
-	droppedLines int // lines that the nodes say they have left out
+	droppedLines int // how often nodes logged that they dropped lines
 }
 
-// readFile counts the failures of one node's log.
+// readFile counts the failures in a node's log.
 func (c *failureCounter) readFile(name string) error {
 	f, err := os.Open(name)
 	if err != nil {
@@ -83,9 +84,9 @@
 	return nil
 }
 
-// read counts the failures of one log. The steps of a request stand before its end.
+// read counts the failures in a log. A request's attempts are logged before its end.
 func (c *failureCounter) read(r io.Reader) error {
-	refusals := make(map[string][]string) // the nodes that refused, by request
+	refusals := make(map[string][]string) // nodes that refused, by request ID
 	s := bufio.NewScanner(r)
 	s.Buffer(nil, maxLineBytes)
 	for s.Scan() {
@@ -105,7 +106,7 @@
 	return s.Err()
 }
 
-// add counts a request if it failed and is one of those that were asked for.
+// add counts a request if it failed, is of the service and ended within the time range.
 func (c *failureCounter) add(l logLine, refused []string) {
 	at, err := time.Parse(time.RFC3339, l.field("time"))
 	if err != nil || at.Before(c.from) || !at.Before(c.to) || l.field("service") != c.service || l.field("cause") == "" {
@@ -135,7 +136,7 @@
 	}
 }
 
-// print prints the counts, the largest first.
+// print prints the counts in descending order.
 func (c *failureCounter) print(out io.Writer) {
 	var list []*failureCount
 	for _, n := range c.counts {
@@ -151,11 +152,11 @@
 	}
 	_ = w.Flush()
 	if c.droppedLines > 0 {
-		fmt.Fprintf(out, "the nodes have left lines out %d times (see log lines left out): there were more\n", c.droppedLines)
+		fmt.Fprintf(out, "the nodes left lines out %d times (event \"log lines left out\"): the counts are incomplete\n", c.droppedLines)
 	}
 }
 
-// most returns the node that refused most sendings of the requests.
+// topRefuser returns the node that refused the most attempts, with their number.
 func (n *failureCount) topRefuser() string {
 	best := ""
 	for node, count := range n.refusalsByNode {
--- a/cmd/sassafrasctl/failures_test.go
+++ b/cmd/sassafrasctl/failures_test.go
@@ -28,7 +28,7 @@
 time=2026-12-02T10:00:02.000Z level=info event="request ended" cause=refused class=low requestId=late service=a status=503 verdict=notRun
 `
 
-// TestFailures has one row for each use of the command.
+// TestFailures checks the output for valid and invalid command lines.
 func TestFailures(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "n1")
 	qt.Assert(t, os.WriteFile(file, []byte(failuresLog), 0o600), qt.IsNil)
@@ -36,14 +36,14 @@
 	tests := map[string]struct {
 		args []string
 		code int
-		want []string // the lines after the head, with one space between words
+		want []string // lines after the header, with single spaces
 	}{
-		"a service":     {[]string{"failures", "a", from, to, file}, 0, []string{"2 low 503 refused notRun n3 (2) r2", "1 high 502 peerLost mayHaveRun - r4"}},
-		"two logs":      {[]string{"failures", "a", from, to, file, file}, 0, []string{"4 low 503 refused notRun n3 (4) r2", "2 high 502 peerLost mayHaveRun - r4"}},
-		"nothing there": {[]string{"failures", "c", from, to, file}, 0, nil},
-		"no time":       {[]string{"failures", "a", "yesterday", to, file}, exitUsage, nil},
-		"no file":       {[]string{"failures", "a", from, to, file + "x"}, exitFailed, nil},
-		"usage":         {[]string{"failures", "a"}, exitUsage, nil},
+		"a service":         {[]string{"failures", "a", from, to, file}, 0, []string{"2 low 503 refused notRun n3 (2) r2", "1 high 502 peerLost mayHaveRun - r4"}},
+		"two logs":          {[]string{"failures", "a", from, to, file, file}, 0, []string{"4 low 503 refused notRun n3 (4) r2", "2 high 502 peerLost mayHaveRun - r4"}},
+		"no failures":       {[]string{"failures", "c", from, to, file}, 0, nil},
+		"invalid time":      {[]string{"failures", "a", "yesterday", to, file}, exitUsage, nil},
+		"missing file":      {[]string{"failures", "a", from, to, file + "x"}, exitFailed, nil},
+		"too few arguments": {[]string{"failures", "a"}, exitUsage, nil},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/cmd/sassafrasctl/file.go
+++ b/cmd/sassafrasctl/file.go
@@ -16,7 +16,7 @@
 	"sassafrasfront.example/operator"
 )
 
-// readFile reads a Service object from the file that -f names, and checks it.
+// readFile reads and validates the Service object in the file given by -f.
 func (t *tool) readFile() (*objectapi.Object, error) {
 	if t.file == "" {
 		return nil, exitError{exitUsage, errors.New("-f FILE is missing")}
@@ -32,7 +32,7 @@
 	return o, nil
 }
 
-// parseObject reads a Service object from YAML, of which JSON is a part.
+// parseObject parses a Service object from YAML, of which JSON is a subset.
 func parseObject(data []byte) (*objectapi.Object, error) {
 	var v any
 	if err := yaml.Unmarshal(data, &v); err != nil {
--- a/cmd/sassafrasctl/limits.go
+++ b/cmd/sassafrasctl/limits.go
@@ -13,7 +13,7 @@
 	"sassafrasfront.example/operator"
 )
 
-// limits shows the upstreams that name a limit or leave, as a node knows them.
+// limits shows the upstreams that advertise a limit or are leaving, as seen by a node.
 func (t *tool) limits(ctx context.Context, args []string) error {
 	if len(args) > 0 {
 		return exitError{exitUsage, errors.New("usage: sassafrasctl limits -node ADDRESS")}
--- a/cmd/sassafrasctl/main.go
+++ b/cmd/sassafrasctl/main.go
@@ -2,12 +2,13 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Command sassafrasctl helps operators with the resources on the platform's
-// object API. All that it does can also be done there directly.
+// Command sassafrasctl lets operators manage the resources in the platform's
+// object API, and shows what nodes and their logs report. Resources can also be
+// managed through the API directly.
 //
-// Exit codes: 0 for success, 1 if the platform could not be reached or answered
-// with a failure, 2 if the command line is wrong, 3 if a resource is invalid or
-// was refused, 4 if another change came first.
+// Exit codes: 0 for success, 1 if the platform or a node could not be reached or
+// returned an error, 2 if the command line is invalid, 3 if a resource is invalid
+// or was refused, 4 if a resource was changed concurrently.
 package main
 
 import (
@@ -28,7 +29,7 @@
 	"sassafrasfront.example/objectapi"
 )
 
-// The exit codes.
+// Exit codes.
 const (
 	exitFailed   = 1
 	exitUsage    = 2
@@ -54,7 +55,7 @@
 	os.Exit(execute(ctx, os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// execute runs the command line and returns the exit code.
+// execute runs the command line given by args and returns the exit code.
 func execute(ctx context.Context, args []string, out, errOut io.Writer) int {
 	t := &tool{out: out}
 	err := t.rootCommand(errOut).ParseAndRun(ctx, args)
@@ -68,7 +69,7 @@
 	return exitFailed
 }
 
-// tool is the command line with its flags.
+// tool is the command-line tool with the values of its flags.
 type tool struct {
 	out       io.Writer
 	url       string
@@ -77,13 +78,13 @@
 	file      string
 	node      string
 
-	// of busiest
+	// Flags of busiest.
 	measure  string
 	interval time.Duration
 	maxRows  int
 }
 
-// usesNode are the commands that ask a node.
+// nodeCommands are the commands that query a node.
 var nodeCommands = map[string]bool{
 	"suspects":      true,
 	"release":       true,
@@ -94,7 +95,7 @@
 	"busiest":       true,
 }
 
-// root returns the command line.
+// rootCommand returns the command line.
 func (t *tool) rootCommand(errOut io.Writer) *ffcli.Command {
 	fs := flag.NewFlagSet("sassafrasctl", flag.ContinueOnError)
 	fs.SetOutput(errOut)
@@ -111,7 +112,7 @@
 			f.StringVar(&t.node, "node", "", "operator address of a node, such as 10.1.0.38:8141")
 		}
 		if name == "busiest" {
-			f.StringVar(&t.measure, "by", "bytes", "what to compare nodes by: "+strings.Join(measureNames(), ", "))
+			f.StringVar(&t.measure, "by", "bytes", "measure by which nodes are compared: "+strings.Join(measureNames(), ", "))
 			f.DurationVar(&t.interval, "over", 5*time.Second, "time between the two readings of each node")
 			f.IntVar(&t.maxRows, "show", defaultShownNodes, "number of nodes to show")
 		}
@@ -129,22 +130,22 @@
 		FlagSet:    fs,
 		Options:    []ff.Option{ff.WithEnvVarPrefix("SASSAFRAS")},
 		Subcommands: []*ffcli.Command{
-			newCommand("validate", "validate -f FILE", "check a file with the checks that the system uses", t.validate),
+			newCommand("validate", "validate -f FILE", "validate a file as the system does", t.validate),
 			newCommand("apply", "apply -f FILE", "write a Service, unless it has changed since the file was read", t.apply),
 			newCommand("diff", "diff -f FILE", "show what apply would change", t.diff),
 			newCommand("get", "get [NAME]", "show services", t.get),
-			newCommand("status", "status [NAME]", "show what became of services", t.status),
-			newCommand("watch", "watch", "show statuses as they change", t.watch),
+			newCommand("status", "status [NAME]", "show the status of services", t.status),
+			newCommand("watch", "watch", "show statuses whenever they change", t.watch),
 			newCommand("delete", "delete NAME", "delete a service", t.remove),
-			newCommand("explain", "explain REQUEST-ID FILE...", "show what the logs of nodes say of a request", t.explain),
+			newCommand("explain", "explain REQUEST-ID FILE...", "show a request's lines in the logs of nodes", t.explain),
 			newCommand("failures", "failures SERVICE FROM TO FILE...", "count a service's failed requests in the logs of nodes", t.failures),
-			newCommand("suspects", "suspects -node ADDRESS", "show the requests under which upstreams have ended", t.suspects),
-			newCommand("release", "release -node ADDRESS PRINT", "let such a request run again, at all nodes", t.release),
+			newCommand("suspects", "suspects -node ADDRESS", "show the requests suspected of crashing upstreams", t.suspects),
+			newCommand("release", "release -node ADDRESS PRINT", "clear a suspected request, so that all nodes run it again", t.release),
 			newCommand("zones", "zones -node ADDRESS", "show the evacuated availability zones", t.zones),
-			newCommand("rollouts", "rollouts -node ADDRESS", "show how far versions are rolled out", t.rollouts),
-			newCommand("busiest", "busiest -node ADDRESS [-by MEASURE] [-over TIME] [-show N]", "show which nodes use most, and what for", t.busiest),
-			newCommand("limits", "limits -node ADDRESS", "show the upstreams that name a limit or leave", t.limits),
-			newCommand("organisations", "organisations -node ADDRESS", "show the organisations' rate limits and what they use", t.organisations),
+			newCommand("rollouts", "rollouts -node ADDRESS", "show the progress of roll-outs", t.rollouts),
+			newCommand("busiest", "busiest -node ADDRESS [-by MEASURE] [-over TIME] [-show N]", "show the nodes with the highest resource usage, and its causes", t.busiest),
+			newCommand("limits", "limits -node ADDRESS", "show the upstreams that advertise a limit or are leaving", t.limits),
+			newCommand("organisations", "organisations -node ADDRESS", "show the organisations' rate limits and their usage", t.organisations),
 		},
 		Exec: func(context.Context, []string) error {
 			return exitError{exitUsage, errors.New("usage: sassafrasctl [flags] <validate|apply|diff|get|status|watch|delete|explain|failures|suspects|release|zones|rollouts|limits|organisations|busiest>")}
@@ -152,7 +153,7 @@
 	}
 }
 
-// api returns the client of the platform.
+// api returns a client of the platform's object API.
 func (t *tool) api() *objectapi.Client {
 	return &objectapi.Client{
 		JSONClient: objectapi.JSONClient{
--- a/cmd/sassafrasctl/main_test.go
+++ b/cmd/sassafrasctl/main_test.go
@@ -27,8 +27,8 @@
   timeout: 5s
 `
 
-// TestCommands runs each command line against a platform that holds one service
-// and its status.
+// TestCommands runs command lines against a platform with one service and its
+// status.
 func TestCommands(t *testing.T) {
 	tests := map[string]struct {
 		file string
--- a/cmd/sassafrasctl/node.go
+++ b/cmd/sassafrasctl/node.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	// nodeTimeout bounds a call to a node.
+	// nodeTimeout bounds the time of a call to a node.
 	nodeTimeout = 5 * time.Second
-	// maxNodeAnswer is the most that is read of its answer, in bytes.
+	// maxNodeResponseBytes bounds the part of a node's response that is read.
 	maxNodeResponseBytes = 4 << 20
 )
 
-// showNode shows the list that a node answers with, as it is or as a table with a row for each
-// element.
+// showNodeList shows a list served by a node, either unchanged as JSON or as a table with a row
+// for each element.
 func showNodeList[T any](ctx context.Context, t *tool, path, header string, row func(T) string) error {
 	data, err := t.callNode(ctx, http.MethodGet, path)
 	if err != nil {
@@ -46,7 +46,7 @@
 	return w.Flush()
 }
 
-// callNode makes a call to the node that the flags name and returns the answer.
+// callNode calls the node given by -node and returns the body of its response.
 func (t *tool) callNode(ctx context.Context, method, path string) ([]byte, error) {
 	if t.node == "" {
 		return nil, exitError{exitUsage, errors.New("-node: the operator address of a node is missing")}
@@ -54,7 +54,7 @@
 	return callNode(ctx, t.node, method, path)
 }
 
-// callNode makes a call to a node's operator address and returns the answer.
+// callNode calls a node's operator address and returns the body of its response.
 func callNode(ctx context.Context, node, method, path string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, nodeTimeout)
 	defer cancel()
--- a/cmd/sassafrasctl/organisations.go
+++ b/cmd/sassafrasctl/organisations.go
@@ -12,8 +12,8 @@
 	"sassafrasfront.example/operator"
 )
 
-// organisations shows the organisations with a rate limit as a node knows them, those with
-// the most requests refused there first.
+// organisations shows the organisations with a rate limit, as seen by a node, ordered by the
+// number of requests refused there.
 func (t *tool) organisations(ctx context.Context, args []string) error {
 	if len(args) > 0 {
 		return exitError{exitUsage, errors.New("usage: sassafrasctl organisations -node ADDRESS")}
--- a/cmd/sassafrasctl/rollouts.go
+++ b/cmd/sassafrasctl/rollouts.go
@@ -13,7 +13,7 @@
 	"sassafrasfront.example/operator"
 )
 
-// rollouts shows the roll-outs as a node knows them.
+// rollouts shows the roll-outs, as seen by a node.
 func (t *tool) rollouts(ctx context.Context, args []string) error {
 	if len(args) > 0 {
 		return exitError{exitUsage, errors.New("usage: sassafrasctl rollouts -node ADDRESS")}
--- a/cmd/sassafrasctl/suspects.go
+++ b/cmd/sassafrasctl/suspects.go
@@ -16,7 +16,7 @@
 	"sassafrasfront.example/operator"
 )
 
-// suspects shows the requests that a node suspects of ending upstreams.
+// suspects shows the requests that a node suspects of crashing upstreams.
 func (t *tool) suspects(ctx context.Context, args []string) error {
 	if len(args) > 0 {
 		return exitError{exitUsage, errors.New("usage: sassafrasctl suspects -node ADDRESS")}
@@ -30,7 +30,7 @@
 	})
 }
 
-// release lets a request run again.
+// release clears a suspected request, so that it may run again.
 func (t *tool) release(ctx context.Context, args []string) error {
 	if len(args) != 1 {
 		return exitError{exitUsage, errors.New("usage: sassafrasctl release -node ADDRESS PRINT")}
--- a/cmd/sassafrasctl/zones.go
+++ b/cmd/sassafrasctl/zones.go
@@ -15,7 +15,7 @@
 	"sassafrasfront.example/operator"
 )
 
-// zones shows the evacuated zones as a node knows them.
+// zones shows the evacuated zones, as seen by a node.
 func (t *tool) zones(ctx context.Context, args []string) error {
 	if len(args) > 0 {
 		return exitError{exitUsage, errors.New("usage: sassafrasctl zones -node ADDRESS")}
