--- a/cmd/sassafrassoak/check.go
+++ b/cmd/sassafrassoak/check.go
@@ -15,49 +15,49 @@
 
 // check returns the promises that were broken. Whole is when the faults had long
 // ended. Safety leaves out those that have a bound on time.
-func (w *world) check(list []outcome, faults []fault, whole time.Time, safety bool) []string {
+func (c *cluster) check(list []outcome, faults []fault, recoveredAt time.Time, safetyOnly bool) []string {
 	runs := make(map[string][]platformtest.Run)
-	for _, n := range w.nodes {
+	for _, n := range c.nodes {
 		for _, r := range n.upstream.Load().Runs() {
 			runs[r.ID] = append(runs[r.ID], r)
 		}
 	}
-	broken := w.checkProxies()
-	broken = append(broken, checkOutcomes(list, runs)...)
-	if w.keys != nil {
-		broken = append(broken, w.checkKeys(list, runs)...)
+	violations := c.checkProxies()
+	violations = append(violations, checkOutcomes(list, runs)...)
+	if c.keys != nil {
+		violations = append(violations, c.checkKeys(list, runs)...)
 	}
-	broken = append(broken, w.checkLimits()...)
-	broken = append(broken, checkLeaving(list, runs)...)
-	if !safety {
-		broken = append(broken, w.checkDrains()...)
-		broken = append(broken, w.checkRoutes()...)
-		broken = append(broken, checkRecovery(list, whole)...)
-		broken = append(broken, w.checkEnds()...)
-		if w.stops {
-			broken = append(broken, w.checkUnanswered(list)...)
+	violations = append(violations, c.checkLimits()...)
+	violations = append(violations, checkLeaving(list, runs)...)
+	if !safetyOnly {
+		violations = append(violations, c.checkDrains()...)
+		violations = append(violations, c.checkRoutes()...)
+		violations = append(violations, checkRecovery(list, recoveredAt)...)
+		violations = append(violations, c.checkExits()...)
+		if c.stops {
+			violations = append(violations, c.checkUnanswered(list)...)
 		}
 	}
-	if w.stops {
-		ran := w.endedRuns()
-		broken = append(broken, w.checkStops(list, ran)...)
-		broken = append(broken, w.checkAtWork(list, ran)...)
+	if c.stops {
+		ran := c.endedRuns()
+		violations = append(violations, c.checkStops(list, ran)...)
+		violations = append(violations, c.checkAbandoned(list, ran)...)
 	}
 	if planned(faults) {
-		broken = append(broken, checkUncut(list, runs)...)
+		violations = append(violations, checkInterrupted(list, runs)...)
 	}
-	return broken
+	return violations
 }
 
 // checkProxies wants the soak itself to have worked: a run of many nodes may use up its descriptors.
-func (w *world) checkProxies() []string {
-	var broken []string
-	for _, n := range w.nodes {
-		if err := n.link.failed.Load(); err != nil {
-			broken = append(broken, fmt.Sprintf("the soak's own fault: the proxy of %s ended: %v", n.name, *err))
+func (c *cluster) checkProxies() []string {
+	var violations []string
+	for _, n := range c.nodes {
+		if err := n.link.acceptErr.Load(); err != nil {
+			violations = append(violations, fmt.Sprintf("the soak's own fault: the proxy of %s ended: %v", n.name, *err))
 		}
 	}
-	return broken
+	return violations
 }
 
 // planned returns whether all faults are planned work.
@@ -72,43 +72,43 @@
 
 // checkOutcomes compares what callers saw with what upstreams ran.
 func checkOutcomes(list []outcome, runs map[string][]platformtest.Run) []string {
-	var broken []string
+	var violations []string
 	sent := make(map[string]outcome, len(list))
 	for _, o := range list {
 		sent[o.id] = o
 		ran := runs[o.id]
 		switch {
-		case o.wrong != "":
-			broken = append(broken, fmt.Sprintf("foreign or cut answer: request %s got %s", o.id, o.wrong))
+		case o.wrongBody != "":
+			violations = append(violations, fmt.Sprintf("foreign or cut answer: request %s got %s", o.id, o.wrongBody))
 		case o.route == "a" && len(ran) > 1:
-			broken = append(broken, fmt.Sprintf("ran twice: request %s", o.id))
+			violations = append(violations, fmt.Sprintf("ran twice: request %s", o.id))
 		case o.status == http.StatusServiceUnavailable && len(ran) > 0 && o.route == "a":
-			broken = append(broken, fmt.Sprintf("told not run, and ran: request %s", o.id))
+			violations = append(violations, fmt.Sprintf("told not run, and ran: request %s", o.id))
 		case o.status == http.StatusNotFound:
-			broken = append(broken, fmt.Sprintf("route denied: request %s", o.id))
+			violations = append(violations, fmt.Sprintf("route denied: request %s", o.id))
 		case o.status == http.StatusOK && len(ran) == 0:
-			broken = append(broken, fmt.Sprintf("success without a run: request %s", o.id))
+			violations = append(violations, fmt.Sprintf("success without a run: request %s", o.id))
 		}
 	}
 	for id, list := range runs {
 		o, ok := sent[id]
 		if !ok && !strings.HasPrefix(id, "check-") {
-			broken = append(broken, fmt.Sprintf("ran unasked: request %s", id))
+			violations = append(violations, fmt.Sprintf("ran unasked: request %s", id))
 			continue
 		}
 		for _, r := range list {
 			if ok && (r.Body != platformtest.SummariseBody(o.body()) || r.Path != "/"+o.route+"/x") {
-				broken = append(broken, fmt.Sprintf("ran changed: request %s with %s %q", id, r.Path, r.Body))
+				violations = append(violations, fmt.Sprintf("ran changed: request %s with %s %q", id, r.Path, r.Body))
 			}
 		}
 	}
-	return broken
+	return violations
 }
 
 // checkDrains finds requests that reached an upstream after its drain was bound.
-func (w *world) checkDrains() []string {
-	var broken []string
-	for _, n := range w.nodes {
+func (c *cluster) checkDrains() []string {
+	var violations []string
+	for _, n := range c.nodes {
 		at := n.drainAcknowledged.Load()
 		if at == 0 {
 			continue
@@ -116,40 +116,40 @@
 		bound := time.Unix(0, at).Add(drainBound)
 		for _, r := range n.upstream.Load().Runs() {
 			if r.At.After(bound) {
-				broken = append(broken, fmt.Sprintf("drained upstream of %s ran request %s %v after the bound", n.name, r.ID, r.At.Sub(bound)))
+				violations = append(violations, fmt.Sprintf("drained upstream of %s ran request %s %v after the bound", n.name, r.ID, r.At.Sub(bound)))
 				break
 			}
 		}
 	}
-	return broken
+	return violations
 }
 
 // checkRoutes asks each node for each route that was ever added.
-func (w *world) checkRoutes() []string {
-	client := &http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
-	var broken []string
-	for _, n := range w.nodes {
-		for _, route := range w.routes {
-			if o := ask(client, n, outcome{id: "check-" + n.name + route, route: route}); o.status == http.StatusNotFound || o.status == 0 {
-				broken = append(broken, fmt.Sprintf("configuration %d is not in force at %s: route %s got %d", w.version, n.name, route, o.status))
+func (c *cluster) checkRoutes() []string {
+	client := &http.Client{Timeout: clientTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
+	var violations []string
+	for _, n := range c.nodes {
+		for _, route := range c.routes {
+			if o := send(client, n, outcome{id: "check-" + n.name + route, route: route}); o.status == http.StatusNotFound || o.status == 0 {
+				violations = append(violations, fmt.Sprintf("configuration %d is not in force at %s: route %s got %d", c.version, n.name, route, o.status))
 			}
 		}
 	}
-	return broken
+	return violations
 }
 
 // checkRecovery wants nearly all requests served once the faults are long over.
-func checkRecovery(list []outcome, whole time.Time) []string {
+func checkRecovery(list []outcome, recoveredAt time.Time) []string {
 	var asked, served int
 	for _, o := range list {
-		if o.sent.After(whole) && o.key == "" {
+		if o.sentAt.After(recoveredAt) && o.key == "" {
 			asked++
 			if o.status == http.StatusOK {
 				served++
 			}
 		}
 	}
-	if asked == 0 || float64(served) < leastServed*float64(asked) {
+	if asked == 0 || float64(served) < minServedFraction*float64(asked) {
 		return []string{fmt.Sprintf("not recovered: %d of %d requests served after the faults", served, asked)}
 	}
 	return nil
@@ -158,12 +158,12 @@
 // checkUncut wants no request cut that a node had passed on, where all was
 // planned. A request that crosses the closing of an idle connection is read by
 // nobody (RFC 9112, section 9.6) and is no cut.
-func checkUncut(list []outcome, runs map[string][]platformtest.Run) []string {
-	var broken []string
+func checkInterrupted(list []outcome, runs map[string][]platformtest.Run) []string {
+	var violations []string
 	for _, o := range list {
-		if o.cut || o.connection && o.status == 0 && len(runs[o.id]) > 0 {
-			broken = append(broken, fmt.Sprintf("cut by planned work: request %s sent at %s", o.id, o.sent.Format(time.RFC3339Nano)))
+		if o.truncated || o.connected && o.status == 0 && len(runs[o.id]) > 0 {
+			violations = append(violations, fmt.Sprintf("cut by planned work: request %s sent at %s", o.id, o.sentAt.Format(time.RFC3339Nano)))
 		}
 	}
-	return broken
+	return violations
 }
--- /dev/null
+++ b/cmd/sassafrassoak/cluster.go
@@ -0,0 +1,350 @@
+// Copyright ©2026 The sassafrasfront Authors. All rights reserved.
+// Use of this source code is governed by a BSD-style
+// license that can be found in the LICENSE file.
+
+package main
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"sassafrasfront.example/platform/platformtest"
+)
+
+const (
+	// heartbeat is the time between two announcements of an upstream.
+	heartbeatInterval = 300 * time.Millisecond
+	// graceTime is what a node has between SIGTERM and SIGKILL.
+	gracePeriod = 6 * time.Second
+	// pairs is the number of nodes of each of the two services.
+	nodesPerService = 3
+)
+
+// world is the system of one run.
+type cluster struct {
+	nodeProgram string
+	dir         string
+	store       *platformtest.Store
+	server      *httptest.Server
+	storeProxy  *proxy // of the store
+	nodes       []*node
+	usedHosts   int // how many addresses' ports have been given to nodes
+	lastPort    int // the last one given to a node
+	// configuring is held while the configuration is written. It guards what follows.
+	configMu    sync.Mutex
+	version     int
+	routes      []string
+	keys        *keyring // nil if no request needs a key
+	currentKeys []string // the keys that the configuration has now
+	done        chan struct{}
+	stops       bool
+	bursts      atomic.Int32 // how many there are now
+	actionsMu   sync.Mutex   // held while deeds change
+	actions     []*action
+}
+
+// node is a node with its upstream.
+type node struct {
+	name, service            string
+	callerAddr, announceAddr string
+	operatorAddr, peerAddr   string
+	link                     *proxy // of peers to the node
+	upstreamAddr             string
+	configFile               string
+	upstream                 atomic.Pointer[platformtest.Upstream]
+	drainAcknowledged        atomic.Int64 // when, in nanoseconds since 1970, or 0
+
+	limitMu    sync.Mutex  // held while the upstream names a limit
+	limitSpans []limitSpan // in which it did
+
+	mu            sync.Mutex
+	process       *exec.Cmd
+	exited        chan struct{}
+	out           bytes.Buffer
+	outputAtStart int // length of out when the process was started
+}
+
+// newWorld starts the system.
+func newCluster(o *options, seed uint64) (*cluster, error) {
+	dir, err := os.MkdirTemp("", "soak")
+	if err != nil {
+		return nil, err
+	}
+	c := &cluster{
+		nodeProgram: o.nodeProgram,
+		stops:       o.stops,
+		dir:         dir,
+		store:       &platformtest.Store{Era: 1},
+		done:        make(chan struct{}),
+		routes:      []string{"a", "b"},
+	}
+	c.lastPort = firstPort + int(seed%portBlocks)*portsPerSeed
+	c.server = httptest.NewServer(c.store)
+	if c.storeProxy, err = newProxy(c.server.Listener.Addr().String(), 0); err != nil {
+		return nil, err
+	}
+	if o.keys {
+		c.keys = &keyring{revoked: make(map[string]time.Time)}
+		c.currentKeys = c.keys.add()
+		c.routes = append(c.routes, keyedRoute)
+	}
+	c.configure(func() {})
+	for i := range o.nodes {
+		service := []string{"a", "b"}[i%2]
+		n := &node{name: fmt.Sprintf("n%d", i), service: service}
+		c.nodes = append(c.nodes, n)
+		if err := c.prepare(n, seed); err != nil {
+			return nil, err
+		}
+	}
+	return c, nil
+}
+
+// build starts a node with its upstream.
+func (c *cluster) prepare(n *node, seed uint64) error {
+	u := &platformtest.Upstream{ID: fmt.Sprintf("i-%s-%d", n.name, seed), Service: n.service, Slots: 8, ServiceTime: 15 * time.Millisecond}
+	if c.stops {
+		u.ServiceTimeFunc = serviceTimeOf
+	}
+	var err error
+	if n.upstreamAddr, err = u.Start(); err != nil {
+		return err
+	}
+	n.upstream.Store(u)
+	for _, addr := range []*string{&n.callerAddr, &n.announceAddr, &n.operatorAddr, &n.peerAddr} {
+		if *addr, err = c.freeAddr(); err != nil {
+			return err
+		}
+	}
+	var linkMbps float64 // in Mbit/s
+	if c.stops {
+		linkMbps = linkRate(seed)
+	}
+	const bytesPerMbit = 1e6 / 8 // of a Mbit
+	if n.link, err = newProxy(n.peerAddr, linkMbps*bytesPerMbit); err != nil {
+		return err
+	}
+	n.configFile = filepath.Join(c.dir, n.name+".yaml")
+	content := fmt.Sprintf("dialect: managed\nnode: %s\nregion: r\nzone: z%s\ncallerAddress: %s\npeerAddress: %s\nadvertisedPeerAddress: %s\nannounceAddress: %s\noperatorAddress: %s\nplatformURL: http://%s\nservice: %s\nupstreamAddress: %s\nretryRatio: 0.2\nretrySlack: 60\nreportBytes: 20000\ncontrolBytes: 100000\nplatformCalls: 100\nprocessors: 1\n",
+		n.name, n.service, n.callerAddr, n.peerAddr, n.link.addr(), n.announceAddr, n.operatorAddr, c.storeProxy.addr(), n.service, n.upstreamAddr)
+	if c.stops {
+		content += fmt.Sprintf("leaveDelay: 2500ms\nadmitDelay: 1500ms\ngracePeriod: %v\ndrainTimeout: 2500ms\nlinkMbps: %g\n", gracePeriod, linkMbps)
+	} else {
+		content += "leaveDelay: 500ms\ndrainTimeout: 4s\n"
+	}
+	if c.keys != nil {
+		content += fmt.Sprintf("revokeWithin: %v\n", maxRevokeDelay)
+	}
+	if err := os.WriteFile(n.configFile, []byte(content), 0o600); err != nil {
+		return err
+	}
+	go c.announce(n)
+	return nil
+}
+
+const (
+	// firstPort and portsPerSeed say which ports the nodes of a seed get. They are
+	// below those that the kernel gives to outgoing connections, which may take a
+	// port between its choice and the start of the node.
+	firstPort    = 11000
+	portsPerSeed = 40
+	portBlocks   = 500
+)
+
+// hosts are the loopback addresses of this process's own, so that runs of one seed at
+// the same time don't take each other's ports.
+var hostPrefix = fmt.Sprintf("127.%d.%d", 1+os.Getpid()/256%250, os.Getpid()%256)
+
+// mostHosts is the number of hosts.
+const maxHosts = 250
+
+// freeAddr returns the next address of the run that nobody listens at.
+func (c *cluster) freeAddr() (string, error) {
+	for ; c.usedHosts < maxHosts; c.usedHosts++ {
+		for c.lastPort++; c.lastPort%portsPerSeed != 0; c.lastPort++ {
+			addr := fmt.Sprintf("%s.%d:%d", hostPrefix, 1+c.usedHosts, c.lastPort)
+			if l, err := net.Listen("tcp", addr); err == nil {
+				_ = l.Close()
+				return addr, nil
+			}
+		}
+		c.lastPort -= portsPerSeed
+	}
+	return "", errors.New("no free port for a node")
+}
+
+// beat announces the upstream until the run ends.
+func (c *cluster) announce(n *node) {
+	for {
+		select {
+		case <-c.done:
+			return
+		case <-time.After(heartbeatInterval):
+		}
+		u := n.upstream.Load()
+		if u.SendHeartbeat(n.announceAddr) && u.Draining() && n.drainAcknowledged.Load() == 0 {
+			n.drainAcknowledged.Store(time.Now().UnixNano())
+		}
+	}
+}
+
+// start starts the node's process.
+func (c *cluster) start(n *node) error {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	cmd := exec.Command(c.nodeProgram, "run", "-config", n.configFile)
+	n.outputAtStart = n.out.Len()
+	cmd.Stdout = &outputWriter{n: n}
+	cmd.Stderr = cmd.Stdout
+	if err := cmd.Start(); err != nil {
+		return err
+	}
+	n.process = cmd
+	exited := make(chan struct{})
+	n.exited = exited
+	go func() {
+		_ = cmd.Wait()
+		close(exited)
+	}()
+	return nil
+}
+
+// locked writes a node's output.
+type outputWriter struct{ n *node }
+
+func (l *outputWriter) Write(p []byte) (int, error) {
+	l.n.mu.Lock()
+	defer l.n.mu.Unlock()
+	return l.n.out.Write(p)
+}
+
+// signal sends a signal to the node's process, if it runs.
+func (n *node) signal(s syscall.Signal) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.process != nil {
+		_ = n.process.Process.Signal(s)
+	}
+}
+
+// awaitStart waits until the process has told something, for a while: no program catches a signal
+// that comes before its runtime has started.
+func (n *node) awaitOutput() {
+	const timeout, step = 2 * time.Second, 5 * time.Millisecond
+	for range timeout / step {
+		n.mu.Lock()
+		hasOutput := n.out.Len() > n.outputAtStart
+		n.mu.Unlock()
+		if hasOutput {
+			return
+		}
+		time.Sleep(step)
+	}
+}
+
+// waitFor waits for the end of the process, for the given time, and returns whether it has ended.
+func (n *node) waitFor(timeout time.Duration) bool {
+	n.mu.Lock()
+	exited := n.exited
+	n.mu.Unlock()
+	if exited == nil {
+		return true
+	}
+	select {
+	case <-exited:
+		return true
+	case <-time.After(timeout):
+		return false
+	}
+}
+
+// wait waits for the end of the process, and kills it after the given time.
+func (n *node) waitOrKill(timeout time.Duration) {
+	for !n.waitFor(timeout) {
+		n.signal(syscall.SIGKILL)
+	}
+}
+
+// scale returns how many times as many nodes there are as usual.
+func (c *cluster) scale() float64 { return float64(len(c.nodes)) / (2 * nodesPerService) }
+
+// configure makes a change and writes the manifest with all routes, under a new version. All
+// but one are public where keys are asked for.
+func (c *cluster) configure(change func()) {
+	c.configMu.Lock()
+	defer c.configMu.Unlock()
+	change()
+	c.version++
+	c.writeConfiguration()
+}
+
+// writeConfiguration writes the manifest with all routes. The lock is held.
+func (c *cluster) writeConfiguration() {
+	const defaultTimeout = time.Second
+	timeout, target := defaultTimeout, 0.3*defaultTimeout.Seconds()
+	if c.stops {
+		timeout, target = stopTimeout, defaultTimeout.Seconds()
+	}
+	var list []json.RawMessage
+	for _, name := range c.routes {
+		kind, service := "idempotent", "b"
+		if name == "a" {
+			kind, service = "non_idempotent", "a"
+		}
+		list = append(list, json.RawMessage(fmt.Sprintf(`{"name":%q,"pathPrefix":"/%s/","kind":%q,"timeoutS":%g,"targetLatencyS":%g,"priority":1,"service":%q,"maxAttempts":2,"public":%v}`, name, name, kind, timeout.Seconds(), target, service, name != keyedRoute)))
+	}
+	manifest := map[string]any{
+		"version":      fmt.Sprintf("r%d", c.version),
+		"services":     []map[string]any{{"name": "a", "healthPath": "/healthz"}, {"name": "b", "healthPath": "/healthz"}},
+		"virtualHosts": []map[string]any{{"host": "h.example", "paths": list}},
+	}
+	if c.keys != nil {
+		manifest["tenants"] = []map[string]any{{"name": keyHolder, "apiKeys": c.currentKeys}}
+	}
+	c.store.Put("config", "main", manifest)
+}
+
+// readyNodes returns how many nodes call themselves ready.
+func (c *cluster) readyNodes() int {
+	client := &http.Client{Timeout: 300 * time.Millisecond}
+	var count int
+	for _, n := range c.nodes {
+		r, err := client.Get("http://" + n.operatorAddr + "/readyz")
+		if err != nil {
+			continue
+		}
+		_ = r.Body.Close()
+		if r.StatusCode == http.StatusOK {
+			count++
+		}
+	}
+	return count
+}
+
+// close ends everything that the run has started.
+func (c *cluster) close() {
+	close(c.done)
+	for _, n := range c.nodes {
+		n.signal(syscall.SIGCONT)
+		n.signal(syscall.SIGKILL)
+		n.waitOrKill(gracePeriod)
+		n.link.close()
+		n.upstream.Load().Close()
+	}
+	c.storeProxy.close()
+	c.server.CloseClientConnections()
+	c.server.Close()
+	_ = os.RemoveAll(c.dir)
+}
--- a/cmd/sassafrassoak/faults.go
+++ b/cmd/sassafrassoak/faults.go
@@ -17,53 +17,53 @@
 
 // fault is something that is done to the system and undone after a while.
 type fault struct {
-	name string
-	at   time.Duration
-	last time.Duration
-	node int
+	name     string
+	start    time.Duration
+	duration time.Duration
+	node     int
 	// planned is whether it is planned work, during which no request may be cut.
 	planned bool
 	// limit is that of an upstream, in requests a second.
 	limit float64
 	// hangup and again are how long after the SIGTERM of a stop a SIGHUP and a second SIGTERM come,
 	// 0 for none.
-	hangup, again time.Duration
+	hangupAfter, termAfter time.Duration
 }
 
 // kinds are the faults, with whether they are planned work.
-var kinds = map[string]bool{
-	"stop":         true,  // SIGTERM, and a start
-	"kill":         false, // SIGKILL, and a start
-	"pause":        false, // SIGSTOP and SIGCONT
-	"hangup":       true,  // SIGHUP
-	"linkDelayed":  false,
-	"linkSilent":   false,
-	"linkOneWay":   false,
-	"linkReset":    false,
-	"storeDown":    false,
-	"storeSilent":  false,
-	"storeLost":    false,
-	"storeForgets": false,
-	"configure":    true,
-	"drain":        true,
-	restored:       false, // only where it is asked for
-	limited:        false, // the same
-	leavingTold:    false, // the same
-	stopped:        true,  // the same
-	burst:          true,  // the same
-	linkLoses:      false, // the same
+var plannedKinds = map[string]bool{
+	"stop":          true,  // SIGTERM, and a start
+	"kill":          false, // SIGKILL, and a start
+	"pause":         false, // SIGSTOP and SIGCONT
+	"hangup":        true,  // SIGHUP
+	"linkDelayed":   false,
+	"linkSilent":    false,
+	"linkOneWay":    false,
+	"linkReset":     false,
+	"storeDown":     false,
+	"storeSilent":   false,
+	"storeLost":     false,
+	"storeForgets":  false,
+	"configure":     true,
+	"drain":         true,
+	faultRestore:    false, // only where it is asked for
+	faultLimit:      false, // the same
+	faultLeave:      false, // the same
+	faultStopSeries: true,  // the same
+	faultBurst:      true,  // the same
+	faultPacketLoss: false, // the same
 }
 
 // restored has the store come back from a copy, twice in a row.
-const restored = "storeRestored"
+const faultRestore = "storeRestored"
 
 // names lists the kinds in a fixed order, so that a seed always draws the same.
-var names = []string{"stop", "kill", "pause", "hangup", "linkDelayed", "linkSilent", "linkOneWay", "linkReset", "storeDown", "storeSilent", "storeLost", "storeForgets", "configure", "drain"}
+var defaultKinds = []string{"stop", "kill", "pause", "hangup", "linkDelayed", "linkSilent", "linkOneWay", "linkReset", "storeDown", "storeSilent", "storeLost", "storeForgets", "configure", "drain"}
 
 // draw returns the faults of a seed. Some come together, and some on one node.
-func draw(seed uint64, duration time.Duration) []fault {
+func drawFaults(seed uint64, duration time.Duration) []fault {
 	random := rand.New(rand.NewPCG(seed, 0))
-	pool := names
+	pool := defaultKinds
 	plannedOnly := seed%4 == 0
 	if plannedOnly {
 		pool = []string{"stop", "hangup", "configure", "drain"}
@@ -72,12 +72,12 @@
 	drained := false
 	for range 3 + random.IntN(4) {
 		f := fault{
-			name: pool[random.IntN(len(pool))],
-			at:   time.Duration(random.Int64N(int64(duration * 6 / 10))),
-			last: 300*time.Millisecond + time.Duration(random.Int64N(int64(1500*time.Millisecond))),
-			node: random.IntN(2 * pairs),
+			name:     pool[random.IntN(len(pool))],
+			start:    time.Duration(random.Int64N(int64(duration * 6 / 10))),
+			duration: 300*time.Millisecond + time.Duration(random.Int64N(int64(1500*time.Millisecond))),
+			node:     random.IntN(2 * nodesPerService),
 		}
-		f.planned = kinds[f.name]
+		f.planned = plannedKinds[f.name]
 		if f.name == "drain" {
 			if drained {
 				continue // one upstream of each service is to be left at least
@@ -94,110 +94,110 @@
 func drawRestore(seed uint64, duration time.Duration) fault {
 	random := rand.New(rand.NewPCG(seed, 1))
 	return fault{
-		name: restored,
-		at:   time.Duration(random.Int64N(int64(duration * 3 / 10))),
-		last: 300*time.Millisecond + time.Duration(random.Int64N(int64(time.Second))),
+		name:     faultRestore,
+		start:    time.Duration(random.Int64N(int64(duration * 3 / 10))),
+		duration: 300*time.Millisecond + time.Duration(random.Int64N(int64(time.Second))),
 	}
 }
 
 func (f fault) String() string {
-	text := fmt.Sprintf("%s node %d at %v for %v", f.name, f.node, f.at.Round(time.Millisecond), f.last.Round(time.Millisecond))
-	if f.hangup > 0 {
-		text += fmt.Sprintf(", SIGHUP after %v", f.hangup.Round(time.Millisecond))
+	text := fmt.Sprintf("%s node %d at %v for %v", f.name, f.node, f.start.Round(time.Millisecond), f.duration.Round(time.Millisecond))
+	if f.hangupAfter > 0 {
+		text += fmt.Sprintf(", SIGHUP after %v", f.hangupAfter.Round(time.Millisecond))
 	}
-	if f.again > 0 {
-		text += fmt.Sprintf(", SIGTERM after %v", f.again.Round(time.Millisecond))
+	if f.termAfter > 0 {
+		text += fmt.Sprintf(", SIGTERM after %v", f.termAfter.Round(time.Millisecond))
 	}
 	return text
 }
 
 // inject does the faults, each at its time, and returns when all are undone.
-func (w *world) inject(list []fault) {
+func (c *cluster) inject(list []fault) {
 	var all sync.WaitGroup
-	var storing sync.Mutex
-	perNode := make([]sync.Mutex, len(w.nodes))
+	var storeMu sync.Mutex
+	perNode := make([]sync.Mutex, len(c.nodes))
 	for _, f := range list {
 		all.Go(func() {
-			time.Sleep(f.at)
-			n := w.nodes[f.node]
+			time.Sleep(f.start)
+			n := c.nodes[f.node]
 			switch f.name {
-			case "stop", "kill", "pause", "hangup", stopped:
+			case "stop", "kill", "pause", "hangup", faultStopSeries:
 				perNode[f.node].Lock() // one process has one signal at a time
 				defer perNode[f.node].Unlock()
-			case "storeDown", "storeSilent", "storeLost", "storeForgets", restored:
-				storing.Lock()
-				defer storing.Unlock()
+			case "storeDown", "storeSilent", "storeLost", "storeForgets", faultRestore:
+				storeMu.Lock()
+				defer storeMu.Unlock()
 			}
-			w.do(f, n)
+			c.apply(f, n)
 		})
 	}
 	all.Wait()
 }
 
 // do does one fault and undoes it.
-func (w *world) do(f fault, n *node) {
-	during := func(m mode) {
+func (c *cluster) apply(f fault, n *node) {
+	setMode := func(m mode) {
 		n.link.set(m)
-		time.Sleep(f.last)
-		n.link.set(open)
+		time.Sleep(f.duration)
+		n.link.set(modeOpen)
 	}
-	store := func(s platformtest.Faults) {
-		w.store.SetFaults(s)
-		time.Sleep(f.last)
-		w.store.SetFaults(platformtest.Faults{})
+	failStore := func(s platformtest.Faults) {
+		c.store.SetFaults(s)
+		time.Sleep(f.duration)
+		c.store.SetFaults(platformtest.Faults{})
 	}
 	switch f.name {
-	case "stop", stopped:
-		w.stop(f, n)
+	case "stop", faultStopSeries:
+		c.stopNode(f, n)
 	case "kill":
-		w.begin(killed, n)
+		c.beginAction(actionKill, n)
 		n.signal(syscall.SIGKILL)
-		n.wait(graceTime)
-		_ = w.start(n)
+		n.waitOrKill(gracePeriod)
+		_ = c.start(n)
 	case "pause":
-		d := w.begin(paused, n)
+		a := c.beginAction(actionPause, n)
 		n.signal(syscall.SIGSTOP)
-		time.Sleep(f.last)
+		time.Sleep(f.duration)
 		n.signal(syscall.SIGCONT)
-		w.end(d)
+		c.endAction(a)
 	case "hangup":
-		n.awaitStart()
+		n.awaitOutput()
 		n.signal(syscall.SIGHUP)
 	case "linkDelayed":
-		during(delayed)
+		setMode(modeDelayed)
 	case "linkSilent":
-		during(silent)
+		setMode(modeSilent)
 	case "linkOneWay":
-		during(oneWay)
+		setMode(modeOneWay)
 	case "linkReset":
-		d := w.begin(broken, n)
-		during(reset)
-		w.end(d)
-	case linkLoses:
-		n.link.lose()
-	case burst:
-		w.bursts.Add(1)
-		time.Sleep(f.last)
-		w.bursts.Add(-1)
+		a := c.beginAction(actionReset, n)
+		setMode(modeReset)
+		c.endAction(a)
+	case faultPacketLoss:
+		n.link.losePacket()
+	case faultBurst:
+		c.bursts.Add(1)
+		time.Sleep(f.duration)
+		c.bursts.Add(-1)
 	case "storeDown":
-		store(platformtest.Faults{Status: http.StatusServiceUnavailable})
+		failStore(platformtest.Faults{Status: http.StatusServiceUnavailable})
 	case "storeSilent":
-		store(platformtest.Faults{Hang: true})
+		failStore(platformtest.Faults{Hang: true})
 	case "storeLost":
-		store(platformtest.Faults{LoseWriteResponses: true})
+		failStore(platformtest.Faults{LoseWriteResponses: true})
 	case "storeForgets":
-		w.store.SetFaults(platformtest.Faults{SilentWatches: true})
-		time.Sleep(f.last / 4)
-		w.store.DropHistory()
-		w.store.SetFaults(platformtest.Faults{})
+		c.store.SetFaults(platformtest.Faults{SilentWatches: true})
+		time.Sleep(f.duration / 4)
+		c.store.DropHistory()
+		c.store.SetFaults(platformtest.Faults{})
 	case "configure":
-		w.addRoute()
-	case restored:
-		w.restore(f.last)
-		w.restore(f.last)
-	case limited:
-		n.nameLimit(f.limit, f.last)
-	case leavingTold:
+		c.addRoute()
+	case faultRestore:
+		c.restore(f.duration)
+		c.restore(f.duration)
+	case faultLimit:
+		n.advertiseLimit(f.limit, f.duration)
+	case faultLeave:
 		n.upstream.Load().AdvertiseLeaving()
 	case "drain":
 		n.upstream.Load().Drain()
@@ -205,22 +205,22 @@
 }
 
 // addRoute has the operator add a route.
-func (w *world) addRoute() {
-	w.configure(func() { w.routes = append(w.routes, fmt.Sprintf("c%d", len(w.routes))) })
+func (c *cluster) addRoute() {
+	c.configure(func() { c.routes = append(c.routes, fmt.Sprintf("c%d", len(c.routes))) })
 }
 
 // restore has the store be away for a moment and come back from a copy that is older than the
 // operator's last word, which the operator writes again a moment later.
-func (w *world) restore(last time.Duration) {
-	copied := w.store.Snapshot()
-	w.addRoute()
-	time.Sleep(last)
-	w.store.SetFaults(platformtest.Faults{Status: http.StatusServiceUnavailable})
-	time.Sleep(last / 4)
-	w.store.Restore(copied)
-	w.store.SetFaults(platformtest.Faults{})
-	time.Sleep(last / 2)
-	w.configuring.Lock()
-	defer w.configuring.Unlock()
-	w.writeConfiguration()
+func (c *cluster) restore(duration time.Duration) {
+	backup := c.store.Snapshot()
+	c.addRoute()
+	time.Sleep(duration)
+	c.store.SetFaults(platformtest.Faults{Status: http.StatusServiceUnavailable})
+	time.Sleep(duration / 4)
+	c.store.Restore(backup)
+	c.store.SetFaults(platformtest.Faults{})
+	time.Sleep(duration / 2)
+	c.configMu.Lock()
+	defer c.configMu.Unlock()
+	c.writeConfiguration()
 }
--- a/cmd/sassafrassoak/keys.go
+++ b/cmd/sassafrassoak/keys.go
@@ -22,12 +22,12 @@
 	// replaceEvery is the time between two replacements of a key, validKeys the number of
 	// keys that are valid at once, and triedKeys that of the latest keys, valid or not, which
 	// callers show.
-	replaceEvery = 400 * time.Millisecond
-	validKeys    = 2
-	triedKeys    = 8
+	keyReplaceInterval = 400 * time.Millisecond
+	validKeys          = 2
+	triedKeys          = 8
 	// revokeWithin is the nodes' bound, below the times for which processes are paused and
 	// links silenced.
-	revokeWithin = time.Second
+	maxRevokeDelay = time.Second
 )
 
 // keyring is the keys of an organisation, the latest last.
@@ -46,7 +46,7 @@
 }
 
 // acknowledged takes in that the version with the valid keys has been acknowledged.
-func (k *keyring) acknowledged(at time.Time) {
+func (k *keyring) markRevoked(at time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if i := len(k.keys) - validKeys - 1; i >= 0 {
@@ -55,21 +55,21 @@
 }
 
 // any returns one of the latest keys.
-func (k *keyring) any() string {
+func (k *keyring) random() string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.keys[len(k.keys)-1-rand.IntN(min(triedKeys, len(k.keys)))]
 }
 
 // replaceKeys replaces a key now and then.
-func (w *world) replaceKeys(stop chan struct{}) {
+func (c *cluster) replaceKeys(stop chan struct{}) {
 	for {
 		select {
 		case <-stop:
 			return
-		case <-time.After(replaceEvery):
-			w.configure(func() { w.valid = w.keys.add() })
-			w.keys.acknowledged(time.Now())
+		case <-time.After(keyReplaceInterval):
+			c.configure(func() { c.currentKeys = c.keys.add() })
+			c.keys.markRevoked(time.Now())
 		}
 	}
 }
@@ -77,27 +77,27 @@
 // checkKeys returns which requests ran with a key that had been revoked for longer than the
 // bound when they were sent, and which upstreams were told of a key, or of an organisation
 // that is not the key's.
-func (w *world) checkKeys(list []outcome, runs map[string][]platformtest.Run) []string {
-	var broken []string
+func (c *cluster) checkKeys(list []outcome, runs map[string][]platformtest.Run) []string {
+	var violations []string
 	var served int
 	for _, o := range list {
 		if o.status == http.StatusOK && o.route == keyedRoute {
 			served++
 		}
-		revoked, gone := w.keys.revoked[o.key]
+		revokedAt, isRevoked := c.keys.revoked[o.key]
 		for _, r := range runs[o.id] {
 			switch {
-			case gone && o.sent.After(revoked.Add(revokeWithin)):
-				broken = append(broken, fmt.Sprintf("ran with a revoked key: request %s sent %v after the bound", o.id, o.sent.Sub(revoked.Add(revokeWithin))))
+			case isRevoked && o.sentAt.After(revokedAt.Add(maxRevokeDelay)):
+				violations = append(violations, fmt.Sprintf("ran with a revoked key: request %s sent %v after the bound", o.id, o.sentAt.Sub(revokedAt.Add(maxRevokeDelay))))
 			case r.Authorization != "":
-				broken = append(broken, fmt.Sprintf("key passed on: request %s", o.id))
+				violations = append(violations, fmt.Sprintf("key passed on: request %s", o.id))
 			case (o.route == keyedRoute) != (r.Organisation == keyHolder) || o.route != keyedRoute && r.Organisation != "":
-				broken = append(broken, fmt.Sprintf("ran on behalf of %q: request %s", r.Organisation, o.id))
+				violations = append(violations, fmt.Sprintf("ran on behalf of %q: request %s", r.Organisation, o.id))
 			}
 		}
 	}
 	if served == 0 {
-		broken = append(broken, "no request with a key was served")
+		violations = append(violations, "no request with a key was served")
 	}
-	return broken
+	return violations
 }
--- a/cmd/sassafrassoak/main.go
+++ b/cmd/sassafrassoak/main.go
@@ -33,19 +33,19 @@
 
 // options are the command line.
 type options struct {
-	program  string
-	seed     uint64
-	seeds    int
-	minutes  float64
-	parallel int
-	duration time.Duration
-	logs     string
-	safety   bool
-	keys     bool
-	restore  bool
-	limits   bool
-	stops    bool
-	nodes    int
+	nodeProgram string
+	seed        uint64
+	seeds       int
+	minutes     float64
+	parallel    int
+	duration    time.Duration
+	logDir      string
+	safetyOnly  bool
+	keys        bool
+	restore     bool
+	limits      bool
+	stops       bool
+	nodes       int
 }
 
 func main() {
@@ -63,37 +63,37 @@
 	var o options
 	fs := flag.NewFlagSet(args[0], flag.ContinueOnError)
 	fs.SetOutput(out)
-	fs.StringVar(&o.program, "node", "bin/sassafrasnode", "program of the nodes")
+	fs.StringVar(&o.nodeProgram, "node", "bin/sassafrasnode", "program of the nodes")
 	fs.Uint64Var(&o.seed, "seed", 1, "first seed")
 	fs.IntVar(&o.seeds, "seeds", 50, "number of seeds of a hunt")
 	fs.Float64Var(&o.minutes, "minutes", 0, "longest duration of a hunt; 0 for no bound")
 	fs.IntVar(&o.parallel, "parallel", 3, "seeds run at once in a hunt")
 	fs.DurationVar(&o.duration, "duration", 8*time.Second, "time under load")
-	fs.StringVar(&o.logs, "logs", "", "folder that gets the nodes' logs of a seed that failed; empty for none")
-	fs.BoolVar(&o.safety, "safety", false, "leave out the promises that have a bound on time, for a busy machine")
+	fs.StringVar(&o.logDir, "logs", "", "folder that gets the nodes' logs of a seed that failed; empty for none")
+	fs.BoolVar(&o.safetyOnly, "safety", false, "leave out the promises that have a bound on time, for a busy machine")
 	fs.BoolVar(&o.keys, "keys", false, "replace the keys of an organisation all the while, and check that revoked ones let nobody in")
 	fs.BoolVar(&o.restore, "restore", false, "have the store come back from an older copy as well, twice in a row")
 	fs.BoolVar(&o.limits, "limits", false, "have upstreams name limits as well, and one say in its answers that it leaves")
 	fs.BoolVar(&o.stops, "stops", false, "stop nodes in series as well, under bursts of large bodies over slow links that fall silent and lose packets")
-	fs.IntVar(&o.nodes, "nodes", 2*pairs, "number of nodes; their callers are as slow as is needed for the same load in all")
+	fs.IntVar(&o.nodes, "nodes", 2*nodesPerService, "number of nodes; their callers are as slow as is needed for the same load in all")
 	if err := fs.Parse(args[1:]); err != nil {
 		if errors.Is(err, flag.ErrHelp) {
 			return 0
 		}
 		return 2
 	}
-	if o.nodes < 2*pairs {
-		fmt.Fprintf(out, "-nodes must be %d at least\n", 2*pairs)
+	if o.nodes < 2*nodesPerService {
+		fmt.Fprintf(out, "-nodes must be %d at least\n", 2*nodesPerService)
 		return 2
 	}
 	if args[0] == "run" {
 		o.seeds, o.parallel = 1, 1
 	}
-	return o.hunt(ctx, out)
+	return o.runSeeds(ctx, out)
 }
 
 // hunt runs the seeds and returns the exit code.
-func (o *options) hunt(ctx context.Context, out io.Writer) int {
+func (o *options) runSeeds(ctx context.Context, out io.Writer) int {
 	if o.minutes > 0 {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, time.Duration(o.minutes*float64(time.Minute)))
@@ -106,7 +106,7 @@
 	for range max(1, o.parallel) {
 		all.Go(func() {
 			for seed := range seeds {
-				report, ok := play(o, seed)
+				report, ok := runSeed(o, seed)
 				mu.Lock()
 				fmt.Fprint(out, report)
 				if ok {
--- a/cmd/sassafrassoak/proxy.go
+++ b/cmd/sassafrassoak/proxy.go
@@ -17,11 +17,11 @@
 type mode int
 
 const (
-	open    mode = iota
-	delayed      // each piece waits
-	silent       // nothing passes, nothing ends
-	oneWay       // nothing passes towards the caller
-	reset        // connections are reset, and new ones too
+	modeOpen    mode = iota
+	modeDelayed      // each piece waits
+	modeSilent       // nothing passes, nothing ends
+	modeOneWay       // nothing passes towards the caller
+	modeReset        // connections are reset, and new ones too
 )
 
 // pieceDelay is the wait of each piece in the mode delayed.
@@ -29,26 +29,26 @@
 
 const (
 	// window is how much a connection may have in the queue of a link with a rate.
-	window = 32 << 10
+	windowBytes = 32 << 10
 	// repetition is how long a connection waits for a packet that was lost.
-	repetition = 200 * time.Millisecond
+	retransmitDelay = 200 * time.Millisecond
 )
 
 // proxy passes connections on to an address, with faults.
 type proxy struct {
-	to       string
+	target   string
 	listener net.Listener
 	// rate is in bytes a second in each direction, for all connections together; 0 means no bound.
-	rate        float64
-	there, back lane
+	rate              float64
+	forward, backward linkQueue
 
-	failed atomic.Pointer[error] // why it takes no more connections
+	acceptErr atomic.Pointer[error] // why it takes no more connections
 
-	mu      sync.Mutex
-	mode    mode
-	losses  int // how many pieces are to wait for a repetition
-	changed chan struct{}
-	conns   map[net.Conn]bool
+	mu            sync.Mutex
+	mode          mode
+	pendingLosses int // how many pieces are to wait for a repetition
+	changed       chan struct{}
+	conns         map[net.Conn]bool
 }
 
 // newProxy starts a proxy on a free port, with a rate in bytes a second, or 0 for no bound.
@@ -58,7 +58,7 @@
 		return nil, err
 	}
 	p := &proxy{
-		to:       to,
+		target:   to,
 		listener: l,
 		rate:     rate,
 		changed:  make(chan struct{}),
@@ -77,7 +77,7 @@
 	p.mode = m
 	close(p.changed)
 	p.changed = make(chan struct{})
-	if m == reset {
+	if m == modeReset {
 		for c := range p.conns {
 			abort(c)
 		}
@@ -85,37 +85,37 @@
 }
 
 // lose has the connection wait that passes something on next, as if a packet of it was lost.
-func (p *proxy) lose() {
+func (p *proxy) losePacket() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.losses++
+	p.pendingLosses++
 }
 
 // lost returns whether the next piece is to wait for a repetition.
-func (p *proxy) lost() bool {
+func (p *proxy) takeLoss() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.losses == 0 {
+	if p.pendingLosses == 0 {
 		return false
 	}
-	p.losses--
+	p.pendingLosses--
 	return true
 }
 
 // lane is one direction of a link, which sends what is queued there in the order of its arrival.
-type lane struct {
-	mu   sync.Mutex
-	free time.Time // when all that is queued has been sent
+type linkQueue struct {
+	mu     sync.Mutex
+	idleAt time.Time // when all that is queued has been sent
 }
 
 // send waits until the given number of bytes has been sent at a rate in bytes a second.
-func (l *lane) send(bytes int, rate float64) {
+func (l *linkQueue) send(bytes int, rate float64) {
 	l.mu.Lock()
-	if now := time.Now(); l.free.Before(now) {
-		l.free = now
+	if now := time.Now(); l.idleAt.Before(now) {
+		l.idleAt = now
 	}
-	l.free = l.free.Add(time.Duration(float64(bytes) / rate * float64(time.Second)))
-	free := l.free
+	l.idleAt = l.idleAt.Add(time.Duration(float64(bytes) / rate * float64(time.Second)))
+	free := l.idleAt
 	l.mu.Unlock()
 	time.Sleep(time.Until(free))
 }
@@ -130,7 +130,7 @@
 
 func (p *proxy) close() {
 	_ = p.listener.Close()
-	p.set(reset)
+	p.set(modeReset)
 }
 
 func (p *proxy) accept() {
@@ -138,7 +138,7 @@
 		c, err := p.listener.Accept()
 		if err != nil {
 			if !errors.Is(err, net.ErrClosed) {
-				p.failed.Store(&err)
+				p.acceptErr.Store(&err)
 			}
 			return
 		}
@@ -147,54 +147,54 @@
 }
 
 // serve passes one connection on.
-func (p *proxy) serve(near net.Conn) {
-	far, err := net.Dial("tcp", p.to)
+func (p *proxy) serve(client net.Conn) {
+	server, err := net.Dial("tcp", p.target)
 	if err != nil {
-		abort(near)
+		abort(client)
 		return
 	}
 	p.mu.Lock()
-	refuse := p.mode == reset
-	p.conns[near], p.conns[far] = true, true
+	refuse := p.mode == modeReset
+	p.conns[client], p.conns[server] = true, true
 	p.mu.Unlock()
 	if refuse {
-		abort(near)
-		abort(far)
+		abort(client)
+		abort(server)
 	}
 	if p.rate > 0 {
-		for _, c := range []net.Conn{near, far} {
-			_ = c.(*net.TCPConn).SetReadBuffer(window)
-			_ = c.(*net.TCPConn).SetWriteBuffer(window)
+		for _, c := range []net.Conn{client, server} {
+			_ = c.(*net.TCPConn).SetReadBuffer(windowBytes)
+			_ = c.(*net.TCPConn).SetWriteBuffer(windowBytes)
 		}
 	}
-	var both sync.WaitGroup
-	both.Go(func() { p.copy(far, near, false) })
-	both.Go(func() { p.copy(near, far, true) })
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { p.copy(server, client, false) })
+	directions.Go(func() { p.copy(client, server, true) })
+	directions.Wait()
 	p.mu.Lock()
-	delete(p.conns, near)
-	delete(p.conns, far)
+	delete(p.conns, client)
+	delete(p.conns, server)
 	p.mu.Unlock()
 }
 
 // copy passes pieces on as the mode allows.
-func (p *proxy) copy(to, from net.Conn, back bool) {
+func (p *proxy) copy(to, from net.Conn, backward bool) {
 	defer to.Close()
-	buffer := make([]byte, window)
-	l := &p.there
-	if back {
-		l = &p.back
+	buffer := make([]byte, windowBytes)
+	queue := &p.forward
+	if backward {
+		queue = &p.backward
 	}
 	for {
 		n, err := from.Read(buffer)
 		if n > 0 {
 			if p.rate > 0 {
-				l.send(n, p.rate)
+				queue.send(n, p.rate)
 			}
-			if p.lost() {
-				time.Sleep(repetition)
+			if p.takeLoss() {
+				time.Sleep(retransmitDelay)
 			}
-			p.gate(back)
+			p.awaitPermission(backward)
 			if _, err := to.Write(buffer[:n]); err != nil {
 				_, _ = io.Copy(io.Discard, from)
 				return
@@ -207,16 +207,16 @@
 }
 
 // gate waits until a piece may pass.
-func (p *proxy) gate(back bool) {
+func (p *proxy) awaitPermission(backward bool) {
 	for {
 		p.mu.Lock()
 		m, changed := p.mode, p.changed
 		p.mu.Unlock()
 		switch {
-		case m == delayed:
+		case m == modeDelayed:
 			time.Sleep(pieceDelay)
 			return
-		case m == silent, m == oneWay && back:
+		case m == modeSilent, m == modeOneWay && backward:
 			<-changed
 		default:
 			return
