--- a/cmd/sassafrassoak/check.go
+++ b/cmd/sassafrassoak/check.go
@@ -13,8 +13,9 @@
 	"sassafrasfront.example/platform/platformtest"
 )
 
-// check returns the promises that were broken. Whole is when the faults had long
-// ended. Safety leaves out those that have a bound on time.
+// check returns the violations found. Requests sent after recoveredAt must be served, as the
+// system must have recovered from the faults by then. If safetyOnly is set, checks with time
+// bounds are skipped.
 func (c *cluster) check(list []outcome, faults []fault, recoveredAt time.Time, safetyOnly bool) []string {
 	runs := make(map[string][]platformtest.Run)
 	for _, n := range c.nodes {
@@ -49,12 +50,13 @@
 	return violations
 }
 
-// checkProxies wants the soak itself to have worked: a run of many nodes may use up its descriptors.
+// checkProxies reports proxies that have stopped, as they do if a run of many nodes uses up the
+// file descriptors of this process.
 func (c *cluster) checkProxies() []string {
 	var violations []string
 	for _, n := range c.nodes {
 		if err := n.link.acceptErr.Load(); err != nil {
-			violations = append(violations, fmt.Sprintf("the soak's own fault: the proxy of %s ended: %v", n.name, *err))
+			violations = append(violations, fmt.Sprintf("soak test error: the proxy of %s stopped: %v", n.name, *err))
 		}
 	}
 	return violations
@@ -70,7 +72,7 @@
 	return true
 }
 
-// checkOutcomes compares what callers saw with what upstreams ran.
+// checkOutcomes compares what callers observed with what upstreams ran.
 func checkOutcomes(list []outcome, runs map[string][]platformtest.Run) []string {
 	var violations []string
 	sent := make(map[string]outcome, len(list))
@@ -79,7 +81,7 @@
 		ran := runs[o.id]
 		switch {
 		case o.wrongBody != "":
-			violations = append(violations, fmt.Sprintf("foreign or cut answer: request %s got %s", o.id, o.wrongBody))
+			violations = append(violations, fmt.Sprintf("foreign or truncated response body: request %s got %s", o.id, o.wrongBody))
 		case o.route == "a" && len(ran) > 1:
 			violations = append(violations, fmt.Sprintf("ran twice: request %s", o.id))
 		case o.status == http.StatusServiceUnavailable && len(ran) > 0 && o.route == "a":
@@ -98,14 +100,15 @@
 		}
 		for _, r := range list {
 			if ok && (r.Body != platformtest.SummariseBody(o.body()) || r.Path != "/"+o.route+"/x") {
-				violations = append(violations, fmt.Sprintf("ran changed: request %s with %s %q", id, r.Path, r.Body))
+				violations = append(violations, fmt.Sprintf("ran with a changed path or body: request %s with %s %q", id, r.Path, r.Body))
 			}
 		}
 	}
 	return violations
 }
 
-// checkDrains finds requests that reached an upstream after its drain was bound.
+// checkDrains finds requests that reached a draining upstream more than drainBound after its
+// drain was acknowledged.
 func (c *cluster) checkDrains() []string {
 	var violations []string
 	for _, n := range c.nodes {
@@ -116,7 +119,7 @@
 		bound := time.Unix(0, at).Add(drainBound)
 		for _, r := range n.upstream.Load().Runs() {
 			if r.At.After(bound) {
-				violations = append(violations, fmt.Sprintf("drained upstream of %s ran request %s %v after the bound", n.name, r.ID, r.At.Sub(bound)))
+				violations = append(violations, fmt.Sprintf("draining upstream of %s ran request %s %v after the bound", n.name, r.ID, r.At.Sub(bound)))
 				break
 			}
 		}
@@ -124,40 +127,40 @@
 	return violations
 }
 
-// checkRoutes asks each node for each route that was ever added.
+// checkRoutes sends a request for each route that was ever added to each node.
 func (c *cluster) checkRoutes() []string {
 	client := &http.Client{Timeout: clientTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	var violations []string
 	for _, n := range c.nodes {
 		for _, route := range c.routes {
 			if o := send(client, n, outcome{id: "check-" + n.name + route, route: route}); o.status == http.StatusNotFound || o.status == 0 {
-				violations = append(violations, fmt.Sprintf("configuration %d is not in force at %s: route %s got %d", c.version, n.name, route, o.status))
+				violations = append(violations, fmt.Sprintf("configuration %d is not active at %s: route %s got %d", c.version, n.name, route, o.status))
 			}
 		}
 	}
 	return violations
 }
 
-// checkRecovery wants nearly all requests served once the faults are long over.
+// checkRecovery requires that nearly all requests sent after the recovery are served.
 func checkRecovery(list []outcome, recoveredAt time.Time) []string {
-	var asked, served int
+	var sent, served int
 	for _, o := range list {
 		if o.sentAt.After(recoveredAt) && o.key == "" {
-			asked++
+			sent++
 			if o.status == http.StatusOK {
 				served++
 			}
 		}
 	}
-	if asked == 0 || float64(served) < minServedFraction*float64(asked) {
-		return []string{fmt.Sprintf("not recovered: %d of %d requests served after the faults", served, asked)}
+	if sent == 0 || float64(served) < minServedFraction*float64(sent) {
+		return []string{fmt.Sprintf("not recovered: %d of %d requests served after the faults", served, sent)}
 	}
 	return nil
 }
 
-// checkUncut wants no request cut that a node had passed on, where all was
-// planned. A request that crosses the closing of an idle connection is read by
-// nobody (RFC 9112, section 9.6) and is no cut.
+// checkInterrupted finds requests that planned work interrupted after a node had forwarded them.
+// A request that crosses the closing of an idle connection is not read by the
+// server (RFC 9112, section 9.6) and does not count.
 func checkInterrupted(list []outcome, runs map[string][]platformtest.Run) []string {
 	var violations []string
 	for _, o := range list {
--- a/cmd/sassafrassoak/check_test.go
+++ b/cmd/sassafrassoak/check_test.go
@@ -15,7 +15,7 @@
 	"sassafrasfront.example/platform/platformtest"
 )
 
-// TestChecksFail has one row for each promise, broken.
+// TestCheckOutcomes has a row for each kind of violation.
 func TestCheckOutcomes(t *testing.T) {
 	run := func(id, route string) platformtest.Run {
 		return platformtest.Run{ID: id, Path: "/" + route + "/x", Body: "body of " + id}
@@ -23,19 +23,19 @@
 	tests := map[string]struct {
 		outcome outcome
 		runs    []platformtest.Run
-		want    string // empty if nothing is broken
+		want    string // empty if there is no violation
 	}{
-		"served":              {outcome{id: "1", route: "a", status: 200}, []platformtest.Run{run("1", "a")}, ""},
-		"idempotent twice":    {outcome{id: "1", route: "b", status: 200}, []platformtest.Run{run("1", "b"), run("1", "b")}, ""},
-		"refused":             {outcome{id: "1", route: "a", status: 503}, nil, ""},
-		"lost":                {outcome{id: "1", route: "a", status: 502}, []platformtest.Run{run("1", "a")}, ""},
-		"twice":               {outcome{id: "1", route: "a", status: 200}, []platformtest.Run{run("1", "a"), run("1", "a")}, "ran twice"},
-		"refused and ran":     {outcome{id: "1", route: "a", status: 503}, []platformtest.Run{run("1", "a")}, "told not run"},
-		"foreign":             {outcome{id: "1", route: "b", status: 200, wrongBody: "x"}, []platformtest.Run{run("1", "b")}, "foreign"},
-		"denied":              {outcome{id: "1", route: "b", status: http.StatusNotFound}, nil, "denied"},
-		"success without run": {outcome{id: "1", route: "b", status: 200}, nil, "without a run"},
-		"changed":             {outcome{id: "1", route: "a", status: 200}, []platformtest.Run{run("1", "b")}, "changed"},
-		"unasked":             {outcome{id: "1", route: "a", status: 503}, []platformtest.Run{run("2", "a")}, "unasked"},
+		"served":                   {outcome{id: "1", route: "a", status: 200}, []platformtest.Run{run("1", "a")}, ""},
+		"idempotent, two runs":     {outcome{id: "1", route: "b", status: 200}, []platformtest.Run{run("1", "b"), run("1", "b")}, ""},
+		"refused":                  {outcome{id: "1", route: "a", status: 503}, nil, ""},
+		"ran without success":      {outcome{id: "1", route: "a", status: 502}, []platformtest.Run{run("1", "a")}, ""},
+		"not idempotent, two runs": {outcome{id: "1", route: "a", status: 200}, []platformtest.Run{run("1", "a"), run("1", "a")}, "ran twice"},
+		"refused and ran":          {outcome{id: "1", route: "a", status: 503}, []platformtest.Run{run("1", "a")}, "told not run"},
+		"wrong body":               {outcome{id: "1", route: "b", status: 200, wrongBody: "x"}, []platformtest.Run{run("1", "b")}, "foreign"},
+		"not found":                {outcome{id: "1", route: "b", status: http.StatusNotFound}, nil, "denied"},
+		"success without run":      {outcome{id: "1", route: "b", status: 200}, nil, "without a run"},
+		"changed":                  {outcome{id: "1", route: "a", status: 200}, []platformtest.Run{run("1", "b")}, "changed"},
+		"not sent":                 {outcome{id: "1", route: "a", status: 503}, []platformtest.Run{run("2", "a")}, "unasked"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -54,7 +54,7 @@
 	}
 }
 
-// TestWorstOfSpan counts what came to an upstream in the worst window while it named a limit.
+// TestMaxInWindow counts the arrivals in the fullest window while a limit is advertised.
 func TestMaxInWindow(t *testing.T) {
 	from := time.Now()
 	s := limitSpan{from: from, to: from.Add(20 * time.Second), limit: 2}
@@ -68,12 +68,12 @@
 		arrivals []time.Time
 		count    int
 	}{
-		"none":                 {},
-		"before it was heard":  {arrivals: at(0.1, 0.2, 0.9)},
-		"after it was over":    {arrivals: at(20.5, 21)},
-		"apart":                {arrivals: at(2, 7, 12), count: 1},
-		"together":             {arrivals: at(2, 3, 5.9, 7), count: 3},
-		"together, not sorted": {arrivals: at(7, 5.9, 2, 3), count: 3},
+		"none":                      {},
+		"before propagation":        {arrivals: at(0.1, 0.2, 0.9)},
+		"after the span":            {arrivals: at(20.5, 21)},
+		"spread out":                {arrivals: at(2, 7, 12), count: 1},
+		"in one window":             {arrivals: at(2, 3, 5.9, 7), count: 3},
+		"in one window, not sorted": {arrivals: at(7, 5.9, 2, 3), count: 3},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -84,7 +84,8 @@
 	}
 }
 
-// TestLeavingCheckFails has a request run at an upstream after its node has passed on that it leaves.
+// TestCheckLeaving runs a request at an upstream after its entry has received a response stating
+// that the upstream is leaving.
 func TestCheckLeaving(t *testing.T) {
 	now := time.Now()
 	first := outcome{id: "1", node: "n1", endedAt: now, leavingUpstream: "i-1"}
@@ -93,7 +94,7 @@
 		violations int
 	}{
 		"within the bound":  {later: outcome{id: "2", node: "n1", sentAt: now.Add(drainBound / 2)}},
-		"after it":          {later: outcome{id: "2", node: "n1", sentAt: now.Add(2 * drainBound)}, violations: 1},
+		"after the bound":   {later: outcome{id: "2", node: "n1", sentAt: now.Add(2 * drainBound)}, violations: 1},
 		"from another node": {later: outcome{id: "2", node: "n2", sentAt: now.Add(2 * drainBound)}},
 	}
 	for name, test := range tests {
@@ -132,7 +133,7 @@
 	qt.Check(t, c.checkDrains(), qt.HasLen, 1)
 }
 
-// TestDrawRepeats has a seed draw the same faults each time.
+// TestDrawFaultsRepeats checks that a seed always draws the same faults.
 func TestDrawFaultsRepeats(t *testing.T) {
 	for seed := range uint64(50) {
 		one, two := drawFaults(seed, time.Minute), drawFaults(seed, time.Minute)
--- a/cmd/sassafrassoak/cluster.go
+++ b/cmd/sassafrassoak/cluster.go
@@ -24,50 +24,50 @@
 )
 
 const (
-	// heartbeat is the time between two announcements of an upstream.
+	// heartbeatInterval is the time between two announcements of an upstream.
 	heartbeatInterval = 300 * time.Millisecond
-	// graceTime is what a node has between SIGTERM and SIGKILL.
+	// gracePeriod is the time between SIGTERM and SIGKILL.
 	gracePeriod = 6 * time.Second
-	// pairs is the number of nodes of each of the two services.
+	// nodesPerService is the default number of nodes of each of the two services.
 	nodesPerService = 3
 )
 
-// world is the system of one run.
+// cluster is the system of one run.
 type cluster struct {
 	nodeProgram string
 	dir         string
 	store       *platformtest.Store
 	server      *httptest.Server
-	storeProxy  *proxy // of the store
+	storeProxy  *proxy // in front of the store
 	nodes       []*node
-	usedHosts   int // how many addresses' ports have been given to nodes
-	lastPort    int // the last one given to a node
-	// configuring is held while the configuration is written. It guards what follows.
+	usedHosts   int // number of addresses whose ports are used up
+	lastPort    int // last port given to a node
+	// configMu is held while the configuration is written. It guards version, routes and currentKeys.
 	configMu    sync.Mutex
 	version     int
 	routes      []string
-	keys        *keyring // nil if no request needs a key
-	currentKeys []string // the keys that the configuration has now
+	keys        *keyring // nil if no route requires a key
+	currentKeys []string // keys in the latest configuration
 	done        chan struct{}
 	stops       bool
-	bursts      atomic.Int32 // how many there are now
-	actionsMu   sync.Mutex   // held while deeds change
+	bursts      atomic.Int32 // number of bursts in progress
+	actionsMu   sync.Mutex   // guards actions
 	actions     []*action
 }
 
-// node is a node with its upstream.
+// node is a node and the upstream beside it.
 type node struct {
 	name, service            string
 	callerAddr, announceAddr string
 	operatorAddr, peerAddr   string
-	link                     *proxy // of peers to the node
+	link                     *proxy // from peers to the node
 	upstreamAddr             string
 	configFile               string
 	upstream                 atomic.Pointer[platformtest.Upstream]
-	drainAcknowledged        atomic.Int64 // when, in nanoseconds since 1970, or 0
+	drainAcknowledged        atomic.Int64 // in Unix nanoseconds, or 0
 
-	limitMu    sync.Mutex  // held while the upstream names a limit
-	limitSpans []limitSpan // in which it did
+	limitMu    sync.Mutex  // held while the upstream advertises a limit
+	limitSpans []limitSpan // when it did
 
 	mu            sync.Mutex
 	process       *exec.Cmd
@@ -76,7 +76,7 @@
 	outputAtStart int // length of out when the process was started
 }
 
-// newWorld starts the system.
+// newCluster starts the store and the upstreams, and prepares the nodes.
 func newCluster(o *options, seed uint64) (*cluster, error) {
 	dir, err := os.MkdirTemp("", "soak")
 	if err != nil {
@@ -112,7 +112,7 @@
 	return c, nil
 }
 
-// build starts a node with its upstream.
+// prepare starts the upstream of a node and writes the node's settings.
 func (c *cluster) prepare(n *node, seed uint64) error {
 	u := &platformtest.Upstream{ID: fmt.Sprintf("i-%s-%d", n.name, seed), Service: n.service, Slots: 8, ServiceTime: 15 * time.Millisecond}
 	if c.stops {
@@ -128,11 +128,11 @@
 			return err
 		}
 	}
-	var linkMbps float64 // in Mbit/s
+	var linkMbps float64 // 0 for no limit
 	if c.stops {
 		linkMbps = linkRate(seed)
 	}
-	const bytesPerMbit = 1e6 / 8 // of a Mbit
+	const bytesPerMbit = 1e6 / 8
 	if n.link, err = newProxy(n.peerAddr, linkMbps*bytesPerMbit); err != nil {
 		return err
 	}
@@ -155,22 +155,22 @@
 }
 
 const (
-	// firstPort and portsPerSeed say which ports the nodes of a seed get. They are
-	// below those that the kernel gives to outgoing connections, which may take a
-	// port between its choice and the start of the node.
+	// firstPort, portsPerSeed and portBlocks determine the ports of a seed's nodes. They are
+	// below the kernel's ephemeral range: an outgoing connection could otherwise take a port
+	// after it was chosen and before the node listens on it.
 	firstPort    = 11000
 	portsPerSeed = 40
 	portBlocks   = 500
 )
 
-// hosts are the loopback addresses of this process's own, so that runs of one seed at
-// the same time don't take each other's ports.
+// hostPrefix is the prefix of loopback addresses that only this process uses, so that
+// concurrent runs of the same seed do not take each other's ports.
 var hostPrefix = fmt.Sprintf("127.%d.%d", 1+os.Getpid()/256%250, os.Getpid()%256)
 
-// mostHosts is the number of hosts.
+// maxHosts is the number of addresses with hostPrefix that may be used.
 const maxHosts = 250
 
-// freeAddr returns the next address of the run that nobody listens at.
+// freeAddr returns the next address of the run that has no listener.
 func (c *cluster) freeAddr() (string, error) {
 	for ; c.usedHosts < maxHosts; c.usedHosts++ {
 		for c.lastPort++; c.lastPort%portsPerSeed != 0; c.lastPort++ {
@@ -185,7 +185,7 @@
 	return "", errors.New("no free port for a node")
 }
 
-// beat announces the upstream until the run ends.
+// announce announces the upstream of a node periodically until the run ends.
 func (c *cluster) announce(n *node) {
 	for {
 		select {
@@ -221,16 +221,16 @@
 	return nil
 }
 
-// locked writes a node's output.
+// outputWriter appends to a node's output.
 type outputWriter struct{ n *node }
 
-func (l *outputWriter) Write(p []byte) (int, error) {
-	l.n.mu.Lock()
-	defer l.n.mu.Unlock()
-	return l.n.out.Write(p)
+func (w *outputWriter) Write(p []byte) (int, error) {
+	w.n.mu.Lock()
+	defer w.n.mu.Unlock()
+	return w.n.out.Write(p)
 }
 
-// signal sends a signal to the node's process, if it runs.
+// signal sends a signal to the node's process, if there is one.
 func (n *node) signal(s syscall.Signal) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -239,8 +239,8 @@
 	}
 }
 
-// awaitStart waits until the process has told something, for a while: no program catches a signal
-// that comes before its runtime has started.
+// awaitOutput waits up to 2 s for the process to write output: before its runtime has started,
+// no program can catch a signal.
 func (n *node) awaitOutput() {
 	const timeout, step = 2 * time.Second, 5 * time.Millisecond
 	for range timeout / step {
@@ -254,7 +254,7 @@
 	}
 }
 
-// waitFor waits for the end of the process, for the given time, and returns whether it has ended.
+// waitFor waits up to timeout for the process to exit, and returns whether it has.
 func (n *node) waitFor(timeout time.Duration) bool {
 	n.mu.Lock()
 	exited := n.exited
@@ -270,18 +270,18 @@
 	}
 }
 
-// wait waits for the end of the process, and kills it after the given time.
+// waitOrKill waits for the process to exit, and kills it after timeout.
 func (n *node) waitOrKill(timeout time.Duration) {
 	for !n.waitFor(timeout) {
 		n.signal(syscall.SIGKILL)
 	}
 }
 
-// scale returns how many times as many nodes there are as usual.
+// scale returns the ratio of the number of nodes to the default number.
 func (c *cluster) scale() float64 { return float64(len(c.nodes)) / (2 * nodesPerService) }
 
-// configure makes a change and writes the manifest with all routes, under a new version. All
-// but one are public where keys are asked for.
+// configure applies a change and writes the configuration as a new version. All routes are
+// public except keyedRoute.
 func (c *cluster) configure(change func()) {
 	c.configMu.Lock()
 	defer c.configMu.Unlock()
@@ -290,7 +290,7 @@
 	c.writeConfiguration()
 }
 
-// writeConfiguration writes the manifest with all routes. The lock is held.
+// writeConfiguration writes the manifest with all routes. The caller holds configMu.
 func (c *cluster) writeConfiguration() {
 	const defaultTimeout = time.Second
 	timeout, target := defaultTimeout, 0.3*defaultTimeout.Seconds()
@@ -316,7 +316,7 @@
 	c.store.Put("config", "main", manifest)
 }
 
-// readyNodes returns how many nodes call themselves ready.
+// readyNodes returns the number of nodes that report that they are ready.
 func (c *cluster) readyNodes() int {
 	client := &http.Client{Timeout: 300 * time.Millisecond}
 	var count int
@@ -333,7 +333,7 @@
 	return count
 }
 
-// close ends everything that the run has started.
+// close stops everything that the run has started.
 func (c *cluster) close() {
 	close(c.done)
 	for _, n := range c.nodes {
--- a/cmd/sassafrassoak/faults.go
+++ b/cmd/sassafrassoak/faults.go
@@ -15,25 +15,25 @@
 	"sassafrasfront.example/platform/platformtest"
 )
 
-// fault is something that is done to the system and undone after a while.
+// fault is a fault that is injected at some time and reverted after a duration.
 type fault struct {
 	name     string
 	start    time.Duration
 	duration time.Duration
 	node     int
-	// planned is whether it is planned work, during which no request may be cut.
+	// planned is whether the fault is planned work, which must not interrupt any request.
 	planned bool
-	// limit is that of an upstream, in requests a second.
+	// limit is the limit that an upstream advertises, in requests per second.
 	limit float64
-	// hangup and again are how long after the SIGTERM of a stop a SIGHUP and a second SIGTERM come,
-	// 0 for none.
+	// hangupAfter and termAfter are the delays of a SIGHUP and a second SIGTERM after the
+	// SIGTERM of a stop, 0 for none.
 	hangupAfter, termAfter time.Duration
 }
 
-// kinds are the faults, with whether they are planned work.
+// plannedKinds tells for each kind of fault whether it is planned work.
 var plannedKinds = map[string]bool{
-	"stop":          true,  // SIGTERM, and a start
-	"kill":          false, // SIGKILL, and a start
+	"stop":          true,  // SIGTERM, then restart
+	"kill":          false, // SIGKILL, then restart
 	"pause":         false, // SIGSTOP and SIGCONT
 	"hangup":        true,  // SIGHUP
 	"linkDelayed":   false,
@@ -46,21 +46,22 @@
 	"storeForgets":  false,
 	"configure":     true,
 	"drain":         true,
-	faultRestore:    false, // only where it is asked for
-	faultLimit:      false, // the same
-	faultLeave:      false, // the same
-	faultStopSeries: true,  // the same
-	faultBurst:      true,  // the same
-	faultPacketLoss: false, // the same
+	faultRestore:    false, // drawn only with -restore
+	faultLimit:      false, // drawn only with -limits
+	faultLeave:      false, // drawn only with -limits
+	faultStopSeries: true,  // drawn only with -stops
+	faultBurst:      true,  // drawn only with -stops
+	faultPacketLoss: false, // drawn only with -stops
 }
 
-// restored has the store come back from a copy, twice in a row.
+// faultRestore restores the store from an older copy, twice in a row.
 const faultRestore = "storeRestored"
 
-// names lists the kinds in a fixed order, so that a seed always draws the same.
+// defaultKinds lists the kinds that are drawn without further flags. Their order is fixed, so that a
+// seed always draws the same faults.
 var defaultKinds = []string{"stop", "kill", "pause", "hangup", "linkDelayed", "linkSilent", "linkOneWay", "linkReset", "storeDown", "storeSilent", "storeLost", "storeForgets", "configure", "drain"}
 
-// draw returns the faults of a seed. Some come together, and some on one node.
+// drawFaults returns the faults of a seed. Several may overlap or affect the same node.
 func drawFaults(seed uint64, duration time.Duration) []fault {
 	random := rand.New(rand.NewPCG(seed, 0))
 	pool := defaultKinds
@@ -80,7 +81,7 @@
 		f.planned = plannedKinds[f.name]
 		if f.name == "drain" {
 			if drained {
-				continue // one upstream of each service is to be left at least
+				continue // each service must keep an upstream that is not draining
 			}
 			drained = true
 		}
@@ -89,8 +90,8 @@
 	return list
 }
 
-// drawRestore returns the restore of a seed, which is drawn apart: the seed's other faults
-// stay what they are without it.
+// drawRestore returns the restore of a seed. It uses a random stream of its own, so that the
+// seed's other faults are the same with and without it.
 func drawRestore(seed uint64, duration time.Duration) fault {
 	random := rand.New(rand.NewPCG(seed, 1))
 	return fault{
@@ -111,7 +112,7 @@
 	return text
 }
 
-// inject does the faults, each at its time, and returns when all are undone.
+// inject applies each fault at its time and returns when all are reverted.
 func (c *cluster) inject(list []fault) {
 	var all sync.WaitGroup
 	var storeMu sync.Mutex
@@ -122,7 +123,7 @@
 			n := c.nodes[f.node]
 			switch f.name {
 			case "stop", "kill", "pause", "hangup", faultStopSeries:
-				perNode[f.node].Lock() // one process has one signal at a time
+				perNode[f.node].Lock() // at most one of these faults per process at a time
 				defer perNode[f.node].Unlock()
 			case "storeDown", "storeSilent", "storeLost", "storeForgets", faultRestore:
 				storeMu.Lock()
@@ -134,7 +135,7 @@
 	all.Wait()
 }
 
-// do does one fault and undoes it.
+// apply applies a fault and reverts it after its duration.
 func (c *cluster) apply(f fault, n *node) {
 	setMode := func(m mode) {
 		n.link.set(m)
@@ -204,13 +205,13 @@
 	}
 }
 
-// addRoute has the operator add a route.
+// addRoute writes a configuration with one more route, as an operator does.
 func (c *cluster) addRoute() {
 	c.configure(func() { c.routes = append(c.routes, fmt.Sprintf("c%d", len(c.routes))) })
 }
 
-// restore has the store be away for a moment and come back from a copy that is older than the
-// operator's last word, which the operator writes again a moment later.
+// restore makes the store unavailable for a moment and then restores a copy that lacks the
+// operator's latest write, which the operator repeats a moment later.
 func (c *cluster) restore(duration time.Duration) {
 	backup := c.store.Snapshot()
 	c.addRoute()
--- a/cmd/sassafrassoak/keys.go
+++ b/cmd/sassafrassoak/keys.go
@@ -15,29 +15,29 @@
 )
 
 const (
-	// keyedRoute is the one route that needs a key.
+	// keyedRoute is the only route that requires a key.
 	keyedRoute = "k"
-	// keyHolder is the name of the organisation whose keys are replaced all the while.
+	// keyHolder is the name of the organisation whose keys are replaced continuously.
 	keyHolder = "org"
-	// replaceEvery is the time between two replacements of a key, validKeys the number of
-	// keys that are valid at once, and triedKeys that of the latest keys, valid or not, which
-	// callers show.
+	// keyReplaceInterval is the time between two key replacements, validKeys the number of
+	// keys that are valid at the same time, and triedKeys the number of latest keys, valid or
+	// revoked, that callers use.
 	keyReplaceInterval = 400 * time.Millisecond
 	validKeys          = 2
 	triedKeys          = 8
-	// revokeWithin is the nodes' bound, below the times for which processes are paused and
-	// links silenced.
+	// maxRevokeDelay is the value of the nodes' revokeWithin setting. It is below the times
+	// for which processes are paused and links are silent.
 	maxRevokeDelay = time.Second
 )
 
-// keyring is the keys of an organisation, the latest last.
+// keyring holds the keys of an organisation, the newest last.
 type keyring struct {
 	mu      sync.Mutex
 	keys    []string
-	revoked map[string]time.Time // when the version without it was acknowledged
+	revoked map[string]time.Time // when the version without the key was acknowledged
 }
 
-// add adds a key and returns those that are valid from now on.
+// add adds a key and returns the keys that are valid from then on.
 func (k *keyring) add() []string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -45,7 +45,7 @@
 	return k.keys[max(0, len(k.keys)-validKeys):]
 }
 
-// acknowledged takes in that the version with the valid keys has been acknowledged.
+// markRevoked records when the version without the newly revoked key was acknowledged.
 func (k *keyring) markRevoked(at time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -54,14 +54,14 @@
 	}
 }
 
-// any returns one of the latest keys.
+// random returns one of the latest keys.
 func (k *keyring) random() string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.keys[len(k.keys)-1-rand.IntN(min(triedKeys, len(k.keys)))]
 }
 
-// replaceKeys replaces a key now and then.
+// replaceKeys replaces a key periodically until stop is closed.
 func (c *cluster) replaceKeys(stop chan struct{}) {
 	for {
 		select {
@@ -74,9 +74,9 @@
 	}
 }
 
-// checkKeys returns which requests ran with a key that had been revoked for longer than the
-// bound when they were sent, and which upstreams were told of a key, or of an organisation
-// that is not the key's.
+// checkKeys finds requests that were sent after the revocation bound of their key and ran, and
+// upstreams that received a key, or an organisation other than that of the key. At least one
+// request with a key must have been served.
 func (c *cluster) checkKeys(list []outcome, runs map[string][]platformtest.Run) []string {
 	var violations []string
 	var served int
@@ -90,7 +90,7 @@
 			case isRevoked && o.sentAt.After(revokedAt.Add(maxRevokeDelay)):
 				violations = append(violations, fmt.Sprintf("ran with a revoked key: request %s sent %v after the bound", o.id, o.sentAt.Sub(revokedAt.Add(maxRevokeDelay))))
 			case r.Authorization != "":
-				violations = append(violations, fmt.Sprintf("key passed on: request %s", o.id))
+				violations = append(violations, fmt.Sprintf("key forwarded to the upstream: request %s", o.id))
 			case (o.route == keyedRoute) != (r.Organisation == keyHolder) || o.route != keyedRoute && r.Organisation != "":
 				violations = append(violations, fmt.Sprintf("ran on behalf of %q: request %s", r.Organisation, o.id))
 			}
--- a/cmd/sassafrassoak/limits.go
+++ b/cmd/sassafrassoak/limits.go
@@ -13,28 +13,28 @@
 	"sassafrasfront.example/platform/platformtest"
 )
 
-// limited has an upstream name a limit in its answers for a time, and leavingTold has one say
-// there that it leaves, without announcing it.
+// faultLimit makes an upstream advertise a limit in its responses for a time, and faultLeave makes
+// one state in its responses that it is leaving, without announcing it.
 const (
 	faultLimit = "limit"
 	faultLeave = "leaveInAnswers"
 )
 
 const (
-	// limitWindow is the time over which an upstream that names a limit counts, limitOverage how
-	// many times what it allows may come, and limitSlack how many requests besides.
+	// limitWindow is the window over which an upstream's arrivals are counted, limitOverage the
+	// permitted multiple of its limit, and limitSlack the number of requests permitted beyond that.
 	limitWindow  = 4 * time.Second
 	limitOverage = 1.5
 	limitSlack   = 5
-	// limitHeard is how long after an upstream has first named a limit all nodes have passed an
-	// answer on that names it, as each sends requests all the while.
+	// limitPropagation is the time within which all nodes have received a response that
+	// advertises a new limit, as each node sends requests continuously.
 	limitPropagation = time.Second
 )
 
-// limitsDrawn are the limits that upstreams name, in requests a second.
+// limitChoices are the limits that upstreams advertise, in requests per second.
 var limitChoices = []float64{0, 0.5, 2, 8}
 
-// drawLimits returns the limits and the leaving of a seed, which are drawn apart like the restore.
+// drawLimits returns the limits and the leave of a seed, from a random stream of their own.
 func drawLimits(seed uint64, duration time.Duration) []fault {
 	random := rand.New(rand.NewPCG(seed, 2))
 	var list []fault
@@ -54,14 +54,14 @@
 	})
 }
 
-// span is a time in which an upstream named a limit.
+// limitSpan is a period during which an upstream advertised a limit.
 type limitSpan struct {
 	from, to time.Time
 	limit    float64
 }
 
-// nameLimit has the upstream beside a node name a limit for a time. While another one holds there,
-// none is named.
+// advertiseLimit makes the upstream beside a node advertise a limit for a duration, after any
+// earlier call for that upstream has ended.
 func (n *node) advertiseLimit(limit float64, duration time.Duration) {
 	n.limitMu.Lock()
 	defer n.limitMu.Unlock()
@@ -77,7 +77,7 @@
 	n.limitSpans = append(n.limitSpans, s)
 }
 
-// checkLimits finds upstreams that got more than the limit allows that they named.
+// checkLimits finds upstreams that received more requests than the limit they advertised permits.
 func (c *cluster) checkLimits() []string {
 	var violations []string
 	for _, n := range c.nodes {
@@ -89,14 +89,15 @@
 		}
 		for _, s := range n.limitSpans {
 			if count, bound := s.maxInWindow(arrivals); float64(count) > bound {
-				violations = append(violations, fmt.Sprintf("over its limit: the upstream of %s named %g a second for %v and got %d requests in %v; %.0f allowed", n.name, s.limit, s.to.Sub(s.from).Round(time.Millisecond), count, limitWindow, bound))
+				violations = append(violations, fmt.Sprintf("limit exceeded: the upstream of %s advertised %g requests per second for %v and received %d requests in %v; %.0f allowed", n.name, s.limit, s.to.Sub(s.from).Round(time.Millisecond), count, limitWindow, bound))
 			}
 		}
 	}
 	return violations
 }
 
-// worst returns the most of the arrivals that came in a window of the span, and how many may.
+// maxInWindow returns the largest number of arrivals in any window of the span, and the number
+// that is permitted.
 func (s limitSpan) maxInWindow(arrivals []time.Time) (count int, bound float64) {
 	within := slices.DeleteFunc(slices.Clone(arrivals), func(at time.Time) bool {
 		return at.Before(s.from.Add(limitPropagation)) || at.After(s.to)
@@ -112,8 +113,8 @@
 	return count, limitOverage*limitWindow.Seconds()*s.limit + limitSlack
 }
 
-// checkLeaving finds requests that ran at an upstream though the node that they began at had passed
-// on, drainBound before, that it leaves.
+// checkLeaving finds requests that ran at a leaving upstream more than drainBound after their
+// entry had received a response stating that the upstream is leaving.
 func checkLeaving(list []outcome, runs map[string][]platformtest.Run) []string {
 	type pair struct{ node, upstream string }
 	firstTold := make(map[pair]time.Time)
@@ -130,7 +131,7 @@
 	for _, o := range list {
 		for _, r := range runs[o.id] {
 			if at, ok := firstTold[pair{o.node, r.Upstream}]; ok && o.sentAt.After(at.Add(drainBound)) {
-				violations = append(violations, fmt.Sprintf("went to an upstream that leaves: request %s from %s, %v after the bound", o.id, o.node, o.sentAt.Sub(at.Add(drainBound))))
+				violations = append(violations, fmt.Sprintf("sent to a leaving upstream: request %s from %s, %v after the bound", o.id, o.node, o.sentAt.Sub(at.Add(drainBound))))
 			}
 		}
 	}
--- a/cmd/sassafrassoak/main.go
+++ b/cmd/sassafrassoak/main.go
@@ -2,8 +2,8 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Command sassafrassoak runs a small system of real processes on loopback under
-// faults that a seed draws, and checks what callers and upstreams saw.
+// Command sassafrassoak runs a small system of real processes on loopback, injects
+// faults that are drawn from a seed, and checks what callers and upstreams observed.
 //
 //	sassafrassoak run -seed 7 -node bin/sassafrasnode
 //	sassafrassoak hunt -seeds 50 -node bin/sassafrasnode
@@ -12,10 +12,10 @@
 //	sassafrassoak hunt -seeds 50 -stops -node bin/sassafrasnode
 //	sassafrassoak run -seed 3 -stops -nodes 90 -node bin/sassafrasnode
 //
-// The store and the upstreams are stand-ins in this process; the nodes are
-// processes of their own, reached by their peers through proxies here. It ends
-// only the processes that it has started. Exit codes: 0 if every promise was
-// kept, 1 if one was broken or a run could not start, 2 for a wrong command line.
+// The store and the upstreams are fakes in this process. The nodes are separate
+// processes, which reach each other through proxies in this process. Only processes
+// started by the command are ended. Exit codes: 0 if every check passed, 1 if one
+// failed or a run could not start, 2 if the command line is invalid.
 package main
 
 import (
@@ -31,7 +31,7 @@
 	"time"
 )
 
-// options are the command line.
+// options are the values of the flags.
 type options struct {
 	nodeProgram string
 	seed        uint64
@@ -54,7 +54,7 @@
 	os.Exit(execute(ctx, os.Args[1:], os.Stdout))
 }
 
-// execute runs the command line and returns the exit code.
+// execute runs the command line given by args and returns the exit code.
 func execute(ctx context.Context, args []string, out io.Writer) int {
 	if len(args) == 0 || args[0] != "run" && args[0] != "hunt" {
 		fmt.Fprintln(out, "usage: sassafrassoak <run|hunt> [flags]; -h lists them")
@@ -63,19 +63,19 @@
 	var o options
 	fs := flag.NewFlagSet(args[0], flag.ContinueOnError)
 	fs.SetOutput(out)
-	fs.StringVar(&o.nodeProgram, "node", "bin/sassafrasnode", "program of the nodes")
+	fs.StringVar(&o.nodeProgram, "node", "bin/sassafrasnode", "path of the sassafrasnode program")
 	fs.Uint64Var(&o.seed, "seed", 1, "first seed")
 	fs.IntVar(&o.seeds, "seeds", 50, "number of seeds of a hunt")
-	fs.Float64Var(&o.minutes, "minutes", 0, "longest duration of a hunt; 0 for no bound")
+	fs.Float64Var(&o.minutes, "minutes", 0, "maximum duration of a hunt; 0 for no limit")
 	fs.IntVar(&o.parallel, "parallel", 3, "seeds run at once in a hunt")
-	fs.DurationVar(&o.duration, "duration", 8*time.Second, "time under load")
-	fs.StringVar(&o.logDir, "logs", "", "folder that gets the nodes' logs of a seed that failed; empty for none")
-	fs.BoolVar(&o.safetyOnly, "safety", false, "leave out the promises that have a bound on time, for a busy machine")
-	fs.BoolVar(&o.keys, "keys", false, "replace the keys of an organisation all the while, and check that revoked ones let nobody in")
-	fs.BoolVar(&o.restore, "restore", false, "have the store come back from an older copy as well, twice in a row")
-	fs.BoolVar(&o.limits, "limits", false, "have upstreams name limits as well, and one say in its answers that it leaves")
-	fs.BoolVar(&o.stops, "stops", false, "stop nodes in series as well, under bursts of large bodies over slow links that fall silent and lose packets")
-	fs.IntVar(&o.nodes, "nodes", 2*nodesPerService, "number of nodes; their callers are as slow as is needed for the same load in all")
+	fs.DurationVar(&o.duration, "duration", 8*time.Second, "duration of the load")
+	fs.StringVar(&o.logDir, "logs", "", "directory for the nodes' logs of failed seeds; empty for none")
+	fs.BoolVar(&o.safetyOnly, "safety", false, "skip the checks that have time bounds, for a busy machine")
+	fs.BoolVar(&o.keys, "keys", false, "continuously replace the keys of an organisation, and check that revoked keys are refused")
+	fs.BoolVar(&o.restore, "restore", false, "also restore the store from an older copy, twice in a row")
+	fs.BoolVar(&o.limits, "limits", false, "also have upstreams advertise limits, and one state in its responses that it is leaving")
+	fs.BoolVar(&o.stops, "stops", false, "also stop nodes in series, under bursts of large bodies over slow links that stall and lose packets")
+	fs.IntVar(&o.nodes, "nodes", 2*nodesPerService, "number of nodes; the rate of each node's callers is scaled to keep the total load the same")
 	if err := fs.Parse(args[1:]); err != nil {
 		if errors.Is(err, flag.ErrHelp) {
 			return 0
@@ -83,7 +83,7 @@
 		return 2
 	}
 	if o.nodes < 2*nodesPerService {
-		fmt.Fprintf(out, "-nodes must be %d at least\n", 2*nodesPerService)
+		fmt.Fprintf(out, "-nodes must be at least %d\n", 2*nodesPerService)
 		return 2
 	}
 	if args[0] == "run" {
@@ -92,7 +92,7 @@
 	return o.runSeeds(ctx, out)
 }
 
-// hunt runs the seeds and returns the exit code.
+// runSeeds runs the seeds, several at once, and returns the exit code.
 func (o *options) runSeeds(ctx context.Context, out io.Writer) int {
 	if o.minutes > 0 {
 		var cancel context.CancelFunc
--- a/cmd/sassafrassoak/proxy.go
+++ b/cmd/sassafrassoak/proxy.go
@@ -13,52 +13,53 @@
 	"time"
 )
 
-// mode is how a proxy treats what passes through it.
+// mode is how a proxy treats the traffic that passes through it.
 type mode int
 
 const (
 	modeOpen    mode = iota
-	modeDelayed      // each piece waits
-	modeSilent       // nothing passes, nothing ends
-	modeOneWay       // nothing passes towards the caller
-	modeReset        // connections are reset, and new ones too
+	modeDelayed      // each piece of data is delayed
+	modeSilent       // no data passes, connections stay open
+	modeOneWay       // no data passes towards the client
+	modeReset        // open and new connections are reset
 )
 
-// pieceDelay is the wait of each piece in the mode delayed.
+// pieceDelay is the delay of each piece of data in modeDelayed.
 const pieceDelay = 30 * time.Millisecond
 
 const (
-	// window is how much a connection may have in the queue of a link with a rate.
+	// windowBytes bounds the data of a connection in the queue of a link with a rate.
 	windowBytes = 32 << 10
-	// repetition is how long a connection waits for a packet that was lost.
+	// retransmitDelay is the delay that the loss of a packet causes.
 	retransmitDelay = 200 * time.Millisecond
 )
 
-// proxy passes connections on to an address, with faults.
+// proxy forwards TCP connections to an address and injects faults.
 type proxy struct {
 	target   string
 	listener net.Listener
-	// rate is in bytes a second in each direction, for all connections together; 0 means no bound.
+	// rate is the bandwidth in each direction in bytes per second, shared by all connections; 0
+	// means no limit.
 	rate              float64
 	forward, backward linkQueue
 
-	acceptErr atomic.Pointer[error] // why it takes no more connections
+	acceptErr atomic.Pointer[error] // why accepting connections failed
 
 	mu            sync.Mutex
 	mode          mode
-	pendingLosses int // how many pieces are to wait for a repetition
+	pendingLosses int // number of pieces still to be delayed by a retransmission
 	changed       chan struct{}
 	conns         map[net.Conn]bool
 }
 
-// newProxy starts a proxy on a free port, with a rate in bytes a second, or 0 for no bound.
-func newProxy(to string, rate float64) (*proxy, error) {
+// newProxy starts a proxy on a free port, with a rate in bytes per second, or 0 for no limit.
+func newProxy(target string, rate float64) (*proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	p := &proxy{
-		target:   to,
+		target:   target,
 		listener: l,
 		rate:     rate,
 		changed:  make(chan struct{}),
@@ -70,7 +71,7 @@
 
 func (p *proxy) addr() string { return p.listener.Addr().String() }
 
-// set changes the mode. Reset ends the connections that are open.
+// set changes the mode. modeReset also resets the open connections.
 func (p *proxy) set(m mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -84,14 +85,14 @@
 	}
 }
 
-// lose has the connection wait that passes something on next, as if a packet of it was lost.
+// losePacket delays the next piece of data that is forwarded, as the loss of a packet would.
 func (p *proxy) losePacket() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.pendingLosses++
 }
 
-// lost returns whether the next piece is to wait for a repetition.
+// takeLoss returns whether the next piece is to be delayed by a retransmission.
 func (p *proxy) takeLoss() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -102,25 +103,25 @@
 	return true
 }
 
-// lane is one direction of a link, which sends what is queued there in the order of its arrival.
+// linkQueue is one direction of a link, which sends data in the order of its arrival.
 type linkQueue struct {
 	mu     sync.Mutex
-	idleAt time.Time // when all that is queued has been sent
+	idleAt time.Time // when all queued data has been sent
 }
 
-// send waits until the given number of bytes has been sent at a rate in bytes a second.
-func (l *linkQueue) send(bytes int, rate float64) {
-	l.mu.Lock()
-	if now := time.Now(); l.idleAt.Before(now) {
-		l.idleAt = now
+// send waits until the given number of bytes has been sent at a rate in bytes per second.
+func (q *linkQueue) send(bytes int, rate float64) {
+	q.mu.Lock()
+	if now := time.Now(); q.idleAt.Before(now) {
+		q.idleAt = now
 	}
-	l.idleAt = l.idleAt.Add(time.Duration(float64(bytes) / rate * float64(time.Second)))
-	free := l.idleAt
-	l.mu.Unlock()
-	time.Sleep(time.Until(free))
+	q.idleAt = q.idleAt.Add(time.Duration(float64(bytes) / rate * float64(time.Second)))
+	idleAt := q.idleAt
+	q.mu.Unlock()
+	time.Sleep(time.Until(idleAt))
 }
 
-// abort ends a connection with a reset.
+// abort closes a connection with a reset.
 func abort(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
@@ -146,7 +147,7 @@
 	}
 }
 
-// serve passes one connection on.
+// serve forwards one connection.
 func (p *proxy) serve(client net.Conn) {
 	server, err := net.Dial("tcp", p.target)
 	if err != nil {
@@ -177,7 +178,7 @@
 	p.mu.Unlock()
 }
 
-// copy passes pieces on as the mode allows.
+// copy forwards data in one direction as the mode permits.
 func (p *proxy) copy(to, from net.Conn, backward bool) {
 	defer to.Close()
 	buffer := make([]byte, windowBytes)
@@ -206,7 +207,7 @@
 	}
 }
 
-// gate waits until a piece may pass.
+// awaitPermission waits until the mode permits a piece of data to pass.
 func (p *proxy) awaitPermission(backward bool) {
 	for {
 		p.mu.Lock()
--- a/cmd/sassafrassoak/run.go
+++ b/cmd/sassafrassoak/run.go
@@ -26,50 +26,50 @@
 const (
 	// callersPerNode is the number of callers of each node.
 	callersPerNode = 3
-	// callerPause is the wait of a caller between two requests.
+	// callerPause is the pause of a caller between two requests.
 	callerPause = 15 * time.Millisecond
-	// patience is how long a caller waits for an answer.
+	// clientTimeout is how long a caller waits for a response.
 	clientTimeout = defaultDeadline + clientGrace
-	// usualDeadline is how long a caller says that it waits.
+	// defaultDeadline is the deadline that callers state in their requests.
 	defaultDeadline = 900 * time.Millisecond
-	// readyWithin is how long the usual number of nodes may take to become ready.
+	// readyTimeout is the time within which the default number of nodes must become ready.
 	readyTimeout = 10 * time.Second
-	// settle is the time after the last fault within which the system is whole
-	// again, and recovered the time over which that is measured.
+	// recoveryTime is the time after the last fault within which the system must recover, and
+	// recoveryWindow the time after that over which the recovery is measured.
 	recoveryTime   = 4 * time.Second
 	recoveryWindow = time.Second
-	// drainBound is how long after its acknowledgement a drain may be without
-	// effect; the users' bound is 2 s.
+	// drainBound is the time after its acknowledgement within which a drain must take effect.
+	// The users require 2 s.
 	drainBound = 2 * time.Second
-	// leastServed is the share of requests that are served once all is whole.
+	// minServedFraction is the fraction of requests that must be served after the recovery.
 	minServedFraction = 0.95
 )
 
-// outcome is what a caller saw of a request.
+// outcome is a request and what its caller observed.
 type outcome struct {
 	id, route       string
-	key             string        // that it showed, or empty
-	minBodyBytes    int           // the least number of bytes of its body
-	serviceTime     time.Duration // how long its run takes; 0 for the upstream's usual time
+	key             string        // API key in the request, or empty
+	minBodyBytes    int           // minimum length of the body
+	serviceTime     time.Duration // at the upstream; 0 for its default
 	deadline        time.Duration
-	leaveAfter      time.Duration // after which its caller leaves before the deadline, 0 for never
-	left            bool          // whether the caller has left before there was an answer
-	failure         string        // why there was no answer, or no whole one
-	chunked         bool          // whether it is sent without a length
-	sendDuration    time.Duration // for how long it is sent at least
+	leaveAfter      time.Duration // when the caller leaves before the deadline, 0 for never
+	left            bool          // whether the caller left before it had a complete response
+	failure         string        // why there was no complete response
+	chunked         bool          // whether the body is sent without a Content-Length
+	sendDuration    time.Duration // minimum time over which the body is sent
 	sentAt          time.Time
-	bodySentAt      time.Time // when the last of its body was sent, zero if it was not
-	status          int       // 0 if there was no answer
+	bodySentAt      time.Time // when the end of the body was sent, or zero
+	status          int       // 0 if there was no response
 	truncated       bool
-	wrongBody       string // what was wrong with the answer
-	node            string // that was asked
+	wrongBody       string // the response body if it was wrong, or empty
+	node            string // the node that the request was sent to
 	endedAt         time.Time
-	fromUpstream    bool   // whether an upstream gave the answer
-	leavingUpstream string // the upstream that says with the answer that it leaves, or empty
-	connected       bool   // whether a connection was made
+	fromUpstream    bool   // whether the response came from an upstream
+	leavingUpstream string // the upstream whose response states that it is leaving, or empty
+	connected       bool   // whether a connection was established
 }
 
-// records gathers outcomes.
+// recorder collects outcomes.
 type recorder struct {
 	mu   sync.Mutex
 	list []outcome
@@ -81,7 +81,7 @@
 	r.list = append(r.list, o)
 }
 
-// play runs one seed. It returns the report, and whether every promise was kept.
+// runSeed runs one seed. It returns a report, and whether all checks passed.
 func runSeed(o *options, seed uint64) (string, bool) {
 	c, err := newCluster(o, seed)
 	if err != nil {
@@ -101,7 +101,7 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	time.Sleep(time.Duration(float64(time.Second) * min(c.scale(), 10))) // they meet
+	time.Sleep(time.Duration(float64(time.Second) * min(c.scale(), 10))) // for the nodes to discover each other
 	faults := drawFaults(seed, o.duration)
 	if o.restore {
 		faults = append(faults, drawRestore(seed, o.duration))
@@ -158,7 +158,7 @@
 	return fmt.Sprintf("seed %d FAILED: %d requests, faults: %v\n  %s\n", seed, len(results.list), faults, strings.Join(shown, "\n  ")), false
 }
 
-// keepLogs writes the nodes' logs.
+// saveLogs writes the nodes' logs to a directory.
 func (c *cluster) saveLogs(dir string, seed uint64) {
 	if dir == "" {
 		return
@@ -171,8 +171,8 @@
 	}
 }
 
-// call sends requests to a node until stop is closed. It keeps its connection as
-// long as the node does, also while the node stops.
+// runCaller sends requests to a node, one after the other, until stop is closed. It keeps its
+// connection as long as the node does, also while the node stops.
 func (c *cluster) runCaller(n *node, results *recorder, stop chan struct{}, name string) {
 	transport := &http.Transport{
 		MaxIdleConnsPerHost: 1,
@@ -193,8 +193,8 @@
 	}
 }
 
-// callWithKeys does what call does, for the route that needs a key. Each request has a
-// connection of its own: none waits behind another at a node that is paused.
+// runKeyedCaller sends requests for keyedRoute until stop is closed. Each request has a
+// connection of its own, so that none waits behind another at a paused node.
 func (c *cluster) runKeyedCaller(n *node, results *recorder, stop chan struct{}, name string) {
 	client := &http.Client{
 		Timeout:   clientTimeout,
@@ -217,18 +217,18 @@
 	}
 }
 
-// body returns what the request has as its body.
+// body returns the body of the request.
 func (o *outcome) body() string {
 	text := "body of " + o.id
 	return text + strings.Repeat(".", max(0, o.minBodyBytes-len(text)))
 }
 
-// slowBody is a body that is sent piece by piece.
+// slowBody is a request body that is sent in pieces.
 type slowBody struct {
 	text   *strings.Reader
 	pieces int
-	pause  time.Duration // before each
-	sentAt atomic.Int64  // when its end was read, in nanoseconds since 1970, or 0
+	pause  time.Duration // before each piece
+	sentAt atomic.Int64  // when the end was read, in Unix nanoseconds, or 0
 }
 
 func (b *slowBody) Read(p []byte) (int, error) {
@@ -245,7 +245,7 @@
 
 func (b *slowBody) Close() error { return nil }
 
-// ask sends a request, and returns it with what the caller saw.
+// send sends a request and returns it with what the caller observed.
 func send(client *http.Client, n *node, o outcome) outcome {
 	o.deadline = cmp.Or(o.deadline, defaultDeadline)
 	o.sentAt = time.Now()
@@ -258,7 +258,7 @@
 	return o
 }
 
-// answer sends the request and notes what comes back.
+// exchange sends the request and records the response.
 func (o *outcome) exchange(ctx context.Context, client *http.Client, n *node) {
 	const pieces = 10
 	requestBody := &slowBody{
@@ -271,7 +271,7 @@
 			o.bodySentAt = time.Unix(0, at)
 		}
 	}()
-	// The library does not send a body of this type again.
+	// The HTTP client cannot rewind a body of this type, so it does not retry the request.
 	r, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+n.callerAddr+"/"+o.route+"/x", requestBody)
 	r.ContentLength = requestBody.text.Size()
 	if o.chunked {
--- a/cmd/sassafrassoak/stops.go
+++ b/cmd/sassafrassoak/stops.go
@@ -18,8 +18,8 @@
 	"sassafrasfront.example/platform/platformtest"
 )
 
-// stopped is a stop in a series that may overlap with others, and with a SIGHUP and a second
-// SIGTERM. burst has callers send more for a time, and linkLoses loses a packet.
+// faultStopSeries is one of a series of stops, which may overlap with other faults, with a SIGHUP and
+// with a second SIGTERM. faultBurst makes callers send more for a time, and faultPacketLoss loses a packet.
 const (
 	faultStopSeries = "stopInSeries"
 	faultBurst      = "burst"
@@ -27,29 +27,30 @@
 )
 
 const (
-	// stopTimeout is the routes' timeout under these faults.
+	// stopTimeout is the timeout of the routes under these faults.
 	stopTimeout = 4 * time.Second
-	// shareOfGrace is the part of the grace time within which what runs has to be let end.
+	// graceFraction is the fraction of the grace period during which running requests must be
+	// allowed to complete.
 	graceFraction = 5.0 / 6
-	// loadPause is the wait between two requests that are sent to a node on connections of one
-	// kind, whether answers come or not, and burstFactor how many times as often they are sent in a burst.
+	// loadPause is the mean time between two requests of an open load on a node, and burstFactor
+	// the factor by which a burst raises their rate.
 	loadPause   = 150 * time.Millisecond
 	burstFactor = 5
-	// closeSlack is how long after the last byte of a request its connection may be closed
-	// unanswered: the request may have crossed the closing of an idle connection.
+	// closeSlack is how long after the last byte of a request its connection may be closed without
+	// a response, as the request may have crossed the closing of an idle connection.
 	closeSlack = 200 * time.Millisecond
-	// clientGrace is how long after its deadline a caller still waits for an answer.
+	// clientGrace is how long a caller waits for a response beyond the deadline of its request.
 	clientGrace = 300 * time.Millisecond
 )
 
-// linkRates are what the links of the nodes carry, in Mbit/s.
+// linkRates are the bandwidths of the nodes' links, in Mbit/s.
 var linkRates = []float64{4, 6, 10}
 
-// linkRate returns what each node's link carries under a seed, in Mbit/s.
+// linkRate returns the bandwidth of each node's link for a seed, in Mbit/s.
 func linkRate(seed uint64) float64 { return linkRates[seed%uint64(len(linkRates))] }
 
-// drawStops returns the stops of a seed, and what else happens beside them. They are drawn apart,
-// like the restore.
+// drawStops returns the stops of a seed and the bursts and link faults that accompany them, from
+// a random stream of their own.
 func drawStops(seed uint64, duration time.Duration, nodes int) []fault {
 	random := rand.New(rand.NewPCG(seed, 3))
 	between := func(low, high time.Duration) time.Duration {
@@ -89,7 +90,8 @@
 	return list
 }
 
-// stop tells the node to stop, signals it meanwhile as the fault says, and starts it again.
+// stopNode sends SIGTERM and the further signals of the fault to a node, and restarts the node
+// once it has exited.
 func (c *cluster) stopNode(f fault, n *node) {
 	a := c.beginAction(actionStop, n)
 	n.signal(syscall.SIGTERM)
@@ -106,30 +108,30 @@
 	signalAfter(syscall.SIGTERM, f.termAfter)
 	c.awaitExit(n)
 	c.endAction(a)
-	signals.Wait() // the next process is to get none of them
+	signals.Wait() // the next process must not receive them
 	_ = c.start(n)
 }
 
-// kind is what the soak has done that may end a request.
+// actionKind is the kind of an action that may end a request.
 type actionKind int
 
 const (
-	actionStop  actionKind = iota // the node was told to stop, until its process had ended
-	actionKill                    // its process was killed
-	actionReset                   // connections to it were reset
-	actionPause                   // its process did not run
+	actionStop  actionKind = iota // SIGTERM, until the process has exited
+	actionKill                    // SIGKILL
+	actionReset                   // reset of connections to the node
+	actionPause                   // SIGSTOP, until SIGCONT
 )
 
-// deed is something that the soak has done to a node.
+// action is something that the test has done to a node.
 type action struct {
 	kind     actionKind
 	node     string
-	from, to time.Time // to is zero before the end
-	// overstayed is whether the process was killed as it had not ended within its grace time.
+	from, to time.Time // to is zero until the action ends
+	// graceExceeded is whether the process was killed because it had not exited within gracePeriod.
 	graceExceeded bool
 }
 
-// begin notes that a deed begins, and end that it ends.
+// beginAction records the start of an action, and endAction its end.
 func (c *cluster) beginAction(k actionKind, n *node) *action {
 	c.actionsMu.Lock()
 	defer c.actionsMu.Unlock()
@@ -148,7 +150,7 @@
 	a.to = time.Now()
 }
 
-// wait waits for the end of a process that was told to stop, and kills it after its grace time.
+// awaitExit waits for a process that was told to stop, and kills it after gracePeriod.
 func (c *cluster) awaitExit(n *node) {
 	if !n.waitFor(gracePeriod) {
 		c.beginAction(actionKill, n).graceExceeded = true
@@ -157,8 +159,8 @@
 	}
 }
 
-// load sends requests to a node until stop is closed, whether answers come or not. Each has a
-// connection of its own, or takes any that is open.
+// runOpenLoad sends requests to a node until stop is closed, without waiting for responses. If
+// fresh is set, each request has a connection of its own; otherwise idle ones are reused.
 func (c *cluster) runOpenLoad(n *node, results *recorder, stop chan struct{}, name string, random *rand.Rand, fresh bool) {
 	transport := &http.Transport{
 		DisableKeepAlives:   fresh,
@@ -185,7 +187,7 @@
 	}
 }
 
-// drawRequest draws a request but for its id.
+// drawRequest draws the parameters of a request, except its ID.
 func drawRequest(random *rand.Rand) outcome {
 	const milli = int(time.Millisecond)
 	o := outcome{
@@ -213,10 +215,10 @@
 	return o
 }
 
-// lastsMark stands in a request's id before how long its run takes.
+// serviceTimeMark precedes the service time in a request's ID.
 const serviceTimeMark = "~"
 
-// lasts returns how long a request runs.
+// serviceTimeOf returns the service time of a run.
 func serviceTimeOf(r platformtest.Run) time.Duration {
 	const defaultServiceTime = 15 * time.Millisecond
 	if _, text, found := strings.Cut(r.ID, serviceTimeMark); found {
@@ -227,14 +229,14 @@
 	return defaultServiceTime
 }
 
-// endedRun is a run at the upstream of a node, with how it ended.
+// endedRun is a run at the upstream of a node, and how it ended.
 type endedRun struct {
 	platformtest.Run
 	platformtest.RunEnd
 	nodeName string
 }
 
-// endedRuns returns the runs of all upstreams by the ids of their requests.
+// endedRuns returns the runs of all upstreams by request ID.
 func (c *cluster) endedRuns() map[string][]endedRun {
 	ran := make(map[string][]endedRun)
 	for _, n := range c.nodes {
@@ -250,9 +252,9 @@
 	return ran
 }
 
-// checkAtWork finds requests that a node has ended with an answer of its own, or without one, though
-// an upstream was at work on them or had done its work. Not counted are those whose time was over or
-// whose caller had left, and what the soak's deeds excuse.
+// checkAbandoned finds requests that a node ended with a response of its own, or without one, although
+// an upstream was running them or had completed them. Requests whose deadline had passed, whose caller
+// had left or that an action of the test may have ended are not counted.
 func (c *cluster) checkAbandoned(list []outcome, ran map[string][]endedRun) []string {
 	var violations []string
 	requests := 0
@@ -261,7 +263,7 @@
 		if o.endedByNode() && o.endedAt.Before(o.sentAt.Add(min(o.deadline, stopTimeout))) {
 			for _, r := range ran[o.id] {
 				if r.Run.At.Before(o.endedAt) && !c.excused(o, r.nodeName, r.Run.At) {
-					violations = append(violations, fmt.Sprintf("given up at work: request %s sent to %s at %s got %s after %v; the upstream of %s began after %v and ended after %v, cut after %v%s",
+					violations = append(violations, fmt.Sprintf("abandoned while running: request %s sent to %s at %s got %s after %v; the upstream of %s started after %v, finished after %v, was interrupted after %v%s",
 						o.id, o.node, o.sentAt.Format(time.RFC3339Nano), o.describe(), o.sinceSent(o.endedAt), r.nodeName, o.sinceSent(r.Run.At), o.sinceSent(r.RunEnd.FinishedAt), o.sinceSent(r.CancelledAt), c.stopping(o, r.nodeName)))
 				}
 			}
@@ -271,13 +273,13 @@
 		}
 	}
 	if requests > 0 {
-		violations = append([]string{fmt.Sprintf("given up at work: %d requests", requests)}, violations...)
+		violations = append([]string{fmt.Sprintf("abandoned while running: %d requests", requests)}, violations...)
 	}
 	return violations
 }
 
-// checkStops wants some request to have run while its entry, or the node of its upstream, was
-// stopping: else the run shows nothing.
+// checkStops requires that some request ran while its entry or its upstream's node was stopping;
+// otherwise the run shows nothing about stops.
 func (c *cluster) checkStops(list []outcome, ran map[string][]endedRun) []string {
 	for _, o := range list {
 		for _, r := range ran[o.id] {
@@ -286,11 +288,11 @@
 			}
 		}
 	}
-	return []string{"no request ran while a node of it was stopping"}
+	return []string{"no request ran while its entry or its upstream's node was stopping"}
 }
 
-// checkUnanswered finds requests that a node has left without an answer though it had the time to
-// read them, unless it was killed or paused meanwhile.
+// checkUnanswered finds requests that a node left without a response although it had time to read
+// them, unless it was killed or paused meanwhile.
 func (c *cluster) checkUnanswered(list []outcome) []string {
 	var violations []string
 	for _, o := range list {
@@ -307,40 +309,40 @@
 			return a.kind == actionKill && a.from.After(o.sentAt)
 		})
 		if !excused {
-			violations = append(violations, fmt.Sprintf("not answered: request %s sent to %s at %s, after %v: %s%s", o.id, o.node, o.sentAt.Format(time.RFC3339Nano), o.sinceSent(o.endedAt), o.failure, c.stopping(o, o.node)))
+			violations = append(violations, fmt.Sprintf("no response: request %s sent to %s at %s, after %v: %s%s", o.id, o.node, o.sentAt.Format(time.RFC3339Nano), o.sinceSent(o.endedAt), o.failure, c.stopping(o, o.node)))
 		}
 	}
 	return violations
 }
 
-// checkEnds finds processes that did not end within their grace time.
+// checkExits finds processes that did not exit within their grace period.
 func (c *cluster) checkExits() []string {
 	var violations []string
 	for _, a := range c.actions {
 		if a.graceExceeded {
-			violations = append(violations, fmt.Sprintf("%s did not end within %v of its SIGTERM, at %s", a.node, gracePeriod, a.from.Format(time.RFC3339Nano)))
+			violations = append(violations, fmt.Sprintf("%s did not exit within %v of SIGTERM, at %s", a.node, gracePeriod, a.from.Format(time.RFC3339Nano)))
 		}
 	}
 	return violations
 }
 
-// own returns whether the caller, not having left, got no answer of an upstream.
+// endedByNode returns whether the caller stayed but received no complete response of an upstream.
 func (o *outcome) endedByNode() bool {
 	return !o.left && o.connected && (o.truncated || !o.fromUpstream)
 }
 
-// got says what the caller got.
+// describe describes what the caller received.
 func (o *outcome) describe() string {
 	switch {
 	case o.truncated:
-		return fmt.Sprintf("a part of a %d (%s)", o.status, o.failure)
+		return fmt.Sprintf("a truncated %d (%s)", o.status, o.failure)
 	case o.status == 0:
 		return fmt.Sprintf("a closed connection (%s)", o.failure)
 	}
 	return fmt.Sprintf("a %d", o.status)
 }
 
-// after returns how long after the request's start something was, 0 if it has not been.
+// sinceSent returns the time from the sending of the request until t, or 0 if t is zero.
 func (o *outcome) sinceSent(t time.Time) time.Duration {
 	if t.IsZero() {
 		return 0
@@ -348,8 +350,8 @@
 	return t.Sub(o.sentAt).Round(time.Millisecond)
 }
 
-// excused returns whether the soak's own deeds may have ended a request that ran from a given moment
-// on at the upstream of a node.
+// excused returns whether an action of the test may have ended a request that ran at the upstream of
+// the named node from the given time.
 func (c *cluster) excused(o outcome, gateNode string, startedAt time.Time) bool {
 	for _, a := range c.actions {
 		if a.node != gateNode && a.node != o.node {
@@ -362,7 +364,7 @@
 				return true
 			}
 		case actionReset:
-			// A node reaches the upstream beside it by its own link as well.
+			// A node reaches the upstream beside it through its own link as well.
 			if a.node == gateNode && a.from.Before(o.endedAt) && overlaps && (a.to.IsZero() || startedAt.Before(a.to)) {
 				return true
 			}
@@ -376,12 +378,12 @@
 	return false
 }
 
-// near tells which of the two nodes had been told to stop.
+// stopping describes which of the request's two nodes had been told to stop.
 func (c *cluster) stopping(o outcome, gateNode string) string {
 	var text strings.Builder
 	for _, a := range c.actions {
 		if a.kind == actionStop && (a.node == gateNode || a.node == o.node) && a.from.Before(o.endedAt) && (a.to.IsZero() || a.to.After(o.sentAt)) {
-			fmt.Fprintf(&text, "; %s was told to stop %v before its end", a.node, o.endedAt.Sub(a.from).Round(time.Millisecond))
+			fmt.Fprintf(&text, "; %s was told to stop %v before the request ended", a.node, o.endedAt.Sub(a.from).Round(time.Millisecond))
 		}
 	}
 	return text.String()
--- a/cmd/sassafrassoak/stops_test.go
+++ b/cmd/sassafrassoak/stops_test.go
@@ -18,8 +18,8 @@
 	"sassafrasfront.example/platform/platformtest"
 )
 
-// TestAtWorkCheckFails has a request given up while its upstream is at work, with and without what
-// excuses it.
+// TestCheckAbandoned ends a request while its upstream runs it, with and without an action that
+// excuses this.
 func TestCheckAbandoned(t *testing.T) {
 	start := time.Now()
 	at := func(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
@@ -39,37 +39,37 @@
 	unchanged := func(*outcome) {}
 	tests := map[string]struct {
 		outcome   outcome
-		startedAt float64 // of the run, at the node "gate"
+		startedAt float64 // in seconds, of the run at the node "gate"
 		action    *action
 		violated  bool
 	}{
-		"answered by a node":  {outcome: outcomeWith(unchanged), startedAt: 10.2, violated: true},
-		"refused by a node":   {outcome: outcomeWith(func(o *outcome) { o.status = http.StatusServiceUnavailable }), startedAt: 10.2, violated: true},
-		"closed":              {outcome: outcomeWith(func(o *outcome) { o.status = 0 }), startedAt: 10.2, violated: true},
-		"cut":                 {outcome: outcomeWith(func(o *outcome) { o.status, o.truncated, o.fromUpstream = http.StatusOK, true, true }), startedAt: 10.2, violated: true},
-		"answered":            {outcome: outcomeWith(func(o *outcome) { o.status, o.fromUpstream = http.StatusOK, true }), startedAt: 10.2},
-		"failed by upstream":  {outcome: outcomeWith(func(o *outcome) { o.status, o.fromUpstream = http.StatusInternalServerError, true }), startedAt: 10.2},
-		"left by its caller":  {outcome: outcomeWith(func(o *outcome) { o.status, o.left = 0, true }), startedAt: 10.2},
-		"no connection":       {outcome: outcomeWith(func(o *outcome) { o.status, o.connected = 0, false }), startedAt: 10.2},
-		"ran after its end":   {outcome: outcomeWith(unchanged), startedAt: 11.2},
-		"at its deadline":     {outcome: outcomeWith(func(o *outcome) { o.deadline = time.Second }), startedAt: 10.2},
-		"at its timeout":      {outcome: outcomeWith(func(o *outcome) { o.deadline, o.endedAt = time.Minute, at(14) }), startedAt: 10.2},
-		"before its deadline": {outcome: outcomeWith(func(o *outcome) { o.endedAt = at(12.9) }), startedAt: 10.2, violated: true},
+		"response of a node":          {outcome: outcomeWith(unchanged), startedAt: 10.2, violated: true},
+		"refused by a node":           {outcome: outcomeWith(func(o *outcome) { o.status = http.StatusServiceUnavailable }), startedAt: 10.2, violated: true},
+		"connection closed":           {outcome: outcomeWith(func(o *outcome) { o.status = 0 }), startedAt: 10.2, violated: true},
+		"cut":                         {outcome: outcomeWith(func(o *outcome) { o.status, o.truncated, o.fromUpstream = http.StatusOK, true, true }), startedAt: 10.2, violated: true},
+		"answered":                    {outcome: outcomeWith(func(o *outcome) { o.status, o.fromUpstream = http.StatusOK, true }), startedAt: 10.2},
+		"failed by the upstream":      {outcome: outcomeWith(func(o *outcome) { o.status, o.fromUpstream = http.StatusInternalServerError, true }), startedAt: 10.2},
+		"caller left":                 {outcome: outcomeWith(func(o *outcome) { o.status, o.left = 0, true }), startedAt: 10.2},
+		"connection refused":          {outcome: outcomeWith(func(o *outcome) { o.status, o.connected = 0, false }), startedAt: 10.2},
+		"ran after the request ended": {outcome: outcomeWith(unchanged), startedAt: 11.2},
+		"at its deadline":             {outcome: outcomeWith(func(o *outcome) { o.deadline = time.Second }), startedAt: 10.2},
+		"at its timeout":              {outcome: outcomeWith(func(o *outcome) { o.deadline, o.endedAt = time.Minute, at(14) }), startedAt: 10.2},
+		"just before its deadline":    {outcome: outcomeWith(func(o *outcome) { o.endedAt = at(12.9) }), startedAt: 10.2, violated: true},
 
-		"entry killed":             {outcome: outcomeWith(unchanged), startedAt: 10.2, action: &action{kind: actionKill, node: "entry", from: at(10.5)}},
-		"gate killed":              {outcome: outcomeWith(unchanged), startedAt: 10.2, action: &action{kind: actionKill, node: "gate", from: at(10.5)}},
-		"another killed":           {outcome: outcomeWith(unchanged), startedAt: 10.2, action: &action{kind: actionKill, node: "other", from: at(10.5)}, violated: true},
-		"gate killed before":       {outcome: outcomeWith(unchanged), startedAt: 10.2, action: &action{kind: actionKill, node: "gate", from: at(9.9)}, violated: true},
-		"gate killed after":        {outcome: outcomeWith(unchanged), startedAt: 10.2, action: &action{kind: actionKill, node: "gate", from: at(11.1)}, violated: true},
-		"link of gate reset":       {outcome: outcomeWith(unchanged), startedAt: 10.2, action: &action{kind: actionReset, node: "gate", from: at(10.5), to: at(12)}},
-		"link of entry reset":      {outcome: outcomeWith(unchanged), startedAt: 10.2, action: &action{kind: actionReset, node: "entry", from: at(10.5), to: at(12)}, violated: true},
-		"reset before the run":     {outcome: outcomeWith(unchanged), startedAt: 10.2, action: &action{kind: actionReset, node: "gate", from: at(9), to: at(10.1)}, violated: true},
-		"reset before the sending": {outcome: outcomeWith(unchanged), startedAt: 10.2, action: &action{kind: actionReset, node: "gate", from: at(9), to: at(9.5)}, violated: true},
-		"entry told to stop":       {outcome: outcomeWith(unchanged), startedAt: 10.2, action: &action{kind: actionStop, node: "entry", from: at(9), to: at(12)}, violated: true},
-		"gate told to stop":        {outcome: outcomeWith(unchanged), startedAt: 10.2, action: &action{kind: actionStop, node: "gate", from: at(9), to: at(12)}, violated: true},
-		"end of the grace time":    {outcome: outcomeWith(func(o *outcome) { o.endedAt = at(12.5) }), startedAt: 10.2, action: &action{kind: actionStop, node: "entry", from: at(7.4), to: at(13)}},
-		"sent too late for it":     {outcome: outcomeWith(unchanged), startedAt: 10.2, action: &action{kind: actionStop, node: "entry", from: at(5), to: at(12)}, violated: true},
-		"an earlier grace time":    {outcome: outcomeWith(func(o *outcome) { o.endedAt = at(12.9) }), startedAt: 10.2, action: &action{kind: actionStop, node: "entry", from: at(7.5), to: at(9.9)}, violated: true},
+		"entry killed":                  {outcome: outcomeWith(unchanged), startedAt: 10.2, action: &action{kind: actionKill, node: "entry", from: at(10.5)}},
+		"gate killed":                   {outcome: outcomeWith(unchanged), startedAt: 10.2, action: &action{kind: actionKill, node: "gate", from: at(10.5)}},
+		"another killed":                {outcome: outcomeWith(unchanged), startedAt: 10.2, action: &action{kind: actionKill, node: "other", from: at(10.5)}, violated: true},
+		"gate killed before":            {outcome: outcomeWith(unchanged), startedAt: 10.2, action: &action{kind: actionKill, node: "gate", from: at(9.9)}, violated: true},
+		"gate killed after":             {outcome: outcomeWith(unchanged), startedAt: 10.2, action: &action{kind: actionKill, node: "gate", from: at(11.1)}, violated: true},
+		"link of gate reset":            {outcome: outcomeWith(unchanged), startedAt: 10.2, action: &action{kind: actionReset, node: "gate", from: at(10.5), to: at(12)}},
+		"link of entry reset":           {outcome: outcomeWith(unchanged), startedAt: 10.2, action: &action{kind: actionReset, node: "entry", from: at(10.5), to: at(12)}, violated: true},
+		"reset before the run":          {outcome: outcomeWith(unchanged), startedAt: 10.2, action: &action{kind: actionReset, node: "gate", from: at(9), to: at(10.1)}, violated: true},
+		"reset before the request":      {outcome: outcomeWith(unchanged), startedAt: 10.2, action: &action{kind: actionReset, node: "gate", from: at(9), to: at(9.5)}, violated: true},
+		"entry stopping":                {outcome: outcomeWith(unchanged), startedAt: 10.2, action: &action{kind: actionStop, node: "entry", from: at(9), to: at(12)}, violated: true},
+		"gate stopping":                 {outcome: outcomeWith(unchanged), startedAt: 10.2, action: &action{kind: actionStop, node: "gate", from: at(9), to: at(12)}, violated: true},
+		"end of the grace period":       {outcome: outcomeWith(func(o *outcome) { o.endedAt = at(12.5) }), startedAt: 10.2, action: &action{kind: actionStop, node: "entry", from: at(7.4), to: at(13)}},
+		"sent late in the grace period": {outcome: outcomeWith(unchanged), startedAt: 10.2, action: &action{kind: actionStop, node: "entry", from: at(5), to: at(12)}, violated: true},
+		"earlier grace period":          {outcome: outcomeWith(func(o *outcome) { o.endedAt = at(12.9) }), startedAt: 10.2, action: &action{kind: actionStop, node: "entry", from: at(7.5), to: at(9.9)}, violated: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -87,7 +87,7 @@
 	}
 }
 
-// TestEndingsOfRuns has an upstream tell which runs their callers broke off.
+// TestRunEndings checks that an upstream reports which runs were interrupted by their callers.
 func TestRunEndings(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	u := &platformtest.Upstream{
@@ -126,7 +126,7 @@
 	qt.Check(t, endings[1].FinishedAt.IsZero(), qt.IsTrue)
 }
 
-// TestStopCheckFails has no request run while its entry or the node of its upstream is stopping.
+// TestCheckStops checks runs in which no request ran while its entry or its upstream's node was stopping.
 func TestCheckStops(t *testing.T) {
 	now := time.Now()
 	o := outcome{id: "1", node: "entry", sentAt: now, endedAt: now.Add(time.Second)}
@@ -150,7 +150,7 @@
 	}
 }
 
-// TestUnansweredCheckFails has a connection be closed with a request on it.
+// TestCheckUnanswered closes a connection with a request in flight.
 func TestCheckUnanswered(t *testing.T) {
 	start := time.Now()
 	closed := outcome{node: "n", sentAt: start, bodySentAt: start, endedAt: start.Add(time.Second), connected: true}
@@ -165,15 +165,15 @@
 		action     action
 		violations int
 	}{
-		"closed":        {outcome: closed, violations: 1},
-		"crossed":       {outcome: crossed},
-		"coming in":     {outcome: receiving},
-		"left":          {outcome: left},
-		"paused":        {outcome: closed, action: action{kind: actionPause, node: "n", from: start.Add(-time.Second), to: start.Add(time.Millisecond)}},
-		"paused before": {outcome: closed, action: action{kind: actionPause, node: "n", from: start.Add(-time.Second), to: start.Add(-time.Millisecond)}, violations: 1},
-		"killed":        {outcome: closed, action: action{kind: actionKill, node: "n", from: start.Add(time.Millisecond)}},
-		"killed before": {outcome: closed, action: action{kind: actionKill, node: "n", from: start.Add(-time.Millisecond)}, violations: 1},
-		"told to stop":  {outcome: closed, action: action{kind: actionStop, node: "n", from: start.Add(time.Millisecond)}, violations: 1},
+		"connection closed":           {outcome: closed, violations: 1},
+		"request crossed the closing": {outcome: crossed},
+		"body not fully sent":         {outcome: receiving},
+		"left":                        {outcome: left},
+		"paused":                      {outcome: closed, action: action{kind: actionPause, node: "n", from: start.Add(-time.Second), to: start.Add(time.Millisecond)}},
+		"paused before":               {outcome: closed, action: action{kind: actionPause, node: "n", from: start.Add(-time.Second), to: start.Add(-time.Millisecond)}, violations: 1},
+		"killed":                      {outcome: closed, action: action{kind: actionKill, node: "n", from: start.Add(time.Millisecond)}},
+		"killed before":               {outcome: closed, action: action{kind: actionKill, node: "n", from: start.Add(-time.Millisecond)}, violations: 1},
+		"stopping":                    {outcome: closed, action: action{kind: actionStop, node: "n", from: start.Add(time.Millisecond)}, violations: 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -183,7 +183,7 @@
 	}
 }
 
-// TestProxyCheckFails has a proxy end while its run goes on.
+// TestCheckProxies stops a proxy during its run.
 func TestCheckProxies(t *testing.T) {
 	p, err := newProxy("127.0.0.1:1", 0)
 	qt.Assert(t, err, qt.IsNil)
@@ -195,7 +195,7 @@
 	qt.Check(t, c.checkProxies(), qt.HasLen, 1)
 }
 
-// TestEndCheckFails has a process be killed at the end of its grace time.
+// TestCheckExits has a process killed at the end of its grace period.
 func TestCheckExits(t *testing.T) {
 	c := &cluster{actions: []*action{{kind: actionKill, node: "n"}}}
 	qt.Check(t, c.checkExits(), qt.HasLen, 0)
@@ -203,7 +203,7 @@
 	qt.Check(t, c.checkExits(), qt.HasLen, 1)
 }
 
-// TestLane has a link send pieces one after the other, at its rate.
+// TestLinkQueue checks that a link sends pieces one after the other at its rate.
 func TestLinkQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
@@ -226,7 +226,7 @@
 	})
 }
 
-// TestStopsAreDrawnAlike has a seed draw the same stops each time.
+// TestDrawStopsRepeats checks that a seed always draws the same stops.
 func TestDrawStopsRepeats(t *testing.T) {
 	for seed := range uint64(50) {
 		for _, nodes := range []int{2 * nodesPerService, 200} {
