--- a/cmd/sassafrasbench/chain_test.go
+++ b/cmd/sassafrasbench/chain_test.go
@@ -23,7 +23,7 @@
 // last of which dies on every request. The requests are idempotent, so the hop
 // before the last may repeat some; no other may, or the last would get the
 // sixth power.
-func TestChainDoesNotMultiplyTries(t *testing.T) {
+func TestRetriesDoNotMultiplyAlongChain(t *testing.T) {
 	const depth, requests, burst = 6, 100, 4
 	var specs []rig.Spec
 	var names []string
@@ -45,7 +45,7 @@
 	for worker := range 5 {
 		all.Go(func() {
 			for i := range requests / 5 {
-				got := ask(ctx, entry, names[0], http.MethodGet, "/?next="+strings.Join(names[1:], ","), fmt.Sprintf("chain-%d-%d", worker, i))
+				got := call(ctx, entry, names[0], http.MethodGet, "/?next="+strings.Join(names[1:], ","), fmt.Sprintf("chain-%d-%d", worker, i))
 				mu.Lock()
 				statuses[got.status]++
 				mu.Unlock()
@@ -56,7 +56,7 @@
 	qt.Check(t, statuses[http.StatusBadGateway], qt.Equals, requests, qt.Commentf("%v", statuses))
 	runs := make([]int, depth)
 	for i, name := range names {
-		for _, n := range of(r, name) {
+		for _, n := range nodesOf(r, name) {
 			counts := make(map[string]int)
 			n.AddRunCounts(counts)
 			for _, k := range counts {
@@ -66,29 +66,29 @@
 	}
 	t.Logf("runs by depth: %v", runs)
 	// Two nodes call the last service, each with its own budget.
-	most := requests + requests/10 + 2*burst
+	maxRuns := requests + requests/10 + 2*burst
 	for i, k := range runs {
-		qt.Check(t, k >= requests && k <= most, qt.IsTrue, qt.Commentf("%d runs at depth %d", k, i))
+		qt.Check(t, k >= requests && k <= maxRuns, qt.IsTrue, qt.Commentf("%d runs at depth %d", k, i))
 	}
 }
 
 // TestResentRequestRunsOnce sends a request with an Idempotency-Key again and
 // again, through all nodes and at once, while its first sending is cut by its
 // deadline.
-func TestResentRequestRunsOnce(t *testing.T) {
+func TestIdempotencyKeyRunsOnce(t *testing.T) {
 	s := spec(3)
 	s.Config.Resend = operator.Resend{Enabled: true, WritesPerSecond: 100}
 	ctx, r := start(t, s)
 	send := func(ctx context.Context, i int, target string) (int, string) {
-		q, err := http.NewRequestWithContext(ctx, http.MethodPost, r.Nodes[i%3].CallerURL()+target, strings.NewReader("letter"))
+		request, err := http.NewRequestWithContext(ctx, http.MethodPost, r.Nodes[i%3].CallerURL()+target, strings.NewReader("letter"))
 		qt.Assert(t, err, qt.IsNil)
-		q.Host = "pledgebook.example"
-		q.Header.Set("Idempotency-Key", "letter-7"+target)
-		q.Header.Set(backend.IDHeader, "letter-7"+target)
-		a, err := http.DefaultTransport.RoundTrip(q)
+		request.Host = "pledgebook.example"
+		request.Header.Set("Idempotency-Key", "letter-7"+target)
+		request.Header.Set(backend.IDHeader, "letter-7"+target)
+		response, err := http.DefaultTransport.RoundTrip(request)
 		qt.Assert(t, err, qt.IsNil)
-		defer a.Body.Close()
-		return a.StatusCode, a.Header.Get("Sassafras-Replayed")
+		defer response.Body.Close()
+		return response.StatusCode, response.Header.Get("Sassafras-Replayed")
 	}
 	var all sync.WaitGroup
 	for i := range 12 {
--- a/cmd/sassafrasbench/controls.go
+++ b/cmd/sassafrasbench/control.go
@@ -21,7 +21,7 @@
 )
 
 // small is a service for measurements of the control state.
-func small(upstreams int) rig.Spec {
+func smallService(upstreams int) rig.Spec {
 	return rig.Spec{
 		Service:   "pledgebook",
 		Upstreams: upstreams,
@@ -31,16 +31,16 @@
 }
 
 // watcher polls what all nodes know of one service's sequence.
-type watcher struct {
-	rig     *rig.Rig
-	service string
-	last    map[string]uint64 // by node and start
-	reverts int
+type sequenceWatcher struct {
+	rig       *rig.Rig
+	service   string
+	last      map[string]uint64 // by node and start
+	decreases int
 }
 
 // lowest returns the lowest sequence over the running nodes, and counts those
 // that went down without the node being started anew.
-func (w *watcher) lowest(restarted map[string]int) uint64 {
+func (w *sequenceWatcher) lowest(restarted map[string]int) uint64 {
 	low := ^uint64(0)
 	for _, n := range w.rig.Nodes {
 		if !n.Running() {
@@ -50,13 +50,13 @@
 		if err != nil {
 			return 0
 		}
-		now := p.Sequences[w.service]
+		sequence := p.Sequences[w.service]
 		key := fmt.Sprint(n.Name, "/", restarted[n.Name])
-		if now < w.last[key] {
-			w.reverts++
+		if sequence < w.last[key] {
+			w.decreases++
 		}
-		w.last[key] = now
-		low = min(low, now)
+		w.last[key] = sequence
+		low = min(low, sequence)
 	}
 	return low
 }
@@ -64,18 +64,18 @@
 // config changes a service once a second at 30 nodes, kills a node every five
 // seconds, and measures the time until a change is in force everywhere.
 func config(ctx context.Context, b *bench) error {
-	spec := small(30)
+	spec := smallService(30)
 	r, err := b.start(ctx, nil, spec)
 	if err != nil {
 		return err
 	}
 	defer b.stop(r)
-	restarted := make(map[string]int)
-	w := &watcher{rig: r, service: spec.Service, last: make(map[string]uint64)}
-	if err := rig.Poll(ctx, func() bool { return w.lowest(restarted) >= 1 }); err != nil {
+	restarts := make(map[string]int)
+	w := &sequenceWatcher{rig: r, service: spec.Service, last: make(map[string]uint64)}
+	if err := rig.Poll(ctx, func() bool { return w.lowest(restarts) >= 1 }); err != nil {
 		return err
 	}
-	var times []float64
+	var millis []float64
 	const changes = 60
 	for i := range changes {
 		began := time.Now()
@@ -87,32 +87,32 @@
 			n := r.Nodes[rand.IntN(len(r.Nodes))]
 			n.SignalNode(syscall.SIGKILL)
 			n.WaitNode()
-			restarted[n.Name]++
+			restarts[n.Name]++
 			if err := n.StartNode(); err != nil {
 				return err
 			}
 		}
 		want := uint64(i + 2)
-		if err := rig.Poll(ctx, func() bool { return w.lowest(restarted) >= want }); err != nil {
+		if err := rig.Poll(ctx, func() bool { return w.lowest(restarts) >= want }); err != nil {
 			return err
 		}
-		times = append(times, time.Since(began).Seconds()*1000)
-		pause(ctx, time.Second-time.Since(began))
+		millis = append(millis, time.Since(began).Seconds()*1000)
+		sleep(ctx, time.Second-time.Since(began))
 	}
 	b.set("changes", changes)
 	b.set("kills", changes/5)
-	b.set("everywhereP50Ms", median(times))
-	b.set("everywhereP99Ms", quantile(times, 0.99))
-	b.set("everywhereMaxMs", largest(times))
-	b.set("reverts", w.reverts)
+	b.set("everywhereP50Ms", median(millis))
+	b.set("everywhereP99Ms", quantile(millis, 0.99))
+	b.set("everywhereMaxMs", maximum(millis))
+	b.set("reverts", w.decreases)
 	return nil
 }
 
 // outage turns the platform off for longer than every lease, while traffic, a
 // drain, a kill and a join go on.
 func outage(ctx context.Context, b *bench) error {
-	spec := small(9)
-	r, err := b.start(ctx, nil, spec, office())
+	spec := smallService(9)
+	r, err := b.start(ctx, nil, spec, entryService())
 	if err != nil {
 		return err
 	}
@@ -120,7 +120,7 @@
 	if err := r.SetFaults(objectapitest.Faults{Down: true}); err != nil {
 		return err
 	}
-	entries := of(r, "office")
+	entries := nodesOf(r, "office")
 	var result *load.Result
 	var all sync.WaitGroup
 	all.Go(func() {
@@ -132,7 +132,7 @@
 		}, entries)
 	})
 	time.Sleep(3 * time.Second)
-	nodes := of(r, spec.Service)
+	nodes := nodesOf(r, spec.Service)
 	if err := nodes[0].Drain(true); err != nil {
 		return err
 	}
@@ -146,13 +146,13 @@
 		return err
 	}
 	joined := time.Now()
-	served := rig.Poll(ctx, func() bool { rec, err := joiner.Record(); return err == nil && len(rec.Runs) > 0 })
+	joinErr := rig.Poll(ctx, func() bool { rec, err := joiner.Record(); return err == nil && len(rec.Runs) > 0 })
 	b.set("joinerServingAfterMs", time.Since(joined).Seconds()*1000)
 	all.Wait()
-	if served != nil {
-		return served
+	if joinErr != nil {
+		return joinErr
 	}
-	back := time.Now()
+	restored := time.Now()
 	if err := r.SetFaults(objectapitest.Faults{}); err != nil {
 		return err
 	}
@@ -161,7 +161,7 @@
 		return err
 	}
 	err = rig.Poll(ctx, func() bool { return statusComplete(ctx, r, spec.Service, 2) })
-	b.set("statusRightAfterMs", time.Since(back).Seconds()*1000)
+	b.set("statusRightAfterMs", time.Since(restored).Seconds()*1000)
 	b.set("sent", result.Sent)
 	b.set("refused", result.Refused)
 	b.set("failed", result.Failed+result.Incomplete)
@@ -192,7 +192,7 @@
 // race has operators write at once, while representatives race to accept and answers
 // are lost.
 func race(ctx context.Context, b *bench) error {
-	spec := small(9)
+	spec := smallService(9)
 	r, err := b.start(ctx, nil, spec)
 	if err != nil {
 		return err
@@ -205,7 +205,7 @@
 	var mu sync.Mutex
 	acknowledged := make(map[string]bool) // versions
 	var conflicts, unknown int
-	history := newHistory(ctx, r.API, spec.Service)
+	history := newAcceptedHistory(ctx, r.API, spec.Service)
 	var all sync.WaitGroup
 	for i := range operators {
 		all.Go(func() {
@@ -213,11 +213,11 @@
 				s := spec.Config
 				s.Hosts = []string{"pledgebook.example"}
 				s.Timeout = operator.Duration(time.Duration(1+i*writes+j) * time.Second)
-				present, err := r.API.Get(ctx, operator.KindService, spec.Service)
+				current, err := r.API.Get(ctx, operator.KindService, spec.Service)
 				if err != nil {
 					continue
 				}
-				o := objectapi.NewObject(operator.KindService, spec.Service, s).WithResourceVersion(present.Metadata.ResourceVersion)
+				o := objectapi.NewObject(operator.KindService, spec.Service, s).WithResourceVersion(current.Metadata.ResourceVersion)
 				written, err := objectapi.Put(ctx, r.API, o)
 				mu.Lock()
 				switch {
@@ -241,71 +241,71 @@
 	if err != nil {
 		return err
 	}
-	err = rig.Poll(ctx, func() bool { return history.source() >= last.Revision() })
+	err = rig.Poll(ctx, func() bool { return history.latestSource() >= last.Revision() })
 	b.set("operators", operators)
 	b.set("acknowledged", len(acknowledged))
 	b.set("conflicts", conflicts)
 	b.set("unknown", unknown)
 	b.set("acceptedVersions", history.len())
-	b.set("historyBroken", history.broken())
+	b.set("historyBroken", history.countInconsistencies())
 	b.set("lastWriteInForce", err == nil)
-	if history.broken() > 0 {
+	if history.countInconsistencies() > 0 {
 		return fmt.Errorf("the accepted values form no growing history")
 	}
 	return err
 }
 
 // history follows the Accepted object of a service.
-type history struct {
-	mu      sync.Mutex
-	sources map[uint64]uint64 // by sequence
-	high    uint64
-	wrong   int
+type acceptedHistory struct {
+	mu              sync.Mutex
+	sources         map[uint64]uint64 // by sequence
+	maxSource       uint64
+	inconsistencies int
 }
 
-func newHistory(ctx context.Context, api *objectapi.Client, service string) *history {
-	h := &history{sources: make(map[uint64]uint64)}
-	take := func(o *objectapi.Object) {
+func newAcceptedHistory(ctx context.Context, api *objectapi.Client, service string) *acceptedHistory {
+	h := &acceptedHistory{sources: make(map[uint64]uint64)}
+	record := func(o *objectapi.Object) {
 		a, err := objectapi.DecodeSpec[operator.Accepted](o)
 		if err != nil || o.Metadata.Name != service {
 			return
 		}
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		if was, ok := h.sources[a.Sequence]; ok && was != a.SourceVersion || a.SourceVersion < h.high && a.Sequence > uint64(len(h.sources)) {
-			h.wrong++
+		if known, ok := h.sources[a.Sequence]; ok && known != a.SourceVersion || a.SourceVersion < h.maxSource && a.Sequence > uint64(len(h.sources)) {
+			h.inconsistencies++
 		}
 		h.sources[a.Sequence] = a.SourceVersion
-		h.high = max(h.high, a.SourceVersion)
+		h.maxSource = max(h.maxSource, a.SourceVersion)
 	}
 	f := &objectapi.Follower{
 		API:  api,
 		Kind: operator.KindAccepted,
 		OnList: func(l *objectapi.List) {
 			for _, o := range l.Items {
-				take(o)
+				record(o)
 			}
 		},
-		OnChange: func(e objectapi.Event) { take(e.Object) },
+		OnChange: func(e objectapi.Event) { record(e.Object) },
 	}
 	go f.Run(ctx)
 	return h
 }
 
-func (h *history) source() uint64 {
+func (h *acceptedHistory) latestSource() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.high
+	return h.maxSource
 }
 
-func (h *history) len() int {
+func (h *acceptedHistory) len() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.sources)
 }
 
-func (h *history) broken() int {
+func (h *acceptedHistory) countInconsistencies() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.wrong
+	return h.inconsistencies
 }
--- a/cmd/sassafrasbench/costs.go
+++ b/cmd/sassafrasbench/costs.go
@@ -16,12 +16,12 @@
 )
 
 // sizes are the numbers of nodes at which the cost of control is measured.
-var sizes = []int{9, 30, 90}
+var systemSizes = []int{9, 30, 90}
 
 // atSizes starts systems of each size and calls f with each once it is at rest.
-func atSizes(ctx context.Context, b *bench, f func(r *rig.Rig, n int) error) error {
-	for _, n := range sizes {
-		r, err := b.start(ctx, nil, small(n))
+func forEachSize(ctx context.Context, b *bench, f func(r *rig.Rig, n int) error) error {
+	for _, n := range systemSizes {
+		r, err := b.start(ctx, nil, smallService(n))
 		if err != nil {
 			return err
 		}
@@ -38,14 +38,14 @@
 // platformCost counts the calls on the platform at rest, and while a service
 // changes and a node restarts each second.
 func platformCost(ctx context.Context, b *bench) error {
-	rest := make(map[int]float64)
-	err := atSizes(ctx, b, func(r *rig.Rig, n int) error {
+	idleRate := make(map[int]float64)
+	err := forEachSize(ctx, b, func(r *rig.Rig, n int) error {
 		const seconds = 20
 		reads, writes, err := callsDuring(r, func() { time.Sleep(seconds * time.Second) })
 		if err != nil {
 			return err
 		}
-		rest[n] = (reads + writes) / seconds
+		idleRate[n] = (reads + writes) / seconds
 		b.set(fmt.Sprintf("restReads%d", n), reads/seconds)
 		b.set(fmt.Sprintf("restWrites%d", n), writes/seconds)
 		reads, writes, err = callsDuring(r, func() { churn(ctx, r, seconds) })
@@ -53,7 +53,7 @@
 		b.set(fmt.Sprintf("churnWrites%d", n), writes/seconds)
 		return err
 	})
-	b.set("restRatio90to9", rest[90]/rest[9])
+	b.set("restRatio90to9", idleRate[90]/idleRate[9])
 	return err
 }
 
@@ -77,31 +77,31 @@
 		n.SignalNode(syscall.SIGKILL)
 		n.WaitNode()
 		_ = n.StartNode()
-		pause(ctx, time.Second-time.Since(began))
+		sleep(ctx, time.Second-time.Since(began))
 	}
 }
 
 // controlCost measures control traffic, processor time and memory of each node
 // at rest.
 func controlCost(ctx context.Context, b *bench) error {
-	return atSizes(ctx, b, func(r *rig.Rig, n int) error {
+	return forEachSize(ctx, b, func(r *rig.Rig, n int) error {
 		const seconds = 20
 		sent := func() (sum float64) {
 			for _, n := range r.Nodes {
-				sum += metric(n.OperatorURL(), "sassafras_peer_bytes_total", `part="control",direction="out"`)
+				sum += sumMetric(n.OperatorURL(), "sassafras_peer_bytes_total", `part="control",direction="out"`)
 			}
 			return sum
 		}
-		bytes, processor := -sent(), -nodeSeconds(r.Nodes)
+		bytes, processorSeconds := -sent(), -nodeSeconds(r.Nodes)
 		time.Sleep(seconds * time.Second)
-		bytes, processor = bytes+sent(), processor+nodeSeconds(r.Nodes)
+		bytes, processorSeconds = bytes+sent(), processorSeconds+nodeSeconds(r.Nodes)
 		var memory float64
 		for _, n := range r.Nodes {
 			memory += processMegabytes(n.NodePID())
 		}
 		count := float64(n)
 		b.set(fmt.Sprintf("bytesPerSecond%d", n), bytes/seconds/count)
-		b.set(fmt.Sprintf("processorShare%d", n), processor/seconds/count)
+		b.set(fmt.Sprintf("processorShare%d", n), processorSeconds/seconds/count)
 		b.set(fmt.Sprintf("megabytes%d", n), memory/count)
 		return nil
 	})
--- a/cmd/sassafrasbench/demo.go
+++ b/cmd/sassafrasbench/demo.go
@@ -28,13 +28,13 @@
 )
 
 // spans is a stand-in for an OTLP collector. It keeps what it gets.
-type spans struct {
+type spanCollector struct {
 	mu   sync.Mutex
 	list []*tracepb.Span
 }
 
 // ServeHTTP implements http.Handler.
-func (s *spans) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *spanCollector) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	data, err := io.ReadAll(r.Body)
 	var m collector.ExportTraceServiceRequest
 	if err != nil || proto.Unmarshal(data, &m) != nil {
@@ -51,7 +51,7 @@
 }
 
 // trace returns the spans of a trace in the order of their beginnings.
-func (s *spans) trace(id string) []*tracepb.Span {
+func (s *spanCollector) trace(id string) []*tracepb.Span {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []*tracepb.Span
@@ -76,36 +76,36 @@
 	if err != nil {
 		return err
 	}
-	collected := new(spans)
+	collected := new(spanCollector)
 	collectorServer := &http.Server{Handler: collected}
 	go func() { _ = collectorServer.Serve(l) }()
 	defer collectorServer.Close()
 	ctx, cancel := context.WithTimeout(ctx, time.Minute)
 	defer cancel()
 	fmt.Println("starting a platform stand-in, and three upstreams with a node beside each, in three zones")
-	spec := small(3)
+	spec := smallService(3)
 	spec.Knobs = backend.Parameters{MeanMillis: 5}
 	r, err := b.start(ctx, []string{"-traceURL", "http://" + l.Addr().String() + "/v1/traces"}, spec)
 	if err != nil {
 		return err
 	}
 	defer r.Stop()
-	if err := showPlaces(ctx, r); err != nil {
+	if err := showRouting(ctx, r); err != nil {
 		return err
 	}
 	if err := showTrace(ctx, r, collected); err != nil {
 		return err
 	}
-	result := underLoad(ctx, b, r)
+	result := runUnderLoad(ctx, b, r)
 	r.Stop()
 	for id, n := range r.RunCounts() {
-		b.runs[id] += n
+		b.runCounts[id] += n
 	}
-	double, lies := result.CountViolations(b.runs)
+	doubleRuns, falseNotRun := result.CountViolations(b.runCounts)
 	fmt.Printf("\nsummary: sent=%d answered=%d refused=%d failed=%d cut=%d wrong=%d doubleRuns=%d falseNotRun=%d p99=%.1fms\n",
-		result.Sent, result.Useful, result.Refused, result.Failed, result.Incomplete, result.WrongBody, double, lies, result.Quantile(0.99))
+		result.Sent, result.Useful, result.Refused, result.Failed, result.Incomplete, result.WrongBody, doubleRuns, falseNotRun, result.Quantile(0.99))
 	fmt.Printf("requests in flight on the killed upstream may fail if they are not idempotent; %d idempotent ones failed\n", result.FailedIdempotent)
-	if result.FailedIdempotent+result.WrongBody+double+lies+result.Incomplete > 0 || result.Useful < result.Sent*99/100 {
+	if result.FailedIdempotent+result.WrongBody+doubleRuns+falseNotRun+result.Incomplete > 0 || result.Useful < result.Sent*99/100 {
 		return fmt.Errorf("the demonstration failed: see the summary")
 	}
 	fmt.Println("all promises held")
@@ -113,11 +113,11 @@
 }
 
 // showPlaces sends a few requests and prints where each ran.
-func showPlaces(ctx context.Context, r *rig.Rig) error {
+func showRouting(ctx context.Context, r *rig.Rig) error {
 	fmt.Println("\nrequests through different nodes, and where each one ran:")
 	for i := range 6 {
 		entry := r.Nodes[i%len(r.Nodes)]
-		a, body, err := demoSend(ctx, entry, fmt.Sprint("demo-", i), "")
+		a, body, err := sendDemoRequest(ctx, entry, fmt.Sprint("demo-", i), "")
 		if err != nil {
 			return err
 		}
@@ -126,34 +126,34 @@
 	return nil
 }
 
-func demoSend(ctx context.Context, entry *rig.Node, id, parent string) (*http.Response, string, error) {
-	q, err := http.NewRequestWithContext(ctx, http.MethodPost, entry.CallerURL()+"/enquiries", strings.NewReader("hello"))
+func sendDemoRequest(ctx context.Context, entry *rig.Node, id, parent string) (*http.Response, string, error) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, entry.CallerURL()+"/enquiries", strings.NewReader("hello"))
 	if err != nil {
 		return nil, "", err
 	}
-	q.Host = entry.Service + ".example"
-	q.Header.Set(backend.IDHeader, id)
+	request.Host = entry.Service + ".example"
+	request.Header.Set(backend.IDHeader, id)
 	if parent != "" {
-		q.Header.Set("traceparent", parent)
+		request.Header.Set("traceparent", parent)
 	}
-	a, err := http.DefaultTransport.RoundTrip(q)
+	response, err := http.DefaultTransport.RoundTrip(request)
 	if err != nil {
 		return nil, "", err
 	}
-	defer a.Body.Close()
-	body, err := io.ReadAll(a.Body)
-	return a, string(body), err
+	defer response.Body.Close()
+	body, err := io.ReadAll(response.Body)
+	return response, string(body), err
 }
 
 // showTrace sends a request as part of a trace and prints its spans.
-func showTrace(ctx context.Context, r *rig.Rig, collected *spans) error {
+func showTrace(ctx context.Context, r *rig.Rig, collected *spanCollector) error {
 	const id = "0123456789abcdef0123456789abcdef"
-	if _, _, err := demoSend(ctx, r.Nodes[0], "demo-trace", "00-"+id+"-0123456789abcdef-01"); err != nil {
+	if _, _, err := sendDemoRequest(ctx, r.Nodes[0], "demo-trace", "00-"+id+"-0123456789abcdef-01"); err != nil {
 		return err
 	}
-	const wanted = 3 // entry, gate, upstream
-	if err := rig.Poll(ctx, func() bool { return len(collected.trace(id)) >= wanted }); err != nil {
-		return fmt.Errorf("trace %s has %d spans, not %d: %w", id, len(collected.trace(id)), wanted, err)
+	const wantSpans = 3 // entry, gate, upstream
+	if err := rig.Poll(ctx, func() bool { return len(collected.trace(id)) >= wantSpans }); err != nil {
+		return fmt.Errorf("trace %s has %d spans, not %d: %w", id, len(collected.trace(id)), wantSpans, err)
 	}
 	fmt.Println("\none whole trace:")
 	for _, s := range collected.trace(id) {
@@ -169,7 +169,7 @@
 }
 
 // underLoad sends requests while one upstream drains and another dies.
-func underLoad(ctx context.Context, b *bench, r *rig.Rig) *load.Result {
+func runUnderLoad(ctx context.Context, b *bench, r *rig.Rig) *load.Result {
 	fmt.Println("\n200 requests a second for 5 s; one upstream drains after 1 s and comes back, another is killed after 3 s")
 	go func() {
 		time.Sleep(time.Second)
--- a/cmd/sassafrasbench/experiments.go
+++ b/cmd/sassafrasbench/experiments.go
@@ -45,13 +45,13 @@
 
 // bench is the state of one run of an experiment.
 type bench struct {
-	name     string
-	binaries string
-	dir      string
-	started  processorTimes
-	results  []*load.Result
-	runs     map[string]int
-	pairs    []string
+	name       string
+	binaries   string
+	dir        string
+	startTimes processorTimes
+	results    []*load.Result
+	runCounts  map[string]int
+	figures    []string
 }
 
 // runExperiment runs the named experiment and prints its last line.
@@ -80,11 +80,11 @@
 	}
 	dir, err := os.MkdirTemp("", "sassafrasbench")
 	return &bench{
-		name:     name,
-		binaries: filepath.Dir(exe),
-		dir:      dir,
-		started:  readProcessorTimes(),
-		runs:     make(map[string]int),
+		name:       name,
+		binaries:   filepath.Dir(exe),
+		dir:        dir,
+		startTimes: readProcessorTimes(),
+		runCounts:  make(map[string]int),
 	}, err
 }
 
@@ -93,32 +93,32 @@
 	if f, ok := value.(float64); ok {
 		value = fmt.Sprintf("%.3g", f)
 	}
-	b.pairs = append(b.pairs, fmt.Sprintf("%s=%v", key, value))
+	b.figures = append(b.figures, fmt.Sprintf("%s=%v", key, value))
 }
 
 // print prints the last line. The promises are counted over all traffic.
 func (b *bench) print() error {
-	var double, false_, wrong, cut int
+	var doubleRuns, falseNotRun, wrongBodies, incomplete int
 	for _, r := range b.results {
-		d, f := r.CountViolations(b.runs)
-		double += d
-		false_ += f
-		wrong += r.WrongBody
-		cut += r.Incomplete
+		d, f := r.CountViolations(b.runCounts)
+		doubleRuns += d
+		falseNotRun += f
+		wrongBodies += r.WrongBody
+		incomplete += r.Incomplete
 	}
 	if len(b.results) > 0 {
-		b.set("doubleRuns", double)
-		b.set("falseNotRun", false_)
-		b.set("wrongAnswers", wrong)
-		b.set("cutAnswers", cut)
+		b.set("doubleRuns", doubleRuns)
+		b.set("falseNotRun", falseNotRun)
+		b.set("wrongAnswers", wrongBodies)
+		b.set("cutAnswers", incomplete)
 	}
-	busy := readProcessorTimes().busySince(b.started)
+	busy := readProcessorTimes().busySince(b.startTimes)
 	b.set("busy", busy)
 	if busy > 0.5 {
 		fmt.Println("invalid: the machine was more than half busy")
 	}
-	fmt.Printf("experiment=%s %s\n", b.name, strings.Join(b.pairs, " "))
-	if double+false_+wrong > 0 {
+	fmt.Printf("experiment=%s %s\n", b.name, strings.Join(b.figures, " "))
+	if doubleRuns+falseNotRun+wrongBodies > 0 {
 		return fmt.Errorf("promises broken")
 	}
 	return nil
@@ -145,7 +145,7 @@
 func (b *bench) stop(r *rig.Rig) {
 	r.Stop()
 	for id, n := range r.RunCounts() {
-		b.runs[id] += n
+		b.runCounts[id] += n
 	}
 }
 
@@ -167,7 +167,7 @@
 
 // pledgebook is the service of that name at today's size. Its capacity is 5,000
 // requests a second.
-func pledgebook() rig.Spec {
+func pledgebookService() rig.Spec {
 	return rig.Spec{
 		Service:   "pledgebook",
 		Upstreams: 10,
--- a/cmd/sassafrasbench/roles.go
+++ b/cmd/sassafrasbench/fakes.go
@@ -66,7 +66,7 @@
 // keepAnnouncing announces the upstream, and again when its node has been
 // started anew and knows nothing of it.
 func keepAnnouncing(ctx context.Context, node string, a upstream.Announcement) {
-	const every = 100 * time.Millisecond
+	const interval = 100 * time.Millisecond
 	for ctx.Err() == nil {
 		r, err := http.Get("http://" + node + "/v1/upstream")
 		if err == nil {
@@ -75,7 +75,7 @@
 		if err == nil && r.StatusCode == http.StatusNotFound {
 			_ = backend.Announce(ctx, node, a)
 		}
-		time.Sleep(every)
+		time.Sleep(interval)
 	}
 }
 
--- a/cmd/sassafrasbench/faults_test.go
+++ b/cmd/sassafrasbench/faults_test.go
@@ -20,15 +20,15 @@
 )
 
 // told is what a caller was told of a request.
-type told struct {
-	status  int
-	verdict string
-	retry   string
+type response struct {
+	status     int
+	verdict    string
+	retryAfter string
 }
 
 // ask sends a request through the entry and returns what the caller is told. A
 // connection that is cut has the status 0.
-func ask(ctx context.Context, entry *rig.Node, service, method, target, id string) told {
+func call(ctx context.Context, entry *rig.Node, service, method, target, id string) response {
 	r, err := http.NewRequestWithContext(ctx, method, entry.CallerURL()+target, nil)
 	if err != nil {
 		panic(err)
@@ -37,13 +37,13 @@
 	r.Header.Set(backend.IDHeader, id)
 	a, err := http.DefaultTransport.RoundTrip(r)
 	if err != nil {
-		return told{}
+		return response{}
 	}
 	defer a.Body.Close()
-	return told{
-		status:  a.StatusCode,
-		verdict: a.Header.Get("Sassafras-Verdict"),
-		retry:   a.Header.Get("Retry-After"),
+	return response{
+		status:     a.StatusCode,
+		verdict:    a.Header.Get("Sassafras-Verdict"),
+		retryAfter: a.Header.Get("Retry-After"),
 	}
 }
 
@@ -193,15 +193,15 @@
 				p, _ := entry.View()
 				t.Fatalf("%v: the entry knows %v of %s", err, p.Upstreams[service], service)
 			}
-			if got := ask(ctx, entry, service, "GET", "/", service+"-warm"); got.status != 200 {
+			if got := call(ctx, entry, service, "GET", "/", service+"-warm"); got.status != 200 {
 				t.Fatalf("warm-up: %+v", got)
 			}
 			if test.before != nil {
 				test.before(nodes)
 			}
 			id := service + "-request"
-			answer := make(chan told, 1)
-			go func() { answer <- ask(ctx, entry, service, test.method, test.target, id) }()
+			answer := make(chan response, 1)
+			go func() { answer <- call(ctx, entry, service, test.method, test.target, id) }()
 			if test.during != nil {
 				var runner *rig.Node
 				qt.Assert(t, rig.Poll(ctx, func() bool { runner = runnerOf(nodes, id); return runner != nil }), qt.IsNil)
@@ -215,7 +215,7 @@
 			qt.Check(t, got.status, qt.Equals, test.status)
 			qt.Check(t, got.verdict, qt.Equals, test.verdict)
 			if got.status == http.StatusServiceUnavailable {
-				qt.Check(t, got.retry, qt.Not(qt.Equals), "")
+				qt.Check(t, got.retryAfter, qt.Not(qt.Equals), "")
 			}
 			runs := r.RunCounts()[id]
 			qt.Check(t, runs >= test.runs[0] && runs <= test.runs[1], qt.IsTrue, qt.Commentf("ran %d times", runs))
--- a/cmd/sassafrasbench/load/load.go
+++ b/cmd/sassafrasbench/load/load.go
@@ -76,15 +76,15 @@
 	defer transport.CloseIdleConnections()
 	var mu sync.Mutex
 	var all sync.WaitGroup
-	began := time.Now()
+	start := time.Now()
 	total := int(p.Rate * p.Duration.Seconds())
 	for i := 0; i < total && ctx.Err() == nil; i++ {
-		at := began.Add(time.Duration(float64(i) / p.Rate * float64(time.Second)))
-		if d := time.Until(at); d > 0 {
+		sendTime := start.Add(time.Duration(float64(i) / p.Rate * float64(time.Second)))
+		if d := time.Until(sendTime); d > 0 {
 			time.Sleep(d)
 		}
 		all.Go(func() {
-			o := p.one(ctx, transport, i, at)
+			o := p.send(ctx, transport, i, sendTime)
 			mu.Lock()
 			defer mu.Unlock()
 			r.add(o)
@@ -96,16 +96,16 @@
 
 // outcome is what became of one request.
 type outcome struct {
-	id, verdict string
-	cause       string
-	post        bool
-	status      int
-	took        time.Duration
-	wrong, cut  bool
+	id, verdict           string
+	cause                 string
+	post                  bool
+	status                int
+	took                  time.Duration
+	wrongBody, incomplete bool
 }
 
 // one sends request i, which should have been sent at the given time.
-func (p *Plan) one(ctx context.Context, transport http.RoundTripper, i int, at time.Time) outcome {
+func (p *Plan) send(ctx context.Context, transport http.RoundTripper, i int, sendTime time.Time) outcome {
 	o := outcome{
 		id:   fmt.Sprintf("%s-%d", p.Prefix, i),
 		post: float64(i%100) < 100*p.PostFraction,
@@ -116,34 +116,34 @@
 		method = http.MethodPost
 		body = strings.NewReader("intention")
 	}
-	q, err := http.NewRequestWithContext(ctx, method, p.Target(i), body)
+	request, err := http.NewRequestWithContext(ctx, method, p.Target(i), body)
 	if err != nil {
 		panic(err)
 	}
-	q.GetBody = nil // nothing is sent twice by the library
-	q.Host = p.Host
+	request.GetBody = nil // nothing is sent twice by the library
+	request.Host = p.Host
 	for k, v := range p.Header {
-		q.Header[k] = v
+		request.Header[k] = v
 	}
-	q.Header.Set(backend.IDHeader, o.id)
-	a, err := transport.RoundTrip(q)
+	request.Header.Set(backend.IDHeader, o.id)
+	response, err := transport.RoundTrip(request)
 	if err != nil {
-		o.cut = true
+		o.incomplete = true
 		return o
 	}
-	defer a.Body.Close()
-	data, err := io.ReadAll(a.Body)
-	o.took = time.Since(at)
-	o.status = a.StatusCode
-	o.verdict = a.Header.Get("Sassafras-Verdict")
-	o.cut = err != nil
+	defer response.Body.Close()
+	data, err := io.ReadAll(response.Body)
+	o.took = time.Since(sendTime)
+	o.status = response.StatusCode
+	o.verdict = response.Header.Get("Sassafras-Verdict")
+	o.incomplete = err != nil
 	var problem struct {
 		Cause string `json:"cause"`
 	}
 	if o.status >= 400 && json.Unmarshal(data, &problem) == nil {
 		o.cause = problem.Cause
 	}
-	o.wrong = err == nil && o.status == http.StatusOK && !strings.HasPrefix(string(data), o.id+" ")
+	o.wrongBody = err == nil && o.status == http.StatusOK && !strings.HasPrefix(string(data), o.id+" ")
 	return o
 }
 
@@ -158,9 +158,9 @@
 	}
 	micros := min(maxMicros, o.took.Microseconds())
 	switch {
-	case o.cut:
+	case o.incomplete:
 		r.Incomplete++
-	case o.wrong:
+	case o.wrongBody:
 		r.WrongBody++
 	case o.status == http.StatusOK:
 		r.Useful++
@@ -198,7 +198,7 @@
 }
 
 // Counter gives each plan a prefix of its own.
-var counter atomic.Int64
+var prefixCounter atomic.Int64
 
 // Prefix returns a new prefix.
-func Prefix(name string) string { return fmt.Sprintf("%s%d", name, counter.Add(1)) }
+func Prefix(name string) string { return fmt.Sprintf("%s%d", name, prefixCounter.Add(1)) }
--- a/cmd/sassafrasbench/path_test.go
+++ b/cmd/sassafrasbench/path_test.go
@@ -84,19 +84,19 @@
 	}
 	r.Host = n.Service + ".example"
 	r.Header.Set(backend.IDHeader, id)
-	a, err := http.DefaultTransport.RoundTrip(r)
+	response, err := http.DefaultTransport.RoundTrip(r)
 	if err != nil {
 		return nil, "", err
 	}
-	defer a.Body.Close()
-	data, err := io.ReadAll(a.Body)
-	return a, string(data), err
+	defer response.Body.Close()
+	data, err := io.ReadAll(response.Body)
+	return response, string(data), err
 }
 
 // TestWholePath sends requests through each node of a service in three zones,
 // and expects each to get its own answer, and the upstreams to have run each
 // once.
-func TestWholePath(t *testing.T) {
+func TestEndToEnd(t *testing.T) {
 	ctx, r := start(t, spec(3))
 	for i := range 60 {
 		id := fmt.Sprint("request-", i)
--- a/cmd/sassafrasbench/processor.go
+++ b/cmd/sassafrasbench/processor.go
@@ -67,7 +67,7 @@
 
 // metric returns the sum of a metric over its labels that contain the given
 // text, from a node's operator address.
-func metric(url, name, label string) float64 {
+func sumMetric(url, name, label string) float64 {
 	r, err := http.Get(url + "/metrics")
 	if err != nil {
 		return 0
--- a/cmd/sassafrasbench/replacing.go
+++ b/cmd/sassafrasbench/restarts.go
@@ -20,7 +20,7 @@
 )
 
 // office are nodes that callers use as entries only.
-func office() rig.Spec {
+func entryService() rig.Spec {
 	return rig.Spec{
 		Service:   "office",
 		Upstreams: 3,
@@ -29,7 +29,7 @@
 }
 
 // of returns the nodes of a service.
-func of(r *rig.Rig, service string) []*rig.Node {
+func nodesOf(r *rig.Rig, service string) []*rig.Node {
 	var list []*rig.Node
 	for _, n := range r.Nodes {
 		if n.Service == service {
@@ -42,8 +42,8 @@
 // kill kills a node or an upstream every second and a half and starts it again
 // cold. Callers use entries that are not killed.
 func kill(ctx context.Context, b *bench) error {
-	spec := pledgebook()
-	r, err := b.start(ctx, nil, spec, office())
+	spec := pledgebookService()
+	r, err := b.start(ctx, nil, spec, entryService())
 	if err != nil {
 		return err
 	}
@@ -53,7 +53,7 @@
 	var kills int
 	var all sync.WaitGroup
 	all.Go(func() {
-		victims := of(r, spec.Service)
+		victims := nodesOf(r, spec.Service)
 		for ; ctx.Err() == nil; kills++ {
 			n := victims[rand.IntN(len(victims))]
 			if kills%2 == 0 {
@@ -67,7 +67,7 @@
 				time.Sleep(300 * time.Millisecond)
 				_ = n.StartUpstream()
 			}
-			pause(ctx, 1200*time.Millisecond)
+			sleep(ctx, 1200*time.Millisecond)
 		}
 	})
 	result := b.load(ctx, load.Plan{
@@ -75,7 +75,7 @@
 		Duration:     20 * time.Second,
 		PostFraction: 0.5,
 		Host:         spec.Service + ".example",
-	}, of(r, "office"))
+	}, nodesOf(r, "office"))
 	cancel()
 	all.Wait()
 	b.set("kills", kills)
@@ -88,7 +88,7 @@
 	return nil
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
 	case <-ctx.Done():
@@ -99,7 +99,7 @@
 // and replaced, and each node stopped and started. Callers leave out nodes that
 // say that they are not ready.
 func rolling(ctx context.Context, b *bench) error {
-	spec := pledgebook()
+	spec := pledgebookService()
 	r, err := b.start(ctx, []string{"-drainTimeout", "10s"}, spec)
 	if err != nil {
 		return err
@@ -108,18 +108,18 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	ready := newReadiness(ctx, r.Nodes)
-	var lastNew []float64
-	rolled := make(chan error, 1)
+	var drainMillis []float64
+	done := make(chan error, 1)
 	go func() {
 		for _, n := range r.Nodes {
 			d, err := replace(ctx, r, n)
 			if err != nil {
-				rolled <- err
+				done <- err
 				return
 			}
-			lastNew = append(lastNew, d.Seconds()*1000)
+			drainMillis = append(drainMillis, d.Seconds()*1000)
 		}
-		rolled <- nil
+		done <- nil
 	}()
 	result := b.load(ctx, load.Plan{
 		Rate:         0.4 * capacity(spec),
@@ -128,18 +128,18 @@
 		Target:       func(int) string { return ready.pick().CallerURL() + "/" },
 	}, r.Nodes)
 	select {
-	case err = <-rolled:
+	case err = <-done:
 	default:
 		err = fmt.Errorf("not all were replaced within the load")
 	}
-	b.set("replaced", len(lastNew))
+	b.set("replaced", len(drainMillis))
 	b.set("sent", result.Sent)
 	b.set("causes", causes(result))
 	b.set("errors", result.Failed+result.Refused+result.Incomplete)
 	b.set("refused", result.Refused)
 	b.set("p99Ms", result.Quantile(0.99))
-	b.set("drainToLastNewP50Ms", median(lastNew))
-	b.set("drainToLastNewMaxMs", largest(lastNew))
+	b.set("drainToLastNewP50Ms", median(drainMillis))
+	b.set("drainToLastNewMaxMs", maximum(drainMillis))
 	return err
 }
 
@@ -202,7 +202,7 @@
 			r.mu.Lock()
 			r.ready = ready
 			r.mu.Unlock()
-			pause(ctx, 50*time.Millisecond)
+			sleep(ctx, 50*time.Millisecond)
 		}
 	}()
 	return r
--- a/cmd/sassafrasbench/rig/node.go
+++ b/cmd/sassafrasbench/rig/node.go
@@ -37,7 +37,7 @@
 	exited chan struct{}
 }
 
-func (n *Node) at(port int) string { return fmt.Sprintf("%s:%d", n.IP, port) }
+func (n *Node) addr(port int) string { return fmt.Sprintf("%s:%d", n.IP, port) }
 
 // CallerOf returns the address for callers of the node beside the upstream with
 // the given address.
@@ -47,20 +47,20 @@
 }
 
 // CallerURL is where callers reach the node.
-func (n *Node) CallerURL() string { return "http://" + n.at(callerPort) }
+func (n *Node) CallerURL() string { return "http://" + n.addr(callerPort) }
 
 // BackendURL is where the upstream beside the node is.
-func (n *Node) BackendURL() string { return "http://" + n.at(backendPort) }
+func (n *Node) BackendURL() string { return "http://" + n.addr(backendPort) }
 
 // OperatorURL is where the node serves metrics.
-func (n *Node) OperatorURL() string { return "http://" + n.at(operatorPort) }
+func (n *Node) OperatorURL() string { return "http://" + n.addr(operatorPort) }
 
 // StartNode starts the node's process.
 func (n *Node) StartNode() error {
 	args := []string{
 		"run", "-node", n.Name, "-region", "r1", "-zone", n.Zone,
-		"-callerAddress", n.at(callerPort), "-peerAddress", n.at(peerPort),
-		"-announceAddress", n.at(announcePort), "-operatorAddress", n.at(operatorPort),
+		"-callerAddress", n.addr(callerPort), "-peerAddress", n.addr(peerPort),
+		"-announceAddress", n.addr(announcePort), "-operatorAddress", n.addr(operatorPort),
 		"-platformURL", n.rig.API.URL, "-lease", "3s",
 	}
 	p, err := n.rig.spawn(n.Name, "sassafrasnode", slices.Concat(args, n.rig.options.Flags, n.flags)...)
@@ -74,7 +74,7 @@
 	if err != nil {
 		return err
 	}
-	p, err := n.rig.spawn(n.Name+"-upstream", "sassafrasbench", "upstream", n.at(backendPort), n.at(announcePort), n.Service, fmt.Sprint(n.Spec.Slots), string(knobs), n.journal())
+	p, err := n.rig.spawn(n.Name+"-upstream", "sassafrasbench", "upstream", n.addr(backendPort), n.addr(announcePort), n.Service, fmt.Sprint(n.Spec.Slots), string(knobs), n.requestLog())
 	n.upstream = p
 	return err
 }
@@ -156,12 +156,12 @@
 
 // journal is the file with the ids of the requests that the upstream has run,
 // over all its starts.
-func (n *Node) journal() string { return filepath.Join(n.rig.options.Dir, n.Name+".journal") }
+func (n *Node) requestLog() string { return filepath.Join(n.rig.options.Dir, n.Name+".journal") }
 
 // Runs adds the number of runs of each request at the upstream to the given
 // counts.
 func (n *Node) AddRunCounts(counts map[string]int) {
-	data, _ := os.ReadFile(n.journal())
+	data, _ := os.ReadFile(n.requestLog())
 	for id := range strings.FieldsSeq(string(data)) {
 		counts[id]++
 	}
@@ -179,7 +179,7 @@
 // Drain has the upstream announce that it drains, or that it no longer does.
 func (n *Node) Drain(draining bool) error {
 	var a map[string]any
-	url := "http://" + n.at(announcePort) + "/v1/upstream"
+	url := "http://" + n.addr(announcePort) + "/v1/upstream"
 	if err := get(url, &a); err != nil {
 		return err
 	}
--- a/cmd/sassafrasbench/rig/rig.go
+++ b/cmd/sassafrasbench/rig/rig.go
@@ -151,9 +151,9 @@
 	}
 	for {
 		o := objectapi.NewObject(operator.KindService, service, s)
-		present, err := r.API.Get(ctx, operator.KindService, service)
+		current, err := r.API.Get(ctx, operator.KindService, service)
 		if err == nil {
-			o = o.WithResourceVersion(present.Metadata.ResourceVersion)
+			o = o.WithResourceVersion(current.Metadata.ResourceVersion)
 		}
 		if _, err = objectapi.Put(ctx, r.API, o); !objectapi.IsConflict(err) {
 			return err
--- a/cmd/sassafrasbench/statistics.go
+++ b/cmd/sassafrasbench/statistics.go
@@ -19,4 +19,4 @@
 
 func median(list []float64) float64 { return quantile(list, 0.5) }
 
-func largest(list []float64) float64 { return quantile(list, 1) }
+func maximum(list []float64) float64 { return quantile(list, 1) }
--- a/cmd/sassafrasbench/traffic.go
+++ b/cmd/sassafrasbench/traffic.go
@@ -30,7 +30,7 @@
 
 // addedWith measures with nodes that use the given number of processors.
 func addedWith(ctx context.Context, b *bench, processors string) error {
-	spec := pledgebook()
+	spec := pledgebookService()
 	spec.Upstreams = 3
 	spec.Slots = 64
 	spec.Knobs = backend.Parameters{}
@@ -87,7 +87,7 @@
 }
 
 func slowWith(ctx context.Context, b *bench, policy string) error {
-	spec := pledgebook()
+	spec := pledgebookService()
 	name := policy
 	if policy == "twoChoice+hedge" {
 		name, policy = "hedged", "twoChoice"
@@ -122,7 +122,7 @@
 
 // overload sends 150% of what the service can run.
 func overload(ctx context.Context, b *bench) error {
-	spec := pledgebook()
+	spec := pledgebookService()
 	r, err := b.start(ctx, nil, spec)
 	if err != nil {
 		return err
@@ -150,7 +150,7 @@
 // neighbour runs reconciliation at five times its share beside interactive
 // requests.
 func neighbour(ctx context.Context, b *bench) error {
-	spec := pledgebook()
+	spec := pledgebookService()
 	const header = "X-Job"
 	spec.Config.Classes = []operator.Class{
 		{Name: "interactive", Weight: 4, Priority: 1},
@@ -202,7 +202,7 @@
 
 // budget measures what watching costs at 1x and 10x callers.
 func budget(ctx context.Context, b *bench) error {
-	spec := pledgebook()
+	spec := pledgebookService()
 	r, err := b.start(ctx, nil, spec)
 	if err != nil {
 		return err
@@ -218,13 +218,13 @@
 		plan.Duration = 10 * time.Second
 		var bytes, messages float64
 		for _, n := range r.Nodes {
-			bytes -= metric(n.OperatorURL(), "sassafras_watch_bytes_total", "")
-			messages -= metric(n.OperatorURL(), "sassafras_watch_messages_total", "")
+			bytes -= sumMetric(n.OperatorURL(), "sassafras_watch_bytes_total", "")
+			messages -= sumMetric(n.OperatorURL(), "sassafras_watch_messages_total", "")
 		}
 		b.load(ctx, plan, r.Nodes)
 		for _, n := range r.Nodes {
-			bytes += metric(n.OperatorURL(), "sassafras_watch_bytes_total", "")
-			messages += metric(n.OperatorURL(), "sassafras_watch_messages_total", "")
+			bytes += sumMetric(n.OperatorURL(), "sassafras_watch_bytes_total", "")
+			messages += sumMetric(n.OperatorURL(), "sassafras_watch_messages_total", "")
 		}
 		nodeSeconds := plan.Duration.Seconds() * float64(len(r.Nodes))
 		cost[rate] = bytes / nodeSeconds
@@ -239,7 +239,7 @@
 // one upstream that stalls now and then.
 func hedge(ctx context.Context, b *bench) error {
 	for _, share := range []float64{0, 0.05} {
-		spec := pledgebook()
+		spec := pledgebookService()
 		spec.Knobs.Sigma = 1.2
 		spec.Config.Hedge.Ratio = share
 		r, err := b.start(ctx, nil, spec)
