--- a/cmd/sassafrasbench/chain_test.go
+++ b/cmd/sassafrasbench/chain_test.go
@@ -19,10 +19,9 @@
 	"sassafrasfront.example/operator"
 )
 
-// TestChainDoesNotMultiplyTries has six services call each other in a chain, the
-// last of which dies on every request. The requests are idempotent, so the hop
-// before the last may repeat some; no other may, or the last would get the
-// sixth power.
+// TestRetriesDoNotMultiplyAlongChain sends idempotent requests through a chain of six services, the
+// last of which fails every request. Only the last hop may retry, within its budget; if every hop
+// retried, the number of attempts would grow exponentially with the depth.
 func TestRetriesDoNotMultiplyAlongChain(t *testing.T) {
 	const depth, requests, burst = 6, 100, 4
 	var specs []rig.Spec
@@ -65,16 +64,16 @@
 		}
 	}
 	t.Logf("runs by depth: %v", runs)
-	// Two nodes call the last service, each with its own budget.
+	// Two nodes call the last service, each with its own retry budget.
 	maxRuns := requests + requests/10 + 2*burst
 	for i, k := range runs {
 		qt.Check(t, k >= requests && k <= maxRuns, qt.IsTrue, qt.Commentf("%d runs at depth %d", k, i))
 	}
 }
 
-// TestResentRequestRunsOnce sends a request with an Idempotency-Key again and
-// again, through all nodes and at once, while its first sending is cut by its
-// deadline.
+// TestIdempotencyKeyRunsOnce sends requests with the same Idempotency-Key repeatedly, concurrently
+// and through all nodes. Both a request that succeeds and one whose upstream closes the connection
+// must run only once.
 func TestIdempotencyKeyRunsOnce(t *testing.T) {
 	s := spec(3)
 	s.Config.Resend = operator.Resend{Enabled: true, WritesPerSecond: 100}
--- a/cmd/sassafrasbench/control.go
+++ b/cmd/sassafrasbench/control.go
@@ -20,7 +20,7 @@
 	"sassafrasfront.example/operator"
 )
 
-// small is a service for measurements of the control state.
+// smallService returns a service for measurements of the control state.
 func smallService(upstreams int) rig.Spec {
 	return rig.Spec{
 		Service:   "pledgebook",
@@ -30,17 +30,17 @@
 	}
 }
 
-// watcher polls what all nodes know of one service's sequence.
+// sequenceWatcher polls the sequence of a service's configuration at all nodes.
 type sequenceWatcher struct {
 	rig       *rig.Rig
 	service   string
-	last      map[string]uint64 // by node and start
+	last      map[string]uint64 // by node and number of restarts
 	decreases int
 }
 
-// lowest returns the lowest sequence over the running nodes, and counts those
-// that went down without the node being started anew.
-func (w *sequenceWatcher) lowest(restarted map[string]int) uint64 {
+// lowest returns the lowest sequence of all running nodes. It counts nodes whose sequence
+// has decreased without a restart.
+func (w *sequenceWatcher) lowest(restarts map[string]int) uint64 {
 	low := ^uint64(0)
 	for _, n := range w.rig.Nodes {
 		if !n.Running() {
@@ -51,7 +51,7 @@
 			return 0
 		}
 		sequence := p.Sequences[w.service]
-		key := fmt.Sprint(n.Name, "/", restarted[n.Name])
+		key := fmt.Sprint(n.Name, "/", restarts[n.Name])
 		if sequence < w.last[key] {
 			w.decreases++
 		}
@@ -62,7 +62,7 @@
 }
 
 // config changes a service once a second at 30 nodes, kills a node every five
-// seconds, and measures the time until a change is in force everywhere.
+// seconds, and measures the time until a change is active at every node.
 func config(ctx context.Context, b *bench) error {
 	spec := smallService(30)
 	r, err := b.start(ctx, nil, spec)
@@ -108,8 +108,8 @@
 	return nil
 }
 
-// outage turns the platform off for longer than every lease, while traffic, a
-// drain, a kill and a join go on.
+// outage makes the platform unavailable for longer than every lease, during traffic, a
+// drain, the kill of a node and the start of another.
 func outage(ctx context.Context, b *bench) error {
 	spec := smallService(9)
 	r, err := b.start(ctx, nil, spec, entryService())
@@ -139,8 +139,8 @@
 	time.Sleep(time.Second)
 	nodes[1].SignalNode(syscall.SIGKILL)
 	nodes[1].WaitNode()
-	// A node that starts while the platform is down learns from the peers in
-	// its settings.
+	// A node that starts while the platform is down discovers the other nodes through the
+	// peers in its settings.
 	joiner, err := r.AddWithFlags(spec, benchZones[2], "-peers", entries[0].IP+":8081,"+nodes[2].IP+":8081")
 	if err != nil {
 		return err
@@ -170,8 +170,8 @@
 	return err
 }
 
-// statusComplete returns whether the status says that every zone has the
-// sequence.
+// statusComplete returns whether, according to the service's status, every zone has at least
+// the given sequence.
 func statusComplete(ctx context.Context, r *rig.Rig, service string, sequence uint64) bool {
 	o, err := r.API.Get(ctx, operator.KindServiceStatus, service)
 	if err != nil {
@@ -189,8 +189,8 @@
 	return true
 }
 
-// race has operators write at once, while representatives race to accept and answers
-// are lost.
+// race runs concurrent writes by operators, and concurrent acceptance by representatives, while
+// some responses to writes are lost.
 func race(ctx context.Context, b *bench) error {
 	spec := smallService(9)
 	r, err := b.start(ctx, nil, spec)
@@ -203,7 +203,7 @@
 	}
 	const operators, writes = 8, 20
 	var mu sync.Mutex
-	acknowledged := make(map[string]bool) // versions
+	acknowledged := make(map[string]bool) // resource versions
 	var conflicts, unknown int
 	history := newAcceptedHistory(ctx, r.API, spec.Service)
 	var all sync.WaitGroup
@@ -250,12 +250,13 @@
 	b.set("historyBroken", history.countInconsistencies())
 	b.set("lastWriteInForce", err == nil)
 	if history.countInconsistencies() > 0 {
-		return fmt.Errorf("the accepted values form no growing history")
+		return fmt.Errorf("the accepted versions are inconsistent")
 	}
 	return err
 }
 
-// history follows the Accepted object of a service.
+// acceptedHistory follows the Accepted object of a service and checks that its versions are
+// consistent.
 type acceptedHistory struct {
 	mu              sync.Mutex
 	sources         map[uint64]uint64 // by sequence
--- a/cmd/sassafrasbench/costs.go
+++ b/cmd/sassafrasbench/costs.go
@@ -15,10 +15,10 @@
 	"sassafrasfront.example/operator"
 )
 
-// sizes are the numbers of nodes at which the cost of control is measured.
+// systemSizes are the numbers of nodes at which the cost of the control plane is measured.
 var systemSizes = []int{9, 30, 90}
 
-// atSizes starts systems of each size and calls f with each once it is at rest.
+// forEachSize starts a system of each size and calls f once it has settled.
 func forEachSize(ctx context.Context, b *bench, f func(r *rig.Rig, n int) error) error {
 	for _, n := range systemSizes {
 		r, err := b.start(ctx, nil, smallService(n))
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// platformCost counts the calls on the platform at rest, and while a service
+// platformCost counts the calls to the platform in an idle system, and while a service
 // changes and a node restarts each second.
 func platformCost(ctx context.Context, b *bench) error {
 	idleRate := make(map[int]float64)
@@ -57,7 +57,7 @@
 	return err
 }
 
-// callsDuring returns the calls on the platform while f runs.
+// callsDuring returns the number of calls to the platform while f runs.
 func callsDuring(r *rig.Rig, f func()) (reads, writes float64, err error) {
 	before, err := r.Counts()
 	if err != nil {
@@ -81,8 +81,8 @@
 	}
 }
 
-// controlCost measures control traffic, processor time and memory of each node
-// at rest.
+// controlCost measures the control traffic, processor time and memory of the nodes in an
+// idle system.
 func controlCost(ctx context.Context, b *bench) error {
 	return forEachSize(ctx, b, func(r *rig.Rig, n int) error {
 		const seconds = 20
--- a/cmd/sassafrasbench/demo.go
+++ b/cmd/sassafrasbench/demo.go
@@ -27,7 +27,7 @@
 	"sassafrasfront.example/internal/backend"
 )
 
-// spans is a stand-in for an OTLP collector. It keeps what it gets.
+// spanCollector is a fake OTLP collector. It keeps the spans it receives.
 type spanCollector struct {
 	mu   sync.Mutex
 	list []*tracepb.Span
@@ -50,7 +50,7 @@
 	}
 }
 
-// trace returns the spans of a trace in the order of their beginnings.
+// trace returns the spans of a trace in the order of their start times.
 func (s *spanCollector) trace(id string) []*tracepb.Span {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,8 +64,8 @@
 	return list
 }
 
-// demo shows the system at work: where requests run, one whole trace, and what
-// callers see while one upstream drains and one dies under load.
+// demo demonstrates the system: where requests run, a complete trace, and what
+// callers observe while one upstream drains and one is killed under load.
 func demo(ctx context.Context) error {
 	b, err := newBench("demo")
 	if err != nil {
@@ -82,7 +82,7 @@
 	defer collectorServer.Close()
 	ctx, cancel := context.WithTimeout(ctx, time.Minute)
 	defer cancel()
-	fmt.Println("starting a platform stand-in, and three upstreams with a node beside each, in three zones")
+	fmt.Println("starting a fake platform, and three upstreams with a node beside each, in three zones")
 	spec := smallService(3)
 	spec.Knobs = backend.Parameters{MeanMillis: 5}
 	r, err := b.start(ctx, []string{"-traceURL", "http://" + l.Addr().String() + "/v1/traces"}, spec)
@@ -108,11 +108,11 @@
 	if result.FailedIdempotent+result.WrongBody+doubleRuns+falseNotRun+result.Incomplete > 0 || result.Useful < result.Sent*99/100 {
 		return fmt.Errorf("the demonstration failed: see the summary")
 	}
-	fmt.Println("all promises held")
+	fmt.Println("all guarantees held")
 	return nil
 }
 
-// showPlaces sends a few requests and prints where each ran.
+// showRouting sends a few requests and prints where each ran.
 func showRouting(ctx context.Context, r *rig.Rig) error {
 	fmt.Println("\nrequests through different nodes, and where each one ran:")
 	for i := range 6 {
@@ -145,7 +145,7 @@
 	return response, string(body), err
 }
 
-// showTrace sends a request as part of a trace and prints its spans.
+// showTrace sends a request as part of a trace and prints the spans of the trace.
 func showTrace(ctx context.Context, r *rig.Rig, collected *spanCollector) error {
 	const id = "0123456789abcdef0123456789abcdef"
 	if _, _, err := sendDemoRequest(ctx, r.Nodes[0], "demo-trace", "00-"+id+"-0123456789abcdef-01"); err != nil {
@@ -155,7 +155,7 @@
 	if err := rig.Poll(ctx, func() bool { return len(collected.trace(id)) >= wantSpans }); err != nil {
 		return fmt.Errorf("trace %s has %d spans, not %d: %w", id, len(collected.trace(id)), wantSpans, err)
 	}
-	fmt.Println("\none whole trace:")
+	fmt.Println("\na complete trace:")
 	for _, s := range collected.trace(id) {
 		attributes := make(map[string]string)
 		for _, a := range s.Attributes {
@@ -168,7 +168,7 @@
 	return nil
 }
 
-// underLoad sends requests while one upstream drains and another dies.
+// runUnderLoad sends requests while one upstream drains and another is killed.
 func runUnderLoad(ctx context.Context, b *bench, r *rig.Rig) *load.Result {
 	fmt.Println("\n200 requests a second for 5 s; one upstream drains after 1 s and comes back, another is killed after 3 s")
 	go func() {
--- a/cmd/sassafrasbench/experiments.go
+++ b/cmd/sassafrasbench/experiments.go
@@ -19,27 +19,27 @@
 	"sassafrasfront.example/operator"
 )
 
-// experiment is one measurement.
+// experiment is a named measurement.
 type experiment struct {
 	name  string
 	about string
 	run   func(ctx context.Context, b *bench) error
 }
 
-// experiments are all measurements.
+// experiments are all experiments.
 var experiments = []experiment{
-	{"added", "time and processor time that entry and gate add to a call", added},
+	{"added", "latency and processor time that entry and gate add to a call", added},
 	{"slow", "one upstream becomes 10x slower at 70% load, for each policy", slow},
-	{"overload", "150% of the capacity", overload},
+	{"overload", "load of 150% of the capacity", overload},
 	{"neighbour", "reconciliation at 5x its share beside interactive requests", neighbour},
 	{"kill", "upstreams and nodes killed at random and restarted", kill},
 	{"rolling", "all nodes and upstreams replaced one by one", rolling},
-	{"budget", "cost of watching at 1x and 10x callers", budget},
-	{"hedge", "with and without hedging", hedge},
+	{"budget", "cost of load reports and the control state at 1x and 10x callers", budget},
+	{"hedge", "tail latency with and without hedging", hedge},
 	{"config", "a change each second at 30 nodes, with kills", config},
-	{"outage", "the platform off for longer than every lease", outage},
-	{"race", "operators and representatives race under lost answers", race},
-	{"platformcost", "calls on the platform at 9, 30 and 90 nodes", platformCost},
+	{"outage", "the platform down for longer than every lease", outage},
+	{"race", "concurrent writes of operators and representatives with lost responses", race},
+	{"platformcost", "calls to the platform at 9, 30 and 90 nodes", platformCost},
 	{"controlcost", "control traffic, processor time and memory per node at 9, 30 and 90 nodes", controlCost},
 }
 
@@ -54,7 +54,7 @@
 	figures    []string
 }
 
-// runExperiment runs the named experiment and prints its last line.
+// runExperiment runs the named experiment and prints its results.
 func runExperiment(ctx context.Context, name string) error {
 	for _, e := range experiments {
 		if e.name != name {
@@ -70,7 +70,7 @@
 		}
 		return b.print()
 	}
-	return fmt.Errorf("no experiment %q; list names them", name)
+	return fmt.Errorf("no experiment %q; the list command shows all", name)
 }
 
 func newBench(name string) (*bench, error) {
@@ -88,7 +88,7 @@
 	}, err
 }
 
-// set adds a pair to the last line.
+// set adds a key and its value to the results.
 func (b *bench) set(key string, value any) {
 	if f, ok := value.(float64); ok {
 		value = fmt.Sprintf("%.3g", f)
@@ -96,7 +96,7 @@
 	b.figures = append(b.figures, fmt.Sprintf("%s=%v", key, value))
 }
 
-// print prints the last line. The promises are counted over all traffic.
+// print prints the results, with the violated guarantees counted over all load.
 func (b *bench) print() error {
 	var doubleRuns, falseNotRun, wrongBodies, incomplete int
 	for _, r := range b.results {
@@ -119,12 +119,12 @@
 	}
 	fmt.Printf("experiment=%s %s\n", b.name, strings.Join(b.figures, " "))
 	if doubleRuns+falseNotRun+wrongBodies > 0 {
-		return fmt.Errorf("promises broken")
+		return fmt.Errorf("guarantees violated")
 	}
 	return nil
 }
 
-// start starts a system. Stop must be called on the result.
+// start starts a system. The caller must pass the result to stop.
 func (b *bench) start(ctx context.Context, flags []string, specs ...rig.Spec) (*rig.Rig, error) {
 	dir, err := os.MkdirTemp(b.dir, "rig")
 	if err != nil {
@@ -141,7 +141,7 @@
 	return r, err
 }
 
-// stop ends a system and keeps its journals' counts.
+// stop stops a system and adds the counts of its request logs to those of the run.
 func (b *bench) stop(r *rig.Rig) {
 	r.Stop()
 	for id, n := range r.RunCounts() {
@@ -149,7 +149,7 @@
 	}
 }
 
-// load runs a plan against the nodes of a system and keeps its result.
+// load runs a plan against the nodes of a system and records its result.
 func (b *bench) load(ctx context.Context, p load.Plan, nodes []*rig.Node) *load.Result {
 	if p.Target == nil {
 		p.Target = func(i int) string { return nodes[i%len(nodes)].CallerURL() + "/" }
@@ -165,8 +165,8 @@
 
 var benchZones = []string{"hob-a", "hob-b", "kingston"}
 
-// pledgebook is the service of that name at today's size. Its capacity is 5,000
-// requests a second.
+// pledgebookService returns the service pledgebook at its present size, whose capacity is 5,000
+// requests per second.
 func pledgebookService() rig.Spec {
 	return rig.Spec{
 		Service:   "pledgebook",
@@ -182,7 +182,7 @@
 	}
 }
 
-// capacity is the number of requests a second that a service can run.
+// capacity returns the number of requests per second that a service can run.
 func capacity(s rig.Spec) float64 {
 	return float64(s.Upstreams*s.Slots) * 1000 / s.Knobs.MeanMillis
 }
--- a/cmd/sassafrasbench/fakes.go
+++ b/cmd/sassafrasbench/fakes.go
@@ -20,7 +20,7 @@
 	"sassafrasfront.example/upstream"
 )
 
-// runPlatform serves the platform stand-in.
+// runPlatform serves the fake platform.
 func runPlatform(ctx context.Context, args []string) error {
 	if len(args) != 1 {
 		return fmt.Errorf("platform takes an address")
@@ -28,24 +28,24 @@
 	return serve(ctx, args[0], new(objectapitest.Server))
 }
 
-// runUpstream serves an upstream stand-in and announces it.
+// runUpstream serves a fake upstream and announces it.
 func runUpstream(ctx context.Context, args []string) error {
 	if len(args) != 6 {
-		return fmt.Errorf("upstream takes its address, the node's address for announcements, a service, a number of slots, knobs, and a journal")
+		return fmt.Errorf("upstream takes its address, the node's address for announcements, a service, a number of slots, knobs, and a request log")
 	}
 	slots, err := strconv.Atoi(args[3])
 	if err != nil {
 		return err
 	}
-	journal, err := os.OpenFile(args[5], os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
+	requestLog, err := os.OpenFile(args[5], os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return err
 	}
-	defer journal.Close()
+	defer requestLog.Close()
 	s := &backend.Server{
 		Slots:      slots,
 		Name:       args[0],
-		RequestLog: journal,
+		RequestLog: requestLog,
 		NodeURL:    "http://" + rig.CallerAddress(args[0]),
 	}
 	var knobs backend.Parameters
@@ -63,8 +63,8 @@
 	return serve(ctx, args[0], s)
 }
 
-// keepAnnouncing announces the upstream, and again when its node has been
-// started anew and knows nothing of it.
+// keepAnnouncing announces the upstream, and again whenever its node has restarted and
+// does not know the upstream.
 func keepAnnouncing(ctx context.Context, node string, a upstream.Announcement) {
 	const interval = 100 * time.Millisecond
 	for ctx.Err() == nil {
@@ -79,11 +79,11 @@
 	}
 }
 
-// shutdownTimeout bounds the wait for requests in flight when a stand-in is told
-// to stop.
+// shutdownTimeout bounds the wait for requests in flight when a fake is
+// stopped.
 const shutdownTimeout = 10 * time.Second
 
-// serve serves h at an address until ctx ends, and lets requests in flight end.
+// serve serves h at an address until ctx is done, and then waits for requests in flight.
 func serve(ctx context.Context, address string, h http.Handler) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
--- a/cmd/sassafrasbench/faults_test.go
+++ b/cmd/sassafrasbench/faults_test.go
@@ -19,15 +19,15 @@
 	"sassafrasfront.example/operator"
 )
 
-// told is what a caller was told of a request.
+// response is the part of a response that tells the caller what became of its request.
 type response struct {
 	status     int
 	verdict    string
 	retryAfter string
 }
 
-// ask sends a request through the entry and returns what the caller is told. A
-// connection that is cut has the status 0.
+// call sends a request through the entry and returns the response. Its status is 0 if
+// the connection was closed without one.
 func call(ctx context.Context, entry *rig.Node, service, method, target, id string) response {
 	r, err := http.NewRequestWithContext(ctx, method, entry.CallerURL()+target, nil)
 	if err != nil {
@@ -47,24 +47,24 @@
 	}
 }
 
-// TestFaults has one row for each fault of a real process while a request is
-// under way. Each says what the caller is told, and how often the request may
-// have run, by the upstreams' own journals.
+// TestFaults injects faults into real processes while a request is in flight. Each row has the
+// expected response, and how often the request may have run according to the upstreams'
+// request logs.
 func TestFaults(t *testing.T) {
 	const slow = "?millis=400"
 	tests := map[string]struct {
 		upstreams int
 		method    string
 		target    string
-		timeout   time.Duration // of the service
+		timeout   time.Duration // timeout of the service
 		before    func(nodes []*rig.Node)
-		during    func(runner, entry *rig.Node) // while it runs at runner
-		after     func(nodes []*rig.Node)       // once the caller has been told
+		during    func(runner, entry *rig.Node) // while the request runs at runner
+		after     func(nodes []*rig.Node)       // after the response
 		status    int
 		verdict   string
-		runs      [2]int // least and most
+		runs      [2]int // minimum and maximum
 	}{
-		"gate killed before, POST goes elsewhere": {
+		"gate killed before, POST runs elsewhere": {
 			upstreams: 2, method: "POST", target: "/",
 			before: func(nodes []*rig.Node) { nodes[0].SignalNode(syscall.SIGKILL); nodes[0].WaitNode() },
 			status: 200, verdict: "ran", runs: [2]int{1, 1},
@@ -74,12 +74,12 @@
 			during: func(runner, _ *rig.Node) { runner.SignalNode(syscall.SIGKILL) },
 			status: 502, verdict: "mayHaveRun", runs: [2]int{1, 1},
 		},
-		"gate killed while it runs, GET goes elsewhere": {
+		"gate killed while it runs, GET runs elsewhere": {
 			upstreams: 2, method: "GET", target: "/" + slow,
 			during: func(runner, _ *rig.Node) { runner.SignalNode(syscall.SIGKILL) },
 			status: 200, verdict: "ran", runs: [2]int{2, 2},
 		},
-		"upstream killed before, POST goes elsewhere": {
+		"upstream killed before, POST runs elsewhere": {
 			upstreams: 2, method: "POST", target: "/",
 			before: func(nodes []*rig.Node) { nodes[0].SignalUpstream(syscall.SIGKILL); nodes[0].WaitUpstream() },
 			status: 200, verdict: "ran", runs: [2]int{1, 1},
@@ -89,12 +89,12 @@
 			during: func(runner, _ *rig.Node) { runner.SignalUpstream(syscall.SIGKILL) },
 			status: 502, verdict: "mayHaveRun", runs: [2]int{1, 1},
 		},
-		"upstream killed while it runs, GET goes elsewhere": {
+		"upstream killed while it runs, GET runs elsewhere": {
 			upstreams: 2, method: "GET", target: "/" + slow,
 			during: func(runner, _ *rig.Node) { runner.SignalUpstream(syscall.SIGKILL) },
 			status: 200, verdict: "ran", runs: [2]int{2, 2},
 		},
-		"upstream closes unanswered, POST with a key": {
+		"upstream closes the connection, POST": {
 			upstreams: 2, method: "POST", target: "/?die=1",
 			status: 502, verdict: "mayHaveRun", runs: [2]int{1, 1},
 		},
@@ -128,9 +128,9 @@
 			after:  func(nodes []*rig.Node) { nodes[0].SignalNode(syscall.SIGCONT) },
 			status: 504, verdict: "mayHaveRun", runs: [2]int{0, 1},
 		},
-		// Its upstream is at work: the pause, longer than the bound on silence, is no reason to give
-		// the request up.
-		"gate paused for long, POST": {
+		// The upstream is running the request, so a pause longer than the silence timeout must not
+		// end it.
+		"gate paused beyond the silence timeout, POST": {
 			upstreams: 2, method: "POST", target: "/" + slow, timeout: 30 * time.Second,
 			during: func(runner, _ *rig.Node) {
 				runner.PauseNode()
@@ -138,7 +138,7 @@
 			},
 			status: 200, verdict: "ran", runs: [2]int{1, 1},
 		},
-		"gate paused beyond the time, POST": {
+		"gate paused beyond the timeout, POST": {
 			upstreams: 2, method: "POST", target: "/" + slow, timeout: 4 * time.Second,
 			during: func(runner, _ *rig.Node) { runner.PauseNode() },
 			after: func(nodes []*rig.Node) {
@@ -148,7 +148,7 @@
 			},
 			status: 504, verdict: "mayHaveRun", runs: [2]int{1, 1},
 		},
-		"gate paused for long, GET goes elsewhere": {
+		"gate paused beyond the silence timeout, GET runs elsewhere": {
 			upstreams: 2, method: "GET", target: "/" + slow,
 			during: func(runner, _ *rig.Node) { runner.PauseNode() },
 			after: func(nodes []*rig.Node) {
@@ -200,14 +200,14 @@
 				test.before(nodes)
 			}
 			id := service + "-request"
-			answer := make(chan response, 1)
-			go func() { answer <- call(ctx, entry, service, test.method, test.target, id) }()
+			responses := make(chan response, 1)
+			go func() { responses <- call(ctx, entry, service, test.method, test.target, id) }()
 			if test.during != nil {
 				var runner *rig.Node
 				qt.Assert(t, rig.Poll(ctx, func() bool { runner = runnerOf(nodes, id); return runner != nil }), qt.IsNil)
 				test.during(runner, entry)
 			}
-			got := <-answer
+			got := <-responses
 			if test.after != nil {
 				test.after(nodes)
 				time.Sleep(200 * time.Millisecond)
--- a/cmd/sassafrasbench/load/load.go
+++ b/cmd/sassafrasbench/load/load.go
@@ -2,9 +2,9 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Package load sends requests at a fixed rate, whatever becomes of them, and
-// counts their times from the moment at which each should have been sent. It
-// checks each answer, and keeps what callers were told.
+// Package load is an open-loop load generator: it sends requests at a fixed rate, however long
+// responses take, and measures latencies from the time at which each request should have been
+// sent. It checks each response and records its verdict.
 package load
 
 import (
@@ -23,47 +23,48 @@
 	"sassafrasfront.example/internal/backend"
 )
 
-// Plan says what to send.
+// Plan specifies the requests to send.
 type Plan struct {
 	// Rate is the number of requests per second.
 	Rate float64
-	// Duration is for how long to send.
+	// Duration is the time over which requests are sent.
 	Duration time.Duration
-	// Targets returns the URL that a request is sent to.
+	// Target returns the URL that the i-th request is sent to.
 	Target func(i int) string
 	// Host is the host of the service.
 	Host string
-	// Posts is the share of the requests that are not idempotent.
+	// PostFraction is the fraction of the requests that are POSTs, which are not idempotent.
 	PostFraction float64
-	// Header is sent with each request.
+	// Header holds header fields that are sent with each request.
 	Header http.Header
-	// Prefix starts the ids of the requests. It is unique to the plan.
+	// Prefix is the prefix of the request IDs. It is unique to the plan.
 	Prefix string
 }
 
-// Result is what became of the requests. Times are in microseconds.
+// Result holds the outcomes of the requests. A useful response has status 200 and the expected
+// body. Times are in microseconds.
 type Result struct {
 	Sent, Useful, Refused, Failed, Incomplete, WrongBody int
-	// FailedIdempotent counts those of Failed and Cut that are idempotent.
+	// FailedIdempotent counts the idempotent requests among Failed and Incomplete.
 	FailedIdempotent int
-	// Times are those of useful answers, RefusalTimes those of refusals.
+	// Times are the latencies of useful responses, RefusalTimes those of refusals.
 	Times, RefusalTimes *hdrhistogram.Histogram
-	// Told is what the caller was told of each request, by id: the verdict, or
-	// empty for a cut.
+	// Verdicts are the verdicts in the responses, by request ID. They are empty for
+	// requests without a response.
 	Verdicts map[string]string
-	// Causes counts the failures that callers were told of, by cause.
+	// Causes counts the failed requests by the cause in their responses.
 	Causes map[string]int
-	// Posts are the ids of the requests that are not idempotent.
+	// Posts are the IDs of the requests that are not idempotent.
 	Posts map[string]bool
 }
 
 const (
 	maxMicros = int64(60 * time.Second / time.Microsecond)
-	// maxConns bounds the idle connections to each node.
+	// maxConns bounds the number of idle connections to each node.
 	maxConns = 2000
 )
 
-// Run sends the requests of the plan and waits for all of them.
+// Run sends the requests of the plan and waits for their responses.
 func Run(ctx context.Context, p Plan) *Result {
 	r := &Result{
 		Times:        hdrhistogram.New(1, maxMicros, 3),
@@ -94,7 +95,7 @@
 	return r
 }
 
-// outcome is what became of one request.
+// outcome is the outcome of a request.
 type outcome struct {
 	id, verdict           string
 	cause                 string
@@ -104,7 +105,7 @@
 	wrongBody, incomplete bool
 }
 
-// one sends request i, which should have been sent at the given time.
+// send sends request i, whose latency is measured from the given time.
 func (p *Plan) send(ctx context.Context, transport http.RoundTripper, i int, sendTime time.Time) outcome {
 	o := outcome{
 		id:   fmt.Sprintf("%s-%d", p.Prefix, i),
@@ -120,7 +121,7 @@
 	if err != nil {
 		panic(err)
 	}
-	request.GetBody = nil // nothing is sent twice by the library
+	request.GetBody = nil // prevents retries by the transport
 	request.Host = p.Host
 	for k, v := range p.Header {
 		request.Header[k] = v
@@ -176,15 +177,15 @@
 	}
 }
 
-// P returns the q-quantile of the times of useful answers, in milliseconds.
+// Quantile returns the q-quantile of the latencies of useful responses, in milliseconds.
 func (r *Result) Quantile(q float64) float64 { return float64(r.Times.ValueAtQuantile(100*q)) / 1000 }
 
-// RefusalP returns the q-quantile of the times of refusals, in milliseconds.
+// RefusalQuantile returns the q-quantile of the latencies of refusals, in milliseconds.
 func (r *Result) RefusalQuantile(q float64) float64 {
 	return float64(r.RefusalTimes.ValueAtQuantile(100*q)) / 1000
 }
 
-// Broken counts the broken promises, given the number of runs of each request.
+// CountViolations counts the violated guarantees, given the number of runs of each request.
 func (r *Result) CountViolations(runs map[string]int) (doubleRuns, falseNotRun int) {
 	for id, verdict := range r.Verdicts {
 		if r.Posts[id] && runs[id] > 1 {
@@ -197,8 +198,8 @@
 	return doubleRuns, falseNotRun
 }
 
-// Counter gives each plan a prefix of its own.
+// prefixCounter numbers the prefixes.
 var prefixCounter atomic.Int64
 
-// Prefix returns a new prefix.
+// Prefix returns a new unique prefix that begins with name.
 func Prefix(name string) string { return fmt.Sprintf("%s%d", name, prefixCounter.Add(1)) }
--- a/cmd/sassafrasbench/main.go
+++ b/cmd/sassafrasbench/main.go
@@ -2,9 +2,8 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Command sassafrasbench holds the experiments on the system, the
-// demonstration, and the stand-ins that they run against. It is no part of the
-// product.
+// Command sassafrasbench runs experiments on the system and a demonstration, and
+// contains the fakes that they use. It is not part of the product.
 package main
 
 import (
--- a/cmd/sassafrasbench/path_test.go
+++ b/cmd/sassafrasbench/path_test.go
@@ -20,7 +20,7 @@
 	"sassafrasfront.example/internal/backend"
 )
 
-// binaries is where the programs are built for the tests.
+// binaries is the directory into which the programs are built for the tests.
 var binaries string
 
 func TestMain(m *testing.M) {
@@ -41,7 +41,7 @@
 
 var zones = []string{"hob-a", "hob-b", "kingston"}
 
-// start starts a system for a test, and stops it at its end.
+// start starts a system for a test and stops it when the test ends.
 func start(t *testing.T, specs ...rig.Spec) (context.Context, *rig.Rig) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
@@ -66,7 +66,7 @@
 	}
 }
 
-// spec is a small service of quick upstreams.
+// spec returns a small service with fast upstreams.
 func spec(upstreams int) rig.Spec {
 	return rig.Spec{
 		Service:   "pledgebook",
@@ -76,7 +76,7 @@
 	}
 }
 
-// send sends a request with an id through a node.
+// send sends a request with an ID through a node.
 func send(ctx context.Context, n *rig.Node, method, target, id, body string) (*http.Response, string, error) {
 	r, err := http.NewRequestWithContext(ctx, method, n.CallerURL()+target, strings.NewReader(body))
 	if err != nil {
@@ -93,9 +93,8 @@
 	return response, string(data), err
 }
 
-// TestWholePath sends requests through each node of a service in three zones,
-// and expects each to get its own answer, and the upstreams to have run each
-// once.
+// TestEndToEnd sends requests through each node of a service in three zones. Each request must
+// receive its own response and run exactly once.
 func TestEndToEnd(t *testing.T) {
 	ctx, r := start(t, spec(3))
 	for i := range 60 {
--- a/cmd/sassafrasbench/processor.go
+++ b/cmd/sassafrasbench/processor.go
@@ -13,12 +13,12 @@
 	"strings"
 )
 
-// processorTimes are the machine's, in ticks.
+// processorTimes are the machine's processor times, in ticks.
 type processorTimes struct {
 	busy, total float64
 }
 
-// readProcessorTimes reads them from the first line of /proc/stat.
+// readProcessorTimes reads the processor times from the first line of /proc/stat.
 func readProcessorTimes() processorTimes {
 	data, _ := os.ReadFile("/proc/stat")
 	line, _, _ := strings.Cut(string(data), "\n")
@@ -26,22 +26,22 @@
 	for i, f := range strings.Fields(line)[1:] {
 		v, _ := strconv.ParseFloat(f, 64)
 		t.total += v
-		if i != 3 && i != 4 { // idle and waiting
+		if i != 3 && i != 4 { // idle and iowait
 			t.busy += v
 		}
 	}
 	return t
 }
 
-// busySince returns the share of the processors that was busy since then.
+// busySince returns the fraction of processor time that was busy since then.
 func (t processorTimes) busySince(then processorTimes) float64 {
 	return (t.busy - then.busy) / (t.total - then.total)
 }
 
-// ticksPerSecond is the unit of /proc/PID/stat on Linux.
+// ticksPerSecond is the resolution of the times in /proc/PID/stat on Linux.
 const ticksPerSecond = 100
 
-// processSeconds returns the processor time that a process has used.
+// processSeconds returns the processor time used by a process, in seconds.
 func processSeconds(pid int) float64 {
 	data, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	_, rest, _ := strings.Cut(string(data), ") ")
@@ -54,7 +54,7 @@
 	return (user + system) / ticksPerSecond
 }
 
-// processMegabytes returns the memory that a process holds.
+// processMegabytes returns the resident memory of a process, in MiB.
 func processMegabytes(pid int) float64 {
 	data, _ := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	f := strings.Fields(string(data))
@@ -65,8 +65,8 @@
 	return pages * float64(os.Getpagesize()) / (1 << 20)
 }
 
-// metric returns the sum of a metric over its labels that contain the given
-// text, from a node's operator address.
+// sumMetric returns the sum of a metric, as served at a node's operator URL, over the series whose
+// labels contain the given text.
 func sumMetric(url, name, label string) float64 {
 	r, err := http.Get(url + "/metrics")
 	if err != nil {
--- a/cmd/sassafrasbench/restarts.go
+++ b/cmd/sassafrasbench/restarts.go
@@ -19,7 +19,7 @@
 	"sassafrasfront.example/cmd/sassafrasbench/rig"
 )
 
-// office are nodes that callers use as entries only.
+// entryService returns a service whose nodes are only used as entries by callers.
 func entryService() rig.Spec {
 	return rig.Spec{
 		Service:   "office",
@@ -28,7 +28,7 @@
 	}
 }
 
-// of returns the nodes of a service.
+// nodesOf returns the nodes of a service.
 func nodesOf(r *rig.Rig, service string) []*rig.Node {
 	var list []*rig.Node
 	for _, n := range r.Nodes {
@@ -39,8 +39,8 @@
 	return list
 }
 
-// kill kills a node or an upstream every second and a half and starts it again
-// cold. Callers use entries that are not killed.
+// kill kills a node or an upstream every 1.5 s and restarts it cold. Callers use entries
+// that are not killed.
 func kill(ctx context.Context, b *bench) error {
 	spec := pledgebookService()
 	r, err := b.start(ctx, nil, spec, entryService())
@@ -95,9 +95,9 @@
 	}
 }
 
-// rolling replaces all nodes and upstreams one by one: each upstream is drained
-// and replaced, and each node stopped and started. Callers leave out nodes that
-// say that they are not ready.
+// rolling replaces all nodes and upstreams one by one: it drains and replaces each upstream,
+// and stops and restarts its node. Callers skip nodes that report that they are not
+// ready.
 func rolling(ctx context.Context, b *bench) error {
 	spec := pledgebookService()
 	r, err := b.start(ctx, []string{"-drainTimeout", "10s"}, spec)
@@ -143,8 +143,8 @@
 	return err
 }
 
-// replace drains and replaces the upstream of a node, and then the node. It
-// returns the time from the drain to the last new request.
+// replace drains and replaces the upstream of a node, and then restarts the node. It
+// returns the time from the drain to the last request that reached the upstream.
 func replace(ctx context.Context, r *rig.Rig, n *rig.Node) (time.Duration, error) {
 	drained := time.Now()
 	if err := n.Drain(true); err != nil {
@@ -168,7 +168,7 @@
 	return max(0, rec.LastArrival.Sub(drained)), r.WaitForDiscovery(ctx)
 }
 
-// causes returns the failures of a result by cause, as one word.
+// causes formats the number of failures by cause.
 func causes(r *load.Result) string {
 	var list []string
 	for cause, n := range r.Causes {
@@ -178,7 +178,7 @@
 	return "[" + strings.Join(list, ",") + "]"
 }
 
-// readiness follows which nodes are ready.
+// readiness tracks which nodes are ready.
 type readiness struct {
 	mu    sync.Mutex
 	ready []*rig.Node
--- a/cmd/sassafrasbench/rig/doc.go
+++ b/cmd/sassafrasbench/rig/doc.go
@@ -2,9 +2,9 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Package rig starts the system as real processes on loopback: a platform
-// stand-in, upstream stand-ins and a node beside each. It is scaffolding for
+// Package rig runs the system as real processes on loopback: a fake
+// platform, fake upstreams and a node beside each upstream. It is used by
 // tests, the demonstration and the experiments.
 //
-// Each node has a loopback address of its own and the same ports everywhere.
+// Each node has a loopback address of its own, with the same ports at each address.
 package rig
--- a/cmd/sassafrasbench/rig/http.go
+++ b/cmd/sassafrasbench/rig/http.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// client makes the rig's own calls.
+// client is the HTTP client of the rig.
 var client = &http.Client{Timeout: 2 * time.Second}
 
 func get(url string, v any) error {
--- a/cmd/sassafrasbench/rig/node.go
+++ b/cmd/sassafrasbench/rig/node.go
@@ -20,7 +20,7 @@
 	"sassafrasfront.example/node"
 )
 
-// Node is a node with the upstream beside it.
+// Node is a node and the upstream beside it.
 type Node struct {
 	Name, Zone, Service, IP string
 	Spec                    Spec
@@ -39,20 +39,20 @@
 
 func (n *Node) addr(port int) string { return fmt.Sprintf("%s:%d", n.IP, port) }
 
-// CallerOf returns the address for callers of the node beside the upstream with
+// CallerAddress returns the caller address of the node beside the upstream with
 // the given address.
 func CallerAddress(upstream string) string {
 	host, _, _ := net.SplitHostPort(upstream)
 	return fmt.Sprintf("%s:%d", host, callerPort)
 }
 
-// CallerURL is where callers reach the node.
+// CallerURL returns the URL of the node for callers.
 func (n *Node) CallerURL() string { return "http://" + n.addr(callerPort) }
 
-// BackendURL is where the upstream beside the node is.
+// BackendURL returns the URL of the upstream beside the node.
 func (n *Node) BackendURL() string { return "http://" + n.addr(backendPort) }
 
-// OperatorURL is where the node serves metrics.
+// OperatorURL returns the URL of the node for operators, which serves metrics.
 func (n *Node) OperatorURL() string { return "http://" + n.addr(operatorPort) }
 
 // StartNode starts the node's process.
@@ -68,7 +68,7 @@
 	return err
 }
 
-// StartUpstream starts the upstream's process, which announces itself.
+// StartUpstream starts the upstream's process, which announces itself to the node.
 func (n *Node) StartUpstream() error {
 	knobs, err := json.Marshal(n.Spec.Knobs)
 	if err != nil {
@@ -82,9 +82,9 @@
 // SignalNode sends a signal to the node's process.
 func (n *Node) SignalNode(s syscall.Signal) { n.node.signal(s) }
 
-// PauseNode stops the node's process, and returns when all of its threads stand still.
-// The signal itself is only noted: on a busy machine one thread or another runs on for
-// some milliseconds, and may answer a request.
+// PauseNode stops the node's process with SIGSTOP, and returns once all of its threads are
+// stopped. The signal takes effect asynchronously: on a busy machine a thread may run on for
+// some milliseconds and may even answer a request.
 func (n *Node) PauseNode() {
 	n.SignalNode(syscall.SIGSTOP)
 	for !n.paused() {
@@ -96,14 +96,14 @@
 func (n *Node) paused() bool {
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", n.NodePID()))
 	if err != nil || len(threads) == 0 {
-		return true // the process has ended
+		return true // the process has exited
 	}
 	for _, path := range threads {
 		stat, err := os.ReadFile(path)
 		if err != nil {
-			continue // the thread has ended
+			continue // the thread has exited
 		}
-		// The state follows the name, which is in parentheses.
+		// The state follows the command name, which is in parentheses.
 		if i := strings.LastIndexByte(string(stat), ')'); i < 0 || !strings.HasPrefix(string(stat[i+1:]), " T") {
 			return false
 		}
@@ -114,13 +114,13 @@
 // SignalUpstream sends a signal to the upstream's process.
 func (n *Node) SignalUpstream(s syscall.Signal) { n.upstream.signal(s) }
 
-// NodePID returns the id of the node's process.
+// NodePID returns the process ID of the node.
 func (n *Node) NodePID() int { return n.node.cmd.Process.Pid }
 
-// WaitNode waits for the node's process to end.
+// WaitNode waits for the node's process to exit.
 func (n *Node) WaitNode() { <-n.node.exited }
 
-// WaitUpstream waits for the upstream's process to end.
+// WaitUpstream waits for the upstream's process to exit.
 func (n *Node) WaitUpstream() { <-n.upstream.exited }
 
 func (p *process) signal(s syscall.Signal) {
@@ -129,7 +129,7 @@
 	}
 }
 
-// Running returns whether both processes run.
+// Running returns whether both processes are running.
 func (n *Node) Running() bool {
 	for _, p := range []*process{n.node, n.upstream} {
 		if p == nil {
@@ -144,21 +144,21 @@
 	return true
 }
 
-// Turn sets the knobs of the upstream.
+// SetKnobs sets the behaviour of the upstream.
 func (n *Node) SetKnobs(k backend.Parameters) error { return put(n.BackendURL()+"/stand/knobs", k) }
 
-// Record returns what the upstream has run.
+// Record returns the requests that the upstream has run.
 func (n *Node) Record() (backend.Record, error) {
 	var rec backend.Record
 	err := get(n.BackendURL()+"/stand/record", &rec)
 	return rec, err
 }
 
-// journal is the file with the ids of the requests that the upstream has run,
+// requestLog returns the name of the file with the IDs of the requests that the upstream has run,
 // over all its starts.
 func (n *Node) requestLog() string { return filepath.Join(n.rig.options.Dir, n.Name+".journal") }
 
-// Runs adds the number of runs of each request at the upstream to the given
+// AddRunCounts adds the number of runs of each request at the upstream to
 // counts.
 func (n *Node) AddRunCounts(counts map[string]int) {
 	data, _ := os.ReadFile(n.requestLog())
@@ -167,7 +167,7 @@
 	}
 }
 
-// Runs returns the number of runs of each request over all upstreams.
+// RunCounts returns the number of runs of each request at all upstreams.
 func (r *Rig) RunCounts() map[string]int {
 	counts := make(map[string]int)
 	for _, n := range r.Nodes {
@@ -176,7 +176,7 @@
 	return counts
 }
 
-// Drain has the upstream announce that it drains, or that it no longer does.
+// Drain makes the upstream announce whether it is draining.
 func (n *Node) Drain(draining bool) error {
 	var a map[string]any
 	url := "http://" + n.addr(announcePort) + "/v1/upstream"
@@ -187,7 +187,7 @@
 	return put(url, a)
 }
 
-// View returns what the node knows.
+// View returns the node's view of the system.
 func (n *Node) View() (node.View, error) {
 	var p node.View
 	err := get(n.OperatorURL()+"/v1/view", &p)
--- a/cmd/sassafrasbench/rig/rig.go
+++ b/cmd/sassafrasbench/rig/rig.go
@@ -26,7 +26,7 @@
 	"sassafrasfront.example/operator"
 )
 
-// The ports of each address.
+// Ports at each address.
 const (
 	callerPort   = 8080
 	peerPort     = 8081
@@ -36,35 +36,35 @@
 	platformPort = 8001
 )
 
-// Spec says what to start for one service.
+// Spec describes a service to start.
 type Spec struct {
-	// Service is the name of the service, whose host is Service.example.
+	// Service is the name of the service. Its host is Service.example.
 	Service string
-	// Upstreams is their number, spread over the zones in turn.
+	// Upstreams is the number of upstreams, which are spread evenly over the zones.
 	Upstreams int
-	// Slots is the number of requests that each runs at once.
+	// Slots is the number of requests that each upstream runs concurrently.
 	Slots int
-	// Knobs are how the upstreams behave.
+	// Knobs set the behaviour of the upstreams.
 	Knobs backend.Parameters
-	// Config is the configuration of the service. Its hosts are filled in.
+	// Config is the configuration of the service. Empty hosts are replaced by the service's host.
 	Config operator.Service
 }
 
-// Options are how nodes run.
+// Options are the options of the nodes.
 type Options struct {
 	// Zones are the availability zones.
 	Zones []string
-	// Flags are more flags for every node.
+	// Flags are additional flags for every node.
 	Flags []string
-	// Dir is the directory for the nodes' logs and the upstreams' journals.
+	// Dir is the directory for the logs of processes and for the upstreams' request logs.
 	Dir string
 }
 
 // Rig is a running system.
 type Rig struct {
-	// API is a client of the platform stand-in, for an operator's part.
+	// API is a client of the fake platform, which acts as an operator.
 	API *objectapi.Client
-	// Nodes are all nodes ever started, by the order of starting.
+	// Nodes are all nodes ever started, in the order of their start.
 	Nodes []*Node
 
 	options  Options
@@ -74,7 +74,7 @@
 	mu       sync.Mutex
 }
 
-// Build builds the programs into a directory.
+// Build builds the programs into dir.
 func Build(dir string) error {
 	root, err := exec.Command("go", "env", "GOWORK").Output()
 	if err != nil {
@@ -86,8 +86,8 @@
 	return cmd.Run()
 }
 
-// Start starts the platform stand-in, and the services with their nodes. The
-// programs are in the directory binaries. The caller stops the rig in any case.
+// Start starts the fake platform, and the services with their nodes. The directory
+// binaries contains the programs. The caller must call Stop even if Start fails.
 func Start(ctx context.Context, binaries string, o Options, specs ...Spec) (*Rig, error) {
 	r := &Rig{
 		options:  o,
@@ -127,8 +127,8 @@
 	return r, r.WaitForDiscovery(ctx)
 }
 
-// claimOctet picks the second number of the rig's addresses, so that rigs of
-// several processes don't meet.
+// claimOctet chooses the second octet of the rig's addresses, so that the rigs of
+// concurrent processes use different addresses.
 func (r *Rig) claimOctet() error {
 	for i := range 200 {
 		r.octet = 20 + (os.Getpid()+i*7)%200
@@ -144,7 +144,7 @@
 	return fmt.Sprintf("127.%d.%d.%d:%d", r.octet, i/250, 1+i%250, port)
 }
 
-// Configure writes the configuration of a service as an operator does.
+// Configure writes the configuration of a service, as an operator does.
 func (r *Rig) Configure(ctx context.Context, service string, s operator.Service) error {
 	if len(s.Hosts) == 0 {
 		s.Hosts = []string{service + ".example"}
@@ -161,7 +161,7 @@
 	}
 }
 
-// spawn starts a program.
+// spawn starts one of the programs, with its output in a log file.
 func (r *Rig) spawn(name, program string, args ...string) (*process, error) {
 	cmd := exec.Command(filepath.Join(r.binaries, program), args...)
 	f, err := os.OpenFile(filepath.Join(r.options.Dir, name+".log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
@@ -169,12 +169,12 @@
 		return nil, err
 	}
 	defer f.Close()
-	cmd.Stdout = f // where the programs log
+	cmd.Stdout = f // the programs log to stdout
 	cmd.Stderr = f
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	err = cmd.Start()
 	if errors.Is(err, fs.ErrNotExist) {
-		return nil, eris.Errorf("%s is not in %s, beside this program: make build puts all programs into one directory, which go run does not", program, r.binaries)
+		return nil, eris.Errorf("%s not found in %s: make build puts all programs into the directory of this program, go run does not", program, r.binaries)
 	}
 	if err != nil {
 		return nil, err
@@ -190,10 +190,10 @@
 	return p, nil
 }
 
-// Add starts one more upstream of a service with its node.
+// Add starts one more upstream of a service, with its node.
 func (r *Rig) Add(s Spec, zone string) (*Node, error) { return r.AddWithFlags(s, zone) }
 
-// AddWith is Add with more flags for the node.
+// AddWithFlags is like Add, with additional flags for the node.
 func (r *Rig) AddWithFlags(s Spec, zone string, flags ...string) (*Node, error) {
 	r.mu.Lock()
 	i := len(r.Nodes) + 1
@@ -215,17 +215,17 @@
 	return n, n.StartUpstream()
 }
 
-// SetFaults sets the faults of the platform stand-in.
+// SetFaults sets the faults that the fake platform injects.
 func (r *Rig) SetFaults(f objectapitest.Faults) error { return put(r.API.URL+"/faults", f) }
 
-// Counts returns the calls that the platform stand-in has served.
+// Counts returns the numbers of calls that the fake platform has served.
 func (r *Rig) Counts() (objectapitest.Counts, error) {
 	var c objectapitest.Counts
 	err := get(r.API.URL+"/counts", &c)
 	return c, err
 }
 
-// Settle waits until every running node knows every running upstream.
+// WaitForDiscovery waits until every running node knows every running upstream.
 func (r *Rig) WaitForDiscovery(ctx context.Context) error {
 	return Poll(ctx, func() bool {
 		want := make(map[string]int)
@@ -252,7 +252,7 @@
 	})
 }
 
-// Stop ends all processes that the rig started.
+// Stop kills all processes that the rig has started and waits for them.
 func (r *Rig) Stop() {
 	for _, n := range r.Nodes {
 		n.SignalNode(syscall.SIGKILL)
@@ -269,7 +269,7 @@
 	}
 }
 
-// Poll calls f until it returns true, or ctx ends.
+// Poll calls f until it returns true or ctx is done.
 func Poll(ctx context.Context, f func() bool) error {
 	for {
 		if f() {
--- a/cmd/sassafrasbench/traffic.go
+++ b/cmd/sassafrasbench/traffic.go
@@ -18,7 +18,7 @@
 )
 
 // added compares calls through an entry and a gate with direct calls to the
-// same upstreams, which answer at once.
+// same upstreams, which respond immediately.
 func added(ctx context.Context, b *bench) error {
 	for _, processors := range []string{"0", "1", "2"} {
 		if err := addedWith(ctx, b, processors); err != nil {
@@ -28,7 +28,7 @@
 	return nil
 }
 
-// addedWith measures with nodes that use the given number of processors.
+// addedWith measures nodes that use the given number of processors.
 func addedWith(ctx context.Context, b *bench, processors string) error {
 	spec := pledgebookService()
 	spec.Upstreams = 3
@@ -46,7 +46,7 @@
 	}
 	direct := plan
 	direct.Target = func(i int) string { return r.Nodes[i%len(r.Nodes)].BackendURL() + "/" }
-	b.load(ctx, plan, r.Nodes) // warms up
+	b.load(ctx, plan, r.Nodes) // warm-up
 	var seconds float64
 	var a50, a99, a999 []float64
 	for range 5 {
@@ -76,7 +76,7 @@
 	return sum
 }
 
-// slow makes one upstream 10x slower at 70% load, for each policy.
+// slow makes one upstream 10x slower at 70% load, for each routing policy.
 func slow(ctx context.Context, b *bench) error {
 	for _, policy := range []string{"twoChoice", "roundRobin", "random", "leastOutstanding", "hotCold", "twoChoice+hedge"} {
 		if err := slowWith(ctx, b, policy); err != nil {
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// overload sends 150% of what the service can run.
+// overload sends 150% of the load that the service can run.
 func overload(ctx context.Context, b *bench) error {
 	spec := pledgebookService()
 	r, err := b.start(ctx, nil, spec)
@@ -147,7 +147,7 @@
 	return nil
 }
 
-// neighbour runs reconciliation at five times its share beside interactive
+// neighbour runs reconciliation jobs at five times their share beside interactive
 // requests.
 func neighbour(ctx context.Context, b *bench) error {
 	spec := pledgebookService()
@@ -167,7 +167,7 @@
 		PostFraction: 0.5,
 	}
 	jobs := interactive
-	jobs.Rate = capacity(spec) // five times its fifth
+	jobs.Rate = capacity(spec) // five times its fair share of a fifth
 	jobs.Header = http.Header{header: {"1"}}
 	b.load(ctx, interactive, r.Nodes)
 	alone := b.load(ctx, interactive, r.Nodes)
@@ -192,7 +192,7 @@
 	return nil
 }
 
-// withTarget fills in what bench.load does, for loads that run beside another.
+// withTarget sets the fields that bench.load sets, for a load that runs concurrently with another.
 func withTarget(p load.Plan, nodes []*rig.Node) load.Plan {
 	p.Target = func(i int) string { return nodes[i%len(nodes)].CallerURL() + "/" }
 	p.Host = nodes[0].Service + ".example"
@@ -200,7 +200,7 @@
 	return p
 }
 
-// budget measures what watching costs at 1x and 10x callers.
+// budget measures the cost of load reports and the control state at 1x and 10x callers.
 func budget(ctx context.Context, b *bench) error {
 	spec := pledgebookService()
 	r, err := b.start(ctx, nil, spec)
@@ -235,8 +235,8 @@
 	return nil
 }
 
-// hedge compares the tail with and without hedging of idempotent requests, with
-// one upstream that stalls now and then.
+// hedge compares the tail latency with and without hedging of idempotent requests, with
+// upstreams whose service times vary widely.
 func hedge(ctx context.Context, b *bench) error {
 	for _, share := range []float64{0, 0.05} {
 		spec := pledgebookService()
