--- a/cmd/sassafrasctl/suspects.go
+++ b/cmd/sassafrasctl/suspects.go
@@ -16,12 +16,12 @@
 	"sassafrasfront.example/operator"
 )
 
-// suspects shows the requests that a node suspects of ending upstreams.
+// suspects shows the requests that a node suspects of crashing upstreams.
 func (t *tool) suspects(ctx context.Context, args []string) error {
 	if len(args) > 0 {
 		return exitError{exitUsage, errors.New("usage: sassafrasctl suspects -node ADDRESS")}
 	}
-	return showNode(ctx, t, "/v1/suspects", "PRINT\tSTANDING\tENDS\tSINCE\tUNTIL\tUPSTREAMS", func(s operator.Suspect) string {
+	return showNodeList(ctx, t, "/v1/suspects", "PRINT\tSTANDING\tENDS\tSINCE\tUNTIL\tUPSTREAMS", func(s operator.Suspect) string {
 		until := "-"
 		if s.BlockedUntil != nil {
 			until = s.BlockedUntil.Format(time.RFC3339)
@@ -30,7 +30,7 @@
 	})
 }
 
-// release lets a request run again.
+// release clears a suspected request, so that it may run again.
 func (t *tool) release(ctx context.Context, args []string) error {
 	if len(args) != 1 {
 		return exitError{exitUsage, errors.New("usage: sassafrasctl release -node ADDRESS PRINT")}
--- a/cmd/sassafrasnode/stop_test.go
+++ b/cmd/sassafrasnode/stop_test.go
@@ -20,26 +20,26 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// runsNode, if set in the environment, has the test's program be a node's process.
-const runsNode = "SASSAFRASNODE_TEST_RUNS_NODE"
+// runNodeEnv is an environment variable that makes the test binary run as a node.
+const runNodeEnv = "SASSAFRASNODE_TEST_RUNS_NODE"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(runsNode) != "" {
+	if os.Getenv(runNodeEnv) != "" {
 		main()
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// process is a node's process with its log.
+// process is a node's process and its log.
 type process struct {
-	t      *testing.T
-	cmd    *exec.Cmd
-	log    *bufio.Scanner
-	caller string // the address for callers
+	t          *testing.T
+	cmd        *exec.Cmd
+	log        *bufio.Scanner
+	callerAddr string // the listen address for callers
 }
 
-// startProcess starts a node whose settings have the given lines besides.
+// startProcess starts a node whose settings include the given lines.
 func startProcess(t *testing.T, lines string) *process {
 	p := &process{t: t}
 	text := "node: a\nregion: r\nzone: z\nplatformURL: http://127.0.0.1:1\n" + lines
@@ -48,14 +48,14 @@
 		qt.Assert(t, err, qt.IsNil)
 		text += fmt.Sprintf("%s: %s\n", name, l.Addr())
 		if name == "callerAddress" {
-			p.caller = l.Addr().String()
+			p.callerAddr = l.Addr().String()
 		}
 		_ = l.Close()
 	}
 	file := filepath.Join(t.TempDir(), "node.yaml")
 	qt.Assert(t, os.WriteFile(file, []byte(text), 0o600), qt.IsNil)
 	p.cmd = exec.Command(os.Args[0], "run", "-config", file)
-	p.cmd.Env = append(os.Environ(), runsNode+"=1")
+	p.cmd.Env = append(os.Environ(), runNodeEnv+"=1")
 	p.cmd.Stderr = os.Stderr
 	out, err := p.cmd.StdoutPipe()
 	qt.Assert(t, err, qt.IsNil)
@@ -65,8 +65,8 @@
 	return p
 }
 
-// logged reads the log up to the line of an event, and returns it.
-func (p *process) logged(event string) string {
+// awaitLog reads the log up to the line of an event and returns that line.
+func (p *process) awaitLog(event string) string {
 	p.t.Helper()
 	for p.log.Scan() {
 		if strings.Contains(p.log.Text(), event) {
@@ -77,7 +77,7 @@
 	return ""
 }
 
-// signal sends signals to the process.
+// signal sends signals to the process, in order.
 func (p *process) signal(list ...syscall.Signal) {
 	p.t.Helper()
 	for _, s := range list {
@@ -85,37 +85,38 @@
 	}
 }
 
-// ended reads the rest of the log and checks that the process has ended as planned.
-func (p *process) ended() {
+// awaitExit reads the rest of the log and checks that the process drained and exited cleanly.
+func (p *process) awaitExit() {
 	p.t.Helper()
-	p.logged("drained")
-	p.logged("node stopped")
+	p.awaitLog("drained")
+	p.awaitLog("node stopped")
 	qt.Check(p.t, p.cmd.Wait(), qt.IsNil)
 }
 
-// TestSignalsWhileStopping sends further signals while a process stops, with a request under way whose
-// head comes in over all of them. It must get its answer, and the process end as planned.
+// TestSignalsWhileStopping sends further signals to a process that is stopping while it still
+// receives the header of a request. The request must be answered, and the process must exit
+// cleanly.
 func TestSignalsWhileStopping(t *testing.T) {
 	tests := map[string][]syscall.Signal{
-		"none":               {},
-		"SIGTERM":            {syscall.SIGTERM},
-		"SIGTERM, often":     {syscall.SIGTERM, syscall.SIGTERM, syscall.SIGTERM},
-		"SIGHUP":             {syscall.SIGHUP},
-		"SIGINT":             {syscall.SIGINT},
-		"all of them, mixed": {syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP, syscall.SIGTERM},
+		"none":             {},
+		"SIGTERM":          {syscall.SIGTERM},
+		"repeated SIGTERM": {syscall.SIGTERM, syscall.SIGTERM, syscall.SIGTERM},
+		"SIGHUP":           {syscall.SIGHUP},
+		"SIGINT":           {syscall.SIGINT},
+		"mixed signals":    {syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP, syscall.SIGTERM},
 	}
 	for name, signals := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p := startProcess(t, "gracePeriod: 20s\nleaveDelay: 300ms\n")
-			p.logged("node started")
-			c, err := net.Dial("tcp", p.caller)
+			p.awaitLog("node started")
+			c, err := net.Dial("tcp", p.callerAddr)
 			qt.Assert(t, err, qt.IsNil)
 			defer c.Close()
 			_, err = io.WriteString(c, "GET / HTTP/1.1\r\n")
 			qt.Assert(t, err, qt.IsNil)
 			p.signal(syscall.SIGTERM)
-			p.logged("leaving")
+			p.awaitLog("leaving")
 			p.signal(signals...)
 			_, err = io.WriteString(c, "Host: service.example\r\n\r\n")
 			qt.Assert(t, err, qt.IsNil)
@@ -124,19 +125,19 @@
 			qt.Check(t, r.StatusCode, qt.Equals, http.StatusServiceUnavailable, qt.Commentf("no service is known"))
 			qt.Check(t, r.Close, qt.IsTrue)
 			for _, x := range signals {
-				_ = p.cmd.Process.Signal(x) // it may have ended
+				_ = p.cmd.Process.Signal(x) // the process may have exited
 			}
-			p.ended()
+			p.awaitExit()
 		})
 	}
 }
 
-// TestStopWhileStarting stops processes that have just started.
+// TestStopWhileStarting stops processes right after their start.
 func TestStopWhileStarting(t *testing.T) {
 	for range 5 {
 		p := startProcess(t, "gracePeriod: 20s\nleaveDelay: 10ms\n")
-		p.logged("node started")
+		p.awaitLog("node started")
 		p.signal(syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM)
-		p.ended()
+		p.awaitExit()
 	}
 }
