--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -94,7 +94,7 @@
 	discoveryPeriod = 2 * time.Second
 	// retryAfterDiscovery is the Retry-After during that period. After a simultaneous start
 	// of all nodes, most of them know the others within this time. A longer value would make
-	// the callers that were refused come back all at the same later moment.
+	// all refused callers retry at the same later moment.
 	retryAfterDiscovery = 250 * time.Millisecond
 )
 
@@ -155,7 +155,7 @@
 	if d.Quarantine.Assess(r.Fingerprint).State == quarantine.Isolated {
 		return s.pickIsolated(r.Fingerprint, unavailable)
 	}
-	// The responsive members are determined first: PickWithin holds the pool's lock, and
+	// The responsive members are determined first: PickWithMaxWait holds the pool's lock, and
 	// SetServices takes that lock while it holds the Dispatcher's.
 	responsive := d.responsive(s)
 	maxWait := r.maxLimitWait(refused)
@@ -170,12 +170,12 @@
 }
 
 // maxWaitFraction is the fraction of its objective that a request may wait under a limit
-// announced by an upstream. The rest is left for the request to run.
+// advertised by an upstream. The rest is left for the request to run.
 const maxWaitFraction = 0.5
 
-// maxLimitWait returns how long the request may wait under a limit. The first gate decides on its
-// own, because it knows the order of its queue. A request that it has refused is not sent to others
-// that are known to have no room for it either.
+// maxLimitWait returns how long the request may wait under an advertised limit, or 0 for no bound. The
+// first gate decides by itself, because it knows the order of its queue. A request that it has refused
+// is not sent to others that are known to have no room for it either.
 func (r *Request) maxLimitWait(refused []string) time.Duration {
 	if len(refused) == 0 {
 		return 0
--- a/entry/bodylink_test.go
+++ b/entry/bodylink_test.go
@@ -21,8 +21,8 @@
 	"sassafrasfront.example/verdict"
 )
 
-// takeBody acts as a gate that queues a call for the given time before it admits and runs it.
-func (w *simCluster) takeBody(node string, in *peer.InboundCall, queue time.Duration) {
+// queueAndRun acts as a gate that queues a call for the given time before it admits and runs it.
+func (w *simCluster) queueAndRun(node string, in *peer.InboundCall, queue time.Duration) {
 	if in.Call.EarlyBody {
 		if _, err := in.ReceiveBody(in.Context()); err != nil {
 			in.Fail(verdict.New(verdict.Revoked, err), nil)
@@ -61,14 +61,14 @@
 		faultAfter time.Duration // from the arrival of the call until the link falls silent
 		fault      func(h *simnet.Host)
 	}{
-		"ahead, nothing asked for":           {size: 120 << 10, fault: func(h *simnet.Host) { h.PauseLink(silence) }},
-		"ahead, requested over a lost path":  {size: 120 << 10, fault: func(h *simnet.Host) { h.PauseUplink(silence) }},
-		"ahead, partly sent":                 {size: 240 << 10, faultAfter: 50 * time.Millisecond, fault: func(h *simnet.Host) { h.PauseLink(silence) }},
-		"ahead, partly sent, one way silent": {size: 240 << 10, faultAfter: 50 * time.Millisecond, fault: func(h *simnet.Host) { h.PauseUplink(silence) }},
-		"stream, waits to be admitted":       {size: 300 << 10, stream: true, queue: time.Second, faultAfter: 50 * time.Millisecond, fault: func(h *simnet.Host) { h.PauseLink(silence) }},
-		"stream, admitted over a lost path":  {size: 300 << 10, stream: true, queue: 60 * time.Millisecond, faultAfter: 50 * time.Millisecond, fault: func(h *simnet.Host) { h.PauseUplink(silence) }},
-		"large, waits to be admitted":        {size: 300 << 10, queue: time.Second, faultAfter: 50 * time.Millisecond, fault: func(h *simnet.Host) { h.PauseLink(silence) }},
-		"ahead, process suspended":           {size: 120 << 10, fault: func(h *simnet.Host) { h.SuspendProcess(silence) }},
+		"early body, not requested":               {size: 120 << 10, fault: func(h *simnet.Host) { h.PauseLink(silence) }},
+		"early body, requested over a lost path":  {size: 120 << 10, fault: func(h *simnet.Host) { h.PauseUplink(silence) }},
+		"early body, partly sent":                 {size: 240 << 10, faultAfter: 50 * time.Millisecond, fault: func(h *simnet.Host) { h.PauseLink(silence) }},
+		"early body, partly sent, one way silent": {size: 240 << 10, faultAfter: 50 * time.Millisecond, fault: func(h *simnet.Host) { h.PauseUplink(silence) }},
+		"stream, waits to be admitted":            {size: 300 << 10, stream: true, queue: time.Second, faultAfter: 50 * time.Millisecond, fault: func(h *simnet.Host) { h.PauseLink(silence) }},
+		"stream, admitted over a lost path":       {size: 300 << 10, stream: true, queue: 60 * time.Millisecond, faultAfter: 50 * time.Millisecond, fault: func(h *simnet.Host) { h.PauseUplink(silence) }},
+		"large, waits to be admitted":             {size: 300 << 10, queue: time.Second, faultAfter: 50 * time.Millisecond, fault: func(h *simnet.Host) { h.PauseLink(silence) }},
+		"early body, process suspended":           {size: 120 << 10, fault: func(h *simnet.Host) { h.SuspendProcess(silence) }},
 	} {
 		for kind, idempotent := range map[string]bool{"idempotent": true, "not idempotent": false} {
 			t.Run(name+", "+kind, func(t *testing.T) {
@@ -90,7 +90,7 @@
 								time.Sleep(time.Millisecond)
 							}
 						}
-						w.takeBody(node, in, test.queue)
+						w.queueAndRun(node, in, test.queue)
 					}
 					time.Sleep(time.Second)
 					r := w.request(idempotent, test.size)
@@ -139,10 +139,10 @@
 // a connection, to a peer that does not read for some time.
 func fullBuffer(t *testing.T, deadline func(i int) time.Duration) {
 	for name, suspended := range map[string]time.Duration{
-		"reads again in time":            linkSilence / 2,
-		"reads again after Silence":      2 * linkSilence,
-		"reads again after the deadline": 2 * time.Second,
-		"does not read again":            time.Hour,
+		"reads again in time":                   linkSilence / 2,
+		"reads again after the silence timeout": 2 * linkSilence,
+		"reads again after the deadline":        2 * time.Second,
+		"does not read again":                   time.Hour,
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/entry/canary.go
+++ b/entry/canary.go
@@ -21,7 +21,8 @@
 // excludeNone excludes no member.
 var excludeNone = []func(id string) bool{func(string) bool { return false }}
 
-// trustedCanaryShare is the share from which canaries also serve requests that others could not.
+// trustedCanaryShare is the canary share from which the canaries are trusted: they then also serve
+// requests that the other members could not serve.
 const trustedCanaryShare = 0.5
 
 // exclusions returns the groups of members to which a request may be sent, in the order of
--- a/entry/deadnode_test.go
+++ b/entry/deadnode_test.go
@@ -71,8 +71,9 @@
 	return ""
 }
 
-// answerAfter returns a handler that answers each call with the id of its node after the given time.
-func answerAfter(d time.Duration) func(node string, in *peer.InboundCall) {
+// respondAfter returns a handler that responds to each call with the id of its node after the given
+// time.
+func respondAfter(d time.Duration) func(node string, in *peer.InboundCall) {
 	return func(node string, in *peer.InboundCall) {
 		time.Sleep(d)
 		_ = in.Reply(&peer.ResponseHead{Status: 200, Body: []byte(node)})
@@ -112,10 +113,10 @@
 						time.Sleep(test.powerOffAfter)
 						w.Host(node).PowerOff()
 						offAt = time.Now()
-						time.Sleep(time.Minute) // its process is gone and does not answer
+						time.Sleep(time.Minute) // its process is gone and does not respond
 						return
 					}
-					answerAfter(100*time.Millisecond)(node, in)
+					respondAfter(100*time.Millisecond)(node, in)
 				}
 				time.Sleep(time.Second)
 				began := time.Now()
@@ -168,7 +169,7 @@
 						time.Sleep(time.Minute)
 						return
 					}
-					answerAfter(20*time.Millisecond)(node, in)
+					respondAfter(20*time.Millisecond)(node, in)
 				}
 				time.Sleep(time.Second)
 				var all sync.WaitGroup
@@ -234,7 +235,7 @@
 					w.dispatcher.Close()
 				})
 			}
-			w.takeBody(node, in, 0)
+			w.queueAndRun(node, in, 0)
 		}
 		time.Sleep(time.Second)
 		opened, _ := w.dials.counts()
--- a/entry/dialing_test.go
+++ b/entry/dialing_test.go
@@ -17,17 +17,17 @@
 	"sassafrasfront.example/verdict"
 )
 
-// TestRequestWhileDialling guards against requests that are held beyond their response, their deadline,
-// their caller's departure or the stop of the entry node, because another node to which they are to
-// be sent is being dialled and does not respond.
+// TestRequestWhileDialling guards against requests that are held past the first response, their
+// deadline, their caller's departure or the stop of the entry node, because another node to which
+// they are to be sent is being dialled and does not respond.
 func TestRequestWhileDialling(t *testing.T) {
 	const (
 		event  = linkSilence + 100*time.Millisecond // while the other node is dialled
 		notRun = verdict.Cause("any that says that it has not run")
 	)
 	for name, test := range map[string]struct {
-		alone    bool          // whether the only gate is the one that does not answer
-		work     time.Duration // how long the gate that answers takes
+		onlyGate bool          // whether the only gate is the one that does not respond
+		work     time.Duration // how long the gate that responds takes
 		deadline time.Duration
 		leaves   bool // whether the caller leaves at the event
 		stops    bool // whether the entry node stops at the event
@@ -38,31 +38,31 @@
 		"its deadline passes":                    {work: time.Minute, deadline: event, want: verdict.TimedOut, after: event},
 		"the caller leaves":                      {work: time.Minute, deadline: time.Minute, leaves: true, want: verdict.CallerGone, after: event},
 		"the entry node stops":                   {work: time.Minute, deadline: time.Minute, stops: true, want: verdict.Stopped, after: event},
-		"its deadline passes before any attempt": {alone: true, deadline: linkHandshake / 2, want: notRun, after: linkHandshake / 2},
+		"its deadline passes before any attempt": {onlyGate: true, deadline: linkHandshake / 2, want: notRun, after: linkHandshake / 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				gates := 2
-				if test.alone {
+				if test.onlyGate {
 					gates = 1
 				}
 				w := newSimCluster(gates, fastNetwork(), retryConfig(), 0)
 				defer w.stop()
-				answers := "gate0"
+				responder := "gate0"
 				w.handle = func(node string, in *peer.InboundCall) {
 					if in.Call.Target == "/find" {
-						answers = node
-						answerAfter(0)(node, in)
+						responder = node
+						respondAfter(0)(node, in)
 						return
 					}
 					w.Host(node).PauseUplink(event)
-					answerAfter(test.work)(node, in)
+					respondAfter(test.work)(node, in)
 				}
 				time.Sleep(time.Second)
 				_, err := w.sendTo("/find", false)
 				qt.Assert(t, err, qt.IsNil)
 				for _, h := range w.gates { // the other gate's connections end, and it can't be dialled
-					if test.alone || h != w.Host(answers) {
+					if test.onlyGate || h != w.Host(responder) {
 						h.ResetConnections()
 						time.Sleep(2 * linkDelay)
 						h.PowerOff()
@@ -95,7 +95,7 @@
 				qt.Assert(t, failed == nil, qt.IsTrue, qt.Commentf("%v", failed))
 				data, err := io.ReadAll(result.Body)
 				qt.Check(t, err, qt.IsNil)
-				qt.Check(t, string(data), qt.Equals, answers)
+				qt.Check(t, string(data), qt.Equals, responder)
 				result.Close()
 			})
 		})
--- a/entry/discovery_test.go
+++ b/entry/discovery_test.go
@@ -35,7 +35,7 @@
 		leave     time.Duration
 		regions   []string
 		objective time.Duration // the objective; the deadline is one second
-		sent      bool          // whether the request is sent to an upstream, which does not answer
+		sent      bool          // whether the request is sent to an upstream, which does not respond
 		want      verdict.Cause // if it is not sent
 		after     time.Duration
 	}{
--- a/entry/do.go
+++ b/entry/do.go
@@ -245,12 +245,12 @@
 // answered, or a failure, or neither if it has to be called again.
 func (o *operation) awaitEvent(policy retry.Policy) (*attempt, *verdict.Error) {
 	var ready, silent [2]<-chan struct{}
-	var informs <-chan *peer.Informational
+	var informational <-chan *peer.Informational
 	for i, a := range o.open {
 		ready[i], silent[i] = a.exchange.Ready(), a.silentChan()
 	}
 	if len(o.open) > 0 {
-		informs = o.open[0].exchange.Informational()
+		informational = o.open[0].exchange.Informational()
 	}
 	var started <-chan struct{}
 	if o.pending != nil {
@@ -265,7 +265,7 @@
 		return o.recordResult(1)
 	case <-started:
 		return nil, o.recordStarted()
-	case m := <-informs:
+	case m := <-informational:
 		if o.request.OnInformational != nil {
 			o.request.OnInformational(m)
 		}
@@ -319,7 +319,7 @@
 }
 
 // abandon ends all open attempts with e, without waiting for their peers. If no attempt has been
-// sent, it returns the failure to start one, by which the request has not run.
+// sent, it returns the failure to start one instead, which says that the request has not run.
 func (o *operation) abandon(e *verdict.Error) *verdict.Error {
 	if o.pending != nil {
 		<-o.pending.done // returns at the latest when the deadline passes or the caller leaves
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -34,7 +34,7 @@
 // gateFunc handles one call at a simulated gate.
 type gateFunc func(in *peer.InboundCall)
 
-func answer(in *peer.InboundCall) {
+func respond(in *peer.InboundCall) {
 	_ = in.Reply(&peer.ResponseHead{Status: 200, Body: []byte("done")})
 }
 
@@ -42,7 +42,7 @@
 	return func(in *peer.InboundCall) { in.Fail(verdict.New(c, nil), nil) }
 }
 
-// hang does not answer, and fails as a gate does when the call's deadline passes.
+// hang does not respond, and fails as a gate does when the call's deadline passes.
 func hang(in *peer.InboundCall) {
 	<-in.Context().Done()
 	in.Fail(verdict.As(context.Cause(in.Context()), verdict.TimedOut), nil)
@@ -158,23 +158,23 @@
 		idempotent bool
 		timeout    time.Duration
 		stream     bool
-		want       verdict.Cause // empty for an answer
+		want       verdict.Cause // empty for a response
 		calls      int
 		gates      int // 3 if 0
 	}{
-		"answered":                               {handlers: []gateFunc{answer}, calls: 1},
-		"refused once, POST":                     {handlers: []gateFunc{fail(verdict.Refused), answer}, calls: 2},
+		"answered":                               {handlers: []gateFunc{respond}, calls: 1},
+		"refused once, POST":                     {handlers: []gateFunc{fail(verdict.Refused), respond}, calls: 2},
 		"refused by all":                         {handlers: []gateFunc{fail(verdict.Refused)}, want: verdict.Refused, calls: 3},
 		"refused by the only one":                {handlers: []gateFunc{fail(verdict.Refused)}, gates: 1, want: verdict.Refused, calls: 1},
-		"draining, streamed":                     {handlers: []gateFunc{fail(verdict.Draining), answer}, stream: true, calls: 2},
-		"upstream lost, POST":                    {handlers: []gateFunc{fail(verdict.UpstreamLost), answer}, want: verdict.UpstreamLost, calls: 1},
-		"upstream lost, GET":                     {handlers: []gateFunc{fail(verdict.UpstreamLost), answer}, idempotent: true, calls: 2},
-		"answer invalid, GET":                    {handlers: []gateFunc{fail(verdict.ResponseInvalid), answer}, idempotent: true, want: verdict.ResponseInvalid, calls: 1},
+		"draining, streamed":                     {handlers: []gateFunc{fail(verdict.Draining), respond}, stream: true, calls: 2},
+		"upstream lost, POST":                    {handlers: []gateFunc{fail(verdict.UpstreamLost), respond}, want: verdict.UpstreamLost, calls: 1},
+		"upstream lost, GET":                     {handlers: []gateFunc{fail(verdict.UpstreamLost), respond}, idempotent: true, calls: 2},
+		"response invalid, GET":                  {handlers: []gateFunc{fail(verdict.ResponseInvalid), respond}, idempotent: true, want: verdict.ResponseInvalid, calls: 1},
 		"lost and then refused":                  {handlers: []gateFunc{fail(verdict.UpstreamLost), fail(verdict.Refused)}, idempotent: true, want: verdict.UpstreamLost, calls: 3},
-		"no answer in time":                      {handlers: []gateFunc{hang}, timeout: 50 * time.Millisecond, want: verdict.TimedOut, calls: 1},
-		"deadline already passed":                {handlers: []gateFunc{answer}, timeout: -1, want: verdict.DeadlinePassed},
+		"no response in time":                    {handlers: []gateFunc{hang}, timeout: 50 * time.Millisecond, want: verdict.TimedOut, calls: 1},
+		"deadline already passed":                {handlers: []gateFunc{respond}, timeout: -1, want: verdict.DeadlinePassed},
 		"refused, no time for another attempt":   {handlers: []gateFunc{func(in *peer.InboundCall) { time.Sleep(60 * time.Millisecond); fail(verdict.Refused)(in) }}, timeout: 50 * time.Millisecond, want: verdict.TimedOut, calls: 1},
-		"upstream says not run, within a budget": {handlers: []gateFunc{fail(verdict.UpstreamRefused), answer}, calls: 2},
+		"upstream says not run, within a budget": {handlers: []gateFunc{fail(verdict.UpstreamRefused), respond}, calls: 2},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -235,14 +235,14 @@
 		want          int
 		calls         int
 	}{
-		"error rate stands out":         {handlers: []gateFunc{failing(0.5), answer}, want: 200, calls: 2},
-		"error rate does not stand out": {handlers: []gateFunc{failing(0.1), answer}, want: 500, calls: 1},
-		"not idempotent":                {handlers: []gateFunc{failing(0.5), answer}, notIdempotent: true, want: 500, calls: 1},
-		"two errors":                    {handlers: []gateFunc{failing(0.5), failing(0.5), answer}, want: 500, calls: 2},
+		"error rate stands out":         {handlers: []gateFunc{failing(0.5), respond}, want: 200, calls: 2},
+		"error rate does not stand out": {handlers: []gateFunc{failing(0.1), respond}, want: 500, calls: 1},
+		"not idempotent":                {handlers: []gateFunc{failing(0.5), respond}, notIdempotent: true, want: 500, calls: 1},
+		"two errors":                    {handlers: []gateFunc{failing(0.5), failing(0.5), respond}, want: 500, calls: 2},
 		"second attempt is lost":        {handlers: []gateFunc{failing(0.5), fail(verdict.UpstreamLost), fail(verdict.UpstreamLost)}, want: 500, calls: 3},
-		"one upstream allowed":          {handlers: []gateFunc{failing(0.5), answer}, maxAttempts: 1, want: 500, calls: 1},
-		"not configured":                {handlers: []gateFunc{failing(0.5), answer}, retry: operator.Retry{MaxAttempts: 3, Ratio: 0.1, Burst: 5}, want: 500, calls: 1},
-		"no budget":                     {handlers: []gateFunc{failing(0.5), answer}, retry: operator.Retry{MaxAttempts: 3, Ratio: 1e-9, Burst: 1e-9, OnError: true}, want: 500, calls: 1},
+		"one upstream allowed":          {handlers: []gateFunc{failing(0.5), respond}, maxAttempts: 1, want: 500, calls: 1},
+		"not configured":                {handlers: []gateFunc{failing(0.5), respond}, retry: operator.Retry{MaxAttempts: 3, Ratio: 0.1, Burst: 5}, want: 500, calls: 1},
+		"no budget":                     {handlers: []gateFunc{failing(0.5), respond}, retry: operator.Retry{MaxAttempts: 3, Ratio: 1e-9, Burst: 1e-9, OnError: true}, want: 500, calls: 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -286,9 +286,9 @@
 			const warmUp = 64
 			handlers := make([]gateFunc, warmUp, warmUp+2)
 			for i := range handlers {
-				handlers[i] = answer
+				handlers[i] = respond
 			}
-			d, g := newDispatcher(t, config, 2, append(handlers, test.slow, answer)...)
+			d, g := newDispatcher(t, config, 2, append(handlers, test.slow, respond)...)
 			send := func() *verdict.Error {
 				result, failed := d.Do(context.Background(), &entry.Request{
 					Service: "service", Method: "X", Target: "/",
--- a/entry/hedge.go
+++ b/entry/hedge.go
@@ -35,13 +35,13 @@
 // takeHedge takes one hedged attempt for an organisation from its budget, and
 // returns whether the budget had room for it.
 func (s *service) takeHedge(organisation string) bool {
-	if part := s.Config.Hedge.BudgetFraction; part > 0 {
-		return s.retryBudget.TakeFor(organisation, part)
+	if fraction := s.Config.Hedge.BudgetFraction; fraction > 0 {
+		return s.retryBudget.TakeFor(organisation, fraction)
 	}
 	return s.hedgeBudget.Take()
 }
 
-// handleSilence handles the silence of the node of an open attempt. The node may only be slow and
+// handleSilence handles the silence of the node of an open attempt. The node may merely be slow and
 // its upstream may be working on the request, so the attempt continues. An idempotent request is
 // also sent to another upstream, within the retry budget.
 func (o *operation) handleSilence(i int, policy retry.Policy) {
--- a/entry/isolate_test.go
+++ b/entry/isolate_test.go
@@ -43,14 +43,14 @@
 		want     verdict.Cause
 		calls    int
 	}{
-		"seen, lost and sent again":         {crashes: 1, handlers: []gateFunc{fail(verdict.UpstreamLost), answer}, calls: 2},
-		"seen, refused and sent again":      {crashes: 1, handlers: []gateFunc{fail(verdict.Refused), answer}, calls: 2},
-		"isolated, answered":                {crashes: 2, handlers: []gateFunc{answer}, calls: 1},
-		"isolated, lost":                    {crashes: 2, handlers: []gateFunc{fail(verdict.UpstreamLost), answer}, want: verdict.UpstreamLost, calls: 1},
-		"isolated, another runs there":      {crashes: 2, handlers: []gateFunc{fail(verdict.Refused), answer}, want: verdict.Refused, calls: 1},
-		"isolated, its upstream is gone":    {crashes: 2, handlers: []gateFunc{fail(verdict.Misrouted), answer}, calls: 2},
-		"blocked":                           {crashes: 3, handlers: []gateFunc{answer}, want: verdict.Quarantined},
-		"isolated, quarantined by the gate": {crashes: 2, handlers: []gateFunc{fail(verdict.Quarantined), answer}, want: verdict.Quarantined, calls: 1},
+		"seen, lost and sent again":         {crashes: 1, handlers: []gateFunc{fail(verdict.UpstreamLost), respond}, calls: 2},
+		"seen, refused and sent again":      {crashes: 1, handlers: []gateFunc{fail(verdict.Refused), respond}, calls: 2},
+		"isolated, answered":                {crashes: 2, handlers: []gateFunc{respond}, calls: 1},
+		"isolated, lost":                    {crashes: 2, handlers: []gateFunc{fail(verdict.UpstreamLost), respond}, want: verdict.UpstreamLost, calls: 1},
+		"isolated, another runs there":      {crashes: 2, handlers: []gateFunc{fail(verdict.Refused), respond}, want: verdict.Refused, calls: 1},
+		"isolated, its upstream is gone":    {crashes: 2, handlers: []gateFunc{fail(verdict.Misrouted), respond}, calls: 2},
+		"blocked":                           {crashes: 3, handlers: []gateFunc{respond}, want: verdict.Quarantined},
+		"isolated, quarantined by the gate": {crashes: 2, handlers: []gateFunc{fail(verdict.Quarantined), respond}, want: verdict.Quarantined, calls: 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -78,7 +78,7 @@
 // sent to the same upstream, and different requests to different ones.
 func TestIsolatedRequestsMeet(t *testing.T) {
 	const nodes, requests = 5, 40
-	d, g := newDispatcher(t, operator.Service{}, 6, answer)
+	d, g := newDispatcher(t, operator.Service{}, 6, respond)
 	members := make(map[string]bool)
 	for i := range requests {
 		target := fmt.Sprint("/", i)
--- a/entry/memberchange_test.go
+++ b/entry/memberchange_test.go
@@ -55,7 +55,7 @@
 				}
 				var g *gates
 				var stop func()
-				d, g, stop = newSimDispatcher(config, test.after, refuseAndChange, answer)
+				d, g, stop = newSimDispatcher(config, test.after, refuseAndChange, respond)
 				defer stop()
 				defer time.Sleep(2 * time.Minute) // until the connections to former members are closed
 				d.SetServices(service(0, test.before))
--- a/entry/notice.go
+++ b/entry/notice.go
@@ -15,12 +15,12 @@
 )
 
 // noticeLifetime is how long a notice is kept after it was last received. An upstream that is leaving
-// keeps responding for many seconds, and one with a limit repeats it with each response.
+// keeps responding for many seconds, and one with a limit repeats its notice with each response.
 const noticeLifetime = 10 * time.Minute
 
-// notices holds the latest notice of each node's upstream about the requests that it accepts. They
-// outlive the connection to the node and its process: a process that is started there anew learns
-// from calls which notice its predecessor received. The zero value is empty.
+// notices holds the latest notice of each node's upstream about the requests that it accepts. A
+// notice outlives the connection to the node and the node's process: a new process of the node
+// learns from calls which notice its predecessor received. The zero value is empty.
 type notices struct {
 	count atomic.Int64 // lets get skip the lock while there are none
 
@@ -47,7 +47,7 @@
 	}
 	now := time.Now()
 	if _, known := n.byNode[node]; !known {
-		maps.DeleteFunc(n.byNode, func(_ string, h ReceivedNotice) bool { return now.Sub(h.ReceivedAt) > noticeLifetime })
+		maps.DeleteFunc(n.byNode, func(_ string, r ReceivedNotice) bool { return now.Sub(r.ReceivedAt) > noticeLifetime })
 	}
 	if n.byNode == nil {
 		n.byNode = make(map[string]ReceivedNotice)
--- a/entry/regions_test.go
+++ b/entry/regions_test.go
@@ -30,15 +30,15 @@
 		want     verdict.Cause
 		calls    int
 	}{
-		"all":                    {handlers: []gateFunc{answer}, calls: 1},
-		"one":                    {allowed: []string{"r1"}, handlers: []gateFunc{answer}, calls: 1},
-		"two":                    {allowed: []string{"r1", "r2"}, handlers: []gateFunc{answer}, calls: 1},
-		"one, sent again":        {allowed: []string{"r1"}, handlers: []gateFunc{fail(verdict.UpstreamLost), answer}, calls: 2},
+		"all":                    {handlers: []gateFunc{respond}, calls: 1},
+		"one":                    {allowed: []string{"r1"}, handlers: []gateFunc{respond}, calls: 1},
+		"two":                    {allowed: []string{"r1", "r2"}, handlers: []gateFunc{respond}, calls: 1},
+		"one, sent again":        {allowed: []string{"r1"}, handlers: []gateFunc{fail(verdict.UpstreamLost), respond}, calls: 2},
 		"one, refused":           {allowed: []string{"r1"}, handlers: []gateFunc{fail(verdict.Refused)}, want: verdict.Refused, calls: 2},
 		"one, cut off":           {allowed: []string{"r1"}, handlers: []gateFunc{fail(verdict.NotWritten)}, want: verdict.NotWritten, calls: 6},
-		"one, isolated":          {allowed: []string{"r1"}, crashes: 2, handlers: []gateFunc{answer}, calls: 1},
+		"one, isolated":          {allowed: []string{"r1"}, crashes: 2, handlers: []gateFunc{respond}, calls: 1},
 		"one, isolated, cut off": {allowed: []string{"r1"}, crashes: 2, handlers: []gateFunc{fail(verdict.NotWritten)}, want: verdict.NoUpstream, calls: 2},
-		"region without members": {allowed: []string{"r9"}, handlers: []gateFunc{answer}, want: verdict.NoUpstream},
+		"region without members": {allowed: []string{"r9"}, handlers: []gateFunc{respond}, want: verdict.NoUpstream},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/entry/replacedlink_test.go
+++ b/entry/replacedlink_test.go
@@ -81,7 +81,7 @@
 					if in.Call.Target == "/old" {
 						work = 400 * time.Millisecond
 					}
-					answerAfter(work)(node, in)
+					respondAfter(work)(node, in)
 				}
 				time.Sleep(time.Second)
 				opened, _ := w.dials.counts()
@@ -132,7 +132,7 @@
 			limits := peer.Limits{SilenceTimeout: linkSilence, HandshakeTimeout: linkHandshake, IdleTimeout: idle}
 			w := newSimClusterWithin(limits, 1, fastNetwork(), noRetryConfig(), 0)
 			defer w.stop()
-			w.handle = answerAfter(10 * time.Millisecond)
+			w.handle = respondAfter(10 * time.Millisecond)
 			for i := -40; i <= 40; i++ {
 				var all sync.WaitGroup
 				for j := range 4 { // start at the moment of closing and around it
@@ -154,7 +154,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			w := newSimCluster(1, fastNetwork(), noRetryConfig(), 0)
 			defer w.stop()
-			w.handle = answerAfter(10 * time.Millisecond)
+			w.handle = respondAfter(10 * time.Millisecond)
 			for i := range 20 {
 				time.Sleep(time.Second)
 				var all sync.WaitGroup
@@ -179,7 +179,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			w := newSimCluster(1, fastNetwork(), noRetryConfig(), 0)
 			defer w.stop()
-			w.handle = answerAfter(2 * time.Minute)
+			w.handle = respondAfter(2 * time.Minute)
 			r := w.request(false, 0)
 			r.Deadline = time.Now().Add(5 * time.Minute)
 			time.AfterFunc(time.Second, func() { w.dispatcher.SetServices(nil) })
@@ -218,7 +218,7 @@
 		second func(w *simCluster, node string, in *peer.InboundCall)
 		winner int
 	}{
-		"first attempt answers later": {
+		"first attempt responds later": {
 			first:  func(_ *simCluster, _ string, in *peer.InboundCall) { time.Sleep(time.Second); whole(in) },
 			second: func(_ *simCluster, _ string, in *peer.InboundCall) { whole(in) },
 			winner: 1,
@@ -256,7 +256,7 @@
 				in.Fail(verdict.New(verdict.Refused, nil), nil)
 			},
 		},
-		"both nodes silent, first attempt answers": {
+		"both nodes silent, first attempt responds": {
 			first: func(w *simCluster, node string, in *peer.InboundCall) {
 				w.Host(node).PauseLink(1500 * time.Millisecond)
 				time.Sleep(time.Second)
@@ -275,7 +275,7 @@
 				w.handle = func(node string, in *peer.InboundCall) {
 					switch {
 					case in.Call.Target != "/":
-						answerAfter(20*time.Millisecond)(node, in)
+						respondAfter(20*time.Millisecond)(node, in)
 					case in.Call.Attempt == 1:
 						test.first(w, node, in)
 					case in.Call.Attempt == 2:
@@ -321,8 +321,8 @@
 		attempts      int
 		informational int
 	}{
-		"an answer has begun": {handle: slowly, attempts: 1},
-		"an informational answer has come": {
+		"a response has begun": {handle: slowly, attempts: 1},
+		"an informational response has arrived": {
 			handle: func(w *simCluster, node string, in *peer.InboundCall) {
 				_ = in.SendInformational(103, nil)
 				time.Sleep(10 * time.Millisecond)
--- a/entry/request.go
+++ b/entry/request.go
@@ -68,7 +68,7 @@
 		Header:       r.Header,
 		Remaining:    time.Until(r.Deadline),
 		Streams:      r.Spooled != nil || r.Stream != nil || len(r.Body) > MaxInlineBodyBytes,
-		EarlyBody:    r.sendsBodyAhead(),
+		EarlyBody:    r.sendsEarlyBody(),
 		Length:       r.Length,
 		Attempt:      attempt,
 		Fingerprint:  r.Fingerprint,
@@ -85,9 +85,9 @@
 // occupy a link of 10 Mbit/s for 150 ms.
 const MaxInlineBodyBytes = 8 << 10
 
-// sendsBodyAhead returns whether the body may be sent before the call is admitted. It must be
+// sendsEarlyBody returns whether the body may be sent before the call is admitted. It must be
 // possible to send it again from its start if the call is refused.
-func (r *Request) sendsBodyAhead() bool {
+func (r *Request) sendsEarlyBody() bool {
 	return r.Length > MaxInlineBodyBytes && r.Length <= peer.MaxEarlyBodyBytes && r.Stream == nil
 }
 
--- a/entry/retryafter.go
+++ b/entry/retryafter.go
@@ -45,7 +45,7 @@
 	return len(o.refused) > 0 && info.Verdict == verdict.NotRun && info.RetryElsewhere
 }
 
-// recordExpectedWait records the wait that a gate expects which refused the request.
+// recordExpectedWait records the wait that is expected by a gate which refused the request.
 func (o *operation) recordExpectedWait(e *verdict.Error) {
 	if e.Cause == verdict.Refused && e.RetryAfter > 0 && (o.expectedWait == 0 || e.RetryAfter < o.expectedWait) {
 		o.expectedWait = e.RetryAfter
--- a/entry/retryafter_test.go
+++ b/entry/retryafter_test.go
@@ -30,14 +30,14 @@
 		maxAttempts int
 		least, most time.Duration
 	}{
-		"all are full":              {handlers: []gateFunc{fail(verdict.Refused)}, maxAttempts: 3, least: 112 * ms, most: 188 * ms},
-		"all are full, few tries":   {handlers: []gateFunc{fail(verdict.Refused)}, maxAttempts: 2, least: 112 * ms, most: 188 * ms},
-		"all are full for long":     {handlers: []gateFunc{refuse(verdict.Refused, 900*ms), refuse(verdict.Refused, 700*ms), refuse(verdict.Refused, 800*ms)}, maxAttempts: 3, least: 700 * ms, most: 700 * ms},
-		"all have just slowed down": {handlers: []gateFunc{fail(verdict.Slowed)}, maxAttempts: 2, least: 112 * ms, most: 188 * ms},
-		"upstreams refuse":          {handlers: []gateFunc{fail(verdict.UpstreamRefused)}, maxAttempts: 2, least: 30 * ms, most: 70 * ms},
-		"upstreams ask for more":    {handlers: []gateFunc{refuse(verdict.UpstreamRefused, 2*time.Second)}, maxAttempts: 2, least: 2 * time.Second, most: 2 * time.Second},
-		"all but one that is gone":  {handlers: []gateFunc{fail(verdict.Refused), fail(verdict.Refused), fail(verdict.UpstreamDialFailed)}, maxAttempts: 3, least: 112 * ms, most: 188 * ms},
-		"no connection":             {handlers: []gateFunc{fail(verdict.UpstreamDialFailed)}, maxAttempts: 2, least: time.Second, most: time.Second},
+		"all are full":               {handlers: []gateFunc{fail(verdict.Refused)}, maxAttempts: 3, least: 112 * ms, most: 188 * ms},
+		"all are full, few attempts": {handlers: []gateFunc{fail(verdict.Refused)}, maxAttempts: 2, least: 112 * ms, most: 188 * ms},
+		"all are full for long":      {handlers: []gateFunc{refuse(verdict.Refused, 900*ms), refuse(verdict.Refused, 700*ms), refuse(verdict.Refused, 800*ms)}, maxAttempts: 3, least: 700 * ms, most: 700 * ms},
+		"all have just slowed down":  {handlers: []gateFunc{fail(verdict.Slowed)}, maxAttempts: 2, least: 112 * ms, most: 188 * ms},
+		"upstreams refuse":           {handlers: []gateFunc{fail(verdict.UpstreamRefused)}, maxAttempts: 2, least: 30 * ms, most: 70 * ms},
+		"upstreams ask for more":     {handlers: []gateFunc{refuse(verdict.UpstreamRefused, 2*time.Second)}, maxAttempts: 2, least: 2 * time.Second, most: 2 * time.Second},
+		"all but one that is gone":   {handlers: []gateFunc{fail(verdict.Refused), fail(verdict.Refused), fail(verdict.UpstreamDialFailed)}, maxAttempts: 3, least: 112 * ms, most: 188 * ms},
+		"no connection":              {handlers: []gateFunc{fail(verdict.UpstreamDialFailed)}, maxAttempts: 2, least: time.Second, most: time.Second},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/entry/retryshare.go
+++ b/entry/retryshare.go
@@ -21,9 +21,9 @@
 }
 
 // compare orders by priority and then by objective, the least urgent first. Within a priority,
-// requests with a short objective are more urgent: a caller cannot retry them within it after a
-// refusal, and the callers of requests made within a run, which have such objectives, do not retry
-// at all.
+// requests with a short objective are more urgent: their callers cannot retry within the objective
+// after a refusal, and the callers of requests made within a run, which have such objectives, do not
+// retry at all.
 func (u urgency) compare(o urgency) int {
 	return cmp.Or(cmp.Compare(u.priority, o.priority), cmp.Compare(o.objective, u.objective))
 }
@@ -49,9 +49,9 @@
 	}
 	slices.SortFunc(ranks, urgency.compare)
 	ranks = slices.Compact(ranks)
-	parts := make(map[string]float64, len(config.Classes))
+	shares := make(map[string]float64, len(config.Classes))
 	for _, c := range config.Classes {
-		parts[c.Name] = retry.BudgetFraction(slices.Index(ranks, urgencyOf(c)), len(ranks), config.Retry.ReservedFraction)
+		shares[c.Name] = retry.BudgetFraction(slices.Index(ranks, urgencyOf(c)), len(ranks), config.Retry.ReservedFraction)
 	}
-	return parts
+	return shares
 }
--- a/entry/schedule_test.go
+++ b/entry/schedule_test.go
@@ -51,21 +51,21 @@
 // scheduledRequest is a random request and its result.
 type scheduledRequest struct {
 	*entry.Request
-	index    int
-	start    time.Duration
-	size     int
-	slow     time.Duration // how long the caller takes to send the body, or 0
-	timeout  time.Duration // until the deadline
-	queue    time.Duration // how long gates queue it
-	work     time.Duration // how long upstreams work on it
-	answer   int           // bytes of the response
-	sent     time.Time
-	runs     []string  // the nodes at which it has begun to run
-	began    time.Time // when its response began
-	ended    time.Time // when it was answered or given up
-	answered bool      // whether a response has begun
-	by       string    // the node that responded
-	failure  *verdict.Error
+	index         int
+	start         time.Duration
+	size          int
+	slow          time.Duration // how long the caller takes to send the body, or 0
+	timeout       time.Duration // until the deadline
+	queue         time.Duration // how long gates queue it
+	work          time.Duration // how long upstreams work on it
+	responseBytes int           // bytes of the response
+	sent          time.Time
+	runs          []string  // the nodes at which it has begun to run
+	began         time.Time // when its response began
+	ended         time.Time // when it was answered or given up
+	responded     bool      // whether a response has begun
+	respondedBy   string    // the node that responded
+	failure       *verdict.Error
 }
 
 // newSchedule returns the random schedule of a seed.
@@ -125,7 +125,7 @@
 		d.queue = s.between(0, time.Second)
 	}
 	if s.random.IntN(3) == 0 {
-		d.answer = s.random.IntN(360 << 10)
+		d.responseBytes = s.random.IntN(360 << 10)
 	}
 	d.Request = s.request(s.random.IntN(2) == 0, d.size)
 	d.Target = fmt.Sprint("/", i)
@@ -265,12 +265,12 @@
 		s.fail(d, "%d bytes of the body have arrived at %s", n, node)
 	}
 	time.Sleep(d.work)
-	if d.answer == 0 {
+	if d.responseBytes == 0 {
 		_ = in.Reply(&peer.ResponseHead{Status: 200, Body: []byte(node)})
 		return
 	}
-	_ = in.BeginResponse(&peer.ResponseHead{Status: 200, Length: int64(d.answer)})
-	if in.CopyBody(bytes.NewReader(make([]byte, d.answer))) == nil {
+	_ = in.BeginResponse(&peer.ResponseHead{Status: 200, Length: int64(d.responseBytes)})
+	if in.CopyBody(bytes.NewReader(make([]byte, d.responseBytes))) == nil {
 		_ = in.FinishResponse(nil)
 	}
 }
@@ -315,18 +315,18 @@
 		return
 	}
 	defer result.Close()
-	d.answered = true
+	d.responded = true
 	d.began = time.Now()
-	d.by = result.Node
+	d.respondedBy = result.Node
 	data, err := io.ReadAll(result.Body)
 	d.ended = time.Now()
 	switch {
 	case err != nil && !errors.As(err, &d.failure):
-		s.fail(d, "its answer ends with %v", err)
-	case err == nil && d.answer == 0 && string(data) != result.Node:
-		s.fail(d, "%s answers with the answer of %s", result.Node, data)
-	case err == nil && d.answer > 0 && len(data) != d.answer:
-		s.fail(d, "%d bytes of %d are taken for a whole answer", len(data), d.answer)
+		s.fail(d, "its response ends with %v", err)
+	case err == nil && d.responseBytes == 0 && string(data) != result.Node:
+		s.fail(d, "%s responds with the response of %s", result.Node, data)
+	case err == nil && d.responseBytes > 0 && len(data) != d.responseBytes:
+		s.fail(d, "%d bytes of %d are taken for a whole response", len(data), d.responseBytes)
 	}
 }
 
@@ -365,7 +365,7 @@
 		}
 	case verdict.PeerLost, verdict.ResponseTruncated:
 		if !s.proven(d) {
-			s.fail(d, "ends without proof as %v", d.failure)
+			s.fail(d, "ends as %v without proof that its node was lost", d.failure)
 		}
 	default:
 		if d.failure.Verdict() != verdict.NotRun {
@@ -404,7 +404,7 @@
 		return
 	}
 	until := d.ended
-	if d.answered {
+	if d.responded {
 		until = d.began
 	}
 	if over := until.Sub(d.Deadline); over > 0 {
@@ -413,7 +413,7 @@
 	if d.failure != nil && d.failure.Cause == verdict.Stopped && !slices.ContainsFunc(s.stops, d.ended.Equal) {
 		s.hold(d, "is held after the stop")
 	}
-	if d.answered && d.failure == nil {
+	if d.responded && d.failure == nil {
 		return // by another instance, or before the power failure
 	}
 	for i, step := range d.Steps {
@@ -428,7 +428,7 @@
 		}
 		bound = bound.Add(linkLossTime)
 		ended := d.ended
-		if d.answered && d.by != step.Node {
+		if d.responded && d.respondedBy != step.Node {
 			ended = d.began
 		}
 		for _, later := range d.Steps[i+1:] {
@@ -443,7 +443,7 @@
 	}
 }
 
-// begun returns whether a step is an attempt for which there was a connection.
+// begun returns whether a step is an attempt that was started on an open connection.
 func (d *scheduledRequest) begun(i int) bool {
 	if d.Steps[i].Event != entry.EventSent {
 		return false
@@ -467,8 +467,8 @@
 		if d.sent.IsZero() {
 			continue
 		}
-		fmt.Fprintf(b, "%s at %v for %v until %v, idempotent %v, %d bytes in %v, queue %v, work %v, answer %d: ended %v, answered %v, %v, runs %v\n",
-			d.Target, d.sent.Sub(s.began), d.timeout, d.Deadline.Sub(s.began), d.Idempotent, d.size, d.slow, d.queue, d.work, d.answer, d.ended.Sub(s.began), d.answered, d.failure, d.runs)
+		fmt.Fprintf(b, "%s at %v for %v until %v, idempotent %v, %d bytes in %v, queue %v, work %v, response %d: ended %v, responded %v, %v, runs %v\n",
+			d.Target, d.sent.Sub(s.began), d.timeout, d.Deadline.Sub(s.began), d.Idempotent, d.size, d.slow, d.queue, d.work, d.responseBytes, d.ended.Sub(s.began), d.responded, d.failure, d.runs)
 		for _, step := range d.Steps {
 			fmt.Fprintf(b, "    %v %s %s %s %v\n", d.sent.Sub(s.began)+step.After, step.Event, step.Node, step.Cause, step.Err)
 		}
--- a/entry/silentlink_test.go
+++ b/entry/silentlink_test.go
@@ -32,9 +32,9 @@
 	linkRate = 10e6 / 8
 	// linkWindow is the receive window of a connection in bytes.
 	linkWindow = 256 << 10
-	// linkUnderWay is how many bytes of request bodies a node on such a link allows its peers to have
-	// in transit to it.
-	linkUnderWay = 50 << 10
+	// linkInFlightBytes is how many bytes of request bodies a node on such a link allows its peers to
+	// have in transit to it.
+	linkInFlightBytes = 50 << 10
 	// linkWork is how long an upstream works on a request.
 	linkWork = 1500 * time.Millisecond
 )
@@ -67,14 +67,14 @@
 }
 
 // newSimCluster starts an entry node and n gates on a network. Their upstreams take linkWork for
-// each call and answer with the given number of bytes.
-func newSimCluster(n int, network *simnet.Network, config operator.Service, answer int) *simCluster {
+// each call and respond with the given number of bytes.
+func newSimCluster(n int, network *simnet.Network, config operator.Service, responseBytes int) *simCluster {
 	limits := peer.Limits{SilenceTimeout: linkSilence, HandshakeTimeout: linkHandshake}
-	return newSimClusterWithin(limits, n, network, config, answer)
+	return newSimClusterWithin(limits, n, network, config, responseBytes)
 }
 
 // newSimClusterWithin is like newSimCluster, with limits on the entry node's connections.
-func newSimClusterWithin(limits peer.Limits, n int, network *simnet.Network, config operator.Service, answer int) *simCluster {
+func newSimClusterWithin(limits peer.Limits, n int, network *simnet.Network, config operator.Service, responseBytes int) *simCluster {
 	w := &simCluster{
 		Network: network,
 		entry:   network.Host("entry"),
@@ -93,14 +93,14 @@
 		service.Members = append(service.Members, entry.Member{ID: addr, Addr: addr, Slots: 100})
 		server := &peer.Server{
 			Hello:  peer.Hello{Node: addr},
-			Limits: peer.Limits{SilenceTimeout: linkSilence, HandshakeTimeout: linkHandshake, MaxInFlightBytes: linkUnderWay},
+			Limits: peer.Limits{SilenceTimeout: linkSilence, HandshakeTimeout: linkHandshake, MaxInFlightBytes: linkInFlightBytes},
 			HandleCall: func(in *peer.InboundCall) {
 				w.recordArrival(addr, in)
 				if w.handle != nil {
 					w.handle(addr, in)
 					return
 				}
-				w.run(addr, in, answer)
+				w.run(addr, in, responseBytes)
 			},
 		}
 		listener := host.Listen()
@@ -158,7 +158,7 @@
 }
 
 // run simulates a gate and its upstream, which completes its work even if the call has ended.
-func (w *simCluster) run(node string, in *peer.InboundCall, answer int) {
+func (w *simCluster) run(node string, in *peer.InboundCall, responseBytes int) {
 	if in.Call.EarlyBody {
 		if _, err := in.ReceiveBody(in.Context()); err != nil {
 			return
@@ -179,12 +179,12 @@
 		w.mu.Unlock()
 		return
 	}
-	if answer == 0 {
+	if responseBytes == 0 {
 		_ = in.Reply(&peer.ResponseHead{Status: 200, Body: []byte(node)})
 		return
 	}
-	_ = in.BeginResponse(&peer.ResponseHead{Status: 200, Length: int64(answer)})
-	_ = in.CopyBody(bytes.NewReader(make([]byte, answer)))
+	_ = in.BeginResponse(&peer.ResponseHead{Status: 200, Length: int64(responseBytes)})
+	_ = in.CopyBody(bytes.NewReader(make([]byte, responseBytes)))
 	_ = in.FinishResponse(nil)
 }
 
@@ -251,7 +251,7 @@
 
 // TestAnswerOverSilentLink guards against requests that are answered with 502 while their
 // upstreams work on them, because a link or a process was silent for longer than
-// Limits.Silence.
+// Limits.SilenceTimeout.
 func TestAnswerOverSilentLink(t *testing.T) {
 	for name, fault := range map[string]func(w *simCluster){
 		"both ways for 0.7 s":                func(w *simCluster) { w.gates[0].PauseLink(700 * time.Millisecond) },
@@ -272,7 +272,7 @@
 }
 
 // TestAnswerOverShortSilence guards against requests that are answered with 502 while their
-// upstreams work on them, because of a silence no longer than Limits.Silence.
+// upstreams work on them, because of a silence no longer than Limits.SilenceTimeout.
 func TestAnswerOverShortSilence(t *testing.T) {
 	for name, fault := range map[string]func(w *simCluster){
 		"a packet is lost":                  func(w *simCluster) { w.gates[0].DropPackets(1) },
@@ -284,24 +284,24 @@
 
 // TestAnswerOverFullLink guards against requests that are answered with 502 while their
 // upstreams work on them, because the links between nodes were saturated with bodies for longer
-// than Limits.Silence.
+// than Limits.SilenceTimeout.
 func TestAnswerOverFullLink(t *testing.T) {
 	const size = 360 << 10
 	for name, test := range map[string]struct {
 		gates, bodies int
-		answer        int
+		responseBytes int
 	}{
 		"bodies to one gate":            {gates: 1, bodies: 8},
 		"bodies to four gates":          {gates: 4, bodies: 16},
 		"bodies to twelve gates":        {gates: 12, bodies: 60},
-		"bodies from one gate":          {gates: 1, answer: size},
-		"bodies from four gates":        {gates: 4, answer: size},
-		"bodies to and from one gate":   {gates: 1, bodies: 8, answer: size},
-		"bodies to and from four gates": {gates: 4, bodies: 32, answer: size},
+		"bodies from one gate":          {gates: 1, responseBytes: size},
+		"bodies from four gates":        {gates: 4, responseBytes: size},
+		"bodies to and from one gate":   {gates: 1, bodies: 8, responseBytes: size},
+		"bodies to and from four gates": {gates: 4, bodies: 32, responseBytes: size},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newSimCluster(test.gates, &simnet.Network{LinkBandwidth: linkRate, Latency: time.Millisecond, WindowBytes: linkWindow, UserTimeout: linkTimeout}, noRetryConfig(), test.answer)
+				w := newSimCluster(test.gates, &simnet.Network{LinkBandwidth: linkRate, Latency: time.Millisecond, WindowBytes: linkWindow, UserTimeout: linkTimeout}, noRetryConfig(), test.responseBytes)
 				defer w.stop()
 				time.Sleep(time.Second)
 				var requests sync.WaitGroup
--- a/entry/spooled_test.go
+++ b/entry/spooled_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// echo answers with the body.
+// echo responds with the body.
 func echo(in *peer.InboundCall) {
 	data, _ := io.ReadAll(in.Body())
 	_ = in.BeginResponse(&peer.ResponseHead{Status: 200, Length: int64(len(data))})
@@ -48,13 +48,13 @@
 		want     verdict.Cause
 		calls    int
 	}{
-		"answered":                      {handlers: []gateFunc{receiving(echo)}, calls: 1},
-		"refused at once":               {handlers: []gateFunc{fail(verdict.Refused), receiving(echo)}, calls: 2},
-		"refused with the body there":   {handlers: []gateFunc{receiving(fail(verdict.Refused)), receiving(echo)}, calls: 2},
-		"refused while the body comes":  {handlers: []gateFunc{func(in *peer.InboundCall) { time.Sleep(5 * time.Millisecond); fail(verdict.Refused)(in) }, receiving(echo)}, calls: 2},
-		"lost with the body there":      {handlers: []gateFunc{receiving(fail(verdict.UpstreamLost)), receiving(echo)}, want: verdict.UpstreamLost, calls: 1},
-		"drained with the body there":   {handlers: []gateFunc{receiving(fail(verdict.Draining)), receiving(fail(verdict.Refused)), receiving(echo)}, calls: 3},
-		"all refuse with it half there": {handlers: []gateFunc{fail(verdict.Refused)}, want: verdict.Refused, calls: 3},
+		"answered":                       {handlers: []gateFunc{receiving(echo)}, calls: 1},
+		"refused at once":                {handlers: []gateFunc{fail(verdict.Refused), receiving(echo)}, calls: 2},
+		"refused after the whole body":   {handlers: []gateFunc{receiving(fail(verdict.Refused)), receiving(echo)}, calls: 2},
+		"refused while the body arrives": {handlers: []gateFunc{func(in *peer.InboundCall) { time.Sleep(5 * time.Millisecond); fail(verdict.Refused)(in) }, receiving(echo)}, calls: 2},
+		"lost after the whole body":      {handlers: []gateFunc{receiving(fail(verdict.UpstreamLost)), receiving(echo)}, want: verdict.UpstreamLost, calls: 1},
+		"drained after the whole body":   {handlers: []gateFunc{receiving(fail(verdict.Draining)), receiving(fail(verdict.Refused)), receiving(echo)}, calls: 3},
+		"all refuse before its end":      {handlers: []gateFunc{fail(verdict.Refused)}, want: verdict.Refused, calls: 3},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/entry/step.go
+++ b/entry/step.go
@@ -36,9 +36,10 @@
 const (
 	EventSent   Event = "sent"
 	EventFailed Event = "failed"
-	// EventSilent means that a node with an open attempt has not been heard for a long time.
+	// EventSilent means that nothing has been received for a long time from a node with an open
+	// attempt.
 	EventSilent Event = "silent"
-	// EventAnswerHeld means that an error response is held back while the request is sent to another
+	// EventResponseHeld means that an error response is held back while the request is sent to another
 	// upstream.
 	EventResponseHeld Event = "answer set aside"
 )
@@ -71,7 +72,7 @@
 		return nil
 	}
 	a := o.open[0]
-	return fmt.Errorf("%d attempts open, the first for %v, its node last heard %v ago",
+	return fmt.Errorf("%d attempts open, the first for %v, last data from its node %v ago",
 		len(o.open), time.Since(a.startedAt).Round(time.Millisecond), a.exchange.SinceReceived().Round(time.Millisecond))
 }
 
--- a/entry/stop.go
+++ b/entry/stop.go
@@ -36,8 +36,8 @@
 // errStopped is the reason for which a stopped Dispatcher sends nothing.
 var errStopped = eris.New("this node is stopping")
 
-// stopError returns the failure of an attempt that a stopped Dispatcher is asked for, or nil if
-// it is not stopped.
+// stopError returns the failure of an attempt that is to be started after the Dispatcher has been
+// stopped, or nil if it has not been stopped.
 func (d *Dispatcher) stopError() *verdict.Error {
 	select {
 	case <-d.stopping.done():
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -56,7 +56,7 @@
 	return true
 }
 
-// bodyView is the body as seen by one attempt. It implements peer.Trailered.
+// bodyView is the body as seen by one attempt. It implements peer.TrailerReader.
 type bodyView struct {
 	once    *onceReader
 	attempt int
@@ -74,7 +74,7 @@
 	return v.once.body.Read(p)
 }
 
-// Trailer implements peer.Trailered.
+// Trailer implements peer.TrailerReader.
 func (v *bodyView) Trailer() []peer.Field {
 	if t, ok := v.once.body.(peer.TrailerReader); ok {
 		return t.Trailer()
