--- a/gate/admission.go
+++ b/gate/admission.go
@@ -43,9 +43,9 @@
 	return nil, nil, err
 }
 
-// checkSlowed returns why an admitted call is still sent to another node: the upstream has just
-// slowed down, and the sender could not know that yet. A call that another node has already
-// sent on is accepted.
+// checkSlowed returns a failure if an admitted call is to be sent to another node after all, because
+// the upstream has just slowed down and the sender could not know that yet. Only the first attempt of
+// a request is checked; a later one is accepted.
 func (g *Gate) checkSlowed(ctx context.Context, in *peer.InboundCall) *verdict.Error {
 	if g.ProbeLoad == nil || in.Call.Attempt != 1 {
 		return nil
--- a/gate/call.go
+++ b/gate/call.go
@@ -35,7 +35,7 @@
 	waited time.Duration
 	// bodyTime is how long the body took to arrive, if it was sent ahead of admission.
 	bodyTime time.Duration
-	body     *quarantine.BodyHasher // while it passes through, if the entry has not buffered it
+	body     *quarantine.BodyHasher // hashes the body as it passes through, if the entry node has not buffered it
 }
 
 // runRecovered calls run and turns a panic into a failure of the call: a fault that one request
@@ -87,14 +87,14 @@
 		e := verdict.As(err, verdict.BodyLost)
 		return verdict.New(verdict.Revoked, e)
 	}
-	judgment, unlock, failure := c.gate.isolate(c.in.Call.Fingerprint)
+	assessment, unlock, failure := c.gate.isolate(c.in.Call.Fingerprint)
 	if failure != nil {
 		return failure
 	}
 	defer unlock()
 	b.start.calls.Add(1)
 	defer b.start.calls.Add(-1)
-	run := c.track(b, judgment.State == quarantine.Isolated)
+	run := c.track(b, assessment.State == quarantine.Isolated)
 	defer run.End()
 	r, err := c.request(ctx, b)
 	if err != nil {
@@ -247,7 +247,7 @@
 // forwardResponse passes the upstream's response on. It calls ended once the upstream has sent all
 // of it, so that the slot is free before the last frame is written.
 func (c *call) forwardResponse(r *http.Response, ended func()) *verdict.Error {
-	a := &peer.ResponseHead{
+	head := &peer.ResponseHead{
 		Status: r.StatusCode,
 		Header: httpfield.FromHeader(r.Header),
 		Length: r.ContentLength,
@@ -257,34 +257,34 @@
 		QueueTime:    c.waited,
 	}
 	c.in.Notice = c.gate.peerNotice()
-	if len(a.Header) > peer.MaxFields {
-		return verdict.New(verdict.ResponseInvalid, eris.Errorf("%d header fields in the response", len(a.Header)))
+	if len(head.Header) > peer.MaxFields {
+		return verdict.New(verdict.ResponseInvalid, eris.Errorf("%d header fields in the response", len(head.Header)))
 	}
 	if r.ContentLength < 0 || r.ContentLength > maxSingleFrameBytes {
-		return c.streamResponse(r, a, ended)
+		return c.streamResponse(r, head, ended)
 	}
 	data, err := io.ReadAll(r.Body)
-	a.Body = data
+	head.Body = data
 	if err != nil && c.gate.Names.Signature != "" {
 		// Nothing of the response has been sent yet: another upstream may still give one.
 		return verdict.New(verdict.ResponseMalformed, err)
 	}
 	if err != nil {
 		// Send the header and the part of the body that was read, then report the truncation.
-		_ = c.in.BeginResponse(a)
+		_ = c.in.BeginResponse(head)
 		return verdict.As(err, verdict.ResponseTruncated)
 	}
 	ended()
-	a.Trailer = httpfield.FromHeader(r.Trailer)
-	if c.in.Reply(a) != nil {
+	head.Trailer = httpfield.FromHeader(r.Trailer)
+	if c.in.Reply(head) != nil {
 		return verdict.New(verdict.ResponseTruncated, nil)
 	}
 	return nil
 }
 
 // streamResponse passes on a response that is large or of unknown length.
-func (c *call) streamResponse(r *http.Response, a *peer.ResponseHead, ended func()) *verdict.Error {
-	if err := c.in.BeginResponse(a); err != nil {
+func (c *call) streamResponse(r *http.Response, head *peer.ResponseHead, ended func()) *verdict.Error {
+	if err := c.in.BeginResponse(head); err != nil {
 		return verdict.As(err, verdict.ResponseTruncated)
 	}
 	if err := c.in.CopyBody(r.Body); err != nil {
--- a/gate/crash.go
+++ b/gate/crash.go
@@ -47,7 +47,7 @@
 	if len(inFlight) == 0 {
 		return
 	}
-	suspects, isolatedSuspect := g.answers.Suspects(inFlight, isolated)
+	suspects, isolatedSuspect := g.responses.Suspects(inFlight, isolated)
 	g.UpstreamCrashed(b.announcement, suspects, isolatedSuspect)
 }
 
@@ -57,7 +57,7 @@
 	if !p.Complete() {
 		return
 	}
-	g.answers.Add(p)
+	g.responses.Add(p)
 	if g.SuspectCleared != nil && g.Quarantine.Assess(p).Crashes > 0 {
 		g.SuspectCleared(p)
 	}
@@ -67,19 +67,19 @@
 // one is running: runs take some hundred milliseconds.
 const isolatedRetryAfter = 100 * time.Millisecond
 
-// isolate returns the quarantine judgment of a request that is about to run, which may have
+// isolate returns the quarantine assessment of a request that is about to run, which may have
 // changed since the call arrived, and a function to call when the request ends. Only one isolated
 // request runs at a time, so that a crash of the upstream can be attributed to it.
-func (g *Gate) isolate(p quarantine.Fingerprint) (j quarantine.Assessment, unlock func(), failure *verdict.Error) {
-	j = g.Quarantine.Assess(p)
-	if failure := j.Failure(); failure != nil {
-		return j, nil, failure
+func (g *Gate) isolate(p quarantine.Fingerprint) (a quarantine.Assessment, unlock func(), failure *verdict.Error) {
+	a = g.Quarantine.Assess(p)
+	if failure := a.Failure(); failure != nil {
+		return a, nil, failure
 	}
-	if j.State != quarantine.Isolated {
-		return j, func() {}, nil
+	if a.State != quarantine.Isolated {
+		return a, func() {}, nil
 	}
 	if !g.isolatedMu.TryLock() {
-		return j, nil, verdict.New(verdict.Refused, nil).WithRetryAfter(isolatedRetryAfter)
+		return a, nil, verdict.New(verdict.Refused, nil).WithRetryAfter(isolatedRetryAfter)
 	}
-	return j, g.isolatedMu.Unlock, nil
+	return a, g.isolatedMu.Unlock, nil
 }
--- a/gate/crash_test.go
+++ b/gate/crash_test.go
@@ -148,7 +148,7 @@
 			},
 			crashed: true,
 		},
-		"its connections are reset, and it takes new ones": {
+		"its connections are reset, and it accepts new ones": {
 			before: func(w *quarantineFixture) { w.server.CloseClientConnections() },
 		},
 		"another start is announced, and its connections end": {
--- a/gate/evacuate_test.go
+++ b/gate/evacuate_test.go
@@ -114,14 +114,14 @@
 // before the node, an earlier process of the node may have sent it all that is allowed in the last
 // second; if both started together, as after a power loss, nothing was sent to it.
 func TestNodeStartsBesideColdUpstream(t *testing.T) {
-	const pace, calls = 5, 20
+	const maxAdmitted, calls = 5, 20
 	tests := map[string]struct {
 		cold       time.Duration // remaining cold time
 		configured bool          // before the upstream announces itself
 		want       int32
 	}{
-		"started together":                   {cold: 3 * time.Second, configured: true, want: pace},
-		"started together, configured later": {cold: 3 * time.Second, want: pace},
+		"started together":                   {cold: 3 * time.Second, configured: true, want: maxAdmitted},
+		"started together, configured later": {cold: 3 * time.Second, want: maxAdmitted},
 		"started before":                     {cold: 2 * time.Second, configured: true, want: 0},
 		"started before, configured later":   {cold: 2 * time.Second, want: 0},
 		"warm":                               {configured: true, want: calls},
@@ -133,7 +133,7 @@
 			r.gate = &gate.Gate{Tracer: r.gate.Tracer, Started: time.Now()}
 			r.serve(t)
 			config := operator.Service{
-				Cold:  operator.Cold{MaxAdmittedPerSecond: pace, MaxSentPerSecond: pace, AssumedDuration: operator.Duration(3 * time.Second)},
+				Cold:  operator.Cold{MaxAdmittedPerSecond: maxAdmitted, MaxSentPerSecond: maxAdmitted, AssumedDuration: operator.Duration(3 * time.Second)},
 				Queue: operator.Queue{MaxLength: calls, MaxWait: operator.Duration(10 * time.Millisecond)},
 			}.WithDefaults()
 			if test.configured {
@@ -159,15 +159,15 @@
 // are sent on than the cold limits allow, also if more were admitted, and the others are refused
 // without having run, with a retry delay. Once the upstream reports that it is warm, all are sent.
 func TestColdUpstream(t *testing.T) {
-	const pace, most, calls = 5, 7, 40
+	const maxAdmitted, maxSent, calls = 5, 7, 40
 	tests := map[string]struct {
 		cold operator.Cold
 		warm bool
 		want int32
 	}{
-		"cold":                    {cold: operator.Cold{MaxAdmittedPerSecond: pace, MaxSentPerSecond: most, AssumedDuration: operator.Duration(time.Minute)}, want: pace},
-		"admitted, then delayed":  {cold: operator.Cold{MaxSentPerSecond: most, AssumedDuration: operator.Duration(time.Minute)}, want: most},
-		"reports that it is warm": {cold: operator.Cold{MaxAdmittedPerSecond: pace, MaxSentPerSecond: most, AssumedDuration: operator.Duration(time.Minute)}, warm: true, want: calls},
+		"cold":                    {cold: operator.Cold{MaxAdmittedPerSecond: maxAdmitted, MaxSentPerSecond: maxSent, AssumedDuration: operator.Duration(time.Minute)}, want: maxAdmitted},
+		"admitted, then delayed":  {cold: operator.Cold{MaxSentPerSecond: maxSent, AssumedDuration: operator.Duration(time.Minute)}, want: maxSent},
+		"reports that it is warm": {cold: operator.Cold{MaxAdmittedPerSecond: maxAdmitted, MaxSentPerSecond: maxSent, AssumedDuration: operator.Duration(time.Minute)}, warm: true, want: calls},
 		"no limit is configured":  {want: calls},
 	}
 	for name, test := range tests {
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -47,7 +47,7 @@
 	// BroadcastReport, if not nil, sends a report to all nodes that send calls here. It is
 	// called when the upstream's speed has changed.
 	BroadcastReport func(*peer.Report)
-	// Inflow, if not nil, returns the rate at which bodies arrive at this node, as in peer.Server.
+	// LinkLoad, if not nil, returns the rate at which bodies arrive at this node, as in peer.Server.
 	LinkLoad func() (rate float64, backlog int)
 	// Reports decides which nodes get a load report with a response. Nil means that none does.
 	Reports *watch.Pacer[string]
@@ -85,7 +85,7 @@
 	sendLimit  coldstart.Limiter
 	current    atomic.Pointer[binding]
 	isolatedMu sync.Mutex // held while an isolated request runs
-	answers    quarantine.ResponseCounter
+	responses  quarantine.ResponseCounter
 	written    atomic.Uint64 // requests written so far
 
 	mu        sync.Mutex
@@ -242,8 +242,8 @@
 // usableSlots returns how many requests the upstream may run at once.
 func (g *Gate) usableSlots(a *upstream.Announcement) int {
 	slots := min(a.Slots, a.Connections)
-	if share := g.service.Queue.SlotFraction; share > 0 {
-		slots = max(1, int(share*float64(slots)))
+	if fraction := g.service.Queue.SlotFraction; fraction > 0 {
+		slots = max(1, int(fraction*float64(slots)))
 	}
 	return slots
 }
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -107,7 +107,7 @@
 func TestPanic(t *testing.T) {
 	tests := map[string]func(g *gate.Gate, fault func()){
 		"before it is sent": func(g *gate.Gate, fault func()) { g.ProbeLoad = func(context.Context) { fault() } },
-		"with its answer":   func(g *gate.Gate, fault func()) { g.SuspectCleared = func(quarantine.Fingerprint) { fault() } },
+		"with its response": func(g *gate.Gate, fault func()) { g.SuspectCleared = func(quarantine.Fingerprint) { fault() } },
 	}
 	for name, fault := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -138,8 +138,8 @@
 	}
 }
 
-// beforeSending is a tracer that calls a function between the admission of a call and its
-// sending.
+// beforeSending is a tracer that calls a function after a call has been admitted and before it is
+// sent.
 type beforeSending struct {
 	trace.Tracer
 	do func(ctx context.Context)
@@ -276,7 +276,7 @@
 		running--
 		mu.Unlock()
 	})
-	var answered, refused int
+	var completed, refused int
 	var all sync.WaitGroup
 	for range 60 {
 		all.Go(func() {
@@ -285,7 +285,7 @@
 			defer mu.Unlock()
 			switch {
 			case failure == nil:
-				answered++
+				completed++
 			case failure.Cause == verdict.Refused:
 				refused++
 			default:
@@ -297,8 +297,8 @@
 	mu.Lock()
 	defer mu.Unlock()
 	qt.Check(t, most <= 3, qt.IsTrue, qt.Commentf("%d at once", most))
-	qt.Check(t, answered+refused, qt.Equals, 60)
-	qt.Check(t, runs, qt.Equals, answered, qt.Commentf("what was refused must not have run"))
+	qt.Check(t, completed+refused, qt.Equals, 60)
+	qt.Check(t, runs, qt.Equals, completed, qt.Commentf("what was refused must not have run"))
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	qt.Check(t, len(r.loads) > 0, qt.IsTrue, qt.Commentf("responses and refusals carry load reports"))
@@ -343,8 +343,8 @@
 		probes.Add(1)
 		r.gate.ObserveLoad(upstream.Load{Slowdown: slowdown})
 	}
-	call := func(try int) verdict.Cause {
-		x, failure := r.client.Start(context.Background(), &peer.Call{Service: "service", Method: "GET", Target: "/", Remaining: time.Second, Attempt: try}, nil)
+	call := func(attempt int) verdict.Cause {
+		x, failure := r.client.Start(context.Background(), &peer.Call{Service: "service", Method: "GET", Target: "/", Remaining: time.Second, Attempt: attempt}, nil)
 		qt.Assert(t, failure == nil, qt.IsTrue)
 		defer x.Close()
 		<-x.Ready()
--- a/gate/notice.go
+++ b/gate/notice.go
@@ -12,10 +12,10 @@
 	"sassafrasfront.example/upstream"
 )
 
-// NoticeState is what the upstream has said about the requests that it accepts, and how much
-// of its advertised limit is used.
+// NoticeState is what a start of the upstream has said about the requests that it accepts, and how
+// much of its advertised limit is used.
 type NoticeState struct {
-	// Start is the ID of the start that has said it.
+	// StartID is the ID of the start.
 	StartID string
 	// Limit is its advertised limit.
 	Limit throttle.State
--- a/gate/notice_test.go
+++ b/gate/notice_test.go
@@ -73,14 +73,14 @@
 }
 
 // announce announces a start of the upstream.
-func (n *noticeFixture) announce(start string, born int64) {
+func (n *noticeFixture) announce(start string, startMillis int64) {
 	n.gate.SetAnnouncement(&upstream.Announcement{
 		Service:     "service",
 		Address:     n.address,
 		Slots:       n.slots,
 		Connections: n.slots,
 		StartID:     start,
-		StartMillis: born,
+		StartMillis: startMillis,
 	})
 }
 
@@ -125,7 +125,7 @@
 		status  int
 		limited bool
 		limit   float64
-		faults  int
+		invalid int
 	}{
 		"nothing":          {},
 		"a limit":          {fields: []string{limitField, "7.5"}, limited: true, limit: 7.5},
@@ -133,9 +133,9 @@
 		"with a refusal":   {fields: []string{limitField, "7.5", upstream.VerdictHeader, "notRun"}, status: 503, limited: true, limit: 7.5},
 		"zero":             {fields: []string{limitField, "0"}, limited: true},
 		"a huge number":    {fields: []string{limitField, "1e300"}, limited: true, limit: 1e6},
-		"garbage":          {fields: []string{limitField, "some"}, faults: 1},
-		"negative":         {fields: []string{limitField, "-2"}, faults: 1},
-		"leaving, invalid": {fields: []string{leavingField, "perhaps"}, faults: 1},
+		"garbage":          {fields: []string{limitField, "some"}, invalid: 1},
+		"negative":         {fields: []string{limitField, "-2"}, invalid: 1},
+		"leaving, invalid": {fields: []string{leavingField, "perhaps"}, invalid: 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -147,7 +147,7 @@
 			qt.Check(t, s.Limit.Limited, qt.Equals, test.limited)
 			qt.Check(t, s.Limit.Rate, qt.Equals, test.limit)
 			qt.Check(t, s.Leaving, qt.IsFalse)
-			qt.Check(t, n.invalid, qt.Equals, test.faults)
+			qt.Check(t, n.invalid, qt.Equals, test.invalid)
 			if test.limited {
 				qt.Check(t, *n.last(t), qt.Equals, peer.Notice{StartID: "i-1", Limited: true, Limit: test.limit})
 			} else {
@@ -174,8 +174,8 @@
 }
 
 // TestLimitAcrossNodeRestarts guards against a burst of requests from each new process of a node. A
-// sender that learnt from an earlier process of an advertised limit, or that the upstream leaves, passes
-// it on with its calls: it applies before the upstream has repeated it.
+// sender that has received an advertised limit, or the notice that the upstream leaves, from an earlier
+// process of the node passes it on with its calls, so that it applies before the upstream repeats it.
 func TestLimitAcrossNodeRestarts(t *testing.T) {
 	n := newNoticeFixture(t, 4, 0)
 	known := &peer.Notice{StartID: "i-1", Limited: true, Limit: 0.5}
@@ -227,8 +227,8 @@
 	qt.Check(t, n.send(nil).Cause, qt.Equals, verdict.Draining, qt.Commentf("the same start"))
 	qt.Check(t, n.gate.NoticeState().Leaving, qt.IsTrue)
 	qt.Check(t, n.leaving, qt.DeepEquals, []string{"i-1"})
-	for i, born := range []int64{5, 9} {
-		n.announce(fmt.Sprint("i-", 2), born)
+	for i, startMillis := range []int64{5, 9} {
+		n.announce(fmt.Sprint("i-", 2), startMillis)
 		qt.Check(t, n.send(nil) == nil, qt.IsTrue, qt.Commentf("start %d", i))
 		n.setFields(leavingField, "1")
 		_ = n.send(nil)
--- a/gate/observe_test.go
+++ b/gate/observe_test.go
@@ -31,7 +31,7 @@
 	select {
 	case <-x.Ready():
 	case <-time.After(3 * time.Second):
-		t.Fatal("no answer while a report is being sent")
+		t.Fatal("no response while a report is being sent")
 	}
 	_, failed = x.Result()
 	qt.Check(t, failed == nil, qt.IsTrue, qt.Commentf("%v", failed))
--- a/gate/permit_test.go
+++ b/gate/permit_test.go
@@ -17,7 +17,7 @@
 // its remaining cold time in whole milliseconds: no more than the cold limit allows are sent before
 // it is warm.
 func TestColdRemainingTruncation(t *testing.T) {
-	const most, calls = 5, 30
+	const maxSent, calls = 5, 30
 	reports := map[string]func(g *Gate, remaining time.Duration){
 		"health check": (*Gate).SetColdRemaining,
 		"announcement": (*Gate).ExtendColdStart,
@@ -28,7 +28,7 @@
 				synctest.Test(t, func(t *testing.T) {
 					random := rand.New(rand.NewPCG(1, seed))
 					var g Gate
-					g.sendLimit.SetLimit(most)
+					g.sendLimit.SetLimit(maxSent)
 					g.resetSent()
 					end := time.Now().Add(800*time.Millisecond + time.Duration(random.IntN(1000))*time.Microsecond)
 					sent := 0
@@ -46,7 +46,7 @@
 						}
 						time.Sleep(10 * time.Microsecond)
 					}
-					qt.Assert(t, sent <= most, qt.IsTrue, qt.Commentf("%d", sent))
+					qt.Assert(t, sent <= maxSent, qt.IsTrue, qt.Commentf("%d", sent))
 				})
 			}
 		})
--- a/gate/running_test.go
+++ b/gate/running_test.go
@@ -53,9 +53,9 @@
 	}
 	for name, event := range events {
 		for _, begun := range []bool{false, true} {
-			stage := "before its answer"
+			stage := "before its response"
 			if begun {
-				stage = "within its answer"
+				stage = "within its response"
 			}
 			t.Run(name+"/"+stage, func(t *testing.T) {
 				inside, goOn := make(chan struct{}), make(chan struct{})
