--- a/admit/abandon_test.go
+++ b/admit/abandon_test.go
@@ -34,9 +34,9 @@
 		wantRefused int // by the upstream, at most
 		wantWaited  int // at the gate, at most
 	}{
-		"dropped":                  {abandoned: 4},
-		"finished":                 {completes: true, abandoned: 4, wantRefused: 2 * slots, wantWaited: rounds * slots},
-		"finished, none abandoned": {completes: true},
+		"dropped":                   {abandoned: 4},
+		"completed":                 {completes: true, abandoned: 4, wantRefused: 2 * slots, wantWaited: rounds * slots},
+		"completed, none abandoned": {completes: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/admit/cold_test.go
+++ b/admit/cold_test.go
@@ -92,8 +92,8 @@
 	l.ended(arrived, err)
 }
 
-// play sends requests at a constant rate for the given time.
-func (l *coldLoad) play(perSecond int, d time.Duration) {
+// sendFor sends requests at a constant rate for the given time.
+func (l *coldLoad) sendFor(perSecond int, d time.Duration) {
 	for began := time.Now(); time.Since(began) < d; time.Sleep(time.Second / time.Duration(perSecond)) {
 		go l.send(800 * time.Millisecond)
 	}
@@ -143,10 +143,10 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				l := newColdLoad(test.run)
-				l.play(test.perSecond, 2*time.Second)
+				l.sendFor(test.perSecond, 2*time.Second)
 				l.turnCold()
 				becameCold := time.Now()
-				l.play(test.perSecond, coldDuration-time.Millisecond)
+				l.sendFor(test.perSecond, coldDuration-time.Millisecond)
 				time.Sleep(5 * time.Second)
 				during := len(l.whileCold(becameCold))
 				t.Logf("%d started while cold, %d refused, longest refusal %v, shortest retry delay %v", during, l.refused, l.longestRefusal, l.shortestRetryAfter)
--- a/admit/decayingratio.go
+++ b/admit/decayingratio.go
@@ -18,7 +18,7 @@
 	ratioPrior = 2
 )
 
-// DecayingRatio is the share of recent events that are hits. It is
+// DecayingRatio is the fraction of recent events that are hits. It is
 //
 //	sum over hits of exp(-age/1 s) / (2 + sum over all events of exp(-age/1 s)),
 //
@@ -30,24 +30,24 @@
 }
 
 // Add records one event.
-func (s *DecayingRatio) Add(hit bool, now time.Time) {
-	s.decay(now)
-	s.all++
+func (r *DecayingRatio) Add(hit bool, now time.Time) {
+	r.decay(now)
+	r.all++
 	if hit {
-		s.hits++
+		r.hits++
 	}
 }
 
 // Value returns the ratio.
-func (s *DecayingRatio) Value(now time.Time) float64 {
-	s.decay(now)
-	return s.hits / (ratioPrior + s.all)
+func (r *DecayingRatio) Value(now time.Time) float64 {
+	r.decay(now)
+	return r.hits / (ratioPrior + r.all)
 }
 
 // decay brings the sums to the given time.
-func (s *DecayingRatio) decay(now time.Time) {
-	factor := math.Exp(-float64(now.Sub(s.updatedAt)) / float64(ratioTimeConstant))
-	s.hits *= factor
-	s.all *= factor
-	s.updatedAt = now
+func (r *DecayingRatio) decay(now time.Time) {
+	factor := math.Exp(-float64(now.Sub(r.updatedAt)) / float64(ratioTimeConstant))
+	r.hits *= factor
+	r.all *= factor
+	r.updatedAt = now
 }
--- a/admit/dispatch.go
+++ b/admit/dispatch.go
@@ -37,7 +37,7 @@
 }
 
 // limitWait returns after how long a request may start under the cold and the advertised limit, if
-// the given number of requests goes before it. The stricter limit applies. The lock is held.
+// the given number of requests starts before it. The stricter limit applies. The lock is held.
 func (g *Gate) limitWait(ahead int) time.Duration {
 	return max(g.ColdLimiter.Wait(ahead), g.AdvertisedLimiter.Wait(ahead))
 }
--- a/admit/gate_test.go
+++ b/admit/gate_test.go
@@ -266,9 +266,9 @@
 	})
 }
 
-// TestServiceTimeGrowsWithoutAnswers checks that the reported service time grows while no request
+// TestServiceTimeGrowsWithoutResponses checks that the reported service time grows while no request
 // completes.
-func TestServiceTimeGrowsWithoutAnswers(t *testing.T) {
+func TestServiceTimeGrowsWithoutResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var g admit.Gate
 		g.SetLimits(defaultLimits)
--- a/admit/limiter.go
+++ b/admit/limiter.go
@@ -22,8 +22,8 @@
 	tolerance = 2.0
 	// decrease is the factor applied to the limit at each step down.
 	decrease = 0.9
-	// floorShare is the fraction of the slots that the limit never falls below.
-	floorShare = 0.25
+	// floorFraction is the fraction of the slots that the limit never falls below.
+	floorFraction = 0.25
 	// minWindow is the minimum number of samples between two steps.
 	minWindow = 10
 )
@@ -77,7 +77,7 @@
 func (l *limiter) step(slots int) {
 	l.samples = 0
 	if l.fast > tolerance*l.baseline {
-		l.limit = max(floorShare*float64(slots), decrease*l.limit)
+		l.limit = max(floorFraction*float64(slots), decrease*l.limit)
 		return
 	}
 	l.limit = min(float64(slots), l.limit+1)
@@ -95,7 +95,7 @@
 	}
 	if age := now.Sub(l.coldSince); age < limits.SlowStart {
 		warm := float64(age) / float64(limits.SlowStart)
-		n = min(n, float64(limits.Slots)*(floorShare+(1-floorShare)*warm))
+		n = min(n, float64(limits.Slots)*(floorFraction+(1-floorFraction)*warm))
 	}
 	return max(1, int(math.Floor(n)))
 }
--- a/admit/limits.go
+++ b/admit/limits.go
@@ -19,7 +19,7 @@
 	// Priority orders the classes for load shedding. If the queue is full, a waiting request
 	// of the lowest priority is refused in favour of one of a higher priority.
 	Priority int
-	// MaxWait is the longest time that a request of the class waits. Zero means the part of
+	// MaxWait is the longest time that a request of the class waits. Zero means the time of
 	// Objective that the expected run leaves or, without an objective, Limits.QueueWait.
 	MaxWait time.Duration
 	// Objective is the latency up to which a response is of full value, or 0.
--- a/admit/load_test.go
+++ b/admit/load_test.go
@@ -24,27 +24,27 @@
 	work      time.Duration // mean; a third of it more or less
 }
 
-// slowPeriodsOf describes how an upstream's speed changes: in each step it is slow with the given
+// speedPattern describes how an upstream's speed changes: in each step it is slow with the given
 // probability.
-type slowPeriodsOf struct {
-	step        time.Duration
-	share       float64
-	slowdown    float64
-	minSlowdown float64 // the slowdown outside the slow periods
+type speedPattern struct {
+	step            time.Duration
+	slowProbability float64
+	slowdown        float64
+	minSlowdown     float64 // the slowdown outside the slow periods
 }
 
 // load is an upstream and the requests sent to it.
 type load struct {
 	limits      admit.Limits
 	flows       []flow
-	slowPeriods slowPeriodsOf
+	slowPeriods speedPattern
 	length      time.Duration
 }
 
-// play sends the load to a gate and returns, for each class, the share of requests that end within
-// the class's objective. Arrivals are Poisson with a fixed seed. An upstream runs a request at the
-// speed at which it started.
-func (l load) play() map[string]float64 {
+// simulate sends the load to a gate and returns, for each class, the fraction of requests that end
+// within the class's objective. Arrivals are Poisson with a fixed seed. An upstream runs a request at
+// the speed at which it started.
+func (l load) simulate() map[string]float64 {
 	var g admit.Gate
 	g.SetLimits(l.limits)
 	objective := make(map[string]time.Duration)
@@ -65,7 +65,7 @@
 		random := rand.New(rand.NewPCG(1, 1))
 		for began := time.Now(); l.slowPeriods.step > 0 && time.Since(began) < l.length; time.Sleep(l.slowPeriods.step) {
 			k := l.slowPeriods.minSlowdown
-			if random.Float64() < l.slowPeriods.share {
+			if random.Float64() < l.slowPeriods.slowProbability {
 				k *= l.slowPeriods.slowdown
 			}
 			mu.Lock()
@@ -109,9 +109,10 @@
 	return served
 }
 
-// playChecks returns the share of requests of 220 ms that end within their objective at an upstream of
-// 14 slots. For a quarter of the time, 150 ms at a time, it takes five times its minimum slowdown.
-func playChecks(hold bool, objective time.Duration, perSecond, minSlowdown float64) float64 {
+// simulateChecks returns the fraction of requests of 220 ms that end within their objective at an
+// upstream of 14 slots. For a quarter of the time, 150 ms at a time, it takes five times its minimum
+// slowdown.
+func simulateChecks(hold bool, objective time.Duration, perSecond, minSlowdown float64) float64 {
 	return load{
 		limits: admit.Limits{
 			Slots:         14,
@@ -119,9 +120,9 @@
 			HoldWhileSlow: hold,
 		}.WithClasses(admit.Class{Name: "check", Weight: 1, MaxShare: 1, Objective: objective}),
 		flows:       []flow{{"check", perSecond, ms(220)}},
-		slowPeriods: slowPeriodsOf{ms(150), 0.25, 5, minSlowdown},
+		slowPeriods: speedPattern{ms(150), 0.25, 5, minSlowdown},
 		length:      60 * time.Second,
-	}.play()["check"]
+	}.simulate()["check"]
 }
 
 // TestShortSlowPeriods has an upstream that is slowed down fivefold for a quarter of the time, 150 ms
@@ -129,13 +130,13 @@
 // 220 ms with an objective of 600 ms. Those that start in a slow period take 1.1 s, and hold their
 // slots for as long.
 func TestShortSlowPeriods(t *testing.T) {
-	play := func(hold bool) (share float64) {
+	simulate := func(hold bool) (share float64) {
 		synctest.Test(t, func(*testing.T) {
-			share = playChecks(hold, ms(600), 48, 1)
+			share = simulateChecks(hold, ms(600), 48, 1)
 		})
 		return share
 	}
-	held, started := play(true), play(false)
+	held, started := simulate(true), simulate(false)
 	t.Logf("within the objective: %.3f held, %.3f not", held, started)
 	qt.Check(t, held > 0.85, qt.IsTrue)
 	qt.Check(t, started < 0.7, qt.IsTrue)
@@ -146,7 +147,7 @@
 // are those in which it is slower still.
 func TestSlowPeriodsOfColdUpstream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		share := playChecks(true, ms(900), 24, 2)
+		share := simulateChecks(true, ms(900), 24, 2)
 		t.Logf("within the objective: %.3f", share)
 		qt.Check(t, share > 0.8, qt.IsTrue)
 	})
@@ -174,7 +175,7 @@
 				{"call", 42, ms(55)},
 			},
 			length: 60 * time.Second,
-		}.play()
+		}.simulate()
 		t.Logf("within their objectives: %v", share)
 		qt.Check(t, share["upload"] > 0.9, qt.IsTrue)
 		qt.Check(t, share["call"] > 0.75, qt.IsTrue)
--- a/admit/pendingbody.go
+++ b/admit/pendingbody.go
@@ -35,9 +35,9 @@
 	return t
 }
 
-// maxBodyShare is the fraction of the longest wait that a body may take. The rest is left for the
+// maxBodyFraction is the fraction of the longest wait that a body may take. The rest is left for the
 // wait for a slot, and for the overhead of a transfer beside the bytes queued before it.
-const maxBodyShare = 0.5
+const maxBodyFraction = 0.5
 
 // checkPendingBody returns why a request whose body arrives after the given time should be
 // refused, or nil. Requests that already await their bodies count as waiting. The lock is held.
@@ -50,7 +50,7 @@
 	maxWait := g.classMaxWait(t.queue)
 	ready := max(wait, bodyTime)
 	switch {
-	case bodyTime > time.Duration(maxBodyShare*float64(maxWait)) || wait > t.queue.standing.maxWait(maxWait):
+	case bodyTime > time.Duration(maxBodyFraction*float64(maxWait)) || wait > t.queue.standing.maxWait(maxWait):
 	case !t.deadline.IsZero() && now.Add(ready+g.expectedRun(t.queue)).After(t.deadline):
 	case g.waiting+g.pendingBodies >= g.limits.QueueLength+max(0, free):
 	default:
--- a/admit/pendingbody_test.go
+++ b/admit/pendingbody_test.go
@@ -29,8 +29,8 @@
 	perSecond, calls float64
 	// slotFirst is whether an upload gets its slot before its body is requested.
 	slotFirst bool
-	// blind is whether the gate knows nothing about the link.
-	blind bool
+	// linkUnknown is whether the gate knows nothing about the link.
+	linkUnknown bool
 
 	gate admit.Gate
 	link chan struct{} // not full while no body crosses
@@ -59,7 +59,7 @@
 
 // expectedBodyTime returns how long a body takes that is sent now.
 func (u *uploads) expectedBodyTime() time.Duration {
-	if u.blind {
+	if u.linkUnknown {
 		return 0
 	}
 	u.mu.Lock()
@@ -118,9 +118,9 @@
 	}
 }
 
-// play sends the load for 30 s and returns the share of each class that ended within its
+// simulate sends the load for 30 s and returns the fraction of each class that ended within its
 // objective.
-func (u *uploads) play() map[string]float64 {
+func (u *uploads) simulate() map[string]float64 {
 	u.link = make(chan struct{}, 1)
 	u.offered = make(map[string]int)
 	u.inTime = make(map[string]int)
@@ -157,14 +157,14 @@
 // the slots. A body then waits for the link for longer than it takes to cross it; if its request
 // holds a slot meanwhile, the slots are full of waiting requests.
 func TestNoSlotHeldWhileBodyArrives(t *testing.T) {
-	play := func(slotFirst bool) (share map[string]float64) {
+	simulate := func(slotFirst bool) (share map[string]float64) {
 		synctest.Test(t, func(*testing.T) {
 			u := &uploads{perSecond: 18.5, calls: 105, slotFirst: slotFirst}
-			share = u.play()
+			share = u.simulate()
 		})
 		return share
 	}
-	slot, body := play(true), play(false)
+	slot, body := simulate(true), simulate(false)
 	t.Logf("in time: %v with the slot first, %v with the body first", slot, body)
 	qt.Check(t, body["call"] > 0.9, qt.IsTrue)
 	qt.Check(t, body["upload"] > 0.9, qt.IsTrue)
@@ -177,15 +177,15 @@
 func TestUploadOverloadOnSlowLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		u := &uploads{perSecond: 31, calls: 20}
-		share := u.play()
-		blind := &uploads{perSecond: 31, calls: 20, blind: true}
-		blindShare := blind.play()
-		t.Logf("in time: %v, and %v with nothing known of the link", share, blindShare)
+		share := u.simulate()
+		unknown := &uploads{perSecond: 31, calls: 20, linkUnknown: true}
+		unknownShare := unknown.simulate()
+		t.Logf("in time: %v, and %v with nothing known of the link", share, unknownShare)
 		qt.Check(t, share["upload"] > 0.6, qt.IsTrue) // the link can carry 0.67
 		qt.Check(t, share["call"] > 0.95, qt.IsTrue)
 		qt.Check(t, u.longestRefusal < ms(50), qt.IsTrue, qt.Commentf("refused after %v", u.longestRefusal))
 		qt.Check(t, u.late < u.offered["upload"]/50, qt.IsTrue, qt.Commentf("%d late", u.late))
-		qt.Check(t, blindShare["upload"] < 0.3, qt.IsTrue)
+		qt.Check(t, unknownShare["upload"] < 0.3, qt.IsTrue)
 	})
 }
 
--- a/admit/queue.go
+++ b/admit/queue.go
@@ -20,8 +20,8 @@
 // request with the smallest start tag runs next, and V becomes its start tag. See P. Goyal, H. Vin
 // and H. Cheng, Start-time fair queueing, 1996. doi:10.1145/248157.248171.
 //
-// The tags decide when the class has its turns. The organisations that share the class decide
-// which of its requests gets a turn.
+// The tags decide when the next request of the class starts, and the flows of the organisations that
+// share the class decide which of its requests that is.
 type classQueue struct {
 	class         Class
 	standing      standing
--- a/admit/report.go
+++ b/admit/report.go
@@ -34,7 +34,7 @@
 	MinSlowdown float64
 	// SlowRemaining is the expected remaining time of the present slow period, or 0.
 	SlowRemaining time.Duration
-	// FailureRatio is the share of recent requests that the upstream failed.
+	// FailureRatio is the fraction of recent requests that the upstream failed.
 	FailureRatio float64
 	// WaitingOrganisations is the number of organisations with waiting requests, summed over
 	// the classes.
--- a/admit/sharedupstream_test.go
+++ b/admit/sharedupstream_test.go
@@ -40,10 +40,10 @@
 	offered, ran, useful float64 // useful are those that ended within their objective
 }
 
-// served returns the share of the requests that ran.
+// served returns the fraction of the requests that ran.
 func (f outcome) served() float64 { return f.ran / f.offered }
 
-// inTime returns the share of the requests that ended within their objective.
+// inTime returns the fraction of the requests that ended within their objective.
 func (f outcome) inTime() float64 { return f.useful / f.offered }
 
 // String implements fmt.Stringer.
@@ -56,9 +56,9 @@
 	return outcome{offered: f.offered + o.offered, ran: f.ran + o.ran, useful: f.useful + o.useful}
 }
 
-// play sends the load to a gate, with or without the organisations' names, and returns the outcome
-// of each organisation.
-func (r sharedUpstream) play(named bool) map[string]outcome {
+// simulate sends the load to a gate, with or without the organisations' names, and returns the
+// outcome of each organisation.
+func (r sharedUpstream) simulate(named bool) map[string]outcome {
 	var g admit.Gate
 	g.SetLimits(r.limits)
 	objective := make(map[string]time.Duration)
@@ -119,7 +119,7 @@
 	return sum
 }
 
-// leastServed returns the organisation with the smallest share of served requests, of those with
+// leastServed returns the organisation with the smallest fraction of served requests, of those with
 // at least 40 requests.
 func leastServed(outcomes map[string]outcome) (name string, worst outcome) {
 	for n, f := range outcomes {
@@ -150,12 +150,12 @@
 	return list
 }
 
-// play runs the load r for 40 seconds.
-func play(t *testing.T, r sharedUpstream, named bool) (outcomes map[string]outcome) {
+// simulate runs the load r for 40 seconds.
+func simulate(t *testing.T, r sharedUpstream, named bool) (outcomes map[string]outcome) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
 		r.length = 40 * time.Second
-		outcomes = r.play(named)
+		outcomes = r.simulate(named)
 	})
 	return outcomes
 }
@@ -171,7 +171,7 @@
 				limits:  checkLimits(ms(600)),
 				senders: append(small(20, 40, ms(220)), sender{"big", "check", perSecond, ms(220), 0}),
 			}
-			named, unnamed := play(t, r, true), play(t, r, false)
+			named, unnamed := simulate(t, r, true), simulate(t, r, false)
 			t.Logf("others %v, big %v; without names %v, %v", total(named, "big"), named["big"], total(unnamed, "big"), unnamed["big"])
 			qt.Check(t, total(named, "big").inTime() > 0.95, qt.IsTrue)
 			qt.Check(t, total(unnamed, "big").inTime() < 0.8, qt.IsTrue)
@@ -198,7 +198,7 @@
 				limits:  checkLimits(time.Second),
 				senders: append(small(20, test.perSecond, test.work), sender{"big", "check", 25, ms(550), 0}),
 			}
-			named, unnamed := play(t, r, true), play(t, r, false)
+			named, unnamed := simulate(t, r, true), simulate(t, r, false)
 			t.Logf("others %v, big %v; without names %v, %v", total(named, "big"), named["big"], total(unnamed, "big"), unnamed["big"])
 			qt.Check(t, total(named, "big").inTime() > 0.95, qt.IsTrue)
 			qt.Check(t, total(unnamed, "big").inTime() < 0.85, qt.IsTrue)
@@ -215,7 +215,7 @@
 		limits:  checkLimits(ms(600)),
 		senders: append(small(20, 40, ms(220)), sender{"big", "check", 40, ms(220), 20}),
 	}
-	named, unnamed := play(t, r, true), play(t, r, false)
+	named, unnamed := simulate(t, r, true), simulate(t, r, false)
 	t.Logf("others %v, big %v; without names %v, %v", total(named, "big"), named["big"], total(unnamed, "big"), unnamed["big"])
 	qt.Check(t, total(named, "big").inTime() > 0.95, qt.IsTrue)
 	qt.Check(t, total(unnamed, "big").inTime() < 0.8, qt.IsTrue)
@@ -231,7 +231,7 @@
 			limits:  checkLimits(ms(600)),
 			senders: small(5000, 95, ms(220)),
 		}
-		named, unnamed := total(play(t, r, true)), total(play(t, r, false))
+		named, unnamed := total(simulate(t, r, true)), total(simulate(t, r, false))
 		t.Logf("%v; without names %v", named, unnamed)
 		qt.Check(t, named.inTime() > 0.6, qt.IsTrue)
 		qt.Check(t, named.inTime() > unnamed.inTime()-0.02, qt.IsTrue)
@@ -242,7 +242,7 @@
 				limits:  checkLimits(ms(600)),
 				senders: append(small(5000, 55, ms(220)), sender{"big", "check", perSecond, ms(220), 0}),
 			}
-			named := play(t, r, true)
+			named := simulate(t, r, true)
 			t.Logf("others %v, big %v, all %v", total(named, "big"), named["big"], total(named))
 			qt.Check(t, total(named, "big").inTime() > 0.75, qt.IsTrue)
 			qt.Check(t, named["big"].served() > total(named).served()/4, qt.IsTrue)
@@ -264,7 +264,7 @@
 		}
 		return 1
 	}
-	named := play(t, r, true)
+	named := simulate(t, r, true)
 	t.Logf("others %v, big %v", total(named, "big"), named["big"])
 	_, worst := leastServed(named)
 	qt.Check(t, worst.served() > total(named).served()/4, qt.IsTrue)
@@ -303,7 +303,7 @@
 				}
 				r.senders = append(r.senders, sender{name, "check", perSecond, ms(220), 0})
 			}
-			named, unnamed := play(t, r, true), play(t, r, false)
+			named, unnamed := simulate(t, r, true), simulate(t, r, false)
 			var small outcome
 			for rank := all / 2; rank <= all; rank++ {
 				small = small.add(named[fmt.Sprint(rank)])
@@ -326,7 +326,7 @@
 		limits:  checkLimits(ms(600)),
 		senders: append(small(20, 25, ms(220)), sender{"", "check", 15, ms(220), 0}, sender{"big", "check", 80, ms(220), 0}),
 	}
-	named := play(t, r, true)
+	named := simulate(t, r, true)
 	t.Logf("without %v, others %v, big %v", named[""], total(named, "big", ""), named["big"])
 	qt.Check(t, named[""].inTime() > 0.95, qt.IsTrue)
 	qt.Check(t, total(named, "big", "").inTime() > 0.95, qt.IsTrue)
@@ -365,7 +365,7 @@
 func TestUrgentRequestsBesideLongOnes(t *testing.T) {
 	for name, statements := range map[string]float64{"all": 26, "twice": 52} {
 		t.Run(name, func(t *testing.T) {
-			share := play(t, mixed(statements, 0.01, 6), false)
+			share := simulate(t, mixed(statements, 0.01, 6), false)
 			t.Logf("%v", share)
 			qt.Check(t, share["refund"].inTime() > 0.95, qt.IsTrue)
 		})
@@ -374,7 +374,7 @@
 
 // TestUrgentRequestsBesideNestedCalls has nested calls ask for all slots beside the urgent requests.
 func TestUrgentRequestsBesideNestedCalls(t *testing.T) {
-	share := play(t, mixed(6, 260, 6), false)
+	share := simulate(t, mixed(6, 260, 6), false)
 	t.Logf("%v", share)
 	qt.Check(t, share["refund"].inTime() > 0.95, qt.IsTrue)
 }
@@ -386,7 +386,7 @@
 func TestNestedCallsBesideLongRequests(t *testing.T) {
 	for name, statements := range map[string]float64{"all": 26, "twice": 52} {
 		t.Run(name, func(t *testing.T) {
-			share := play(t, mixed(statements, 12, 2), false)
+			share := simulate(t, mixed(statements, 12, 2), false)
 			lost := 1 - share["call"].inTime()
 			answered := 1 - lost*lost*lost
 			runs := 0.3 + 0.7*answered*answered
--- a/admit/slowdownminimum.go
+++ b/admit/slowdownminimum.go
@@ -17,7 +17,7 @@
 // slowdownMinimum is the minimum slowdown of an upstream over the last second, to which it is
 // likely to return soon. An upstream that has just started is slow for seconds, and so is one
 // whose instance is overloaded; waiting for these to end gains nothing. With a fixed threshold
-// instead, the slow periods of a cold upstream could not be told from its being cold.
+// instead, the slow periods of a cold upstream could not be distinguished from its cold start.
 type slowdownMinimum struct {
 	minima      [minimumBuckets]float64 // of each bucket, 0 if nothing was observed in it
 	current     int
@@ -25,18 +25,18 @@
 }
 
 // observe records a slowdown.
-func (p *slowdownMinimum) observe(slowdown float64, now time.Time) {
-	p.advance(now)
-	if l := p.minima[p.current]; l == 0 || slowdown < l {
-		p.minima[p.current] = slowdown
+func (m *slowdownMinimum) observe(slowdown float64, now time.Time) {
+	m.advance(now)
+	if l := m.minima[m.current]; l == 0 || slowdown < l {
+		m.minima[m.current] = slowdown
 	}
 }
 
 // value returns the minimum slowdown, or 1 if none was observed in the window.
-func (p *slowdownMinimum) value(now time.Time) float64 {
-	p.advance(now)
+func (m *slowdownMinimum) value(now time.Time) float64 {
+	m.advance(now)
 	var least float64
-	for _, l := range p.minima {
+	for _, l := range m.minima {
 		if l > 0 && (least == 0 || l < least) {
 			least = l
 		}
@@ -48,14 +48,14 @@
 }
 
 // advance discards the buckets that have left the window.
-func (p *slowdownMinimum) advance(now time.Time) {
+func (m *slowdownMinimum) advance(now time.Time) {
 	for range minimumBuckets {
-		if now.Sub(p.bucketStart) < bucketLength {
+		if now.Sub(m.bucketStart) < bucketLength {
 			return
 		}
-		p.bucketStart = p.bucketStart.Add(bucketLength)
-		p.current = (p.current + 1) % minimumBuckets
-		p.minima[p.current] = 0
+		m.bucketStart = m.bucketStart.Add(bucketLength)
+		m.current = (m.current + 1) % minimumBuckets
+		m.minima[m.current] = 0
 	}
-	p.bucketStart = now // all buckets are older than the window
+	m.bucketStart = now // all buckets are older than the window
 }
--- a/admit/standing.go
+++ b/admit/standing.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// standingTime is the time constant of the share of time during which requests wait.
+	// standingTime is the time constant of the fraction of time during which requests wait.
 	standingTime = 200 * time.Millisecond
-	// standingShare is the share above which a queue counts as standing.
-	standingShare = 0.7
+	// standingFraction is the fraction above which a queue counts as standing.
+	standingFraction = 0.7
 	// standingWait is the longest expected wait with which a request may enter a standing
 	// queue.
 	standingWait = 5 * time.Millisecond
@@ -25,12 +25,12 @@
 // at once. See K. Nichols and V. Jacobson, Controlling queue delay, 2012.
 // doi:10.1145/2208917.2209336.
 //
-// The share p of time during which requests wait is an exponential moving average: after a
+// The fraction p of time during which requests wait is an exponential moving average: after a
 // time d in which the queue was empty (x = 0) or not (x = 1),
 //
 //	p += (1 - exp(-d/200 ms)) (x - p)
 type standing struct {
-	share     float64
+	fraction  float64
 	updatedAt time.Time
 }
 
@@ -44,14 +44,14 @@
 	if waiting {
 		x = 1
 	}
-	s.share += (1 - math.Exp(-float64(now.Sub(s.updatedAt))/float64(standingTime))) * (x - s.share)
+	s.fraction += (1 - math.Exp(-float64(now.Sub(s.updatedAt))/float64(standingTime))) * (x - s.fraction)
 	s.updatedAt = now
 }
 
 // maxWait returns the longest expected wait with which a request may enter the queue, given the
 // configured maximum.
 func (s *standing) maxWait(configured time.Duration) time.Duration {
-	if s.share < standingShare {
+	if s.fraction < standingFraction {
 		return configured
 	}
 	return min(configured, standingWait)
--- a/admit/wait.go
+++ b/admit/wait.go
@@ -15,14 +15,14 @@
 	// its objective. Nine in ten requests whose run times have a standard deviation of 0.3 of
 	// their mean take less. With 2.0 fewer requests were served, with 1.2 as many.
 	runTimeMargin = 1.5
-	// minWaitShare is the fraction of the objective that a request may wait in any case. It applies
+	// minWaitFraction is the fraction of the objective that a request may wait in any case. It applies
 	// if the run takes nearly all of the objective, as at cold upstreams: with an eighth,
 	// requests were refused for a slow period while nothing ran.
-	minWaitShare = 0.25
-	// initialRunShare is the fraction of the objective that a run is expected to take before any
+	minWaitFraction = 0.25
+	// initialRunFraction is the fraction of the objective that a run is expected to take before any
 	// request of the class has run. Operators set objectives at two to five times the usual
 	// run time.
-	initialRunShare = 0.25
+	initialRunFraction = 0.25
 )
 
 // checkQueueable returns why the request, which is already in its queue, may not wait, or nil if
@@ -98,14 +98,14 @@
 	case q.meanRun > 0:
 		return time.Duration(q.meanRun * float64(time.Second))
 	case q.class.Objective > 0:
-		return time.Duration(initialRunShare * float64(q.class.Objective))
+		return time.Duration(initialRunFraction * float64(q.class.Objective))
 	}
 	return time.Duration(g.limiter.fast * float64(time.Second))
 }
 
-// shed refuses a waiting request in favour of t, and returns whether there was one. It is the
-// newest one of the organisation with the most waiting requests in the class of the lowest
-// priority, if that is lower than t's. Otherwise it is taken from a class of the same priority, if
+// shed refuses a waiting request in favour of t, and returns whether there was one. The refused
+// request is the newest one of the organisation with the most waiting requests in the class of the
+// lowest priority, if that is lower than t's. Otherwise it is one of a class of the same priority, if
 // another organisation has more requests waiting there than that of t. It would have waited for
 // about as long as t.
 func (g *Gate) shed(t *Ticket, wait time.Duration) bool {
@@ -195,7 +195,7 @@
 	case q.class.Objective > 0:
 		objective := float64(q.class.Objective)
 		run := g.minSlowdown.value(time.Now()) * float64(g.expectedRun(q))
-		return time.Duration(max(minWaitShare*objective, objective-runTimeMargin*run))
+		return time.Duration(max(minWaitFraction*objective, objective-runTimeMargin*run))
 	}
 	return g.limits.QueueWait
 }
