--- a/fair/level.go
+++ b/fair/level.go
@@ -14,7 +14,7 @@
 	// several requests within it, and an overload lasts longer.
 	demandTime = 2 * time.Second
 	// burstAllowance is the number of requests within demandTime that an organisation may send
-	// beyond its fair share: so few do not show what its demand is.
+	// beyond its fair share, because so few requests do not show its demand.
 	burstAllowance = 3
 	// levelInterval is the minimum time between two computations of the level.
 	levelInterval = 100 * time.Millisecond
@@ -47,16 +47,17 @@
 	return l.rank() < aboveShare
 }
 
-// rank orders organisations before their tags do. A lower rank is served first.
+// rank takes precedence over the start tags in the order of organisations. A lower rank is served
+// first.
 type rank int
 
 const (
 	// underserved is the rank of an organisation whose served requests, relative to those of
 	// all, are too few by at least one.
 	underserved rank = iota
-	// withinShare is the rank of one within its fair share while others overload the slots.
+	// withinShare is the rank of an organisation within its fair share while others overload the slots.
 	withinShare
-	// aboveShare is the rank of one above it, and of every one if there is no such overload.
+	// aboveShare is the rank of an organisation above it, and of all if there is no such overload.
 	aboveShare
 )
 
