--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -15,7 +15,7 @@
 // flight with it continue to run, even if all upstreams have crashed at once.
 //
 // A request that many callers send is in flight whenever an upstream crashes. A gate
-// therefore counts responses with an AnswerCounter, and does not suspect requests that its
+// therefore counts responses with a ResponseCounter, and does not suspect requests that its
 // upstream answers all the time.
 //
 // Nodes send each other Reports of crashes and of completed suspects. The package does
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -21,8 +21,8 @@
 // the request id and the deadline, is not part of it. It is an immutable value.
 //
 // It is computed with SHA-256, of which 64 bits are kept for the body, 48 for the rest of
-// what is run and 16 for the caller. To forge a request with the fingerprint of a given one
-// takes some 2^48 tries for the head alone.
+// what is run and 16 for the caller. Forging a request with the fingerprint of a given one
+// takes about 2^48 attempts for the head alone.
 type Fingerprint struct {
 	// Head is the hash of all but the body. Its last callerHashBits are the hash of the caller.
 	Head uint64 `msgpack:"h"`
--- a/quarantine/harmless_test.go
+++ b/quarantine/harmless_test.go
@@ -90,7 +90,7 @@
 		u := &s.upstreams[i]
 		if time.Now().Before(u.backAt) {
 			if state == quarantine.Isolated && time.Until(u.backAt) > simRestartTime-simReportDelay {
-				break // only the node beside it knows of the crash yet
+				break // only the node beside it has detected the crash yet
 			}
 			continue
 		}
@@ -151,7 +151,7 @@
 	s.crash(i)
 }
 
-// crash crashes an upstream, which comes back as a new start. The requests that it had are
+// crash crashes an upstream, which starts again after simRestartTime. The requests that it had are
 // retried.
 func (s *sim) crash(i int) {
 	u := &s.upstreams[i]
--- a/quarantine/popular_test.go
+++ b/quarantine/popular_test.go
@@ -33,11 +33,11 @@
 
 // simGate is the state of the gate of one upstream.
 type simGate struct {
-	answers  quarantine.ResponseCounter
-	running  map[*simRequest]bool
-	isolated *simRequest
-	backAt   time.Time
-	starts   int
+	responses quarantine.ResponseCounter
+	running   map[*simRequest]bool
+	isolated  *simRequest
+	backAt    time.Time
+	starts    int
 }
 
 const (
@@ -84,7 +84,7 @@
 		if g.isolated == r {
 			g.isolated = nil
 		}
-		g.answers.Add(r.fingerprint)
+		g.responses.Add(r.fingerprint)
 		if l.index.Assess(r.fingerprint).Crashes > 0 {
 			report := quarantine.NewCompletionReport(r.fingerprint)
 			time.AfterFunc(simReportDelay, func() { l.index.Add(report) })
@@ -104,7 +104,7 @@
 	if g.isolated != nil {
 		isolated = g.isolated.fingerprint
 	}
-	suspects, isolated := g.answers.Suspects(fingerprints, isolated)
+	suspects, isolated := g.responses.Suspects(fingerprints, isolated)
 	clear(g.running)
 	g.isolated = nil
 	g.starts++
@@ -171,22 +171,26 @@
 	}
 }
 
-// TestAnswerCounter checks which requests in flight are suspected for a crash.
-func TestAnswerCounter(t *testing.T) {
+// TestResponseCounter checks which requests in flight are suspected for a crash.
+func TestResponseCounter(t *testing.T) {
 	tests := map[string]struct {
 		simulate  func(a *quarantine.ResponseCounter)
 		suspected bool
 		blocked   bool // whether it is blocked if it was isolated
 	}{
-		"never answered":                  {simulate: func(*quarantine.ResponseCounter) {}, suspected: true, blocked: true},
-		"answered once":                   {simulate: func(a *quarantine.ResponseCounter) { answer(a, 1) }, suspected: true},
-		"answered often":                  {simulate: func(a *quarantine.ResponseCounter) { answer(a, 100) }},
-		"answered long ago":               {simulate: func(a *quarantine.ResponseCounter) { answer(a, 100); time.Sleep(20 * time.Second) }, suspected: true, blocked: true},
-		"answered in the previous window": {simulate: func(a *quarantine.ResponseCounter) { answer(a, 100); time.Sleep(15 * time.Second); answer(a, 1) }},
+		"never answered":    {simulate: func(*quarantine.ResponseCounter) {}, suspected: true, blocked: true},
+		"answered once":     {simulate: func(a *quarantine.ResponseCounter) { addResponses(a, 1) }, suspected: true},
+		"answered often":    {simulate: func(a *quarantine.ResponseCounter) { addResponses(a, 100) }},
+		"answered long ago": {simulate: func(a *quarantine.ResponseCounter) { addResponses(a, 100); time.Sleep(20 * time.Second) }, suspected: true, blocked: true},
+		"answered in the previous window": {simulate: func(a *quarantine.ResponseCounter) {
+			addResponses(a, 100)
+			time.Sleep(15 * time.Second)
+			addResponses(a, 1)
+		}},
 		"crashes one run in ten": {
 			simulate: func(a *quarantine.ResponseCounter) {
 				for range 5 {
-					answer(a, 10)
+					addResponses(a, 10)
 					a.Suspects([]quarantine.Fingerprint{fingerprintOf(1)}, quarantine.Fingerprint{})
 				}
 			},
@@ -195,7 +199,7 @@
 		"in flight at one crash per hundred runs": {
 			simulate: func(a *quarantine.ResponseCounter) {
 				for range 5 {
-					answer(a, 100)
+					addResponses(a, 100)
 					a.Suspects([]quarantine.Fingerprint{fingerprintOf(1)}, quarantine.Fingerprint{})
 				}
 			},
@@ -214,15 +218,15 @@
 	}
 }
 
-// answer counts a number of answered runs of request 1.
-func answer(a *quarantine.ResponseCounter, runs int) {
+// addResponses counts a number of answered runs of request 1.
+func addResponses(a *quarantine.ResponseCounter, runs int) {
 	for range runs {
 		a.Add(fingerprintOf(1))
 	}
 }
 
-// BenchmarkAnswerCounter counts answered runs, half of them of one frequent request.
-func BenchmarkAnswerCounter(b *testing.B) {
+// BenchmarkResponseCounter counts answered runs, half of them of one frequent request.
+func BenchmarkResponseCounter(b *testing.B) {
 	var a quarantine.ResponseCounter
 	i := 0
 	for b.Loop() {
--- a/quarantine/answers.go
+++ b/quarantine/responses.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// responsesPerCrash is the number of answered runs of a request for each crash with it in
-	// flight from which on it is not suspected. A request that many callers send is in flight at
-	// every crash, with hundreds of responses for each; a request that crashes upstreams has no
-	// responses, or few. One that crashes less than one run in 20 can't be told from a popular
-	// harmless request, and is not stopped.
+	// responsesPerCrash is the number of answered runs of a request, for each crash with it in
+	// flight, from which the request is not suspected. A request that many callers send is in
+	// flight at every crash, with hundreds of responses for each; a request that crashes upstreams
+	// has no responses, or few. One that crashes less than one run in 20 can't be distinguished
+	// from a popular harmless request, and is not stopped.
 	responsesPerCrash = 20
 	// responseWindow is the minimum time for which a response counts; the maximum is twice as long.
 	// A request that was harmless until then is suspected again after that time.
@@ -25,7 +25,7 @@
 	maxCountedRequests = 8192
 )
 
-// AnswerCounter counts the answered runs of each request at one gate, so that a crash of the
+// ResponseCounter counts the answered runs of each request at one gate, so that a crash of the
 // upstream is not attributed to requests that it answers all the time. The zero value is ready to
 // use. Its methods may be called from any goroutine.
 type ResponseCounter struct {
@@ -35,27 +35,27 @@
 }
 
 // Add counts a run that was answered.
-func (a *ResponseCounter) Add(p Fingerprint) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.rotate(time.Now())
-	if _, ok := a.current[p]; ok || len(a.current) < maxCountedRequests {
-		a.current[p]++
+func (c *ResponseCounter) Add(p Fingerprint) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.rotate(time.Now())
+	if _, ok := c.current[p]; ok || len(c.current) < maxCountedRequests {
+		c.current[p]++
 	}
 }
 
 // rotate begins a new window if the present one is over. The caller holds the lock.
-func (a *ResponseCounter) rotate(now time.Time) {
-	switch age := now.Sub(a.windowStart); {
-	case a.current == nil || age >= 2*responseWindow:
-		a.previous = nil
+func (c *ResponseCounter) rotate(now time.Time) {
+	switch age := now.Sub(c.windowStart); {
+	case c.current == nil || age >= 2*responseWindow:
+		c.previous = nil
 	case age >= responseWindow:
-		a.previous = a.current
+		c.previous = c.current
 	default:
 		return
 	}
-	a.current = make(map[Fingerprint]int)
-	a.windowStart = now
+	c.current = make(map[Fingerprint]int)
+	c.windowStart = now
 }
 
 // Suspects returns those of the requests in flight at a crash of the upstream that may have caused
@@ -66,14 +66,14 @@
 // An isolated request that was recently answered here is not blocked, because a request that
 // crashes upstreams is never answered. Otherwise frequent harmless requests would be blocked when
 // upstreams crash for other reasons.
-func (a *ResponseCounter) Suspects(inFlight []Fingerprint, isolated Fingerprint) (suspects []Fingerprint, toBlock Fingerprint) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.rotate(time.Now())
+func (c *ResponseCounter) Suspects(inFlight []Fingerprint, isolated Fingerprint) (suspects []Fingerprint, toBlock Fingerprint) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.rotate(time.Now())
 	for _, p := range inFlight {
-		answered := a.current[p] + a.previous[p]
+		answered := c.current[p] + c.previous[p]
 		if answered >= responsesPerCrash {
-			a.current[p] -= responsesPerCrash
+			c.current[p] -= responsesPerCrash
 			continue
 		}
 		suspects = append(suspects, p)
