--- a/retryafter/load_test.go
+++ b/retryafter/load_test.go
@@ -37,8 +37,8 @@
 	usual, rush float64       // requests per second, as a fraction of the capacity
 	from, until time.Duration // of the rush
 	absent      int           // gates that are absent during the rush
-	shed        float64       // share of the requests that an upstream refuses during the rush though it has room
-	slow        float64       // share of the time in which a gate is slowed down fourfold, 300 ms at a time
+	shed        float64       // fraction of the requests that an upstream refuses during the rush though it has room
+	slow        float64       // fraction of the time in which a gate is slowed down fourfold, 300 ms at a time
 }
 
 // outcome is the result of all requests, as fractions of them.
@@ -111,9 +111,9 @@
 			})
 		}
 		rushing := func() bool { return time.Since(began) >= s.from && time.Since(began) < s.until }
-		// attempt sends a request to some gates in turn until one runs it. If none does, it
+		// dispatch sends a request to some gates in turn until one runs it. If none does, it
 		// returns how long the caller waits before it retries.
-		attempt := func(random *rand.Rand, budget *retry.Budget, until time.Time, work time.Duration) (ran bool, after time.Duration) {
+		dispatch := func(random *rand.Rand, budget *retry.Budget, until time.Time, work time.Duration) (ran bool, after time.Duration) {
 			present := gateCount
 			if rushing() {
 				present -= s.absent
@@ -152,7 +152,7 @@
 			var refusals float64
 			var served, inTime bool
 			for range maxRetries + 1 {
-				ran, after := attempt(random, budget, arrived.Add(deadline), work)
+				ran, after := dispatch(random, budget, arrived.Add(deadline), work)
 				if ran {
 					served = true
 					inTime = time.Since(arrived) <= objective
@@ -175,11 +175,11 @@
 		}
 		all.Go(func() {
 			random := rand.New(rand.NewPCG(seed, 3))
-			full := float64(gateCount*slots) / s.work.Seconds()
+			capacity := float64(gateCount*slots) / s.work.Seconds()
 			for time.Since(began) < duration {
-				rate := s.usual * full
+				rate := s.usual * capacity
 				if rushing() {
-					rate = s.rush * full
+					rate = s.rush * capacity
 				}
 				time.Sleep(time.Duration(random.ExpFloat64() / rate * float64(time.Second)))
 				own := rand.New(rand.NewPCG(random.Uint64(), 1))
@@ -236,7 +236,7 @@
 }
 
 // TestWaits checks that waits follow the objective, differ between callers, and are not shorter
-// than what a gate expects or an upstream asks for.
+// than what a gate expects or an upstream requests.
 func TestWaits(t *testing.T) {
 	ms := time.Millisecond
 	tests := map[string]struct {
--- a/retryafter/retryafter.go
+++ b/retryafter/retryafter.go
@@ -35,14 +35,14 @@
 }
 
 // WhenShed returns how long a caller waits before it retries when an upstream refused its request
-// though it had room, given its objective, or 0 for none, and the wait that the upstream asks for,
+// though it had room, given its objective, or 0 for none, and the wait that the upstream requested,
 // or 0.
-func WhenShed(objective, asked time.Duration) time.Duration {
+func WhenShed(objective, requested time.Duration) time.Duration {
 	mean := noObjectiveWait
 	if objective > 0 {
 		mean = time.Duration(shedFraction * float64(objective))
 	}
-	return max(asked, withJitter(mean))
+	return max(requested, withJitter(mean))
 }
 
 // withJitter returns a random wait with the given mean.
