--- a/verdict/cause.go
+++ b/verdict/cause.go
@@ -59,7 +59,7 @@
 	// UpstreamDialFailed: the node could not connect to its upstream, or
 	// wrote no byte of the request to it.
 	UpstreamDialFailed Cause = "upstreamDialFailed"
-	// UpstreamRefused: the upstream answered that it has not run the request.
+	// UpstreamRefused: the upstream responded that it has not run the request.
 	UpstreamRefused Cause = "upstreamRefused"
 	// ClaimFailed: the record that prevents a resent request from running twice
 	// could not be created.
@@ -88,17 +88,17 @@
 	// GateFailed: the node beside the upstream panicked while handling the request.
 	GateFailed Cause = "gateFailed"
 	// UpstreamLost: the upstream closed the connection or failed after at least one
-	// byte had been sent to it, and before it answered.
+	// byte had been sent to it, and before it responded.
 	UpstreamLost Cause = "upstreamLost"
-	// AnswerTruncated: the upstream's response ended before it was complete.
+	// ResponseTruncated: the upstream's response ended before it was complete.
 	ResponseTruncated Cause = "answerCut"
 	// WrongUpstream: the address now belongs to another upstream, which reported
 	// that it has not run the request.
 	WrongUpstream Cause = "wrongUpstream"
-	// AnswerMalformed: the upstream did not send a complete response to the request, and
+	// ResponseMalformed: the upstream did not send a complete response to the request, and
 	// no part of it has been forwarded.
 	ResponseMalformed Cause = "answerSpoilt"
-	// AnswerInvalid: the upstream's response can't be forwarded.
+	// ResponseInvalid: the upstream's response can't be forwarded.
 	ResponseInvalid Cause = "answerInvalid"
 )
 
