--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -129,12 +129,12 @@
 	}
 	switch {
 	case current.Phase == Emptied && (elapsed >= 1 || inPhase >= minPhaseTime && j.formerRunning(now) == 0):
-		return Completed, fmt.Sprintf("%d requests since the former version gets no requests", j.judgedRequests)
+		return Completed, fmt.Sprintf("%d requests since the former version gets none", j.judgedRequests)
 	case current.Phase == Moved && lowEvidence && (elapsed >= finalFraction || inPhase >= phaseTime(movedFraction)):
-		return Emptied, fmt.Sprintf("%d requests since half of them moved", j.judgedRequests)
+		return Emptied, fmt.Sprintf("%d requests since half have moved", j.judgedRequests)
 	case current.Phase == Emptied, current.Phase == Moved && elapsed < 1:
 	case elapsed >= finalFraction, current.Phase == Widened && inPhase >= phaseTime(maxWidenedFactor*widenedFraction):
-		return Stopped, fmt.Sprintf("too little evidence in time: %d requests, enough capacity: %v", j.judgedRequests, hasCapacity)
+		return Stopped, fmt.Sprintf("not enough is known in time: %d requests, room for all: %v", j.judgedRequests, hasCapacity)
 	case current.Phase == Trial && ready(0) && elapsed >= trialFraction:
 		return Widened, fmt.Sprintf("%d requests on trial", j.judgedRequests)
 	case current.Phase == Widened && ready(widenedClassFraction) && inPhase >= phaseTime(widenedFraction):
--- a/rollout/merge.go
+++ b/rollout/merge.go
@@ -59,9 +59,9 @@
 	next.Order = f.Order
 	switch known.Phase {
 	case Completed:
-		return next.WithPhase(Emptied, "the platform lost the record of its completion", known.Node, now)
+		return next.WithPhase(Emptied, "the platform has lost that it was completed", known.Node, now)
 	case RolledBack:
-		return next.WithPhase(Stopped, "the platform lost the record of its roll-back", known.Node, now)
+		return next.WithPhase(Stopped, "the platform has lost that it was rolled back", known.Node, now)
 	}
 	return next
 }
