--- a/route/antiphase_test.go
+++ b/route/antiphase_test.go
@@ -66,7 +66,7 @@
 type zonesResult struct {
 	crossed          float64       // fraction of the requests that crossed zones
 	late             float64       // fraction that took over a second
-	longestImbalance time.Duration // longest time that one was over its slots while another was half empty
+	longestImbalance time.Duration // longest time that an upstream was over its slots while another was half empty
 }
 
 // simulateZones has the request rate of each zone rise and fall by 0.55 of its mean every 15 s,
@@ -137,7 +137,7 @@
 	}
 	var longest time.Duration
 	all.Go(func() {
-		since := make([]time.Time, len(upstreams)) // when each was last not in that state
+		since := make([]time.Time, len(upstreams)) // when each was last not over its slots while another was half empty
 		for running() {
 			time.Sleep(10 * time.Millisecond)
 			least := math.MaxInt
@@ -182,9 +182,9 @@
 }
 
 // TestZonesInAntiphase has the request rates of three zones rise and fall with different phases,
-// so that the peak of a zone exceeds what its upstreams run while the others have room for it.
+// so that the peak of a zone exceeds what its upstreams run while the other zones have free slots.
 // No upstream may be over its slots for a second while another is half empty, and hardly any
-// request may cross zones while each zone has room at any moment.
+// request may cross zones while each zone has free slots at any moment.
 func TestZonesInAntiphase(t *testing.T) {
 	tests := map[string]struct {
 		zones       []int
--- a/route/load_test.go
+++ b/route/load_test.go
@@ -16,10 +16,10 @@
 )
 
 // TestCrossing has a node send to six upstreams in its availability zone and six in other zones.
-// Each is slowed down fourfold a quarter of the time, runs two to seven of its at most seven
-// requests, and takes 1.7 times as long beyond eight tenths of its nine slots, as was observed
-// of upstreams on instances that they share. A request is in time if it takes no more than 2.5
-// times the usual service time.
+// Each is slowed down fourfold a quarter of the time and runs two to seven requests, the most
+// that it may run on its nine slots. A request takes 1.7 times as long beyond eight tenths of the
+// slots, as was observed of upstreams on instances that they share. It is in time if it takes no
+// more than 2.5 times the usual service time.
 func TestCrossing(t *testing.T) {
 	const (
 		members          = 6 // in the zone, and as many outside
