--- a/retry/account_test.go
+++ b/retry/account_test.go
@@ -34,7 +34,7 @@
 			}
 			return organisation
 		}
-		again := func(organisation string) bool {
+		shouldRetry := func(organisation string) bool {
 			policy := retry.Policy{MaxAttempts: 2, Budget: budget, Organisation: organisation}
 			return policy.ShouldRetry(failure, true, 1, time.Second)
 		}
@@ -43,12 +43,12 @@
 			time.Sleep(25 * time.Millisecond)
 			for range perSecond / 40 {
 				budget.RecordRequestFor(nameOf("big"))
-				again(nameOf("big"))
+				shouldRetry(nameOf("big"))
 			}
 			small := nameOf(fmt.Sprintf("small%d", random.IntN(20)))
 			budget.RecordRequestFor(small)
 			all++
-			if random.Float64() >= 0.1 || again(small) {
+			if random.Float64() >= 0.1 || shouldRetry(small) {
 				good++
 			}
 		}
@@ -68,9 +68,9 @@
 	}
 }
 
-// TestBudgetAlone checks that an organisation that shares a budget with nobody can use half of
-// it at once, and the rest as its requests add to it.
-func TestBudgetAlone(t *testing.T) {
+// TestHalfOfBudget checks that an organisation without requests can use only half of a budget.
+// Another one can then use one extra request, and requests without an organisation the rest.
+func TestHalfOfBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		budget := &retry.Budget{Share: 0.1, Burst: 20}
 		taken := func(organisation string) (n int) {
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -49,7 +49,7 @@
 	ordinary, extra int
 }
 
-// Adjust sets Share and Burst. Extra requests already taken still count.
+// SetLimits sets Share and Burst. Extra requests already taken still count.
 func (b *Budget) SetLimits(share, burst float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/retry/doc.go
+++ b/retry/doc.go
@@ -6,8 +6,8 @@
 //
 // There are two reasons to send a request again. After a failure, a Policy decides by the
 // verdict, the number of attempts, the deadline and a Budget. While an idempotent request
-// is slow, a Latency tells after which time a second copy should be sent, and another
-// Budget bounds the number of such copies.
+// is slow, a hedged attempt is sent after the HedgeDelay, which is based on the quantiles of
+// a Latency, and another Budget bounds the number of these.
 //
 // The package does no input or output and starts no goroutine.
 package retry
--- a/retry/latency.go
+++ b/retry/latency.go
@@ -49,14 +49,14 @@
 	return l.sorted[int(q*float64(len(l.sorted)))], true
 }
 
-// minHedgeFactor is the least multiple of the usual time after which a second copy is sent
-// for the sake of the latency objective.
+// minHedgeFactor is the least multiple of the usual time after which a hedged attempt is
+// sent for the sake of the latency objective.
 const minHedgeFactor = 1.25
 
-// HedgeDelay returns the time after which a second copy of a request should be sent, given
+// HedgeDelay returns the time after which a hedged attempt should be sent, given
 // the quantile of the request times from which they count as slow, the usual time, and the
 // latency objective, or 0 if there is none. Where many requests are slow, the quantile comes
-// too late: a copy that is sent while the usual time is left may still meet the objective.
+// too late: an attempt that starts while the usual time is left may still meet the objective.
 func HedgeDelay(slow, usual, objective time.Duration) time.Duration {
 	last := objective - usual
 	if float64(last) < minHedgeFactor*float64(usual) {
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -50,7 +50,7 @@
 		"shed by the upstream":            {err: verdict.New(verdict.UpstreamRefused, nil), attempts: 1, remaining: second, want: true},
 		"shed by the upstream, no budget": {err: verdict.New(verdict.UpstreamRefused, nil), attempts: 1, remaining: second, noBudget: true},
 		"given up by a later hop":         {err: verdict.New(verdict.UpstreamRefused, nil).WithGivenUp(), idempotent: true, attempts: 1, remaining: second},
-		"truncated answer":                {err: verdict.New(verdict.ResponseTruncated, nil), idempotent: true, attempts: 1, remaining: second},
+		"truncated response":              {err: verdict.New(verdict.ResponseTruncated, nil), idempotent: true, attempts: 1, remaining: second},
 		"timed out":                       {err: verdict.New(verdict.TimedOut, nil), idempotent: true, attempts: 1, remaining: second},
 	}
 	for name, test := range tests {
