--- a/quota/cluster_test.go
+++ b/quota/cluster_test.go
@@ -232,12 +232,12 @@
 }
 
 // hideCoordinators hides the first coordinators from the node for some time.
-func (n *simNode) hideCoordinators(count int, lasts time.Duration) {
+func (n *simNode) hideCoordinators(count int, duration time.Duration) {
 	n.hidden = make(map[string]bool)
 	for _, id := range n.cluster.ids[:min(count, len(n.cluster.ids))] {
 		n.hidden[id] = true
 	}
-	n.cluster.after(lasts, func() { n.hidden = nil })
+	n.cluster.after(duration, func() { n.hidden = nil })
 }
 
 // exchange sends a Request and handles its Response.
--- a/quota/lease_test.go
+++ b/quota/lease_test.go
@@ -72,7 +72,7 @@
 // time.
 func TestShareHasOneHolder(t *testing.T) {
 	tests := map[string]struct {
-		withdraw bool          // whether the old coordinator is asked to release the share
+		withdraw bool          // whether the share is withdrawn from the old coordinator
 		after    time.Duration // until the new one gets a request
 		old, new float64       // the fractions held then
 	}{
@@ -173,7 +173,7 @@
 }
 
 // TestReportsLimitReached has a coordinator without tokens. It reports that the limit is reached
-// only if it can tell: if it has held nearly all shares for long enough to fill its buckets.
+// only if it is certain: if it has held nearly all shares for long enough to fill its buckets.
 func TestReportsLimitReached(t *testing.T) {
 	tests := map[string]struct {
 		nodes   int
@@ -267,9 +267,9 @@
 	qt.Check(t, estimate.Nodes(10*time.Minute), qt.Equals, 80)
 	estimate.Observe(20, 20*time.Minute)
 	qt.Check(t, estimate.Nodes(20*time.Minute), qt.Equals, 20)
-	alone := quota.NewNodeEstimate(0)
-	alone.Observe(1, 0)
-	qt.Check(t, alone.Nodes(10*time.Second), qt.Equals, 1)
+	single := quota.NewNodeEstimate(0)
+	single.Observe(1, 0)
+	qt.Check(t, single.Nodes(10*time.Second), qt.Equals, 1)
 }
 
 // TestLimitChanges changes limits. A bucket keeps no more than its new depth, and one that is
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -20,8 +20,8 @@
 	maxRefuseTime = 100 * time.Millisecond
 	// lateRefuseTime is how long late requests are refused after the last refusal of others.
 	lateRefuseTime = 300 * time.Millisecond
-	// shortWait is the time up to which a request waits rather than being refused: the
-	// coordinator is asked again after about that time.
+	// shortWait is the time up to which a request waits rather than being refused: the next
+	// Request is sent to the coordinator after about that time.
 	shortWait = 20 * time.Millisecond
 	// unknownRetryAfter is when a caller may retry that was refused because no coordinator
 	// has responded.
@@ -50,7 +50,7 @@
 
 // refusal is how requests of an organisation are refused for which there is no token.
 type refusal struct {
-	until     time.Duration // when the coordinator is asked again
+	until     time.Duration // when tokens are requested again
 	nextRetry time.Duration // when the next caller may retry
 	retryStep time.Duration
 	// unknown is whether it isn't certain that the limit is reached.
@@ -123,7 +123,7 @@
 	return p
 }
 
-// queueFull is the decision on a request for which there is no room to wait.
+// queueFull is the decision on a request that arrives while too many others wait.
 var queueFull = Decision{
 	Unknown:    true,
 	RetryAfter: unknownRetryAfter,
--- a/quota/message.go
+++ b/quota/message.go
@@ -48,7 +48,7 @@
 	// to be granted, and RetryStep the time from each to the next.
 	RetryAfter time.Duration `msgpack:"w,omitempty"`
 	RetryStep  time.Duration `msgpack:"i,omitempty"`
-	// Unknown is whether the coordinator can't tell if the limit is reached. If RetryAfter is
+	// Unknown is whether the coordinator doesn't know if the limit is reached. If RetryAfter is
 	// 0, it knows no limit of the organisation, or holds no shares.
 	Unknown bool `msgpack:"u,omitempty"`
 }
--- a/quota/pool.go
+++ b/quota/pool.go
@@ -87,11 +87,11 @@
 func (p *pool) expire(now time.Duration) {
 	var expired []string
 	p.nextExpiry = never
-	for name, r := range p.shares {
-		if r.expires <= now {
+	for name, s := range p.shares {
+		if s.expires <= now {
 			expired = append(expired, name)
 		} else {
-			p.nextExpiry = min(p.nextExpiry, r.expires)
+			p.nextExpiry = min(p.nextExpiry, s.expires)
 		}
 	}
 	slices.SortFunc(expired, func(a, b string) int { return cmp.Compare(p.shares[a].expires, p.shares[b].expires) })
@@ -134,11 +134,11 @@
 }
 
 const (
-	// decisiveFraction is the fraction of all shares with which a coordinator can tell that
-	// a limit is reached. With less it doesn't know what others grant; the rest may be
-	// shares of nodes that have gone.
+	// decisiveFraction is the fraction of all shares from which a coordinator knows
+	// whether a limit is reached. With less it doesn't know what others grant; the rest may
+	// be shares of nodes that have left.
 	decisiveFraction = 0.8
-	// fillTime is how long it must have held them, as its buckets were empty at first.
+	// fillTime is how long it must have held that fraction, as its buckets were empty at first.
 	fillTime = time.Second
 )
 
@@ -214,7 +214,7 @@
 // token.
 const tolerance = 1e-9
 
-// put puts back tokens that were taken, as far as there is room.
+// put puts back tokens that were taken, up to the depth of the bucket.
 func (p *pool) put(organisation string, n int, now time.Duration) {
 	p.advance(now)
 	if b := p.buckets[organisation]; b != nil {
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -130,7 +130,7 @@
 	qt.Check(t, c.ran("o", 7*time.Second, 10*time.Second) > 3*130, qt.IsTrue)
 }
 
-// TestRetryAfter has callers retry at the time that they were told. They are admitted.
+// TestRetryAfter has refused callers retry after the given times. They are admitted.
 func TestRetryAfter(t *testing.T) {
 	c := newCluster(5, 20, limited(10, 1))
 	c.runUntil(2 * time.Second)
@@ -256,7 +256,7 @@
 	if s.random.IntN(2) == 0 {
 		n = s.byID(s.ids[s.random.IntN(2)]) // a coordinator
 	}
-	lasts := 100*time.Millisecond + time.Duration(s.random.Int64N(int64(6*time.Second)))
+	duration := 100*time.Millisecond + time.Duration(s.random.Int64N(int64(6*time.Second)))
 	switch s.random.IntN(6) {
 	case 0:
 		n = s.largestHolder()
@@ -264,22 +264,22 @@
 	case 5:
 		for _, n := range s.nodes {
 			if s.random.IntN(2) == 0 {
-				n.hideCoordinators(1+s.random.IntN(3), time.Duration(s.random.Int64N(int64(lasts))))
+				n.hideCoordinators(1+s.random.IntN(3), time.Duration(s.random.Int64N(int64(duration))))
 			}
 		}
-		n.kill(lasts / 4)
+		n.kill(duration / 4)
 	case 1:
-		n.pausedUntil = s.now + lasts/4
+		n.pausedUntil = s.now + duration/4
 	case 2:
-		s.partition(s.random.Float64(), lasts)
+		s.partition(s.random.Float64(), duration)
 	case 3:
-		s.flap(n, lasts)
+		s.flap(n, duration)
 	case 4:
 		for range len(s.nodes) / 40 * b2i(s.joins) { // before the others have counted them
 			s.join(s.nodes[0].limits)
 		}
 		joined := len(s.nodes)
-		s.after(lasts/2, func() { s.nodeCount = max(s.nodeCount, joined) })
+		s.after(duration/2, func() { s.nodeCount = max(s.nodeCount, joined) })
 	}
 }
 
@@ -291,27 +291,27 @@
 }
 
 // partition separates some of the nodes from the others for a time.
-func (s *scenario) partition(fraction float64, lasts time.Duration) {
+func (s *scenario) partition(fraction float64, duration time.Duration) {
 	separated := make(map[string]bool)
 	for _, n := range s.nodes {
 		separated[n.id] = s.random.Float64() < fraction
 	}
 	s.partitioned = func(from, to *simNode) bool { return separated[from.id] != separated[to.id] }
-	s.after(lasts, func() { s.partitioned = func(_, _ *simNode) bool { return false } })
+	s.after(duration, func() { s.partitioned = func(_, _ *simNode) bool { return false } })
 }
 
 // flap has the links between two random groups of nodes fail and recover repeatedly.
-func (s *scenario) flap(n *simNode, lasts time.Duration) {
-	until := s.now + lasts
+func (s *scenario) flap(n *simNode, duration time.Duration) {
+	until := s.now + duration
 	off := quota.LeaseDuration + time.Duration(s.random.Int64N(int64(time.Second)))
-	var turn func()
-	turn = func() {
+	var repeat func()
+	repeat = func() {
 		if s.now < until {
 			s.partition(0.5, off)
-			s.after(off+time.Duration(s.random.Int64N(int64(300*time.Millisecond))), turn)
+			s.after(off+time.Duration(s.random.Int64N(int64(300*time.Millisecond))), repeat)
 		}
 	}
-	turn()
+	repeat()
 }
 
 // restartMany has many nodes restart at once.
@@ -329,9 +329,9 @@
 func (s *scenario) lowerLimit() {
 	at := 8*time.Second + s.randomTime()/2
 	for _, n := range s.nodes {
-		learns := at + time.Duration(s.random.Int64N(int64(2500*time.Millisecond)))
-		s.lowered = max(s.lowered, learns)
-		s.after(learns, func() { n.set(map[string]quota.Limit{"o": s.lower}) })
+		learnsAt := at + time.Duration(s.random.Int64N(int64(2500*time.Millisecond)))
+		s.lowered = max(s.lowered, learnsAt)
+		s.after(learnsAt, func() { n.set(map[string]quota.Limit{"o": s.lower}) })
 	}
 	s.after(s.lowered, func() {
 		for _, n := range s.nodes { // including those that have joined meanwhile
