--- a/throttle/limiter.go
+++ b/throttle/limiter.go
@@ -245,7 +245,7 @@
 	return at.Sub(now)
 }
 
-// Rate returns the limit in requests per second, and whether there is one.
+// Limit returns the limit in requests per second, and whether there is one.
 func (l *Limiter) Limit() (rate float64, limited bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/throttle/limiter_test.go
+++ b/throttle/limiter_test.go
@@ -31,38 +31,38 @@
 // TestObserveLimit observes limits in different orders, and checks which one applies then.
 func TestObserveLimit(t *testing.T) {
 	tests := map[string]struct {
-		play    func(l *throttle.Limiter)
+		setUp   func(l *throttle.Limiter)
 		limited bool
 		rate    float64
 	}{
-		"nothing": {play: func(*throttle.Limiter) {}},
-		"a limit": {play: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()) }, limited: true, rate: 5},
-		"lower":   {play: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()); l.ObserveLimit(0.5, time.Now()) }, limited: true, rate: 0.5},
-		"higher":  {play: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()); l.ObserveLimit(9, time.Now()) }, limited: true, rate: 9},
-		"zero":    {play: func(l *throttle.Limiter) { l.ObserveLimit(0, time.Now()) }, limited: true},
-		"over":    {play: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()); l.ObserveNoLimit(time.Now()) }},
-		"another after its end": {play: func(l *throttle.Limiter) {
+		"nothing": {setUp: func(*throttle.Limiter) {}},
+		"a limit": {setUp: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()) }, limited: true, rate: 5},
+		"lower":   {setUp: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()); l.ObserveLimit(0.5, time.Now()) }, limited: true, rate: 0.5},
+		"higher":  {setUp: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()); l.ObserveLimit(9, time.Now()) }, limited: true, rate: 9},
+		"zero":    {setUp: func(l *throttle.Limiter) { l.ObserveLimit(0, time.Now()) }, limited: true},
+		"over":    {setUp: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()); l.ObserveNoLimit(time.Now()) }},
+		"another after its end": {setUp: func(l *throttle.Limiter) {
 			l.ObserveLimit(5, time.Now())
 			l.ObserveNoLimit(time.Now())
 			l.ObserveLimit(6, time.Now())
 		}, limited: true, rate: 6},
-		"a delayed end":                           {play: func(l *throttle.Limiter) { sent := timeBeforeLimit(l); l.ObserveNoLimit(sent) }, limited: true, rate: 5},
-		"a delayed higher one":                    {play: func(l *throttle.Limiter) { sent := timeBeforeLimit(l); l.ObserveLimit(9, sent) }, limited: true, rate: 5},
-		"a delayed lower one":                     {play: func(l *throttle.Limiter) { sent := timeBeforeLimit(l); l.ObserveLimit(3, sent) }, limited: true, rate: 3},
-		"a restart":                               {play: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()); l.Reset() }},
-		"from others":                             {play: func(l *throttle.Limiter) { l.AdoptLimit(5) }, limited: true, rate: 5},
-		"from others, lowest":                     {play: func(l *throttle.Limiter) { l.AdoptLimit(5); l.AdoptLimit(3); l.AdoptLimit(7) }, limited: true, rate: 3},
-		"from the upstream, then from others":     {play: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()); l.AdoptLimit(2) }, limited: true, rate: 5},
-		"from others, ended by the upstream":      {play: func(l *throttle.Limiter) { l.AdoptLimit(5); l.ObserveNoLimit(time.Now()) }},
-		"ended by the upstream, then from others": {play: func(l *throttle.Limiter) { l.AdoptLimit(5); l.ObserveNoLimit(time.Now()); l.AdoptLimit(5) }},
-		"a restart, then from others":             {play: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()); l.Reset(); l.AdoptLimit(4) }, limited: true, rate: 4},
-		"rises under requests":                    {play: risesUnderRequests, limited: true, rate: 9},
+		"a delayed end":                           {setUp: func(l *throttle.Limiter) { sent := timeBeforeLimit(l); l.ObserveNoLimit(sent) }, limited: true, rate: 5},
+		"a delayed higher one":                    {setUp: func(l *throttle.Limiter) { sent := timeBeforeLimit(l); l.ObserveLimit(9, sent) }, limited: true, rate: 5},
+		"a delayed lower one":                     {setUp: func(l *throttle.Limiter) { sent := timeBeforeLimit(l); l.ObserveLimit(3, sent) }, limited: true, rate: 3},
+		"a restart":                               {setUp: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()); l.Reset() }},
+		"from others":                             {setUp: func(l *throttle.Limiter) { l.AdoptLimit(5) }, limited: true, rate: 5},
+		"from others, lowest":                     {setUp: func(l *throttle.Limiter) { l.AdoptLimit(5); l.AdoptLimit(3); l.AdoptLimit(7) }, limited: true, rate: 3},
+		"from the upstream, then from others":     {setUp: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()); l.AdoptLimit(2) }, limited: true, rate: 5},
+		"from others, ended by the upstream":      {setUp: func(l *throttle.Limiter) { l.AdoptLimit(5); l.ObserveNoLimit(time.Now()) }},
+		"ended by the upstream, then from others": {setUp: func(l *throttle.Limiter) { l.AdoptLimit(5); l.ObserveNoLimit(time.Now()); l.AdoptLimit(5) }},
+		"a restart, then from others":             {setUp: func(l *throttle.Limiter) { l.ObserveLimit(5, time.Now()); l.Reset(); l.AdoptLimit(4) }, limited: true, rate: 4},
+		"rises under requests":                    {setUp: risesUnderRequests, limited: true, rate: 9},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				l := new(throttle.Limiter)
-				test.play(l)
+				test.setUp(l)
 				s := l.State()
 				qt.Check(t, s.Limited, qt.Equals, test.limited)
 				qt.Check(t, s.Rate, qt.Equals, test.rate)
@@ -108,7 +108,7 @@
 		"a huge number":     {rate: 1e6, every: time.Millisecond, least: 100000, most: 1e7},
 		"many":              {rate: 400, every: 10 * time.Millisecond, least: 3900, most: 4030},
 		"rarely tried":      {rate: 9, every: time.Second, least: 9, most: 20},
-		"once in two slots": {rate: 1, every: 2 * time.Second, least: 4, most: 6},
+		"every two seconds": {rate: 1, every: 2 * time.Second, least: 4, most: 6},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -201,8 +201,7 @@
 	}
 }
 
-// TestRetryAfter has many requests refused at once. Each is told a time of its own to retry at, within
-// the limit.
+// TestRetryAfter has many requests refused at once. Their retries are spread at the rate of the limit.
 func TestRetryAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := new(throttle.Limiter)
--- a/throttle/load_test.go
+++ b/throttle/load_test.go
@@ -31,8 +31,8 @@
 	length      = 20 * time.Second
 	urgent      = "order"
 	ordinary    = "view"
-	// maxNeedless is the largest fraction of the requests that may be refused although a gate had
-	// room all the time. A sender knows a gate by its last report, and tries at most four of the six.
+	// maxNeedless is the largest fraction of the requests that may be refused although a gate could
+	// run them all the time. A sender knows a gate by its last report, and tries at most four of the six.
 	maxNeedless = 0.01
 )
 
@@ -61,7 +61,7 @@
 	sent        map[string]int
 	served      map[string]int
 	refusals    int // refusals by a gate
-	needless    int // requests refused while a gate had room from their first attempt to their last
+	needless    int // requests refused although a gate could run them from their first attempt to their last
 	retryAfters []time.Duration
 }
 
--- a/throttle/simulation_test.go
+++ b/throttle/simulation_test.go
@@ -51,15 +51,15 @@
 
 // node is what a sender of requests knows about the limit.
 type node struct {
-	toldAt  time.Time // when it first received a limit, zero if it has not
-	limited bool      // whether it takes a limit to apply
-	limit   float64
+	limitKnownAt time.Time // when it first received a limit, zero if it has not
+	limited      bool      // whether it assumes that a limit applies
+	limit        float64
 }
 
 // arrival is a request or a health check that has reached the upstream.
 type arrival struct {
-	at     time.Time
-	toldAt time.Time // since when its node has known a limit, zero if it has not
+	at           time.Time
+	limitKnownAt time.Time // since when its node has known a limit, zero if it has not
 }
 
 // advertise has the upstream advertise a limit, or none if it is negative.
@@ -122,7 +122,7 @@
 		s.mu.Unlock()
 		return
 	}
-	s.arrivals = append(s.arrivals, arrival{at: time.Now(), toldAt: s.nodes[i].toldAt})
+	s.arrivals = append(s.arrivals, arrival{at: time.Now(), limitKnownAt: s.nodes[i].limitKnownAt})
 	s.mu.Unlock()
 	gate.MarkWritten()
 	time.Sleep(s.draw(300 * time.Millisecond))
@@ -148,8 +148,8 @@
 	case s.starts != starts: // the response is lost with the connection
 	case state.Limited:
 		n.limited, n.limit = true, state.Rate
-		if n.toldAt.IsZero() {
-			n.toldAt = time.Now()
+		if n.limitKnownAt.IsZero() {
+			n.limitKnownAt = time.Now()
 		}
 		if s.passedOn.IsZero() {
 			s.passedOn = time.Now()
@@ -164,7 +164,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.gate.TryHealthCheck() == 0 {
-		s.arrivals = append(s.arrivals, arrival{at: time.Now(), toldAt: s.passedOn})
+		s.arrivals = append(s.arrivals, arrival{at: time.Now(), limitKnownAt: s.passedOn})
 	}
 }
 
@@ -197,7 +197,7 @@
 		}
 		count := 0
 		for _, a := range s.arrivals[:i+1] {
-			if last.at.Sub(a.at) < throttle.Window && !a.toldAt.IsZero() && a.at.Sub(a.toldAt) >= graceTime {
+			if last.at.Sub(a.at) < throttle.Window && !a.limitKnownAt.IsZero() && a.at.Sub(a.limitKnownAt) >= graceTime {
 				count++
 			}
 		}
