--- a/ratelimit/limiter.go
+++ b/ratelimit/limiter.go
@@ -115,7 +115,7 @@
 // now returns the time since the first call.
 func (l *Limiter) now() time.Duration { return l.Clock() - l.began }
 
-// Set sets the active organisations.
+// SetOrganisations sets the active organisations.
 func (l *Limiter) SetOrganisations(s *organisation.Set) {
 	l.init()
 	l.mu.Lock()
--- a/ratelimit/limiter_test.go
+++ b/ratelimit/limiter_test.go
@@ -20,8 +20,8 @@
 	"sassafrasfront.example/verdict"
 )
 
-// alone calls f with a Limiter that is its own coordinator.
-func alone(t *testing.T, f func(t *testing.T, l *ratelimit.Limiter)) {
+// runLimiter calls f with a running Limiter that is its own coordinator.
+func runLimiter(t *testing.T, f func(t *testing.T, l *ratelimit.Limiter)) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &ratelimit.Limiter{
 			Bounds:       quota.Bounds{Window: 5 * time.Second},
@@ -56,7 +56,7 @@
 
 // TestAdmit checks that requests are admitted within the limit, and why others are refused.
 func TestAdmit(t *testing.T) {
-	alone(t, func(t *testing.T, l *ratelimit.Limiter) {
+	runLimiter(t, func(t *testing.T, l *ratelimit.Limiter) {
 		ctx := t.Context()
 		for range 100 {
 			_, failure := l.Admit(ctx, request)
@@ -87,7 +87,7 @@
 		permits[len(permits)-1].Refund()
 		time.Sleep(failure.RetryAfter)
 		_, failure = l.Admit(ctx, request)
-		qt.Check(t, failure == nil, qt.IsTrue, qt.Commentf("it retries when it was told to"))
+		qt.Check(t, failure == nil, qt.IsTrue, qt.Commentf("it retries after RetryAfter"))
 
 		u := l.Usages(ctx, 10)
 		qt.Assert(t, u, qt.HasLen, 1)
@@ -103,7 +103,7 @@
 
 // TestCallerLeaves has a caller give up while its request waits for a coordinator.
 func TestCallerLeaves(t *testing.T) {
-	alone(t, func(t *testing.T, l *ratelimit.Limiter) {
+	runLimiter(t, func(t *testing.T, l *ratelimit.Limiter) {
 		l.SetOrganisations(set(t))
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 		defer cancel()
@@ -118,7 +118,7 @@
 
 // TestHandleInvalid has peers send invalid requests.
 func TestHandleInvalid(t *testing.T) {
-	alone(t, func(t *testing.T, l *ratelimit.Limiter) {
+	runLimiter(t, func(t *testing.T, l *ratelimit.Limiter) {
 		for name, payload := range map[string][]byte{
 			"nothing":         nil,
 			"not a map":       {0xc0 + 1},
--- a/ratelimit/tally.go
+++ b/ratelimit/tally.go
@@ -162,8 +162,9 @@
 	HeldFraction float64
 	// Waiting is the number of requests that wait for a coordinator.
 	Waiting int
-	// Answered and Unanswered count the exchanges with coordinators, and Served those that
-	// this node has answered as a coordinator, since the start.
+	// Responded and Failed count the exchanges with coordinators that succeeded and that
+	// failed, and Served the requests that this node has handled as a coordinator, since the
+	// start.
 	Responded, Failed, Served uint64
 }
 
