--- a/coldstart/limiter.go
+++ b/coldstart/limiter.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// window is the time over which requests are counted: a second, and the time by which two
+// window is the time over which requests are counted: a second, plus the time by which two
 // requests may get closer to each other on their way to the upstream, which is on the same
 // instance.
 const window = 1020 * time.Millisecond
--- a/coldstart/limiter_test.go
+++ b/coldstart/limiter_test.go
@@ -31,36 +31,36 @@
 // TestTryAcquire counts how many of many simultaneous requests are let through.
 func TestTryAcquire(t *testing.T) {
 	tests := map[string]struct {
-		play func(l *coldstart.Limiter)
-		want int
+		setUp func(l *coldstart.Limiter)
+		want  int
 	}{
-		"warm":                   {play: func(*coldstart.Limiter) {}, want: 100},
-		"cold":                   {play: func(l *coldstart.Limiter) { l.SetRemaining(time.Minute) }, want: limit},
-		"warm again":             {play: func(l *coldstart.Limiter) { l.SetRemaining(time.Minute); l.SetRemaining(0) }, want: 100},
-		"the cold time is over":  {play: func(l *coldstart.Limiter) { l.SetRemaining(time.Second); time.Sleep(time.Second) }, want: 100},
-		"an outdated report":     {play: func(l *coldstart.Limiter) { l.SetRemaining(time.Minute); l.ExtendRemaining(0) }, want: limit},
-		"turns cold after three": {play: func(l *coldstart.Limiter) { acquireAll(l, 3); l.SetRemaining(time.Minute) }, want: limit - 3},
-		"turns cold after many":  {play: func(l *coldstart.Limiter) { acquireAll(l, 50); l.SetRemaining(time.Minute) }, want: 0},
-		"after many, long ago": {play: func(l *coldstart.Limiter) {
+		"warm":                   {setUp: func(*coldstart.Limiter) {}, want: 100},
+		"cold":                   {setUp: func(l *coldstart.Limiter) { l.SetRemaining(time.Minute) }, want: limit},
+		"warm again":             {setUp: func(l *coldstart.Limiter) { l.SetRemaining(time.Minute); l.SetRemaining(0) }, want: 100},
+		"the cold time is over":  {setUp: func(l *coldstart.Limiter) { l.SetRemaining(time.Second); time.Sleep(time.Second) }, want: 100},
+		"an outdated report":     {setUp: func(l *coldstart.Limiter) { l.SetRemaining(time.Minute); l.ExtendRemaining(0) }, want: limit},
+		"turns cold after three": {setUp: func(l *coldstart.Limiter) { acquireAll(l, 3); l.SetRemaining(time.Minute) }, want: limit - 3},
+		"turns cold after many":  {setUp: func(l *coldstart.Limiter) { acquireAll(l, 50); l.SetRemaining(time.Minute) }, want: 0},
+		"after many, long ago": {setUp: func(l *coldstart.Limiter) {
 			acquireAll(l, 50)
 			time.Sleep(2 * time.Second)
 			l.SetRemaining(time.Minute)
 		}, want: limit},
-		"the upstream restarts": {play: func(l *coldstart.Limiter) { acquireAll(l, 50); l.SetRemaining(time.Minute); l.Reset() }, want: limit},
-		"the gate restarts":     {play: func(l *coldstart.Limiter) { l.SetLimit(0); l.SetLimit(limit); l.SetRemaining(time.Minute) }, want: 0},
-		"the gate restarts, two seconds later": {play: func(l *coldstart.Limiter) {
+		"the upstream restarts": {setUp: func(l *coldstart.Limiter) { acquireAll(l, 50); l.SetRemaining(time.Minute); l.Reset() }, want: limit},
+		"the gate restarts":     {setUp: func(l *coldstart.Limiter) { l.SetLimit(0); l.SetLimit(limit); l.SetRemaining(time.Minute) }, want: 0},
+		"the gate restarts, two seconds later": {setUp: func(l *coldstart.Limiter) {
 			l.SetLimit(0)
 			l.SetLimit(limit)
 			l.SetRemaining(time.Minute)
 			time.Sleep(2 * time.Second)
 		}, want: limit},
-		"no limit": {play: func(l *coldstart.Limiter) { l.SetLimit(0); l.SetRemaining(time.Minute) }, want: 100},
+		"no limit": {setUp: func(l *coldstart.Limiter) { l.SetLimit(0); l.SetRemaining(time.Minute) }, want: 100},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				l := newLimiter()
-				test.play(l)
+				test.setUp(l)
 				qt.Check(t, acquireAll(l, 100), qt.Equals, test.want)
 			})
 		})
@@ -79,19 +79,19 @@
 }
 
 // TestAnySecond has requests arrive at any times while the upstream turns cold and warm. In no
-// second in which it is cold throughout does it get more than the limit, and a request that is
-// told to wait is let through after that time if no other arrives.
+// second in which it is cold throughout does it get more than the limit, and a request that
+// has to wait is let through after that time if no other arrives.
 func TestAnySecond(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		gaps := rapid.SliceOfN(rapid.IntRange(0, 400), 1, 300).Draw(r, "gaps")
-		turns := rapid.SliceOfN(rapid.IntRange(0, 30), 0, 10).Draw(r, "turns")
+		coldAt := rapid.SliceOfN(rapid.IntRange(0, 30), 0, 10).Draw(r, "turns")
 		synctest.Test(t, func(t *testing.T) {
 			l := newLimiter()
 			var sent []time.Time
 			for i, gap := range gaps {
 				time.Sleep(time.Duration(gap) * time.Millisecond)
-				for _, turn := range turns {
-					if turn == i%31 {
+				for _, index := range coldAt {
+					if index == i%31 {
 						l.SetRemaining(3 * time.Second)
 					}
 				}
