--- a/serviceconfig/classes.go
+++ b/serviceconfig/classes.go
@@ -15,7 +15,7 @@
 )
 
 // classKey identifies a class of a service. Requests of one priority may run for 55 ms or for
-// 260 ms; their latency objectives tell which can wait.
+// 260 ms; their latency objectives show which can wait.
 type classKey struct {
 	priority  int // lower numbers are more urgent
 	objective time.Duration
@@ -23,8 +23,8 @@
 
 // classKeys returns the classes of the routes that lead to a service, with their own priorities
 // and those of organisations. The least urgent comes first: the one with the longest objective
-// of those with the same priority. Classes for priorities of organisations beyond the largest
-// number that an operator's service may have are left out; their requests have the priorities of
+// of those with the same priority. Classes for priorities of organisations are left out once
+// there are operator.MaxClasses; the requests of these organisations then have the priorities of
 // their routes.
 func classKeys(t *routes.Table, service string) []classKey {
 	var list []classKey
--- a/serviceconfig/service.go
+++ b/serviceconfig/service.go
@@ -41,9 +41,9 @@
 	// the largest number of requests that wait.
 	queueWait   = 60 * time.Millisecond
 	queueLength = 16
-	// slotShare is the fraction of an upstream's slots that is used. Requests at an upstream
+	// slotFraction is the fraction of an upstream's slots that is used. Requests at an upstream
 	// that is nearly full take so much longer that fewer end per second.
-	slotShare = 0.8
+	slotFraction = 0.8
 	// priorityWeight is the factor by which a priority gets more slots than the
 	// next lower one while requests of both wait.
 	priorityWeight = 4.0
@@ -61,7 +61,7 @@
 		ServiceTime:      operator.Duration(expectedServiceTime(t, service)),
 		Queue: operator.Queue{
 			MaxLength:     queueLength,
-			SlotFraction:  slotShare,
+			SlotFraction:  slotFraction,
 			MaxWait:       operator.Duration(queueWait),
 			HoldWhileSlow: true,
 			Adaptive:      &adaptive,
