--- a/upstream/announcement.go
+++ b/upstream/announcement.go
@@ -271,7 +271,7 @@
 
 // Leave records that a start of the upstream gets no more requests. It still finishes those
 // that it is running. Later announcements of that start are ignored. A start time of 0 means
-// unknown: it is then taken for the current start.
+// unknown: the start is then assumed to be the current one.
 func (h *Announcements) Leave(start string, startMillis int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/upstream/conn.go
+++ b/upstream/conn.go
@@ -113,8 +113,8 @@
 
 // readHead reads the head of the final response. Informational responses show that the upstream is
 // still working, however many there are; those beyond maxForwardedInfoBytes are dropped.
-func (c *conn) readHead(r *http.Request, inform func(int, http.Header)) (*http.Response, error) {
-	for informed := int64(0); informed < maxInfoBytes; informed += maxHeadBytes - c.readLimit {
+func (c *conn) readHead(r *http.Request, onInfo func(int, http.Header)) (*http.Response, error) {
+	for infoBytes := int64(0); infoBytes < maxInfoBytes; infoBytes += maxHeadBytes - c.readLimit {
 		c.readLimit = maxHeadBytes
 		response, err := http.ReadResponse(c.reader, r)
 		if err != nil {
@@ -126,8 +126,8 @@
 		case response.StatusCode >= 200:
 			c.readLimit = unlimited
 			return response, nil
-		case inform != nil && informed < maxForwardedInfoBytes && response.StatusCode != http.StatusContinue:
-			inform(response.StatusCode, response.Header)
+		case onInfo != nil && infoBytes < maxForwardedInfoBytes && response.StatusCode != http.StatusContinue:
+			onInfo(response.StatusCode, response.Header)
 		}
 	}
 	return nil, fmt.Errorf("%w: %d bytes of informational responses", errUnusable, int64(maxInfoBytes))
--- a/upstream/names.go
+++ b/upstream/names.go
@@ -50,7 +50,7 @@
 	Leaving:   "Sassafras-Leaving",
 }
 
-// OrDefault returns the names, or DefaultNames if they are the zero value.
+// OrDefault returns the names, or DefaultFieldNames if they are the zero value.
 func (n FieldNames) OrDefault() FieldNames {
 	if n == (FieldNames{}) {
 		return DefaultFieldNames
--- a/upstream/notice_test.go
+++ b/upstream/notice_test.go
@@ -27,7 +27,8 @@
 }
 
 // TestNoticesOfResponses checks from which responses a notice is taken: not from those of other
-// upstreams, and not from those that may be and carry neither a limit nor leaving.
+// upstreams, and not from those that may be of another upstream and carry neither a limit nor
+// leaving.
 func TestNoticesOfResponses(t *testing.T) {
 	names := FieldNames{
 		RequestID:        "Request-Id",
@@ -81,8 +82,8 @@
 	}
 }
 
-// TestNoticeOf checks the parsing of the limit and leaving fields.
-func TestNoticeOf(t *testing.T) {
+// TestParseNotice checks the parsing of the limit and leaving fields.
+func TestParseNotice(t *testing.T) {
 	names := FieldNames{
 		Limit:   "Server-Limit",
 		Leaving: "Server-Leaving",
--- a/upstream/response.go
+++ b/upstream/response.go
@@ -16,8 +16,8 @@
 	"sassafrasfront.example/verdict"
 )
 
-// maxSkippedResponses bounds the number of responses to other requests that are skipped before the right
-// one.
+// maxSkippedResponses bounds the number of responses to other requests that are skipped before the one
+// to the request that was sent.
 const maxSkippedResponses = 4
 
 // errUnmatchedResponses closes a connection whose responses can't be assigned to requests.
@@ -25,14 +25,14 @@
 
 // readResponse reads the head of the response to r. Responses that carry the id of another request
 // are skipped: an upstream may send a response twice, or late.
-func (t *Transport) readResponse(c *conn, r *http.Request, inform func(int, http.Header)) (*http.Response, error) {
+func (t *Transport) readResponse(c *conn, r *http.Request, onInfo func(int, http.Header)) (*http.Response, error) {
 	names := t.Names
 	id := ""
 	if names.RequestID != "" {
 		id = r.Header.Get(names.RequestID)
 	}
 	for range maxSkippedResponses {
-		response, err := c.readHead(r, inform)
+		response, err := c.readHead(r, onInfo)
 		if err != nil {
 			return nil, err
 		}
--- a/upstream/response_test.go
+++ b/upstream/response_test.go
@@ -56,7 +56,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			connections := make(chan int, 4)
-			addr := raw(t, func(n int, c net.Conn) {
+			addr := serveConns(t, func(n int, c net.Conn) {
 				connections <- n
 				reader := bufio.NewReader(c)
 				for {
--- a/upstream/slowread_test.go
+++ b/upstream/slowread_test.go
@@ -37,7 +37,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			addr := raw(t, func(_ int, c net.Conn) {
+			addr := serveConns(t, func(_ int, c net.Conn) {
 				_ = c.(*net.TCPConn).SetReadBuffer(4 << 10)
 				reader := bufio.NewReaderSize(c, 1<<10)
 				for {
@@ -92,7 +92,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			addr := raw(t, func(_ int, c net.Conn) {
+			addr := serveConns(t, func(_ int, c net.Conn) {
 				if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
 					return
 				}
@@ -181,7 +181,7 @@
 func TestProbe(t *testing.T) {
 	began := make(chan struct{})
 	end := make(chan struct{})
-	addr := raw(t, func(_ int, c net.Conn) {
+	addr := serveConns(t, func(_ int, c net.Conn) {
 		_, _ = http.ReadRequest(bufio.NewReader(c))
 		close(began)
 		<-end
--- a/upstream/transport.go
+++ b/upstream/transport.go
@@ -38,9 +38,9 @@
 	// defaultIdleTimeout is how long an idle connection is kept. It is shorter than the five seconds
 	// after which common servers close theirs.
 	defaultIdleTimeout = 4 * time.Second
-	// keepAliveShare is the fraction of the upstream's keep-alive timeout for which an idle
+	// keepAliveFraction is the fraction of the upstream's keep-alive timeout for which an idle
 	// connection may be reused.
-	keepAliveShare = 0.9
+	keepAliveFraction = 0.9
 	// ackTimeout bounds the time for which sent data may stay unacknowledged by the upstream's
 	// kernel. The upstream runs on the same instance, where a fraction of a millisecond is
 	// usual, and callers wait at least 250 ms. The bound does not apply to requests above
@@ -90,9 +90,9 @@
 }
 
 // Send writes the request and returns the head of the response. The request's context cancels it:
-// the connection is then closed. The function inform, if not nil, is called with each informational
+// the connection is then closed. The function onInfo, if not nil, is called with each informational
 // response. The caller must close the response's body.
-func (t *Transport) Send(r *http.Request, inform func(status int, h http.Header)) (*http.Response, *verdict.Error) {
+func (t *Transport) Send(r *http.Request, onInfo func(status int, h http.Header)) (*http.Response, *verdict.Error) {
 	c, err := t.getConn(r.Context())
 	if err != nil {
 		return nil, verdict.As(err, verdict.UpstreamDialFailed)
@@ -119,7 +119,7 @@
 	} else {
 		go write()
 	}
-	response, err := t.readResponse(c, r, inform)
+	response, err := t.readResponse(c, r, onInfo)
 	if err != nil {
 		stop()
 		c.recordUnacknowledged()
@@ -198,7 +198,7 @@
 
 // ErrUnreachable is wrapped by the failure of a request for which no connection to the upstream
 // could be opened. A request may also fail unsent because its caller cancelled it or because an
-// open connection broke; neither means that the upstream is gone.
+// open connection broke; neither means that the upstream can't be reached.
 var ErrUnreachable = eris.New("dial upstream")
 
 // notSent returns the failure of a request that ended before it was written.
@@ -224,7 +224,7 @@
 func (t *Transport) maxIdle(c *conn) time.Duration {
 	idle := cmp.Or(t.IdleTimeout, defaultIdleTimeout)
 	if c.keepAlive > 0 {
-		idle = min(idle, time.Duration(keepAliveShare*float64(c.keepAlive)))
+		idle = min(idle, time.Duration(keepAliveFraction*float64(c.keepAlive)))
 	}
 	return idle
 }
@@ -312,12 +312,12 @@
 
 // Resize changes the limits on open and on idle connections. A connection that carries a request
 // stays open until the request has ended.
-func (t *Transport) Resize(connections, warm int) {
+func (t *Transport) Resize(maxConns, maxIdleConns int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.MaxConns = connections
-	t.MaxIdleConns = warm
-	for len(t.idle) > 0 && (len(t.idle) > warm || t.overLimit()) {
+	t.MaxConns = maxConns
+	t.MaxIdleConns = maxIdleConns
+	for len(t.idle) > 0 && (len(t.idle) > maxIdleConns || t.overLimit()) {
 		c := t.idle[0]
 		t.idle = t.idle[1:]
 		t.closeLocked(c)
@@ -327,13 +327,13 @@
 
 const (
 	// probeInterval is the interval of the keep-alive probes that the kernel sends to an upstream
-	// that may be gone, and probeCount how many of them may be lost in a row.
+	// that may have crashed, and probeCount how many of them may be lost in a row.
 	probeInterval = time.Second
 	probeCount    = 3
 )
 
 // ProbeBusyConns enables TCP keep-alive probes on each connection that carries a request, so that
-// the connections to an upstream that is gone are closed.
+// the connections to an upstream that has crashed are closed.
 func (t *Transport) ProbeBusyConns() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/upstream/transport_test.go
+++ b/upstream/transport_test.go
@@ -26,8 +26,8 @@
 	"sassafrasfront.example/verdict"
 )
 
-// raw starts a listener that serves each connection with play, and returns its address.
-func raw(t *testing.T, play func(n int, c net.Conn)) string {
+// serveConns starts a listener that calls serve with each connection, and returns its address.
+func serveConns(t *testing.T, serve func(n int, c net.Conn)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
@@ -40,7 +40,7 @@
 			}
 			go func() {
 				defer c.Close()
-				play(n, c)
+				serve(n, c)
 			}()
 		}
 	}()
@@ -130,7 +130,7 @@
 	for name, r := range tests {
 		t.Run(name, func(t *testing.T) {
 			var requests atomic.Int32
-			addr := raw(t, func(n int, c net.Conn) {
+			addr := serveConns(t, func(n int, c net.Conn) {
 				reader := bufio.NewReader(c)
 				for i := 0; ; i++ {
 					got, err := http.ReadRequest(reader)
@@ -190,7 +190,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			addr := raw(t, func(_ int, c net.Conn) {
+			addr := serveConns(t, func(_ int, c net.Conn) {
 				if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
 					return
 				}
--- a/upstream/unanswered_test.go
+++ b/upstream/unanswered_test.go
@@ -31,7 +31,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			read := make(chan struct{})
-			addr := raw(t, func(_ int, c net.Conn) {
+			addr := serveConns(t, func(_ int, c net.Conn) {
 				for range test.priorRequests {
 					readRequest(c)
 					_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
