--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -10,10 +10,10 @@
 	// decayPerStep is the factor by which the counts of the former version decay in each step, so
 	// that about the last two seconds count.
 	decayPerStep = 0.9
-	// judgeDelaySteps is the number of steps after which the new version's counts are judged, and recentSteps the
-	// number of the former version's last steps with each of which they are compared: when both
-	// versions begin to fail at the same moment, one may report it a step earlier than the other.
-	// Steps with fewer than minStepRequests requests are ignored.
+	// judgeDelaySteps is the number of steps after which the new version's counts are judged. They are
+	// compared with each of the former version's last recentSteps steps: when both versions begin to
+	// fail at the same moment, one may report it a step earlier than the other. Steps with fewer than
+	// minStepRequests requests are ignored.
 	judgeDelaySteps = 2
 	recentSteps     = 4
 	minStepRequests = 8
@@ -53,8 +53,8 @@
 
 // failureRates returns the bounds on the failure rate, given the former version's. The second result is
 // false if that is too high to detect a fault.
-func failureRates(share float64) (rates, bool) {
-	usual := max(share, minFailureRate)
+func failureRates(rate float64) (rates, bool) {
+	usual := max(rate, minFailureRate)
 	return rates{
 		usual:  usual,
 		faulty: usual + (1-usual)*faultFailureRate,
@@ -62,8 +62,8 @@
 }
 
 // slowRates is like failureRates, for the rate of slow requests.
-func slowRates(share float64) (rates, bool) {
-	usual := max(share, minSlowRate)
+func slowRates(rate float64) (rates, bool) {
+	usual := max(rate, minSlowRate)
 	return rates{
 		usual:  usual,
 		faulty: faultSlowRate,
@@ -113,32 +113,32 @@
 // failureRateBound returns an upper bound of the former version's failure rate: the highest of the last
 // steps, or the decayed mean if these have too few requests.
 func (r *reference) failureRateBound() float64 {
-	if share := r.recentFailureRateBound(); share > 0 {
-		return share
+	if rate := r.recentFailureRateBound(); rate > 0 {
+		return rate
 	}
 	return upperBound(r.requests, r.failed)
 }
 
 // recentFailureRateBound returns the highest upper bound of the former version's failure rate in one of the
 // last steps.
-func (r *reference) recentFailureRateBound() (share float64) {
+func (r *reference) recentFailureRateBound() (rate float64) {
 	for _, t := range r.steps {
 		if t.Requests >= minStepRequests {
-			share = max(share, upperBound(float64(t.Requests), float64(t.Failed)))
+			rate = max(rate, upperBound(float64(t.Requests), float64(t.Failed)))
 		}
 	}
-	return share
+	return rate
 }
 
 // upperBound returns the observed failure rate plus two standard deviations.
 func upperBound(requests, failed float64) float64 {
-	share := (failed + 0.5) / (requests + 1)
-	return share + 2*math.Sqrt(share*(1-share)/(requests+1))
+	rate := (failed + 0.5) / (requests + 1)
+	return rate + 2*math.Sqrt(rate*(1-rate)/(requests+1))
 }
 
 // slowThreshold returns the bucket of run times from which a request is slow, and the rate of such
 // requests at the former version.
-func (r *reference) slowThreshold() (bucket int, share float64) {
+func (r *reference) slowThreshold() (bucket int, rate float64) {
 	var sum float64
 	median := 0
 	for i, n := range r.durations {
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -185,7 +185,7 @@
 // strongestEvidence evaluates the reports of the new version, and returns the class with the most evidence of a
 // fault, that evidence and the kind of fault.
 func (j *Judge) strongestEvidence() (worst string, strongest float64, fault string) {
-	for _, c := range j.dueCounts() {
+	for _, c := range j.countsToJudge() {
 		j.addEvidence(c.upstream, c.class, c.tally)
 	}
 	for class := range j.failureEvidence {
@@ -199,8 +199,8 @@
 	return worst, strongest, fault
 }
 
-// dueCounts records the new version's counts of this step, and returns those that are to be judged now.
-func (j *Judge) dueCounts() []stepCount {
+// countsToJudge records the new version's counts of this step, and returns those that are to be judged now.
+func (j *Judge) countsToJudge() []stepCount {
 	var now []stepCount
 	for _, u := range j.upstreams {
 		if u.report.Version != j.Order.Version {
@@ -217,10 +217,10 @@
 			u.tallies[class] = t
 		}
 	}
-	due := j.pending[judgeDelaySteps-1]
+	counts := j.pending[judgeDelaySteps-1]
 	copy(j.pending[1:], j.pending[:])
 	j.pending[0] = now
-	return due
+	return counts
 }
 
 // addEvidence adds the evidence from some requests of a class at one upstream.
--- a/rollout/judge_test.go
+++ b/rollout/judge_test.go
@@ -124,14 +124,14 @@
 
 // failing returns the load with two in five requests failing at both versions for a time, as if a
 // service that both call failed.
-func (l versionLoad) failing(from, lasts time.Duration) versionLoad {
+func (l versionLoad) failing(from, duration time.Duration) versionLoad {
 	good := l.run
 	l.noisy = true
 	l.run = func(random *rand.Rand) versionRun {
 		usual := good(random)
 		return func(next bool, i int, class string, at time.Duration, busy int) (bool, time.Duration) {
 			failed, took := usual(next, i, class, at, busy)
-			return failed || at > from && at <= from+lasts && random.Float64() < 0.4, took
+			return failed || at > from && at <= from+duration && random.Float64() < 0.4, took
 		}
 	}
 	return l
--- a/rollout/merge.go
+++ b/rollout/merge.go
@@ -8,7 +8,7 @@
 
 // StoredOrder is an order as read from the platform.
 type StoredOrder struct {
-	// Order is the order. Its Point is that of the object's last change.
+	// Order is the order. Its At is the resource version of the object's last change.
 	Order Order
 	// Outcome is the recorded outcome: Completed, RolledBack, or Trial if there is none.
 	Outcome Phase
@@ -19,7 +19,7 @@
 // differs from the known one.
 //
 // The platform may be restored from a backup, in a later era, without a recorded outcome. An outcome
-// that nodes know is then recorded again, and the version is not tried once more. An order without
+// that nodes know is then recorded again, and the version is not tried again. An order without
 // outcome that was changed after its outcome had been recorded was submitted again.
 func Merge(known State, ok bool, f StoredOrder, now time.Time) (next State, changed bool) {
 	fresh := State{
--- a/rollout/merge_test.go
+++ b/rollout/merge_test.go
@@ -14,7 +14,7 @@
 	"sassafrasfront.example/rollout"
 )
 
-// found returns an order for a version as read at a point.
+// found returns an order for a version as read at a resource version.
 func found(version string, era, revision uint64, outcome rollout.Phase) rollout.StoredOrder {
 	return rollout.StoredOrder{
 		Order: rollout.Order{
--- a/rollout/order.go
+++ b/rollout/order.go
@@ -26,7 +26,7 @@
 	Version string `json:"version"`
 	// Duration is the time in which the version is to be judged.
 	Duration time.Duration `json:"duration"`
-	// At is the Point of the platform at which the order was first read.
+	// At is the resource version at which the order was first read.
 	At objectapi.ResourceVersion `json:"at"`
 }
 
--- a/rollout/state.go
+++ b/rollout/state.go
@@ -56,7 +56,7 @@
 	Reason string    `json:"reason,omitempty"`
 	Node   string    `json:"node,omitempty"`
 	When   time.Time `json:"when"`
-	// Recorded is the Point at which the platform recorded the outcome, if it did.
+	// Recorded is the resource version with which the platform recorded the outcome, if it did.
 	Recorded objectapi.ResourceVersion `json:"recorded"`
 }
 
@@ -69,7 +69,7 @@
 	return s
 }
 
-// WithRecorded returns s with the Point at which the platform recorded its outcome.
+// WithRecorded returns s with the resource version with which the platform recorded its outcome.
 func (s State) WithRecorded(at objectapi.ResourceVersion) State {
 	s.Recorded = at
 	return s
--- a/rollout/system_test.go
+++ b/rollout/system_test.go
@@ -60,14 +60,14 @@
 func TestExposureInRandomSystems(t *testing.T) {
 	const (
 		step     = 250 * time.Millisecond
-		lasts    = 14 * time.Second
+		duration = 14 * time.Second
 		exposure = rollout.Exposure(0.1)
 		perEntry = 2 // requests per step
 		slack    = 50
 		leases   = 8  // steps for which an upstream runs requests after a judge has accepted a report
 		rollback = 20 // steps after the fiftieth failure
 	)
-	steps := int(lasts / step)
+	steps := int(duration / step)
 	rapid.Check(t, func(t *rapid.T) {
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 7))
 		begins := rapid.IntRange(0, 30).Draw(t, "first step of the fault")
@@ -79,12 +79,12 @@
 		for range 60 {
 			d.upstreams = append(d.upstreams, randomNode(random, steps))
 		}
-		order := rollout.Order{Service: "s", Version: "v2", Duration: lasts}
+		order := rollout.Order{Service: "s", Version: "v2", Duration: duration}
 		start := time.Unix(1e9, 0)
 		judge := rollout.Judge{Order: order, StartedAt: start}
 		state := rollout.State{Order: order}
 		former, next := make(map[int]rollout.Tally), make(map[int]rollout.Tally)
-		sent, atNext, bad, fiftieth, last := 0, 0, 0, 0, 0
+		sent, atNext, failures, fiftieth, last := 0, 0, 0, 0, 0
 		for n := range steps {
 			d.phases = append(d.phases, state.Phase)
 			for _, h := range append(d.entries, d.upstreams...) {
@@ -113,7 +113,7 @@
 							atNext++
 							last = n
 							if failed {
-								if bad++; bad == 50 {
+								if failures++; failures == 50 {
 									fiftieth = n
 								}
 							}
@@ -128,9 +128,9 @@
 			state = state.WithPhase(phase, reason, "n", start)
 		}
 		if atNext > int(float64(exposure)*float64(sent))+slack {
-			t.Fatalf("%d of %d requests, %d failed, ends in %v: %s", atNext, sent, bad, state.Phase, state.Reason)
+			t.Fatalf("%d of %d requests, %d failed, ends in %v: %s", atNext, sent, failures, state.Phase, state.Reason)
 		}
-		if bad >= 50 && last-fiftieth > rollback {
+		if failures >= 50 && last-fiftieth > rollback {
 			t.Fatalf("the last request came %v after the fiftieth failure", time.Duration(last-fiftieth)*step)
 		}
 	})
