--- a/canary/reader.go
+++ b/canary/reader.go
@@ -14,14 +14,14 @@
 type OrderReader struct {
 	// Decode decodes an order.
 	Decode func(o *objectapi.Object) (rollout.StoredOrder, error)
-	// Found is called with the orders that were read at a Point. The argument complete is whether the
+	// Found is called with the orders that were read at a resource version. The argument complete is whether the
 	// list is complete, so that orders missing from it have been withdrawn.
 	Found func(found []rollout.StoredOrder, at objectapi.ResourceVersion, complete bool)
 	// Refused, if not nil, is called with the reason why an order can't be used.
 	Refused func(reason error)
 }
 
-// Take handles a list of objects that was read. An order that can't be decoded does not count as
+// Handle handles a list of objects that was read. An order that can't be decoded does not count as
 // withdrawn, and neither does one that is missing from a list that is not current.
 func (r *OrderReader) Handle(items []*objectapi.Object, at objectapi.ResourceVersion, current bool) {
 	complete := current
--- a/canary/runner.go
+++ b/canary/runner.go
@@ -48,8 +48,8 @@
 	Hello    peer.Hello
 	Limits   peer.Limits
 	Counters *peer.Counters
-	// API is the platform, Kind the kind of the objects with orders, Decode decodes one, and Status
-	// returns the status to write to one whose version is in a phase.
+	// API is the platform, Kind the kind of the objects with orders, Decode decodes the order of
+	// an object, and Status returns the status to write for a version in a phase.
 	API    objectapi.PollingAPI
 	Kind   string
 	Decode func(o *objectapi.Object) (rollout.StoredOrder, error)
--- a/canary/runner_test.go
+++ b/canary/runner_test.go
@@ -54,7 +54,7 @@
 	return s.object(), nil
 }
 
-// UpdateStatus implements objectapi.Polled.
+// UpdateStatus implements objectapi.PollingAPI.
 func (s *store) UpdateStatus(_ context.Context, o *objectapi.Object) (*objectapi.Object, error) {
 	if f := s.between; f != nil {
 		s.between = nil
@@ -248,10 +248,10 @@
 	}
 }
 
-// TestJudgeBehindPlatform guards against a faulty version that keeps getting requests while the platform
+// TestJudgeRefusedByPlatform guards against a faulty version that keeps getting requests while the platform
 // refuses the judge, as it may do with a third of the nodes: the judge stops the roll-out anyway, and the
 // outcome is recorded later.
-func TestJudgeBehindPlatform(t *testing.T) {
+func TestJudgeRefusedByPlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestNetwork()
 		w.store.unavailable = true
