--- a/peer/ackmonitor.go
+++ b/peer/ackmonitor.go
@@ -29,41 +29,41 @@
 }
 
 // reset discards the state, as this process was delayed or nothing was open meanwhile.
-func (w *ackMonitor) reset() {
-	w.outstandingSince = time.Time{}
-	w.unansweredChecks = 0
+func (m *ackMonitor) reset() {
+	m.outstandingSince = time.Time{}
+	m.unansweredChecks = 0
 }
 
 // check records the state of a connection, and returns whether it is lost: nothing has been
 // acknowledged for the timeout.
-func (w *ackMonitor) check(a tcp.AckState, now time.Time, timeout time.Duration) bool {
+func (m *ackMonitor) check(a tcp.AckState, now time.Time, timeout time.Duration) bool {
 	switch {
 	case !a.Outstanding:
-		w.reset()
+		m.reset()
 		return false
-	case w.outstandingSince.IsZero():
-		w.outstandingSince = now
+	case m.outstandingSince.IsZero():
+		m.outstandingSince = now
 	}
-	if !a.Retransmitting || min(a.SinceLastAck, now.Sub(w.outstandingSince)) < timeout {
-		w.unansweredChecks = 0
+	if !a.Retransmitting || min(a.SinceLastAck, now.Sub(m.outstandingSince)) < timeout {
+		m.unansweredChecks = 0
 		return false
 	}
-	w.unansweredChecks++
-	return w.unansweredChecks >= maxUnansweredChecks
+	m.unansweredChecks++
+	return m.unansweredChecks >= maxUnansweredChecks
 }
 
 // ackTimedOut returns whether the peer's kernel no longer acknowledges. TCP_USER_TIMEOUT
 // detects that until the peer's kernel first advertises a zero window.
-func (l *link) ackTimedOut(w *ackMonitor) bool {
+func (l *link) ackTimedOut(m *ackMonitor) bool {
 	a, err := tcp.ReadAckState(l.Conn)
 	if err != nil {
 		return false
 	}
-	if !w.userTimeoutDisabled {
-		w.userTimeoutDisabled = a.PeerWindowFull && a.SinceLastAck < l.limits.AckTimeout && tcp.SetUserTimeout(l.Conn, 0) == nil
+	if !m.userTimeoutDisabled {
+		m.userTimeoutDisabled = a.PeerWindowFull && a.SinceLastAck < l.limits.AckTimeout && tcp.SetUserTimeout(l.Conn, 0) == nil
 		return false
 	}
-	return w.check(a, time.Now(), l.limits.AckTimeout)
+	return m.check(a, time.Now(), l.limits.AckTimeout)
 }
 
 // peerAcknowledges returns whether the peer's kernel responds, even if its receive window
--- a/peer/ackmonitor_test.go
+++ b/peer/ackmonitor_test.go
@@ -39,11 +39,11 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			var w ackMonitor
+			var m ackMonitor
 			now := time.Unix(1e9, 0)
 			got := 0
 			for i, a := range test.states {
-				if w.check(a, now, timeout) {
+				if m.check(a, now, timeout) {
 					got = i + 1
 					break
 				}
--- a/peer/bandwidth.go
+++ b/peer/bandwidth.go
@@ -23,26 +23,26 @@
 
 // observe records that n bytes have arrived at the given time. The link is busy if as many
 // bytes as allowed were in flight until then.
-func (s *bandwidthMeter) observe(n int, busy bool, now time.Time) {
+func (m *bandwidthMeter) observe(n int, busy bool, now time.Time) {
 	if !busy {
-		s.sampleStart = time.Time{}
+		m.sampleStart = time.Time{}
 		return
 	}
-	if s.sampleStart.IsZero() {
-		s.sampleStart = now
-		s.sampled = 0
+	if m.sampleStart.IsZero() {
+		m.sampleStart = now
+		m.sampled = 0
 		return
 	}
-	s.sampled += n
-	took := now.Sub(s.sampleStart)
-	if s.sampled < sampleBytes || took <= 0 {
+	m.sampled += n
+	elapsed := now.Sub(m.sampleStart)
+	if m.sampled < sampleBytes || elapsed <= 0 {
 		return
 	}
-	measured := float64(s.sampled) / took.Seconds()
-	if s.bytesPerSecond == 0 {
-		s.bytesPerSecond = measured
+	measured := float64(m.sampled) / elapsed.Seconds()
+	if m.bytesPerSecond == 0 {
+		m.bytesPerSecond = measured
 	}
-	s.bytesPerSecond += bandwidthGain * (measured - s.bytesPerSecond)
-	s.sampleStart = now
-	s.sampled = 0
+	m.bytesPerSecond += bandwidthGain * (measured - m.bytesPerSecond)
+	m.sampleStart = now
+	m.sampled = 0
 }
--- a/peer/blocked_test.go
+++ b/peer/blocked_test.go
@@ -35,9 +35,9 @@
 		synctest.Wait()
 		m := newCall()
 		m.Remaining = time.Second
-		_, failed := c.Start(context.Background(), m, nil)
-		qt.Assert(t, failed != nil, qt.IsTrue)
-		qt.Check(t, failed.Cause, qt.Equals, verdict.NotWritten)
+		_, failure := c.Start(context.Background(), m, nil)
+		qt.Assert(t, failure != nil, qt.IsTrue)
+		qt.Check(t, failure.Cause, qt.Equals, verdict.NotWritten)
 		qt.Check(t, time.Since(began), qt.Equals, time.Second)
 	})
 }
--- a/peer/conn.go
+++ b/peer/conn.go
@@ -53,6 +53,7 @@
 	reason    error // set before closed is closed
 }
 
+// timeBase is the origin of conn.lastReceived.
 var timeBase = time.Now()
 
 const readBufferBytes = 16 << 10
@@ -86,10 +87,10 @@
 }
 
 // Read implements io.Reader.
-func (h *activityReader) Read(p []byte) (int, error) {
-	n, err := h.conn.Conn.Read(p)
+func (r *activityReader) Read(p []byte) (int, error) {
+	n, err := r.conn.Conn.Read(p)
 	if n > 0 {
-		h.conn.markReceived()
+		r.conn.markReceived()
 	}
 	return n, err
 }
--- a/peer/earlybody_test.go
+++ b/peer/earlybody_test.go
@@ -45,11 +45,11 @@
 				_ = in.Reply(&peer.ResponseHead{Status: 200, Body: data, TransferTime: time.Second})
 			})
 			data := bytes.Repeat([]byte("x"), length)
-			x, failed := c.Start(context.Background(), newEarlyBodyCall(length), bytes.NewReader(data))
-			qt.Assert(t, failed == nil, qt.IsTrue)
+			x, failure := c.Start(context.Background(), newEarlyBodyCall(length), bytes.NewReader(data))
+			qt.Assert(t, failure == nil, qt.IsTrue)
 			defer x.Close()
-			r, failed := x.Wait()
-			qt.Assert(t, failed == nil, qt.IsTrue, qt.Commentf("%v", failed))
+			r, failure := x.Wait()
+			qt.Assert(t, failure == nil, qt.IsTrue, qt.Commentf("%v", failure))
 			got, err := io.ReadAll(r.Body)
 			qt.Check(t, err, qt.IsNil)
 			qt.Check(t, bytes.Equal(got, data), qt.IsTrue)
@@ -62,13 +62,13 @@
 // body, when the call has not run, and after it, when it may have run.
 func TestEarlyBodyLost(t *testing.T) {
 	tests := map[string]struct {
-		whole, closed bool
-		want          verdict.Cause
+		complete, closed bool
+		want             verdict.Cause
 	}{
 		"before the end":        {want: verdict.NotWritten},
-		"after the end":         {whole: true, want: verdict.PeerLost},
+		"after the end":         {complete: true, want: verdict.PeerLost},
 		"closed before the end": {closed: true, want: verdict.NotWritten},
-		"closed after the end":  {whole: true, closed: true, want: verdict.Stopped},
+		"closed after the end":  {complete: true, closed: true, want: verdict.Stopped},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -86,12 +86,12 @@
 				return n, err
 			}
 			reader, writer := io.Pipe()
-			x, failed := c.Start(context.Background(), newEarlyBodyCall(100), reader)
-			qt.Assert(t, failed == nil, qt.IsTrue)
+			x, failure := c.Start(context.Background(), newEarlyBodyCall(100), reader)
+			qt.Assert(t, failure == nil, qt.IsTrue)
 			defer x.Close()
 			<-requested
 			_, _ = writer.Write(make([]byte, 50))
-			if test.whole {
+			if test.complete {
 				_, _ = writer.Write(make([]byte, 50))
 				writer.Close()
 			}
@@ -101,9 +101,9 @@
 			} else {
 				_ = (<-conns).Close()
 			}
-			_, failed = x.Wait()
-			qt.Assert(t, failed != nil, qt.IsTrue)
-			qt.Check(t, failed.Cause, qt.Equals, test.want)
+			_, failure = x.Wait()
+			qt.Assert(t, failure != nil, qt.IsTrue)
+			qt.Check(t, failure.Cause, qt.Equals, test.want)
 		})
 	}
 }
@@ -121,18 +121,18 @@
 			_, c := serve(t, peer.Limits{}, func(*peer.InboundCall) { t.Error("called") })
 			m := newEarlyBodyCall(1)
 			corrupt(m)
-			x, failed := c.Start(context.Background(), m, strings.NewReader("x"))
-			if failed == nil {
-				_, failed = x.Wait()
+			x, failure := c.Start(context.Background(), m, strings.NewReader("x"))
+			if failure == nil {
+				_, failure = x.Wait()
 				x.Close()
 			}
-			qt.Check(t, failed != nil, qt.IsTrue)
+			qt.Check(t, failure != nil, qt.IsTrue)
 		})
 	}
 }
 
 // TestEarlyBodySilence has a caller's node lose power while it sends a body: the server gives
-// the call up after the silence timeout, and not at the deadline.
+// up on the call after the silence timeout, and not at the deadline.
 func TestEarlyBodySilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const silence = 600 * time.Millisecond
@@ -151,8 +151,8 @@
 		var all sync.WaitGroup
 		all.Go(func() { _ = s.Run(ctx, link) })
 		c := &peer.Client{Limits: peer.Limits{SilenceTimeout: silence}, Dial: link.dial}
-		x, failed := c.Start(ctx, newEarlyBodyCall(200_000), bytes.NewReader(make([]byte, 200_000)))
-		qt.Assert(t, failed == nil, qt.IsTrue)
+		x, failure := c.Start(ctx, newEarlyBodyCall(200_000), bytes.NewReader(make([]byte, 200_000)))
+		qt.Assert(t, failure == nil, qt.IsTrue)
 		time.Sleep(50 * time.Millisecond)
 		link.sever()
 		_ = s.Quiesce(ctx)
--- a/peer/exchange.go
+++ b/peer/exchange.go
@@ -206,9 +206,9 @@
 
 // handleSilence records that the peer is silent. A call that can't have been started there is
 // withdrawn, and one that may have been continues.
-func (x *Exchange) handleSilence(q *SilenceError) {
+func (x *Exchange) handleSilence(e *SilenceError) {
 	if x.stage.CompareAndSwap(stagePending, stageWithdrawn) {
-		x.fail(verdict.New(verdict.NotWritten, q))
+		x.fail(verdict.New(verdict.NotWritten, e))
 		x.Close()
 		return
 	}
--- a/peer/fullwindow_test.go
+++ b/peer/fullwindow_test.go
@@ -93,8 +93,8 @@
 				m := newCall()
 				m.Remaining = time.Minute
 				m.Body = make([]byte, size)
-				x, failed := client.Start(context.Background(), m, nil)
-				qt.Assert(t, failed == nil, qt.IsTrue)
+				x, failure := client.Start(context.Background(), m, nil)
+				qt.Assert(t, failure == nil, qt.IsTrue)
 				return x
 			}
 			exchanges := []*peer.Exchange{start(1)}
@@ -104,8 +104,8 @@
 				m := newCall()
 				m.Remaining = time.Minute
 				m.Body = make([]byte, 500<<10)
-				x, failed := client.Start(context.Background(), m, nil)
-				qt.Check(t, failed == nil, qt.IsTrue, qt.Commentf("%v", failed))
+				x, failure := client.Start(context.Background(), m, nil)
+				qt.Check(t, failure == nil, qt.IsTrue, qt.Commentf("%v", failure))
 				blocked <- x
 			}()
 			for full := false; !full; time.Sleep(time.Millisecond) {
@@ -119,8 +119,8 @@
 				exchanges = append(exchanges, x)
 			}
 			for _, x := range exchanges {
-				_, failed := x.Wait()
-				qt.Assert(t, failed == nil, qt.IsTrue, qt.Commentf("%v", failed))
+				_, failure := x.Wait()
+				qt.Assert(t, failure == nil, qt.IsTrue, qt.Commentf("%v", failure))
 				x.Close()
 			}
 		})
--- a/peer/inbound.go
+++ b/peer/inbound.go
@@ -207,26 +207,26 @@
 }
 
 // Reply ends the call with a complete response.
-func (in *InboundCall) Reply(a *ResponseHead) error {
-	a.ID = in.Call.ID
-	a.Streams = false
-	a.Notice = in.Notice
-	return in.end(KindResponse, a)
+func (in *InboundCall) Reply(h *ResponseHead) error {
+	h.ID = in.Call.ID
+	h.Streams = false
+	h.Notice = in.Notice
+	return in.end(KindResponse, h)
 }
 
 // BeginResponse sends the head of a response whose body follows through CopyBody. Bytes in
 // a.Body are sent with the head; there must be no more than the window.
-func (in *InboundCall) BeginResponse(a *ResponseHead) error {
-	a.ID = in.Call.ID
-	a.Streams = true
-	a.Notice = in.Notice
+func (in *InboundCall) BeginResponse(h *ResponseHead) error {
+	h.ID = in.Call.ID
+	h.Streams = true
+	h.Notice = in.Notice
 	in.deadlineTimer.Stop()
-	if len(a.Body) > 0 {
-		if _, err := in.credit.acquire(in.ctx, len(a.Body)); err != nil {
+	if len(h.Body) > 0 {
+		if _, err := in.credit.acquire(in.ctx, len(h.Body)); err != nil {
 			return err
 		}
 	}
-	return in.session.send(KindResponse, a)
+	return in.session.send(KindResponse, h)
 }
 
 // CopyBody sends what r yields as the body of the response that has begun, as
--- a/peer/inflight.go
+++ b/peer/inflight.go
@@ -63,7 +63,7 @@
 
 // newInFlightLimiter returns a limiter of the given number of bytes for a link with the given
 // bandwidth in bytes per second, or nil if the number is 0.
-func newInFlightLimiter(bytes int, rate float64) *inFlightLimiter {
+func newInFlightLimiter(bytes int, linkBandwidth float64) *inFlightLimiter {
 	if bytes == 0 {
 		return nil
 	}
@@ -72,74 +72,74 @@
 		limit:     limit,
 		available: limit,
 		bandwidth: bandwidthMeter{
-			bytesPerSecond: rate,
+			bytesPerSecond: linkBandwidth,
 		},
 	}
 }
 
 // request requests credit for n more bytes of a flow.
-func (q *inFlightLimiter) request(d *bodyFlow, n int) {
-	if q == nil {
-		d.grant(n)
+func (l *inFlightLimiter) request(f *bodyFlow, n int) {
+	if l == nil {
+		f.grant(n)
 		return
 	}
-	q.mu.Lock()
-	if !d.closed && n > 0 {
-		if d.wanted == 0 {
-			q.waiting = append(q.waiting, d)
+	l.mu.Lock()
+	if !f.closed && n > 0 {
+		if f.wanted == 0 {
+			l.waiting = append(l.waiting, f)
 		}
-		d.wanted += n
+		f.wanted += n
 	}
-	q.dispatch()
+	l.dispatch()
 }
 
 // received records that n bytes of a flow have arrived.
-func (q *inFlightLimiter) received(d *bodyFlow, n int) {
-	if q == nil {
+func (l *inFlightLimiter) received(f *bodyFlow, n int) {
+	if l == nil {
 		return
 	}
-	q.mu.Lock()
-	d.lastActivity = time.Now()
-	d.expired = false
-	d.started = true
-	q.bandwidth.observe(n, q.available < quantumBytes, d.lastActivity)
-	q.release(d, n)
-	q.dispatch()
+	l.mu.Lock()
+	f.lastActivity = time.Now()
+	f.expired = false
+	f.started = true
+	l.bandwidth.observe(n, l.available < quantumBytes, f.lastActivity)
+	l.release(f, n)
+	l.dispatch()
 }
 
 // close records that no more bytes of a flow will arrive.
-func (q *inFlightLimiter) close(d *bodyFlow) {
-	if q == nil {
+func (l *inFlightLimiter) close(f *bodyFlow) {
+	if l == nil {
 		return
 	}
-	q.mu.Lock()
-	q.release(d, d.inFlight)
-	q.removeWaiting(d)
-	d.closed = true
-	q.dispatch()
+	l.mu.Lock()
+	l.release(f, f.inFlight)
+	l.removeWaiting(f)
+	f.closed = true
+	l.dispatch()
 }
 
 // release records that n bytes of a flow are no longer in flight. The lock is held.
-func (q *inFlightLimiter) release(d *bodyFlow, n int) {
-	n = min(n, d.inFlight)
-	d.inFlight -= n
-	q.available += n
-	if d.inFlight > 0 {
+func (l *inFlightLimiter) release(f *bodyFlow, n int) {
+	n = min(n, f.inFlight)
+	f.inFlight -= n
+	l.available += n
+	if f.inFlight > 0 {
 		return
 	}
-	if i := slices.Index(q.active, d); i >= 0 {
-		q.active = slices.Delete(q.active, i, i+1)
+	if i := slices.Index(l.active, f); i >= 0 {
+		l.active = slices.Delete(l.active, i, i+1)
 	}
 }
 
 // expire treats granted bytes as not sent after creditTimeout, and returns whether there were
 // any. The lock is held.
-func (q *inFlightLimiter) expire() (found bool) {
+func (l *inFlightLimiter) expire() (found bool) {
 	now := time.Now()
-	for _, d := range slices.Clone(q.active) {
+	for _, d := range slices.Clone(l.active) {
 		if now.Sub(d.lastActivity) >= creditTimeout {
 			d.expired = true
-			q.release(d, d.inFlight)
+			l.release(d, d.inFlight)
 			found = true
 		}
 	}
@@ -148,61 +148,61 @@
 
 // dispatchLater dispatches after creditTimeout, in case nothing arrives until then. The lock
 // is held.
-func (q *inFlightLimiter) dispatchLater() {
-	if q.dispatchTimer != nil {
-		q.dispatchTimer.Reset(creditTimeout)
+func (l *inFlightLimiter) dispatchLater() {
+	if l.dispatchTimer != nil {
+		l.dispatchTimer.Reset(creditTimeout)
 		return
 	}
-	q.dispatchTimer = time.AfterFunc(creditTimeout, func() {
-		q.mu.Lock()
-		q.dispatch()
+	l.dispatchTimer = time.AfterFunc(creditTimeout, func() {
+		l.mu.Lock()
+		l.dispatch()
 	})
 }
 
 // removeWaiting removes a flow from those that wait for credit. The lock is held.
-func (q *inFlightLimiter) removeWaiting(d *bodyFlow) {
-	d.wanted = 0
-	if i := slices.Index(q.waiting, d); i >= 0 {
-		q.waiting = slices.Delete(q.waiting, i, i+1)
+func (l *inFlightLimiter) removeWaiting(f *bodyFlow) {
+	f.wanted = 0
+	if i := slices.Index(l.waiting, f); i >= 0 {
+		l.waiting = slices.Delete(l.waiting, i, i+1)
 	}
 }
 
 // dispatch grants the available bytes to the next flows, and unlocks.
-func (q *inFlightLimiter) dispatch() {
+func (l *inFlightLimiter) dispatch() {
 	type grant struct {
 		to *bodyFlow
 		n  int
 	}
 	var grants []grant
 	for {
-		d := q.nextFlow()
+		d := l.nextFlow()
 		if d == nil {
 			break
 		}
 		n := min(d.wanted, quantumBytes)
-		if n > q.available {
-			if q.expire() {
+		if n > l.available {
+			if l.expire() {
 				continue
 			}
-			q.dispatchLater()
+			l.dispatchLater()
 			break
 		}
 		if d.inFlight == 0 {
-			q.active = append(q.active, d)
+			l.active = append(l.active, d)
 		}
 		d.lastActivity = time.Now()
 		d.wanted -= n
 		d.inFlight += n
-		q.available -= n
+		l.available -= n
 		grants = append(grants, grant{
 			to: d,
 			n:  n,
 		})
 		if d.wanted == 0 {
-			q.removeWaiting(d)
+			l.removeWaiting(d)
 		}
 	}
-	q.mu.Unlock()
+	l.mu.Unlock()
 	for _, g := range grants {
 		g.to.grant(g.n)
 	}
@@ -210,10 +210,10 @@
 
 // nextFlow returns the flow that is granted credit next, or nil: the first one whose sender is
 // not known to wait for its caller, if there is any. The lock is held.
-func (q *inFlightLimiter) nextFlow() *bodyFlow {
+func (l *inFlightLimiter) nextFlow() *bodyFlow {
 	var best *bodyFlow
-	for _, d := range q.waiting {
-		if d.inFlight+min(d.wanted, quantumBytes) > q.flowLimit(d) {
+	for _, d := range l.waiting {
+		if d.inFlight+min(d.wanted, quantumBytes) > l.flowLimit(d) {
 			continue
 		}
 		if best == nil || best.expired && !d.expired {
@@ -224,10 +224,10 @@
 }
 
 // flowLimit returns how many bytes a flow may have in flight. The lock is held.
-func (q *inFlightLimiter) flowLimit(d *bodyFlow) int {
-	others := len(q.waiting) > 1 || slices.ContainsFunc(q.active, func(o *bodyFlow) bool { return o != d })
+func (l *inFlightLimiter) flowLimit(f *bodyFlow) int {
+	others := len(l.waiting) > 1 || slices.ContainsFunc(l.active, func(o *bodyFlow) bool { return o != f })
 	switch {
-	case d.started:
+	case f.started:
 		return maxFlowBytes
 	case others:
 		return quantumBytes
@@ -237,25 +237,25 @@
 
 // expectedTransferTime returns the time until n more bytes arrive behind all that are in
 // flight or wanted, or 0 if that is not known.
-func (q *inFlightLimiter) expectedTransferTime(n int64) time.Duration {
-	rate, backlog := q.load()
-	if rate <= 0 {
+func (l *inFlightLimiter) expectedTransferTime(n int64) time.Duration {
+	bandwidth, backlog := l.load()
+	if bandwidth <= 0 {
 		return 0
 	}
-	return time.Duration((float64(backlog) + float64(n)) / rate * float64(time.Second))
+	return time.Duration((float64(backlog) + float64(n)) / bandwidth * float64(time.Second))
 }
 
 // load returns the bandwidth of the saturated link in bytes per second, or 0 if that is not
 // known, and the number of bytes in flight or wanted.
-func (q *inFlightLimiter) load() (rate float64, backlog int) {
-	if q == nil {
+func (l *inFlightLimiter) load() (bandwidth float64, backlog int) {
+	if l == nil {
 		return 0, 0
 	}
-	q.mu.Lock()
-	defer q.mu.Unlock()
-	backlog = q.limit - q.available
-	for _, d := range q.waiting {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	backlog = l.limit - l.available
+	for _, d := range l.waiting {
 		backlog += d.wanted
 	}
-	return q.bandwidth.bytesPerSecond, backlog
+	return l.bandwidth.bytesPerSecond, backlog
 }
--- a/peer/inflight_test.go
+++ b/peer/inflight_test.go
@@ -25,8 +25,8 @@
 // sender is a call whose body is sent over a link that it shares with others.
 type sender struct {
 	bodyFlow
-	credit chan int
-	took   time.Duration // until the body had arrived
+	credit      chan int
+	arrivalTime time.Duration // until the body had arrived
 }
 
 // TestConcurrentBodies has ten bodies of different sizes sent at once over a link of
@@ -34,7 +34,7 @@
 // arrive sooner on average than if they shared the link.
 func TestConcurrentBodies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q := newInFlightLimiter(testLimitBytes, 0)
+		limiter := newInFlightLimiter(testLimitBytes, 0)
 		link := make(chan *sender, 100)
 		var senders []*sender
 		left := make(map[*sender]int)
@@ -53,7 +53,7 @@
 			senders = append(senders, s)
 			left[s] = size
 			total += size
-			q.request(&s.bodyFlow, size)
+			limiter.request(&s.bodyFlow, size)
 		}
 		for range total / testPacketBytes {
 			qt.Assert(t, inFlight <= testLimitBytes, qt.IsTrue, qt.Commentf("%d bytes", inFlight))
@@ -61,23 +61,23 @@
 			time.Sleep(time.Duration(testPacketBytes / testBytesPerSecond * float64(time.Second)))
 			inFlight -= testPacketBytes
 			left[s] -= testPacketBytes
-			q.received(&s.bodyFlow, testPacketBytes)
+			limiter.received(&s.bodyFlow, testPacketBytes)
 			if left[s] == 0 {
-				s.took = time.Since(began)
-				q.close(&s.bodyFlow)
+				s.arrivalTime = time.Since(began)
+				limiter.close(&s.bodyFlow)
 			}
 		}
 		all := time.Since(began)
 		var mean time.Duration
 		for _, s := range senders {
-			mean += s.took / time.Duration(len(senders))
+			mean += s.arrivalTime / time.Duration(len(senders))
 		}
 		qt.Check(t, mean < all/2, qt.IsTrue, qt.Commentf("%v of %v", mean, all))
-		rate, backlog := q.load()
+		bandwidth, backlog := limiter.load()
 		qt.Check(t, backlog, qt.Equals, 0)
-		qt.Check(t, math.Abs(rate/testBytesPerSecond-1) < 0.1, qt.IsTrue, qt.Commentf("measured %v bytes/s", rate))
-		if q.dispatchTimer != nil {
-			q.dispatchTimer.Stop()
+		qt.Check(t, math.Abs(bandwidth/testBytesPerSecond-1) < 0.1, qt.IsTrue, qt.Commentf("measured %v bytes/s", bandwidth))
+		if limiter.dispatchTimer != nil {
+			limiter.dispatchTimer.Stop()
 		}
 	})
 }
@@ -86,37 +86,37 @@
 // granted credit soon, and the slow ones continue once their callers send.
 func TestSlowSendersDoNotBlock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q := newInFlightLimiter(testLimitBytes, 0)
-		give := func(s *sender) *sender {
+		limiter := newInFlightLimiter(testLimitBytes, 0)
+		withCredit := func(s *sender) *sender {
 			s.credit = make(chan int, 100)
 			s.grant = func(n int) { s.credit <- n }
 			return s
 		}
 		var slow []*sender
 		for range 4 {
-			s := give(&sender{})
+			s := withCredit(&sender{})
 			slow = append(slow, s)
-			q.request(&s.bodyFlow, 60_000)
+			limiter.request(&s.bodyFlow, 60_000)
 		}
-		quick := give(&sender{})
+		quick := withCredit(&sender{})
 		began := time.Now()
-		q.request(&quick.bodyFlow, 60_000)
+		limiter.request(&quick.bodyFlow, 60_000)
 		for got := 0; got < 60_000; {
 			n := <-quick.credit
 			time.Sleep(time.Duration(float64(n) / testBytesPerSecond * float64(time.Second)))
-			q.received(&quick.bodyFlow, n)
+			limiter.received(&quick.bodyFlow, n)
 			got += n
 		}
-		q.close(&quick.bodyFlow)
+		limiter.close(&quick.bodyFlow)
 		took := time.Since(began)
 		qt.Check(t, took < 4*creditTimeout, qt.IsTrue, qt.Commentf("%v", took))
 		for _, s := range slow {
-			q.received(&s.bodyFlow, quantumBytes)
-			q.close(&s.bodyFlow)
+			limiter.received(&s.bodyFlow, quantumBytes)
+			limiter.close(&s.bodyFlow)
 		}
-		qt.Check(t, q.available, qt.Equals, testLimitBytes)
-		if q.dispatchTimer != nil {
-			q.dispatchTimer.Stop()
+		qt.Check(t, limiter.available, qt.Equals, testLimitBytes)
+		if limiter.dispatchTimer != nil {
+			limiter.dispatchTimer.Stop()
 		}
 	})
 }
@@ -125,27 +125,27 @@
 // the timer never expires: credit that has timed out is granted to others all the same.
 func TestSlowSendersAmongFast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q := newInFlightLimiter(testLimitBytes, 0)
+		limiter := newInFlightLimiter(testLimitBytes, 0)
 		for range 2 {
 			s := &sender{}
 			s.grant = func(int) {}
-			q.request(&s.bodyFlow, 60_000)
+			limiter.request(&s.bodyFlow, 60_000)
 		}
 		began := time.Now()
 		var sent int
 		for time.Since(began) < time.Second {
 			quick := &sender{credit: make(chan int, 100)}
 			quick.grant = func(n int) { quick.credit <- n }
-			q.request(&quick.bodyFlow, quantumBytes)
+			limiter.request(&quick.bodyFlow, quantumBytes)
 			n := <-quick.credit
 			time.Sleep(time.Duration(float64(n) / testBytesPerSecond * float64(time.Second)))
-			q.received(&quick.bodyFlow, n)
-			q.close(&quick.bodyFlow)
+			limiter.received(&quick.bodyFlow, n)
+			limiter.close(&quick.bodyFlow)
 			sent += n
 		}
 		qt.Check(t, float64(sent) > 0.7*testBytesPerSecond, qt.IsTrue, qt.Commentf("%d bytes", sent))
-		if q.dispatchTimer != nil {
-			q.dispatchTimer.Stop()
+		if limiter.dispatchTimer != nil {
+			limiter.dispatchTimer.Stop()
 		}
 	})
 }
--- a/peer/lengths.go
+++ b/peer/lengths.go
@@ -12,7 +12,7 @@
 		if len(p) == 0 {
 			return false
 		}
-		size, members, width := valueLayout(p[0])
+		size, values, width := valueLayout(p[0])
 		p = p[1:]
 		if width > len(p) {
 			return false
@@ -22,16 +22,16 @@
 			declared = declared<<8 | int(b)
 		}
 		p = p[width:]
-		if width > 0 && members > 0 {
-			members *= declared
+		if width > 0 && values > 0 {
+			values *= declared
 		} else if width > 0 {
 			size += declared
 		}
-		if size > len(p) || members > len(p) {
+		if size > len(p) || values > len(p) {
 			return false
 		}
 		p = p[size:]
-		pending += members - 1
+		pending += values - 1
 		if pending > len(p) {
 			return false
 		}
@@ -42,7 +42,7 @@
 // valueLayout returns what the first byte of a msgpack value determines: how many bytes follow
 // it, how many values, and how many bytes hold a length. If there is a length, members is the
 // number of values per element.
-func valueLayout(b byte) (size, members, width int) {
+func valueLayout(b byte) (size, values, width int) {
 	switch {
 	case b >= 0x80 && b <= 0x8f:
 		return 0, 2 * int(b&0x0f), 0
--- a/peer/link.go
+++ b/peer/link.go
@@ -368,8 +368,8 @@
 	}
 }
 
-// isRetired returns whether another connection has replaced this one. What arrives on this
-// one is older than what the other has brought.
+// isRetired returns whether another connection has replaced this one. Reports and notices that
+// still arrive on this one may be older than those received on the new one.
 func (l *link) isRetired() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/peer/lost_test.go
+++ b/peer/lost_test.go
@@ -53,13 +53,13 @@
 				m.Target = fmt.Sprintf("/%d/%d", worker, i)
 				m.Streams = i%2 == 0
 				v := verdict.Ran
-				x, failed := c.Start(context.Background(), m, strings.NewReader("body"))
-				if failed == nil {
-					_, failed = x.Wait()
+				x, failure := c.Start(context.Background(), m, strings.NewReader("body"))
+				if failure == nil {
+					_, failure = x.Wait()
 					x.Close()
 				}
-				if failed != nil {
-					v = failed.Verdict()
+				if failure != nil {
+					v = failure.Verdict()
 				}
 				mu.Lock()
 				reported[m.Target] = v
@@ -108,10 +108,10 @@
 	c := &peer.Client{Addr: listener.Addr().String()}
 	defer c.Close()
 	for i := range 200 {
-		x, failed := c.Start(ctx, newCall(), nil)
-		qt.Assert(t, failed == nil, qt.IsTrue, qt.Commentf("call %d: %v", i, failed))
-		_, failed = x.Wait()
-		qt.Assert(t, failed == nil, qt.IsTrue, qt.Commentf("call %d: %v", i, failed))
+		x, failure := c.Start(ctx, newCall(), nil)
+		qt.Assert(t, failure == nil, qt.IsTrue, qt.Commentf("call %d: %v", i, failure))
+		_, failure = x.Wait()
+		qt.Assert(t, failure == nil, qt.IsTrue, qt.Commentf("call %d: %v", i, failure))
 		x.Close()
 		(<-conns).Close()
 	}
@@ -123,10 +123,10 @@
 	conns chan net.Conn
 }
 
-func (k *recordingListener) Accept() (net.Conn, error) {
-	c, err := k.Listener.Accept()
+func (l *recordingListener) Accept() (net.Conn, error) {
+	c, err := l.Listener.Accept()
 	if err == nil {
-		k.conns <- c
+		l.conns <- c
 	}
 	return c, err
 }
--- a/peer/monitor.go
+++ b/peer/monitor.go
@@ -69,7 +69,7 @@
 			return
 		}
 		if open > 0 && silence >= l.limits.SilenceTimeout {
-			q := &SilenceError{
+			silenceErr := &SilenceError{
 				Silence:      silence,
 				CheckDelay:   delay,
 				Pings:        pings,
@@ -77,11 +77,11 @@
 				Pending:      open,
 			}
 			if l.control {
-				l.closeWith(q)
+				l.closeWith(silenceErr)
 				return
 			}
 			l.silentAt.Store(l.lastReceived.Load())
-			l.notifySilence(q)
+			l.notifySilence(silenceErr)
 		}
 		if open > 0 && silence >= l.limits.SilenceTimeout/2 && pinging.CompareAndSwap(false, true) {
 			// A write may block in the kernel. Silence is checked meanwhile.
@@ -97,7 +97,7 @@
 }
 
 // notifySilence notifies the open calls that the peer is silent.
-func (l *link) notifySilence(q *SilenceError) {
+func (l *link) notifySilence(e *SilenceError) {
 	l.mu.Lock()
 	var list []*Exchange
 	for _, x := range l.exchanges {
@@ -108,7 +108,7 @@
 	}
 	l.mu.Unlock()
 	for _, x := range list {
-		go x.handleSilence(q) // withdrawing a call sends a Cancel, which may block in the kernel
+		go x.handleSilence(e) // withdrawing a call sends a Cancel, which may block in the kernel
 	}
 }
 
--- a/peer/open_test.go
+++ b/peer/open_test.go
@@ -28,8 +28,8 @@
 	})
 	var kept []*peer.Exchange
 	for i := range maxCalls {
-		x, failed := c.Start(context.Background(), newCall(), nil)
-		qt.Assert(t, failed == nil, qt.IsTrue, qt.Commentf("%v", failed))
+		x, failure := c.Start(context.Background(), newCall(), nil)
+		qt.Assert(t, failure == nil, qt.IsTrue, qt.Commentf("%v", failure))
 		<-began
 		if i > 0 {
 			kept = append(kept, x)
@@ -37,19 +37,19 @@
 		}
 		x.Close() // its handler continues
 	}
-	x, failed := c.Start(context.Background(), newCall(), nil)
-	qt.Assert(t, failed == nil, qt.IsTrue, qt.Commentf("%v", failed))
+	x, failure := c.Start(context.Background(), newCall(), nil)
+	qt.Assert(t, failure == nil, qt.IsTrue, qt.Commentf("%v", failure))
 	select {
 	case <-x.Ready():
 	case <-time.After(time.Minute):
 		t.Fatal("no response to the call over the limit")
 	}
-	_, failed = x.Result()
-	qt.Assert(t, failed != nil, qt.IsTrue)
-	qt.Check(t, failed.Cause, qt.Equals, verdict.Refused)
+	_, failure = x.Result()
+	qt.Assert(t, failure != nil, qt.IsTrue)
+	qt.Check(t, failure.Cause, qt.Equals, verdict.Refused)
 	close(end)
 	for _, x := range kept {
-		_, failed := x.Wait()
-		qt.Check(t, failed == nil, qt.IsTrue, qt.Commentf("%v", failed))
+		_, failure := x.Wait()
+		qt.Check(t, failure == nil, qt.IsTrue, qt.Commentf("%v", failure))
 	}
 }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -108,11 +108,11 @@
 			if !test.streams {
 				m.Body = []byte(test.body)
 			}
-			x, failed := c.Start(context.Background(), m, strings.NewReader(test.body))
-			qt.Assert(t, failed == nil, qt.IsTrue)
+			x, failure := c.Start(context.Background(), m, strings.NewReader(test.body))
+			qt.Assert(t, failure == nil, qt.IsTrue)
 			defer x.Close()
-			r, failed := x.Wait()
-			qt.Assert(t, failed == nil, qt.IsTrue, qt.Commentf("%v", failed))
+			r, failure := x.Wait()
+			qt.Assert(t, failure == nil, qt.IsTrue, qt.Commentf("%v", failure))
 			got, err := io.ReadAll(r.Body)
 			qt.Assert(t, err, qt.IsNil)
 			qt.Check(t, string(got) == test.body, qt.IsTrue, qt.Commentf("%d bytes", len(got)))
@@ -135,18 +135,18 @@
 			m.Body = []byte(fmt.Sprint(i))
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			x, failed := c.Start(ctx, m, nil)
-			if failed != nil {
-				t.Error(failed)
+			x, failure := c.Start(ctx, m, nil)
+			if failure != nil {
+				t.Error(failure)
 				return
 			}
 			if i%3 == 0 {
 				cancel()
 			}
-			r, failed := x.Wait()
-			if failed != nil {
+			r, failure := x.Wait()
+			if failure != nil {
 				if i%3 != 0 {
-					t.Error(failed)
+					t.Error(failure)
 				}
 				return
 			}
@@ -169,15 +169,15 @@
 	})
 	m := newCall()
 	m.Method = "LARGE"
-	x, failed := c.Start(context.Background(), m, nil)
-	qt.Assert(t, failed == nil, qt.IsTrue)
+	x, failure := c.Start(context.Background(), m, nil)
+	qt.Assert(t, failure == nil, qt.IsTrue)
 	defer x.Close()
-	_, failed = x.Wait()
-	qt.Assert(t, failed == nil, qt.IsTrue)
-	small, failed := c.Start(context.Background(), newCall(), nil)
-	qt.Assert(t, failed == nil, qt.IsTrue)
-	r, failed := small.Wait()
-	qt.Assert(t, failed == nil, qt.IsTrue)
+	_, failure = x.Wait()
+	qt.Assert(t, failure == nil, qt.IsTrue)
+	small, failure := c.Start(context.Background(), newCall(), nil)
+	qt.Assert(t, failure == nil, qt.IsTrue)
+	r, failure := small.Wait()
+	qt.Assert(t, failure == nil, qt.IsTrue)
 	qt.Check(t, r.Status, qt.Equals, 200)
 }
 
@@ -186,8 +186,8 @@
 func TestServerFaults(t *testing.T) {
 	reported := make(chan struct{})
 	tests := map[string]struct {
-		// play handles the connection after the handshake.
-		play    func(c net.Conn)
+		// handle handles the connection after the handshake.
+		handle  func(c net.Conn)
 		refuse  bool
 		noHello bool
 		streams bool
@@ -197,15 +197,15 @@
 	}{
 		"no listener":                        {refuse: true, want: verdict.DialFailed},
 		"closes before its hello":            {noHello: true, want: verdict.DialFailed},
-		"closes after the call":              {play: func(c net.Conn) { skipFrame(c) }, want: verdict.PeerLost},
-		"garbage after the call":             {play: func(c net.Conn) { skipFrame(c); _, _ = c.Write([]byte("GET / HTTP/1.1\r\n\r\n")) }, want: verdict.PeerLost},
-		"a frame over the limit":             {play: func(c net.Conn) { skipFrame(c); _, _ = c.Write([]byte{0x7f, 0, 0, 0, 6}) }, want: verdict.PeerLost},
-		"a truncated frame":                  {play: func(c net.Conn) { skipFrame(c); _, _ = c.Write([]byte{0, 0, 1, 0, 6, 1}) }, want: verdict.PeerLost},
-		"silent after the call":              {play: func(c net.Conn) { go io.Copy(io.Discard, c); <-reported }, silent: reported, want: verdict.PeerLost},
-		"streamed, closes before any credit": {streams: true, play: func(c net.Conn) { skipFrame(c) }, want: verdict.NotWritten},
-		"streamed, silent before any credit": {streams: true, play: func(c net.Conn) { _, _ = io.Copy(io.Discard, c) }, want: verdict.NotWritten},
-		"an unknown kind":                    {play: func(c net.Conn) { skipFrame(c); _, _ = c.Write([]byte{0, 0, 0, 2, 99, 0x80}) }, want: verdict.PeerLost},
-		"a truncated message in a frame":     {play: func(c net.Conn) { skipFrame(c); _, _ = c.Write([]byte{0, 0, 0, 3, 6, 0x82, 0xa2}) }, want: verdict.PeerLost},
+		"closes after the call":              {handle: func(c net.Conn) { skipFrame(c) }, want: verdict.PeerLost},
+		"garbage after the call":             {handle: func(c net.Conn) { skipFrame(c); _, _ = c.Write([]byte("GET / HTTP/1.1\r\n\r\n")) }, want: verdict.PeerLost},
+		"a frame over the limit":             {handle: func(c net.Conn) { skipFrame(c); _, _ = c.Write([]byte{0x7f, 0, 0, 0, 6}) }, want: verdict.PeerLost},
+		"a truncated frame":                  {handle: func(c net.Conn) { skipFrame(c); _, _ = c.Write([]byte{0, 0, 1, 0, 6, 1}) }, want: verdict.PeerLost},
+		"silent after the call":              {handle: func(c net.Conn) { go io.Copy(io.Discard, c); <-reported }, silent: reported, want: verdict.PeerLost},
+		"streamed, closes before any credit": {streams: true, handle: func(c net.Conn) { skipFrame(c) }, want: verdict.NotWritten},
+		"streamed, silent before any credit": {streams: true, handle: func(c net.Conn) { _, _ = io.Copy(io.Discard, c) }, want: verdict.NotWritten},
+		"an unknown kind":                    {handle: func(c net.Conn) { skipFrame(c); _, _ = c.Write([]byte{0, 0, 0, 2, 99, 0x80}) }, want: verdict.PeerLost},
+		"a truncated message in a frame":     {handle: func(c net.Conn) { skipFrame(c); _, _ = c.Write([]byte{0, 0, 0, 3, 6, 0x82, 0xa2}) }, want: verdict.PeerLost},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -225,7 +225,7 @@
 				if !test.noHello {
 					hello := skipFrame(c)
 					_, _ = c.Write(hello) // the client's own hello is valid
-					test.play(c)
+					test.handle(c)
 				}
 			}()
 			client := &peer.Client{
@@ -235,7 +235,7 @@
 			defer client.Close()
 			m := newCall()
 			m.Streams = test.streams
-			x, failed := client.Start(context.Background(), m, strings.NewReader("body"))
+			x, failure := client.Start(context.Background(), m, strings.NewReader("body"))
 			if test.silent != nil {
 				<-x.Silent()
 				select {
@@ -245,11 +245,11 @@
 				}
 				close(test.silent)
 			}
-			if failed == nil {
-				_, failed = x.Wait()
+			if failure == nil {
+				_, failure = x.Wait()
 			}
-			qt.Assert(t, failed != nil, qt.IsTrue)
-			qt.Check(t, failed.Cause, qt.Equals, test.want)
+			qt.Assert(t, failure != nil, qt.IsTrue)
+			qt.Check(t, failure.Cause, qt.Equals, test.want)
 		})
 	}
 }
@@ -288,10 +288,10 @@
 			_, err = io.ReadAll(c)
 			qt.Check(t, errors.Is(err, context.DeadlineExceeded) || isTimeout(err), qt.IsFalse,
 				qt.Commentf("the server must close the connection: %v", err))
-			x, failed := client.Start(context.Background(), newCall(), nil)
-			qt.Assert(t, failed == nil, qt.IsTrue)
-			_, failed = x.Wait()
-			qt.Check(t, failed == nil, qt.IsTrue)
+			x, failure := client.Start(context.Background(), newCall(), nil)
+			qt.Assert(t, failure == nil, qt.IsTrue)
+			_, failure = x.Wait()
+			qt.Check(t, failure == nil, qt.IsTrue)
 		})
 	}
 }
@@ -306,10 +306,10 @@
 		_ = in.BeginResponse(&peer.ResponseHead{Status: 200, Length: 10, Body: []byte("half")})
 		in.Fail(verdict.New(verdict.ResponseTruncated, nil), nil)
 	})
-	x, failed := c.Start(context.Background(), newCall(), nil)
-	qt.Assert(t, failed == nil, qt.IsTrue)
-	r, failed := x.Wait()
-	qt.Assert(t, failed == nil, qt.IsTrue)
+	x, failure := c.Start(context.Background(), newCall(), nil)
+	qt.Assert(t, failure == nil, qt.IsTrue)
+	r, failure := x.Wait()
+	qt.Assert(t, failure == nil, qt.IsTrue)
 	got, err := io.ReadAll(r.Body)
 	qt.Check(t, string(got), qt.Equals, "half")
 	qt.Check(t, verdict.As(err, verdict.PeerLost).Cause, qt.Equals, verdict.ResponseTruncated)
@@ -317,11 +317,11 @@
 
 func TestRevokeAndCancel(t *testing.T) {
 	tests := map[string]struct {
-		waits  bool
+		queued bool
 		cancel bool
 		want   verdict.Cause
 	}{
-		"revoke while queued":  {waits: true, want: verdict.Revoked},
+		"revoke while queued":  {queued: true, want: verdict.Revoked},
 		"revoke while running": {want: ""},
 		"cancel while running": {cancel: true, want: verdict.CallerGone},
 	}
@@ -330,7 +330,7 @@
 			entered := make(chan struct{})
 			ended := make(chan error, 1)
 			_, c := serve(t, peer.Limits{}, func(in *peer.InboundCall) {
-				in.OnRevoke(func() bool { return test.waits })
+				in.OnRevoke(func() bool { return test.queued })
 				close(entered)
 				select {
 				case <-in.Context().Done():
@@ -341,21 +341,21 @@
 			})
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			x, failed := c.Start(ctx, newCall(), nil)
-			qt.Assert(t, failed == nil, qt.IsTrue)
+			x, failure := c.Start(ctx, newCall(), nil)
+			qt.Assert(t, failure == nil, qt.IsTrue)
 			<-entered
 			if test.cancel {
 				cancel()
 			} else {
 				x.Revoke()
 			}
-			_, failed = x.Wait()
+			_, failure = x.Wait()
 			if test.want == "" {
-				qt.Check(t, failed == nil, qt.IsTrue)
+				qt.Check(t, failure == nil, qt.IsTrue)
 				return
 			}
-			qt.Assert(t, failed != nil, qt.IsTrue)
-			qt.Check(t, failed.Cause, qt.Equals, test.want)
+			qt.Assert(t, failure != nil, qt.IsTrue)
+			qt.Check(t, failure.Cause, qt.Equals, test.want)
 			if test.cancel {
 				qt.Check(t, verdict.As(<-ended, "").Cause, qt.Equals, verdict.CallerGone)
 			}
@@ -387,11 +387,11 @@
 	qt.Check(t, string(got), qt.Equals, "n1!")
 	_, err = c.Request(ctx, "other", nil, false)
 	qt.Check(t, err, qt.ErrorMatches, ".*unknown topic.*")
-	x, failed := c.Start(ctx, newCall(), nil)
-	qt.Assert(t, failed == nil, qt.IsTrue)
-	_, failed = x.Wait()
-	qt.Assert(t, failed != nil, qt.IsTrue, qt.Commentf("a call on a control connection must end it"))
-	qt.Check(t, failed.Cause, qt.Equals, verdict.PeerLost)
+	x, failure := c.Start(ctx, newCall(), nil)
+	qt.Assert(t, failure == nil, qt.IsTrue)
+	_, failure = x.Wait()
+	qt.Assert(t, failure != nil, qt.IsTrue, qt.Commentf("a call on a control connection must end it"))
+	qt.Check(t, failure.Cause, qt.Equals, verdict.PeerLost)
 }
 
 func BenchmarkCall(b *testing.B) {
@@ -408,12 +408,12 @@
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			x, failed := c.Start(ctx, newCall(), nil)
-			if failed != nil {
-				b.Fatal(failed)
+			x, failure := c.Start(ctx, newCall(), nil)
+			if failure != nil {
+				b.Fatal(failure)
 			}
-			if _, failed := x.Wait(); failed != nil {
-				b.Fatal(failed)
+			if _, failure := x.Wait(); failure != nil {
+				b.Fatal(failure)
 			}
 			x.Close()
 		}
--- a/peer/replacedlink_test.go
+++ b/peer/replacedlink_test.go
@@ -35,48 +35,48 @@
 // newSimulatedPeer starts a server and creates a client of it.
 func newSimulatedPeer(call func(in *peer.InboundCall)) *simulatedPeer {
 	network := &simnet.Network{Latency: time.Millisecond, WindowBytes: 256 << 10, UserTimeout: userTimeout}
-	f := &simulatedPeer{
+	p := &simulatedPeer{
 		server: &peer.Server{HandleCall: call},
 		host:   network.Host("gate"),
 	}
-	listener := f.host.Listen()
+	listener := p.host.Listen()
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	running.Go(func() { _ = f.server.Run(ctx, listener) })
+	running.Go(func() { _ = p.server.Run(ctx, listener) })
 	from := network.Host("entry")
-	f.client = &peer.Client{
+	p.client = &peer.Client{
 		Addr:   "gate",
 		Limits: peer.Limits{SilenceTimeout: silenceTimeout},
 		Dial:   func(ctx context.Context, addr string) (net.Conn, error) { return from.Dial(ctx, addr) },
 	}
-	f.stop = func() {
-		f.client.Close()
-		_ = f.server.Quiesce(context.Background())
+	p.stop = func() {
+		p.client.Close()
+		_ = p.server.Quiesce(context.Background())
 		cancel()
 		running.Wait()
 	}
-	return f
+	return p
 }
 
 // call makes a call and waits for its result.
-func (f *simulatedPeer) call(target string, notice *peer.Notice) *verdict.Error {
+func (p *simulatedPeer) call(target string, notice *peer.Notice) *verdict.Error {
 	m := newCall()
 	m.Target = target
 	m.Notice = notice
-	x, failed := f.client.Start(context.Background(), m, nil)
-	if failed != nil {
-		return failed
+	x, failure := p.client.Start(context.Background(), m, nil)
+	if failure != nil {
+		return failure
 	}
 	defer x.Close()
-	_, failed = x.Wait()
-	return failed
+	_, failure = x.Wait()
+	return failure
 }
 
 // TestReportsOfReplacedConnection guards against reports and notices that arrive late on a
 // connection that has been replaced, and overwrite newer ones.
 func TestReportsOfReplacedConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newSimulatedPeer(func(in *peer.InboundCall) {
+		p := newSimulatedPeer(func(in *peer.InboundCall) {
 			running := 2
 			start := "new"
 			if in.Call.Target == "/old" {
@@ -87,26 +87,26 @@
 			in.Notice = &peer.Notice{StartID: start, Leaving: true}
 			_ = in.Reply(&peer.ResponseHead{Status: 200, Report: &peer.Report{Running: running}})
 		})
-		defer f.stop()
+		defer p.stop()
 		var reports []int
 		var notices []string
-		f.client.OnReport = func(r peer.Report) { reports = append(reports, r.Running) }
-		f.client.OnNotice = func(n *peer.Notice) { notices = append(notices, n.StartID) }
-		qt.Assert(t, f.call("/first", nil) == nil, qt.IsTrue)
+		p.client.OnReport = func(r peer.Report) { reports = append(reports, r.Running) }
+		p.client.OnNotice = func(n *peer.Notice) { notices = append(notices, n.StartID) }
+		qt.Assert(t, p.call("/first", nil) == nil, qt.IsTrue)
 		var all sync.WaitGroup
 		began := time.Now()
 		all.Go(func() {
-			failed := f.call("/old", nil)
-			qt.Check(t, failed == nil, qt.IsTrue, qt.Commentf("%v", failed))
+			failure := p.call("/old", nil)
+			qt.Check(t, failure == nil, qt.IsTrue, qt.Commentf("%v", failure))
 			qt.Check(t, time.Since(began) > 1400*time.Millisecond, qt.IsTrue, qt.Commentf("after %v", time.Since(began)))
 		})
 		time.Sleep(50 * time.Millisecond)
-		f.host.DropPackets(3)
+		p.host.DropPackets(3)
 		time.Sleep(silenceTimeout)
-		f.server.BroadcastReport(&peer.Report{Running: 3}) // on the silent connection, as there is no other yet
-		failed := f.call("/new", nil)
-		qt.Check(t, failed == nil, qt.IsTrue, qt.Commentf("%v", failed))
-		f.server.BroadcastReport(&peer.Report{Running: 4}) // on both
+		p.server.BroadcastReport(&peer.Report{Running: 3}) // on the silent connection, as there is no other yet
+		failure := p.call("/new", nil)
+		qt.Check(t, failure == nil, qt.IsTrue, qt.Commentf("%v", failure))
+		p.server.BroadcastReport(&peer.Report{Running: 4}) // on both
 		all.Wait()
 		time.Sleep(time.Second)
 		qt.Check(t, reports, qt.DeepEquals, []int{2, 2, 4})
@@ -118,7 +118,7 @@
 // on a connection that has been replaced, and clears a newer notice.
 func TestNoNoticeOnReplacedConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newSimulatedPeer(func(in *peer.InboundCall) {
+		p := newSimulatedPeer(func(in *peer.InboundCall) {
 			if in.Call.Target == "/old" {
 				time.Sleep(100 * time.Millisecond)
 			} else {
@@ -126,19 +126,19 @@
 			}
 			_ = in.Reply(&peer.ResponseHead{Status: 200})
 		})
-		defer f.stop()
+		defer p.stop()
 		var last *peer.Notice
-		f.client.OnNotice = func(n *peer.Notice) { last = n }
-		qt.Assert(t, f.call("/first", nil) == nil, qt.IsTrue)
+		p.client.OnNotice = func(n *peer.Notice) { last = n }
+		qt.Assert(t, p.call("/first", nil) == nil, qt.IsTrue)
 		var all sync.WaitGroup
 		all.Go(func() {
-			failed := f.call("/old", &peer.Notice{StartID: "new", Leaving: true})
-			qt.Check(t, failed == nil, qt.IsTrue, qt.Commentf("%v", failed))
+			failure := p.call("/old", &peer.Notice{StartID: "new", Leaving: true})
+			qt.Check(t, failure == nil, qt.IsTrue, qt.Commentf("%v", failure))
 		})
 		time.Sleep(50 * time.Millisecond)
-		f.host.DropPackets(3)
+		p.host.DropPackets(3)
 		time.Sleep(silenceTimeout)
-		qt.Check(t, f.call("/new", nil) == nil, qt.IsTrue)
+		qt.Check(t, p.call("/new", nil) == nil, qt.IsTrue)
 		all.Wait()
 		qt.Check(t, last, qt.IsNotNil)
 	})
@@ -158,29 +158,29 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := newSimulatedPeer(func(in *peer.InboundCall) { <-in.Context().Done() })
-				defer f.stop()
-				var off time.Time
+				p := newSimulatedPeer(func(in *peer.InboundCall) { <-in.Context().Done() })
+				defer p.stop()
+				var poweredOffAt time.Time
 				go func() {
 					for range test.silences {
 						time.Sleep(time.Second)
-						f.host.PauseLink(test.each)
+						p.host.PauseLink(test.each)
 						time.Sleep(test.each)
 					}
 					time.Sleep(time.Second)
-					f.host.PowerOff()
-					off = time.Now()
+					p.host.PowerOff()
+					poweredOffAt = time.Now()
 				}()
 				m := newCall()
 				m.Remaining = time.Hour
-				x, failed := f.client.Start(context.Background(), m, nil)
-				qt.Assert(t, failed == nil, qt.IsTrue, qt.Commentf("%v", failed))
-				_, failed = x.Wait()
-				qt.Assert(t, failed != nil, qt.IsTrue)
-				qt.Check(t, failed.Cause, qt.Equals, verdict.PeerLost)
+				x, failure := p.client.Start(context.Background(), m, nil)
+				qt.Assert(t, failure == nil, qt.IsTrue, qt.Commentf("%v", failure))
+				_, failure = x.Wait()
+				qt.Assert(t, failure != nil, qt.IsTrue)
+				qt.Check(t, failure.Cause, qt.Equals, verdict.PeerLost)
 				synctest.Wait()
-				took := time.Since(off)
-				qt.Check(t, !off.IsZero() && took <= silenceTimeout*5/4+userTimeout, qt.IsTrue, qt.Commentf("%v after the power loss", took))
+				took := time.Since(poweredOffAt)
+				qt.Check(t, !poweredOffAt.IsZero() && took <= silenceTimeout*5/4+userTimeout, qt.IsTrue, qt.Commentf("%v after the power loss", took))
 				x.Close()
 				time.Sleep(2 * time.Hour) // the server's connection ends at the call's deadline
 			})
--- a/peer/server.go
+++ b/peer/server.go
@@ -79,11 +79,11 @@
 
 // LinkLoad returns the bandwidth of the link to this node in body bytes per second, or 0 if
 // that is not known, and the number of body bytes in flight or queued. Both are 0 before Run.
-func (s *Server) LinkLoad() (rate float64, backlog int) {
+func (s *Server) LinkLoad() (bandwidth float64, backlog int) {
 	s.mu.Lock()
-	q := s.bodyLimiter
+	limiter := s.bodyLimiter
 	s.mu.Unlock()
-	return q.load()
+	return limiter.load()
 }
 
 // Quiesce waits until no call is open, or until ctx ends.
--- a/peer/silence.go
+++ b/peer/silence.go
@@ -27,6 +27,6 @@
 
 // Error implements error.
 func (e *SilenceError) Error() string {
-	return fmt.Sprintf("nothing heard for %v, with %d open, %d pings and %d bytes written since, looked at %v late",
+	return fmt.Sprintf("nothing heard for %v, with %d open, %d pings and %d bytes written since, checked %v late",
 		e.Silence.Round(time.Millisecond), e.Pending, e.Pings, e.BytesWritten, e.CheckDelay.Round(time.Millisecond))
 }
--- a/peer/silence_test.go
+++ b/peer/silence_test.go
@@ -31,10 +31,10 @@
 	c := &peer.Client{Addr: listener.Addr().String(), Limits: peer.Limits{SilenceTimeout: silence}}
 	defer c.Close()
 	for range 3 {
-		x, failed := c.Start(ctx, &peer.Call{Method: "GET", Target: "/", Remaining: time.Minute}, nil)
-		qt.Assert(t, failed == nil, qt.IsTrue, qt.Commentf("%v", failed))
-		_, failed = x.Wait()
-		qt.Check(t, failed == nil, qt.IsTrue, qt.Commentf("%v", failed))
+		x, failure := c.Start(ctx, &peer.Call{Method: "GET", Target: "/", Remaining: time.Minute}, nil)
+		qt.Assert(t, failure == nil, qt.IsTrue, qt.Commentf("%v", failure))
+		_, failure = x.Wait()
+		qt.Check(t, failure == nil, qt.IsTrue, qt.Commentf("%v", failure))
 		x.Close()
 		time.Sleep(2 * silence)
 	}
--- a/peer/slowlink_test.go
+++ b/peer/slowlink_test.go
@@ -123,10 +123,10 @@
 
 // TestBodiesOnSlowLink sends large bodies, which take 100 ms each on a link of 10 Mbit/s, from
 // a dozen nodes at once, besides calls without bodies that run for a second. No connection may
-// be silent meanwhile. If the link is severed, all calls learn of the silence after the silence
-// timeout, or are withdrawn if they can't have run. At a site with requests of 60 KB on average
-// and 360 KB at most over such links, 486 requests in 32 s were lost in this way before the
-// bytes in flight were limited.
+// be silent meanwhile. If the link is severed, all calls are notified after the silence timeout,
+// or are withdrawn if they can't have run. At a site with requests of 60 KB on average and 360 KB
+// at most over such links, 486 requests in 32 s were lost to such silence before the bytes in
+// flight were limited.
 func TestBodiesOnSlowLink(t *testing.T) {
 	const (
 		silence = 600 * time.Millisecond
@@ -134,7 +134,7 @@
 		nodes   = 12
 		work    = time.Second
 	)
-	for name, severed := range map[string]bool{"whole": false, "cut": true} {
+	for name, severed := range map[string]bool{"intact": false, "cut": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				link := newSlowLink()
@@ -166,8 +166,8 @@
 					m := newCall()
 					m.Length = int64(len(body))
 					m.Streams = len(body) > 0
-					x, failed := c.Start(ctx, m, bytes.NewReader(body))
-					qt.Assert(t, failed == nil, qt.IsTrue, qt.Commentf("%v", failed))
+					x, failure := c.Start(ctx, m, bytes.NewReader(body))
+					qt.Assert(t, failure == nil, qt.IsTrue, qt.Commentf("%v", failure))
 					defer x.Close()
 					silent := false
 					select {
@@ -176,13 +176,13 @@
 						silent = true
 					}
 					if !severed || !silent {
-						_, failed = x.Wait()
+						_, failure = x.Wait()
 					}
 					switch {
 					case severed:
-						qt.Check(t, silent || failed != nil && failed.Cause == verdict.NotWritten, qt.IsTrue, qt.Commentf("%v", failed))
+						qt.Check(t, silent || failure != nil && failure.Cause == verdict.NotWritten, qt.IsTrue, qt.Commentf("%v", failure))
 					default:
-						qt.Check(t, !silent && failed == nil, qt.IsTrue, qt.Commentf("silent %v, %v", silent, failed))
+						qt.Check(t, !silent && failure == nil, qt.IsTrue, qt.Commentf("silent %v, %v", silent, failure))
 					}
 				}
 				for _, c := range clients {
--- a/peer/stalled_test.go
+++ b/peer/stalled_test.go
@@ -33,7 +33,7 @@
 func newStalledSetup(limits peer.Limits, call func(in *peer.InboundCall)) *stalledSetup {
 	network := &simnet.Network{Latency: time.Millisecond, WindowBytes: 64 << 10, SendBufferBytes: 64 << 10}
 	host := network.Host("gate")
-	c := &stalledSetup{
+	s := &stalledSetup{
 		server: &peer.Server{Limits: limits, HandleCall: call},
 	}
 	listener := host.Listen()
@@ -41,7 +41,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = c.server.Run(ctx, listener)
+		_ = s.server.Run(ctx, listener)
 	}()
 	client := func(name string) (*peer.Client, *simnet.Host) {
 		from := network.Host(name)
@@ -52,15 +52,15 @@
 			Dial:   func(ctx context.Context, addr string) (net.Conn, error) { return from.Dial(ctx, addr) },
 		}, from
 	}
-	c.healthy, _ = client("healthy")
-	c.stalled, c.stalledHost = client("stalled")
-	c.stop = func() {
-		c.healthy.Close()
-		c.stalled.Close()
+	s.healthy, _ = client("healthy")
+	s.stalled, s.stalledHost = client("stalled")
+	s.stop = func() {
+		s.healthy.Close()
+		s.stalled.Close()
 		cancel()
 		<-done
 	}
-	return c
+	return s
 }
 
 // sendLarge sends a response larger than what the buffers and the window hold.
@@ -74,15 +74,15 @@
 // as the response that reported the load, because another node reads nothing.
 func TestReportNotBlockedByStalledNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newStalledSetup(peer.Limits{}, sendLarge)
-		defer c.stop()
-		x, failed := c.stalled.Start(context.Background(), newCall(), nil)
-		qt.Assert(t, failed == nil, qt.IsTrue)
+		s := newStalledSetup(peer.Limits{}, sendLarge)
+		defer s.stop()
+		x, failure := s.stalled.Start(context.Background(), newCall(), nil)
+		qt.Assert(t, failure == nil, qt.IsTrue)
 		defer x.Close()
-		c.stalledHost.SuspendProcess(4 * time.Second)
+		s.stalledHost.SuspendProcess(4 * time.Second)
 		time.Sleep(time.Second)
 		began := time.Now()
-		c.server.BroadcastReport(&peer.Report{Running: 1})
+		s.server.BroadcastReport(&peer.Report{Running: 1})
 		qt.Check(t, time.Since(began) < 10*time.Millisecond, qt.IsTrue, qt.Commentf("took %v", time.Since(began)))
 		time.Sleep(time.Minute)
 	})
@@ -93,39 +93,39 @@
 func TestCreditNotBlockedByStalledNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limits := peer.Limits{MaxInFlightBytes: 16 << 10}
-		c := newStalledSetup(limits, func(in *peer.InboundCall) {
+		s := newStalledSetup(limits, func(in *peer.InboundCall) {
 			if in.Call.Target == "/large" {
 				sendLarge(in)
 				return
 			}
 			echo(in)
 		})
-		defer c.stop()
+		defer s.stop()
 		start := func(client *peer.Client, target string, size int) *peer.Exchange {
 			m := newCall()
 			m.Target = target
 			m.Remaining = 20 * time.Second
 			m.Streams = size > 0
 			m.Length = int64(size)
-			x, failed := client.Start(context.Background(), m, bytes.NewReader(make([]byte, size)))
-			qt.Assert(t, failed == nil, qt.IsTrue)
+			x, failure := client.Start(context.Background(), m, bytes.NewReader(make([]byte, size)))
+			qt.Assert(t, failure == nil, qt.IsTrue)
 			return x
 		}
 		for range 4 {
-			defer start(c.stalled, "/large", 0).Close()
+			defer start(s.stalled, "/large", 0).Close()
 		}
-		first := start(c.healthy, "/", 150<<10)
+		first := start(s.healthy, "/", 150<<10)
 		defer first.Close()
 		time.Sleep(time.Millisecond)
-		defer start(c.stalled, "/", 150<<10).Close()
+		defer start(s.stalled, "/", 150<<10).Close()
 		time.Sleep(2 * time.Millisecond)
-		c.stalledHost.SuspendProcess(4 * time.Second)
+		s.stalledHost.SuspendProcess(4 * time.Second)
 		time.Sleep(100 * time.Millisecond)
 		began := time.Now()
-		x := start(c.healthy, "/", 0)
+		x := start(s.healthy, "/", 0)
 		defer x.Close()
-		_, failed := x.Wait()
-		qt.Check(t, failed == nil, qt.IsTrue, qt.Commentf("%v", failed))
+		_, failure := x.Wait()
+		qt.Check(t, failure == nil, qt.IsTrue, qt.Commentf("%v", failure))
 		qt.Check(t, time.Since(began) < 100*time.Millisecond, qt.IsTrue, qt.Commentf("small call took %v", time.Since(began)))
 		time.Sleep(time.Minute)
 	})
@@ -158,11 +158,11 @@
 		m := newCall()
 		m.Streams = true
 		m.Length = -1
-		upload, failed := c.Start(context.Background(), m, bytes.NewReader(make([]byte, 1<<20)))
-		qt.Assert(t, failed == nil, qt.IsTrue)
+		upload, failure := c.Start(context.Background(), m, bytes.NewReader(make([]byte, 1<<20)))
+		qt.Assert(t, failure == nil, qt.IsTrue)
 		defer upload.Close()
-		x, failed := c.Start(context.Background(), newCall(), nil)
-		qt.Assert(t, failed == nil, qt.IsTrue)
+		x, failure := c.Start(context.Background(), newCall(), nil)
+		qt.Assert(t, failure == nil, qt.IsTrue)
 		defer x.Close()
 		time.Sleep(3 * time.Millisecond)
 		from.PauseUplink(2 * time.Second)
@@ -179,19 +179,19 @@
 func TestCancelledWhileStarting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var running, begun atomic.Int32
-		f := newSimulatedPeer(func(in *peer.InboundCall) {
+		p := newSimulatedPeer(func(in *peer.InboundCall) {
 			begun.Add(1)
 			running.Add(1)
 			<-in.Context().Done()
 			running.Add(-1)
 		})
-		defer f.stop()
-		qt.Assert(t, f.client.Connect(context.Background()), qt.IsNil)
+		defer p.stop()
+		qt.Assert(t, p.client.Connect(context.Background()), qt.IsNil)
 		for range 1000 {
 			ctx, cancel := context.WithCancel(context.Background())
 			cancel()
-			x, failed := f.client.Start(ctx, newCall(), nil)
-			if failed == nil {
+			x, failure := p.client.Start(ctx, newCall(), nil)
+			if failure == nil {
 				x.Close()
 			}
 		}
@@ -227,22 +227,22 @@
 			Dial: func(ctx context.Context, addr string) (net.Conn, error) { return from.Dial(ctx, addr) },
 		}
 		defer c.Close()
-		x, failed := c.Start(context.Background(), newCall(), nil)
-		qt.Assert(t, failed == nil, qt.IsTrue)
+		x, failure := c.Start(context.Background(), newCall(), nil)
+		qt.Assert(t, failure == nil, qt.IsTrue)
 		defer x.Close()
 		time.Sleep(50 * time.Millisecond) // what there is credit for has arrived
 		m := newCall()
 		m.Streams = true
 		m.Length = -1
-		upload, failed := c.Start(context.Background(), m, bytes.NewReader(make([]byte, 1<<20)))
-		qt.Assert(t, failed == nil, qt.IsTrue)
+		upload, failure := c.Start(context.Background(), m, bytes.NewReader(make([]byte, 1<<20)))
+		qt.Assert(t, failure == nil, qt.IsTrue)
 		defer upload.Close()
 		time.Sleep(3 * time.Millisecond)
 		from.PauseUplink(2 * time.Second)
 		time.Sleep(50 * time.Millisecond)
 		began := time.Now()
-		r, failed := x.Wait()
-		qt.Assert(t, failed == nil, qt.IsTrue)
+		r, failure := x.Wait()
+		qt.Assert(t, failure == nil, qt.IsTrue)
 		n, err := io.CopyN(io.Discard, r.Body, 200<<10)
 		qt.Check(t, err, qt.IsNil)
 		qt.Check(t, n, qt.Equals, int64(200<<10))
