--- a/caller/body_test.go
+++ b/caller/body_test.go
@@ -94,14 +94,14 @@
 		t.Run(name, func(t *testing.T) {
 			var serverLog bytes.Buffer
 			service := &entry.Service{Name: "service", Config: operator.Service{}.WithDefaults()}
-			front := httptest.NewUnstartedServer(&caller.Handler{
+			server := httptest.NewUnstartedServer(&caller.Handler{
 				Lookup:     func(string) (*entry.Service, bool) { return service, true },
 				Dispatcher: test.dispatcher,
 				Tracer:     noop.NewTracerProvider().Tracer(""),
 			})
-			front.Config.ErrorLog = log.New(&serverLog, "", 0)
-			front.Start()
-			c, err := net.Dial("tcp", front.Listener.Addr().String())
+			server.Config.ErrorLog = log.New(&serverLog, "", 0)
+			server.Start()
+			c, err := net.Dial("tcp", server.Listener.Addr().String())
 			qt.Assert(t, err, qt.IsNil)
 			defer c.Close()
 			r := bufio.NewReader(c)
@@ -109,12 +109,12 @@
 				fmt.Fprintf(c, "POST / HTTP/1.1\r\nHost: service.example\r\nContent-Length: %d\r\n\r\n", test.size)
 				_, err = c.Write(make([]byte, test.sent))
 				qt.Assert(t, err, qt.IsNil)
-				a, err := http.ReadResponse(r, nil)
+				response, err := http.ReadResponse(r, nil)
 				qt.Assert(t, err, qt.IsNil)
-				qt.Check(t, a.StatusCode, qt.Equals, test.status)
-				_, err = io.Copy(io.Discard, a.Body)
+				qt.Check(t, response.StatusCode, qt.Equals, test.status)
+				_, err = io.Copy(io.Discard, response.Body)
 				qt.Check(t, err, qt.IsNil)
-				qt.Check(t, a.Close, qt.Equals, test.closes)
+				qt.Check(t, response.Close, qt.Equals, test.closes)
 				_, _ = c.Write(make([]byte, test.size-test.sent)) // the rest; the connection may be closed
 				if test.closes {
 					break
@@ -122,7 +122,7 @@
 			}
 			c.Close()
 			test.dispatcher.reading.Wait()
-			front.Close()
+			server.Close()
 			qt.Check(t, serverLog.String(), qt.Equals, "")
 		})
 	}
@@ -134,13 +134,13 @@
 	const size = 60_000
 	service := &entry.Service{Name: "service", Config: operator.Service{}.WithDefaults()}
 	requests := make(chan *entry.Request)
-	front := httptest.NewServer(&caller.Handler{
+	server := httptest.NewServer(&caller.Handler{
 		Lookup:     func(string) (*entry.Service, bool) { return service, true },
 		Dispatcher: blockingDispatcher(requests),
 		Tracer:     noop.NewTracerProvider().Tracer(""),
 	})
-	defer front.Close()
-	c, err := net.Dial("tcp", front.Listener.Addr().String())
+	defer server.Close()
+	c, err := net.Dial("tcp", server.Listener.Addr().String())
 	qt.Assert(t, err, qt.IsNil)
 	defer c.Close()
 	fmt.Fprintf(c, "POST / HTTP/1.1\r\nHost: service.example\r\nContent-Length: %d\r\n\r\n", size)
@@ -154,13 +154,13 @@
 	}
 	_, err = c.Write(bytes.Repeat([]byte("b"), size/2))
 	qt.Assert(t, err, qt.IsNil)
-	whole, err := io.ReadAll(r.Spooled.NewReader())
+	received, err := io.ReadAll(r.Spooled.NewReader())
 	qt.Check(t, err, qt.IsNil)
-	qt.Check(t, string(whole), qt.Equals, string(bytes.Repeat([]byte("a"), size/2))+string(bytes.Repeat([]byte("b"), size/2)))
+	qt.Check(t, string(received), qt.Equals, string(bytes.Repeat([]byte("a"), size/2))+string(bytes.Repeat([]byte("b"), size/2)))
 	requests <- nil
-	a, err := http.ReadResponse(bufio.NewReader(c), nil)
+	response, err := http.ReadResponse(bufio.NewReader(c), nil)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Check(t, a.StatusCode, qt.Equals, 503)
+	qt.Check(t, response.StatusCode, qt.Equals, 503)
 }
 
 // blockingDispatcher passes each request to the test, and refuses it when the test sends a value.
--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -33,14 +33,14 @@
 
 // proxy is an entry and a gate in this process, in front of an upstream that the test provides.
 type proxy struct {
-	front *httptest.Server
-	gate  *gate.Gate
+	server *httptest.Server
+	gate   *gate.Gate
 }
 
 // newProxy forwards requests through an entry and a gate to the given upstream.
 func newProxy(t *testing.T, config operator.Service, h http.Handler) *proxy {
 	t.Helper()
-	back := httptest.NewServer(h)
+	backend := httptest.NewServer(h)
 	tracer := noop.NewTracerProvider().Tracer("")
 	config.Hosts = []string{"service.example"}
 	service := &entry.Service{
@@ -50,7 +50,7 @@
 	g := &gate.Gate{Tracer: tracer}
 	g.SetAnnouncement(&upstream.Announcement{
 		Service:     "service",
-		Address:     back.Listener.Addr().String(),
+		Address:     backend.Listener.Addr().String(),
 		Slots:       10,
 		Connections: 10,
 	})
@@ -63,7 +63,7 @@
 	service.Members = []entry.Member{{ID: "n1", Addr: listener.Addr().String(), Slots: 10}}
 	d := &entry.Dispatcher{Hello: peer.Hello{Node: "entry"}}
 	d.SetServices(map[string]*entry.Service{"service": service})
-	front := httptest.NewUnstartedServer(&caller.Handler{
+	server := httptest.NewUnstartedServer(&caller.Handler{
 		Lookup: func(host string) (*entry.Service, bool) {
 			if host == "service.example" {
 				return service, true
@@ -74,28 +74,28 @@
 		Node:       "entry",
 		Tracer:     tracer,
 	})
-	front.Listener = &caller.Listener{Listener: front.Listener}
-	front.Config.ConnContext = caller.ConnContext
-	front.Config.ConnState = caller.ConnState
-	front.Config.Protocols = new(http.Protocols)
-	front.Config.Protocols.SetHTTP1(true)
-	front.Config.Protocols.SetUnencryptedHTTP2(true)
-	front.Start()
+	server.Listener = &caller.Listener{Listener: server.Listener}
+	server.Config.ConnContext = caller.ConnContext
+	server.Config.ConnState = caller.ConnState
+	server.Config.Protocols = new(http.Protocols)
+	server.Config.Protocols.SetHTTP1(true)
+	server.Config.Protocols.SetUnencryptedHTTP2(true)
+	server.Start()
 	t.Cleanup(func() {
-		front.CloseClientConnections()
-		front.Close()
+		server.CloseClientConnections()
+		server.Close()
 		d.Close()
 		cancel()
-		back.CloseClientConnections()
-		back.Close()
+		backend.CloseClientConnections()
+		backend.Close()
 	})
-	return &proxy{front: front, gate: g}
+	return &proxy{server: server, gate: g}
 }
 
-// raw sends bytes to the front and returns what it receives until the connection is closed.
+// raw sends bytes to the proxy and returns what it receives until the connection is closed.
 func (p *proxy) raw(t *testing.T, request string) string {
 	t.Helper()
-	c, err := net.Dial("tcp", p.front.Listener.Addr().String())
+	c, err := net.Dial("tcp", p.server.Listener.Addr().String())
 	qt.Assert(t, err, qt.IsNil)
 	defer c.Close()
 	_ = c.SetDeadline(time.Now().Add(10 * time.Second))
@@ -112,7 +112,7 @@
 	tests := map[string]struct {
 		request string
 		want    []string
-		not     []string
+		absent  []string
 	}{
 		"plain": {
 			request: "GET /a%2Fb?q=1 HTTP/1.1\nHost: service.example\n" + end,
@@ -125,7 +125,7 @@
 		"hop-by-hop fields": {
 			request: "GET / HTTP/1.1\nHost: service.example\nConnection: close, X-Hop\nX-Hop: 1\nX-Keep: 1\nKeep-Alive: 5\nProxy-Authorization: x\nTe: trailers\n\n",
 			want:    []string{"200 OK", "X-Keep=1"},
-			not:     []string{"X-Hop", "Keep-Alive=", "Proxy-Authorization", "Te="},
+			absent:  []string{"X-Hop", "Keep-Alive=", "Proxy-Authorization", "Te="},
 		},
 		"forwarded": {
 			request: "GET / HTTP/1.1\nHost: service.example\nVia: 1.0 before\nX-Forwarded-For: 192.0.2.1\nForwarded: for=192.0.2.1\n" + end,
@@ -146,7 +146,7 @@
 		"HEAD": {
 			request: "HEAD / HTTP/1.1\nHost: service.example\n" + end,
 			want:    []string{"200 OK", "Content-Length:"},
-			not:     []string{"HEAD / host"},
+			absent:  []string{"HEAD / host"},
 		},
 		"OPTIONS *": {
 			request: "OPTIONS * HTTP/1.1\nHost: service.example\n" + end,
@@ -155,7 +155,7 @@
 		"204": {
 			request: "GET /204 HTTP/1.1\nHost: service.example\n" + end,
 			want:    []string{"204 No Content"},
-			not:     []string{"Transfer-Encoding"},
+			absent:  []string{"Transfer-Encoding"},
 		},
 		"304": {
 			request: "GET /304 HTTP/1.1\nHost: service.example\n" + end,
@@ -172,7 +172,7 @@
 		"truncated response of unknown length": {
 			request: "GET /cutchunked HTTP/1.1\nHost: service.example\n" + end,
 			want:    []string{"200 OK", "half"},
-			not:     []string{"\r\n0\r\n"},
+			absent:  []string{"\r\n0\r\n"},
 		},
 		"unknown host": {
 			request: "GET / HTTP/1.1\nHost: other.example\n" + end,
@@ -226,8 +226,8 @@
 			request: "POST / HTTP/1.1\nHost: service.example\nContent-Length: 5\nTransfer-Encoding: chunked\n" + end + "0\n\n",
 			// RFC 9112, section 6.3: the chunked coding overrides the length.
 			// The forwarded request has only that framing.
-			want: []string{"200 OK", "length=-1 body=\n"},
-			not:  []string{"Content-Length=", "Transfer-Encoding="},
+			want:   []string{"200 OK", "length=-1 body=\n"},
+			absent: []string{"Content-Length=", "Transfer-Encoding="},
 		},
 		"too many header fields for a frame": {
 			request: "GET / HTTP/1.1\nHost: service.example\n" + strings.Repeat("X-Many: 1\n", 300) + end,
@@ -258,7 +258,7 @@
 			for _, w := range test.want {
 				qt.Check(t, got, qt.Contains, w)
 			}
-			for _, w := range test.not {
+			for _, w := range test.absent {
 				qt.Check(t, strings.Contains(got, w), qt.IsFalse, qt.Commentf("%q in %s", w, got))
 			}
 		})
@@ -362,12 +362,12 @@
 			transport.Protocols.SetUnencryptedHTTP2(http2)
 			defer transport.CloseIdleConnections()
 			const size = 8 << 20
-			r, _ := http.NewRequest("PUT", p.front.URL, io.LimitReader(zeros{}, size))
+			r, _ := http.NewRequest("PUT", p.server.URL, io.LimitReader(zeros{}, size))
 			r.Host = "service.example"
-			a, err := transport.RoundTrip(r)
+			response, err := transport.RoundTrip(r)
 			qt.Assert(t, err, qt.IsNil)
-			defer a.Body.Close()
-			n, err := io.Copy(io.Discard, a.Body)
+			defer response.Body.Close()
+			n, err := io.Copy(io.Discard, response.Body)
 			qt.Check(t, err, qt.IsNil)
 			qt.Check(t, n, qt.Equals, int64(size))
 		})
@@ -387,18 +387,18 @@
 			if drained {
 				p.gate.Drain()
 			}
-			var asked bool
-			ctx := httptrace.WithClientTrace(context.Background(), &httptrace.ClientTrace{Got100Continue: func() { asked = true }})
-			r, _ := http.NewRequestWithContext(ctx, "POST", p.front.URL, strings.NewReader("hello"))
+			var bodyRequested bool
+			ctx := httptrace.WithClientTrace(context.Background(), &httptrace.ClientTrace{Got100Continue: func() { bodyRequested = true }})
+			r, _ := http.NewRequestWithContext(ctx, "POST", p.server.URL, strings.NewReader("hello"))
 			r.Host = "service.example"
 			r.Header.Set("Expect", "100-continue")
 			transport := &http.Transport{ExpectContinueTimeout: 10 * time.Second}
 			defer transport.CloseIdleConnections()
-			a, err := transport.RoundTrip(r)
+			response, err := transport.RoundTrip(r)
 			qt.Assert(t, err, qt.IsNil)
-			defer a.Body.Close()
-			qt.Check(t, asked, qt.Equals, !drained)
-			qt.Check(t, a.StatusCode == 503, qt.Equals, drained)
+			defer response.Body.Close()
+			qt.Check(t, bodyRequested, qt.Equals, !drained)
+			qt.Check(t, response.StatusCode == 503, qt.Equals, drained)
 		})
 	}
 }
@@ -418,13 +418,13 @@
 			return nil
 		},
 	})
-	r, _ := http.NewRequestWithContext(ctx, "GET", p.front.URL, nil)
+	r, _ := http.NewRequestWithContext(ctx, "GET", p.server.URL, nil)
 	r.Host = "service.example"
-	a, err := http.DefaultTransport.RoundTrip(r)
+	response, err := http.DefaultTransport.RoundTrip(r)
 	qt.Assert(t, err, qt.IsNil)
-	defer a.Body.Close()
+	defer response.Body.Close()
 	qt.Check(t, hints, qt.DeepEquals, []string{"103</x.css>"})
-	qt.Check(t, a.Header.Get("Link"), qt.Equals, "")
+	qt.Check(t, response.Header.Get("Link"), qt.Equals, "")
 }
 
 // TestDisconnectCancelsUpstreamRequest checks that the upstream's request is cancelled when the
@@ -436,7 +436,7 @@
 		<-r.Context().Done()
 		close(cancelled)
 	}))
-	c, err := net.Dial("tcp", p.front.Listener.Addr().String())
+	c, err := net.Dial("tcp", p.server.Listener.Addr().String())
 	qt.Assert(t, err, qt.IsNil)
 	_, _ = io.WriteString(c, "GET / HTTP/1.1\r\nHost: service.example\r\n\r\n")
 	<-began
@@ -458,12 +458,12 @@
 		<-next
 		fmt.Fprintln(w, "second")
 	}))
-	r, _ := http.NewRequest("GET", p.front.URL, nil)
+	r, _ := http.NewRequest("GET", p.server.URL, nil)
 	r.Host = "service.example"
-	a, err := http.DefaultTransport.RoundTrip(r)
+	response, err := http.DefaultTransport.RoundTrip(r)
 	qt.Assert(t, err, qt.IsNil)
-	defer a.Body.Close()
-	lines := bufio.NewReader(a.Body)
+	defer response.Body.Close()
+	lines := bufio.NewReader(response.Body)
 	line, err := lines.ReadString('\n')
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, line, qt.Equals, "first\n")
@@ -477,13 +477,13 @@
 func TestProblem(t *testing.T) {
 	p := newProxy(t, operator.Service{}, http.HandlerFunc(echo))
 	p.gate.Drain()
-	r, _ := http.NewRequest("POST", p.front.URL, strings.NewReader("x"))
+	r, _ := http.NewRequest("POST", p.server.URL, strings.NewReader("x"))
 	r.Host = "service.example"
-	a, err := http.DefaultTransport.RoundTrip(r)
+	response, err := http.DefaultTransport.RoundTrip(r)
 	qt.Assert(t, err, qt.IsNil)
-	defer a.Body.Close()
+	defer response.Body.Close()
 	var problem caller.Problem
-	qt.Assert(t, json.NewDecoder(a.Body).Decode(&problem), qt.IsNil)
+	qt.Assert(t, json.NewDecoder(response.Body).Decode(&problem), qt.IsNil)
 	qt.Check(t, problem.Status, qt.Equals, 503)
 	qt.Check(t, problem.Verdict, qt.Equals, "notRun")
 	qt.Check(t, problem.RetryAfterMs > 0, qt.IsTrue)
--- a/caller/closing_test.go
+++ b/caller/closing_test.go
@@ -34,17 +34,17 @@
 	done chan struct{}
 }
 
-func (d closablePipes) Accept() (net.Conn, error) {
+func (p closablePipes) Accept() (net.Conn, error) {
 	select {
-	case c := <-d.pipeListener:
+	case c := <-p.pipeListener:
 		return c, nil
-	case <-d.done:
+	case <-p.done:
 		return nil, net.ErrClosed
 	}
 }
 
-func (d closablePipes) Close() error {
-	close(d.done)
+func (p closablePipes) Close() error {
+	close(p.done)
 	return nil
 }
 
--- a/caller/draining_test.go
+++ b/caller/draining_test.go
@@ -88,8 +88,8 @@
 				s.stop()
 				writes.Wait()
 				var got []string
-				for a := range responses {
-					got = append(got, a)
+				for response := range responses {
+					got = append(got, response)
 				}
 				qt.Check(t, got, qt.DeepEquals, test.want)
 			})
@@ -97,8 +97,8 @@
 	}
 }
 
-// TestHTTP2RequestsDuringStop does the same over HTTP/2, where the caller learns which requests have
-// not been processed.
+// TestHTTP2RequestsDuringStop does the same as TestRequestsDuringStop over HTTP/2, where the server
+// tells the caller which requests have not been processed.
 func TestHTTP2RequestsDuringStop(t *testing.T) {
 	const moment = time.Millisecond
 	tests := map[string][]time.Duration{
--- a/caller/handler.go
+++ b/caller/handler.go
@@ -69,8 +69,8 @@
 	TransferTime, QueueTime time.Duration
 }
 
-// Handler is an http.Handler. The exported fields are set before the first
-// request.
+// Handler is an http.Handler that forwards the requests of callers to upstreams. The exported
+// fields are set before the first request.
 type Handler struct {
 	// Lookup returns the service that has the host, or nil. Ready is false
 	// while no configuration is known at all.
@@ -79,8 +79,8 @@
 	Resolver Resolver
 	// FieldNames are the names of the header fields that callers use.
 	FieldNames upstream.FieldNames
-	// Service is the service that runs beside this node. Upstreams are told this name as
-	// the origin of requests, if there is a field for it.
+	// Service is the service that runs beside this node. Its name is sent to upstreams as
+	// the origin of requests, if a header field is configured for it.
 	Service string
 	// LocalCallers is whether all callers are on this node's instance. Requests then get no
 	// fields that describe their origin, as Service does so.
@@ -176,8 +176,8 @@
 		return
 	}
 	x.outcome.BodyBytes = x.spooled.Length
-	if took, whole := x.spooled.ReceiveTime(); whole {
-		x.outcome.BodyReceiveTime = took
+	if receiveTime, complete := x.spooled.ReceiveTime(); complete {
+		x.outcome.BodyReceiveTime = receiveTime
 	}
 }
 
@@ -244,11 +244,12 @@
 	return failure
 }
 
-// RetryElsewhereDelay is the time after which callers may retry whose requests a stopping node
-// refuses, or no longer forwards. Other nodes accept them.
+// RetryElsewhereDelay is the time after which a caller may retry a request that a stopping node
+// has refused, or no longer forwards. Other nodes accept it.
 const RetryElsewhereDelay = 250 * time.Millisecond
 
-// checkShutdown returns a failure if the request may still be in flight when all are cancelled.
+// checkShutdown returns a failure if the request may still be in flight when the stopping node
+// cancels those that remain.
 func (x *exchange) checkShutdown(q *entry.Request) *verdict.Error {
 	if x.handler.ShutdownDeadline == nil {
 		return nil
--- a/caller/keys.go
+++ b/caller/keys.go
@@ -28,8 +28,8 @@
 	// Age returns for how long a table with the version may have been out of date. If it is
 	// nil, the age is unknown.
 	Age func(version uint64) freshness.Age
-	// OnEvaluated, if not nil, is called with whether a request is admitted whose key is in
-	// the table.
+	// OnEvaluated, if not nil, is called for each request whose key is in the table, with
+	// whether it is admitted.
 	OnEvaluated func(admitted bool, version uint64, age freshness.Age)
 	// RetryAfter is the time after which a caller may retry at a node whose table is too
 	// stale.
--- a/caller/listener.go
+++ b/caller/listener.go
@@ -127,7 +127,8 @@
 }
 
 // DisableKeepAlives makes each response of a Handler the last one of its connection.
-// Connections without a request stay open: a caller that sends one more gets its response.
+// Connections without a request stay open: a caller that sends one more request gets its
+// response.
 func (l *Listener) DisableKeepAlives() { l.keepAlivesDisabled.Store(true) }
 
 // Drain closes the listener, and the connections on which nothing of a request has been
--- a/caller/listener_test.go
+++ b/caller/listener_test.go
@@ -23,11 +23,11 @@
 	"sassafrasfront.example/operator"
 )
 
-// sendAll writes requests to the front over one connection and returns all that it receives until
-// the front closes the connection, or sends nothing for a while.
+// sendAll writes requests to the proxy over one connection and returns all that it receives until
+// the proxy closes the connection, or sends nothing for a while.
 func (p *proxy) sendAll(t *testing.T, requests ...string) string {
 	t.Helper()
-	c, err := net.Dial("tcp", p.front.Listener.Addr().String())
+	c, err := net.Dial("tcp", p.server.Listener.Addr().String())
 	qt.Assert(t, err, qt.IsNil)
 	defer c.Close()
 	var all strings.Builder
@@ -45,7 +45,7 @@
 
 // readQuiet reads from a connection until nothing arrives for a while, or it is closed, which it
 // reports. It waits in many short intervals: one long wait would end at once in a process that was
-// suspended meanwhile, before the front in it had run.
+// suspended meanwhile, before the proxy in it had run.
 func readQuiet(c net.Conn) (all []byte, closed bool) {
 	const (
 		waits = 30
@@ -122,7 +122,7 @@
 	conn net.Conn
 }
 
-func (o *singleListener) Accept() (net.Conn, error) { return o.conn, nil }
+func (l *singleListener) Accept() (net.Conn, error) { return l.conn, nil }
 
 // TestTimeouts checks the deadlines of a connection through two requests, as a server sets
 // them.
@@ -181,7 +181,7 @@
 	source <- theirs
 	listener := &caller.Listener{Listener: source}
 	server := &http.Server{
-		Handler:     http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") }),
+		Handler:     http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "complete") }),
 		ConnState:   caller.ConnState,
 		ConnContext: caller.ConnContext,
 	}
@@ -202,11 +202,11 @@
 		qt.Assert(t, err, qt.IsNil)
 	}
 	write(header)
-	qt.Check(t, read(), qt.Equals, "whole")
+	qt.Check(t, read(), qt.Equals, "complete")
 	write(header[:20])
 	server.SetKeepAlivesEnabled(false)
 	write(header[20:])
-	qt.Check(t, read(), qt.Equals, "whole")
+	qt.Check(t, read(), qt.Equals, "complete")
 	_, err := reader.ReadByte()
 	qt.Check(t, err, qt.Equals, io.EOF, qt.Commentf("the connection is closed after its last response"))
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
--- a/caller/resend.go
+++ b/caller/resend.go
@@ -56,13 +56,13 @@
 }
 
 // storedResult returns a stored response as a result.
-func storedResult(a *claim.StoredResponse) *entry.Result {
+func storedResult(s *claim.StoredResponse) *entry.Result {
 	return &entry.Result{
 		Response: &peer.Response{
-			Status:  a.Status,
-			Header:  a.Header,
-			Length:  int64(len(a.Body)),
-			Body:    bytes.NewReader(a.Body),
+			Status:  s.Status,
+			Header:  s.Header,
+			Length:  int64(len(s.Body)),
+			Body:    bytes.NewReader(s.Body),
 			Trailer: func() []peer.Field { return nil },
 		},
 	}
