--- a/contact/discovery.go
+++ b/contact/discovery.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// initialLookupInterval is the time between two lookups after the start, which grows by
-	// lookupIntervalGrowth each time up to firstNodeLookupInterval for the first node of a
-	// zone. Other nodes wait for lookupInterval once they know any.
+	// initialLookupInterval is the time between two lookups after the start. It grows by the
+	// factor lookupIntervalGrowth each time, up to firstNodeLookupInterval, for the first node
+	// of a zone. Other nodes wait for lookupInterval once they know any.
 	initialLookupInterval   = 500 * time.Millisecond
 	firstNodeLookupInterval = 10 * time.Second
 	lookupInterval          = 2 * time.Minute
@@ -26,9 +26,9 @@
 	// rankCheckInterval is how often a node checks whether it has become the first of its
 	// zone, which does more lookups.
 	rankCheckInterval = time.Second
-	// joinRetryInterval is the time before the same addresses are contacted again, and
-	// maxJoinAttempts how often they are, by a node that knows no other: if all nodes start
-	// at once, some are up a little later.
+	// joinRetryInterval is the mean time before a node that knows no other contacts the same
+	// addresses again, and maxJoinAttempts how often it contacts them in all: if all nodes
+	// start at once, some are up a little later.
 	joinRetryInterval = 150 * time.Millisecond
 	maxJoinAttempts   = 4
 	// joinsPerLookup is the number of nodes that are joined after a lookup, and that are
@@ -117,8 +117,8 @@
 // noLookup is the number of listed nodes before the first lookup.
 const noLookup = -1
 
-// Run looks up nodes that this one does not know and learns from some of them, repeatedly until
-// ctx ends: two groups of nodes that know only their own members, as may happen if all start at
+// Run looks up nodes that this one does not know and joins some of them, repeatedly until ctx
+// ends: two groups of nodes that know only their own members, as may happen if all start at
 // once or after a partition, would otherwise never discover each other. The first node of each
 // zone in each group registers and repeats its lookups.
 func (d *Discovery) Run(ctx context.Context) {
@@ -158,7 +158,8 @@
 	return addrs
 }
 
-// join does a lookup and learns from some of the listed nodes that this one does not know.
+// join does a lookup and fetches the state of some of the listed nodes that this one does not
+// know.
 func (d *Discovery) join(ctx context.Context) {
 	addrs := d.lookup(ctx)
 	d.joinSome(ctx, d.Node.UnknownAddresses(slices.Clone(addrs)))
@@ -169,8 +170,9 @@
 	d.lookups.Add(1)
 }
 
-// joinSome learns from a few of the nodes that answer at some addresses. It contacts several at
-// once, as those of removed instances don't answer for as long as opening a connection may take.
+// joinSome fetches the state of a few of the nodes that answer at some addresses. It contacts
+// several at once, as those of removed instances don't answer for as long as opening a connection
+// may take.
 func (d *Discovery) joinSome(ctx context.Context, addrs []string) {
 	var joined atomic.Int32
 	untried := make(chan string, len(addrs))
--- a/contact/discovery_test.go
+++ b/contact/discovery_test.go
@@ -20,8 +20,8 @@
 	"sassafrasfront.example/contact"
 )
 
-// network is a simulated network of nodes. A node that learns from another exchanges all that
-// either knows, after a delay; other knowledge spreads by gossip.
+// network is a simulated network of nodes. A node that joins another exchanges all that either
+// knows, after a delay; other knowledge spreads by gossip.
 type network struct {
 	zones int
 
@@ -40,7 +40,7 @@
 }
 
 const (
-	// exchangeTime is the duration of learning from a node, and gossipInterval the time
+	// exchangeTime is the duration of joining a node, and gossipInterval the time
 	// between two exchanges of a node with one that it knows.
 	exchangeTime   = 5 * time.Millisecond
 	gossipInterval = 50 * time.Millisecond
@@ -135,13 +135,13 @@
 // ends or each knows all.
 func (nw *network) gossip(ctx context.Context, nodes int) {
 	random := rand.New(rand.NewPCG(1, 1))
-	for whole := 0; ctx.Err() == nil && whole < nodes; time.Sleep(gossipInterval) {
+	for upToDate := 0; ctx.Err() == nil && upToDate < nodes; time.Sleep(gossipInterval) {
 		nw.mu.Lock()
-		whole = 0
+		upToDate = 0
 		for _, addr := range slices.Sorted(maps.Keys(nw.nodes)) {
 			n := nw.nodes[addr]
 			if len(n.known) == nodes {
-				whole++
+				upToDate++
 				continue
 			}
 			known := slices.Sorted(maps.Keys(n.known))
--- a/contact/registry.go
+++ b/contact/registry.go
@@ -36,7 +36,7 @@
 func (e Entry) check() error {
 	host, port, err := net.SplitHostPort(e.Address)
 	if err != nil || net.ParseIP(host) == nil || port == "" {
-		return eris.Errorf("%q is not an IP number and port", e.Address)
+		return eris.Errorf("%q is not an IP address and port", e.Address)
 	}
 	return nil
 }
@@ -49,8 +49,8 @@
 	// Node and Entry are the name and the entry that this node registers.
 	Node  string
 	Entry Entry
-	// NodeCount, if not nil, returns the number of nodes to put into the entry, and
-	// OnNodeCount is called with the largest one in any entry.
+	// NodeCount, if not nil, returns the number of nodes to put into the entry. OnNodeCount, if
+	// not nil, is called with the largest number in any entry that was read.
 	NodeCount   func() int
 	OnNodeCount func(nodes int)
 	// Log is the log for failures.
@@ -82,7 +82,7 @@
 		r.Log.Warn().Err(err).Msg("contacts not read")
 		return nil
 	}
-	var near, far []string
+	var sameZone, otherZones []string
 	var ownObject *objectapi.Object
 	var nodes int
 	listed := make(map[string]*objectapi.Object, len(list.Items))
@@ -104,18 +104,18 @@
 		}
 		listed[e.Address] = o
 		if e.Zone == r.Entry.Zone {
-			near = append(near, e.Address)
+			sameZone = append(sameZone, e.Address)
 		} else {
-			far = append(far, e.Address)
+			otherZones = append(otherZones, e.Address)
 		}
 	}
 	r.recordList(listed, ownObject)
 	if r.OnNodeCount != nil && nodes > 0 {
 		r.OnNodeCount(nodes)
 	}
-	shuffle(near)
-	shuffle(far)
-	return append(near, far...)
+	shuffle(sameZone)
+	shuffle(otherZones)
+	return append(sameZone, otherZones...)
 }
 
 // recordList records the entries that were read.
--- a/contact/registry_test.go
+++ b/contact/registry_test.go
@@ -29,12 +29,12 @@
 	defer server.Close()
 	api := &objectapi.Client{JSONClient: objectapi.JSONClient{URL: server.URL, Timeout: time.Second}, Namespace: "test"}
 	open := func(node, address, zone string) []string {
-		b := &contact.PlatformRegistry{API: api, Node: node, Entry: contact.Entry{Address: address, Zone: zone}, Log: zerolog.Nop()}
-		first := b.Addresses(context.Background())
-		b.Register(context.Background())
+		r := &contact.PlatformRegistry{API: api, Node: node, Entry: contact.Entry{Address: address, Zone: zone}, Log: zerolog.Nop()}
+		first := r.Addresses(context.Background())
+		r.Register(context.Background())
 		calls := api.Calls()
-		again := b.Addresses(context.Background())
-		b.Register(context.Background())
+		again := r.Addresses(context.Background())
+		r.Register(context.Background())
 		qt.Check(t, api.Calls()-calls, qt.Equals, uint64(1), qt.Commentf("an entry that is up to date is not written again"))
 		qt.Check(t, len(again), qt.Equals, len(first))
 		return first
@@ -80,16 +80,16 @@
 			{name: "far fewer", known: 80, reported: 1000, writes: true},
 			{name: "fewer", known: 80, reported: 80},
 		}
-		b := open()
+		r := open()
 		for _, s := range steps {
 			if s.restart {
-				b = open()
+				r = open()
 			}
 			known = s.known
 			before := store.revision
-			b.Addresses(ctx)
+			r.Addresses(ctx)
 			qt.Check(t, reported, qt.Equals, s.reported, qt.Commentf(s.name))
-			b.Register(ctx)
+			r.Register(ctx)
 			qt.Check(t, store.revision > before, qt.Equals, s.writes, qt.Commentf(s.name))
 			time.Sleep(2 * time.Minute)
 		}
@@ -99,8 +99,8 @@
 // TestRegistryPlatformUnreachable expects no addresses rather than a failure.
 func TestRegistryPlatformUnreachable(t *testing.T) {
 	api := &objectapi.Client{JSONClient: objectapi.JSONClient{URL: "http://127.0.0.1:1"}, Namespace: "test"}
-	b := &contact.PlatformRegistry{API: api, Node: "a", Log: zerolog.Nop()}
-	qt.Check(t, b.Addresses(context.Background()), qt.HasLen, 0)
+	r := &contact.PlatformRegistry{API: api, Node: "a", Log: zerolog.Nop()}
+	qt.Check(t, r.Addresses(context.Background()), qt.HasLen, 0)
 }
 
 // TestRegistryRemovesUnreachable has a node leave for good, and another that is slow to restart.
@@ -109,18 +109,18 @@
 		ctx := context.Background()
 		store := newMemoryAPI()
 		open := func(node, address string) *contact.PlatformRegistry {
-			b := &contact.PlatformRegistry{API: store, Node: node, Entry: contact.Entry{Address: address, Zone: "z"}, Log: zerolog.Nop()}
-			b.Addresses(ctx)
-			b.Register(ctx)
-			return b
+			r := &contact.PlatformRegistry{API: store, Node: node, Entry: contact.Entry{Address: address, Zone: "z"}, Log: zerolog.Nop()}
+			r.Addresses(ctx)
+			r.Register(ctx)
+			return r
 		}
 		open("gone", "10.0.0.1:1")
 		back := open("back", "10.0.0.2:1")
-		b := open("a", "10.0.0.3:1")
+		r := open("a", "10.0.0.3:1")
 		lookup := func() []string {
-			list := b.Addresses(ctx)
+			list := r.Addresses(ctx)
 			for _, addr := range list {
-				b.RecordReachability(ctx, addr, false)
+				r.RecordReachability(ctx, addr, false)
 			}
 			slices.Sort(list)
 			return list
@@ -128,7 +128,7 @@
 		qt.Check(t, lookup(), qt.DeepEquals, []string{"10.0.0.1:1", "10.0.0.2:1"})
 		time.Sleep(contact.RemovalTimeout - time.Second)
 		qt.Check(t, lookup(), qt.HasLen, 2, qt.Commentf("not yet"))
-		b.RecordReachability(ctx, "10.0.0.2:1", true)
+		r.RecordReachability(ctx, "10.0.0.2:1", true)
 		time.Sleep(2 * time.Second)
 		lookup()
 		qt.Check(t, lookup(), qt.DeepEquals, []string{"10.0.0.2:1"}, qt.Commentf("only the entry of the node that never answered is removed"))
@@ -217,25 +217,25 @@
 			bad("x")
 			bad("a")
 			store.objects["good"] = objectapi.NewObject(contact.Kind, "good", contact.Entry{Address: "10.0.0.2:1", Zone: "z"}).WithResourceVersion("1")
-			b := &contact.PlatformRegistry{API: store, Node: "a", Entry: contact.Entry{Address: "10.0.0.1:1", Zone: "z"}, Log: zerolog.Nop()}
-			qt.Check(t, b.Addresses(context.Background()), qt.DeepEquals, []string{"10.0.0.2:1"})
-			b.Register(context.Background())
+			r := &contact.PlatformRegistry{API: store, Node: "a", Entry: contact.Entry{Address: "10.0.0.1:1", Zone: "z"}, Log: zerolog.Nop()}
+			qt.Check(t, r.Addresses(context.Background()), qt.DeepEquals, []string{"10.0.0.2:1"})
+			r.Register(context.Background())
 			e, err := objectapi.DecodeSpec[contact.Entry](store.objects["a"])
 			qt.Check(t, err, qt.IsNil)
-			qt.Check(t, e, qt.Equals, b.Entry)
+			qt.Check(t, e, qt.Equals, r.Entry)
 		})
 	}
 }
 
-// FuzzEntry reads arbitrary bytes as an entry: only addresses with an IP number may be
-// returned.
+// FuzzEntry reads arbitrary bytes as an entry: only valid IP addresses with a port may
+// be returned.
 func FuzzEntry(f *testing.F) {
 	f.Add([]byte(`{"address":"10.0.0.7:1","zone":"z"}`))
 	f.Fuzz(func(t *testing.T, spec []byte) {
 		store := newMemoryAPI()
 		store.objects["x"] = (&objectapi.Object{Kind: contact.Kind, Metadata: objectapi.Metadata{Name: "x"}, Spec: spec}).WithResourceVersion("1")
-		b := &contact.PlatformRegistry{API: store, Node: "a", Log: zerolog.Nop()}
-		for _, addr := range b.Addresses(context.Background()) {
+		r := &contact.PlatformRegistry{API: store, Node: "a", Log: zerolog.Nop()}
+		for _, addr := range r.Addresses(context.Background()) {
 			host, _, err := net.SplitHostPort(addr)
 			if err != nil || net.ParseIP(host) == nil {
 				t.Fatalf("%s: %q", spec, addr)
@@ -248,17 +248,17 @@
 // same entry, one with another address, or one by another program.
 func TestRegisterAfterStaleRead(t *testing.T) {
 	own := contact.Entry{Address: "10.0.0.1:1", Zone: "z"}
-	for name, there := range map[string]any{
+	for name, stored := range map[string]any{
 		"the same entry":    own,
 		"another address":   contact.Entry{Address: "10.0.0.9:1", Zone: "z"},
 		"by another writer": 7,
 	} {
 		t.Run(name, func(t *testing.T) {
 			store := newMemoryAPI()
-			b := &contact.PlatformRegistry{API: store, Node: "a", Entry: own, Log: zerolog.Nop()}
-			b.Addresses(context.Background())
-			store.store(objectapi.NewObject(contact.Kind, "a", there))
-			b.Register(context.Background())
+			r := &contact.PlatformRegistry{API: store, Node: "a", Entry: own, Log: zerolog.Nop()}
+			r.Addresses(context.Background())
+			store.store(objectapi.NewObject(contact.Kind, "a", stored))
+			r.Register(context.Background())
 			e, err := objectapi.DecodeSpec[contact.Entry](store.objects["a"])
 			qt.Check(t, err, qt.IsNil)
 			qt.Check(t, e, qt.Equals, own)
--- a/contact/restore_test.go
+++ b/contact/restore_test.go
@@ -58,10 +58,10 @@
 			synctest.Test(t, func(t *testing.T) {
 				ctx := context.Background()
 				m := &failingAPI{memoryAPI: newMemoryAPI()}
-				b := &contact.PlatformRegistry{API: m, Node: "a", Entry: own, Log: zerolog.Nop()}
-				b.Addresses(ctx)
+				r := &contact.PlatformRegistry{API: m, Node: "a", Entry: own, Log: zerolog.Nop()}
+				r.Addresses(ctx)
 				if !test.neverRegistered {
-					b.Register(ctx)
+					r.Register(ctx)
 				}
 				m.objects = make(map[string]*objectapi.Object)
 				if test.backup != nil {
@@ -69,7 +69,7 @@
 				}
 				m.failures = test.failures
 				before, began := m.revision, time.Now()
-				b.Restore(ctx)
+				r.Restore(ctx)
 				if test.failures <= 3 {
 					qt.Check(t, time.Since(began) <= 2*time.Second, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
 				}
@@ -91,17 +91,17 @@
 func TestRestoreTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &failingAPI{memoryAPI: newMemoryAPI()}
-		b := &contact.PlatformRegistry{API: m, Node: "a", Entry: contact.Entry{Address: "10.0.0.1:1", Zone: "z"}, Log: zerolog.Nop()}
-		b.Addresses(context.Background())
-		b.Register(context.Background())
+		r := &contact.PlatformRegistry{API: m, Node: "a", Entry: contact.Entry{Address: "10.0.0.1:1", Zone: "z"}, Log: zerolog.Nop()}
+		r.Addresses(context.Background())
+		r.Register(context.Background())
 		m.objects = make(map[string]*objectapi.Object)
 		m.failures = 1000
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		b.Restore(ctx)
+		r.Restore(ctx)
 		qt.Check(t, m.objects["a"], qt.IsNil)
 		m.failures = 0
-		b.Restore(context.Background())
+		r.Restore(context.Background())
 		qt.Check(t, m.objects["a"], qt.IsNotNil)
 	})
 }
@@ -114,13 +114,13 @@
 		ctx := context.Background()
 		m := newMemoryAPI()
 		m.store(objectapi.NewObject(contact.Kind, "gone", contact.Entry{Address: "10.0.0.1:1", Zone: "z"}))
-		b := &contact.PlatformRegistry{API: m, Node: "a", Entry: contact.Entry{Address: "10.0.0.2:1", Zone: "z"}, Log: zerolog.Nop()}
-		b.Addresses(ctx)
-		b.RecordReachability(ctx, "10.0.0.1:1", false)
+		r := &contact.PlatformRegistry{API: m, Node: "a", Entry: contact.Entry{Address: "10.0.0.2:1", Zone: "z"}, Log: zerolog.Nop()}
+		r.Addresses(ctx)
+		r.RecordReachability(ctx, "10.0.0.1:1", false)
 		time.Sleep(contact.RemovalTimeout)
-		b.Restore(ctx)
-		there := maps.Clone(m.objects)
-		b.RecordReachability(ctx, "10.0.0.1:1", false)
-		qt.Check(t, len(m.objects), qt.Equals, len(there))
+		r.Restore(ctx)
+		expected := maps.Clone(m.objects)
+		r.RecordReachability(ctx, "10.0.0.1:1", false)
+		qt.Check(t, len(m.objects), qt.Equals, len(expected))
 	})
 }
