--- a/spool/body_test.go
+++ b/spool/body_test.go
@@ -41,7 +41,7 @@
 // received, meanwhile and afterwards: each must get the whole body, or the error that ended it.
 func TestConcurrentReaders(t *testing.T) {
 	broken := eris.New("broken")
-	for name, end := range map[string]error{"whole": io.EOF, "broken": broken} {
+	for name, end := range map[string]error{"complete": io.EOF, "broken": broken} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b := &spool.Body{
@@ -64,9 +64,9 @@
 					})
 				}
 				all.Wait()
-				took, whole := b.ReceiveTime()
-				qt.Check(t, took, qt.Equals, 3*time.Second)
-				qt.Check(t, whole, qt.Equals, end == io.EOF)
+				receiveTime, complete := b.ReceiveTime()
+				qt.Check(t, receiveTime, qt.Equals, 3*time.Second)
+				qt.Check(t, complete, qt.Equals, end == io.EOF)
 			})
 		})
 	}
