--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -68,10 +68,10 @@
 }
 
 // SetParameters replaces the parameters.
-func (s *Server) SetParameters(k Parameters) {
+func (s *Server) SetParameters(p Parameters) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.parameters = k
+	s.parameters = p
 }
 
 // Record returns a copy of the record.
@@ -91,12 +91,12 @@
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/stand/knobs":
-		var k Parameters
-		if err := json.NewDecoder(r.Body).Decode(&k); err != nil {
+		var p Parameters
+		if err := json.NewDecoder(r.Body).Decode(&p); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		s.SetParameters(k)
+		s.SetParameters(p)
 	case "/stand/record":
 		_ = json.NewEncoder(w).Encode(s.Record())
 	default:
@@ -193,10 +193,10 @@
 	}
 	s.running++
 	s.record.MaxRunning = max(s.record.MaxRunning, s.running)
-	k := s.parameters
-	ms := k.MeanMillis * math.Exp(k.Sigma*rand.NormFloat64()-k.Sigma*k.Sigma/2)
-	if k.SlowFactor > 0 {
-		ms *= k.SlowFactor
+	p := s.parameters
+	ms := p.MeanMillis * math.Exp(p.Sigma*rand.NormFloat64()-p.Sigma*p.Sigma/2)
+	if p.SlowFactor > 0 {
+		ms *= p.SlowFactor
 	}
 	return time.Duration(ms * float64(time.Millisecond))
 }
@@ -225,7 +225,7 @@
 			if response.StatusCode < 300 {
 				return nil
 			}
-			err = fmt.Errorf("node answers %s", response.Status)
+			err = fmt.Errorf("node responded with status %s", response.Status)
 		}
 		select {
 		case <-time.After(20 * time.Millisecond):
--- a/internal/stall/monitor.go
+++ b/internal/stall/monitor.go
@@ -30,8 +30,8 @@
 
 // delay is the delay of one tick.
 type delay struct {
-	ended time.Time
-	took  time.Duration
+	ended    time.Time
+	duration time.Duration
 }
 
 // Run measures delays until ctx ends.
@@ -53,13 +53,13 @@
 func (m *Monitor) tick(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if took := m.overdue(now); took >= minDelay {
+	if duration := m.overdue(now); duration >= minDelay {
 		if len(m.delays) == maxDelays {
 			m.delays = slices.Delete(m.delays, 0, 1)
 		}
 		m.delays = append(m.delays, delay{
-			ended: now,
-			took:  took,
+			ended:    now,
+			duration: duration,
 		})
 	}
 	m.lastTick = now
@@ -84,7 +84,7 @@
 	}
 	for _, d := range m.delays {
 		if d.ended.After(since) {
-			longest = max(longest, d.took)
+			longest = max(longest, d.duration)
 		}
 	}
 	return longest
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -38,21 +38,21 @@
 const maxQueuedSpans = 2048
 
 // Tracer returns a tracer, and a function that flushes the pending spans and stops it.
-func (s Config) Tracer(ctx context.Context) (trace.Tracer, func(context.Context) error, error) {
-	if s.URL == "" {
+func (c Config) Tracer(ctx context.Context) (trace.Tracer, func(context.Context) error, error) {
+	if c.URL == "" {
 		return noop.NewTracerProvider().Tracer(""), func(context.Context) error { return nil }, nil
 	}
-	exporter, err := otlptracehttp.New(ctx, otlptracehttp.WithEndpointURL(s.URL))
+	exporter, err := otlptracehttp.New(ctx, otlptracehttp.WithEndpointURL(c.URL))
 	if err != nil {
 		return nil, nil, err
 	}
 	provider := sdk.NewTracerProvider(
 		sdk.WithBatcher(exporter, sdk.WithMaxQueueSize(maxQueuedSpans), sdk.WithBatchTimeout(time.Second)),
-		sdk.WithSampler(sdk.ParentBased(sdk.TraceIDRatioBased(s.SampleRatio))),
+		sdk.WithSampler(sdk.ParentBased(sdk.TraceIDRatioBased(c.SampleRatio))),
 		sdk.WithResource(resource.NewSchemaless(
 			attribute.String("service.name", "sassafrasnode"),
-			attribute.String("service.instance.id", s.Node),
-			attribute.String("cloud.availability_zone", s.Zone),
+			attribute.String("service.instance.id", c.Node),
+			attribute.String("cloud.availability_zone", c.Zone),
 		)),
 	)
 	return provider.Tracer("sassafrasfront.example"), provider.Shutdown, nil
