--- a/node/build.go
+++ b/node/build.go
@@ -29,71 +29,71 @@
 // build makes the parts.
 func (n *Node) build() {
 	s := &n.Settings
-	reports := watch.NewBudget(s.ReportBytes, 1)
-	exchange := watch.NewBudget(s.ControlBytes, controlSavings)
-	n.metrics = newMetricSet(n, reports, exchange)
-	n.gate = n.newGate(reports)
-	n.lines.OnSuppressed = n.linesLeftOut
+	reportBudget := watch.NewBudget(s.ReportBytes, 1)
+	controlBudget := watch.NewBudget(s.ControlBytes, controlBurstSeconds)
+	n.metrics = newMetricSet(n, reportBudget, controlBudget)
+	n.gate = n.newGate(reportBudget)
+	n.lineLimit.OnSuppressed = n.linesSuppressed
 	hello := peer.Hello{
 		Node: s.Node,
 		Zone: s.Zone,
 	}
-	n.learnt = make(chan struct{})
+	n.discoveryDone = make(chan struct{})
 	n.dispatcher = n.newDispatcher(hello)
-	n.control = n.newControl(exchange)
+	n.control = n.newControl(controlBudget)
 	switch {
 	case n.Platform != nil:
 		n.buildManaged()
 	case s.PlatformURL != "":
-		n.control.API = n.platform()
+		n.control.API = n.newPlatformClient()
 		n.claims = &claim.Store{
 			API:  n.control.API,
 			Node: s.Node,
 		}
-		n.blocked = n.blocklistOn(n.control.API)
+		n.blocklist = n.newBlocklist(n.control.API)
 	}
 	n.peers = &peer.Server{
 		Hello: hello,
 		Limits: peer.Limits{
-			MaxInFlightBytes: underWay(s.LinkMbps),
-			LinkBandwidth:    linkRate(s.LinkMbps),
+			MaxInFlightBytes: maxInFlightBytes(s.LinkMbps),
+			LinkBandwidth:    linkBandwidth(s.LinkMbps),
 		},
 		HandleCall:    n.gate.Serve,
 		HandleControl: n.control.Handle,
 		OnClosed:      n.peerClosed,
 	}
-	n.announced = &upstream.Announcements{
+	n.announcements = &upstream.Announcements{
 		Changed:        n.upstreamChanged,
-		StaleAfter:     silentHeartbeats * s.Heartbeat,
-		IsKnownService: n.serviceKnown,
+		StaleAfter:     maxMissedHeartbeats * s.Heartbeat,
+		IsKnownService: n.isKnownService,
 		ColdReported:   n.gate.ExtendColdStart,
 		Refused:        n.announcementRefused,
 	}
 }
 
 // newGate returns the gate, whose reports of its load go to other nodes within a budget.
-func (n *Node) newGate(reports *watch.Budget) *gate.Gate {
+func (n *Node) newGate(budget *watch.Budget) *gate.Gate {
 	return &gate.Gate{
 		Started:    time.Now(),
 		Tracer:     n.tracer,
 		Quarantine: &n.suspects,
 		Reports: &watch.Pacer[string]{
-			Budget:       reports,
-			MinInterval:  reportEvery,
-			MessageBytes: reportSize,
+			Budget:       budget,
+			MinInterval:  minReportInterval,
+			MessageBytes: reportSizeBytes,
 		},
 		CallEnded:       n.callEnded,
-		BodyReceived:    n.metrics.bodyIn,
+		BodyReceived:    n.metrics.bodyReceived,
 		LinkLoad:        func() (rate float64, backlog int) { return n.peers.LinkLoad() },
-		UpstreamCrashed: n.upstreamGone,
+		UpstreamCrashed: n.upstreamCrashed,
 		SuspectCleared:  func(p quarantine.Fingerprint) { n.control.Report(quarantine.NewCompletionReport(p)) },
-		CallFailed:      n.callRefused,
-		Weight:          n.weightOf,
+		CallFailed:      n.callFailed,
+		Weight:          n.organisationWeight,
 		Panicked:        n.callPanicked,
 
-		NoticeChanged:   n.upstreamNoticed,
-		NoticeInvalid:   n.noticeUnreadable,
-		UpstreamLeaving: func(start string, born int64) { n.announced.Leave(start, born) },
+		NoticeChanged:   n.noticeChanged,
+		NoticeInvalid:   n.noticeInvalid,
+		UpstreamLeaving: func(startID string, startMillis int64) { n.announcements.Leave(startID, startMillis) },
 	}
 }
 
@@ -106,15 +106,15 @@
 		Started:       time.Now(),
 		Counters:      &n.metrics.traffic,
 		Policy:        s.Policy,
-		LinkRate:      linkRate(s.LinkMbps),
+		LinkRate:      linkBandwidth(s.LinkMbps),
 		Quarantine:    &n.suspects,
 		OnEvent:       n.metrics.dispatcherEvent,
-		DiscoveryDone: n.learnt,
+		DiscoveryDone: n.discoveryDone,
 	}
 }
 
 // newControl returns the control state, whose comparisons with other nodes keep to a budget.
-func (n *Node) newControl(exchange *watch.Budget) *control.Control {
+func (n *Node) newControl(budget *watch.Budget) *control.Control {
 	s := &n.Settings
 	return &control.Control{
 		Self: member.Record{
@@ -131,7 +131,7 @@
 			Sweep:          s.Patience / 3,
 		},
 		Quarantine: &n.suspects,
-		Budget:     exchange,
+		Budget:     budget,
 		Counters:   &n.metrics.control,
 		Log:        n.Log,
 		Published:  n.published,
@@ -141,44 +141,44 @@
 // buildManaged sets the parts up for a table of routes.
 func (n *Node) buildManaged() {
 	n.gate.Names = n.Platform.FieldNames
-	n.gate.UpstreamUnreachable = n.upstreamFailed
+	n.gate.UpstreamUnreachable = n.upstreamUnreachable
 	n.dispatcher.Limits = peer.Limits{
-		SilenceTimeout:   peerSilence,
-		AckTimeout:       peerLoss,
-		HandshakeTimeout: peerHandshake,
+		SilenceTimeout:   peerSilenceTimeout,
+		AckTimeout:       peerAckTimeout,
+		HandshakeTimeout: peerHandshakeTimeout,
 	}
 	n.gate.BroadcastReport = func(r *peer.Report) { n.peers.BroadcastReport(r) }
-	n.loadAsked = make(chan chan struct{})
-	n.asks = rate.NewLimiter(askRate, askBurst)
-	n.gate.ProbeLoad = n.askLoad
-	n.limits = n.rateLimits()
-	n.control.Topics = n.limits.Topics()
+	n.loadProbes = make(chan chan struct{})
+	n.loadProbeLimit = rate.NewLimiter(loadProbesPerSecond, loadProbeBurst)
+	n.gate.ProbeLoad = n.probeLoad
+	n.rateLimiter = n.newRateLimiter()
+	n.control.Topics = n.rateLimiter.Topics()
 	n.control.ServiceConfig = func(t *routes.Table, service string, nodes int) operator.Service {
-		return serviceconfig.FromTable(t, service, nodes, n.live())
+		return serviceconfig.FromTable(t, service, nodes, n.activeSettings())
 	}
-	n.control.MaxPropagationDelay = n.configWithin()
-	n.keepFresh()
-	n.store = n.storeClient()
-	n.store.OnEraChange = n.eraChanged
-	n.control.EraAdvanced = n.store.AdvanceEra
-	n.restored = make(chan struct{}, 1)
-	n.metrics.platformCalls = n.store.Calls
-	n.api = n.Platform.NewAPI(n.store)
-	n.contacts = n.book(n.api)
+	n.control.MaxPropagationDelay = n.maxConfigDelay()
+	n.enableFreshness()
+	n.platformClient = n.newJSONClient()
+	n.platformClient.OnEraChange = n.eraChanged
+	n.control.EraAdvanced = n.platformClient.AdvanceEra
+	n.platformRestored = make(chan struct{}, 1)
+	n.metrics.platformCalls = n.platformClient.Calls
+	n.objects = n.Platform.NewAPI(n.platformClient)
+	n.contactRegistry = n.newContactRegistry(n.objects)
 	n.discovery = &contact.Discovery{
-		Registry:      n.contacts,
+		Registry:      n.contactRegistry,
 		Node:          n.control,
 		HasFirstPeers: len(n.control.Contacts) > 0,
 	}
-	n.dispatcher.TriggerDiscovery = n.seek
-	n.contacts.NodeCount = n.limits.Nodes
-	n.contacts.OnNodeCount = n.limits.SetStoredNodes
-	n.blocked = n.blocklistOn(n.api)
+	n.dispatcher.TriggerDiscovery = n.triggerDiscovery
+	n.contactRegistry.NodeCount = n.rateLimiter.Nodes
+	n.contactRegistry.OnNodeCount = n.rateLimiter.SetStoredNodes
+	n.blocklist = n.newBlocklist(n.objects)
 	n.buildRollouts()
 }
 
 // blocklistOn returns the blocked requests that a platform keeps.
-func (n *Node) blocklistOn(api objectapi.Objects) *blocklist.Store {
+func (n *Node) newBlocklist(api objectapi.Objects) *blocklist.Store {
 	return &blocklist.Store{
 		API:         api,
 		Report:      n.control.Report,
@@ -190,15 +190,15 @@
 
 // underWay returns how many bytes of bodies peers may have under way to a node whose
 // link carries the given Mbit/s.
-func underWay(mbps float64) int {
-	return int(linkRate(mbps) * bodyQueue.Seconds())
+func maxInFlightBytes(mbps float64) int {
+	return int(linkBandwidth(mbps) * maxBodyQueueTime.Seconds())
 }
 
 // linkRate returns how many bytes a second a link of the given Mbit/s carries.
-func linkRate(mbps float64) float64 { return mbps * 1e6 / 8 }
+func linkBandwidth(mbps float64) float64 { return mbps * 1e6 / 8 }
 
 // platform returns the client of the object API.
-func (n *Node) platform() *objectapi.Client {
+func (n *Node) newPlatformClient() *objectapi.Client {
 	c := &objectapi.Client{
 		JSONClient: objectapi.JSONClient{
 			URL:     n.Settings.PlatformURL,
--- a/node/callpace.go
+++ b/node/callpace.go
@@ -14,35 +14,35 @@
 	// speed may grow before its health check is asked. Instances share their processors with
 	// others for some hundred milliseconds at a time, of which answers alone would tell late.
 	// 25 questions a second at most are under half of what the platform allows.
-	leastLoadAge = 40 * time.Millisecond
-	mostLoadAge  = coldEvery
+	minLoadAge = 40 * time.Millisecond
+	maxLoadAge = coldCheckInterval
 	// wordsPerCall is how many words on its speed an upstream is to give for each call. A
 	// call that comes in asks by itself where the last word is old, and a call that meets a
 	// slow upstream goes elsewhere at the cost of one exchange, so the words are for the few
 	// calls that others choose by them.
-	wordsPerCall = 4.0
+	reportsPerCall = 4.0
 	// paceFade is the time constant with which earlier calls are forgotten.
-	paceFade = 2 * time.Second
+	callRateDecay = 2 * time.Second
 )
 
 // callPace is how many calls a second come in to the upstream. The zero value has seen none.
-type callPace struct {
+type callRate struct {
 	calls     uint64
-	at        time.Time
+	updatedAt time.Time
 	perSecond float64
 }
 
 // loadAge takes in the number of calls so far, and returns how old the upstream's word may grow.
-func (p *callPace) loadAge(calls uint64, now time.Time) time.Duration {
-	if span := now.Sub(p.at); p.at.IsZero() {
-		p.calls, p.at = calls, now
+func (p *callRate) allowedLoadAge(calls uint64, now time.Time) time.Duration {
+	if span := now.Sub(p.updatedAt); p.updatedAt.IsZero() {
+		p.calls, p.updatedAt = calls, now
 	} else if span > 0 {
-		kept := math.Exp(-float64(span) / float64(paceFade))
-		p.perSecond = kept*p.perSecond + (1-kept)*float64(calls-p.calls)/span.Seconds()
-		p.calls, p.at = calls, now
+		decay := math.Exp(-float64(span) / float64(callRateDecay))
+		p.perSecond = decay*p.perSecond + (1-decay)*float64(calls-p.calls)/span.Seconds()
+		p.calls, p.updatedAt = calls, now
 	}
-	if p.perSecond*wordsPerCall*mostLoadAge.Seconds() <= 1 {
-		return mostLoadAge
+	if p.perSecond*reportsPerCall*maxLoadAge.Seconds() <= 1 {
+		return maxLoadAge
 	}
-	return max(leastLoadAge, time.Duration(float64(time.Second)/(wordsPerCall*p.perSecond)))
+	return max(minLoadAge, time.Duration(float64(time.Second)/(reportsPerCall*p.perSecond)))
 }
--- a/node/callpace_test.go
+++ b/node/callpace_test.go
@@ -14,7 +14,7 @@
 // TestQuestionsByCalls has calls come in at a pace, and asks how many questions a second the
 // upstream gets for it: some for each call, within bounds, so that an upstream in a large fleet
 // that has a call a second is not asked more than one with ten.
-func TestQuestionsByCalls(t *testing.T) {
+func TestLoadProbesByCallRate(t *testing.T) {
 	tests := map[string]struct {
 		before, perSecond float64 // calls a second, for fifteen seconds each
 		least, most       float64 // questions a second
@@ -30,21 +30,21 @@
 		t.Run(name, func(t *testing.T) {
 			const settling, span = 5 * time.Second, 15 * time.Second
 			now := time.Unix(1e9, 0)
-			var p callPace
+			var rate callRate
 			var calls float64
-			questions := 0
+			probes := 0
 			for _, perSecond := range []float64{test.before, test.perSecond} {
-				questions = 0
+				probes = 0
 				for began := now; now.Sub(began) < span; {
-					age := p.loadAge(uint64(calls), now)
+					age := rate.allowedLoadAge(uint64(calls), now)
 					now = now.Add(age)
 					calls += perSecond * age.Seconds()
 					if now.Sub(began) > settling {
-						questions++
+						probes++
 					}
 				}
 			}
-			got := float64(questions-1) / (span - settling).Seconds() // spans between questions
+			got := float64(probes-1) / (span - settling).Seconds() // spans between questions
 			qt.Check(t, got >= test.least && got <= test.most, qt.IsTrue, qt.Commentf("%.1f a second", got))
 		})
 	}
--- a/node/drainwithin_test.go
+++ b/node/drainwithin_test.go
@@ -15,7 +15,7 @@
 
 // TestDrainWithin guards against a process that is still there at the end of its grace period, as it
 // stood still when it was told to stop or at its end.
-func TestDrainWithin(t *testing.T) {
+func TestDrainTimeout(t *testing.T) {
 	tests := map[string]struct {
 		grace, stalled time.Duration
 		want           time.Duration
@@ -29,7 +29,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			s := &settings.Settings{GracePeriod: test.grace, LeaveDelay: time.Second, DrainTimeout: 2 * time.Second}
-			qt.Check(t, drainWithin(s, test.stalled), qt.Equals, test.want)
+			qt.Check(t, drainTimeout(s, test.stalled), qt.Equals, test.want)
 		})
 	}
 }
--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -19,42 +19,42 @@
 )
 
 // zoned is a system of two availability zones, with two upstreams of a service in each.
-type zoned struct {
-	*world
-	near, far []*managed // in the zones y and z
+type zonedSystem struct {
+	*testSystem
+	near, far []*testNode // in the zones y and z
 	sent      int
 }
 
-func newZoned(t *testing.T) *zoned { return newZonedIn(newWorld(t)) }
+func newZoned(t *testing.T) *zonedSystem { return newZonedIn(newTestSystem(t)) }
 
 // newZonedIn makes the system in an empty one.
-func newZonedIn(w *world) *zoned {
-	z := &zoned{world: w}
+func newZonedIn(w *testSystem) *zonedSystem {
+	z := &zonedSystem{testSystem: w}
 	z.configure(1, "")
 	for range 2 {
 		z.near = append(z.near, z.addIn("y", "b"))
 		z.far = append(z.far, z.addIn("z", "b"))
 	}
-	z.serving()
+	z.awaitServing()
 	z.eventually("both zones are used", func() bool {
 		for _, n := range z.all() {
-			z.ask(n)
+			z.request(n)
 		}
-		return z.runs(z.near) > 0 && z.runs(z.far) > 0
+		return z.runCount(z.near) > 0 && z.runCount(z.far) > 0
 	})
 	return z
 }
 
-func (z *zoned) all() []*managed { return append(append([]*managed(nil), z.near...), z.far...) }
+func (z *zonedSystem) all() []*testNode { return append(append([]*testNode(nil), z.near...), z.far...) }
 
 // ask sends a request to a node.
-func (z *zoned) ask(n *managed) answer {
+func (z *zonedSystem) request(n *testNode) callerResponse {
 	z.sent++
-	return n.ask("PUT", "/b/x", fmt.Sprint("z-", z.sent), "")
+	return n.request("PUT", "/b/x", fmt.Sprint("z-", z.sent), "")
 }
 
 // runs returns how many requests the upstreams of some nodes have run.
-func (z *zoned) runs(nodes []*managed) (runs int) {
+func (z *zonedSystem) runCount(nodes []*testNode) (runs int) {
 	for _, n := range nodes {
 		runs += len(n.upstream.Runs())
 	}
@@ -62,7 +62,7 @@
 }
 
 // evacuate writes or removes the object of a zone.
-func (z *zoned) evacuate(zone string, evacuated bool) {
+func (z *zonedSystem) evacuate(zone string, evacuated bool) {
 	if evacuated {
 		z.store.Put(platform.EvacuationKind, zone, struct{}{})
 	} else {
@@ -71,7 +71,7 @@
 }
 
 // zones returns what a node tells of the evacuated zones.
-func (z *zoned) zones(n *managed) (list []operator.EvacuatedZone) {
+func (z *zonedSystem) zones(n *testNode) (list []operator.EvacuatedZone) {
 	r, err := http.Get("http://" + n.settings.OperatorAddress + "/v1/zones")
 	if err != nil {
 		return nil
@@ -84,7 +84,7 @@
 }
 
 // known waits until all nodes know so many evacuated zones.
-func (z *zoned) known(count int) {
+func (z *zonedSystem) awaitEvacuated(count int) {
 	z.t.Helper()
 	z.eventually(fmt.Sprint("all know of ", count), func() bool {
 		for _, n := range z.all() {
@@ -98,24 +98,24 @@
 
 // serving waits until each node serves. One that has started anew may be ready before it has
 // heard of any upstream, and refuses until then.
-func (z *zoned) serving() {
+func (z *zonedSystem) awaitServing() {
 	z.t.Helper()
 	for _, n := range z.all() {
-		z.eventually("each node serves", func() bool { return z.ask(n).status == 200 })
+		z.eventually("each node serves", func() bool { return z.request(n).status == 200 })
 	}
 }
 
 // untouched checks that requests to all nodes are served, and not by some upstreams.
-func (z *zoned) untouched(nodes []*managed) {
+func (z *zonedSystem) checkUnused(nodes []*testNode) {
 	z.t.Helper()
-	before := z.runs(nodes)
+	before := z.runCount(nodes)
 	for range 20 {
 		for _, n := range z.all() {
-			got := z.ask(n)
+			got := z.request(n)
 			qt.Check(z.t, got.status, qt.Equals, 200, qt.Commentf("%s", got.body))
 		}
 	}
-	qt.Check(z.t, z.runs(nodes), qt.Equals, before)
+	qt.Check(z.t, z.runCount(nodes), qt.Equals, before)
 }
 
 // TestEvacuation has an operator evacuate a zone: its upstreams get nothing more, and the
@@ -124,41 +124,41 @@
 func TestEvacuation(t *testing.T) {
 	z := newZoned(t)
 	z.evacuate("z", true)
-	z.known(1)
-	z.untouched(z.far)
-	reached := z.runs(z.far)
-	told := z.zones(z.far[0])[0]
-	qt.Check(t, told.Zone, qt.Equals, "z")
-	qt.Check(t, told.Upstreams, qt.Equals, 2)
-	qt.Assert(t, told.InFlight, qt.IsNotNil)
-	qt.Check(t, *told.InFlight, qt.Equals, 0)
-	qt.Check(t, time.Since(told.Since) < time.Minute, qt.IsTrue)
+	z.awaitEvacuated(1)
+	z.checkUnused(z.far)
+	reached := z.runCount(z.far)
+	reported := z.zones(z.far[0])[0]
+	qt.Check(t, reported.Zone, qt.Equals, "z")
+	qt.Check(t, reported.Upstreams, qt.Equals, 2)
+	qt.Assert(t, reported.InFlight, qt.IsNotNil)
+	qt.Check(t, *reported.InFlight, qt.Equals, 0)
+	qt.Check(t, time.Since(reported.Since) < time.Minute, qt.IsTrue)
 
 	for _, n := range z.far {
 		n.stop()
 		z.run(n)
 	}
 	z.eventually("they are ready again", func() bool { return z.far[0].ready() && z.far[1].ready() })
-	z.known(1)
-	z.serving()
-	z.untouched(z.far)
+	z.awaitEvacuated(1)
+	z.awaitServing()
+	z.checkUnused(z.far)
 
 	z.store.SetFaults(platformtest.Faults{Status: 503})
-	z.untouched(z.far)
+	z.checkUnused(z.far)
 	z.far[0].stop()
 	z.run(z.far[0])
 	z.eventually("others tell it what is in force", func() bool { return len(z.zones(z.far[0])) == 1 })
-	z.serving()
+	z.awaitServing()
 	z.store.SetFaults(platformtest.Faults{})
-	z.untouched(z.far)
+	z.checkUnused(z.far)
 
-	qt.Check(t, z.runs(z.far), qt.Equals, reached, qt.Commentf("nothing reached them, over all of that"))
+	qt.Check(t, z.runCount(z.far), qt.Equals, reached, qt.Commentf("nothing reached them, over all of that"))
 	z.evacuate("z", false)
-	z.known(0)
-	before := z.runs(z.far)
+	z.awaitEvacuated(0)
+	before := z.runCount(z.far)
 	z.eventually("the zone serves again", func() bool {
-		z.ask(z.far[0])
-		return z.runs(z.far) > before
+		z.request(z.far[0])
+		return z.runCount(z.far) > before
 	})
 }
 
@@ -167,21 +167,21 @@
 func TestEvacuateAll(t *testing.T) {
 	z := newZoned(t)
 	z.store.Put(platform.EvacuationKind, "z", rawJSON(`[7,"no object"]`))
-	z.known(1)
-	z.untouched(z.far)
+	z.awaitEvacuated(1)
+	z.checkUnused(z.far)
 	z.evacuate("y", true)
 	z.evacuate("nowhere", true)
-	z.known(3)
-	before := z.runs(z.all())
+	z.awaitEvacuated(3)
+	before := z.runCount(z.all())
 	for _, n := range z.all() {
-		got := z.ask(n)
+		got := z.request(n)
 		qt.Check(t, got.status, qt.Equals, 503)
 		qt.Check(t, got.retryAfter, qt.Not(qt.Equals), "")
 	}
-	qt.Check(t, z.runs(z.all()), qt.Equals, before)
+	qt.Check(t, z.runCount(z.all()), qt.Equals, before)
 	z.evacuate("y", false)
 	z.evacuate("y", true)
 	z.evacuate("y", false)
-	z.known(2)
-	z.untouched(z.far)
+	z.awaitEvacuated(2)
+	z.checkUnused(z.far)
 }
--- a/node/events.go
+++ b/node/events.go
@@ -27,24 +27,24 @@
 	// requestLines and callLines bound the log lines a second on requests taken
 	// from callers and on calls that the gate did not run. Under overload every
 	// request would have some; what is left out is counted.
-	requestLines = 200
-	callLines    = 100
+	requestLinesPerSecond = 200
+	callLinesPerSecond    = 100
 	// serverLinesRate bounds the lines a second that the HTTP servers write of
 	// themselves.
-	serverLinesRate = 10
+	serverLinesPerSecond = 10
 	// successShare is how many requests that went well stand behind each one that
 	// is logged.
-	successShare = 100
+	successesPerLine = 100
 )
 
 // requestEnded counts a request and logs it with its steps if it failed, or now
 // and then if it did not.
 func (n *Node) requestEnded(o caller.Outcome) {
 	n.metrics.requestEnded(o, n.phase())
-	if o.Failure == nil && n.successes.Add(1)%successShare != 0 {
+	if o.Failure == nil && n.successCount.Add(1)%successesPerLine != 0 {
 		return
 	}
-	if !n.lines.Allow("request", requestLines, 1+len(o.Steps)) {
+	if !n.lineLimit.Allow("request", requestLinesPerSecond, 1+len(o.Steps)) {
 		return
 	}
 	for _, s := range o.Steps {
@@ -105,11 +105,11 @@
 }
 
 // callRefused logs a call that the gate gave no answer to.
-func (n *Node) callRefused(c *peer.Call, from string, failure *verdict.Error, load admit.Report, waited, took time.Duration) {
-	if !n.lines.Allow("call", callLines, 1) {
+func (n *Node) callFailed(c *peer.Call, from string, failure *verdict.Error, load admit.Report, waited, took time.Duration) {
+	if !n.lineLimit.Allow("call", callLinesPerSecond, 1) {
 		return
 	}
-	name := n.names().RequestID
+	name := n.fieldNames().RequestID
 	id := ""
 	for _, f := range c.Header {
 		if f.Name == name {
@@ -126,22 +126,22 @@
 
 // callEnded counts a call to the upstream.
 func (n *Node) callEnded(service, class string, failure *verdict.Error, waited, took time.Duration) {
-	n.calls.Add(1)
-	n.metrics.gateEnded(service, class, failure, waited, took)
+	n.callCount.Add(1)
+	n.metrics.callEnded(service, class, failure, waited, took)
 }
 
 // noticeLines bounds the log lines a second on what the upstream says of the requests that it
 // wants. An upstream may change its word with each answer.
-const noticeLines = 5
+const noticeLinesPerSecond = 5
 
 // upstreamNoticed logs that the upstream says something else of the requests that it wants, with
 // how many requests and questions it has been sent so far.
-func (n *Node) upstreamNoticed(s gate.NoticeState) {
+func (n *Node) noticeChanged(s gate.NoticeState) {
 	n.metrics.set.GetOrCreateCounter(`sassafras_upstream_notices_total`).Inc()
-	if !n.lines.Allow("notice", noticeLines, 1) {
+	if !n.lineLimit.Allow("notice", noticeLinesPerSecond, 1) {
 		return
 	}
-	e := n.Log.Info().Str("start", s.StartID).Bool("limited", s.Limit.Limited).Bool("leaving", s.Leaving).Uint64("requests", n.gate.RequestsWritten()).Uint64("questions", n.questions.Load()).Int("written", s.Limit.Written).Uint64("refused", s.Limit.Refused)
+	e := n.Log.Info().Str("start", s.StartID).Bool("limited", s.Limit.Limited).Bool("leaving", s.Leaving).Uint64("requests", n.gate.RequestsWritten()).Uint64("questions", n.healthChecks.Load()).Int("written", s.Limit.Written).Uint64("refused", s.Limit.Refused)
 	if s.Limit.Limited {
 		e = e.Float64("limit", s.Limit.Rate).Bool("fromPeers", s.Limit.Adopted)
 	}
@@ -150,9 +150,9 @@
 
 // noticeUnreadable counts and logs why what the upstream says of the requests that it wants
 // can't be read.
-func (n *Node) noticeUnreadable(start string, reason error) {
+func (n *Node) noticeInvalid(start string, reason error) {
 	n.metrics.set.GetOrCreateCounter(`sassafras_upstream_notices_unreadable_total`).Inc()
-	if n.lines.Allow("unreadable", noticeLines, 1) {
+	if n.lineLimit.Allow("unreadable", noticeLinesPerSecond, 1) {
 		n.Log.Warn().Str("start", start).Err(reason).Msg("upstream notice not used")
 	}
 }
@@ -160,33 +160,33 @@
 // callPanicked logs that the handling of a call panicked, and counts it.
 func (n *Node) callPanicked(c *peer.Call, value any, stack []byte) {
 	n.metrics.set.GetOrCreateCounter(`sassafras_panics_total{part="gate"}`).Inc()
-	if n.lines.Allow("panic", otherLines, 1) {
+	if n.lineLimit.Allow("panic", invalidLinesPerSecond, 1) {
 		n.Log.Error().Str("target", c.Target).Stringer("print", c.Fingerprint).Interface("value", value).Bytes("stack", stack).Msg("call panicked")
 	}
 }
 
 // upstreamGone tells all nodes that the upstream has ended, with what it may have ended
 // under.
-func (n *Node) upstreamGone(a *upstream.Announcement, prints []quarantine.Fingerprint, alone quarantine.Fingerprint) {
-	n.Log.Warn().Str("address", a.Address).Str("start", a.StartID).Int("requests", len(prints)).Stringers("prints", stringers(prints)).Bool("isolated", alone.Complete()).Msg("upstream ended")
+func (n *Node) upstreamCrashed(a *upstream.Announcement, fingerprints []quarantine.Fingerprint, isolated quarantine.Fingerprint) {
+	n.Log.Warn().Str("address", a.Address).Str("start", a.StartID).Int("requests", len(fingerprints)).Stringers("prints", stringers(fingerprints)).Bool("isolated", isolated.Complete()).Msg("upstream ended")
 	start := n.Settings.Node + "/" + a.StartID + "/" + strconv.FormatInt(a.StartMillis, 10)
-	if len(prints) == 0 {
+	if len(fingerprints) == 0 {
 		return
 	}
-	n.control.Report(quarantine.NewCrashReport(start, prints, alone))
-	j := n.suspects.Assess(alone)
-	if j.State != quarantine.Blocked {
+	n.control.Report(quarantine.NewCrashReport(start, fingerprints, isolated))
+	assessment := n.suspects.Assess(isolated)
+	if assessment.State != quarantine.Blocked {
 		return
 	}
-	n.Log.Warn().Stringer("print", alone).Strs("upstreams", j.Upstreams).Time("until", j.BlockedUntil).Msg("request blocked")
-	if n.blocked != nil {
-		go n.blocked.Save(context.Background(), j)
+	n.Log.Warn().Stringer("print", isolated).Strs("upstreams", assessment.Upstreams).Time("until", assessment.BlockedUntil).Msg("request blocked")
+	if n.blocklist != nil {
+		go n.blocklist.Save(context.Background(), assessment)
 	}
 }
 
-func stringers(prints []quarantine.Fingerprint) []fmt.Stringer {
-	list := make([]fmt.Stringer, len(prints))
-	for i, p := range prints {
+func stringers(fingerprints []quarantine.Fingerprint) []fmt.Stringer {
+	list := make([]fmt.Stringer, len(fingerprints))
+	for i, p := range fingerprints {
 		list[i] = p
 	}
 	return list
@@ -201,7 +201,7 @@
 }
 
 // linesLeftOut logs how many lines of a kind were left out in the last second.
-func (n *Node) linesLeftOut(kind string, count int) {
+func (n *Node) linesSuppressed(kind string, count int) {
 	n.metrics.set.GetOrCreateCounter(fmt.Sprintf("sassafras_log_lines_left_out_total{kind=%q}", kind)).Add(count)
 	n.Log.WithLevel(zerolog.WarnLevel).Str("kind", kind).Int("count", count).Msg("log lines left out")
 }
--- a/node/fatal_test.go
+++ b/node/fatal_test.go
@@ -24,34 +24,34 @@
 	// settle is the time between two sendings of a fatal request. What the nodes learn
 	// from the one has reached all of them by the next: it takes two or three exchanges
 	// between nodes.
-	settle = 500 * time.Millisecond
+	settleTime = 500 * time.Millisecond
 	// allowedEnds is how many upstreams one request may end: the first three, before
 	// it is known for what it is, and three more.
-	allowedEnds = 6
+	maxCrashes = 6
 )
 
 // mortals are upstreams that end under some requests and come back at once, each time
 // as a new start.
-type mortals struct {
-	w     *world
-	fatal func(r platformtest.Run) bool
+type crashingUpstreams struct {
+	system *testSystem
+	fatal  func(r platformtest.Run) bool
 
-	mu     sync.Mutex
-	ends   int
-	closed bool
-	all    []*platformtest.Upstream
+	mu      sync.Mutex
+	crashes int
+	closed  bool
+	all     []*platformtest.Upstream
 }
 
 // add starts a node beside a new upstream that ends under fatal requests.
-func (m *mortals) add(service string) *managed {
-	n := m.w.add(service)
+func (m *crashingUpstreams) add(service string) *testNode {
+	n := m.system.add(service)
 	n.upstream.Close()
 	m.start(n, 0)
 	return n
 }
 
 // start starts the upstream of a node anew.
-func (m *mortals) start(n *managed, generation int) {
+func (m *crashingUpstreams) start(n *testNode, generation int) {
 	u := &platformtest.Upstream{
 		ID:          fmt.Sprintf("%s-%d", n.settings.Node, generation),
 		Service:     n.settings.Service,
@@ -65,7 +65,7 @@
 		}
 		time.Sleep(u.ServiceTime / 2) // other requests are in flight
 		m.mu.Lock()
-		m.ends++
+		m.crashes++
 		m.mu.Unlock()
 		go func() {
 			time.Sleep(2 * u.ServiceTime)
@@ -79,7 +79,7 @@
 		return
 	}
 	if _, err := u.Start(); err != nil {
-		m.w.t.Errorf("upstream: %v", err)
+		m.system.t.Errorf("upstream: %v", err)
 		return
 	}
 	m.all = append(m.all, u)
@@ -87,7 +87,7 @@
 }
 
 // announce announces a start until its node has heard it.
-func (m *mortals) announce(u *platformtest.Upstream, n *managed) {
+func (m *crashingUpstreams) announce(u *platformtest.Upstream, n *testNode) {
 	for !u.SendHeartbeat(n.settings.AnnounceAddress) {
 		m.mu.Lock()
 		closed := m.closed
@@ -100,14 +100,14 @@
 }
 
 // ended returns how many upstreams have ended.
-func (m *mortals) ended() int {
+func (m *crashingUpstreams) crashCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.ends
+	return m.crashes
 }
 
 // close ends all upstreams for good.
-func (m *mortals) close() {
+func (m *crashingUpstreams) close() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.closed = true
@@ -130,84 +130,84 @@
 // Others must not pay: requests of the same path, of the same caller, or in flight at
 // the same moment.
 func TestFatalRequest(t *testing.T) {
-	w := newWorld(t)
-	m := &mortals{w: w, fatal: func(r platformtest.Run) bool {
+	w := newTestSystem(t)
+	m := &crashingUpstreams{system: w, fatal: func(r platformtest.Run) bool {
 		return r.Path == "/b/report" && r.Body == "fatal" && r.Caller == "b"
 	}}
 	t.Cleanup(m.close)
 	w.configure(1, "")
-	var nodes []*managed
+	var nodes []*testNode
 	for range 6 {
 		nodes = append(nodes, m.add("b"))
 	}
 	other := w.add("a")
 	for _, n := range append(nodes, other) {
-		w.eventually("each node serves", func() bool { return n.ask("PUT", "/b/x", "warm", "").status == 200 })
+		w.eventually("each node serves", func() bool { return n.request("PUT", "/b/x", "warm", "").status == 200 })
 	}
-	time.Sleep(settle)
+	time.Sleep(settleTime)
 	for round := range 12 {
 		var bystanders sync.WaitGroup
 		for i, n := range nodes {
-			bystanders.Go(func() { n.ask("PUT", "/b/bystander", fmt.Sprintf("bystander-%d-%d", round, i), "") })
+			bystanders.Go(func() { n.request("PUT", "/b/bystander", fmt.Sprintf("bystander-%d-%d", round, i), "") })
 		}
 		time.Sleep(5 * time.Millisecond)
-		got := nodes[round%len(nodes)].ask("PUT", "/b/report", fmt.Sprint("fatal-", round), "fatal")
+		got := nodes[round%len(nodes)].request("PUT", "/b/report", fmt.Sprint("fatal-", round), "fatal")
 		qt.Check(t, got.status == 502 || got.status == 503, qt.IsTrue, qt.Commentf("%+v", got))
 		bystanders.Wait()
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 	}
-	qt.Check(t, m.ended() >= 3, qt.IsTrue, qt.Commentf("%d upstreams ended: nothing is known before", m.ended()))
-	qt.Check(t, m.ended() <= allowedEnds, qt.IsTrue, qt.Commentf("%d upstreams ended", m.ended()))
+	qt.Check(t, m.crashCount() >= 3, qt.IsTrue, qt.Commentf("%d upstreams ended: nothing is known before", m.crashCount()))
+	qt.Check(t, m.crashCount() <= maxCrashes, qt.IsTrue, qt.Commentf("%d upstreams ended", m.crashCount()))
 	for i, n := range nodes {
 		id := fmt.Sprint("harmless-", i)
-		qt.Check(t, n.ask("PUT", "/b/report", id+"-path", "harmless").status, qt.Equals, 200, qt.Commentf("the same path and caller"))
-		qt.Check(t, n.ask("PUT", "/b/other", id+"-body", "fatal").status, qt.Equals, 200, qt.Commentf("the same body and caller"))
-		qt.Check(t, n.ask("PUT", "/b/bystander", id+"-moment", "").status, qt.Equals, 200, qt.Commentf("the same moments"))
+		qt.Check(t, n.request("PUT", "/b/report", id+"-path", "harmless").status, qt.Equals, 200, qt.Commentf("the same path and caller"))
+		qt.Check(t, n.request("PUT", "/b/other", id+"-body", "fatal").status, qt.Equals, 200, qt.Commentf("the same body and caller"))
+		qt.Check(t, n.request("PUT", "/b/bystander", id+"-moment", "").status, qt.Equals, 200, qt.Commentf("the same moments"))
 	}
-	qt.Check(t, other.ask("PUT", "/b/report", "harmless-caller", "fatal").status, qt.Equals, 200, qt.Commentf("another caller"))
+	qt.Check(t, other.request("PUT", "/b/report", "harmless-caller", "fatal").status, qt.Equals, 200, qt.Commentf("another caller"))
 }
 
 // fatalWorld is a small system that knows of a fatal request.
-func fatalWorld(t *testing.T, fatal func(r platformtest.Run) bool, upstreams int) (*mortals, []*managed) {
-	return fatalWorldIn(newWorld(t), fatal, upstreams)
+func newFatalSystem(t *testing.T, fatal func(r platformtest.Run) bool, upstreams int) (*crashingUpstreams, []*testNode) {
+	return newFatalSystemIn(newTestSystem(t), fatal, upstreams)
 }
 
 // fatalWorldIn does what fatalWorld does, in an empty system.
-func fatalWorldIn(w *world, fatal func(r platformtest.Run) bool, upstreams int) (*mortals, []*managed) {
-	m := &mortals{w: w, fatal: fatal}
+func newFatalSystemIn(w *testSystem, fatal func(r platformtest.Run) bool, upstreams int) (*crashingUpstreams, []*testNode) {
+	m := &crashingUpstreams{system: w, fatal: fatal}
 	w.t.Cleanup(m.close)
 	w.configure(1, "")
-	var nodes []*managed
+	var nodes []*testNode
 	for range upstreams {
 		nodes = append(nodes, m.add("b"))
 	}
 	for _, n := range nodes {
-		w.eventually("each node serves", func() bool { return n.ask("PUT", "/b/x", "warm", "").status == 200 })
+		w.eventually("each node serves", func() bool { return n.request("PUT", "/b/x", "warm", "").status == 200 })
 	}
-	time.Sleep(settle)
+	time.Sleep(settleTime)
 	return m, nodes
 }
 
 // TestFatalRequestBlockedOverRestarts restarts a node, and then all of them at once, after
 // a request was found to be fatal: it stays blocked, by what the other nodes know, and by
 // what the platform keeps.
-func TestFatalRequestBlockedOverRestarts(t *testing.T) {
-	m, nodes := fatalWorld(t, func(r platformtest.Run) bool { return r.Body == "fatal" }, 3)
-	w := m.w
+func TestFatalRequestBlockedAcrossRestarts(t *testing.T) {
+	m, nodes := newFatalSystem(t, func(r platformtest.Run) bool { return r.Body == "fatal" }, 3)
+	w := m.system
 	id := 0
-	fatal := func(n *managed) {
+	sendFatal := func(n *testNode) {
 		id++
-		got := n.ask("PUT", "/b/report", fmt.Sprint("fatal-", id), "fatal")
+		got := n.request("PUT", "/b/report", fmt.Sprint("fatal-", id), "fatal")
 		qt.Check(t, got.status == 502 || got.status == 503, qt.IsTrue, qt.Commentf("%+v", got))
 	}
 	for range 6 {
-		fatal(nodes[0])
-		time.Sleep(settle)
+		sendFatal(nodes[0])
+		time.Sleep(settleTime)
 	}
-	ended := m.ended()
-	qt.Check(t, ended <= allowedEnds, qt.IsTrue, qt.Commentf("%d upstreams ended", ended))
+	crashes := m.crashCount()
+	qt.Check(t, crashes <= maxCrashes, qt.IsTrue, qt.Commentf("%d upstreams ended", crashes))
 
-	restart := func(list ...*managed) {
+	restart := func(list ...*testNode) {
 		for _, n := range list {
 			n.stop()
 		}
@@ -215,47 +215,47 @@
 			w.run(n)
 		}
 		for _, n := range list {
-			w.eventually("it serves again", func() bool { return n.ask("PUT", "/b/x", "warm", "").status == 200 })
+			w.eventually("it serves again", func() bool { return n.request("PUT", "/b/x", "warm", "").status == 200 })
 		}
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 	}
 	restart(nodes[1])
-	fatal(nodes[1])
+	sendFatal(nodes[1])
 	restart(nodes...)
 	for _, n := range nodes {
-		fatal(n)
+		sendFatal(n)
 	}
-	qt.Check(t, m.ended(), qt.Equals, ended, qt.Commentf("upstreams ended under a request that was blocked"))
+	qt.Check(t, m.crashCount(), qt.Equals, crashes, qt.Commentf("upstreams ended under a request that was blocked"))
 }
 
 // TestReleaseSuspect has an operator release a request that is blocked: it runs again at all
 // nodes, and is blocked anew when it ends upstreams again.
 func TestReleaseSuspect(t *testing.T) {
-	m, nodes := fatalWorld(t, func(r platformtest.Run) bool { return r.Body == "fatal" }, 3)
-	list := func(n *managed) (suspects []operator.Suspect) {
+	m, nodes := newFatalSystem(t, func(r platformtest.Run) bool { return r.Body == "fatal" }, 3)
+	list := func(n *testNode) (suspects []operator.Suspect) {
 		r, err := http.Get("http://" + n.settings.OperatorAddress + "/v1/suspects")
 		qt.Assert(t, err, qt.IsNil)
 		defer r.Body.Close()
 		qt.Assert(t, json.NewDecoder(r.Body).Decode(&suspects), qt.IsNil)
 		return suspects
 	}
-	release := func(n *managed, print string) int {
-		r, _ := http.NewRequest("DELETE", "http://"+n.settings.OperatorAddress+"/v1/suspects/"+print, nil)
+	release := func(n *testNode, fingerprint string) int {
+		r, _ := http.NewRequest("DELETE", "http://"+n.settings.OperatorAddress+"/v1/suspects/"+fingerprint, nil)
 		response, err := http.DefaultClient.Do(r)
 		qt.Assert(t, err, qt.IsNil)
 		defer response.Body.Close()
 		return response.StatusCode
 	}
 	id := 0
-	fatal := func() {
+	sendFatal := func() {
 		for range 4 {
 			id++
-			nodes[id%len(nodes)].ask("PUT", "/b/report", fmt.Sprint("fatal-", id), "fatal")
-			time.Sleep(settle)
+			nodes[id%len(nodes)].request("PUT", "/b/report", fmt.Sprint("fatal-", id), "fatal")
+			time.Sleep(settleTime)
 		}
 	}
-	fatal()
-	first := m.ended()
+	sendFatal()
+	first := m.crashCount()
 	for _, n := range nodes {
 		suspects := list(n)
 		qt.Assert(t, suspects, qt.HasLen, 1)
@@ -263,22 +263,22 @@
 		qt.Check(t, suspects[0].Crashes, qt.Equals, first)
 		qt.Check(t, suspects[0].BlockedUntil.After(time.Now()), qt.IsTrue)
 	}
-	print := list(nodes[0])[0].Fingerprint
+	fingerprint := list(nodes[0])[0].Fingerprint
 	qt.Check(t, release(nodes[0], "no print"), qt.Equals, 400)
 	qt.Check(t, release(nodes[0], strings.Repeat("1", 16)+"."+strings.Repeat("2", 16)), qt.Equals, 404)
-	qt.Check(t, release(nodes[1], print), qt.Equals, 204)
-	time.Sleep(settle)
-	qt.Check(t, release(nodes[2], print), qt.Equals, 404, qt.Commentf("all nodes know"))
-	fatal()
-	qt.Check(t, m.ended() > first, qt.IsTrue, qt.Commentf("it runs again"))
+	qt.Check(t, release(nodes[1], fingerprint), qt.Equals, 204)
+	time.Sleep(settleTime)
+	qt.Check(t, release(nodes[2], fingerprint), qt.Equals, 404, qt.Commentf("all nodes know"))
+	sendFatal()
+	qt.Check(t, m.crashCount() > first, qt.IsTrue, qt.Commentf("it runs again"))
 	qt.Check(t, list(nodes[2])[0].State, qt.Equals, "blocked")
 }
 
 // TestFatalStream has a fatal request whose body comes in chunks, so that a node sends it
 // on before it knows it, and harmless ones that differ from it in their bodies only.
 func TestFatalStream(t *testing.T) {
-	m, nodes := fatalWorld(t, func(r platformtest.Run) bool { return r.Body == "fatal" }, 3)
-	send := func(n *managed, id, body string) int {
+	m, nodes := newFatalSystem(t, func(r platformtest.Run) bool { return r.Body == "fatal" }, 3)
+	send := func(n *testNode, id, body string) int {
 		r, _ := http.NewRequest("PUT", "http://"+n.settings.CallerAddress+"/b/report", struct{ io.Reader }{strings.NewReader(body)})
 		r.Host = "h.example"
 		r.Header.Set(platformtest.RequestID, id)
@@ -292,9 +292,9 @@
 	}
 	for round := range 8 {
 		send(nodes[round%len(nodes)], fmt.Sprint("fatal-", round), "fatal")
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 	}
-	qt.Check(t, m.ended() >= 3 && m.ended() <= allowedEnds, qt.IsTrue, qt.Commentf("%d upstreams ended", m.ended()))
+	qt.Check(t, m.crashCount() >= 3 && m.crashCount() <= maxCrashes, qt.IsTrue, qt.Commentf("%d upstreams ended", m.crashCount()))
 	for i, n := range nodes {
 		qt.Check(t, send(n, fmt.Sprint("harmless-", i), "harmless"), qt.Equals, 200)
 	}
--- a/node/follow.go
+++ b/node/follow.go
@@ -22,27 +22,27 @@
 	orders *objectapi.Lister
 	// clock, if not nil, is read before each read of the table, and answered called with
 	// that if the platform answers it.
-	clock    boottime.Clock
-	answered func(sent time.Duration)
+	clock       boottime.Clock
+	confirmRead func(sent time.Duration)
 	// leads returns whether this node reads for all. Others, which hear nobody, read the orders
 	// at a tenth of the price: one that is seconds old is late for nobody else.
-	leads func() bool
+	isLeader func() bool
 	// overdue returns whether it has been long since the platform answered any node.
-	overdue func() bool
+	proofOverdue func() bool
 }
 
 // reader reads the table of routes and the evacuated zones.
-func (n *Node) reader(api objectapi.PollingAPI) *configReader {
+func (n *Node) newConfigReader(api objectapi.PollingAPI) *configReader {
 	r := &configReader{
 		table: &objectapi.Reader{
 			API:      api,
 			Kind:     n.Platform.TableKind,
-			OnObject: n.tableFound,
+			OnObject: n.applyTable,
 		},
-		clock:    n.control.Clock,
-		answered: n.control.ConfirmRead,
-		overdue:  n.control.ProofOverdue,
-		leads:    n.control.IsLeader,
+		clock:        n.control.Clock,
+		confirmRead:  n.control.ConfirmRead,
+		proofOverdue: n.control.ProofOverdue,
+		isLeader:     n.control.IsLeader,
 	}
 	if n.Settings.EvacuateWithin > 0 {
 		r.zones = &objectapi.Lister{
@@ -53,7 +53,7 @@
 			},
 		}
 	}
-	r.orders = n.orders
+	r.orders = n.rolloutOrders
 	return r
 }
 
@@ -85,12 +85,12 @@
 	}
 	sent := r.clock()
 	err := r.table.Read(ctx, wait)
-	if objectapi.IsOutcomeUnknown(err) && ctx.Err() == nil && r.overdue() {
+	if objectapi.IsOutcomeUnknown(err) && ctx.Err() == nil && r.proofOverdue() {
 		sent = r.clock()
 		err = r.table.ReadAll(ctx)
 	}
 	if err == nil {
-		r.answered(sent)
+		r.confirmRead(sent)
 	}
 	return err
 }
@@ -115,7 +115,7 @@
 	switch {
 	case r.orders == nil:
 		return nil
-	case r.leads():
+	case r.isLeader():
 		return r.orders.Read(ctx)
 	}
 	return r.orders.ReadInitial(ctx)
@@ -123,16 +123,16 @@
 
 // readsInRevoke is how many times a change must be able to come within RevokeWithin: a node
 // that has just missed one still knows of the next in time.
-const readsInRevoke = 2
+const readsPerRevokeDelay = 2
 
 // configWithin returns the time within which a change of either part has to be in force.
-func (n *Node) configWithin() time.Duration {
+func (n *Node) maxConfigDelay() time.Duration {
 	within := n.Settings.ConfigWithin
 	if e := n.Settings.EvacuateWithin; e > 0 {
 		within = min(within, e)
 	}
 	if r := n.Settings.RevokeWithin; r > 0 {
-		within = min(within, r/readsInRevoke)
+		within = min(within, r/readsPerRevokeDelay)
 	}
 	return within
 }
@@ -140,7 +140,7 @@
 // follow keeps up with the table of routes until ctx ends: it reads the platform when
 // it is this node's turn. The first read is a cheap one, so that a node that starts has
 // a table at once; what has changed since comes with the next.
-func (n *Node) follow(ctx context.Context, r *configReader) {
+func (n *Node) syncConfig(ctx context.Context, r *configReader) {
 	if err := r.ReadInitial(ctx); err != nil {
 		n.Log.Warn().Err(err).Msg("configuration not read")
 	}
@@ -148,24 +148,24 @@
 		action, after, watchFor := n.control.NextAction()
 		switch action {
 		case configsync.Wait:
-			n.rest(ctx, after)
+			n.waitForAction(ctx, after)
 		case configsync.Ask:
 			n.control.QueryNeighbours(ctx)
 		case configsync.Read:
-			n.read(ctx, r, 0)
+			n.readConfig(ctx, r, 0)
 		case configsync.Watch:
-			n.read(ctx, r, watchFor)
+			n.readConfig(ctx, r, watchFor)
 		}
 	}
 }
 
 // longestRest is the longest time until a node looks anew whether it is its turn: it
 // may have become the leader.
-const longestRest = 300 * time.Millisecond
+const maxActionWait = 300 * time.Millisecond
 
 // rest waits until there is news, or for the given time.
-func (n *Node) rest(ctx context.Context, d time.Duration) {
-	t := time.NewTimer(min(d, longestRest))
+func (n *Node) waitForAction(ctx context.Context, d time.Duration) {
+	t := time.NewTimer(min(d, maxActionWait))
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
@@ -176,7 +176,7 @@
 
 // read makes one read. What the platform says at the end of a wait without a change
 // held until then, but for the time that the answer took.
-func (n *Node) read(ctx context.Context, r *configReader, wait time.Duration) {
+func (n *Node) readConfig(ctx context.Context, r *configReader, wait time.Duration) {
 	began := time.Now()
 	err := r.Read(ctx, wait)
 	if ctx.Err() != nil {
--- a/node/follow_test.go
+++ b/node/follow_test.go
@@ -16,24 +16,24 @@
 )
 
 // deafPlatform is a platform whose watches fail, and whose lists are answered.
-type deafPlatform struct {
+type unwatchablePlatform struct {
 	objectapi.PollingAPI
 	watches error
 	lists   int
 }
 
-func (p *deafPlatform) Changes(context.Context, string, string, time.Duration) (*objectapi.Changes, error) {
+func (p *unwatchablePlatform) Changes(context.Context, string, string, time.Duration) (*objectapi.Changes, error) {
 	return nil, p.watches
 }
 
-func (p *deafPlatform) List(context.Context, string) (*objectapi.List, error) {
+func (p *unwatchablePlatform) List(context.Context, string) (*objectapi.List, error) {
 	p.lists++
 	return &objectapi.List{Metadata: objectapi.Metadata{ResourceVersion: "7"}}, nil
 }
 
 // TestDeafWatches has watches that fail: where they are not answered and it has been long
 // since a read, the whole table is read, and how fresh it is counts from that.
-func TestDeafWatches(t *testing.T) {
+func TestTableReadWhenWatchesFail(t *testing.T) {
 	silent := &objectapi.Error{Verdict: verdict.MayHaveRun}
 	refused := &objectapi.Error{Verdict: verdict.NotRun, Status: 503}
 	for name, row := range map[string]struct {
@@ -46,13 +46,13 @@
 		"refused":                         {refused, true, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := &deafPlatform{watches: row.watches}
+			p := &unwatchablePlatform{watches: row.watches}
 			var now, proven time.Duration
 			r := &configReader{
-				table:    &objectapi.Reader{API: p, Kind: "config"},
-				clock:    func() time.Duration { now += time.Second; return now },
-				answered: func(sent time.Duration) { proven = sent },
-				overdue:  func() bool { return row.overdue },
+				table:        &objectapi.Reader{API: p, Kind: "config"},
+				clock:        func() time.Duration { now += time.Second; return now },
+				confirmRead:  func(sent time.Duration) { proven = sent },
+				proofOverdue: func() bool { return row.overdue },
 			}
 			qt.Assert(t, r.Read(t.Context(), 0), qt.IsNil)
 			qt.Check(t, proven, qt.Equals, time.Second)
--- a/node/handlers.go
+++ b/node/handlers.go
@@ -31,17 +31,17 @@
 		Tracer:           n.tracer,
 		MaySuspect:       n.suspects.MaySuspect,
 		OnRequestEnd:     n.requestEnded,
-		ShutdownDeadline: n.ends,
+		ShutdownDeadline: n.requestsEndAt,
 	}
 	if n.Platform != nil {
 		h.FieldNames = n.Platform.FieldNames
 		h.Service = n.Settings.Service
 		h.LocalCallers = true
-		h.Admit = n.limits.Admit
+		h.Admit = n.rateLimiter.Admit
 		h.Resolver = &caller.RouteResolver{
 			Table:   func() *routes.Table { return n.control.Snapshot().Table },
 			Service: func(name string) *entry.Service { return n.control.Snapshot().Services[name] },
-			Keys:    n.keys(),
+			Keys:    n.keyPolicy(),
 		}
 	}
 	return h
@@ -62,9 +62,9 @@
 // announceHandler returns what takes in the announcements of the upstream.
 func (n *Node) announceHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("/v1/upstream", n.announced)
+	mux.Handle("/v1/upstream", n.announcements)
 	if n.Platform != nil {
-		mux.Handle("/", n.Platform.AnnounceHandler(n.announced))
+		mux.Handle("/", n.Platform.AnnounceHandler(n.announcements))
 	}
 	return mux
 }
@@ -78,8 +78,8 @@
 		metrics.WriteFDMetrics(w)
 	})
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok\n")) })
-	mux.HandleFunc("GET /readyz", n.ready)
-	mux.HandleFunc("GET /v1/view", n.view)
+	mux.HandleFunc("GET /readyz", n.serveReady)
+	mux.HandleFunc("GET /v1/view", n.serveView)
 	mux.HandleFunc("GET /v1/nodes", n.listNodes)
 	mux.HandleFunc("GET /v1/zones", n.listZones)
 	mux.HandleFunc("GET /v1/rollouts", n.listRollouts)
@@ -97,16 +97,16 @@
 
 // serverLog returns what takes the lines that the library's servers write of
 // themselves, so that they are lines of the node's log, and bounded like them.
-func (n *Node) serverLog() *log.Logger { return log.New(&serverLines{node: n}, "", 0) }
+func (n *Node) serverLog() *log.Logger { return log.New(&serverLogWriter{node: n}, "", 0) }
 
 // serverLines is an io.Writer of a server's log lines.
-type serverLines struct {
+type serverLogWriter struct {
 	node *Node
 }
 
 // Write implements io.Writer, for one line at a time.
-func (l *serverLines) Write(line []byte) (int, error) {
-	if l.node.lines.Allow("server", serverLinesRate, 1) {
+func (l *serverLogWriter) Write(line []byte) (int, error) {
+	if l.node.lineLimit.Allow("server", serverLinesPerSecond, 1) {
 		l.node.Log.Warn().Str("reason", strings.TrimSpace(string(line))).Msg("HTTP server")
 	}
 	return len(line), nil
--- a/node/innercall_test.go
+++ b/node/innercall_test.go
@@ -16,21 +16,21 @@
 
 // TestCallsOfARunWhileLeaving guards against the failure of runs that outlast leaveDelay at a node that
 // leaves: the calls that their upstream makes meanwhile go through that node, and need it.
-func TestCallsOfARunWhileLeaving(t *testing.T) {
+func TestUpstreamCallsWhileNodeLeaves(t *testing.T) {
 	tests := map[string]struct {
-		kept bool // whether the call goes over a connection that was open before
+		reused bool // whether the call goes over a connection that was open before
 	}{
 		"over a new connection":  {},
-		"over a kept connection": {kept: true},
+		"over a kept connection": {reused: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t)
+			w := newTestSystem(t)
 			w.configure(1, "")
-			inside := make(chan struct{})
+			running := make(chan struct{})
 			left := make(chan struct{}) // closed once leaveDelay is over
 			status := make(chan int, 1)
-			var first *managed
+			var first *testNode
 			first = w.addUpstream("z", &platformtest.Upstream{
 				Service: "a",
 				ShouldFail: func(r platformtest.Run) bool {
@@ -51,10 +51,10 @@
 						defer response.Body.Close()
 						return response.StatusCode
 					}
-					if test.kept {
+					if test.reused {
 						call("before")
 					}
-					close(inside)
+					close(running)
 					<-left
 					s := call("inner")
 					status <- s
@@ -63,11 +63,11 @@
 			})
 			second := w.add("b")
 			w.eventually("both serve", func() bool {
-				return second.ask("PUT", "/a/x", "warm", "").status == 200 && first.ask("GET", "/b/x", "warm", "").status == 200
+				return second.request("PUT", "/a/x", "warm", "").status == 200 && first.request("GET", "/b/x", "warm", "").status == 200
 			})
-			parent := make(chan answer, 1)
-			go func() { parent <- second.ask("PUT", "/a/x", "parent", "") }()
-			<-inside
+			parent := make(chan callerResponse, 1)
+			go func() { parent <- second.request("PUT", "/a/x", "parent", "") }()
+			<-running
 			stopped := make(chan struct{})
 			go func() {
 				first.stop()
--- a/node/keys.go
+++ b/node/keys.go
@@ -16,20 +16,20 @@
 // notFreshWait is when a caller with a key may come back to a node that does not know which
 // keys are valid. Where the platform answers any node that this one can reach, it knows
 // again after the next read.
-const notFreshWait = 500 * time.Millisecond
+const keysStaleRetryAfter = 500 * time.Millisecond
 
 // keepFresh has the nodes tell each other how fresh the table of routes is, if keys have to
 // be known as revoked within a time.
-func (n *Node) keepFresh() {
+func (n *Node) enableFreshness() {
 	if n.Settings.RevokeWithin == 0 {
 		return
 	}
-	n.control.Clock = n.clock()
+	n.control.Clock = n.newClock()
 	n.control.MaxStaleness = n.Settings.RevokeWithin
 }
 
 // clock returns a clock that goes on while the instance is suspended, if there is one.
-func (n *Node) clock() boottime.Clock {
+func (n *Node) newClock() boottime.Clock {
 	clock, err := boottime.New()
 	if err != nil {
 		n.Log.Warn().Err(err).Msg("no clock that goes on while the instance is suspended")
@@ -38,20 +38,20 @@
 }
 
 // keys returns how keys are judged.
-func (n *Node) keys() caller.Keys {
+func (n *Node) keyPolicy() caller.Keys {
 	if n.Settings.RevokeWithin == 0 {
 		return caller.Keys{}
 	}
 	return caller.Keys{
-		Bounds:      n.keyBounds(),
+		Bounds:      n.freshnessBounds(),
 		Age:         n.control.TableAge,
-		OnEvaluated: n.keyJudged,
-		RetryAfter:  notFreshWait,
+		OnEvaluated: n.keyChecked,
+		RetryAfter:  keysStaleRetryAfter,
 	}
 }
 
 // keyBounds returns how fresh the table of routes has to be for keys to be judged by it.
-func (n *Node) keyBounds() freshness.Bounds {
+func (n *Node) freshnessBounds() freshness.Bounds {
 	return freshness.Bounds{
 		MaxRevokeDelay: n.Settings.RevokeWithin,
 		MaxApplyDelay:  n.Settings.ConfigWithin,
@@ -60,7 +60,7 @@
 
 // keyJudged logs when requests with keys begin or cease to be refused because the node
 // does not know which keys are valid.
-func (n *Node) keyJudged(admitted bool, version uint64, age freshness.Age) {
+func (n *Node) keyChecked(admitted bool, version uint64, age freshness.Age) {
 	if n.keysStale.Load() != admitted || !n.keysStale.CompareAndSwap(admitted, !admitted) {
 		return
 	}
@@ -72,12 +72,12 @@
 }
 
 // judgesKeys returns whether the node can tell which keys are valid, where it has to.
-func (n *Node) judgesKeys() bool {
+func (n *Node) canValidateKeys() bool {
 	t := n.control.Snapshot().Table
 	if n.Settings.RevokeWithin == 0 || t == nil || !t.KeysRequired {
 		return true
 	}
-	return n.keyBounds().Evaluate(n.control.TableAge(t.Version), true) == freshness.Valid
+	return n.freshnessBounds().Evaluate(n.control.TableAge(t.Version), true) == freshness.Valid
 }
 
 // tableAgeSeconds returns for how long the table of routes may have been out of date:
--- a/node/keys_test.go
+++ b/node/keys_test.go
@@ -25,42 +25,42 @@
 const revokeWithin = time.Second
 
 // keyed is a system whose callers need keys, but for the route /open/.
-type keyed struct {
-	*world
-	near, far *managed // far has a platform of its own that may be cut off
-	cut       atomic.Bool
-	version   int
-	sent      int
+type keyedSystem struct {
+	*testSystem
+	near, far   *testNode // far has a platform of its own that may be cut off
+	unreachable atomic.Bool
+	version     int
+	sent        int
 }
 
 // newKeyed returns a system in which the keys are in force.
-func newKeyed(t *testing.T, keys ...string) *keyed {
-	k := &keyed{world: newWorld(t)}
-	k.strict = revokeWithin
+func newKeyed(t *testing.T, keys ...string) *keyedSystem {
+	k := &keyedSystem{testSystem: newTestSystem(t)}
+	k.revokeWithin = revokeWithin
 	k.organisations(keys...)
 	k.near = k.add("b")
-	store, _ := url.Parse(k.url)
-	through := httputil.NewSingleHostReverseProxy(store)
+	storeURL, _ := url.Parse(k.url)
+	proxy := httputil.NewSingleHostReverseProxy(storeURL)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if k.cut.Load() {
+		if k.unreachable.Load() {
 			panic(http.ErrAbortHandler)
 		}
-		through.ServeHTTP(w, r)
+		proxy.ServeHTTP(w, r)
 	}))
 	t.Cleanup(server.Close)
 	k.url = server.URL
 	k.far = k.add("b", k.near.settings.PeerAddress)
-	for _, n := range []*managed{k.near, k.far} {
-		k.eventually("open to all", func() bool { return k.ask(n, "/open/x", "").status == 200 })
+	for _, n := range []*testNode{k.near, k.far} {
+		k.eventually("open to all", func() bool { return k.request(n, "/open/x", "").status == 200 })
 		if len(keys) > 0 {
-			k.eventually("the key is in force", func() bool { return k.ask(n, "/b/x", keys[0]).status == 200 })
+			k.eventually("the key is in force", func() bool { return k.request(n, "/b/x", keys[0]).status == 200 })
 		}
 	}
 	return k
 }
 
 // organisations writes the next version: an organisation for each of the keys.
-func (k *keyed) organisations(keys ...string) {
+func (k *keyedSystem) organisations(keys ...string) {
 	k.version++
 	var list []string
 	for _, key := range keys {
@@ -72,14 +72,14 @@
 }
 
 // reply is what a caller got.
-type reply struct {
-	answer
+type keyedResponse struct {
+	callerResponse
 	id   string
 	body string
 }
 
 // ask sends a request with a key, or without one, that names an organisation of its own.
-func (k *keyed) ask(n *managed, path, key string) reply {
+func (k *keyedSystem) request(n *testNode, path, key string) keyedResponse {
 	k.sent++
 	id := fmt.Sprint("k-", k.sent)
 	r, _ := http.NewRequest(http.MethodPut, "http://"+n.settings.CallerAddress+path, nil)
@@ -92,19 +92,19 @@
 	}
 	response, err := http.DefaultTransport.RoundTrip(r)
 	if err != nil {
-		return reply{id: id}
+		return keyedResponse{id: id}
 	}
 	defer response.Body.Close()
 	data, _ := io.ReadAll(response.Body)
-	return reply{
-		answer: answer{status: response.StatusCode, retryAfter: response.Header.Get("Retry-After")},
-		id:     id,
-		body:   string(data),
+	return keyedResponse{
+		callerResponse: callerResponse{status: response.StatusCode, retryAfter: response.Header.Get("Retry-After")},
+		id:             id,
+		body:           string(data),
 	}
 }
 
 // ran returns the run of a request, or nil.
-func (k *keyed) ran(id string) *platformtest.Run {
+func (k *keyedSystem) findRun(id string) *platformtest.Run {
 	for _, n := range k.nodes {
 		for _, r := range n.upstream.Runs() {
 			if r.ID == id {
@@ -134,10 +134,10 @@
 		"no route":      {"/c/x", "one", 404, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			for _, n := range []*managed{k.near, k.far} {
-				got := k.ask(n, row.path, row.key)
+			for _, n := range []*testNode{k.near, k.far} {
+				got := k.request(n, row.path, row.key)
 				qt.Assert(t, got.status, qt.Equals, row.status, qt.Commentf("%s", got.body))
-				run := k.ran(got.id)
+				run := k.findRun(got.id)
 				qt.Assert(t, run != nil, qt.Equals, row.status == 200)
 				if run != nil {
 					qt.Check(t, run.Organisation, qt.Equals, row.organisation)
@@ -156,60 +156,60 @@
 func TestKeysChange(t *testing.T) {
 	k := newKeyed(t, "one")
 	k.organisations("one", "two")
-	for _, n := range []*managed{k.near, k.far} {
-		k.eventually("the added key is taken", func() bool { return k.ask(n, "/b/x", "two").status == 200 })
+	for _, n := range []*testNode{k.near, k.far} {
+		k.eventually("the added key is taken", func() bool { return k.request(n, "/b/x", "two").status == 200 })
 	}
 	k.organisations("two")
-	for _, n := range []*managed{k.near, k.far} {
-		k.eventually("the removed key is not", func() bool { return k.ask(n, "/b/x", "one").status == 401 })
-		qt.Check(t, k.ask(n, "/b/x", "two").status, qt.Equals, 200)
+	for _, n := range []*testNode{k.near, k.far} {
+		k.eventually("the removed key is not", func() bool { return k.request(n, "/b/x", "one").status == 401 })
+		qt.Check(t, k.request(n, "/b/x", "two").status, qt.Equals, 200)
 	}
 	k.organisations("two", "two")
 	k.organisations("two", "three")
 	k.organisations("two")
 	k.organisations("two", "four")
-	for _, n := range []*managed{k.near, k.far} {
-		k.eventually("the last version is in force", func() bool { return k.ask(n, "/b/x", "four").status == 200 })
-		qt.Check(t, k.ask(n, "/b/x", "three").status, qt.Equals, 401)
-		qt.Check(t, k.ask(n, "/b/x", "two").status, qt.Equals, 200)
+	for _, n := range []*testNode{k.near, k.far} {
+		k.eventually("the last version is in force", func() bool { return k.request(n, "/b/x", "four").status == 200 })
+		qt.Check(t, k.request(n, "/b/x", "three").status, qt.Equals, 401)
+		qt.Check(t, k.request(n, "/b/x", "two").status, qt.Equals, 200)
 	}
 }
 
 // TestRevokedWithoutPlatform cuts a node off from the platform while its key goes: it hears
 // of that from the other. Without the other, it refuses what needs a key once the bound has
 // passed, and only that, until it knows again.
-func TestRevokedWithoutPlatform(t *testing.T) {
+func TestKeyRevokedWithoutPlatform(t *testing.T) {
 	k := newKeyed(t, "one", "two")
-	k.cut.Store(true)
+	k.unreachable.Store(true)
 	for deadline := time.Now().Add(2 * revokeWithin); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
-		k.ask(k.far, "/b/x", "two")
+		k.request(k.far, "/b/x", "two")
 	}
-	k.eventually("the other node tells it how fresh its table is", func() bool { return k.ask(k.far, "/b/x", "two").status == 200 })
+	k.eventually("the other node tells it how fresh its table is", func() bool { return k.request(k.far, "/b/x", "two").status == 200 })
 	k.organisations("two")
-	k.eventually("the other node tells it of the change", func() bool { return k.ask(k.far, "/b/x", "one").status == 401 })
+	k.eventually("the other node tells it of the change", func() bool { return k.request(k.far, "/b/x", "one").status == 401 })
 
 	k.near.stop()
 	k.organisations()
 	acknowledged := time.Now()
-	var refused reply
+	var refused keyedResponse
 	for last := false; !last; {
 		last = time.Since(acknowledged) > revokeWithin+100*time.Millisecond
 		sent := time.Now()
-		got := k.ask(k.far, "/b/x", "two")
+		got := k.request(k.far, "/b/x", "two")
 		if sent.Sub(acknowledged) > revokeWithin {
 			refused = got
-			qt.Check(t, k.ran(got.id), qt.IsNil, qt.Commentf("sent %v after its key went", sent.Sub(acknowledged)))
+			qt.Check(t, k.findRun(got.id), qt.IsNil, qt.Commentf("sent %v after its key went", sent.Sub(acknowledged)))
 		}
 	}
 	qt.Check(t, refused.status, qt.Equals, 503, qt.Commentf("%s", refused.body))
 	qt.Check(t, strings.Contains(refused.body, "notFresh"), qt.IsTrue, qt.Commentf("%s", refused.body))
 	qt.Check(t, refused.retryAfter, qt.Equals, "0.500")
 	qt.Check(t, k.far.ready(), qt.IsFalse)
-	qt.Check(t, k.ask(k.far, "/b/x", "unknown").status, qt.Equals, 503, qt.Commentf("it may have been added"))
-	qt.Check(t, k.ask(k.far, "/b/x", "").status, qt.Equals, 401)
-	qt.Check(t, k.ask(k.far, "/open/x", "").status, qt.Equals, 200)
+	qt.Check(t, k.request(k.far, "/b/x", "unknown").status, qt.Equals, 503, qt.Commentf("it may have been added"))
+	qt.Check(t, k.request(k.far, "/b/x", "").status, qt.Equals, 401)
+	qt.Check(t, k.request(k.far, "/open/x", "").status, qt.Equals, 200)
 
-	k.cut.Store(false)
-	k.eventually("it knows again", func() bool { return k.ask(k.far, "/b/x", "two").status == 401 })
+	k.unreachable.Store(false)
+	k.eventually("it knows again", func() bool { return k.request(k.far, "/b/x", "two").status == 401 })
 	qt.Check(t, k.far.ready(), qt.IsTrue)
 }
--- a/node/latecomer_test.go
+++ b/node/latecomer_test.go
@@ -19,25 +19,25 @@
 
 // TestLatecomersAtLeavingNode guards against requests that come late to a node that leaves, are passed
 // on, and are cut at the end of its grace period while their upstreams work on them.
-func TestLatecomersAtLeavingNode(t *testing.T) {
+func TestLateRequestsAtLeavingNode(t *testing.T) {
 	const grace = 6 * time.Second
-	w := newWorld(t)
+	w := newTestSystem(t)
 	w.adjust = func(s *settings.Settings) { s.GracePeriod = grace }
 	w.configure(1, "",
 		strings.ReplaceAll(route("i", "idempotent", "b"), `"timeoutS":1`, `"timeoutS":60`),
 		strings.ReplaceAll(route("n", "non_idempotent", "a"), `"timeoutS":1`, `"timeoutS":60`))
-	lasts := func(r platformtest.Run) time.Duration {
+	duration := func(r platformtest.Run) time.Duration {
 		if strings.HasPrefix(r.ID, "long") {
 			return time.Hour
 		}
 		return time.Millisecond
 	}
-	first := w.addUpstream("z", &platformtest.Upstream{Service: "a", ServiceTimeFunc: lasts})
-	second := w.addUpstream("z", &platformtest.Upstream{Service: "b", ServiceTimeFunc: lasts})
+	first := w.addUpstream("z", &platformtest.Upstream{Service: "a", ServiceTimeFunc: duration})
+	second := w.addUpstream("z", &platformtest.Upstream{Service: "b", ServiceTimeFunc: duration})
 	w.eventually("both serve", func() bool {
-		return second.ask("PUT", "/n/x", "warm", "").status == 200 && first.ask("GET", "/i/x", "warm", "").status == 200
+		return second.request("PUT", "/n/x", "warm", "").status == 200 && first.request("GET", "/i/x", "warm", "").status == 200
 	})
-	send := func(m *managed, path, id string) (int, error) {
+	send := func(m *testNode, path, id string) (int, error) {
 		transport := new(http.Transport)
 		defer transport.CloseIdleConnections()
 		r, _ := http.NewRequest(http.MethodPut, "http://"+m.settings.CallerAddress+path, nil)
@@ -52,7 +52,7 @@
 		_, err = io.Copy(io.Discard, response.Body)
 		return response.StatusCode, err
 	}
-	ran := func(m *managed, id string) bool {
+	ran := func(m *testNode, id string) bool {
 		for _, r := range m.upstream.Runs() {
 			if r.ID == id {
 				return true
--- a/node/latestart_test.go
+++ b/node/latestart_test.go
@@ -13,16 +13,16 @@
 
 // TestLateHeartbeatOfFormerStart guards against the loss of an upstream for good, after a node that has
 // just started has heard a late heartbeat of the start before the present one.
-func TestLateHeartbeatOfFormerStart(t *testing.T) {
+func TestLateHeartbeatOfPreviousStart(t *testing.T) {
 	for name, leaves := range map[string]bool{
 		"the present start goes on":                 false,
 		"the present start has said that it leaves": true,
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t)
+			w := newTestSystem(t)
 			w.configure(1, "")
 			first, second := w.add("a"), w.add("b")
-			w.eventually("it serves", func() bool { return second.ask("PUT", "/a/x", "warm", "").status == 200 })
+			w.eventually("it serves", func() bool { return second.request("PUT", "/a/x", "warm", "").status == 200 })
 			qt.Assert(t, first.upstream.SendHeartbeat(first.settings.AnnounceAddress), qt.IsTrue)
 			if leaves {
 				qt.Assert(t, first.upstream.SendLeave(first.settings.AnnounceAddress), qt.IsTrue)
@@ -32,13 +32,13 @@
 				n := 0
 				w.eventually("it serves again", func() bool {
 					n++
-					return second.ask("PUT", "/a/x", fmt.Sprint("again", n), "").status == 200
+					return second.request("PUT", "/a/x", fmt.Sprint("again", n), "").status == 200
 				})
 				return
 			}
 			before := len(first.upstream.Runs())
 			for n := range 100 {
-				qt.Check(t, second.ask("PUT", "/a/x", fmt.Sprint("left", n), "").status, qt.Equals, 503)
+				qt.Check(t, second.request("PUT", "/a/x", fmt.Sprint("left", n), "").status, qt.Equals, 503)
 			}
 			qt.Check(t, len(first.upstream.Runs()), qt.Equals, before, qt.Commentf("an acknowledged leave binds"))
 		})
--- a/node/learning.go
+++ b/node/learning.go
@@ -15,34 +15,34 @@
 	// learningTime is how long a node that has started may not have heard of the others. A node
 	// that is still alone then is taken to be so after aloneLooks looks into the book of contacts:
 	// where the platform or the process is slow, fewer tell nothing.
-	learningTime = 2 * time.Second
-	aloneLooks   = 3
-	aloneCheck   = 50 * time.Millisecond
+	discoveryTime      = 2 * time.Second
+	minLookups         = 3
+	aloneCheckInterval = 50 * time.Millisecond
 )
 
 // awaitLearnt closes n.learnt once the node has had the time to learn of the others, or ctx ends.
-func (n *Node) awaitLearnt(ctx context.Context) {
-	defer close(n.learnt)
+func (n *Node) awaitDiscovery(ctx context.Context) {
+	defer close(n.discoveryDone)
 	if n.control.API == nil && n.discovery == nil && len(n.control.Contacts) == 0 {
 		return // there is nobody to learn from
 	}
-	sleep.For(ctx, learningTime)
-	for ctx.Err() == nil && n.discovery != nil && n.control.Isolated() && n.discovery.Lookups() < aloneLooks {
-		sleep.For(ctx, aloneCheck)
+	sleep.For(ctx, discoveryTime)
+	for ctx.Err() == nil && n.discovery != nil && n.control.Isolated() && n.discovery.Lookups() < minLookups {
+		sleep.For(ctx, aloneCheckInterval)
 	}
 }
 
 // seek has the node learn of others now: what its neighbours know, and who stands in the book of
 // contacts.
-func (n *Node) seek() {
+func (n *Node) triggerDiscovery() {
 	n.control.TriggerComparison()
 	n.discovery.Trigger()
 }
 
 // acquainted returns whether the node knows another, or has had the time to learn of one.
-func (n *Node) acquainted() bool {
+func (n *Node) hasDiscovered() bool {
 	select {
-	case <-n.learnt:
+	case <-n.discoveryDone:
 		return true
 	default:
 		return n.control.Nodes() > 1
--- a/node/learning_test.go
+++ b/node/learning_test.go
@@ -34,7 +34,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			z := &zoned{world: newWorld(t)}
+			z := &zonedSystem{testSystem: newTestSystem(t)}
 			z.configure(1, "")
 			z.evacuate("z", true)
 			for range 2 {
@@ -43,8 +43,8 @@
 			}
 			starting := z.far
 			if test.before {
-				z.known(1)
-				z.serving()
+				z.awaitEvacuated(1)
+				z.awaitServing()
 				if test.alone {
 					starting = z.far[:1]
 				}
@@ -58,26 +58,26 @@
 			}
 			for _, n := range starting {
 				z.eventually("it is ready", n.ready)
-				got := z.ask(n)
+				got := z.request(n)
 				qt.Check(t, got.status, qt.Equals, 200, qt.Commentf("%s: %s", n.settings.Node, got.body))
 			}
-			qt.Check(t, z.runs(z.far), qt.Equals, 0)
+			qt.Check(t, z.runCount(z.far), qt.Equals, 0)
 		})
 	}
 }
 
 // TestAloneInEvacuatedZone has a node that nobody can be met by: it becomes ready, refuses what it
 // can't serve, and serves its callers itself once the zone is taken back.
-func TestAloneInEvacuatedZone(t *testing.T) {
-	z := &zoned{world: newWorld(t)}
+func TestOnlyNodeInEvacuatedZone(t *testing.T) {
+	z := &zonedSystem{testSystem: newTestSystem(t)}
 	z.configure(1, "")
 	z.evacuate("z", true)
-	z.far = []*managed{z.addIn("z", "b")}
+	z.far = []*testNode{z.addIn("z", "b")}
 	z.eventually("it is ready", z.far[0].ready)
-	got := z.ask(z.far[0])
+	got := z.request(z.far[0])
 	qt.Check(t, got.status, qt.Equals, 503, qt.Commentf("%s", got.body))
 	qt.Check(t, got.retryAfter, qt.Not(qt.Equals), "")
-	qt.Check(t, z.runs(z.far), qt.Equals, 0)
+	qt.Check(t, z.runCount(z.far), qt.Equals, 0)
 	z.evacuate("z", false)
-	z.serving()
+	z.awaitServing()
 }
--- a/node/leave.go
+++ b/node/leave.go
@@ -21,76 +21,76 @@
 const (
 	// lastAnswers bounds each of the three waits for the answers to requests that are cut. A
 	// part of settings.ExitTime is left for the rest.
-	lastAnswers = 100 * time.Millisecond
+	finalResponseTimeout = 100 * time.Millisecond
 	// stallMemory is how far back the stalls of this process count for its stop.
-	stallMemory = 5 * time.Second
+	stallWindow = 5 * time.Second
 	// stallShare is the part of the grace period that a stop may leave to a process that stalls.
-	stallShare = 1.0 / 8
+	maxStallFraction = 1.0 / 8
 	// cutIDs bounds the ids of requests in one log line.
-	cutIDs = 20
+	maxLoggedIDs = 20
 )
 
 // errDrainOver is why requests are cut.
-var errDrainOver = eris.New("this node had to stop")
+var errNodeStopping = eris.New("this node had to stop")
 
 // leaving is the stop of a node's traffic.
-type leaving struct {
-	node    *Node
-	callers *http.Server
-	conns   *caller.Listener
-	handler *caller.Handler
+type shutdown struct {
+	node     *Node
+	callers  *http.Server
+	listener *caller.Listener
+	handler  *caller.Handler
 	// cut ends the contexts of callers' requests.
-	cut context.CancelCauseFunc
+	cancelRequests context.CancelCauseFunc
 }
 
 // leave stops the traffic without cutting a request: first callers are sent away,
 // then new work for the upstream is refused and others are told, and what is in
 // flight is let end. The upstream can be reached through this node alone, so its
 // room is given up as late as the end of what runs there allows.
-func (l *leaving) leave() {
+func (l *shutdown) run() {
 	n := l.node
 	began := time.Now()
-	told := l.standing()
-	stalled := n.stalls.LongestDelay(began.Add(-stallMemory))
-	within := drainWithin(&n.Settings, stalled)
-	n.Log.Info().Int("requests", told.requests).Int("calls", told.calls).Dur("withinMs", within).Dur("stalledMs", stalled).Msg("leaving")
+	atStart := l.count()
+	stalled := n.stalls.LongestDelay(began.Add(-stallWindow))
+	within := drainTimeout(&n.Settings, stalled)
+	n.Log.Info().Int("requests", atStart.requests).Int("calls", atStart.calls).Dur("withinMs", within).Dur("stalledMs", stalled).Msg("leaving")
 	n.mu.Lock()
 	n.leaving = true
 	n.mu.Unlock()
-	l.conns.DisableKeepAlives()
+	l.listener.DisableKeepAlives()
 	ctx, cancel := context.WithDeadline(context.Background(), began.Add(within))
 	defer cancel()
-	leave := n.Settings.EffectiveLeaveDelay()
-	admitting := min(n.Settings.AdmitDelay, leave)
-	sleep.For(ctx, admitting)
+	leaveTime := n.Settings.EffectiveLeaveDelay()
+	admitTime := min(n.Settings.AdmitDelay, leaveTime)
+	sleep.For(ctx, admitTime)
 	idle := n.gate.Drain()
 	n.mu.Lock()
-	n.closing = true
+	n.gateDraining = true
 	n.mu.Unlock()
 	n.announce()
-	sleep.For(ctx, leave-admitting)
+	sleep.For(ctx, leaveTime-admitTime)
 	n.mu.Lock()
-	n.endsAt = began.Add(within)
+	n.cutAt = began.Add(within)
 	n.mu.Unlock()
-	awaitRuns(ctx, idle)
+	awaitIdleUpstream(ctx, idle)
 	n.mu.Lock()
 	n.draining = true
 	n.mu.Unlock()
-	closing := l.standing()
+	atClosing := l.count()
 	err := l.drain(ctx, idle)
-	over := l.standing()
-	ids := l.handler.InFlightIDs(cutIDs)
-	if err != nil && over.requests+over.calls > 0 {
+	remaining := l.count()
+	ids := l.handler.InFlightIDs(maxLoggedIDs)
+	if err != nil && remaining.requests+remaining.calls > 0 {
 		n.Log.Warn().Err(err).Msg("requests in flight cut at the end of the drain")
 	}
 	if err != nil {
-		l.end()
+		l.abort()
 	}
-	ended := int(over.begun-told.begun) + told.requests - over.requests
-	n.metrics.drained(ended, over)
-	e := n.Log.Info().Int("requests", told.requests).Int("calls", told.calls).
-		Int("requestsAtClosing", closing.requests).Int("callsAtClosing", closing.calls).
-		Int("ended", ended).Int("cut", over.requests).Int("callsCut", over.calls)
+	completed := int(remaining.started-atStart.started) + atStart.requests - remaining.requests
+	n.metrics.drained(completed, remaining)
+	e := n.Log.Info().Int("requests", atStart.requests).Int("calls", atStart.calls).
+		Int("requestsAtClosing", atClosing.requests).Int("callsAtClosing", atClosing.calls).
+		Int("ended", completed).Int("cut", remaining.requests).Int("callsCut", remaining.calls)
 	if len(ids) > 0 {
 		e = e.Str("cutIds", strings.Join(ids, ","))
 	}
@@ -100,68 +100,68 @@
 // drainWithin returns how long a node waits for requests in flight whose process has lately stood
 // still for as long as stalled says. The signal to stop may have come so much earlier than it was
 // noticed, and the end of the process may be as late.
-func drainWithin(s *settings.Settings, stalled time.Duration) time.Duration {
+func drainTimeout(s *settings.Settings, stalled time.Duration) time.Duration {
 	within := s.DrainDeadline()
 	if s.GracePeriod == 0 {
 		return within
 	}
-	most := time.Duration(stallShare*float64(s.GracePeriod)) - settings.ExitReserve
-	return within - min(2*stalled, max(0, most))
+	maxReserve := time.Duration(maxStallFraction*float64(s.GracePeriod)) - settings.ExitReserve
+	return within - min(2*stalled, max(0, maxReserve))
 }
 
 // standing is what is under way at a moment.
-type standing struct {
+type trafficCount struct {
 	// requests are those of callers that are under way, and begun all so far.
 	requests int
-	begun    uint64
+	started  uint64
 	// calls are those of nodes that are at the upstream or wait for it.
 	calls int
 }
 
 // standing returns what is under way now.
-func (l *leaving) standing() standing {
+func (l *shutdown) count() trafficCount {
 	load := l.node.gate.Load()
-	s := standing{calls: load.Running + load.Waiting}
-	s.requests, s.begun = l.handler.RequestCounts()
+	s := trafficCount{calls: load.Running + load.Waiting}
+	s.requests, s.started = l.handler.RequestCounts()
 	return s
 }
 
 // ends returns when the requests that are under way are cut, or the zero time while all
 // requests are taken.
-func (n *Node) ends() time.Time {
+func (n *Node) requestsEndAt() time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.endsAt
+	return n.cutAt
 }
 
 // callersLast is what is left of the drain for callers' requests once the listener is closed.
-const callersLast = time.Second
+const minCallerDrain = time.Second
 
 // awaitRuns waits until idle is closed, or half of the time until the end of ctx, or all but
 // callersLast of it if that is more, is over. What runs at the upstream makes its calls through
 // this node's listener.
-func awaitRuns(ctx context.Context, idle <-chan struct{}) {
+func awaitIdleUpstream(ctx context.Context, idle <-chan struct{}) {
 	end, ok := ctx.Deadline()
 	if !ok {
 		return
 	}
-	waiting, cancel := context.WithDeadline(ctx, end.Add(-min(callersLast, time.Until(end)/2)))
+	waitCtx, cancel := context.WithDeadline(ctx, end.Add(-min(minCallerDrain, time.Until(end)/2)))
 	defer cancel()
 	select {
 	case <-idle:
-	case <-waiting.Done():
+	case <-waitCtx.Done():
 	}
 }
 
 // drain waits until no request of a caller and no call of another node is under way, or
 // ctx ends. Idle is closed once nothing is at the upstream.
-func (l *leaving) drain(ctx context.Context, idle <-chan struct{}) error {
-	err := l.conns.Drain(ctx)
+func (l *shutdown) drain(ctx context.Context, idle <-chan struct{}) error {
+	err := l.listener.Drain(ctx)
 	if err == nil {
 		err = l.callers.Shutdown(ctx)
 	}
 	if err == nil {
-		err = l.conns.AwaitClosed(ctx)
+		err = l.listener.AwaitClosed(ctx)
 	}
 	select {
 	case <-idle:
@@ -175,30 +175,30 @@
 
 // end has what is still under way answered by the node itself, with whether the request
 // may have run, and closes the connections of those that could not be told.
-func (l *leaving) end() {
+func (l *shutdown) abort() {
 	l.node.dispatcher.Stop() // takes back what waits at gates
-	l.quiesce()
+	l.awaitResponses()
 	l.node.dispatcher.Close() // ends what has been sent on
-	l.quiesce()
-	l.cut(verdict.New(verdict.NotSent, errDrainOver).WithRetryAfter(caller.RetryElsewhereDelay)) // and what has not
-	l.quiesce()
-	l.conns.CloseAll()
+	l.awaitResponses()
+	l.cancelRequests(verdict.New(verdict.NotSent, errNodeStopping).WithRetryAfter(caller.RetryElsewhereDelay)) // and what has not
+	l.awaitResponses()
+	l.listener.CloseAll()
 }
 
 // quiesce waits until the answers of requests that have been ended are written.
-func (l *leaving) quiesce() {
-	ctx, cancel := context.WithTimeout(context.Background(), lastAnswers)
+func (l *shutdown) awaitResponses() {
+	ctx, cancel := context.WithTimeout(context.Background(), finalResponseTimeout)
 	defer cancel()
-	_ = l.conns.AwaitClosed(ctx) // what is still open then is closed
+	_ = l.listener.AwaitClosed(ctx) // what is still open then is closed
 }
 
 // exit returns the context of what a node does after its drain. It ends with the grace
 // period, if that is known, less the time for the process to end.
-func (n *Node) exit(stopped time.Time) (context.Context, context.CancelFunc) {
+func (n *Node) exitContext(stopped time.Time) (context.Context, context.CancelFunc) {
 	if n.Settings.GracePeriod == 0 {
 		return context.WithCancel(context.Background())
 	}
-	return context.WithDeadline(context.Background(), stopped.Add(n.Settings.GracePeriod-lastAnswers))
+	return context.WithDeadline(context.Background(), stopped.Add(n.Settings.GracePeriod-finalResponseTimeout))
 }
 
 // await waits until wait returns, or ctx ends.
--- a/node/leave_test.go
+++ b/node/leave_test.go
@@ -27,13 +27,13 @@
 )
 
 // held is a world whose upstream of the service b works on a request until it is let go on.
-type held struct {
-	*world
-	entry, other *managed // which take requests, and have the upstream beside them
+type blockingSystem struct {
+	*testSystem
+	entry, other *testNode // which take requests, and have the upstream beside them
 	upstream     *httptest.Server
 	started      chan string // the ids of the requests that it works on
 	release      chan struct{}
-	let          func()
+	unblock      func()
 	sent         int
 
 	mu    sync.Mutex
@@ -41,7 +41,7 @@
 }
 
 // Write takes a line of the nodes' log.
-func (h *held) Write(line []byte) (int, error) {
+func (h *blockingSystem) Write(line []byte) (int, error) {
 	fields := make(map[string]any)
 	err := json.Unmarshal(line, &fields)
 	h.mu.Lock()
@@ -51,7 +51,7 @@
 }
 
 // logged returns the last line of an event at a node.
-func (h *held) logged(m *managed, event string) map[string]any {
+func (h *blockingSystem) lastLine(m *testNode, event string) map[string]any {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, fields := range slices.Backward(h.lines) {
@@ -63,14 +63,14 @@
 }
 
 // newHeld starts the nodes with the given settings, and the upstream with so many slots.
-func newHeld(t *testing.T, adjust func(s *settings.Settings), slots int) *held {
-	h := &held{
-		world:   newWorld(t),
-		started: make(chan string, 100),
-		release: make(chan struct{}),
+func newBlockingSystem(t *testing.T, adjust func(s *settings.Settings), slots int) *blockingSystem {
+	h := &blockingSystem{
+		testSystem: newTestSystem(t),
+		started:    make(chan string, 100),
+		release:    make(chan struct{}),
 	}
 	h.log = zerolog.New(h)
-	h.let = sync.OnceFunc(func() { close(h.release) })
+	h.unblock = sync.OnceFunc(func() { close(h.release) })
 	u := &platformtest.Upstream{
 		Service: "b",
 		Slots:   slots,
@@ -80,10 +80,10 @@
 			u.ServeHTTP(w, r)
 			return
 		}
-		h.work(w, r, u)
+		h.serve(w, r, u)
 	}))
 	t.Cleanup(func() {
-		h.let()
+		h.unblock()
 		h.upstream.CloseClientConnections()
 		h.upstream.Close()
 	})
@@ -99,14 +99,14 @@
 	}
 	h.entry = h.add("a")
 	h.other = h.addUpstream("z", u)
-	for _, m := range []*managed{h.entry, h.other} {
-		h.eventually("a node serves", func() bool { return m.ask("GET", "/i/warm", "warm", "").status == 200 })
+	for _, m := range []*testNode{h.entry, h.other} {
+		h.eventually("a node serves", func() bool { return m.request("GET", "/i/warm", "warm", "").status == 200 })
 	}
 	return h
 }
 
 // work answers a request once it may, in the way that its path names.
-func (h *held) work(w http.ResponseWriter, r *http.Request, u *platformtest.Upstream) {
+func (h *blockingSystem) serve(w http.ResponseWriter, r *http.Request, u *platformtest.Upstream) {
 	id := r.Header.Get(platformtest.RequestID)
 	w.Header().Set(platformtest.Instance, u.ID)
 	w.Header().Set(platformtest.RequestID, id)
@@ -136,12 +136,12 @@
 type pending struct {
 	name string
 	done chan struct{}
-	got  answer
+	got  callerResponse
 	err  error
 }
 
 // transport returns connections of its own, of HTTP/1.1 or 2.
-func (h *held) transport(streams bool) *http.Transport {
+func (h *blockingSystem) transport(streams bool) *http.Transport {
 	t := &http.Transport{Protocols: new(http.Protocols)}
 	t.Protocols.SetHTTP1(!streams)
 	t.Protocols.SetUnencryptedHTTP2(streams)
@@ -150,7 +150,7 @@
 }
 
 // send sends a request to a node. What is written to it later belongs to its body.
-func (h *held) send(m *managed, by *http.Transport, name, method, path string, body io.Reader) *pending {
+func (h *blockingSystem) send(m *testNode, transport *http.Transport, name, method, path string, body io.Reader) *pending {
 	h.sent++
 	r, err := http.NewRequest(method, "http://"+m.settings.CallerAddress+path, body)
 	qt.Assert(h.t, err, qt.IsNil)
@@ -166,7 +166,7 @@
 	}
 	go func() {
 		defer close(p.done)
-		response, err := by.RoundTrip(r)
+		response, err := transport.RoundTrip(r)
 		if err != nil {
 			p.err = err
 			return
@@ -174,7 +174,7 @@
 		defer response.Body.Close()
 		data, err := io.ReadAll(response.Body)
 		p.err = err
-		p.got = answer{
+		p.got = callerResponse{
 			status:    response.StatusCode,
 			body:      string(data),
 			signature: response.Header.Get(platformtest.Signature),
@@ -186,7 +186,7 @@
 }
 
 // working waits until the upstream works on so many requests.
-func (h *held) working(count int) {
+func (h *blockingSystem) awaitRunning(count int) {
 	h.t.Helper()
 	begun := 0
 	h.eventually(fmt.Sprintf("the upstream works on %d requests", count), func() bool {
@@ -202,7 +202,7 @@
 }
 
 // closed waits until a node takes no more connections of callers.
-func (h *held) closed(m *managed) {
+func (h *blockingSystem) awaitClosed(m *testNode) {
 	h.eventually("the node drains", func() bool {
 		c, err := net.Dial("tcp", m.settings.CallerAddress)
 		if err == nil {
@@ -214,7 +214,7 @@
 
 // leaveSoon has a node stop within a moment unless requests are under way, where it is not known
 // how long it may live.
-func leaveSoon(s *settings.Settings) {
+func stopSoon(s *settings.Settings) {
 	s.LeaveDelay = 100 * time.Millisecond
 	s.AdmitDelay = 50 * time.Millisecond
 	s.DrainTimeout = 100 * time.Millisecond
@@ -225,18 +225,18 @@
 // upstream works for longer than drainTimeout, and within the grace period. They were
 // answered 502 at the end of drainTimeout.
 func TestLeaveWhileUpstreamWorks(t *testing.T) {
-	tests := map[string]func(h *held) []*managed{
-		"the node that took them":      func(h *held) []*managed { return []*managed{h.entry} },
-		"the node beside the upstream": func(h *held) []*managed { return []*managed{h.other} },
-		"both at once":                 func(h *held) []*managed { return []*managed{h.entry, h.other} },
-		"its upstream says that it leaves": func(h *held) []*managed {
+	tests := map[string]func(h *blockingSystem) []*testNode{
+		"the node that took them":      func(h *blockingSystem) []*testNode { return []*testNode{h.entry} },
+		"the node beside the upstream": func(h *blockingSystem) []*testNode { return []*testNode{h.other} },
+		"both at once":                 func(h *blockingSystem) []*testNode { return []*testNode{h.entry, h.other} },
+		"its upstream says that it leaves": func(h *blockingSystem) []*testNode {
 			h.other.upstream.AdvertiseLeaving()
-			return []*managed{h.entry, h.other}
+			return []*testNode{h.entry, h.other}
 		},
 	}
 	for name, leaving := range tests {
 		t.Run(name, func(t *testing.T) {
-			h := newHeld(t, leaveSoon, 40)
+			h := newBlockingSystem(t, stopSoon, 40)
 			kept := h.transport(false)
 			first := h.send(h.entry, kept, "first", "GET", "/i/warm", nil)
 			<-first.done
@@ -257,7 +257,7 @@
 			add(h.send(h.entry, h.transport(true), "HTTP/2", "GET", "/n/plain", nil))
 			add(h.send(h.entry, h.transport(false), "streamed body", "POST", "/n/body", stream()))
 			add(h.send(h.other, h.transport(false), "beside its upstream", "GET", "/i/plain", nil))
-			h.working(len(all))
+			h.awaitRunning(len(all))
 			var stopping sync.WaitGroup
 			nodes := leaving(h)
 			for _, m := range nodes {
@@ -265,7 +265,7 @@
 			}
 			for _, m := range nodes {
 				if m == h.entry {
-					h.closed(m) // its own upstream has nothing to run
+					h.awaitClosed(m) // its own upstream has nothing to run
 				}
 			}
 			time.Sleep(500 * time.Millisecond) // well beyond leaveDelay and drainTimeout
@@ -274,7 +274,7 @@
 				if slices.Contains(nodes, h.entry) {
 					want = 503 // the only upstream that could run it leaves
 				}
-				qt.Check(t, h.other.ask("GET", "/a/warm", "inner", "").status, qt.Equals, want, qt.Commentf("a call that the upstream makes meanwhile"))
+				qt.Check(t, h.other.request("GET", "/a/warm", "inner", "").status, qt.Equals, want, qt.Commentf("a call that the upstream makes meanwhile"))
 			}
 			for _, p := range all {
 				select {
@@ -283,7 +283,7 @@
 				default:
 				}
 			}
-			h.let()
+			h.unblock()
 			for _, w := range bodies {
 				_, _ = io.WriteString(w, "y")
 				_ = w.Close()
@@ -296,7 +296,7 @@
 			}
 			stopping.Wait()
 			for _, m := range nodes {
-				line := h.logged(m, "drained")
+				line := h.lastLine(m, "drained")
 				taken := 0.0
 				if m == h.other {
 					taken = 1 // the call that the upstream made meanwhile
@@ -312,15 +312,15 @@
 // TestGracePeriodOver has requests at work at the end of the grace period. Each is told by the
 // node itself that it may have run, and that the node's stop is the cause. Callers were named as
 // the cause of requests to a node that left at the same time.
-func TestGracePeriodOver(t *testing.T) {
-	tests := map[string]func(h *held) []*managed{
-		"the node that took them": func(h *held) []*managed { return []*managed{h.entry} },
-		"both at once":            func(h *held) []*managed { return []*managed{h.other, h.entry} },
+func TestRequestsCutAtEndOfGracePeriod(t *testing.T) {
+	tests := map[string]func(h *blockingSystem) []*testNode{
+		"the node that took them": func(h *blockingSystem) []*testNode { return []*testNode{h.entry} },
+		"both at once":            func(h *blockingSystem) []*testNode { return []*testNode{h.other, h.entry} },
 	}
 	for name, leaving := range tests {
 		t.Run(name, func(t *testing.T) {
-			h := newHeld(t, func(s *settings.Settings) {
-				leaveSoon(s)
+			h := newBlockingSystem(t, func(s *settings.Settings) {
+				stopSoon(s)
 				s.GracePeriod = 1500 * time.Millisecond
 			}, 40)
 			all := []*pending{
@@ -328,7 +328,7 @@
 				h.send(h.entry, h.transport(false), "not idempotent", "POST", "/n/plain", strings.NewReader("body")),
 				h.send(h.entry, h.transport(true), "HTTP/2", "GET", "/n/plain", nil),
 			}
-			h.working(len(all))
+			h.awaitRunning(len(all))
 			var stopping sync.WaitGroup
 			for _, m := range leaving(h) {
 				stopping.Go(m.stop)
@@ -341,7 +341,7 @@
 				qt.Check(t, p.got.body, qt.Contains, `"cause":"stopped"`, qt.Commentf(p.name))
 			}
 			stopping.Wait()
-			line := h.logged(h.entry, "drained")
+			line := h.lastLine(h.entry, "drained")
 			qt.Check(t, line["requests"], qt.Equals, 3.0)
 			qt.Check(t, line["requestsAtClosing"], qt.Equals, 3.0)
 			qt.Check(t, line["ended"], qt.Equals, 0.0)
@@ -349,24 +349,24 @@
 			ids := strings.Split(line["cutIds"].(string), ",")
 			slices.Sort(ids)
 			qt.Check(t, ids, qt.DeepEquals, []string{"request1", "request2", "request3"})
-			h.let()
+			h.unblock()
 			for _, m := range leaving(h) {
 				h.run(m)
 			}
-			h.eventually("it serves again at its address", func() bool { return h.entry.ask("GET", "/i/warm", "again", "").status == 200 })
+			h.eventually("it serves again at its address", func() bool { return h.entry.request("GET", "/i/warm", "again", "").status == 200 })
 		})
 	}
 }
 
 // TestWaitingAtEndOfGracePeriod has requests wait for a slot of the upstream at the end of the grace period.
 // They have not run, and were told that they may have.
-func TestWaitingAtEndOfGracePeriod(t *testing.T) {
-	h := newHeld(t, func(s *settings.Settings) {
-		leaveSoon(s)
+func TestQueuedAtEndOfGracePeriod(t *testing.T) {
+	h := newBlockingSystem(t, func(s *settings.Settings) {
+		stopSoon(s)
 		s.GracePeriod = 1500 * time.Millisecond
 	}, 1)
 	runs := h.send(h.entry, h.transport(false), "at work", "POST", "/n/plain", nil)
-	h.working(1)
+	h.awaitRunning(1)
 	waits := []*pending{
 		h.send(h.entry, h.transport(false), "waits", "POST", "/n/plain", nil),
 		h.send(h.entry, h.transport(false), "waits, idempotent", "GET", "/i/plain", nil),
@@ -387,7 +387,7 @@
 }
 
 // metrics returns the node's metrics.
-func (m *managed) metrics() string {
+func (m *testNode) metrics() string {
 	r, err := http.Get("http://" + m.settings.OperatorAddress + "/metrics")
 	if err != nil {
 		return ""
--- a/node/limit_test.go
+++ b/node/limit_test.go
@@ -24,12 +24,12 @@
 	limitSlack   = 5
 	// limitKnown is how long after a node has passed on an answer that names a limit its
 	// requests count.
-	limitKnown = 500 * time.Millisecond
+	limitDelay = 500 * time.Millisecond
 )
 
 // callers sends requests for a path to all nodes, each after a pause, until stop is called, which
 // returns the number of answers by status.
-func (w *world) callers(path string, pause time.Duration, nodes ...*managed) (stop func() map[int]int) {
+func (w *testSystem) startCallers(path string, pause time.Duration, nodes ...*testNode) (stop func() map[int]int) {
 	ended := make(chan struct{})
 	var all sync.WaitGroup
 	var mu sync.Mutex
@@ -44,7 +44,7 @@
 				case <-time.After(pause):
 				}
 				all.Go(func() {
-					a := n.ask("GET", path, fmt.Sprint("c-", ids.Add(1)), "")
+					a := n.request("GET", path, fmt.Sprint("c-", ids.Add(1)), "")
 					mu.Lock()
 					defer mu.Unlock()
 					statuses[a.status]++
@@ -60,7 +60,7 @@
 }
 
 // since returns how much came to the upstream after the given time.
-func since(u *platformtest.Upstream, at time.Time) (count int) {
+func arrivalsSince(u *platformtest.Upstream, at time.Time) (count int) {
 	for _, a := range u.Arrivals() {
 		if a.At.After(at) {
 			count++
@@ -72,7 +72,7 @@
 // TestUpstreamOverNamedLimit has upstreams name a limit in their answers.
 //
 // Seen: 119 requests in four seconds where a limit of 9.0 a second was named, which allows 59.
-func TestUpstreamOverNamedLimit(t *testing.T) {
+func TestAdvertisedLimitExceeded(t *testing.T) {
 	tests := map[string]struct {
 		limit    float64
 		limited  int           // of three upstreams
@@ -91,7 +91,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(t)
+			w := newTestSystem(t)
 			w.configure(1, "")
 			for range 3 {
 				w.add("b").upstream.SetHealthCheckSilent(test.quiet)
@@ -100,7 +100,7 @@
 			w.eventually("all are known", func() bool {
 				for _, n := range w.nodes[:3] {
 					if len(n.upstream.Runs()) == 0 {
-						outside.ask("GET", "/b/x", "warm", "")
+						outside.request("GET", "/b/x", "warm", "")
 						return false
 					}
 				}
@@ -112,11 +112,11 @@
 			}
 			for _, n := range w.nodes { // each node passes an answer of each limited upstream on
 				for i := range 20 {
-					n.ask("GET", "/b/x", fmt.Sprint("told-", n.settings.Node, i), "")
+					n.request("GET", "/b/x", fmt.Sprint("told-", n.settings.Node, i), "")
 				}
 			}
-			stop := w.callers("/b/x", test.pause, w.nodes...)
-			time.Sleep(limitKnown)
+			stop := w.startCallers("/b/x", test.pause, w.nodes...)
+			time.Sleep(limitDelay)
 			began := time.Now()
 			if test.restarts {
 				for _, n := range limited {
@@ -127,7 +127,7 @@
 			time.Sleep(4 * time.Second)
 			counts := make([]int, len(limited))
 			for i, n := range limited {
-				counts[i] = since(n.upstream, began)
+				counts[i] = arrivalsSince(n.upstream, began)
 			}
 			took := time.Since(began).Seconds()
 			statuses := stop()
@@ -145,7 +145,7 @@
 //
 // Seen: nothing read that field, so that an upstream which did not announce its leaving got
 // requests until it was gone.
-func TestUpstreamLeavingInAnswers(t *testing.T) {
+func TestUpstreamLeavingInResponses(t *testing.T) {
 	tests := map[string]struct {
 		quiet    bool // whether the health check does not say so
 		restarts bool // whether the node beside it is restarted
@@ -158,9 +158,9 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(t)
+			w := newTestSystem(t)
 			w.configure(1, "")
-			var leaver *managed
+			var leaver *testNode
 			for range 2 {
 				leaver = w.add("a")
 				leaver.upstream.SetHealthCheckSilent(true)
@@ -168,14 +168,14 @@
 			outside := w.add("b")
 			// Requests that must not run twice are sent once, so that each answer is passed on.
 			n := 0
-			ask := func() (fromLeaver bool) {
+			requestAll := func() (fromLeaver bool) {
 				var all sync.WaitGroup
 				var from atomic.Bool
 				for range 4 {
 					n++
 					id := fmt.Sprint("told-", n)
 					all.Go(func() {
-						if strings.HasPrefix(outside.ask("GET", "/a/x", id, "").body, leaver.upstream.ID+" ") {
+						if strings.HasPrefix(outside.request("GET", "/a/x", id, "").body, leaver.upstream.ID+" ") {
 							from.Store(true)
 						}
 					})
@@ -183,9 +183,9 @@
 				all.Wait()
 				return from.Load()
 			}
-			w.eventually("both are known", func() bool { return ask() && len(w.nodes[0].upstream.Runs()) > 0 })
+			w.eventually("both are known", func() bool { return requestAll() && len(w.nodes[0].upstream.Runs()) > 0 })
 			leaver.upstream.AdvertiseLeaving()
-			w.eventually("an answer says it", ask)
+			w.eventually("an answer says it", requestAll)
 			leaver.upstream.SetHealthCheckSilent(test.quiet)
 			if test.restarts {
 				leaver.stop()
@@ -193,7 +193,7 @@
 			}
 			time.Sleep(100 * time.Millisecond) // what is under way ends
 			ran := len(leaver.upstream.Runs())
-			stop := w.callers("/a/x", 2*time.Millisecond, outside)
+			stop := w.startCallers("/a/x", 2*time.Millisecond, outside)
 			time.Sleep(time.Second)
 			stop()
 			qt.Check(t, len(leaver.upstream.Runs())-ran, qt.Equals, 0)
--- a/node/managed_test.go
+++ b/node/managed_test.go
@@ -31,14 +31,14 @@
 
 // world is a managed system on loopback: the store, and nodes with an upstream
 // each.
-type world struct {
+type testSystem struct {
 	t     *testing.T
 	store *platformtest.Store
 	url   string
-	nodes []*managed
+	nodes []*testNode
 	// strict is the nodes' RevokeWithin, and share their RolloutShare.
-	strict time.Duration
-	share  float64
+	revokeWithin time.Duration
+	rolloutShare float64
 	// adjust, if not nil, changes the settings of nodes that are added.
 	adjust func(s *settings.Settings)
 	// log takes the events of nodes.
@@ -46,14 +46,14 @@
 }
 
 // managed is a node with its upstream.
-type managed struct {
+type testNode struct {
 	settings settings.Settings
 	upstream *platformtest.Upstream
 	stop     func()
 }
 
-func newWorld(t *testing.T) *world {
-	w := &world{t: t, store: new(platformtest.Store), log: zerolog.Nop()}
+func newTestSystem(t *testing.T) *testSystem {
+	w := &testSystem{t: t, store: new(platformtest.Store), log: zerolog.Nop()}
 	server := httptest.NewServer(w.store)
 	w.url = server.URL
 	t.Cleanup(func() {
@@ -69,7 +69,7 @@
 
 // configure writes a manifest whose route /a/ leads to the service a and must not
 // repeat, and /b/ to the service b, with an extra one to b and more as given.
-func (w *world) configure(version int, extra string, more ...string) {
+func (w *testSystem) configure(version int, extra string, more ...string) {
 	list := []string{route("a", "non_idempotent", "a"), route("b", "idempotent", "b")}
 	if extra != "" {
 		list = append(list, route(extra, "idempotent", "b"))
@@ -95,18 +95,18 @@
 const (
 	// firstPort is the first of the ports that freeAddr chooses from, and ports their number.
 	firstPort = 10000
-	ports     = 50000
+	portCount = 50000
 )
 
 // given are the ports that freeAddr has returned. It tries none of them again: its node may not
 // listen yet, and would find its port taken.
-var given sync.Map
+var usedPorts sync.Map
 
 // freeAddr returns an address that is free now and that nobody else gets.
 func freeAddr(t *testing.T) string {
 	for {
-		port := firstPort + rand.IntN(ports)
-		if _, again := given.LoadOrStore(port, true); again {
+		port := firstPort + rand.IntN(portCount)
+		if _, again := usedPorts.LoadOrStore(port, true); again {
 			continue
 		}
 		addr := net.JoinHostPort(host, strconv.Itoa(port))
@@ -120,29 +120,29 @@
 }
 
 // add starts a node beside a new upstream of a service.
-func (w *world) add(service string, seeds ...string) *managed {
+func (w *testSystem) add(service string, seeds ...string) *testNode {
 	return w.addIn("z", service, seeds...)
 }
 
 // addIn does what add does, in an availability zone.
-func (w *world) addIn(zone, service string, seeds ...string) *managed {
+func (w *testSystem) addIn(zone, service string, seeds ...string) *testNode {
 	return w.addUpstream(zone, &platformtest.Upstream{Service: service}, seeds...)
 }
 
 // addUpstream starts a node in an availability zone beside an upstream, whose id, slots and
 // work are set.
-func (w *world) addUpstream(zone string, u *platformtest.Upstream, seeds ...string) *managed {
+func (w *testSystem) addUpstream(zone string, u *platformtest.Upstream, seeds ...string) *testNode {
 	id := "i-" + strconv.Itoa(len(w.nodes))
 	service := u.Service
 	u.ID, u.Slots, u.ServiceTime = id, cmp.Or(u.Slots, 8), 5*time.Millisecond
-	m := &managed{upstream: u}
+	m := &testNode{upstream: u}
 	addr, err := m.upstream.Start()
 	qt.Assert(w.t, err, qt.IsNil)
 	m.settings = settings.Settings{
 		Node: "n" + id, Region: "r", Zone: zone, Dialect: settings.DialectManaged,
 		CallerAddress: freeAddr(w.t), PeerAddress: freeAddr(w.t), AnnounceAddress: freeAddr(w.t), OperatorAddress: freeAddr(w.t),
 		PlatformURL: w.url, Service: service, UpstreamAddress: addr, Peers: strings.Join(seeds, ","),
-		EvacuateWithin: 2 * time.Second, ConfigWithin: 2 * time.Second, RevokeWithin: w.strict, RolloutShare: w.share, RollbackWithin: 5 * time.Second,
+		EvacuateWithin: 2 * time.Second, ConfigWithin: 2 * time.Second, RevokeWithin: w.revokeWithin, RolloutShare: w.rolloutShare, RollbackWithin: 5 * time.Second,
 		QuotaWindow: 5 * time.Second, QuotaOverage: 0.1, QuotaSlack: 20,
 		RetryRatio: 0.2, RetrySlack: 60, ReportBytes: 20000, ControlBytes: 100000, PlatformCalls: 100,
 		LeaveDelay: 50 * time.Millisecond, DrainTimeout: 2 * time.Second, MaxHeaderBytes: 1 << 16,
@@ -156,7 +156,7 @@
 }
 
 // run starts the process of a node.
-func (w *world) run(m *managed) {
+func (w *testSystem) run(m *testNode) {
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &node.Node{
 		Settings: m.settings,
@@ -182,7 +182,7 @@
 }
 
 // answer is what a caller got.
-type answer struct {
+type callerResponse struct {
 	status     int
 	body       string
 	signature  string
@@ -190,7 +190,7 @@
 }
 
 // ask sends a request to a node.
-func (m *managed) ask(method, path, id, body string) answer {
+func (m *testNode) request(method, path, id, body string) callerResponse {
 	r, _ := http.NewRequest(method, "http://"+m.settings.CallerAddress+path, strings.NewReader(body))
 	r.Host = "h.example"
 	if id != "" {
@@ -200,15 +200,15 @@
 	r.Header.Set(platformtest.CallerService, "forged")
 	response, err := http.DefaultTransport.RoundTrip(r)
 	if err != nil {
-		return answer{}
+		return callerResponse{}
 	}
 	defer response.Body.Close()
 	data, _ := io.ReadAll(response.Body)
-	return answer{response.StatusCode, string(data), response.Header.Get(platformtest.Signature), response.Header.Get("Retry-After")}
+	return callerResponse{response.StatusCode, string(data), response.Header.Get(platformtest.Signature), response.Header.Get("Retry-After")}
 }
 
 // ready returns whether the node calls itself ready.
-func (m *managed) ready() bool {
+func (m *testNode) ready() bool {
 	r, err := http.Get("http://" + m.settings.OperatorAddress + "/readyz")
 	if err != nil {
 		return false
@@ -219,7 +219,7 @@
 
 // eventually polls until f returns true. The bound is no expectation: it ends a
 // test that would never end.
-func (w *world) eventually(what string, f func() bool) {
+func (w *testSystem) eventually(what string, f func() bool) {
 	w.t.Helper()
 	for range 2000 {
 		if f() {
@@ -232,10 +232,10 @@
 
 // TestManaged takes a small system through what may happen to it.
 func TestManaged(t *testing.T) {
-	w := newWorld(t)
+	w := newTestSystem(t)
 	first, second := w.add("a"), w.add("b")
-	w.eventually("a node answers", func() bool { return first.ask("GET", "/a/x", "0", "").status != 0 })
-	early := first.ask("GET", "/a/x", "0", "")
+	w.eventually("a node answers", func() bool { return first.request("GET", "/a/x", "0", "").status != 0 })
+	early := first.request("GET", "/a/x", "0", "")
 	qt.Check(t, early.status, qt.Equals, 503, qt.Commentf("nothing is configured yet"))
 	wait, err := strconv.ParseFloat(early.retryAfter, 64)
 	qt.Check(t, err == nil && wait > 0 && wait < 1, qt.IsTrue, qt.Commentf("%q", early.retryAfter))
@@ -244,32 +244,32 @@
 	w.configure(1, "")
 	w.eventually("both are ready", func() bool { return first.ready() && second.ready() })
 	w.eventually("each finds the other's upstream by its health check", func() bool {
-		return first.ask("GET", "/b/x", "warm", "").status == 200 && second.ask("PUT", "/a/x", "warm", "").status == 200
+		return first.request("GET", "/b/x", "warm", "").status == 200 && second.request("PUT", "/a/x", "warm", "").status == 200
 	})
-	got := second.ask("PUT", "/a/x%2Fy?q=1", "one", "body")
-	qt.Check(t, got, qt.Equals, answer{status: 200, body: "i-0 ran one", signature: platformtest.Sign("i-0", "one")})
+	got := second.request("PUT", "/a/x%2Fy?q=1", "one", "body")
+	qt.Check(t, got, qt.Equals, callerResponse{status: 200, body: "i-0 ran one", signature: platformtest.Sign("i-0", "one")})
 	runs := first.upstream.Runs()
 	last := runs[len(runs)-1]
 	last.At = time.Time{}
 	qt.Check(t, last, qt.Equals, platformtest.Run{ID: "one", Method: "PUT", Path: "/a/x%2Fy?q=1", Body: "body", Caller: "b", Upstream: "i-0"})
-	qt.Check(t, first.ask("GET", "/c/x", "1", "").status, qt.Equals, 404)
-	qt.Check(t, first.ask("GET", "/b/x", "", "").status, qt.Equals, 503, qt.Commentf("no id is made up, and the upstream takes none without"))
+	qt.Check(t, first.request("GET", "/c/x", "1", "").status, qt.Equals, 404)
+	qt.Check(t, first.request("GET", "/b/x", "", "").status, qt.Equals, 503, qt.Commentf("no id is made up, and the upstream takes none without"))
 
 	w.store.SetFaults(platformtest.Faults{Status: 503})
-	qt.Check(t, second.ask("PUT", "/a/x", "away", "").status, qt.Equals, 200, qt.Commentf("the store is away"))
+	qt.Check(t, second.request("PUT", "/a/x", "away", "").status, qt.Equals, 200, qt.Commentf("the store is away"))
 	w.store.SetFaults(platformtest.Faults{})
 
 	w.configure(2, "c")
-	w.eventually("the new route is there", func() bool { return first.ask("GET", "/c/x", "new", "").status == 200 })
+	w.eventually("the new route is there", func() bool { return first.request("GET", "/c/x", "new", "").status == 200 })
 	w.configure(1, "")
 	time.Sleep(50 * time.Millisecond)
-	qt.Check(t, first.ask("GET", "/c/x", "kept", "").status, qt.Equals, 200, qt.Commentf("an older version changes nothing"))
+	qt.Check(t, first.request("GET", "/c/x", "kept", "").status, qt.Equals, 200, qt.Commentf("an older version changes nothing"))
 
 	first.upstream.Drain()
 	qt.Assert(t, first.upstream.SendHeartbeat(first.settings.AnnounceAddress), qt.IsTrue)
 	before := len(first.upstream.Runs())
 	for i := range 10 {
-		qt.Check(t, second.ask("PUT", "/a/x", fmt.Sprint("drained", i), "").status, qt.Equals, 503)
+		qt.Check(t, second.request("PUT", "/a/x", fmt.Sprint("drained", i), "").status, qt.Equals, 503)
 	}
 	qt.Check(t, len(first.upstream.Runs()), qt.Equals, before, qt.Commentf("an acknowledged drain binds"))
 }
@@ -277,17 +277,17 @@
 // TestManagedRestart stops a node beside a running upstream and starts it again:
 // it finds the upstream without an announcement, and nothing runs twice.
 func TestManagedRestart(t *testing.T) {
-	w := newWorld(t)
+	w := newTestSystem(t)
 	w.configure(1, "")
 	first, second := w.add("a"), w.add("b")
-	w.eventually("it serves", func() bool { return second.ask("PUT", "/a/x", "warm", "").status == 200 })
+	w.eventually("it serves", func() bool { return second.request("PUT", "/a/x", "warm", "").status == 200 })
 	first.stop()
-	qt.Check(t, second.ask("PUT", "/a/x", "gone", "").status, qt.Equals, 503)
+	qt.Check(t, second.request("PUT", "/a/x", "gone", "").status, qt.Equals, 503)
 	w.run(first)
 	n := 0
 	w.eventually("it serves again", func() bool {
 		n++
-		return second.ask("PUT", "/a/x", fmt.Sprint("again", n), "").status == 200
+		return second.request("PUT", "/a/x", fmt.Sprint("again", n), "").status == 200
 	})
 	seen := make(map[string]int)
 	for _, r := range first.upstream.Runs() {
@@ -302,29 +302,29 @@
 // TestManagedUpstreamReplaced has an upstream crash and another service's take
 // its address: requests for the old one don't run there.
 func TestManagedUpstreamReplaced(t *testing.T) {
-	w := newWorld(t)
+	w := newTestSystem(t)
 	w.configure(1, "")
 	first, second := w.add("a"), w.add("b")
-	w.eventually("it serves", func() bool { return second.ask("PUT", "/a/x", "warm", "").status == 200 })
+	w.eventually("it serves", func() bool { return second.request("PUT", "/a/x", "warm", "").status == 200 })
 	first.upstream.ID = "i-9"
-	qt.Check(t, second.ask("PUT", "/a/x", "other", "").status, qt.Equals, 503)
+	qt.Check(t, second.request("PUT", "/a/x", "other", "").status, qt.Equals, 503)
 	for _, r := range first.upstream.Runs() {
 		qt.Check(t, r.ID, qt.Not(qt.Equals), "other")
 	}
 	qt.Assert(t, first.upstream.SendHeartbeat(first.settings.AnnounceAddress), qt.IsTrue)
-	w.eventually("the new start serves", func() bool { return second.ask("PUT", "/a/x", "new", "").status == 200 })
+	w.eventually("the new start serves", func() bool { return second.request("PUT", "/a/x", "new", "").status == 200 })
 }
 
 // TestManagedStoreForgets has the store drop its history while its watches hear
 // nothing, and leave them open. The change that they have missed must be found
 // long before they end.
-func TestManagedStoreForgets(t *testing.T) {
-	w := newWorld(t)
+func TestManagedStoreDropsHistory(t *testing.T) {
+	w := newTestSystem(t)
 	w.configure(1, "")
 	first := w.add("b")
-	w.eventually("it serves", func() bool { return first.ask("GET", "/b/x", "warm", "").status == 200 })
+	w.eventually("it serves", func() bool { return first.request("GET", "/b/x", "warm", "").status == 200 })
 	w.store.SetFaults(platformtest.Faults{SilentWatches: true})
 	w.configure(2, "c")
 	w.store.DropHistory()
-	w.eventually("the change is found", func() bool { return first.ask("GET", "/c/x", "new", "").status == 200 })
+	w.eventually("the change is found", func() bool { return first.request("GET", "/c/x", "new", "").status == 200 })
 }
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -29,7 +29,7 @@
 }
 
 // newMetricSet returns the metrics of n.
-func newMetricSet(n *Node, reports, exchange *watch.Budget) *metricSet {
+func newMetricSet(n *Node, reportBudget, controlBudget *watch.Budget) *metricSet {
 	m := &metricSet{
 		set:           metrics.NewSet(),
 		platformCalls: func() uint64 { return 0 },
@@ -43,14 +43,14 @@
 	gauge(`sassafras_platform_era`, func() float64 { return float64(n.era()) })
 	gauge(`sassafras_evacuated_zones`, func() float64 { return float64(len(n.control.Snapshot().Evacuated.Zones)) })
 	for p := rollout.Trial; p <= rollout.RolledBack; p++ {
-		gauge(fmt.Sprintf(`sassafras_rollouts{phase=%q}`, p), func() float64 { return float64(n.rolloutsIn(p)) })
+		gauge(fmt.Sprintf(`sassafras_rollouts{phase=%q}`, p), func() float64 { return float64(n.countRollouts(p)) })
 	}
-	m.quotaGauges(n)
+	m.rateLimitGauges(n)
 	for _, s := range []quarantine.State{quarantine.SeenAtCrash, quarantine.Isolated, quarantine.Blocked} {
 		gauge(fmt.Sprintf(`sassafras_suspected_requests{standing=%q}`, s), func() float64 { return float64(n.suspects.Count(s)) })
 	}
 	gauge(`sassafras_platform_calls_total`, func() float64 { return float64(m.platformCalls()) })
-	for name, b := range map[string]*watch.Budget{"reports": reports, "control": exchange} {
+	for name, b := range map[string]*watch.Budget{"reports": reportBudget, "control": controlBudget} {
 		gauge(fmt.Sprintf(`sassafras_watch_bytes_total{part=%q}`, name), func() float64 { return float64(b.Bytes.Load()) })
 		gauge(fmt.Sprintf(`sassafras_watch_messages_total{part=%q}`, name), func() float64 { return float64(b.Messages.Load()) })
 		gauge(fmt.Sprintf(`sassafras_watch_denied_total{part=%q}`, name), func() float64 { return float64(b.Denied.Load()) })
@@ -77,7 +77,7 @@
 func (m *metricSet) upstreamGauges(n *Node) {
 	gauge := m.gauge
 	gauge(`sassafras_upstream_requests_total`, func() float64 { return float64(n.gate.RequestsWritten()) })
-	gauge(`sassafras_upstream_questions_total`, func() float64 { return float64(n.questions.Load()) })
+	gauge(`sassafras_upstream_questions_total`, func() float64 { return float64(n.healthChecks.Load()) })
 	gauge(`sassafras_upstream_limited`, func() float64 { return oneIf(n.gate.LimitAdvertised()) })
 	gauge(`sassafras_upstream_limit`, func() float64 { return n.gate.NoticeState().Limit.Rate })
 	gauge(`sassafras_upstream_limit_used`, func() float64 { return n.gate.NoticeState().Limit.Used })
@@ -102,13 +102,13 @@
 }
 
 // quotaGauges adds what the node knows of rate limits, which is nothing where there are none.
-func (m *metricSet) quotaGauges(n *Node) {
+func (m *metricSet) rateLimitGauges(n *Node) {
 	gauge := m.gauge
 	limits := func() ratelimit.State {
-		if n.limits == nil {
+		if n.rateLimiter == nil {
 			return ratelimit.State{}
 		}
-		return n.limits.State()
+		return n.rateLimiter.State()
 	}
 	gauge(`sassafras_quota_nodes`, func() float64 { return float64(limits().Nodes) })
 	gauge(`sassafras_quota_share_held`, func() float64 { return limits().HeldFraction })
@@ -154,7 +154,7 @@
 }
 
 // gateEnded counts a call at the gate.
-func (m *metricSet) gateEnded(service, class string, failure *verdict.Error, waited, took time.Duration) {
+func (m *metricSet) callEnded(service, class string, failure *verdict.Error, waited, took time.Duration) {
 	cause := "none"
 	if failure != nil {
 		cause = string(failure.Cause)
@@ -167,7 +167,7 @@
 }
 
 // requestsUnderWay adds how many requests of callers are under way.
-func (m *metricSet) requestsUnderWay(h *caller.Handler) {
+func (m *metricSet) addInFlightGauge(h *caller.Handler) {
 	m.gauge(`sassafras_requests_under_way`, func() float64 {
 		open, _ := h.RequestCounts()
 		return float64(open)
@@ -175,14 +175,14 @@
 }
 
 // drained counts what has ended by itself in a drain, and what was cut.
-func (m *metricSet) drained(ended int, cut standing) {
-	m.set.GetOrCreateCounter(`sassafras_drain_total{part="requests",end="itself"}`).Add(ended)
+func (m *metricSet) drained(completed int, cut trafficCount) {
+	m.set.GetOrCreateCounter(`sassafras_drain_total{part="requests",end="itself"}`).Add(completed)
 	m.set.GetOrCreateCounter(`sassafras_drain_total{part="requests",end="cut"}`).Add(cut.requests)
 	m.set.GetOrCreateCounter(`sassafras_drain_total{part="calls",end="cut"}`).Add(cut.calls)
 }
 
 // bodyIn takes in that the body of a call has arrived at the gate.
-func (m *metricSet) bodyIn(service, class string, bytes int64, took time.Duration) {
+func (m *metricSet) bodyReceived(service, class string, bytes int64, took time.Duration) {
 	m.set.GetOrCreateHistogram(fmt.Sprintf(`sassafras_gate_body_seconds{service=%q,class=%q}`, service, class)).Update(took.Seconds())
 	m.set.GetOrCreateCounter(fmt.Sprintf(`sassafras_gate_body_bytes_total{service=%q,class=%q}`, service, class)).Add(int(bytes))
 }
--- a/node/node.go
+++ b/node/node.go
@@ -39,21 +39,21 @@
 
 const (
 	// reportEvery is the least time between two load reports to one node.
-	reportEvery = 10 * time.Millisecond
+	minReportInterval = 10 * time.Millisecond
 	// reportSize is what a load report adds to an answer, in bytes.
-	reportSize = 60
+	reportSizeBytes = 60
 	// controlSavings is for how many seconds the budget of the control state is
 	// saved up, so that many changes at once, such as the start of a zone, are
 	// passed on quickly.
-	controlSavings = 10
+	controlBurstSeconds = 10
 	// headTimeout bounds the head of a caller's request, and idleTimeout an idle
 	// connection of a caller.
-	headTimeout = 10 * time.Second
-	idleTimeout = 2 * time.Minute
+	headerTimeout = 10 * time.Second
+	idleTimeout   = 2 * time.Minute
 	// bodyQueue is how long the link takes for the bodies that are under way to a
 	// node at once: a fraction of the silence after which a peer is given up, and
 	// many times the delay between zones, so that the link does not run dry.
-	bodyQueue = 40 * time.Millisecond
+	maxBodyQueueTime = 40 * time.Millisecond
 	// flushTimeout bounds the sending of the last traces.
 	flushTimeout = 2 * time.Second
 )
@@ -68,50 +68,50 @@
 	// follows. Otherwise each service has a configuration of its own.
 	Platform *Platform
 
-	tracer     trace.Tracer
-	metrics    *metricSet
-	gate       *gate.Gate
-	control    *control.Control
-	dispatcher *entry.Dispatcher
-	peers      *peer.Server
-	announced  *upstream.Announcements
-	claims     *claim.Store
-	evacuated  zoneLog
-	limits     *ratelimit.Limiter                // of organisations, or nil
-	rollouts   *canary.Runner                    // or nil, where none are ordered
-	orders     *objectapi.Lister                 // of the same
-	versions   versionCheck                      // of the upstream
-	suspects   quarantine.Index                  // the requests that upstreams have ended under
-	blocked    *blocklist.Store                  // of them, on the platform, or nil
-	api        objectapi.PollingAPI              // of Platform
-	store      *objectapi.JSONClient             // which makes its calls, or nil
-	discovery  *contact.Discovery                // finds other nodes by it
-	contacts   *contact.PlatformRegistry         // which is kept there
-	restored   chan struct{}                     // has a value when what was written there may be lost
-	reloaded   atomic.Pointer[settings.Settings] // nil until the settings change
-	learnt     chan struct{}                     // closed once the node has had the time to learn of the others
-	stalls     stall.Monitor
-	lines      logfmt.LineLimiter
-	successes  atomic.Uint64
-	configured atomic.Bool // whether the gate knows its service
-	keysStale  atomic.Bool // whether keys can't be judged, as the last request with one found
-	loadAsked  chan chan struct{}
-	asks       *rate.Limiter
-	calls      atomic.Uint64 // to the upstream, so far
-	questions  atomic.Uint64 // to its health check, so far
+	tracer           trace.Tracer
+	metrics          *metricSet
+	gate             *gate.Gate
+	control          *control.Control
+	dispatcher       *entry.Dispatcher
+	peers            *peer.Server
+	announcements    *upstream.Announcements
+	claims           *claim.Store
+	evacuated        evacuationTimes
+	rateLimiter      *ratelimit.Limiter                // of organisations, or nil
+	rollouts         *canary.Runner                    // or nil, where none are ordered
+	rolloutOrders    *objectapi.Lister                 // of the same
+	versions         versionCheck                      // of the upstream
+	suspects         quarantine.Index                  // the requests that upstreams have ended under
+	blocklist        *blocklist.Store                  // of them, on the platform, or nil
+	objects          objectapi.PollingAPI              // of Platform
+	platformClient   *objectapi.JSONClient             // which makes its calls, or nil
+	discovery        *contact.Discovery                // finds other nodes by it
+	contactRegistry  *contact.PlatformRegistry         // which is kept there
+	platformRestored chan struct{}                     // has a value when what was written there may be lost
+	reloadedSettings atomic.Pointer[settings.Settings] // nil until the settings change
+	discoveryDone    chan struct{}                     // closed once the node has had the time to learn of the others
+	stalls           stall.Monitor
+	lineLimit        logfmt.LineLimiter
+	successCount     atomic.Uint64
+	gateConfigured   atomic.Bool // whether the gate knows its service
+	keysStale        atomic.Bool // whether keys can't be judged, as the last request with one found
+	loadProbes       chan chan struct{}
+	loadProbeLimit   *rate.Limiter
+	callCount        atomic.Uint64 // to the upstream, so far
+	healthChecks     atomic.Uint64 // to its health check, so far
 
 	// announcing is held while the node's state is found and told, so that what
 	// is told last was found last. configuring is held while the gate is given
 	// its configuration.
-	announcing, configuring sync.Mutex
+	announceMu, configureMu sync.Mutex
 
-	mu        sync.Mutex
-	down      bool      // whether the prober says that the upstream is down
-	leaving   bool      // whether callers are sent away
-	closing   bool      // whether the gate refuses as well
-	draining  bool      // whether no requests are taken any more
-	endsAt    time.Time // when what is under way is cut, once requests are taken only that end before
-	stopProbe context.CancelFunc
+	mu           sync.Mutex
+	upstreamDown bool      // whether the prober says that the upstream is down
+	leaving      bool      // whether callers are sent away
+	gateDraining bool      // whether the gate refuses as well
+	draining     bool      // whether no requests are taken any more
+	cutAt        time.Time // when what is under way is cut, once requests are taken only that end before
+	stopProber   context.CancelFunc
 }
 
 // listeners are the node's open ports.
@@ -171,9 +171,9 @@
 	n.Log.Info().Str("zone", n.Settings.Zone).Str("callerAddress", l.caller.Addr().String()).Str("peerAddress", l.peer.Addr().String()).Msg("node started")
 	exit, cancel := n.serve(ctx, l)
 	defer cancel()
-	flushing, cancel := context.WithTimeout(exit, flushTimeout)
+	flushCtx, cancel := context.WithTimeout(exit, flushTimeout)
 	defer cancel()
-	if err := flush(flushing); err != nil {
+	if err := flush(flushCtx); err != nil {
 		n.Log.Warn().Err(err).Msg("last traces not sent")
 	}
 	n.Log.Info().Msg("node stopped")
@@ -181,7 +181,7 @@
 }
 
 // names returns the header fields in use.
-func (n *Node) names() upstream.FieldNames {
+func (n *Node) fieldNames() upstream.FieldNames {
 	if n.Platform != nil {
 		return n.Platform.FieldNames
 	}
@@ -198,12 +198,12 @@
 // published takes in a new view of the system.
 func (n *Node) published(s *control.Snapshot) {
 	n.dispatcher.SetServices(s.Services)
-	n.evacuated.set(s.Evacuated)
-	if n.limits != nil && s.Table != nil {
-		n.limits.SetOrganisations(s.Table.OrganisationSet())
+	n.evacuated.update(s.Evacuated)
+	if n.rateLimiter != nil && s.Table != nil {
+		n.rateLimiter.SetOrganisations(s.Table.OrganisationSet())
 	}
 	n.gate.SetEvacuated(s.Evacuated.Has(n.Settings.Zone))
-	n.rolloutsKnown(s.Rollouts)
+	n.rolloutsChanged(s.Rollouts)
 	if n.configureGate() {
 		go n.announce() // which waits for the goroutine that calls this
 	}
@@ -214,32 +214,32 @@
 // The snapshot is read under the lock, so that of two calls the later one has the
 // later snapshot.
 func (n *Node) configureGate() (changed bool) {
-	n.configuring.Lock()
-	defer n.configuring.Unlock()
+	n.configureMu.Lock()
+	defer n.configureMu.Unlock()
 	services := n.control.Snapshot().Services
-	a := n.announced.Current()
+	a := n.announcements.Current()
 	var config *operator.Service
 	if a != nil && services[a.Service] != nil {
 		config = &services[a.Service].Config
 	}
 	n.gate.Configure(config)
-	return n.configured.Swap(config != nil) != (config != nil)
+	return n.gateConfigured.Swap(config != nil) != (config != nil)
 }
 
 // serve runs the parts until ctx ends, and then stops them in order. It returns the
 // context of what is left to do.
 func (n *Node) serve(ctx context.Context, l *listeners) (exit context.Context, cancel context.CancelFunc) {
-	inner, stop := context.WithCancel(context.Background())
+	background, stop := context.WithCancel(context.Background())
 	defer stop()
-	complaints := n.serverLog()
-	requests, cut := context.WithCancelCause(context.Background())
-	defer cut(nil)
+	errorLog := n.serverLog()
+	requests, cancelRequests := context.WithCancelCause(context.Background())
+	defer cancelRequests(nil)
 	handler := n.callerHandler()
-	n.metrics.requestsUnderWay(handler)
+	n.metrics.addInFlightGauge(handler)
 	callers := &http.Server{
 		Handler:           handler,
-		ErrorLog:          complaints,
-		ReadHeaderTimeout: headTimeout,
+		ErrorLog:          errorLog,
+		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    n.Settings.MaxHeaderBytes,
 		Protocols:         new(http.Protocols),
@@ -251,76 +251,76 @@
 	callers.Protocols.SetUnencryptedHTTP2(true)
 	announce := &http.Server{
 		Handler:           n.announceHandler(),
-		ErrorLog:          complaints,
-		ReadHeaderTimeout: headTimeout,
+		ErrorLog:          errorLog,
+		ReadHeaderTimeout: headerTimeout,
 	}
 	operators := &http.Server{
 		Handler:           n.operatorHandler(),
-		ErrorLog:          complaints,
-		ReadHeaderTimeout: headTimeout,
+		ErrorLog:          errorLog,
+		ReadHeaderTimeout: headerTimeout,
 	}
-	controlCtx, stopControl := context.WithCancel(inner)
-	var all, controlling sync.WaitGroup
-	controlling.Go(func() { n.control.Run(controlCtx) })
+	controlCtx, stopControl := context.WithCancel(background)
+	var tasks, controlTasks sync.WaitGroup
+	controlTasks.Go(func() { n.control.Run(controlCtx) })
 	if n.Platform != nil {
-		controlling.Go(func() { n.follow(controlCtx, n.reader(n.api)) })
-		controlling.Go(func() { n.discovery.Run(controlCtx) })
-		controlling.Go(func() { n.keepWritten(controlCtx) })
-		all.Go(func() { n.findUpstream(inner) })
-		all.Go(func() { n.pollLoad(inner) })
-		all.Go(func() { n.limits.Run(inner) })
+		controlTasks.Go(func() { n.syncConfig(controlCtx, n.newConfigReader(n.objects)) })
+		controlTasks.Go(func() { n.discovery.Run(controlCtx) })
+		controlTasks.Go(func() { n.rewriteAfterRestore(controlCtx) })
+		tasks.Go(func() { n.discoverUpstream(background) })
+		tasks.Go(func() { n.pollLoad(background) })
+		tasks.Go(func() { n.rateLimiter.Run(background) })
 	}
 	if n.rollouts != nil {
-		controlling.Go(func() { n.rollouts.Run(controlCtx) })
-		controlling.Go(func() { n.confirmVersions(controlCtx) })
+		controlTasks.Go(func() { n.rollouts.Run(controlCtx) })
+		controlTasks.Go(func() { n.confirmVersions(controlCtx) })
 	}
-	if n.blocked != nil {
-		controlling.Go(func() { n.blocked.Run(controlCtx) })
+	if n.blocklist != nil {
+		controlTasks.Go(func() { n.blocklist.Run(controlCtx) })
 	}
-	all.Go(func() { n.stalls.Run(inner) })
-	all.Go(func() { n.awaitLearnt(inner) })
-	all.Go(func() { _ = n.peers.Run(inner, l.peer) })
+	tasks.Go(func() { n.stalls.Run(background) })
+	tasks.Go(func() { n.awaitDiscovery(background) })
+	tasks.Go(func() { _ = n.peers.Run(background, l.peer) })
 	callerConns := &caller.Listener{
 		Listener: l.caller,
 		Timeouts: n.callerBounds,
 	}
-	all.Go(func() { _ = callers.Serve(callerConns) })
-	all.Go(func() { _ = announce.Serve(l.announce) })
-	all.Go(func() { _ = operators.Serve(l.operator) })
+	tasks.Go(func() { _ = callers.Serve(callerConns) })
+	tasks.Go(func() { _ = announce.Serve(l.announce) })
+	tasks.Go(func() { _ = operators.Serve(l.operator) })
 	<-ctx.Done()
-	exit, cancel = n.exit(time.Now())
-	(&leaving{
-		node:    n,
-		callers: callers,
-		conns:   callerConns,
-		handler: handler,
-		cut:     cut,
-	}).leave()
+	exit, cancel = n.exitContext(time.Now())
+	(&shutdown{
+		node:           n,
+		callers:        callers,
+		listener:       callerConns,
+		handler:        handler,
+		cancelRequests: cancelRequests,
+	}).run()
 	if n.claims != nil {
-		n.leftOver(exit, "claims", n.claims.Wait)
+		n.awaitComponent(exit, "claims", n.claims.Wait)
 	}
 	stopControl()
-	n.leftOver(exit, "control", controlling.Wait)
+	n.awaitComponent(exit, "control", controlTasks.Wait)
 	n.dispatcher.Close()
-	n.lastCalls(exit)
+	n.awaitPeerCalls(exit)
 	stop()
 	_ = announce.Close()
 	_ = operators.Close()
-	n.leftOver(exit, "listeners", all.Wait)
+	n.awaitComponent(exit, "listeners", tasks.Wait)
 	return exit, cancel
 }
 
 // lastCalls lets the calls of other nodes go on as long as the process may live. Those
 // nodes may have to stop at the same time, and then answer for themselves.
-func (n *Node) lastCalls(exit context.Context) {
+func (n *Node) awaitPeerCalls(exit context.Context) {
 	ctx, cancel := context.WithTimeout(exit, settings.ExitReserve)
 	defer cancel()
 	_ = n.peers.Quiesce(ctx) // their nodes see the connection end
 }
 
 // leftOver waits for a part that ends, as long as the grace period allows.
-func (n *Node) leftOver(exit context.Context, part string, wait func()) {
+func (n *Node) awaitComponent(exit context.Context, component string, wait func()) {
 	if err := await(exit, wait); err != nil {
-		n.Log.Warn().Str("part", part).Err(err).Msg("not ended within the grace period")
+		n.Log.Warn().Str("part", component).Err(err).Msg("not ended within the grace period")
 	}
 }
--- a/node/nodes_test.go
+++ b/node/nodes_test.go
@@ -19,7 +19,7 @@
 // TestNodesListed asks a node for the nodes that it knows, and for its metrics, by which they are
 // compared: those of its process are among them.
 func TestNodesListed(t *testing.T) {
-	w := newWorld(t)
+	w := newTestSystem(t)
 	w.configure(1, "")
 	a, b := w.add("b"), w.add("b")
 	get := func(path string) []byte {
@@ -36,7 +36,7 @@
 		list = nil
 		return json.Unmarshal(get("/v1/nodes"), &list) == nil && len(list) == 2
 	})
-	for i, n := range []*managed{a, b} {
+	for i, n := range []*testNode{a, b} {
 		qt.Check(t, list[i], qt.Equals, operator.NodeAddress{
 			Node:    n.settings.Node,
 			Zone:    n.settings.Zone,
--- a/node/organisations.go
+++ b/node/organisations.go
@@ -17,17 +17,17 @@
 
 const (
 	// homeSubject is the subject of the order of nodes in which the first is the home.
-	homeSubject = "quota"
+	coordinatorSubject = "quota"
 	// homeCandidates is the number of nodes that are chosen from to be home of the rate
 	// limits: the first that answers. With a third of all nodes gone, one of them is there
 	// but for one time in 250.
-	homeCandidates = 5
+	coordinatorCandidates = 5
 	// listedOrganisations is how many are listed where no limit is asked for.
-	listedOrganisations = 50
+	defaultListed = 50
 )
 
 // rateLimits returns what bounds the requests of organisations.
-func (n *Node) rateLimits() *ratelimit.Limiter {
+func (n *Node) newRateLimiter() *ratelimit.Limiter {
 	s := &n.Settings
 	return &ratelimit.Limiter{
 		Bounds: quota.Bounds{
@@ -42,22 +42,22 @@
 			Control:     true,
 		},
 		Limits: peer.Limits{
-			SilenceTimeout:   peerSilence,
-			AckTimeout:       peerLoss,
-			HandshakeTimeout: peerHandshake,
+			SilenceTimeout:   peerSilenceTimeout,
+			AckTimeout:       peerAckTimeout,
+			HandshakeTimeout: peerHandshakeTimeout,
 		},
-		Clock:        n.clock(),
+		Clock:        n.newClock(),
 		Counters:     &n.metrics.control,
-		Coordinators: n.homes,
+		Coordinators: n.coordinators,
 		Members:      func() int { return n.control.Snapshot().Members },
 		Log:          n.Log,
 	}
 }
 
 // homes returns the nodes that are to be home of the rate limits, in order.
-func (n *Node) homes() []ratelimit.Peer {
+func (n *Node) coordinators() []ratelimit.Peer {
 	list := []ratelimit.Peer{}
-	for _, r := range n.control.RendezvousTop(homeSubject, homeCandidates) {
+	for _, r := range n.control.RendezvousTop(coordinatorSubject, coordinatorCandidates) {
 		list = append(list, ratelimit.Peer{
 			ID:   r.ID,
 			Addr: r.Addr,
@@ -69,17 +69,17 @@
 // listOrganisations answers with the organisations that have a rate limit, those with the
 // most requests refused here first.
 func (n *Node) listOrganisations(w http.ResponseWriter, r *http.Request) {
-	most := listedOrganisations
+	limit := defaultListed
 	if v := r.URL.Query().Get("limit"); v != "" {
 		var err error
-		if most, err = strconv.Atoi(v); err != nil || most < 0 {
+		if limit, err = strconv.Atoi(v); err != nil || limit < 0 {
 			http.Error(w, "limit: not a number", http.StatusBadRequest)
 			return
 		}
 	}
 	list := []operator.Organisation{}
-	if n.limits != nil {
-		for _, u := range n.limits.Usages(r.Context(), most) {
+	if n.rateLimiter != nil {
+		for _, u := range n.rateLimiter.Usages(r.Context(), limit) {
 			list = append(list, operator.Organisation{
 				Organisation:     u.Organisation,
 				Rate:             u.Limit.Rate,
--- a/node/platform.go
+++ b/node/platform.go
@@ -53,38 +53,38 @@
 	// have 400 ms and more. A node whose processor is allotted by the tenth of a second
 	// answers well within that, and so does one behind a link that loses a packet, whose
 	// first repetition comes after 200 ms.
-	peerSilence   = 600 * time.Millisecond
-	peerHandshake = 400 * time.Millisecond
+	peerSilenceTimeout   = 600 * time.Millisecond
+	peerHandshakeTimeout = 400 * time.Millisecond
 	// peerLoss is how long the kernel of a node may leave what was written to it without
 	// an acknowledgement before the requests there are given up. It does so while the
 	// node's process stands still, and late while its link is full or loses packets
 	// several times in a row.
-	peerLoss = 2 * time.Second
+	peerAckTimeout = 2 * time.Second
 	// storeTimeout bounds a call to the platform other than a watch. A store that
 	// is slowed down sixtyfold answers in a quarter of that.
-	storeTimeout = time.Second
+	platformTimeout = time.Second
 	// keepAliveIdle and keepAliveEvery find a connection to the platform that a
 	// partition has silenced, within keepAliveCount tries.
-	keepAliveIdle  = time.Second
-	keepAliveEvery = time.Second
-	keepAliveCount = 3
+	keepAliveIdle     = time.Second
+	keepAliveInterval = time.Second
+	keepAliveCount    = 3
 )
 
 // storeClient returns what makes the calls to the platform.
-func (n *Node) storeClient() *objectapi.JSONClient {
-	dialer := tcp.Dialer(storeTimeout, storeTimeout)
+func (n *Node) newJSONClient() *objectapi.JSONClient {
+	dialer := tcp.Dialer(platformTimeout, platformTimeout)
 	dialer.KeepAliveConfig = net.KeepAliveConfig{
 		Enable:   true,
 		Idle:     keepAliveIdle,
-		Interval: keepAliveEvery,
+		Interval: keepAliveInterval,
 		Count:    keepAliveCount,
 	}
 	return &objectapi.JSONClient{
 		URL:        n.Settings.PlatformURL,
-		Timeout:    storeTimeout,
+		Timeout:    platformTimeout,
 		OnSkipped:  n.objectSkipped,
 		ParseEra:   n.Platform.ParseEra,
-		OnRejected: n.answerRefused,
+		OnRejected: n.responseRejected,
 		OnCall:     n.metrics.platformCalled,
 		Limiter:    rate.NewLimiter(rate.Limit(n.Settings.PlatformCalls), int(n.Settings.PlatformCalls)),
 		HTTPClient: &http.Client{
@@ -98,13 +98,13 @@
 }
 
 // objectSkipped logs why an object of the platform is left out.
-func (n *Node) objectSkipped(reason error) { n.warnOfOther("object left out", reason) }
+func (n *Node) objectSkipped(reason error) { n.warnInvalid("object left out", reason) }
 
 // answerRefused logs why an answer of the platform is not used.
-func (n *Node) answerRefused(reason error) { n.warnOfOther("platform not believed", reason) }
+func (n *Node) responseRejected(reason error) { n.warnInvalid("platform not believed", reason) }
 
 // tableFound takes in an object of the table's kind.
-func (n *Node) tableFound(o *objectapi.Object) {
+func (n *Node) applyTable(o *objectapi.Object) {
 	if o.Metadata.Name != n.Platform.TableName {
 		return
 	}
@@ -113,14 +113,14 @@
 		n.Log.Error().Err(err).Str("revision", o.Metadata.ResourceVersion).Msg("configuration refused")
 		return
 	}
-	if v := n.version(); t.Version < v && n.lines.Allow("older", otherLines, 1) {
+	if v := n.version(); t.Version < v && n.lineLimit.Allow("older", invalidLinesPerSecond, 1) {
 		n.Log.Warn().Uint64("version", t.Version).Uint64("inForce", v).Str("revision", o.Metadata.ResourceVersion).Msg("configuration is older than the one in force, which stays")
 	}
 	n.control.ApplyTable(t)
 }
 
 // book returns the nodes' addresses as the platform holds them.
-func (n *Node) book(api objectapi.Objects) *contact.PlatformRegistry {
+func (n *Node) newContactRegistry(api objectapi.Objects) *contact.PlatformRegistry {
 	return &contact.PlatformRegistry{
 		API:  api,
 		Node: n.Settings.Node,
--- a/node/popular_test.go
+++ b/node/popular_test.go
@@ -18,15 +18,15 @@
 )
 
 // tally counts requests and those of them that were served.
-type tally struct {
+type outcomeCounter struct {
 	sent, served atomic.Int64
 
-	mu      sync.Mutex
-	refused map[string]int // the answers that the others got
+	mu             sync.Mutex
+	otherResponses map[string]int // the answers that the others got
 }
 
 // add counts one request.
-func (t *tally) add(a answer) {
+func (t *outcomeCounter) add(a callerResponse) {
 	t.sent.Add(1)
 	if a.status == 200 {
 		t.served.Add(1)
@@ -34,21 +34,23 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.refused == nil {
-		t.refused = make(map[string]int)
+	if t.otherResponses == nil {
+		t.otherResponses = make(map[string]int)
 	}
-	t.refused[a.body]++
+	t.otherResponses[a.body]++
 }
 
 // share returns the part that was served.
-func (t *tally) share() float64 { return float64(t.served.Load()) / float64(t.sent.Load()) }
+func (t *outcomeCounter) servedFraction() float64 {
+	return float64(t.served.Load()) / float64(t.sent.Load())
+}
 
 // popularWorld is a fatalWorld in which requests to /once/ are sent to one upstream only.
-func popularWorld(t *testing.T, fatal func(r platformtest.Run) bool, upstreams int) (*mortals, []*managed) {
-	m, nodes := fatalWorld(t, fatal, upstreams)
-	m.w.configure(2, "", route("once", "non_idempotent", "b"))
+func newPopularSystem(t *testing.T, fatal func(r platformtest.Run) bool, upstreams int) (*crashingUpstreams, []*testNode) {
+	m, nodes := newFatalSystem(t, fatal, upstreams)
+	m.system.configure(2, "", route("once", "non_idempotent", "b"))
 	for _, n := range nodes {
-		m.w.eventually("the route is there", func() bool { return n.ask("PUT", "/once/x", "warm", "").status == 200 })
+		m.system.eventually("the route is there", func() bool { return n.request("PUT", "/once/x", "warm", "").status == 200 })
 	}
 	return m, nodes
 }
@@ -80,9 +82,9 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			m, nodes := popularWorld(t, func(r platformtest.Run) bool { return strings.HasPrefix(r.Body, "bug") }, test.upstreams)
-			var during, after tally
-			var phase atomic.Pointer[tally]
+			m, nodes := newPopularSystem(t, func(r platformtest.Run) bool { return strings.HasPrefix(r.Body, "bug") }, test.upstreams)
+			var during, after outcomeCounter
+			var phase atomic.Pointer[outcomeCounter]
 			phase.Store(&during)
 			done := make(chan struct{})
 			var calling sync.WaitGroup
@@ -96,7 +98,7 @@
 							return
 						default:
 						}
-						got := nodes[i%len(nodes)].ask("GET", fmt.Sprint("/b/popular", i%test.kinds), fmt.Sprint("p-", c, "-", i), "")
+						got := nodes[i%len(nodes)].request("GET", fmt.Sprint("/b/popular", i%test.kinds), fmt.Sprint("p-", c, "-", i), "")
 						if p := phase.Load(); p != nil {
 							p.add(got)
 						}
@@ -107,17 +109,17 @@
 					}
 				})
 			}
-			time.Sleep(settle)
+			time.Sleep(settleTime)
 			harmful := 0
 			for round := range 10 {
-				nodes[round%len(nodes)].ask("PUT", test.bugs, fmt.Sprint("bug-", round), fmt.Sprint("bug-", round))
+				nodes[round%len(nodes)].request("PUT", test.bugs, fmt.Sprint("bug-", round), fmt.Sprint("bug-", round))
 				if test.fatal {
-					time.Sleep(settle)
-					before := m.ended()
-					nodes[round%len(nodes)].ask("PUT", "/b/report", fmt.Sprint("fatal-", round), "bug, always the same")
-					harmful += m.ended() - before
+					time.Sleep(settleTime)
+					before := m.crashCount()
+					nodes[round%len(nodes)].request("PUT", "/b/report", fmt.Sprint("fatal-", round), "bug, always the same")
+					harmful += m.crashCount() - before
 				}
-				time.Sleep(settle)
+				time.Sleep(settleTime)
 			}
 			phase.Store(nil)
 			time.Sleep(time.Second)
@@ -125,12 +127,12 @@
 			time.Sleep(time.Second)
 			close(done)
 			calling.Wait()
-			t.Logf("%d upstreams ended; served %d of %d during, %d of %d after; %d ended under the harmful one", m.ended(), during.served.Load(), during.sent.Load(), after.served.Load(), after.sent.Load(), harmful)
-			t.Logf("not served: %v %v", during.refused, after.refused)
-			qt.Check(t, m.ended() >= 5, qt.IsTrue, qt.Commentf("each of the others is new"))
-			qt.Check(t, during.share() >= 0.99, qt.IsTrue, qt.Commentf("%f", during.share()))
-			qt.Check(t, after.share() >= 0.999, qt.IsTrue, qt.Commentf("%f", after.share()))
-			qt.Check(t, harmful <= allowedEnds, qt.IsTrue, qt.Commentf("%d", harmful))
+			t.Logf("%d upstreams ended; served %d of %d during, %d of %d after; %d ended under the harmful one", m.crashCount(), during.served.Load(), during.sent.Load(), after.served.Load(), after.sent.Load(), harmful)
+			t.Logf("not served: %v %v", during.otherResponses, after.otherResponses)
+			qt.Check(t, m.crashCount() >= 5, qt.IsTrue, qt.Commentf("each of the others is new"))
+			qt.Check(t, during.servedFraction() >= 0.99, qt.IsTrue, qt.Commentf("%f", during.servedFraction()))
+			qt.Check(t, after.servedFraction() >= 0.999, qt.IsTrue, qt.Commentf("%f", after.servedFraction()))
+			qt.Check(t, harmful <= maxCrashes, qt.IsTrue, qt.Commentf("%d", harmful))
 		})
 	}
 }
--- a/node/ratelimit_test.go
+++ b/node/ratelimit_test.go
@@ -24,30 +24,30 @@
 
 // limited is a system of five nodes whose route /b/ needs a key. The organisations small and
 // big have the keys k-small and k-big.
-type limited struct {
-	*world
+type rateLimitedSystem struct {
+	*testSystem
 	sent atomic.Int64
 }
 
-func newLimited(t *testing.T, rate, burst float64) *limited {
-	l := &limited{world: newWorld(t)}
+func newLimited(t *testing.T, rate, burst float64) *rateLimitedSystem {
+	l := &rateLimitedSystem{testSystem: newTestSystem(t)}
 	l.limit(1, rate, burst)
 	for i := range 5 {
 		l.addIn([]string{"y", "z"}[i%2], "b")
 	}
-	l.serving()
+	l.awaitServing()
 	return l
 }
 
 // limit writes a configuration with the limit of small.
-func (l *limited) limit(version int, rate, burst float64) {
+func (l *rateLimitedSystem) limit(version int, rate, burst float64) {
 	l.store.Put("config", "main", rawJSON(fmt.Sprintf(`{"version":"r%d","services":[{"name":"b","healthPath":"/healthz"}],
  "tenants":[{"name":"small","apiKeys":["k-small"],"ratePerS":%g,"burst":%g},{"name":"big","apiKeys":["k-big"],"ratePerS":10000,"burst":10000}],
  "virtualHosts":[{"host":"h.example","paths":[%s]}]}`, version, rate, burst, route("b", "idempotent", "b"))))
 }
 
 // as sends a request with a key to a node.
-func (l *limited) as(key string, n *managed) (status int, after time.Duration) {
+func (l *rateLimitedSystem) request(key string, n *testNode) (status int, after time.Duration) {
 	l.t.Helper()
 	id := l.sent.Add(1)
 	r, err := http.NewRequest("PUT", "http://"+n.settings.CallerAddress+"/b/x", strings.NewReader(""))
@@ -66,18 +66,18 @@
 }
 
 // serving waits until each node lets requests in.
-func (l *limited) serving() {
+func (l *rateLimitedSystem) awaitServing() {
 	l.t.Helper()
 	for _, n := range l.nodes {
 		l.eventually("each node serves", func() bool {
-			status, _ := l.as("k-big", n)
+			status, _ := l.request("k-big", n)
 			return status == 200
 		})
 	}
 }
 
 // organisations returns what a node tells of organisations.
-func (l *limited) organisations(n *managed) map[string]operator.Organisation {
+func (l *rateLimitedSystem) organisations(n *testNode) map[string]operator.Organisation {
 	r, err := http.Get("http://" + n.settings.OperatorAddress + "/v1/organisations")
 	if err != nil {
 		return nil
@@ -100,7 +100,7 @@
 	const rate, burst = 20, 10
 	l := newLimited(t, rate, burst)
 	l.eventually("the home has all rights for long enough to say that the limit is reached", func() bool {
-		status, _ := l.as("k-small", l.nodes[1])
+		status, _ := l.request("k-small", l.nodes[1])
 		return status == 429
 	})
 	before := l.organisations(l.nodes[0])
@@ -108,7 +108,7 @@
 	var granted, refused int
 	for time.Since(began) < 3*time.Second {
 		for _, n := range l.nodes {
-			switch status, after := l.as("k-small", n); status {
+			switch status, after := l.request("k-small", n); status {
 			case 200:
 				granted++
 			case 429:
@@ -118,7 +118,7 @@
 				t.Errorf("status %d", status)
 			}
 		}
-		status, _ := l.as("k-big", l.nodes[0])
+		status, _ := l.request("k-big", l.nodes[0])
 		qt.Check(t, status, qt.Equals, 200)
 	}
 	took := time.Since(began).Seconds()
@@ -128,16 +128,16 @@
 	qt.Check(t, float64(granted) >= rate*took*0.8, qt.IsTrue, qt.Commentf("%d", granted))
 	qt.Check(t, refused > granted, qt.IsTrue)
 
-	told := l.organisations(l.nodes[0])
-	qt.Check(t, told["small"].RefusedOverLimit > 0, qt.IsTrue)
-	qt.Check(t, told["small"].TotalRate > 0, qt.IsTrue)
-	qt.Check(t, told["small"].Rate, qt.Equals, float64(rate))
-	qt.Check(t, told["big"].RefusedOverLimit, qt.Equals, before["big"].RefusedOverLimit)
+	reported := l.organisations(l.nodes[0])
+	qt.Check(t, reported["small"].RefusedOverLimit > 0, qt.IsTrue)
+	qt.Check(t, reported["small"].TotalRate > 0, qt.IsTrue)
+	qt.Check(t, reported["small"].Rate, qt.Equals, float64(rate))
+	qt.Check(t, reported["big"].RefusedOverLimit, qt.Equals, before["big"].RefusedOverLimit)
 }
 
 // TestRateLimitOverRestarts has all nodes start anew, one after the other and then all at
 // once, in a rush by all of them, and a lower limit come in its midst.
-func TestRateLimitOverRestarts(t *testing.T) {
+func TestRateLimitAcrossRestarts(t *testing.T) {
 	l := newLimited(t, 40, 40)
 	const (
 		callers = 4 // at each node
@@ -149,9 +149,9 @@
 	var granted []time.Time
 	var lowered time.Time
 	began := time.Now()
-	call := func(n *managed, until time.Time) {
+	call := func(n *testNode, until time.Time) {
 		for time.Now().Before(until) {
-			if status, _ := l.as("k-small", n); status == 200 {
+			if status, _ := l.request("k-small", n); status == 200 {
 				mu.Lock()
 				granted = append(granted, time.Now())
 				mu.Unlock()
@@ -159,7 +159,7 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 	}
-	rush := func(d time.Duration) {
+	burst := func(d time.Duration) {
 		until := time.Now().Add(d)
 		var all sync.WaitGroup
 		for _, n := range l.nodes {
@@ -172,10 +172,10 @@
 	for _, n := range l.nodes {
 		n.stop()
 		l.run(n)
-		rush(time.Second)
+		burst(time.Second)
 	}
 	l.limit(2, 10, 10)
-	rush(2 * time.Second) // in which all learn of it
+	burst(2 * time.Second) // in which all learn of it
 	lowered = time.Now()
 	for _, n := range l.nodes {
 		n.stop()
@@ -183,8 +183,8 @@
 	for _, n := range l.nodes {
 		l.run(n)
 	}
-	l.serving()
-	rush(2 * time.Second)
+	l.awaitServing()
+	burst(2 * time.Second)
 	all := time.Since(began).Seconds()
 	later := time.Since(lowered).Seconds()
 	var after int
--- a/node/reload.go
+++ b/node/reload.go
@@ -15,24 +15,24 @@
 // the node runs are in force at once; of the others the log says that they wait
 // for the next start. It may be called from any goroutine.
 func (n *Node) Reload(s settings.Settings) {
-	var live, waiting []string
-	old := n.live()
-	was, now := reflect.ValueOf(old), reflect.ValueOf(s)
-	for i := range now.NumField() {
-		name := now.Type().Field(i).Name
+	var applied, deferred []string
+	old := n.activeSettings()
+	oldFields, newFields := reflect.ValueOf(old), reflect.ValueOf(s)
+	for i := range newFields.NumField() {
+		name := newFields.Type().Field(i).Name
 		switch {
-		case was.Field(i).Interface() == now.Field(i).Interface():
+		case oldFields.Field(i).Interface() == newFields.Field(i).Interface():
 		case reloadable[name]:
-			live = append(live, name)
+			applied = append(applied, name)
 		default:
-			waiting = append(waiting, name)
+			deferred = append(deferred, name)
 		}
 	}
 	next := old
 	next.RetryRatio = s.RetryRatio
 	next.RetrySlack = s.RetrySlack
-	n.reloaded.Store(&next)
-	n.Log.Info().Str("inForce", strings.Join(live, ",")).Str("atNextStart", strings.Join(waiting, ",")).Msg("settings read again")
+	n.reloadedSettings.Store(&next)
+	n.Log.Info().Str("inForce", strings.Join(applied, ",")).Str("atNextStart", strings.Join(deferred, ",")).Msg("settings read again")
 }
 
 // reloadable names the settings that are read anew each time they are used.
@@ -42,8 +42,8 @@
 }
 
 // live returns the settings in force.
-func (n *Node) live() settings.Settings {
-	if s := n.reloaded.Load(); s != nil {
+func (n *Node) activeSettings() settings.Settings {
+	if s := n.reloadedSettings.Load(); s != nil {
 		return *s
 	}
 	return n.Settings
--- a/node/restore.go
+++ b/node/restore.go
@@ -21,10 +21,10 @@
 
 // era returns the platform's latest era that is known, or 0 if it has none.
 func (n *Node) era() uint64 {
-	if n.store == nil {
+	if n.platformClient == nil {
 		return 0
 	}
-	return n.store.Era()
+	return n.platformClient.Era()
 }
 
 // eraChanged takes in that the platform has named a later era, here or to another node. If
@@ -37,35 +37,35 @@
 	}
 	n.Log.Warn().Uint64("oldEra", e.Old).Uint64("era", e.New).Uint64("version", n.version()).Msg("platform has come back from a copy")
 	select {
-	case n.restored <- struct{}{}:
+	case n.platformRestored <- struct{}{}:
 	default:
 	}
 }
 
 // keepWritten writes what this node keeps on the platform again whenever that may have been
 // lost, until ctx ends.
-func (n *Node) keepWritten(ctx context.Context) {
-	var writing sync.WaitGroup
-	defer writing.Wait()
-	stop := func() {}
+func (n *Node) rewriteAfterRestore(ctx context.Context) {
+	var writes sync.WaitGroup
+	defer writes.Wait()
+	cancel := func() {}
 	for {
 		select {
 		case <-ctx.Done():
-			stop()
+			cancel()
 			return
-		case <-n.restored:
+		case <-n.platformRestored:
 		}
-		stop() // what is still being tried begins anew
-		var again context.Context
-		again, stop = context.WithCancel(ctx)
-		writing.Go(func() { n.writeAgain(again) })
+		cancel() // what is still being tried begins anew
+		var writeCtx context.Context
+		writeCtx, cancel = context.WithCancel(ctx)
+		writes.Go(func() { n.rewriteEntries(writeCtx) })
 	}
 }
 
 // writeAgain writes what this node keeps on the platform.
-func (n *Node) writeAgain(ctx context.Context) {
+func (n *Node) rewriteEntries(ctx context.Context) {
 	sleep.For(ctx, rand.N(rewriteSpread))
-	n.contacts.Restore(ctx)
+	n.contactRegistry.Restore(ctx)
 	if n.control.IsFirstInZone() {
 		n.saveBlocks(ctx)
 	}
@@ -73,9 +73,9 @@
 
 // saveBlocks writes the requests that are blocked as far as this node knows.
 func (n *Node) saveBlocks(ctx context.Context) {
-	for _, j := range n.suspects.All() {
-		if j.State == quarantine.Blocked {
-			n.blocked.Save(ctx, j)
+	for _, assessment := range n.suspects.All() {
+		if assessment.State == quarantine.Blocked {
+			n.blocklist.Save(ctx, assessment)
 		}
 	}
 }
--- a/node/restore_test.go
+++ b/node/restore_test.go
@@ -25,20 +25,20 @@
 )
 
 // newEraWorld is a system whose store names eras.
-func newEraWorld(t *testing.T) *world {
-	w := newWorld(t)
+func newEraSystem(t *testing.T) *testSystem {
+	w := newTestSystem(t)
 	w.store.Era = 3
 	return w
 }
 
 // closable is a way to the store that can be closed.
-type closable struct {
+type switchableStore struct {
 	store http.Handler
-	away  atomic.Bool
+	off   atomic.Bool
 }
 
-func (x *closable) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if x.away.Load() {
+func (x *switchableStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if x.off.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -46,7 +46,7 @@
 }
 
 // era returns the era that a node knows, as its metrics have it.
-func (m *managed) era() string {
+func (m *testNode) era() string {
 	r, err := http.Get("http://" + m.settings.OperatorAddress + "/metrics")
 	if err != nil {
 		return ""
@@ -59,7 +59,7 @@
 }
 
 // allInEra waits until all nodes know an era.
-func (z *zoned) allInEra(era string) {
+func (z *zonedSystem) awaitEra(era string) {
 	z.t.Helper()
 	for _, n := range z.all() {
 		z.eventually("each knows the era "+era, func() bool { return n.era() == era })
@@ -67,26 +67,26 @@
 }
 
 // newRoute waits until all nodes have a route.
-func (z *zoned) newRoute(name string) {
+func (z *zonedSystem) awaitRoute(name string) {
 	z.t.Helper()
 	for _, n := range z.all() {
 		z.sent++
-		z.eventually("each has the route "+name, func() bool { return n.ask("GET", "/"+name+"/x", fmt.Sprint("r-", z.sent), "").status == 200 })
+		z.eventually("each has the route "+name, func() bool { return n.request("GET", "/"+name+"/x", fmt.Sprint("r-", z.sent), "").status == 200 })
 	}
 }
 
 // newCutZoned is a system of two zones, one node of each of which reaches the store by a way
 // that can be closed.
-func newCutZoned(t *testing.T) (*zoned, *closable) {
-	w := newEraWorld(t)
-	way := &closable{store: w.store}
-	server := httptest.NewServer(way)
+func newCutZoned(t *testing.T) (*zonedSystem, *switchableStore) {
+	w := newEraSystem(t)
+	proxy := &switchableStore{store: w.store}
+	server := httptest.NewServer(proxy)
 	t.Cleanup(func() {
 		server.CloseClientConnections()
 		server.Close()
 	})
 	open := w.url
-	z := &zoned{world: w}
+	z := &zonedSystem{testSystem: w}
 	z.configure(1, "")
 	for _, url := range []string{open, server.URL} {
 		w.url = url
@@ -94,8 +94,8 @@
 		z.far = append(z.far, z.addIn("z", "b"))
 	}
 	w.url = open
-	z.serving()
-	return z, way
+	z.awaitServing()
+	return z, proxy
 }
 
 // TestRestoredPlatform has the store be away for a moment and come back from a copy that is
@@ -103,78 +103,78 @@
 // each zone away. Callers see the table and the zones as they were; what the operator writes
 // then binds at once, though its revisions were given out before.
 func TestRestoredPlatform(t *testing.T) {
-	z, way := newCutZoned(t)
+	z, proxy := newCutZoned(t)
 	z.eventually("both zones are used", func() bool {
 		for _, n := range z.all() {
-			z.ask(n)
+			z.request(n)
 		}
-		return z.runs(z.near) > 0 && z.runs(z.far) > 0
+		return z.runCount(z.near) > 0 && z.runCount(z.far) > 0
 	})
-	copied := z.store.Snapshot()
+	backup := z.store.Snapshot()
 	z.configure(2, "c")
 	z.evacuate("z", true)
 	for i := range 50 { // revisions that the next eras don't reach
 		z.store.Put("other", fmt.Sprint(i), i)
 	}
-	z.known(1)
-	z.newRoute("c")
-	z.untouched(z.far)
-	reached := z.runs(z.far)
+	z.awaitEvacuated(1)
+	z.awaitRoute("c")
+	z.checkUnused(z.far)
+	reached := z.runCount(z.far)
 
-	way.away.Store(true)
+	proxy.off.Store(true)
 	for _, era := range []string{"4", "5"} {
 		z.store.SetFaults(platformtest.Faults{Status: 503})
-		z.untouched(z.far)
-		z.store.Restore(copied)
+		z.checkUnused(z.far)
+		z.store.Restore(backup)
 		z.store.SetFaults(platformtest.Faults{})
-		z.allInEra(era)
-		z.untouched(z.far)
+		z.awaitEra(era)
+		z.checkUnused(z.far)
 		for _, n := range z.all() {
-			qt.Check(t, n.ask("GET", "/c/x", "kept-"+era, "").status, qt.Equals, 200, qt.Commentf("the table does not revert"))
+			qt.Check(t, n.request("GET", "/c/x", "kept-"+era, "").status, qt.Equals, 200, qt.Commentf("the table does not revert"))
 			qt.Check(t, z.zones(n), qt.HasLen, 1, qt.Commentf("nor does the evacuation"))
 		}
 	}
 	z.evacuate("y", true) // before the other one is written again
-	z.known(2)
+	z.awaitEvacuated(2)
 	z.evacuate("y", false)
-	z.known(1)
+	z.awaitEvacuated(1)
 	z.evacuate("z", true)
 	z.configure(2, "c")
-	z.untouched(z.far)
+	z.checkUnused(z.far)
 	z.configure(3, "d")
-	z.newRoute("d")
-	qt.Check(t, z.runs(z.far), qt.Equals, reached, qt.Commentf("nothing reached the zone, over all of that"))
+	z.awaitRoute("d")
+	qt.Check(t, z.runCount(z.far), qt.Equals, reached, qt.Commentf("nothing reached the zone, over all of that"))
 
-	way.away.Store(false)
+	proxy.off.Store(false)
 	z.evacuate("z", false)
-	z.known(0)
+	z.awaitEvacuated(0)
 	z.eventually("the zone serves again", func() bool {
-		z.ask(z.far[0])
-		return z.runs(z.far) > reached
+		z.request(z.far[0])
+		return z.runCount(z.far) > reached
 	})
 }
 
 // TestRestartAfterRestore restarts nodes of an evacuated zone while the store has lost the
 // evacuation and the table: they hear of both from the others.
 func TestRestartAfterRestore(t *testing.T) {
-	z, way := newCutZoned(t)
-	copied := z.store.Snapshot()
+	z, proxy := newCutZoned(t)
+	backup := z.store.Snapshot()
 	z.configure(2, "c")
 	z.evacuate("z", true)
-	z.known(1)
-	z.newRoute("c")
+	z.awaitEvacuated(1)
+	z.awaitRoute("c")
 
-	z.store.Restore(copied)
-	z.allInEra("4")
+	z.store.Restore(backup)
+	z.awaitEra("4")
 	z.far[0].stop()
 	z.run(z.far[0])
-	way.away.Store(true)
+	proxy.off.Store(true)
 	z.far[1].stop()
 	z.run(z.far[1])
-	z.known(1)
-	z.newRoute("c")
-	z.serving()
-	z.untouched(z.far)
+	z.awaitEvacuated(1)
+	z.awaitRoute("c")
+	z.awaitServing()
+	z.checkUnused(z.far)
 	z.evacuate("z", true)
 	written := z.store.Revision(platform.EvacuationKind, "z")
 	for _, n := range z.all() {
@@ -184,21 +184,21 @@
 		})
 	}
 	z.evacuate("z", false)
-	z.known(0)
+	z.awaitEvacuated(0)
 }
 
 // TestContactsAfterRestore has the store lose the addresses of the nodes: they are written
 // again, twice in a row.
 func TestContactsAfterRestore(t *testing.T) {
-	w := newEraWorld(t)
+	w := newEraSystem(t)
 	w.configure(1, "")
 	empty := w.store.Snapshot()
-	var nodes []*managed
+	var nodes []*testNode
 	for range 6 {
 		nodes = append(nodes, w.add("b"))
 	}
 	for _, n := range nodes {
-		w.eventually("each node serves", func() bool { return n.ask("GET", "/b/x", "warm", "").status == 200 })
+		w.eventually("each node serves", func() bool { return n.request("GET", "/b/x", "warm", "").status == 200 })
 	}
 	w.eventually("some stand there", func() bool { return len(w.store.Names(contact.Kind)) > 0 })
 	time.Sleep(time.Second) // for others that write themselves in at the start
@@ -221,29 +221,29 @@
 // TestBlocksAfterRestore has the store lose the block of a fatal request: the block is written
 // again, and the request ends no more upstreams.
 func TestBlocksAfterRestore(t *testing.T) {
-	w := newEraWorld(t)
-	m, nodes := fatalWorldIn(w, func(r platformtest.Run) bool { return r.Body == "fatal" }, 3)
-	copied := w.store.Snapshot()
+	w := newEraSystem(t)
+	m, nodes := newFatalSystemIn(w, func(r platformtest.Run) bool { return r.Body == "fatal" }, 3)
+	backup := w.store.Snapshot()
 	for i := range 6 {
-		nodes[0].ask("PUT", "/b/report", fmt.Sprint("fatal-", i), "fatal")
-		time.Sleep(settle)
+		nodes[0].request("PUT", "/b/report", fmt.Sprint("fatal-", i), "fatal")
+		time.Sleep(settleTime)
 	}
 	w.eventually("the block is kept", func() bool { return len(w.store.Names(blocklist.Kind)) == 1 })
-	ended := m.ended()
-	w.store.Restore(copied)
+	crashes := m.crashCount()
+	w.store.Restore(backup)
 	w.eventually("the block is written again", func() bool { return len(w.store.Names(blocklist.Kind)) == 1 })
 	for i, n := range nodes {
-		n.ask("PUT", "/b/report", fmt.Sprint("again-", i), "fatal")
+		n.request("PUT", "/b/report", fmt.Sprint("again-", i), "fatal")
 	}
-	qt.Check(t, m.ended(), qt.Equals, ended)
+	qt.Check(t, m.crashCount(), qt.Equals, crashes)
 }
 
 // TestReleaseAfterRestore has the store lose the release of a fatal request: its block is there
 // again, and counts at no node, nor at one that has started since and read it.
 func TestReleaseAfterRestore(t *testing.T) {
-	w := newEraWorld(t)
-	_, nodes := fatalWorldIn(w, func(r platformtest.Run) bool { return r.Body == "fatal" }, 3)
-	suspects := func(n *managed) (list []operator.Suspect) {
+	w := newEraSystem(t)
+	_, nodes := newFatalSystemIn(w, func(r platformtest.Run) bool { return r.Body == "fatal" }, 3)
+	suspects := func(n *testNode) (list []operator.Suspect) {
 		r, err := http.Get("http://" + n.settings.OperatorAddress + "/v1/suspects")
 		if err != nil {
 			return nil
@@ -253,13 +253,13 @@
 		return list
 	}
 	for i := range 6 {
-		nodes[0].ask("PUT", "/b/report", fmt.Sprint("fatal-", i), "fatal")
-		time.Sleep(settle)
+		nodes[0].request("PUT", "/b/report", fmt.Sprint("fatal-", i), "fatal")
+		time.Sleep(settleTime)
 	}
 	w.eventually("the block is kept", func() bool { return len(w.store.Names(blocklist.Kind)) == 1 })
-	copied := w.store.Snapshot()
-	print := suspects(nodes[0])[0].Fingerprint
-	r, err := http.NewRequest(http.MethodDelete, "http://"+nodes[0].settings.OperatorAddress+"/v1/suspects/"+print, nil)
+	backup := w.store.Snapshot()
+	fingerprint := suspects(nodes[0])[0].Fingerprint
+	r, err := http.NewRequest(http.MethodDelete, "http://"+nodes[0].settings.OperatorAddress+"/v1/suspects/"+fingerprint, nil)
 	qt.Assert(t, err, qt.IsNil)
 	response, err := http.DefaultClient.Do(r)
 	qt.Assert(t, err, qt.IsNil)
@@ -276,24 +276,24 @@
 	w.eventually("all nodes know of the release", none)
 	qt.Check(t, w.store.Names(blocklist.Kind), qt.HasLen, 0)
 
-	w.store.Restore(copied)
+	w.store.Restore(backup)
 	qt.Check(t, w.store.Names(blocklist.Kind), qt.HasLen, 1)
 	for _, n := range nodes {
 		w.eventually("each knows the era", func() bool { return n.era() == "4" })
 	}
 	nodes[1].stop()
 	w.run(nodes[1])
-	w.eventually("it serves again", func() bool { return nodes[1].ask("PUT", "/b/x", "warm", "").status == 200 })
-	time.Sleep(settle)
+	w.eventually("it serves again", func() bool { return nodes[1].request("PUT", "/b/x", "warm", "").status == 200 })
+	time.Sleep(settleTime)
 	w.eventually("none suspects it", none)
 }
 
 // TestDisbelievedPlatform has the store's answers name an earlier era, none, or no number, for
 // some time: the nodes serve on as they were, and believe it again afterwards.
-func TestDisbelievedPlatform(t *testing.T) {
+func TestWrongEraRejected(t *testing.T) {
 	for name, header := range map[string]string{"earlier": "2", "none": "", "no number": "x"} {
 		t.Run(name, func(t *testing.T) {
-			w := newEraWorld(t)
+			w := newEraSystem(t)
 			var wrong atomic.Bool
 			server := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
 				if !wrong.Load() {
@@ -314,16 +314,16 @@
 			w.url = server.URL
 			w.configure(1, "c")
 			n := w.add("b")
-			w.eventually("it serves", func() bool { return n.ask("GET", "/c/x", "warm", "").status == 200 })
+			w.eventually("it serves", func() bool { return n.request("GET", "/c/x", "warm", "").status == 200 })
 			wrong.Store(true)
 			server.CloseClientConnections()
 			w.configure(2, "d")
 			time.Sleep(1500 * time.Millisecond) // a node that reads by itself has read by then
-			qt.Check(t, n.ask("GET", "/c/x", "kept", "").status, qt.Equals, 200)
-			qt.Check(t, n.ask("GET", "/d/x", "not yet", "").status, qt.Equals, 404)
+			qt.Check(t, n.request("GET", "/c/x", "kept", "").status, qt.Equals, 200)
+			qt.Check(t, n.request("GET", "/d/x", "not yet", "").status, qt.Equals, 404)
 			qt.Check(t, n.era(), qt.Equals, "3")
 			wrong.Store(false)
-			w.eventually("it is believed again", func() bool { return n.ask("GET", "/d/x", "new", "").status == 200 })
+			w.eventually("it is believed again", func() bool { return n.request("GET", "/d/x", "new", "").status == 200 })
 			n.stop() // before its way to the store is closed
 		})
 	}
--- a/node/rollout_test.go
+++ b/node/rollout_test.go
@@ -20,31 +20,31 @@
 )
 
 // versions is a system with upstreams of a service in two versions.
-type versions struct {
-	*world
-	former, next []*managed
-	asked, ran   atomic.Int64 // requests that callers sent, and those served
+type rolloutSystem struct {
+	*testSystem
+	oldNodes, newNodes []*testNode
+	sent, served       atomic.Int64 // requests that callers sent, and those served
 }
 
 // heartbeatEvery is the time between two heartbeats of an upstream.
 const heartbeatEvery = 100 * time.Millisecond
 
 // newVersions starts three upstreams of the version v1.
-func newVersions(t *testing.T) *versions {
-	v := &versions{world: newWorld(t)}
-	v.share = 0.1
+func newRolloutSystem(t *testing.T) *rolloutSystem {
+	v := &rolloutSystem{testSystem: newTestSystem(t)}
+	v.rolloutShare = 0.1
 	v.configure(1, "")
 	for range 3 {
-		v.former = append(v.former, v.beating("v1", nil))
+		v.oldNodes = append(v.oldNodes, v.addWithHeartbeats("v1", nil))
 	}
-	for _, n := range v.former {
-		v.eventually("each node serves", func() bool { return n.ask("PUT", "/b/x", "first", "").status == 200 })
+	for _, n := range v.oldNodes {
+		v.eventually("each node serves", func() bool { return n.request("PUT", "/b/x", "first", "").status == 200 })
 	}
 	return v
 }
 
 // beating starts a node beside an upstream of a version that sends heartbeats.
-func (v *versions) beating(version string, failing func(platformtest.Run) bool) *managed {
+func (v *rolloutSystem) addWithHeartbeats(version string, failing func(platformtest.Run) bool) *testNode {
 	m := v.addUpstream("z", &platformtest.Upstream{Service: "b", Version: version, ShouldFail: failing})
 	ctx, cancel := context.WithCancel(context.Background())
 	v.t.Cleanup(cancel)
@@ -58,24 +58,24 @@
 }
 
 // order has the operator order the version v2 of the service, whose upstreams then start.
-func (v *versions) order(seconds float64, failing func(platformtest.Run) bool) {
+func (v *rolloutSystem) order(seconds float64, failing func(platformtest.Run) bool) {
 	v.store.Put(platform.RolloutKind, "b", map[string]any{"service": "b", "targetVersion": "v2", "durationS": seconds})
 	for range 3 {
-		v.next = append(v.next, v.beating("v2", failing))
+		v.newNodes = append(v.newNodes, v.addWithHeartbeats("v2", failing))
 	}
 }
 
 // callers send requests to the nodes of the former version until the returned function is
 // called.
-func (v *versions) callers() (stop func()) {
+func (v *rolloutSystem) startCallers() (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
 	for i := range 12 {
 		all.Go(func() {
 			for ctx.Err() == nil {
-				n := v.asked.Add(1)
-				if v.former[i%3].ask("GET", "/b/x", fmt.Sprint("v-", n), "").status == 200 {
-					v.ran.Add(1)
+				n := v.sent.Add(1)
+				if v.oldNodes[i%3].request("GET", "/b/x", fmt.Sprint("v-", n), "").status == 200 {
+					v.served.Add(1)
 				}
 			}
 		})
@@ -87,14 +87,14 @@
 }
 
 // state returns the state that stands on the platform.
-func (v *versions) state() string {
+func (v *rolloutSystem) state() string {
 	var s struct{ State, TargetVersion string }
 	_ = json.Unmarshal(v.store.Status(platform.RolloutKind, "b"), &s)
 	return s.State
 }
 
 // runsOf returns how many requests the upstreams of some nodes have run.
-func runsOf(nodes []*managed) (runs int) {
+func runsOf(nodes []*testNode) (runs int) {
 	for _, n := range nodes {
 		runs += len(n.upstream.Runs())
 	}
@@ -105,42 +105,42 @@
 // its share, is rolled back, and gets nothing from then on, also after all nodes were started
 // anew.
 func TestRolloutOfFaulty(t *testing.T) {
-	v := newVersions(t)
+	v := newRolloutSystem(t)
 	var i atomic.Int64
-	stop := v.callers()
+	stop := v.startCallers()
 	v.order(20, func(platformtest.Run) bool { return i.Add(1)%2 == 0 })
 	v.eventually("it is told that it runs", func() bool { return v.state() == "running" || v.state() == "rolled_back" })
 	v.eventually("it is rolled back", func() bool { return v.state() == "rolled_back" })
 	stop()
-	given := runsOf(v.next)
+	given := runsOf(v.newNodes)
 	qt.Check(t, given > 0, qt.IsTrue)
-	qt.Check(t, float64(given) <= 0.1*float64(v.asked.Load())+50, qt.IsTrue, qt.Commentf("%d of %d", given, v.asked.Load()))
+	qt.Check(t, float64(given) <= 0.1*float64(v.sent.Load())+50, qt.IsTrue, qt.Commentf("%d of %d", given, v.sent.Load()))
 	for _, n := range v.nodes {
 		n.stop()
 		v.run(n)
 	}
-	for _, n := range v.former {
-		v.eventually("each node serves", func() bool { return n.ask("PUT", "/b/x", "again", "").status == 200 })
+	for _, n := range v.oldNodes {
+		v.eventually("each node serves", func() bool { return n.request("PUT", "/b/x", "again", "").status == 200 })
 	}
-	given = runsOf(v.next)
-	stop = v.callers()
+	given = runsOf(v.newNodes)
+	stop = v.startCallers()
 	time.Sleep(time.Second)
 	stop()
-	qt.Check(t, runsOf(v.next), qt.Equals, given)
+	qt.Check(t, runsOf(v.newNodes), qt.Equals, given)
 }
 
 // TestRolloutOfGood orders a version that is as good as the former one: all requests move
 // there before it is completed.
 func TestRolloutOfGood(t *testing.T) {
-	v := newVersions(t)
-	stop := v.callers()
+	v := newRolloutSystem(t)
+	stop := v.startCallers()
 	v.order(8, nil)
 	v.eventually("it is completed", func() bool { return v.state() == "completed" })
-	former := runsOf(v.former)
+	former := runsOf(v.oldNodes)
 	for range 200 {
-		n := v.former[v.asked.Add(1)%3]
-		qt.Check(t, n.ask("GET", "/b/x", fmt.Sprint("after-", v.asked.Load()), "").status, qt.Equals, 200)
+		n := v.oldNodes[v.sent.Add(1)%3]
+		qt.Check(t, n.request("GET", "/b/x", fmt.Sprint("after-", v.sent.Load()), "").status, qt.Equals, 200)
 	}
 	stop()
-	qt.Check(t, runsOf(v.former)-former <= 20, qt.IsTrue, qt.Commentf("%d went to the former version", runsOf(v.former)-former))
+	qt.Check(t, runsOf(v.oldNodes)-former <= 20, qt.IsTrue, qt.Commentf("%d went to the former version", runsOf(v.oldNodes)-former))
 }
--- a/node/rollouts.go
+++ b/node/rollouts.go
@@ -24,22 +24,22 @@
 
 const (
 	// judges is the number of nodes that may be judge of a roll-out.
-	judges = 3
+	judgeCandidates = 3
 	// leasePart is the part of rollbackWithin for which an upstream on trial runs requests
 	// after a judge has answered. The rest is for the judge to find out and for the news.
-	leasePart = 0.4
+	leaseFraction = 0.4
 	// confirmAfter is the mean time that a node waits for others to tell it of an order for a
 	// version that nobody runs yet, before it asks the platform.
-	confirmAfter = 800 * time.Millisecond
+	meanConfirmDelay = 800 * time.Millisecond
 )
 
 // versionCheck is what a node knows of its upstream's version.
 type versionCheck struct {
-	wanted chan string // a version to confirm
+	toConfirm chan string // a version to confirm
 
 	mu        sync.Mutex
 	confirmed string             // the platform has no order for it, or the node knows of that
-	told      rollout.LocalState // the roll-out of the service as it was announced last
+	announced rollout.LocalState // the roll-out of the service as it was announced last
 }
 
 // buildRollouts sets up what carries out roll-outs, where they are ordered.
@@ -48,15 +48,15 @@
 	if s.RolloutShare == 0 {
 		return
 	}
-	n.versions.wanted = make(chan string, 1)
+	n.versions.toConfirm = make(chan string, 1)
 	n.control.Exposure = rollout.Exposure(s.RolloutShare)
 	orders := &canary.OrderReader{
 		Decode:  n.Platform.DecodeRollout,
 		Found:   n.control.ApplyOrders,
-		Refused: func(reason error) { n.warnOfOther("order refused", reason) },
+		Refused: func(reason error) { n.warnInvalid("order refused", reason) },
 	}
-	n.orders = &objectapi.Lister{
-		API:    n.api,
+	n.rolloutOrders = &objectapi.Lister{
+		API:    n.objects,
 		Kind:   n.Platform.RolloutKind,
 		OnList: orders.Handle,
 	}
@@ -67,15 +67,15 @@
 			Control: true,
 		},
 		Counters:    &n.metrics.control,
-		API:         n.api,
+		API:         n.objects,
 		Kind:        n.Platform.RolloutKind,
 		Decode:      n.Platform.DecodeRollout,
 		Status:      n.Platform.RolloutStatus,
-		Lease:       time.Duration(leasePart * float64(s.RollbackWithin)),
+		Lease:       time.Duration(leaseFraction * float64(s.RollbackWithin)),
 		Rollouts:    func() map[string]rollout.LocalState { return n.control.Snapshot().Rollouts },
-		Judges:      n.judgesOf,
+		Judges:      n.rolloutJudges,
 		Capacities:  n.control.UpstreamsByVersion,
-		Upstream:    n.judgedUpstream,
+		Upstream:    n.localUpstream,
 		SetWithheld: n.gate.SetVersionWithheld,
 		Decided:     n.control.SetRolloutState,
 		Log:         n.Log,
@@ -86,9 +86,9 @@
 }
 
 // judgesOf returns the nodes that may be judge of a service's roll-out, in order.
-func (n *Node) judgesOf(service string) []canary.Peer {
+func (n *Node) rolloutJudges(service string) []canary.Peer {
 	var list []canary.Peer
-	for _, r := range n.control.RendezvousTop("rollout/"+service, judges) {
+	for _, r := range n.control.RendezvousTop("rollout/"+service, judgeCandidates) {
 		list = append(list, canary.Peer{
 			ID:   r.ID,
 			Addr: r.Addr,
@@ -98,8 +98,8 @@
 }
 
 // judgedUpstream returns the upstream beside the node.
-func (n *Node) judgedUpstream() canary.Upstream {
-	a := n.announced.Current()
+func (n *Node) localUpstream() canary.Upstream {
+	a := n.announcements.Current()
 	if a == nil {
 		return canary.Upstream{}
 	}
@@ -113,12 +113,12 @@
 
 // software returns the version of the upstream as other nodes are told, and whether it is on
 // trial. Nothing is told where no roll-outs are ordered.
-func (n *Node) software(a *upstream.Announcement) (version string, trial bool) {
+func (n *Node) announcedVersion(a *upstream.Announcement) (version string, isCanary bool) {
 	if n.rollouts == nil {
 		return "", false
 	}
-	k, ok := n.control.Snapshot().Rollouts[a.Service]
-	return a.Version, ok && a.Version != "" && k.Eligibility(a.Version) == rollout.OnTrial
+	state, ok := n.control.Snapshot().Rollouts[a.Service]
+	return a.Version, ok && a.Version != "" && state.Eligibility(a.Version) == rollout.OnTrial
 }
 
 // versionAdmitted returns whether the upstream may take requests as far as its version goes. A
@@ -129,16 +129,16 @@
 	if n.rollouts == nil {
 		return true
 	}
-	k, ordered := n.control.Snapshot().Rollouts[a.Service]
+	state, ordered := n.control.Snapshot().Rollouts[a.Service]
 	if a.Version == "" {
-		return !ordered || k.Phase.Settled()
+		return !ordered || state.Phase.Settled()
 	}
-	if ordered && a.Version == k.Order.Version {
-		return k.Eligibility(a.Version) != rollout.Withheld
+	if ordered && a.Version == state.Order.Version {
+		return state.Eligibility(a.Version) != rollout.Withheld
 	}
-	sizes := n.control.UpstreamsByVersion(a.Service)
-	delete(sizes, "") // not known yet
-	if own := sizes[a.Version]; len(sizes) == 0 || own.Upstreams > own.Trial {
+	capacities := n.control.UpstreamsByVersion(a.Service)
+	delete(capacities, "") // not known yet
+	if own := capacities[a.Version]; len(capacities) == 0 || own.Upstreams > own.Trial {
 		return true
 	}
 	n.versions.mu.Lock()
@@ -147,7 +147,7 @@
 		return true
 	}
 	select {
-	case n.versions.wanted <- a.Version:
+	case n.versions.toConfirm <- a.Version:
 	default:
 	}
 	return false
@@ -160,17 +160,17 @@
 		select {
 		case <-ctx.Done():
 			return
-		case version = <-n.versions.wanted:
+		case version = <-n.versions.toConfirm:
 		}
 		for ctx.Err() == nil {
-			sleep.For(ctx, confirmAfter/2+rand.N(confirmAfter))
-			if a := n.announced.Current(); a == nil || a.Version != version {
+			sleep.For(ctx, meanConfirmDelay/2+rand.N(meanConfirmDelay))
+			if a := n.announcements.Current(); a == nil || a.Version != version {
 				break
 			}
-			if k, ok := n.control.Snapshot().Rollouts[n.Settings.Service]; ok && k.Order.Version == version {
+			if state, ok := n.control.Snapshot().Rollouts[n.Settings.Service]; ok && state.Order.Version == version {
 				break // heard meanwhile
 			}
-			if err := n.orders.Read(ctx); err != nil {
+			if err := n.rolloutOrders.Read(ctx); err != nil {
 				n.Log.Warn().Err(err).Str("version", version).Msg("not known whether the upstream's version is ordered; it takes no requests yet")
 				continue
 			}
@@ -184,19 +184,19 @@
 }
 
 // rolloutsKnown takes in the roll-outs that the node knows of.
-func (n *Node) rolloutsKnown(known map[string]rollout.LocalState) {
+func (n *Node) rolloutsChanged(known map[string]rollout.LocalState) {
 	if n.rollouts == nil {
 		return
 	}
 	n.rollouts.Wake()
-	a := n.announced.Current()
+	a := n.announcements.Current()
 	if a == nil {
 		return
 	}
-	k := known[a.Service]
+	state := known[a.Service]
 	n.versions.mu.Lock()
-	changed := n.versions.told.State != k.State
-	n.versions.told = k
+	changed := n.versions.announced.State != state.State
+	n.versions.announced = state
 	n.versions.mu.Unlock()
 	if changed {
 		go n.announce() // which waits for the goroutine that calls this
@@ -204,9 +204,9 @@
 }
 
 // rolloutsIn returns the number of roll-outs in a phase.
-func (n *Node) rolloutsIn(p rollout.Phase) (count int) {
-	for _, k := range n.control.Snapshot().Rollouts {
-		if k.Phase == p {
+func (n *Node) countRollouts(p rollout.Phase) (count int) {
+	for _, state := range n.control.Snapshot().Rollouts {
+		if state.Phase == p {
 			count++
 		}
 	}
@@ -218,17 +218,17 @@
 	known := n.control.Snapshot().Rollouts
 	list := []operator.Rollout{}
 	for _, service := range slices.Sorted(maps.Keys(known)) {
-		k := known[service]
+		state := known[service]
 		list = append(list, operator.Rollout{
 			Service:   service,
-			Version:   k.Order.Version,
-			Phase:     k.Phase.String(),
-			Share:     n.control.Exposure.Share(k.Phase),
-			Reason:    k.Reason,
-			Node:      k.Node,
-			ChangedAt: k.Changed.UTC(),
-			Era:       k.Order.At.Era,
-			Revision:  k.Order.At.Revision,
+			Version:   state.Order.Version,
+			Phase:     state.Phase.String(),
+			Share:     n.control.Exposure.Share(state.Phase),
+			Reason:    state.Reason,
+			Node:      state.Node,
+			ChangedAt: state.Changed.UTC(),
+			Era:       state.Order.At.Era,
+			Revision:  state.Order.At.Revision,
 		})
 	}
 	reply(w, list)
--- a/node/state.go
+++ b/node/state.go
@@ -19,15 +19,15 @@
 	// silentHeartbeats is the number of heartbeats that a start of an upstream may
 	// miss before one that says it began earlier can take its place. Two are lost
 	// now and then.
-	silentHeartbeats = 3
+	maxMissedHeartbeats = 3
 	// otherLines is the most log lines of each kind on what other writers have written
 	// and can't be used, per second.
-	otherLines = 5
+	invalidLinesPerSecond = 5
 )
 
 // serviceKnown returns whether there is such a service, or may be: before the node
 // has a table of routes, none is known.
-func (n *Node) serviceKnown(service string) bool {
+func (n *Node) isKnownService(service string) bool {
 	t := n.control.Snapshot().Table
 	if t == nil {
 		return true
@@ -37,12 +37,12 @@
 }
 
 // announcementRefused logs why an announcement names no upstream to use.
-func (n *Node) announcementRefused(reason error) { n.warnOfOther("announcement refused", reason) }
+func (n *Node) announcementRefused(reason error) { n.warnInvalid("announcement refused", reason) }
 
 // warnOfOther logs why something that another program has written is not used, within
 // bounds for each kind of event.
-func (n *Node) warnOfOther(event string, reason error) {
-	if n.lines.Allow(event, otherLines, 1) {
+func (n *Node) warnInvalid(event string, reason error) {
+	if n.lineLimit.Allow(event, invalidLinesPerSecond, 1) {
 		n.Log.Warn().Err(reason).Msg(event)
 	}
 }
@@ -52,31 +52,31 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.gate.SetAnnouncement(a)
-	if n.stopProbe != nil {
-		n.stopProbe()
-		n.stopProbe = nil
+	if n.stopProber != nil {
+		n.stopProber()
+		n.stopProber = nil
 	}
-	n.down = false
+	n.upstreamDown = false
 	if a == nil {
 		n.Log.Info().Msg("upstream withdrawn")
 	} else {
 		n.Log.Info().Str("service", a.Service).Str("address", a.Address).Str("start", a.StartID).Int64("bornMs", a.StartMillis).Int("slots", a.Slots).Bool("draining", a.Draining).Msg("upstream announced")
 		if n.Platform == nil {
-			n.probe(a)
+			n.startProber(a)
 		}
 	}
 	go n.announce()
 }
 
 // probe watches the announced upstream.
-func (n *Node) probe(a *upstream.Announcement) {
+func (n *Node) startProber(a *upstream.Announcement) {
 	ctx, cancel := context.WithCancel(context.Background())
-	n.stopProbe = cancel
+	n.stopProber = cancel
 	p := &upstream.Prober{
 		Transport: &upstream.Transport{Addr: a.Address},
 		Changed: func(up bool) {
 			n.mu.Lock()
-			n.down = !up && ctx.Err() == nil
+			n.upstreamDown = !up && ctx.Err() == nil
 			n.mu.Unlock()
 			n.Log.Warn().Str("address", a.Address).Bool("up", up).Msg("upstream probed")
 			n.announce()
@@ -88,16 +88,16 @@
 // announce tells the other nodes what the upstream is now. An upstream whose
 // service is not known here yet takes no requests.
 func (n *Node) announce() {
-	n.announcing.Lock()
-	defer n.announcing.Unlock()
+	n.announceMu.Lock()
+	defer n.announceMu.Unlock()
 	n.configureGate()
-	a := n.announced.Current()
+	a := n.announcements.Current()
 	n.mu.Lock()
 	state := member.Up
 	switch {
-	case a == nil || n.down || !n.configured.Load() || !n.versionAdmitted(a):
+	case a == nil || n.upstreamDown || !n.gateConfigured.Load() || !n.versionAdmitted(a):
 		state = member.Idle
-	case n.closing || a.Draining:
+	case n.gateDraining || a.Draining:
 		state = member.Draining
 	}
 	n.mu.Unlock()
@@ -105,7 +105,7 @@
 	if a != nil {
 		u.Service = a.Service
 		u.Slots = min(a.Slots, a.Connections)
-		u.Software, u.Canary = n.software(a)
+		u.Software, u.Canary = n.announcedVersion(a)
 	}
 	n.control.Announce(u)
 	if n.rollouts != nil {
@@ -140,7 +140,7 @@
 }
 
 // ready answers whether the node can serve callers.
-func (n *Node) ready(w http.ResponseWriter, _ *http.Request) {
+func (n *Node) serveReady(w http.ResponseWriter, _ *http.Request) {
 	n.mu.Lock()
 	leaving := n.leaving
 	n.mu.Unlock()
@@ -149,9 +149,9 @@
 		http.Error(w, "leaving", http.StatusServiceUnavailable)
 	case !n.control.Snapshot().Ready:
 		http.Error(w, "no configuration yet", http.StatusServiceUnavailable)
-	case !n.acquainted():
+	case !n.hasDiscovered():
 		http.Error(w, "no other node known yet", http.StatusServiceUnavailable)
-	case !n.judgesKeys():
+	case !n.canValidateKeys():
 		http.Error(w, "the configuration may be out of date, and keys revoked", http.StatusServiceUnavailable)
 	default:
 		_, _ = w.Write([]byte("ready\n"))
@@ -184,9 +184,9 @@
 }
 
 // view answers with what the node knows.
-func (n *Node) view(w http.ResponseWriter, _ *http.Request) {
+func (n *Node) serveView(w http.ResponseWriter, _ *http.Request) {
 	s := n.control.Snapshot()
-	p := View{
+	v := View{
 		Node:           n.Settings.Node,
 		Zone:           n.Settings.Zone,
 		Representative: n.control.IsRepresentative(),
@@ -195,10 +195,10 @@
 		Upstreams:      make(map[string][]string),
 	}
 	for name, service := range s.Services {
-		p.Upstreams[name] = []string{}
+		v.Upstreams[name] = []string{}
 		for _, m := range service.Members {
-			p.Upstreams[name] = append(p.Upstreams[name], m.ID)
+			v.Upstreams[name] = append(v.Upstreams[name], m.ID)
 		}
 	}
-	reply(w, p)
+	reply(w, v)
 }
--- a/node/state_test.go
+++ b/node/state_test.go
@@ -25,7 +25,7 @@
 // TestAnnouncementMeetsConfiguration has the upstream's announcement and the
 // service's configuration come at the same moment, again and again. In the end
 // the node must say that the upstream takes requests.
-func TestAnnouncementMeetsConfiguration(t *testing.T) {
+func TestConcurrentAnnouncementAndConfiguration(t *testing.T) {
 	spec, err := json.Marshal(operator.Service{Hosts: []string{"a.example"}}.WithDefaults())
 	qt.Assert(t, err, qt.IsNil)
 	records, err := msgpack.Marshal(map[string]any{"records": []acceptance.Config{{Name: "a", Sequence: 1, Spec: spec}}})
@@ -48,7 +48,7 @@
 			_, _ = n.control.Handle(ctx, peer.Hello{}, &peer.Request{Topic: "configs.records", Payload: records})
 		}()
 		time.Sleep(time.Duration(i%20) * 100 * time.Microsecond)
-		n.announced.Set(&upstream.Announcement{Service: "a", Address: "127.0.0.1:1", Slots: 1, Connections: 1})
+		n.announcements.Set(&upstream.Announcement{Service: "a", Address: "127.0.0.1:1", Slots: 1, Connections: 1})
 		up := false
 		for range 300 {
 			if s := n.control.Snapshot().Services["a"]; s != nil && len(s.Members) == 1 {
@@ -57,7 +57,7 @@
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
-		n.announced.Set(nil)
+		n.announcements.Set(nil)
 		cancel()
 		<-done
 		qt.Assert(t, up, qt.IsTrue, qt.Commentf("try %d", i))
--- a/node/suspects.go
+++ b/node/suspects.go
@@ -14,19 +14,19 @@
 // listSuspects answers with the requests that are suspected.
 func (n *Node) listSuspects(w http.ResponseWriter, _ *http.Request) {
 	list := []operator.Suspect{}
-	for _, j := range n.suspects.All() {
-		s := operator.Suspect{
-			Fingerprint: j.Fingerprint.String(),
-			State:       j.State.String(),
-			Crashes:     j.Crashes,
-			Upstreams:   j.Upstreams,
-			LastCrash:   j.LastCrash.UTC(),
+	for _, assessment := range n.suspects.All() {
+		suspect := operator.Suspect{
+			Fingerprint: assessment.Fingerprint.String(),
+			State:       assessment.State.String(),
+			Crashes:     assessment.Crashes,
+			Upstreams:   assessment.Upstreams,
+			LastCrash:   assessment.LastCrash.UTC(),
 		}
-		if j.State == quarantine.Blocked {
-			until := j.BlockedUntil.UTC()
-			s.BlockedUntil = &until
+		if assessment.State == quarantine.Blocked {
+			until := assessment.BlockedUntil.UTC()
+			suspect.BlockedUntil = &until
 		}
-		list = append(list, s)
+		list = append(list, suspect)
 	}
 	reply(w, list)
 }
@@ -43,8 +43,8 @@
 		http.Error(w, "not suspected", http.StatusNotFound)
 		return
 	}
-	if n.blocked != nil {
-		if err := n.blocked.Release(r.Context(), p); err != nil {
+	if n.blocklist != nil {
+		if err := n.blocklist.Release(r.Context(), p); err != nil {
 			http.Error(w, "the platform keeps the block: "+err.Error(), http.StatusBadGateway)
 			return
 		}
--- a/node/upstreamwatch.go
+++ b/node/upstreamwatch.go
@@ -16,10 +16,10 @@
 
 const (
 	// healthTimeout bounds one question to the upstream's health check.
-	healthTimeout = 500 * time.Millisecond
+	healthCheckTimeout = 500 * time.Millisecond
 	// healthEvery is the time between two questions while it is not known
 	// whether the upstream is there.
-	healthEvery = 300 * time.Millisecond
+	healthCheckInterval = 300 * time.Millisecond
 )
 
 // healthPath returns the path of the health check of a service, if it is known.
@@ -35,19 +35,19 @@
 // findUpstream asks the health check of the upstream that the settings name
 // until the upstream is known. A node that is started beside a running upstream
 // does not have to wait for its next announcement.
-func (n *Node) findUpstream(ctx context.Context) {
+func (n *Node) discoverUpstream(ctx context.Context) {
 	s := &n.Settings
 	if s.Service == "" || s.UpstreamAddress == "" {
 		return
 	}
-	tick := time.NewTicker(healthEvery)
+	tick := time.NewTicker(healthCheckInterval)
 	defer tick.Stop()
-	for n.announced.Current() == nil {
-		h, err := n.health(ctx, s.Service, s.UpstreamAddress)
+	for n.announcements.Current() == nil {
+		h, err := n.checkHealth(ctx, s.Service, s.UpstreamAddress)
 		if h.Notice.Leaving && h.StartID != "" {
-			n.announced.Leave(h.StartID, h.StartMillis)
+			n.announcements.Leave(h.StartID, h.StartMillis)
 		} else if err == nil && h.StartID != "" && h.Load.Slots > 0 {
-			n.announced.SetIfAbsent(&upstream.Announcement{
+			n.announcements.SetIfAbsent(&upstream.Announcement{
 				Service:       s.Service,
 				Address:       s.UpstreamAddress,
 				Slots:         h.Load.Slots,
@@ -59,7 +59,7 @@
 			n.gate.HandleNotice(h.StartID, h.Notice)
 			return
 		}
-		if !next(ctx, tick) {
+		if !awaitTick(ctx, tick) {
 			return
 		}
 	}
@@ -72,7 +72,7 @@
 var errBeyondLimit = eris.New("a question would be beyond the upstream's limit")
 
 // health asks the health check of an upstream once.
-func (n *Node) health(ctx context.Context, service, address string) (upstream.HealthStatus, error) {
+func (n *Node) checkHealth(ctx context.Context, service, address string) (upstream.HealthStatus, error) {
 	path, ok := n.healthPath(service)
 	if !ok {
 		return upstream.HealthStatus{}, errNoHealthPath
@@ -80,12 +80,12 @@
 	if n.gate.ReserveHealthCheck() > 0 {
 		return upstream.HealthStatus{}, errBeyondLimit
 	}
-	n.questions.Add(1)
-	return upstream.Health(ctx, address, path, n.Platform.FieldNames, healthTimeout)
+	n.healthChecks.Add(1)
+	return upstream.Health(ctx, address, path, n.Platform.FieldNames, healthCheckTimeout)
 }
 
 // next waits for a tick. It returns false if ctx ends before.
-func next(ctx context.Context, tick *time.Ticker) bool {
+func awaitTick(ctx context.Context, tick *time.Ticker) bool {
 	select {
 	case <-ctx.Done():
 		return false
@@ -96,51 +96,51 @@
 
 // upstreamFailed takes in that the announced upstream was not there. It takes no
 // requests until its health check answers again or it announces itself anew.
-func (n *Node) upstreamFailed(a *upstream.Announcement, failure *verdict.Error) {
+func (n *Node) upstreamUnreachable(a *upstream.Announcement, failure *verdict.Error) {
 	n.mu.Lock()
-	current := n.announced.Current()
-	if n.down || current == nil || !current.SameStart(a) {
+	current := n.announcements.Current()
+	if n.upstreamDown || current == nil || !current.SameStart(a) {
 		n.mu.Unlock()
 		return
 	}
-	n.down = true
+	n.upstreamDown = true
 	ctx, cancel := context.WithCancel(context.Background())
-	n.stopProbe = cancel
+	n.stopProber = cancel
 	n.mu.Unlock()
 	n.Log.Warn().Str("address", a.Address).Str("start", a.StartID).Err(failure).Msg("upstream down")
 	go n.announce()
-	go n.awaitUpstream(ctx, a)
+	go n.awaitRecovery(ctx, a)
 }
 
 // awaitUpstream asks the health check until the upstream answers.
-func (n *Node) awaitUpstream(ctx context.Context, a *upstream.Announcement) {
-	tick := time.NewTicker(healthEvery)
+func (n *Node) awaitRecovery(ctx context.Context, a *upstream.Announcement) {
+	tick := time.NewTicker(healthCheckInterval)
 	defer tick.Stop()
-	for next(ctx, tick) {
-		h, err := n.health(ctx, a.Service, a.Address)
+	for awaitTick(ctx, tick) {
+		h, err := n.checkHealth(ctx, a.Service, a.Address)
 		if err != nil {
 			continue
 		}
 		if h.StartID != a.StartID {
-			if n.announced.Restore(h.StartID, h.StartMillis, a) {
+			if n.announcements.Restore(h.StartID, h.StartMillis, a) {
 				return
 			}
 			continue
 		}
-		if again := a.WithStart(h.StartID, h.StartMillis); !again.SameStart(a) {
-			n.announced.Set(again)
+		if restarted := a.WithStart(h.StartID, h.StartMillis); !restarted.SameStart(a) {
+			n.announcements.Set(restarted)
 			return
 		}
-		n.upstreamBack(ctx, a)
+		n.upstreamRecovered(ctx, a)
 		return
 	}
 }
 
 // upstreamBack takes in that an upstream that was down answers again.
-func (n *Node) upstreamBack(ctx context.Context, a *upstream.Announcement) {
+func (n *Node) upstreamRecovered(ctx context.Context, a *upstream.Announcement) {
 	n.mu.Lock()
 	if ctx.Err() == nil {
-		n.down = false
+		n.upstreamDown = false
 	}
 	n.mu.Unlock()
 	n.Log.Info().Str("address", a.Address).Str("start", a.StartID).Msg("upstream up")
@@ -150,39 +150,39 @@
 // coldEvery is how old the upstream's word on whether it is cold grows before its health
 // check is asked. An upstream that turns cold gets so long what a warm one gets: three of 28
 // requests a second.
-const coldEvery = 100 * time.Millisecond
+const coldCheckInterval = 100 * time.Millisecond
 
 // askTimeout bounds the wait of a request for the upstream's speed. A health check
 // that takes longer is of no use to it.
-const askTimeout = 5 * time.Millisecond
+const loadProbeTimeout = 5 * time.Millisecond
 
 // askRate and askBurst bound the questions that requests cause, per second, in
 // addition to those in turn. Together they stay below the 60 a second that the
 // platform allows.
 const (
-	askRate  = 30
-	askBurst = 10
+	loadProbesPerSecond = 30
+	loadProbeBurst      = 10
 )
 
 // askLoad has the upstream asked for its speed at once, and waits for its word.
 // Requests that ask at the same time wait for the same one.
-func (n *Node) askLoad(ctx context.Context) {
-	if n.gate.LimitAdvertised() || !n.asks.Allow() {
+func (n *Node) probeLoad(ctx context.Context) {
+	if n.gate.LimitAdvertised() || !n.loadProbeLimit.Allow() {
 		return // what a limited upstream takes goes to requests
 	}
-	told := make(chan struct{})
-	late := time.NewTimer(askTimeout)
-	defer late.Stop()
+	done := make(chan struct{})
+	timeout := time.NewTimer(loadProbeTimeout)
+	defer timeout.Stop()
 	select {
-	case n.loadAsked <- told:
-	case <-late.C:
+	case n.loadProbes <- done:
+	case <-timeout.C:
 		return
 	case <-ctx.Done():
 		return
 	}
 	select {
-	case <-told:
-	case <-late.C:
+	case <-done:
+	case <-timeout.C:
 	case <-ctx.Done():
 	}
 }
@@ -192,54 +192,54 @@
 func (n *Node) pollLoad(ctx context.Context) {
 	poller := &upstream.Poller{
 		Names:          n.Platform.FieldNames,
-		Timeout:        healthTimeout,
+		Timeout:        healthCheckTimeout,
 		LoadReported:   n.gate.ObserveLoad,
 		ColdReported:   n.gate.SetColdRemaining,
 		NoticeReceived: n.gate.HandleNotice,
 	}
 	defer poller.Close()
-	due := time.NewTimer(leastLoadAge)
-	defer due.Stop()
+	timer := time.NewTimer(minLoadAge)
+	defer timer.Stop()
 	var polled time.Time
-	pace := callPace{}
+	rate := callRate{}
 	for {
-		told := make(chan struct{})
+		done := make(chan struct{})
 		select {
 		case <-ctx.Done():
 			return
-		case <-due.C:
+		case <-timer.C:
 			// Answers tell the speed as well as the health check does, but not that the
 			// upstream has turned cold.
-			rest := min(pace.loadAge(n.calls.Load(), time.Now())-n.gate.LoadAge(), coldEvery-time.Since(polled))
-			if rest <= 0 {
-				rest = min(n.gate.ReserveHealthCheck(), coldEvery) // the limit may be over by then
+			wait := min(rate.allowedLoadAge(n.callCount.Load(), time.Now())-n.gate.LoadAge(), coldCheckInterval-time.Since(polled))
+			if wait <= 0 {
+				wait = min(n.gate.ReserveHealthCheck(), coldCheckInterval) // the limit may be over by then
 			}
-			if rest > 0 {
-				due.Reset(rest)
+			if wait > 0 {
+				timer.Reset(wait)
 				continue
 			}
-		case told = <-n.loadAsked:
+		case done = <-n.loadProbes:
 		}
-		a := n.announced.Current()
+		a := n.announcements.Current()
 		if a != nil && !n.isDown() {
 			if path, ok := n.healthPath(a.Service); ok {
-				n.questions.Add(1)
+				n.healthChecks.Add(1)
 				poller.Poll(ctx, a.Address, path)
 			}
 		}
 		polled = time.Now()
-		close(told)
-		n.answerAsked()
-		due.Reset(leastLoadAge)
+		close(done)
+		n.completeProbes()
+		timer.Reset(minLoadAge)
 	}
 }
 
 // answerAsked tells those that have asked meanwhile: the answer is theirs as well.
-func (n *Node) answerAsked() {
+func (n *Node) completeProbes() {
 	for {
 		select {
-		case told := <-n.loadAsked:
-			close(told)
+		case done := <-n.loadProbes:
+			close(done)
 		default:
 			return
 		}
@@ -250,5 +250,5 @@
 func (n *Node) isDown() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.down
+	return n.upstreamDown
 }
--- a/node/upstreamwatch_test.go
+++ b/node/upstreamwatch_test.go
@@ -19,55 +19,55 @@
 
 // TestAskLoad has requests ask for the upstream's speed while it answers, and while
 // it does not.
-func TestAskLoad(t *testing.T) {
+func TestProbeLoad(t *testing.T) {
 	tests := map[string]struct {
-		answers bool
-		asks    int           // all at once
-		took    time.Duration // by each, at most
-		heard   int
-		limited bool // whether the upstream names a limit
+		answers  bool
+		probes   int           // all at once
+		maxWait  time.Duration // by each, at most
+		received int
+		limited  bool // whether the upstream names a limit
 	}{
-		"answered":                   {answers: true, asks: 1, heard: 1},
-		"not answered":               {asks: 1, took: askTimeout},
-		"more than may ask":          {answers: true, asks: 3 * askBurst, heard: askBurst},
-		"the upstream names a limit": {answers: true, asks: 1, limited: true},
-		"more, and nothing answered": {asks: 3 * askBurst, took: askTimeout * (askBurst + 2)},
+		"answered":                   {answers: true, probes: 1, received: 1},
+		"not answered":               {probes: 1, maxWait: loadProbeTimeout},
+		"more than may ask":          {answers: true, probes: 3 * loadProbeBurst, received: loadProbeBurst},
+		"the upstream names a limit": {answers: true, probes: 1, limited: true},
+		"more, and nothing answered": {probes: 3 * loadProbeBurst, maxWait: loadProbeTimeout * (loadProbeBurst + 2)},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(context.Background())
 				n := &Node{
-					gate:      new(gate.Gate),
-					loadAsked: make(chan chan struct{}),
-					asks:      rate.NewLimiter(askRate, askBurst),
+					gate:           new(gate.Gate),
+					loadProbes:     make(chan chan struct{}),
+					loadProbeLimit: rate.NewLimiter(loadProbesPerSecond, loadProbeBurst),
 				}
 				if test.limited {
 					n.gate.SetAnnouncement(&upstream.Announcement{StartID: "i-1"})
 					n.gate.HandleNotice("i-1", upstream.Notice{Limited: true, Limit: 5})
 				}
-				heard := 0
+				received := 0
 				ended := make(chan struct{})
 				go func() {
 					defer close(ended)
 					for test.answers {
 						select {
-						case told := <-n.loadAsked:
-							heard++
-							close(told)
+						case done := <-n.loadProbes:
+							received++
+							close(done)
 						case <-ctx.Done():
 							return
 						}
 					}
 				}()
 				began := time.Now()
-				for range test.asks {
-					n.askLoad(ctx)
+				for range test.probes {
+					n.probeLoad(ctx)
 				}
-				qt.Check(t, time.Since(began) <= test.took, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
+				qt.Check(t, time.Since(began) <= test.maxWait, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
 				cancel()
 				<-ended
-				qt.Check(t, heard, qt.Equals, test.heard)
+				qt.Check(t, received, qt.Equals, test.received)
 			})
 		})
 	}
--- a/node/weight.go
+++ b/node/weight.go
@@ -6,7 +6,7 @@
 
 // weightOf returns the part of an upstream's slots that an organisation gets beside
 // others, by the configuration in force.
-func (n *Node) weightOf(organisation string) float64 {
+func (n *Node) organisationWeight(organisation string) float64 {
 	t := n.control.Snapshot().Table
 	if t == nil || t.OrganisationSet() == nil {
 		return 1
--- a/node/zones.go
+++ b/node/zones.go
@@ -14,13 +14,13 @@
 )
 
 // zoneLog knows since when zones have been evacuated, as far as this node has heard.
-type zoneLog struct {
+type evacuationTimes struct {
 	mu    sync.Mutex
 	since map[string]time.Time
 }
 
 // set takes in the zones in force.
-func (l *zoneLog) set(s evacuation.Set) {
+func (l *evacuationTimes) update(s evacuation.Set) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	old := l.since
@@ -35,7 +35,7 @@
 }
 
 // of returns since when a zone has been evacuated.
-func (l *zoneLog) of(zone string) time.Time {
+func (l *evacuationTimes) startOf(zone string) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.since[zone]
@@ -44,21 +44,21 @@
 // listZones answers with the evacuated zones, and how far their evacuation is.
 func (n *Node) listZones(w http.ResponseWriter, _ *http.Request) {
 	set := n.control.Snapshot().Evacuated
-	left := n.control.RemainingUpstreams()
+	remaining := n.control.RemainingUpstreams()
 	list := []operator.EvacuatedZone{}
 	for _, name := range set.Zones {
-		z := operator.EvacuatedZone{
+		zone := operator.EvacuatedZone{
 			Zone:      name,
 			Era:       set.At.Era,
 			Revision:  set.At.Revision,
-			Since:     n.evacuated.of(name).UTC(),
-			Upstreams: left[name],
+			Since:     n.evacuated.startOf(name).UTC(),
+			Upstreams: remaining[name],
 		}
 		if name == n.Settings.Zone {
 			running := n.gate.Load().Running
-			z.InFlight = &running
+			zone.InFlight = &running
 		}
-		list = append(list, z)
+		list = append(list, zone)
 	}
 	reply(w, list)
 }
