--- a/node/build.go
+++ b/node/build.go
@@ -26,7 +26,7 @@
 	"sassafrasfront.example/watch"
 )
 
-// build makes the parts.
+// build creates the components of the node from its settings.
 func (n *Node) build() {
 	s := &n.Settings
 	reportBudget := watch.NewBudget(s.ReportBytes, 1)
@@ -71,7 +71,7 @@
 	}
 }
 
-// newGate returns the gate, whose reports of its load go to other nodes within a budget.
+// newGate returns the gate. Its load reports to other nodes stay within the given budget.
 func (n *Node) newGate(budget *watch.Budget) *gate.Gate {
 	return &gate.Gate{
 		Started:    time.Now(),
@@ -97,7 +97,7 @@
 	}
 }
 
-// newDispatcher returns what sends requests to upstreams.
+// newDispatcher returns the dispatcher, which sends requests to upstreams.
 func (n *Node) newDispatcher(hello peer.Hello) *entry.Dispatcher {
 	s := &n.Settings
 	return &entry.Dispatcher{
@@ -113,7 +113,8 @@
 	}
 }
 
-// newControl returns the control state, whose comparisons with other nodes keep to a budget.
+// newControl returns the control state. Its comparisons with other nodes stay within the
+// given budget.
 func (n *Node) newControl(budget *watch.Budget) *control.Control {
 	s := &n.Settings
 	return &control.Control{
@@ -138,7 +139,8 @@
 	}
 }
 
-// buildManaged sets the parts up for a table of routes.
+// buildManaged configures the components for a platform whose configuration is a table of
+// routes.
 func (n *Node) buildManaged() {
 	n.gate.Names = n.Platform.FieldNames
 	n.gate.UpstreamUnreachable = n.upstreamUnreachable
@@ -177,7 +179,7 @@
 	n.buildRollouts()
 }
 
-// blocklistOn returns the blocked requests that a platform keeps.
+// newBlocklist returns the store of the blocked requests that a platform keeps.
 func (n *Node) newBlocklist(api objectapi.Objects) *blocklist.Store {
 	return &blocklist.Store{
 		API:         api,
@@ -188,16 +190,16 @@
 	}
 }
 
-// underWay returns how many bytes of bodies peers may have under way to a node whose
+// maxInFlightBytes returns how many bytes of bodies peers may have in flight to a node whose
 // link carries the given Mbit/s.
 func maxInFlightBytes(mbps float64) int {
 	return int(linkBandwidth(mbps) * maxBodyQueueTime.Seconds())
 }
 
-// linkRate returns how many bytes a second a link of the given Mbit/s carries.
+// linkBandwidth returns the bytes a second that a link of the given Mbit/s carries.
 func linkBandwidth(mbps float64) float64 { return mbps * 1e6 / 8 }
 
-// platform returns the client of the object API.
+// newObjectClient returns the client of the platform's object API.
 func (n *Node) newPlatformClient() *objectapi.Client {
 	c := &objectapi.Client{
 		JSONClient: objectapi.JSONClient{
--- a/node/callpace_test.go
+++ b/node/callrate_test.go
@@ -11,20 +11,20 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestQuestionsByCalls has calls come in at a pace, and asks how many questions a second the
-// upstream gets for it: some for each call, within bounds, so that an upstream in a large fleet
-// that has a call a second is not asked more than one with ten.
+// TestLoadProbesByCallRate checks the number of health checks a second that an upstream gets for a
+// rate of calls: some for each call, within bounds, so that an upstream in a large fleet that has
+// one call a second is not probed more than one with ten.
 func TestLoadProbesByCallRate(t *testing.T) {
 	tests := map[string]struct {
 		before, perSecond float64 // calls a second, for fifteen seconds each
-		least, most       float64 // questions a second
+		least, most       float64 // health checks a second
 	}{
-		"none":                     {least: 9, most: 10},
-		"one a second":             {perSecond: 1, least: 9, most: 10},
-		"four a second":            {perSecond: 4, least: 14, most: 18},
-		"many":                     {perSecond: 30, least: 24, most: 25},
-		"many, and then few":       {before: 30, perSecond: 1, least: 9, most: 13},
-		"few, and then a lot come": {before: 1, perSecond: 50, least: 22, most: 25},
+		"none":               {least: 9, most: 10},
+		"one a second":       {perSecond: 1, least: 9, most: 10},
+		"four a second":      {perSecond: 4, least: 14, most: 18},
+		"many":               {perSecond: 30, least: 24, most: 25},
+		"many, and then few": {before: 30, perSecond: 1, least: 9, most: 13},
+		"few, and then many": {before: 1, perSecond: 50, least: 22, most: 25},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -44,7 +44,7 @@
 					}
 				}
 			}
-			got := float64(probes-1) / (span - settling).Seconds() // spans between questions
+			got := float64(probes-1) / (span - settling).Seconds() // intervals between health checks
 			qt.Check(t, got >= test.least && got <= test.most, qt.IsTrue, qt.Commentf("%.1f a second", got))
 		})
 	}
--- a/node/follow.go
+++ b/node/configsync.go
@@ -14,24 +14,26 @@
 	"sassafrasfront.example/objectapi"
 )
 
-// configReader reads the parts of the configuration.
+// configReader reads the configuration from the platform.
 type configReader struct {
 	table *objectapi.Reader
-	zones *objectapi.Lister // nil where zones are not evacuated
-	// orders, if not nil, reads the orders to roll versions out.
+	zones *objectapi.Lister // nil if zones are not evacuated
+	// orders, if not nil, reads the rollout orders.
 	orders *objectapi.Lister
-	// clock, if not nil, is read before each read of the table, and answered called with
-	// that if the platform answers it.
+	// clock, if not nil, is read before each read of the table. If the platform responds,
+	// confirmRead is called with that time.
 	clock       boottime.Clock
 	confirmRead func(sent time.Duration)
-	// leads returns whether this node reads for all. Others, which hear nobody, read the orders
-	// at a tenth of the price: one that is seconds old is late for nobody else.
+	// isLeader returns whether this node reads on behalf of all. A node that is not the leader
+	// reads only while it hears from no other. It reads the orders at a tenth of the cost, as an
+	// order that is seconds old is late for no other node.
 	isLeader func() bool
-	// overdue returns whether it has been long since the platform answered any node.
+	// proofOverdue returns whether the platform has responded to no node for too long.
 	proofOverdue func() bool
 }
 
-// reader reads the table of routes and the evacuated zones.
+// newConfigReader returns a reader of the table of routes, the rollout orders and the evacuated
+// zones.
 func (n *Node) newConfigReader(api objectapi.PollingAPI) *configReader {
 	r := &configReader{
 		table: &objectapi.Reader{
@@ -57,8 +59,8 @@
 	return r
 }
 
-// First makes the first read, which may find what was seconds ago. The zones and the orders
-// come first, so that a node that has a table knows of them.
+// ReadInitial makes the first read, which may return a state that is seconds old. It reads the
+// zones and the orders first, so that a node that has a table has these too.
 func (r *configReader) ReadInitial(ctx context.Context) error {
 	if r.orders != nil {
 		if err := r.orders.ReadInitial(ctx); err != nil {
@@ -76,9 +78,8 @@
 	return r.readTable(ctx, 0) // the first read does not tell how old the table is
 }
 
-// readTable finds what has changed in the table. Where watches are not answered, and how
-// fresh the table is becomes pressing, it reads the whole table: the platform may still
-// answer that.
+// readTable reads the changes to the table. If the platform does not respond to a watch and the
+// freshness proof is overdue, it reads the whole table: the platform may still respond to that.
 func (r *configReader) readTable(ctx context.Context, wait time.Duration) error {
 	if r.clock == nil {
 		return r.table.Read(ctx, wait)
@@ -95,8 +96,8 @@
 	return err
 }
 
-// Read finds what has changed in the table, as soon as something does or after the given
-// time, and then the orders and the zones as they are.
+// Read reads the changes to the table, as soon as there is one or after the given time, and then
+// the current orders and zones.
 func (r *configReader) Read(ctx context.Context, wait time.Duration) error {
 	if err := r.readTable(ctx, wait); err != nil {
 		return err
@@ -110,7 +111,7 @@
 	return r.zones.Read(ctx)
 }
 
-// readOrders reads the orders, where there are any.
+// readOrders reads the rollout orders, if rollouts are enabled.
 func (r *configReader) readOrders(ctx context.Context) error {
 	switch {
 	case r.orders == nil:
@@ -121,11 +122,12 @@
 	return r.orders.ReadInitial(ctx)
 }
 
-// readsInRevoke is how many times a change must be able to come within RevokeWithin: a node
-// that has just missed one still knows of the next in time.
+// readsPerRevokeDelay is how many times a change must be able to arrive within RevokeWithin: a
+// node that has just missed one receives the next in time.
 const readsPerRevokeDelay = 2
 
-// configWithin returns the time within which a change of either part has to be in force.
+// maxConfigDelay returns the time within which a change of any part of the configuration has to
+// be active.
 func (n *Node) maxConfigDelay() time.Duration {
 	within := n.Settings.ConfigWithin
 	if e := n.Settings.EvacuateWithin; e > 0 {
@@ -137,9 +139,9 @@
 	return within
 }
 
-// follow keeps up with the table of routes until ctx ends: it reads the platform when
-// it is this node's turn. The first read is a cheap one, so that a node that starts has
-// a table at once; what has changed since comes with the next.
+// syncConfig keeps the configuration up to date until ctx ends: it reads the platform when
+// control selects this node to do so. The first read is a cheap one, so that a node that starts
+// has a table at once; the next one returns what has changed since.
 func (n *Node) syncConfig(ctx context.Context, r *configReader) {
 	if err := r.ReadInitial(ctx); err != nil {
 		n.Log.Warn().Err(err).Msg("configuration not read")
@@ -159,11 +161,11 @@
 	}
 }
 
-// longestRest is the longest time until a node looks anew whether it is its turn: it
-// may have become the leader.
+// maxActionWait is the longest time until a node checks again whether it has to read: it may
+// have become the leader.
 const maxActionWait = 300 * time.Millisecond
 
-// rest waits until there is news, or for the given time.
+// waitForAction waits until the next action may have changed, or for the given time.
 func (n *Node) waitForAction(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(min(d, maxActionWait))
 	defer t.Stop()
@@ -174,8 +176,9 @@
 	}
 }
 
-// read makes one read. What the platform says at the end of a wait without a change
-// held until then, but for the time that the answer took.
+// readConfig makes one read and records its result. A response without a change, sent at the end
+// of the wait, was valid until it was sent: its age is the time that the read took beyond the
+// wait.
 func (n *Node) readConfig(ctx context.Context, r *configReader, wait time.Duration) {
 	began := time.Now()
 	err := r.Read(ctx, wait)
--- a/node/follow_test.go
+++ b/node/configsync_test.go
@@ -15,7 +15,7 @@
 	"sassafrasfront.example/verdict"
 )
 
-// deafPlatform is a platform whose watches fail, and whose lists are answered.
+// unwatchablePlatform is a platform whose watches fail, and whose lists succeed.
 type unwatchablePlatform struct {
 	objectapi.PollingAPI
 	watches error
@@ -31,19 +31,19 @@
 	return &objectapi.List{Metadata: objectapi.Metadata{ResourceVersion: "7"}}, nil
 }
 
-// TestDeafWatches has watches that fail: where they are not answered and it has been long
-// since a read, the whole table is read, and how fresh it is counts from that.
+// TestTableReadWhenWatchesFail has watches that fail: if they are not answered and the last read
+// was long ago, the whole table is read, and its freshness counts from that read.
 func TestTableReadWhenWatchesFail(t *testing.T) {
 	silent := &objectapi.Error{Verdict: verdict.MayHaveRun}
 	refused := &objectapi.Error{Verdict: verdict.NotRun, Status: 503}
 	for name, row := range map[string]struct {
 		watches error
 		overdue bool
-		lists   int // beside the first
+		lists   int // after the first read
 	}{
-		"not answered, long since a read": {silent, true, 1},
-		"not answered, shortly after one": {silent, false, 0},
-		"refused":                         {refused, true, 0},
+		"not answered, long after a read":    {silent, true, 1},
+		"not answered, shortly after a read": {silent, false, 0},
+		"refused":                            {refused, true, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := &unwatchablePlatform{watches: row.watches}
--- a/node/learning.go
+++ b/node/discovery.go
@@ -12,19 +12,20 @@
 )
 
 const (
-	// learningTime is how long a node that has started may not have heard of the others. A node
-	// that is still alone then is taken to be so after aloneLooks looks into the book of contacts:
-	// where the platform or the process is slow, fewer tell nothing.
+	// discoveryTime is how long a node that has started may take to discover other nodes. A
+	// node that is still isolated after that waits for minLookups lookups in the contact registry:
+	// where the platform or the process is slow, fewer prove nothing.
 	discoveryTime      = 2 * time.Second
 	minLookups         = 3
 	aloneCheckInterval = 50 * time.Millisecond
 )
 
-// awaitLearnt closes n.learnt once the node has had the time to learn of the others, or ctx ends.
+// awaitDiscovery closes n.discoveryDone once the node has had the time to discover other nodes,
+// or ctx ends.
 func (n *Node) awaitDiscovery(ctx context.Context) {
 	defer close(n.discoveryDone)
 	if n.control.API == nil && n.discovery == nil && len(n.control.Contacts) == 0 {
-		return // there is nobody to learn from
+		return // there are no other nodes to discover
 	}
 	sleep.For(ctx, discoveryTime)
 	for ctx.Err() == nil && n.discovery != nil && n.control.Isolated() && n.discovery.Lookups() < minLookups {
@@ -32,14 +33,14 @@
 	}
 }
 
-// seek has the node learn of others now: what its neighbours know, and who stands in the book of
-// contacts.
+// triggerDiscovery makes the node look for other nodes now: among those that its neighbours know,
+// and in the contact registry.
 func (n *Node) triggerDiscovery() {
 	n.control.TriggerComparison()
 	n.discovery.Trigger()
 }
 
-// acquainted returns whether the node knows another, or has had the time to learn of one.
+// hasDiscovered returns whether the node knows another node, or has had the time to discover one.
 func (n *Node) hasDiscovered() bool {
 	select {
 	case <-n.discoveryDone:
--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -18,7 +18,7 @@
 	"sassafrasfront.example/platform/platformtest"
 )
 
-// zoned is a system of two availability zones, with two upstreams of a service in each.
+// zonedSystem is a system of two availability zones, with two upstreams of a service in each.
 type zonedSystem struct {
 	*testSystem
 	near, far []*testNode // in the zones y and z
@@ -27,7 +27,7 @@
 
 func newZoned(t *testing.T) *zonedSystem { return newZonedIn(newTestSystem(t)) }
 
-// newZonedIn makes the system in an empty one.
+// newZonedSystemIn adds the zones to an empty system.
 func newZonedIn(w *testSystem) *zonedSystem {
 	z := &zonedSystem{testSystem: w}
 	z.configure(1, "")
@@ -47,13 +47,13 @@
 
 func (z *zonedSystem) all() []*testNode { return append(append([]*testNode(nil), z.near...), z.far...) }
 
-// ask sends a request to a node.
+// request sends a request to a node.
 func (z *zonedSystem) request(n *testNode) callerResponse {
 	z.sent++
 	return n.request("PUT", "/b/x", fmt.Sprint("z-", z.sent), "")
 }
 
-// runs returns how many requests the upstreams of some nodes have run.
+// runCount returns how many requests the upstreams of some nodes have run.
 func (z *zonedSystem) runCount(nodes []*testNode) (runs int) {
 	for _, n := range nodes {
 		runs += len(n.upstream.Runs())
@@ -61,7 +61,7 @@
 	return runs
 }
 
-// evacuate writes or removes the object of a zone.
+// evacuate writes or removes the evacuation object of a zone.
 func (z *zonedSystem) evacuate(zone string, evacuated bool) {
 	if evacuated {
 		z.store.Put(platform.EvacuationKind, zone, struct{}{})
@@ -70,7 +70,7 @@
 	}
 }
 
-// zones returns what a node tells of the evacuated zones.
+// zones returns the evacuated zones that a node reports.
 func (z *zonedSystem) zones(n *testNode) (list []operator.EvacuatedZone) {
 	r, err := http.Get("http://" + n.settings.OperatorAddress + "/v1/zones")
 	if err != nil {
@@ -83,10 +83,10 @@
 	return list
 }
 
-// known waits until all nodes know so many evacuated zones.
+// awaitEvacuated waits until all nodes know the given number of evacuated zones.
 func (z *zonedSystem) awaitEvacuated(count int) {
 	z.t.Helper()
-	z.eventually(fmt.Sprint("all know of ", count), func() bool {
+	z.eventually(fmt.Sprint("evacuated zones known to all nodes: ", count), func() bool {
 		for _, n := range z.all() {
 			if len(z.zones(n)) != count {
 				return false
@@ -96,8 +96,8 @@
 	})
 }
 
-// serving waits until each node serves. One that has started anew may be ready before it has
-// heard of any upstream, and refuses until then.
+// awaitServing waits until each node serves. A node that has been restarted may be ready before it
+// has discovered any upstream, and refuses requests until then.
 func (z *zonedSystem) awaitServing() {
 	z.t.Helper()
 	for _, n := range z.all() {
@@ -105,7 +105,7 @@
 	}
 }
 
-// untouched checks that requests to all nodes are served, and not by some upstreams.
+// checkUnused checks that requests to all nodes are served, and none by the given upstreams.
 func (z *zonedSystem) checkUnused(nodes []*testNode) {
 	z.t.Helper()
 	before := z.runCount(nodes)
@@ -118,9 +118,9 @@
 	qt.Check(z.t, z.runCount(nodes), qt.Equals, before)
 }
 
-// TestEvacuation has an operator evacuate a zone: its upstreams get nothing more, and the
-// callers of its nodes are served by the other zone; a restart of its nodes changes nothing,
-// nor does a platform that is away. Taken back, the zone serves again.
+// TestEvacuation evacuates a zone: its upstreams get no more requests, and the other zone serves
+// the callers of its nodes, also after a restart of its nodes and during an outage of the platform.
+// Once the evacuation ends, the zone serves again.
 func TestEvacuation(t *testing.T) {
 	z := newZoned(t)
 	z.evacuate("z", true)
@@ -147,12 +147,12 @@
 	z.checkUnused(z.far)
 	z.far[0].stop()
 	z.run(z.far[0])
-	z.eventually("others tell it what is in force", func() bool { return len(z.zones(z.far[0])) == 1 })
+	z.eventually("other nodes send it the evacuation", func() bool { return len(z.zones(z.far[0])) == 1 })
 	z.awaitServing()
 	z.store.SetFaults(platformtest.Faults{})
 	z.checkUnused(z.far)
 
-	qt.Check(t, z.runCount(z.far), qt.Equals, reached, qt.Commentf("nothing reached them, over all of that"))
+	qt.Check(t, z.runCount(z.far), qt.Equals, reached, qt.Commentf("no request reached the evacuated zone"))
 	z.evacuate("z", false)
 	z.awaitEvacuated(0)
 	before := z.runCount(z.far)
@@ -162,8 +162,8 @@
 	})
 }
 
-// TestEvacuateAll has the only zones with a service evacuated, one by an object that can't
-// be decoded: what can't be served is refused at once, and has not run.
+// TestEvacuateAll evacuates all zones that have a service, one by an object that can't be decoded:
+// requests that can't be served are refused at once, and do not run.
 func TestEvacuateAll(t *testing.T) {
 	z := newZoned(t)
 	z.store.Put(platform.EvacuationKind, "z", rawJSON(`[7,"no object"]`))
--- a/node/events.go
+++ b/node/events.go
@@ -24,21 +24,20 @@
 )
 
 const (
-	// requestLines and callLines bound the log lines a second on requests taken
-	// from callers and on calls that the gate did not run. Under overload every
-	// request would have some; what is left out is counted.
+	// requestLinesPerSecond and callLinesPerSecond bound the log lines on callers'
+	// requests and on calls that failed at the gate. Under overload every request
+	// would write some; suppressed lines are counted.
 	requestLinesPerSecond = 200
 	callLinesPerSecond    = 100
-	// serverLinesRate bounds the lines a second that the HTTP servers write of
-	// themselves.
+	// serverLinesPerSecond bounds the lines that the HTTP servers log themselves.
 	serverLinesPerSecond = 10
-	// successShare is how many requests that went well stand behind each one that
-	// is logged.
+	// successesPerLine is the number of successful requests for each one that is
+	// logged.
 	successesPerLine = 100
 )
 
-// requestEnded counts a request and logs it with its steps if it failed, or now
-// and then if it did not.
+// requestEnded counts a request. It logs a failed request with its steps, and one of
+// successesPerLine successful ones.
 func (n *Node) requestEnded(o caller.Outcome) {
 	n.metrics.requestEnded(o, n.phase())
 	if o.Failure == nil && n.successCount.Add(1)%successesPerLine != 0 {
@@ -72,8 +71,8 @@
 	e.Msg("request ended")
 }
 
-// withStall adds the longest stall of this process within the latest span of time to a line, if there
-// was one.
+// withStall adds the longest stall of this process within the last span to a log event, if
+// there was one.
 func (n *Node) withStall(e *zerolog.Event, span time.Duration) *zerolog.Event {
 	if stalled := n.stalls.LongestDelay(time.Now().Add(-span)); stalled > 0 {
 		return e.Dur("stalledMs", stalled)
@@ -81,7 +80,7 @@
 	return e
 }
 
-// logStep logs one decision on a request.
+// logStep logs one step of a request.
 func (n *Node) logStep(id string, s entry.Step) {
 	e := n.Log.Info().Str("requestId", id).Dur("afterMs", s.After)
 	switch s.Event {
@@ -104,7 +103,7 @@
 	e.Msg("request " + string(s.Event))
 }
 
-// callRefused logs a call that the gate gave no answer to.
+// callFailed logs a call to which the gate gave no response of the upstream.
 func (n *Node) callFailed(c *peer.Call, from string, failure *verdict.Error, load admit.Report, waited, took time.Duration) {
 	if !n.lineLimit.Allow("call", callLinesPerSecond, 1) {
 		return
@@ -130,12 +129,12 @@
 	n.metrics.callEnded(service, class, failure, waited, took)
 }
 
-// noticeLines bounds the log lines a second on what the upstream says of the requests that it
-// wants. An upstream may change its word with each answer.
+// noticeLinesPerSecond bounds the log lines on the upstream's notices: its advertised limit, and
+// that it is leaving. An upstream may change its notice with each response.
 const noticeLinesPerSecond = 5
 
-// upstreamNoticed logs that the upstream says something else of the requests that it wants, with
-// how many requests and questions it has been sent so far.
+// noticeChanged logs a change of the upstream's notice, with the number of requests and health
+// checks that the upstream has been sent so far.
 func (n *Node) noticeChanged(s gate.NoticeState) {
 	n.metrics.set.GetOrCreateCounter(`sassafras_upstream_notices_total`).Inc()
 	if !n.lineLimit.Allow("notice", noticeLinesPerSecond, 1) {
@@ -148,8 +147,7 @@
 	e.Msg("upstream notice")
 }
 
-// noticeUnreadable counts and logs why what the upstream says of the requests that it wants
-// can't be read.
+// noticeInvalid counts and logs a notice of the upstream that can't be parsed.
 func (n *Node) noticeInvalid(start string, reason error) {
 	n.metrics.set.GetOrCreateCounter(`sassafras_upstream_notices_unreadable_total`).Inc()
 	if n.lineLimit.Allow("unreadable", noticeLinesPerSecond, 1) {
@@ -157,7 +155,7 @@
 	}
 }
 
-// callPanicked logs that the handling of a call panicked, and counts it.
+// callPanicked counts and logs a panic in the handling of a call.
 func (n *Node) callPanicked(c *peer.Call, value any, stack []byte) {
 	n.metrics.set.GetOrCreateCounter(`sassafras_panics_total{part="gate"}`).Inc()
 	if n.lineLimit.Allow("panic", invalidLinesPerSecond, 1) {
@@ -165,10 +163,10 @@
 	}
 }
 
-// upstreamGone tells all nodes that the upstream has ended, with what it may have ended
-// under.
+// upstreamCrashed reports the crash of the upstream to all nodes, with the requests that were in
+// flight. If the request that was isolated is blocked now, it stores the block on the platform.
 func (n *Node) upstreamCrashed(a *upstream.Announcement, fingerprints []quarantine.Fingerprint, isolated quarantine.Fingerprint) {
-	n.Log.Warn().Str("address", a.Address).Str("start", a.StartID).Int("requests", len(fingerprints)).Stringers("prints", stringers(fingerprints)).Bool("isolated", isolated.Complete()).Msg("upstream ended")
+	n.Log.Warn().Str("address", a.Address).Str("start", a.StartID).Int("requests", len(fingerprints)).Stringers("prints", stringers(fingerprints)).Bool("isolated", isolated.Complete()).Msg("upstream crashed")
 	start := n.Settings.Node + "/" + a.StartID + "/" + strconv.FormatInt(a.StartMillis, 10)
 	if len(fingerprints) == 0 {
 		return
@@ -192,7 +190,7 @@
 	return list
 }
 
-// version returns the version of the configuration in force, or 0.
+// version returns the version of the active configuration, or 0 if there is none.
 func (n *Node) version() uint64 {
 	if t := n.control.Snapshot().Table; t != nil {
 		return t.Version
@@ -200,7 +198,7 @@
 	return 0
 }
 
-// linesLeftOut logs how many lines of a kind were left out in the last second.
+// linesSuppressed logs how many lines of a kind were suppressed in the last second.
 func (n *Node) linesSuppressed(kind string, count int) {
 	n.metrics.set.GetOrCreateCounter(fmt.Sprintf("sassafras_log_lines_left_out_total{kind=%q}", kind)).Add(count)
 	n.Log.WithLevel(zerolog.WarnLevel).Str("kind", kind).Int("count", count).Msg("log lines left out")
--- a/node/fatal_test.go
+++ b/node/fatal_test.go
@@ -21,17 +21,17 @@
 )
 
 const (
-	// settle is the time between two sendings of a fatal request. What the nodes learn
-	// from the one has reached all of them by the next: it takes two or three exchanges
+	// settleTime is the time between two attempts of a fatal request. What the nodes learn
+	// from the first has reached all of them by the second: it takes two or three exchanges
 	// between nodes.
 	settleTime = 500 * time.Millisecond
-	// allowedEnds is how many upstreams one request may end: the first three, before
-	// it is known for what it is, and three more.
+	// maxCrashes is how many upstreams one request may crash: the first three, before it
+	// is identified as fatal, and three more.
 	maxCrashes = 6
 )
 
-// mortals are upstreams that end under some requests and come back at once, each time
-// as a new start.
+// crashingUpstreams are upstreams that crash under some requests and restart at once, each
+// time as a new start.
 type crashingUpstreams struct {
 	system *testSystem
 	fatal  func(r platformtest.Run) bool
@@ -42,7 +42,7 @@
 	all     []*platformtest.Upstream
 }
 
-// add starts a node beside a new upstream that ends under fatal requests.
+// add starts a node beside a new upstream that crashes under fatal requests.
 func (m *crashingUpstreams) add(service string) *testNode {
 	n := m.system.add(service)
 	n.upstream.Close()
@@ -50,7 +50,7 @@
 	return n
 }
 
-// start starts the upstream of a node anew.
+// start starts the upstream of a node again.
 func (m *crashingUpstreams) start(n *testNode, generation int) {
 	u := &platformtest.Upstream{
 		ID:          fmt.Sprintf("%s-%d", n.settings.Node, generation),
@@ -86,7 +86,7 @@
 	go m.announce(u, n)
 }
 
-// announce announces a start until its node has heard it.
+// announce announces a start until its node has received the announcement.
 func (m *crashingUpstreams) announce(u *platformtest.Upstream, n *testNode) {
 	for !u.SendHeartbeat(n.settings.AnnounceAddress) {
 		m.mu.Lock()
@@ -99,14 +99,14 @@
 	}
 }
 
-// ended returns how many upstreams have ended.
+// crashCount returns how many upstreams have crashed.
 func (m *crashingUpstreams) crashCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.crashes
 }
 
-// close ends all upstreams for good.
+// close stops all upstreams for good.
 func (m *crashingUpstreams) close() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -116,19 +116,18 @@
 	}
 }
 
-// TestFatalRequest has a request that ends each upstream that begins to run it come
-// again and again, at one node after the other.
+// TestFatalRequest repeats a request that crashes each upstream that begins to run it, at one
+// node after the other.
 //
-// Seen: of six upstreams of a service three ended within a moment, and each ended again
-// as soon as it was back, for ten seconds at a time; nineteen in all under one request.
-// It came about through a caller that sent the same request again to any node, and
-// through nodes that sent it to the next upstream, as it may run twice. The cause: no
-// node remembered what an upstream had ended under, and none knew what the others had
-// seen. The request's fingerprint stood among those in flight at every end, and no other
-// stood in each.
+// It guards against the loss of a whole service: three of its six upstreams crashed within a
+// moment, and each crashed again as soon as it had restarted, for ten seconds at a time;
+// nineteen crashes in all under one request. The caller retried the request at any node, and
+// nodes retried it at the next upstream, as it was idempotent. No node remembered what was in
+// flight when an upstream crashed, and none knew of the crashes that others had seen. The
+// fingerprint of the fatal request was the only one in flight at every crash.
 //
-// Others must not pay: requests of the same path, of the same caller, or in flight at
-// the same moment.
+// Other requests must not be affected: those of the same path, of the same caller, or in
+// flight at the same time.
 func TestFatalRequest(t *testing.T) {
 	w := newTestSystem(t)
 	m := &crashingUpstreams{system: w, fatal: func(r platformtest.Run) bool {
@@ -156,23 +155,23 @@
 		bystanders.Wait()
 		time.Sleep(settleTime)
 	}
-	qt.Check(t, m.crashCount() >= 3, qt.IsTrue, qt.Commentf("%d upstreams ended: nothing is known before", m.crashCount()))
-	qt.Check(t, m.crashCount() <= maxCrashes, qt.IsTrue, qt.Commentf("%d upstreams ended", m.crashCount()))
+	qt.Check(t, m.crashCount() >= 3, qt.IsTrue, qt.Commentf("%d upstreams crashed: the request can't be identified before", m.crashCount()))
+	qt.Check(t, m.crashCount() <= maxCrashes, qt.IsTrue, qt.Commentf("%d upstreams crashed", m.crashCount()))
 	for i, n := range nodes {
 		id := fmt.Sprint("harmless-", i)
 		qt.Check(t, n.request("PUT", "/b/report", id+"-path", "harmless").status, qt.Equals, 200, qt.Commentf("the same path and caller"))
 		qt.Check(t, n.request("PUT", "/b/other", id+"-body", "fatal").status, qt.Equals, 200, qt.Commentf("the same body and caller"))
-		qt.Check(t, n.request("PUT", "/b/bystander", id+"-moment", "").status, qt.Equals, 200, qt.Commentf("the same moments"))
+		qt.Check(t, n.request("PUT", "/b/bystander", id+"-moment", "").status, qt.Equals, 200, qt.Commentf("in flight at the same time"))
 	}
 	qt.Check(t, other.request("PUT", "/b/report", "harmless-caller", "fatal").status, qt.Equals, 200, qt.Commentf("another caller"))
 }
 
-// fatalWorld is a small system that knows of a fatal request.
+// newFatalSystem returns a small system whose upstreams crash under some requests.
 func newFatalSystem(t *testing.T, fatal func(r platformtest.Run) bool, upstreams int) (*crashingUpstreams, []*testNode) {
 	return newFatalSystemIn(newTestSystem(t), fatal, upstreams)
 }
 
-// fatalWorldIn does what fatalWorld does, in an empty system.
+// newFatalSystemIn does what newFatalSystem does, in an empty system.
 func newFatalSystemIn(w *testSystem, fatal func(r platformtest.Run) bool, upstreams int) (*crashingUpstreams, []*testNode) {
 	m := &crashingUpstreams{system: w, fatal: fatal}
 	w.t.Cleanup(m.close)
@@ -188,9 +187,9 @@
 	return m, nodes
 }
 
-// TestFatalRequestBlockedOverRestarts restarts a node, and then all of them at once, after
-// a request was found to be fatal: it stays blocked, by what the other nodes know, and by
-// what the platform keeps.
+// TestFatalRequestBlockedAcrossRestarts restarts a node, and then all of them at once, after a
+// request was found to be fatal: it stays blocked, by what the other nodes know, and by what
+// the platform stores.
 func TestFatalRequestBlockedAcrossRestarts(t *testing.T) {
 	m, nodes := newFatalSystem(t, func(r platformtest.Run) bool { return r.Body == "fatal" }, 3)
 	w := m.system
@@ -205,7 +204,7 @@
 		time.Sleep(settleTime)
 	}
 	crashes := m.crashCount()
-	qt.Check(t, crashes <= maxCrashes, qt.IsTrue, qt.Commentf("%d upstreams ended", crashes))
+	qt.Check(t, crashes <= maxCrashes, qt.IsTrue, qt.Commentf("%d upstreams crashed", crashes))
 
 	restart := func(list ...*testNode) {
 		for _, n := range list {
@@ -225,11 +224,11 @@
 	for _, n := range nodes {
 		sendFatal(n)
 	}
-	qt.Check(t, m.crashCount(), qt.Equals, crashes, qt.Commentf("upstreams ended under a request that was blocked"))
+	qt.Check(t, m.crashCount(), qt.Equals, crashes, qt.Commentf("upstreams crashed under a blocked request"))
 }
 
-// TestReleaseSuspect has an operator release a request that is blocked: it runs again at all
-// nodes, and is blocked anew when it ends upstreams again.
+// TestReleaseSuspect releases a blocked request: it runs again at all nodes, and is blocked
+// again once it has crashed upstreams again.
 func TestReleaseSuspect(t *testing.T) {
 	m, nodes := newFatalSystem(t, func(r platformtest.Run) bool { return r.Body == "fatal" }, 3)
 	list := func(n *testNode) (suspects []operator.Suspect) {
@@ -274,8 +273,8 @@
 	qt.Check(t, list(nodes[2])[0].State, qt.Equals, "blocked")
 }
 
-// TestFatalStream has a fatal request whose body comes in chunks, so that a node sends it
-// on before it knows it, and harmless ones that differ from it in their bodies only.
+// TestFatalStream sends a fatal request whose body comes in chunks, so that a node forwards it
+// before it knows its fingerprint, and harmless ones that differ from it in their bodies only.
 func TestFatalStream(t *testing.T) {
 	m, nodes := newFatalSystem(t, func(r platformtest.Run) bool { return r.Body == "fatal" }, 3)
 	send := func(n *testNode, id, body string) int {
@@ -294,7 +293,7 @@
 		send(nodes[round%len(nodes)], fmt.Sprint("fatal-", round), "fatal")
 		time.Sleep(settleTime)
 	}
-	qt.Check(t, m.crashCount() >= 3 && m.crashCount() <= maxCrashes, qt.IsTrue, qt.Commentf("%d upstreams ended", m.crashCount()))
+	qt.Check(t, m.crashCount() >= 3 && m.crashCount() <= maxCrashes, qt.IsTrue, qt.Commentf("%d upstreams crashed", m.crashCount()))
 	for i, n := range nodes {
 		qt.Check(t, send(n, fmt.Sprint("harmless-", i), "harmless"), qt.Equals, 200)
 	}
--- a/node/handlers.go
+++ b/node/handlers.go
@@ -18,7 +18,7 @@
 	"sassafrasfront.example/routes"
 )
 
-// callerHandler returns what serves callers.
+// callerHandler returns the handler of callers' requests.
 func (n *Node) callerHandler() *caller.Handler {
 	h := &caller.Handler{
 		Lookup: func(host string) (*entry.Service, bool) {
@@ -47,7 +47,7 @@
 	return h
 }
 
-// callerBounds returns how long callers may take, as the table of routes says.
+// callerTimeouts returns the timeouts for callers that the table of routes sets.
 func (n *Node) callerBounds() caller.Timeouts {
 	t := n.control.Snapshot().Table
 	if t == nil {
@@ -59,7 +59,7 @@
 	}
 }
 
-// announceHandler returns what takes in the announcements of the upstream.
+// announceHandler returns the handler of the upstream's announcements.
 func (n *Node) announceHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/v1/upstream", n.announcements)
@@ -69,7 +69,7 @@
 	return mux
 }
 
-// operatorHandler returns what serves operators.
+// operatorHandler returns the handler of operators' requests.
 func (n *Node) operatorHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
@@ -95,16 +95,16 @@
 	return mux
 }
 
-// serverLog returns what takes the lines that the library's servers write of
-// themselves, so that they are lines of the node's log, and bounded like them.
+// serverLog returns a logger for the HTTP servers that writes to the node's log, with a bound
+// on the rate of lines.
 func (n *Node) serverLog() *log.Logger { return log.New(&serverLogWriter{node: n}, "", 0) }
 
-// serverLines is an io.Writer of a server's log lines.
+// serverLogWriter writes the log lines of HTTP servers to the node's log.
 type serverLogWriter struct {
 	node *Node
 }
 
-// Write implements io.Writer, for one line at a time.
+// Write implements io.Writer. Each call writes one line.
 func (l *serverLogWriter) Write(line []byte) (int, error) {
 	if l.node.lineLimit.Allow("server", serverLinesPerSecond, 1) {
 		l.node.Log.Warn().Str("reason", strings.TrimSpace(string(line))).Msg("HTTP server")
@@ -112,8 +112,8 @@
 	return len(line), nil
 }
 
-// reply answers an operator with a value as JSON.
+// writeJSON responds to an operator with a value as JSON.
 func reply(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // nobody is there to be told of a failure
+	_ = json.NewEncoder(w).Encode(v) // a client that has disconnected can't be notified of a failure
 }
--- a/node/upstreamwatch.go
+++ b/node/healthcheck.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	// healthTimeout bounds one question to the upstream's health check.
+	// healthCheckTimeout bounds one health check of the upstream.
 	healthCheckTimeout = 500 * time.Millisecond
-	// healthEvery is the time between two questions while it is not known
-	// whether the upstream is there.
+	// healthCheckInterval is the time between two health checks while it is not known
+	// whether the upstream is up.
 	healthCheckInterval = 300 * time.Millisecond
 )
 
@@ -32,9 +32,9 @@
 	return s.HealthPath, ok && s.HealthPath != ""
 }
 
-// findUpstream asks the health check of the upstream that the settings name
-// until the upstream is known. A node that is started beside a running upstream
-// does not have to wait for its next announcement.
+// discoverUpstream sends health checks to the upstream that the settings name until the
+// upstream is known. A node that is started beside a running upstream does not have to
+// wait for its next announcement.
 func (n *Node) discoverUpstream(ctx context.Context) {
 	s := &n.Settings
 	if s.Service == "" || s.UpstreamAddress == "" {
@@ -65,13 +65,13 @@
 	}
 }
 
-// errNoHealthPath says that it is not known where the health check is.
-var errNoHealthPath = eris.New("no health path is known for the service")
+// errNoHealthPath means that the path of the health check is not known.
+var errNoHealthPath = eris.New("no health check path is known for the service")
 
-// errBeyondLimit says that the upstream takes no question now, by the limit that it names.
-var errBeyondLimit = eris.New("a question would be beyond the upstream's limit")
+// errBeyondLimit means that a health check now would exceed the upstream's advertised limit.
+var errBeyondLimit = eris.New("a health check would exceed the upstream's limit")
 
-// health asks the health check of an upstream once.
+// checkHealth sends one health check to an upstream.
 func (n *Node) checkHealth(ctx context.Context, service, address string) (upstream.HealthStatus, error) {
 	path, ok := n.healthPath(service)
 	if !ok {
@@ -84,7 +84,7 @@
 	return upstream.Health(ctx, address, path, n.Platform.FieldNames, healthCheckTimeout)
 }
 
-// next waits for a tick. It returns false if ctx ends before.
+// awaitTick waits for a tick. It returns false if ctx ends first.
 func awaitTick(ctx context.Context, tick *time.Ticker) bool {
 	select {
 	case <-ctx.Done():
@@ -94,8 +94,8 @@
 	}
 }
 
-// upstreamFailed takes in that the announced upstream was not there. It takes no
-// requests until its health check answers again or it announces itself anew.
+// upstreamUnreachable marks the announced upstream as down. It takes no requests until it
+// responds to a health check or announces itself again.
 func (n *Node) upstreamUnreachable(a *upstream.Announcement, failure *verdict.Error) {
 	n.mu.Lock()
 	current := n.announcements.Current()
@@ -112,7 +112,7 @@
 	go n.awaitRecovery(ctx, a)
 }
 
-// awaitUpstream asks the health check until the upstream answers.
+// awaitRecovery sends health checks until the upstream responds.
 func (n *Node) awaitRecovery(ctx context.Context, a *upstream.Announcement) {
 	tick := time.NewTicker(healthCheckInterval)
 	defer tick.Stop()
@@ -136,7 +136,7 @@
 	}
 }
 
-// upstreamBack takes in that an upstream that was down answers again.
+// upstreamRecovered marks an upstream that was down as up.
 func (n *Node) upstreamRecovered(ctx context.Context, a *upstream.Announcement) {
 	n.mu.Lock()
 	if ctx.Err() == nil {
@@ -147,28 +147,28 @@
 	n.announce()
 }
 
-// coldEvery is how old the upstream's word on whether it is cold grows before its health
-// check is asked. An upstream that turns cold gets so long what a warm one gets: three of 28
-// requests a second.
+// coldCheckInterval is how old the upstream's report on whether it is cold grows before a
+// health check requests a new one. For that long, an upstream that becomes cold gets as much
+// as a warm one: three requests at 28 a second.
 const coldCheckInterval = 100 * time.Millisecond
 
-// askTimeout bounds the wait of a request for the upstream's speed. A health check
-// that takes longer is of no use to it.
+// loadProbeTimeout bounds how long a request waits for a load report of the upstream. A health
+// check that takes longer is of no use to it.
 const loadProbeTimeout = 5 * time.Millisecond
 
-// askRate and askBurst bound the questions that requests cause, per second, in
-// addition to those in turn. Together they stay below the 60 a second that the
-// platform allows.
+// loadProbesPerSecond and loadProbeBurst bound the health checks that requests cause, in
+// addition to the periodic ones. Together they stay below the 60 a second that the platform
+// allows.
 const (
 	loadProbesPerSecond = 30
 	loadProbeBurst      = 10
 )
 
-// askLoad has the upstream asked for its speed at once, and waits for its word.
-// Requests that ask at the same time wait for the same one.
+// probeLoad has a load report requested from the upstream at once, and waits for it. Requests
+// that call it at the same time share one health check.
 func (n *Node) probeLoad(ctx context.Context) {
 	if n.gate.LimitAdvertised() || !n.loadProbeLimit.Allow() {
-		return // what a limited upstream takes goes to requests
+		return // the capacity of a limited upstream is left to requests
 	}
 	done := make(chan struct{})
 	timeout := time.NewTimer(loadProbeTimeout)
@@ -187,8 +187,8 @@
 	}
 }
 
-// pollLoad asks the upstream for its speed whenever its last word on that has grown too old for
-// the calls that come in, and whenever askLoad wants it, until ctx ends.
+// pollLoad requests the upstream's load whenever the last report is too old for the current rate
+// of calls, and whenever probeLoad asks for it, until ctx ends.
 func (n *Node) pollLoad(ctx context.Context) {
 	poller := &upstream.Poller{
 		Names:          n.Platform.FieldNames,
@@ -208,11 +208,11 @@
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-			// Answers tell the speed as well as the health check does, but not that the
-			// upstream has turned cold.
+			// Responses report the load as well as the health check does, but not that the
+			// upstream has become cold.
 			wait := min(rate.allowedLoadAge(n.callCount.Load(), time.Now())-n.gate.LoadAge(), coldCheckInterval-time.Since(polled))
 			if wait <= 0 {
-				wait = min(n.gate.ReserveHealthCheck(), coldCheckInterval) // the limit may be over by then
+				wait = min(n.gate.ReserveHealthCheck(), coldCheckInterval) // the limit may have ended by then
 			}
 			if wait > 0 {
 				timer.Reset(wait)
@@ -234,7 +234,8 @@
 	}
 }
 
-// answerAsked tells those that have asked meanwhile: the answer is theirs as well.
+// completeProbes notifies the calls of probeLoad that came during a health check: its result is
+// valid for them as well.
 func (n *Node) completeProbes() {
 	for {
 		select {
@@ -246,7 +247,7 @@
 	}
 }
 
-// isDown returns whether the upstream is known to be down.
+// isDown returns whether the upstream is down.
 func (n *Node) isDown() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/node/upstreamwatch_test.go
+++ b/node/healthcheck_test.go
@@ -17,21 +17,21 @@
 	"sassafrasfront.example/upstream"
 )
 
-// TestAskLoad has requests ask for the upstream's speed while it answers, and while
-// it does not.
+// TestProbeLoad has requests probe the upstream's load while it responds, and while it
+// does not.
 func TestProbeLoad(t *testing.T) {
 	tests := map[string]struct {
 		answers  bool
 		probes   int           // all at once
-		maxWait  time.Duration // by each, at most
+		maxWait  time.Duration // of all, at most
 		received int
-		limited  bool // whether the upstream names a limit
+		limited  bool // whether the upstream advertises a limit
 	}{
-		"answered":                   {answers: true, probes: 1, received: 1},
-		"not answered":               {probes: 1, maxWait: loadProbeTimeout},
-		"more than may ask":          {answers: true, probes: 3 * loadProbeBurst, received: loadProbeBurst},
-		"the upstream names a limit": {answers: true, probes: 1, limited: true},
-		"more, and nothing answered": {probes: 3 * loadProbeBurst, maxWait: loadProbeTimeout * (loadProbeBurst + 2)},
+		"answered":                          {answers: true, probes: 1, received: 1},
+		"not answered":                      {probes: 1, maxWait: loadProbeTimeout},
+		"more than the burst":               {answers: true, probes: 3 * loadProbeBurst, received: loadProbeBurst},
+		"the upstream advertises a limit":   {answers: true, probes: 1, limited: true},
+		"more than the burst, not answered": {probes: 3 * loadProbeBurst, maxWait: loadProbeTimeout * (loadProbeBurst + 2)},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/node/keys.go
+++ b/node/keys.go
@@ -13,13 +13,13 @@
 	"sassafrasfront.example/internal/boottime"
 )
 
-// notFreshWait is when a caller with a key may come back to a node that does not know which
-// keys are valid. Where the platform answers any node that this one can reach, it knows
-// again after the next read.
+// keysStaleRetryAfter is the time after which a caller with a key may retry at a node that does
+// not know which keys are valid. If the platform responds to any node that this one can reach,
+// this one knows again after the next read.
 const keysStaleRetryAfter = 500 * time.Millisecond
 
-// keepFresh has the nodes tell each other how fresh the table of routes is, if keys have to
-// be known as revoked within a time.
+// enableFreshness makes the nodes exchange how fresh the table of routes is, if keys have to be
+// known as revoked within a time.
 func (n *Node) enableFreshness() {
 	if n.Settings.RevokeWithin == 0 {
 		return
@@ -28,16 +28,17 @@
 	n.control.MaxStaleness = n.Settings.RevokeWithin
 }
 
-// clock returns a clock that goes on while the instance is suspended, if there is one.
+// newClock returns a clock that keeps running while the instance is suspended, or a monotonic
+// clock if there is none.
 func (n *Node) newClock() boottime.Clock {
 	clock, err := boottime.New()
 	if err != nil {
-		n.Log.Warn().Err(err).Msg("no clock that goes on while the instance is suspended")
+		n.Log.Warn().Err(err).Msg("no clock that keeps running while the instance is suspended")
 	}
 	return clock
 }
 
-// keys returns how keys are judged.
+// keyPolicy returns how keys are validated.
 func (n *Node) keyPolicy() caller.Keys {
 	if n.Settings.RevokeWithin == 0 {
 		return caller.Keys{}
@@ -50,7 +51,7 @@
 	}
 }
 
-// keyBounds returns how fresh the table of routes has to be for keys to be judged by it.
+// freshnessBounds returns how fresh the table of routes has to be for keys to be validated by it.
 func (n *Node) freshnessBounds() freshness.Bounds {
 	return freshness.Bounds{
 		MaxRevokeDelay: n.Settings.RevokeWithin,
@@ -58,8 +59,8 @@
 	}
 }
 
-// keyJudged logs when requests with keys begin or cease to be refused because the node
-// does not know which keys are valid.
+// keyChecked logs when the node begins or ceases to refuse requests with keys because it does
+// not know which keys are valid.
 func (n *Node) keyChecked(admitted bool, version uint64, age freshness.Age) {
 	if n.keysStale.Load() != admitted || !n.keysStale.CompareAndSwap(admitted, !admitted) {
 		return
@@ -71,7 +72,7 @@
 	n.Log.Warn().Uint64("version", version).Stringer("age", age).Dur("boundMs", n.Settings.RevokeWithin).Msg("keys can't be judged")
 }
 
-// judgesKeys returns whether the node can tell which keys are valid, where it has to.
+// canValidateKeys returns whether the node knows which keys are valid, or does not have to.
 func (n *Node) canValidateKeys() bool {
 	t := n.control.Snapshot().Table
 	if n.Settings.RevokeWithin == 0 || t == nil || !t.KeysRequired {
@@ -81,7 +82,7 @@
 }
 
 // tableAgeSeconds returns for how long the table of routes may have been out of date:
-// infinite if that is not known, and 0 where it is not asked for.
+// infinite if that is unknown, and 0 if its age is not bounded.
 func (n *Node) tableAgeSeconds() float64 {
 	if n.Settings.RevokeWithin == 0 {
 		return 0
--- a/node/keys_test.go
+++ b/node/keys_test.go
@@ -21,19 +21,19 @@
 	"sassafrasfront.example/platform/platformtest"
 )
 
-// revokeWithin is short, so that a node that is cut off refuses soon.
+// revokeWithin is short, so that a node that is cut off soon refuses requests.
 const revokeWithin = time.Second
 
-// keyed is a system whose callers need keys, but for the route /open/.
+// keyedSystem is a system whose callers need keys, except for the route /open/.
 type keyedSystem struct {
 	*testSystem
-	near, far   *testNode // far has a platform of its own that may be cut off
+	near, far   *testNode // far has a platform of its own that can be cut off
 	unreachable atomic.Bool
 	version     int
 	sent        int
 }
 
-// newKeyed returns a system in which the keys are in force.
+// newKeyedSystem returns a system in which the keys are active.
 func newKeyed(t *testing.T, keys ...string) *keyedSystem {
 	k := &keyedSystem{testSystem: newTestSystem(t)}
 	k.revokeWithin = revokeWithin
@@ -53,13 +53,13 @@
 	for _, n := range []*testNode{k.near, k.far} {
 		k.eventually("open to all", func() bool { return k.request(n, "/open/x", "").status == 200 })
 		if len(keys) > 0 {
-			k.eventually("the key is in force", func() bool { return k.request(n, "/b/x", keys[0]).status == 200 })
+			k.eventually("the key is active", func() bool { return k.request(n, "/b/x", keys[0]).status == 200 })
 		}
 	}
 	return k
 }
 
-// organisations writes the next version: an organisation for each of the keys.
+// organisations writes the next version of the configuration: an organisation for each of the keys.
 func (k *keyedSystem) organisations(keys ...string) {
 	k.version++
 	var list []string
@@ -71,14 +71,14 @@
 		k.version, strings.Join(list, ","), route("b", "idempotent", "b"), open)))
 }
 
-// reply is what a caller got.
+// keyedResponse is what a caller received.
 type keyedResponse struct {
 	callerResponse
 	id   string
 	body string
 }
 
-// ask sends a request with a key, or without one, that names an organisation of its own.
+// request sends a request, with or without a key, that names an organisation of its own.
 func (k *keyedSystem) request(n *testNode, path, key string) keyedResponse {
 	k.sent++
 	id := fmt.Sprint("k-", k.sent)
@@ -103,7 +103,7 @@
 	}
 }
 
-// ran returns the run of a request, or nil.
+// findRun returns the run of a request, or nil.
 func (k *keyedSystem) findRun(id string) *platformtest.Run {
 	for _, n := range k.nodes {
 		for _, r := range n.upstream.Runs() {
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// TestKeys has callers with and without keys: the upstream is told the organisation, and
+// TestKeys sends requests with and without keys: the upstream receives the organisation, and
 // never the key.
 func TestKeys(t *testing.T) {
 	k := newKeyed(t, "one", "two")
@@ -151,13 +151,13 @@
 	}
 }
 
-// TestKeysChange adds and removes keys by new versions, a version that can't be read and
-// a key that comes and goes at once among them.
+// TestKeysChange adds and removes keys by new versions of the configuration, among them one that
+// can't be decoded and a key that is added and removed at once.
 func TestKeysChange(t *testing.T) {
 	k := newKeyed(t, "one")
 	k.organisations("one", "two")
 	for _, n := range []*testNode{k.near, k.far} {
-		k.eventually("the added key is taken", func() bool { return k.request(n, "/b/x", "two").status == 200 })
+		k.eventually("the added key is accepted", func() bool { return k.request(n, "/b/x", "two").status == 200 })
 	}
 	k.organisations("two")
 	for _, n := range []*testNode{k.near, k.far} {
@@ -169,24 +169,24 @@
 	k.organisations("two")
 	k.organisations("two", "four")
 	for _, n := range []*testNode{k.near, k.far} {
-		k.eventually("the last version is in force", func() bool { return k.request(n, "/b/x", "four").status == 200 })
+		k.eventually("the last version is active", func() bool { return k.request(n, "/b/x", "four").status == 200 })
 		qt.Check(t, k.request(n, "/b/x", "three").status, qt.Equals, 401)
 		qt.Check(t, k.request(n, "/b/x", "two").status, qt.Equals, 200)
 	}
 }
 
-// TestRevokedWithoutPlatform cuts a node off from the platform while its key goes: it hears
-// of that from the other. Without the other, it refuses what needs a key once the bound has
-// passed, and only that, until it knows again.
+// TestKeyRevokedWithoutPlatform cuts a node off from the platform while its key is revoked: the
+// node receives the change from the other one. Without the other, it refuses what needs a key
+// once the bound has passed, and only that, until it reaches the platform again.
 func TestKeyRevokedWithoutPlatform(t *testing.T) {
 	k := newKeyed(t, "one", "two")
 	k.unreachable.Store(true)
 	for deadline := time.Now().Add(2 * revokeWithin); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		k.request(k.far, "/b/x", "two")
 	}
-	k.eventually("the other node tells it how fresh its table is", func() bool { return k.request(k.far, "/b/x", "two").status == 200 })
+	k.eventually("the other node sends it a freshness proof", func() bool { return k.request(k.far, "/b/x", "two").status == 200 })
 	k.organisations("two")
-	k.eventually("the other node tells it of the change", func() bool { return k.request(k.far, "/b/x", "one").status == 401 })
+	k.eventually("the other node sends it the change", func() bool { return k.request(k.far, "/b/x", "one").status == 401 })
 
 	k.near.stop()
 	k.organisations()
@@ -198,7 +198,7 @@
 		got := k.request(k.far, "/b/x", "two")
 		if sent.Sub(acknowledged) > revokeWithin {
 			refused = got
-			qt.Check(t, k.findRun(got.id), qt.IsNil, qt.Commentf("sent %v after its key went", sent.Sub(acknowledged)))
+			qt.Check(t, k.findRun(got.id), qt.IsNil, qt.Commentf("sent %v after its key was revoked", sent.Sub(acknowledged)))
 		}
 	}
 	qt.Check(t, refused.status, qt.Equals, 503, qt.Commentf("%s", refused.body))
@@ -210,6 +210,6 @@
 	qt.Check(t, k.request(k.far, "/open/x", "").status, qt.Equals, 200)
 
 	k.unreachable.Store(false)
-	k.eventually("it knows again", func() bool { return k.request(k.far, "/b/x", "two").status == 401 })
+	k.eventually("it reaches the platform again", func() bool { return k.request(k.far, "/b/x", "two").status == 401 })
 	qt.Check(t, k.far.ready(), qt.IsTrue)
 }
--- a/node/latestart_test.go
+++ b/node/lateheartbeat_test.go
@@ -11,12 +11,12 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestLateHeartbeatOfFormerStart guards against the loss of an upstream for good, after a node that has
-// just started has heard a late heartbeat of the start before the present one.
+// TestLateHeartbeatOfPreviousStart guards against the permanent loss of an upstream after a node that
+// has just started receives a late heartbeat of the upstream's previous start.
 func TestLateHeartbeatOfPreviousStart(t *testing.T) {
 	for name, leaves := range map[string]bool{
-		"the present start goes on":                 false,
-		"the present start has said that it leaves": true,
+		"the current start continues":                    false,
+		"the current start has announced that it leaves": true,
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newTestSystem(t)
@@ -40,7 +40,7 @@
 			for n := range 100 {
 				qt.Check(t, second.request("PUT", "/a/x", fmt.Sprint("left", n), "").status, qt.Equals, 503)
 			}
-			qt.Check(t, len(first.upstream.Runs()), qt.Equals, before, qt.Commentf("an acknowledged leave binds"))
+			qt.Check(t, len(first.upstream.Runs()), qt.Equals, before, qt.Commentf("an acknowledged leave is final"))
 		})
 	}
 }
--- a/node/latecomer_test.go
+++ b/node/laterequests_test.go
@@ -17,8 +17,8 @@
 	"sassafrasfront.example/settings"
 )
 
-// TestLatecomersAtLeavingNode guards against requests that come late to a node that leaves, are passed
-// on, and are cut at the end of its grace period while their upstreams work on them.
+// TestLateRequestsAtLeavingNode guards against requests that arrive late at a node that leaves, are
+// forwarded, and are cut at the end of its grace period while their upstreams run them.
 func TestLateRequestsAtLeavingNode(t *testing.T) {
 	const grace = 6 * time.Second
 	w := newTestSystem(t)
@@ -60,13 +60,13 @@
 		}
 		return false
 	}
-	// The upstream beside the node that leaves works until the end.
+	// The upstream beside the node that leaves runs a request until the end.
 	busy := make(chan struct{})
 	go func() {
 		defer close(busy)
 		_, _ = send(second, "/n/x", "long-before")
 	}()
-	w.eventually("an upstream works", func() bool { return ran(first, "long-before") })
+	w.eventually("an upstream runs a request", func() bool { return ran(first, "long-before") })
 	stopped := make(chan struct{})
 	go func() {
 		defer close(stopped)
--- a/node/managed_test.go
+++ b/node/managed_test.go
@@ -29,23 +29,23 @@
 	"sassafrasfront.example/settings"
 )
 
-// world is a managed system on loopback: the store, and nodes with an upstream
+// testSystem is a managed system on loopback: the store, and nodes with an upstream
 // each.
 type testSystem struct {
 	t     *testing.T
 	store *platformtest.Store
 	url   string
 	nodes []*testNode
-	// strict is the nodes' RevokeWithin, and share their RolloutShare.
+	// revokeWithin is the nodes' RevokeWithin, and rolloutShare their RolloutShare.
 	revokeWithin time.Duration
 	rolloutShare float64
 	// adjust, if not nil, changes the settings of nodes that are added.
 	adjust func(s *settings.Settings)
-	// log takes the events of nodes.
+	// log receives the events of nodes.
 	log zerolog.Logger
 }
 
-// managed is a node with its upstream.
+// testNode is a node with its upstream.
 type testNode struct {
 	settings settings.Settings
 	upstream *platformtest.Upstream
@@ -67,8 +67,8 @@
 	return w
 }
 
-// configure writes a manifest whose route /a/ leads to the service a and must not
-// repeat, and /b/ to the service b, with an extra one to b and more as given.
+// configure writes a manifest with the route /a/ to the service a, whose requests must not run
+// twice, the route /b/ to the service b, and an extra one to b and more as given.
 func (w *testSystem) configure(version int, extra string, more ...string) {
 	list := []string{route("a", "non_idempotent", "a"), route("b", "idempotent", "b")}
 	if extra != "" {
@@ -78,12 +78,12 @@
 	w.store.Put("config", "main", rawJSON(fmt.Sprintf(`{"version":"r%d","services":[{"name":"a","healthPath":"/healthz"},{"name":"b","healthPath":"/healthz"}],"virtualHosts":[{"host":"h.example","paths":[%s]}]}`, version, strings.Join(list, ","))))
 }
 
-// route returns a manifest's route whose name is its path.
+// route returns a manifest's route with its name as the path.
 func route(name, kind, service string) string {
 	return fmt.Sprintf(`{"name":"%[1]s","pathPrefix":"/%[1]s/","kind":"%[2]s","timeoutS":1,"targetLatencyS":0.3,"priority":1,"service":"%[3]s","maxAttempts":2}`, name, kind, service)
 }
 
-// rawJSON is encoded as it is.
+// rawJSON is JSON that is encoded as it is.
 type rawJSON string
 
 func (r rawJSON) MarshalJSON() ([]byte, error) { return []byte(r), nil }
@@ -93,13 +93,13 @@
 var host = fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(254), rand.IntN(255), 1+rand.IntN(254))
 
 const (
-	// firstPort is the first of the ports that freeAddr chooses from, and ports their number.
+	// firstPort is the first of the ports that freeAddr chooses from, and portCount their number.
 	firstPort = 10000
 	portCount = 50000
 )
 
-// given are the ports that freeAddr has returned. It tries none of them again: its node may not
-// listen yet, and would find its port taken.
+// usedPorts are the ports that freeAddr has returned. It does not return them again: the node that
+// has one may not listen yet, and would find its port taken.
 var usedPorts sync.Map
 
 // freeAddr returns an address that is free now and that nobody else gets.
@@ -129,8 +129,8 @@
 	return w.addUpstream(zone, &platformtest.Upstream{Service: service}, seeds...)
 }
 
-// addUpstream starts a node in an availability zone beside an upstream, whose id, slots and
-// work are set.
+// addUpstream starts a node in an availability zone beside an upstream, whose ID, slots and service
+// time it sets.
 func (w *testSystem) addUpstream(zone string, u *platformtest.Upstream, seeds ...string) *testNode {
 	id := "i-" + strconv.Itoa(len(w.nodes))
 	service := u.Service
@@ -181,7 +181,7 @@
 	}
 }
 
-// answer is what a caller got.
+// callerResponse is what a caller received.
 type callerResponse struct {
 	status     int
 	body       string
@@ -189,7 +189,7 @@
 	retryAfter string
 }
 
-// ask sends a request to a node.
+// request sends a request to a node.
 func (m *testNode) request(method, path, id, body string) callerResponse {
 	r, _ := http.NewRequest(method, "http://"+m.settings.CallerAddress+path, strings.NewReader(body))
 	r.Host = "h.example"
@@ -207,7 +207,7 @@
 	return callerResponse{response.StatusCode, string(data), response.Header.Get(platformtest.Signature), response.Header.Get("Retry-After")}
 }
 
-// ready returns whether the node calls itself ready.
+// ready returns whether the node reports that it is ready.
 func (m *testNode) ready() bool {
 	r, err := http.Get("http://" + m.settings.OperatorAddress + "/readyz")
 	if err != nil {
@@ -217,7 +217,7 @@
 	return r.StatusCode == 200
 }
 
-// eventually polls until f returns true. The bound is no expectation: it ends a
+// eventually polls until f returns true. The bound is not an expectation: it ends a
 // test that would never end.
 func (w *testSystem) eventually(what string, f func() bool) {
 	w.t.Helper()
@@ -230,11 +230,12 @@
 	w.t.Fatalf("never: %s", what)
 }
 
-// TestManaged takes a small system through what may happen to it.
+// TestManaged checks how a small system serves before and after it is configured, during an outage
+// of the platform, after an older version of the configuration, and while an upstream drains.
 func TestManaged(t *testing.T) {
 	w := newTestSystem(t)
 	first, second := w.add("a"), w.add("b")
-	w.eventually("a node answers", func() bool { return first.request("GET", "/a/x", "0", "").status != 0 })
+	w.eventually("a node responds", func() bool { return first.request("GET", "/a/x", "0", "").status != 0 })
 	early := first.request("GET", "/a/x", "0", "")
 	qt.Check(t, early.status, qt.Equals, 503, qt.Commentf("nothing is configured yet"))
 	wait, err := strconv.ParseFloat(early.retryAfter, 64)
@@ -243,7 +244,7 @@
 
 	w.configure(1, "")
 	w.eventually("both are ready", func() bool { return first.ready() && second.ready() })
-	w.eventually("each finds the other's upstream by its health check", func() bool {
+	w.eventually("each discovers the other's upstream by its health check", func() bool {
 		return first.request("GET", "/b/x", "warm", "").status == 200 && second.request("PUT", "/a/x", "warm", "").status == 200
 	})
 	got := second.request("PUT", "/a/x%2Fy?q=1", "one", "body")
@@ -253,10 +254,10 @@
 	last.At = time.Time{}
 	qt.Check(t, last, qt.Equals, platformtest.Run{ID: "one", Method: "PUT", Path: "/a/x%2Fy?q=1", Body: "body", Caller: "b", Upstream: "i-0"})
 	qt.Check(t, first.request("GET", "/c/x", "1", "").status, qt.Equals, 404)
-	qt.Check(t, first.request("GET", "/b/x", "", "").status, qt.Equals, 503, qt.Commentf("no id is made up, and the upstream takes none without"))
+	qt.Check(t, first.request("GET", "/b/x", "", "").status, qt.Equals, 503, qt.Commentf("no ID is generated, and the upstream refuses requests without one"))
 
 	w.store.SetFaults(platformtest.Faults{Status: 503})
-	qt.Check(t, second.request("PUT", "/a/x", "away", "").status, qt.Equals, 200, qt.Commentf("the store is away"))
+	qt.Check(t, second.request("PUT", "/a/x", "away", "").status, qt.Equals, 200, qt.Commentf("the store is unavailable"))
 	w.store.SetFaults(platformtest.Faults{})
 
 	w.configure(2, "c")
@@ -271,11 +272,11 @@
 	for i := range 10 {
 		qt.Check(t, second.request("PUT", "/a/x", fmt.Sprint("drained", i), "").status, qt.Equals, 503)
 	}
-	qt.Check(t, len(first.upstream.Runs()), qt.Equals, before, qt.Commentf("an acknowledged drain binds"))
+	qt.Check(t, len(first.upstream.Runs()), qt.Equals, before, qt.Commentf("an acknowledged drain is final"))
 }
 
 // TestManagedRestart stops a node beside a running upstream and starts it again:
-// it finds the upstream without an announcement, and nothing runs twice.
+// it discovers the upstream without an announcement, and nothing runs twice.
 func TestManagedRestart(t *testing.T) {
 	w := newTestSystem(t)
 	w.configure(1, "")
@@ -299,8 +300,8 @@
 	qt.Check(t, seen["gone"], qt.Equals, 0)
 }
 
-// TestManagedUpstreamReplaced has an upstream crash and another service's take
-// its address: requests for the old one don't run there.
+// TestManagedUpstreamReplaced has an upstream crash and another one take its
+// address: requests for the former one do not run there.
 func TestManagedUpstreamReplaced(t *testing.T) {
 	w := newTestSystem(t)
 	w.configure(1, "")
@@ -315,9 +316,9 @@
 	w.eventually("the new start serves", func() bool { return second.request("PUT", "/a/x", "new", "").status == 200 })
 }
 
-// TestManagedStoreForgets has the store drop its history while its watches hear
-// nothing, and leave them open. The change that they have missed must be found
-// long before they end.
+// TestManagedStoreDropsHistory has the store drop its history while its watches receive
+// nothing and stay open. The change that they have missed must be found long before
+// they end.
 func TestManagedStoreDropsHistory(t *testing.T) {
 	w := newTestSystem(t)
 	w.configure(1, "")
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -23,8 +23,8 @@
 // metricSet holds the node's metrics.
 type metricSet struct {
 	set           *metrics.Set
-	traffic       peer.Counters // to gates
-	control       peer.Counters // to other nodes' control
+	traffic       peer.Counters // of calls to gates
+	control       peer.Counters // of control requests to other nodes
 	platformCalls func() uint64
 }
 
@@ -73,7 +73,7 @@
 // gauge adds a gauge whose value f returns.
 func (m *metricSet) gauge(name string, f func() float64) { m.set.NewGauge(name, f) }
 
-// upstreamGauges adds what the gate knows of its upstream and of the bodies that come in.
+// upstreamGauges adds gauges of the gate's upstream and of the bodies that arrive.
 func (m *metricSet) upstreamGauges(n *Node) {
 	gauge := m.gauge
 	gauge(`sassafras_upstream_requests_total`, func() float64 { return float64(n.gate.RequestsWritten()) })
@@ -101,7 +101,7 @@
 	})
 }
 
-// quotaGauges adds what the node knows of rate limits, which is nothing where there are none.
+// rateLimitGauges adds gauges of the rate limits, which are 0 where there are none.
 func (m *metricSet) rateLimitGauges(n *Node) {
 	gauge := m.gauge
 	limits := func() ratelimit.State {
@@ -153,7 +153,7 @@
 	}
 }
 
-// gateEnded counts a call at the gate.
+// callEnded counts a call at the gate.
 func (m *metricSet) callEnded(service, class string, failure *verdict.Error, waited, took time.Duration) {
 	cause := "none"
 	if failure != nil {
@@ -166,7 +166,7 @@
 	}
 }
 
-// requestsUnderWay adds how many requests of callers are under way.
+// addInFlightGauge adds a gauge of the callers' requests in flight.
 func (m *metricSet) addInFlightGauge(h *caller.Handler) {
 	m.gauge(`sassafras_requests_under_way`, func() float64 {
 		open, _ := h.RequestCounts()
@@ -174,20 +174,20 @@
 	})
 }
 
-// drained counts what has ended by itself in a drain, and what was cut.
+// drained counts the requests that completed during a drain, and what was cut.
 func (m *metricSet) drained(completed int, cut trafficCount) {
 	m.set.GetOrCreateCounter(`sassafras_drain_total{part="requests",end="itself"}`).Add(completed)
 	m.set.GetOrCreateCounter(`sassafras_drain_total{part="requests",end="cut"}`).Add(cut.requests)
 	m.set.GetOrCreateCounter(`sassafras_drain_total{part="calls",end="cut"}`).Add(cut.calls)
 }
 
-// bodyIn takes in that the body of a call has arrived at the gate.
+// bodyReceived records that the body of a call has arrived at the gate.
 func (m *metricSet) bodyReceived(service, class string, bytes int64, took time.Duration) {
 	m.set.GetOrCreateHistogram(fmt.Sprintf(`sassafras_gate_body_seconds{service=%q,class=%q}`, service, class)).Update(took.Seconds())
 	m.set.GetOrCreateCounter(fmt.Sprintf(`sassafras_gate_body_bytes_total{service=%q,class=%q}`, service, class)).Add(int(bytes))
 }
 
-// dispatcherEvent counts what the entry does beyond the first sending.
+// dispatcherEvent counts what the dispatcher does for a request beyond the first attempt.
 func (m *metricSet) dispatcherEvent(service string, e entry.Event) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`sassafras_resends_total{service=%q,kind=%q}`, service, string(e))).Inc()
 }
--- a/node/node.go
+++ b/node/node.go
@@ -38,23 +38,23 @@
 )
 
 const (
-	// reportEvery is the least time between two load reports to one node.
+	// minReportInterval is the shortest time between two load reports to one node.
 	minReportInterval = 10 * time.Millisecond
-	// reportSize is what a load report adds to an answer, in bytes.
+	// reportSizeBytes is the size that a load report adds to a response.
 	reportSizeBytes = 60
-	// controlSavings is for how many seconds the budget of the control state is
-	// saved up, so that many changes at once, such as the start of a zone, are
-	// passed on quickly.
+	// controlBurstSeconds is for how many seconds the budget of the control state
+	// accumulates, so that many changes at once, such as the start of a zone,
+	// propagate quickly.
 	controlBurstSeconds = 10
-	// headTimeout bounds the head of a caller's request, and idleTimeout an idle
-	// connection of a caller.
+	// headerTimeout bounds the reading of a request's header, and idleTimeout the
+	// time that a caller's connection may be idle.
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 2 * time.Minute
-	// bodyQueue is how long the link takes for the bodies that are under way to a
-	// node at once: a fraction of the silence after which a peer is given up, and
-	// many times the delay between zones, so that the link does not run dry.
+	// maxBodyQueueTime is how long the link takes for the bodies that may be in
+	// flight to a node at once: a fraction of the silence timeout of a peer, and
+	// many times the delay between zones, so that the link is kept busy.
 	maxBodyQueueTime = 40 * time.Millisecond
-	// flushTimeout bounds the sending of the last traces.
+	// flushTimeout bounds the export of the last traces.
 	flushTimeout = 2 * time.Second
 )
 
@@ -62,10 +62,10 @@
 type Node struct {
 	// Settings are the node's settings, already checked.
 	Settings settings.Settings
-	// Log takes the events.
+	// Log receives the node's events.
 	Log zerolog.Logger
-	// Platform, if not nil, is the platform whose table of routes the node
-	// follows. Otherwise each service has a configuration of its own.
+	// Platform, if not nil, is the platform whose table of routes the node applies.
+	// Otherwise each service has a configuration of its own.
 	Platform *Platform
 
 	tracer           trace.Tracer
@@ -77,44 +77,44 @@
 	announcements    *upstream.Announcements
 	claims           *claim.Store
 	evacuated        evacuationTimes
-	rateLimiter      *ratelimit.Limiter                // of organisations, or nil
-	rollouts         *canary.Runner                    // or nil, where none are ordered
-	rolloutOrders    *objectapi.Lister                 // of the same
+	rateLimiter      *ratelimit.Limiter                // nil without a table of routes
+	rollouts         *canary.Runner                    // nil if rollouts are not enabled
+	rolloutOrders    *objectapi.Lister                 // nil if rollouts are not enabled
 	versions         versionCheck                      // of the upstream
-	suspects         quarantine.Index                  // the requests that upstreams have ended under
-	blocklist        *blocklist.Store                  // of them, on the platform, or nil
-	objects          objectapi.PollingAPI              // of Platform
-	platformClient   *objectapi.JSONClient             // which makes its calls, or nil
-	discovery        *contact.Discovery                // finds other nodes by it
-	contactRegistry  *contact.PlatformRegistry         // which is kept there
-	platformRestored chan struct{}                     // has a value when what was written there may be lost
+	suspects         quarantine.Index                  // the requests that were in flight when upstreams crashed
+	blocklist        *blocklist.Store                  // the blocked requests on the platform, or nil
+	objects          objectapi.PollingAPI              // the platform's object API
+	platformClient   *objectapi.JSONClient             // makes the calls of objects, or nil
+	discovery        *contact.Discovery                // finds other nodes through contactRegistry
+	contactRegistry  *contact.PlatformRegistry         // the nodes' addresses on the platform
+	platformRestored chan struct{}                     // has a value when entries on the platform may be lost
 	reloadedSettings atomic.Pointer[settings.Settings] // nil until the settings change
-	discoveryDone    chan struct{}                     // closed once the node has had the time to learn of the others
+	discoveryDone    chan struct{}                     // closed once the node has had the time to discover others
 	stalls           stall.Monitor
 	lineLimit        logfmt.LineLimiter
 	successCount     atomic.Uint64
-	gateConfigured   atomic.Bool // whether the gate knows its service
-	keysStale        atomic.Bool // whether keys can't be judged, as the last request with one found
+	gateConfigured   atomic.Bool // whether the gate has a configuration
+	keysStale        atomic.Bool // whether the last request with a key found that keys can't be validated
 	loadProbes       chan chan struct{}
 	loadProbeLimit   *rate.Limiter
-	callCount        atomic.Uint64 // to the upstream, so far
-	healthChecks     atomic.Uint64 // to its health check, so far
+	callCount        atomic.Uint64 // calls to the upstream so far
+	healthChecks     atomic.Uint64 // health checks of the upstream so far
 
-	// announcing is held while the node's state is found and told, so that what
-	// is told last was found last. configuring is held while the gate is given
-	// its configuration.
+	// announceMu is held while the node's state is determined and announced, so that
+	// the last announcement is of the latest state. configureMu is held while the
+	// gate is configured.
 	announceMu, configureMu sync.Mutex
 
 	mu           sync.Mutex
-	upstreamDown bool      // whether the prober says that the upstream is down
-	leaving      bool      // whether callers are sent away
-	gateDraining bool      // whether the gate refuses as well
-	draining     bool      // whether no requests are taken any more
-	cutAt        time.Time // when what is under way is cut, once requests are taken only that end before
+	upstreamDown bool      // whether the upstream can't be reached
+	leaving      bool      // whether callers are sent to other nodes
+	gateDraining bool      // whether the gate refuses calls
+	draining     bool      // whether the node takes no requests any more
+	cutAt        time.Time // when requests in flight are cut, once the node takes only requests that end before
 	stopProber   context.CancelFunc
 }
 
-// listeners are the node's open ports.
+// listeners are the listeners on the node's ports.
 type listeners struct {
 	caller, peer, announce, operator net.Listener
 }
@@ -149,7 +149,7 @@
 	}
 }
 
-// Run runs the node until ctx ends, and then stops it in good order. An error
+// Run runs the node until ctx ends, and then shuts it down gracefully. An error
 // means that it could not start.
 func (n *Node) Run(ctx context.Context) error {
 	l, err := n.listen()
@@ -174,13 +174,13 @@
 	flushCtx, cancel := context.WithTimeout(exit, flushTimeout)
 	defer cancel()
 	if err := flush(flushCtx); err != nil {
-		n.Log.Warn().Err(err).Msg("last traces not sent")
+		n.Log.Warn().Err(err).Msg("last traces not exported")
 	}
 	n.Log.Info().Msg("node stopped")
 	return nil
 }
 
-// names returns the header fields in use.
+// fieldNames returns the names of the header fields in use.
 func (n *Node) fieldNames() upstream.FieldNames {
 	if n.Platform != nil {
 		return n.Platform.FieldNames
@@ -188,14 +188,14 @@
 	return upstream.DefaultFieldNames
 }
 
-// peerClosed logs why the connection of a peer ended, if it broke the protocol.
+// peerClosed logs why the connection of a peer was closed, if the peer violated the protocol.
 func (n *Node) peerClosed(from peer.Hello, reason error) {
 	if eris.Is(reason, peer.ErrProtocol) {
 		n.Log.Warn().Str("peer", from.Node).Err(reason).Msg("peer connection closed")
 	}
 }
 
-// published takes in a new view of the system.
+// published applies a new snapshot of the system.
 func (n *Node) published(s *control.Snapshot) {
 	n.dispatcher.SetServices(s.Services)
 	n.evacuated.update(s.Evacuated)
@@ -205,14 +205,13 @@
 	n.gate.SetEvacuated(s.Evacuated.Has(n.Settings.Zone))
 	n.rolloutsChanged(s.Rollouts)
 	if n.configureGate() {
-		go n.announce() // which waits for the goroutine that calls this
+		go n.announce() // announce waits for the goroutine that calls this
 	}
 }
 
 // configureGate gives the gate the configuration of its upstream's service. It
-// returns whether the gate has one now and had none before, or the reverse.
-// The snapshot is read under the lock, so that of two calls the later one has the
-// later snapshot.
+// returns whether the gate has gained or lost its configuration. The snapshot is
+// read under the lock, so that the later of two calls applies the later snapshot.
 func (n *Node) configureGate() (changed bool) {
 	n.configureMu.Lock()
 	defer n.configureMu.Unlock()
@@ -226,7 +225,7 @@
 	return n.gateConfigured.Swap(config != nil) != (config != nil)
 }
 
-// serve runs the parts until ctx ends, and then stops them in order. It returns the
+// serve runs the components until ctx ends, and then stops them in order. It returns the
 // context of what is left to do.
 func (n *Node) serve(ctx context.Context, l *listeners) (exit context.Context, cancel context.CancelFunc) {
 	background, stop := context.WithCancel(context.Background())
@@ -310,15 +309,15 @@
 	return exit, cancel
 }
 
-// lastCalls lets the calls of other nodes go on as long as the process may live. Those
-// nodes may have to stop at the same time, and then answer for themselves.
+// awaitPeerCalls lets the calls of other nodes continue as long as the process may live. Those
+// nodes may have to stop at the same time, and then respond to their callers themselves.
 func (n *Node) awaitPeerCalls(exit context.Context) {
 	ctx, cancel := context.WithTimeout(exit, settings.ExitReserve)
 	defer cancel()
-	_ = n.peers.Quiesce(ctx) // their nodes see the connection end
+	_ = n.peers.Quiesce(ctx) // those nodes see the connection close
 }
 
-// leftOver waits for a part that ends, as long as the grace period allows.
+// awaitComponent waits until a component has ended, as long as the grace period allows.
 func (n *Node) awaitComponent(exit context.Context, component string, wait func()) {
 	if err := await(exit, wait); err != nil {
 		n.Log.Warn().Str("part", component).Err(err).Msg("not ended within the grace period")
--- a/node/nodes_test.go
+++ b/node/nodes_test.go
@@ -16,7 +16,7 @@
 	"sassafrasfront.example/operator"
 )
 
-// TestNodesListed asks a node for the nodes that it knows, and for its metrics, by which they are
+// TestNodesListed requests the nodes that a node knows, and its metrics, by which nodes are
 // compared: those of its process are among them.
 func TestNodesListed(t *testing.T) {
 	w := newTestSystem(t)
--- a/node/organisations.go
+++ b/node/organisations.go
@@ -16,17 +16,18 @@
 )
 
 const (
-	// homeSubject is the subject of the order of nodes in which the first is the home.
+	// coordinatorSubject is the subject of the rendezvous order in which the first node is
+	// the coordinator of the rate limits.
 	coordinatorSubject = "quota"
-	// homeCandidates is the number of nodes that are chosen from to be home of the rate
-	// limits: the first that answers. With a third of all nodes gone, one of them is there
-	// but for one time in 250.
+	// coordinatorCandidates is the number of nodes that may be coordinator of the rate limits,
+	// which is the first one that responds. If a third of all nodes have crashed, no candidate is
+	// up in one case of 250.
 	coordinatorCandidates = 5
-	// listedOrganisations is how many are listed where no limit is asked for.
+	// defaultListed is how many organisations are listed if the request sets no limit.
 	defaultListed = 50
 )
 
-// rateLimits returns what bounds the requests of organisations.
+// newRateLimiter returns the limiter of organisations' requests.
 func (n *Node) newRateLimiter() *ratelimit.Limiter {
 	s := &n.Settings
 	return &ratelimit.Limiter{
@@ -54,7 +55,7 @@
 	}
 }
 
-// homes returns the nodes that are to be home of the rate limits, in order.
+// coordinators returns the candidates for the coordinator of the rate limits, in order.
 func (n *Node) coordinators() []ratelimit.Peer {
 	list := []ratelimit.Peer{}
 	for _, r := range n.control.RendezvousTop(coordinatorSubject, coordinatorCandidates) {
@@ -66,7 +67,7 @@
 	return list
 }
 
-// listOrganisations answers with the organisations that have a rate limit, those with the
+// listOrganisations responds with the organisations that have a rate limit, those with the
 // most requests refused here first.
 func (n *Node) listOrganisations(w http.ResponseWriter, r *http.Request) {
 	limit := defaultListed
--- a/node/platform.go
+++ b/node/platform.go
@@ -19,58 +19,58 @@
 	"sassafrasfront.example/upstream"
 )
 
-// Platform is what a node has to know of a platform whose configuration is one
-// table of routes. The exported fields are set before Run.
+// Platform describes a platform whose configuration is one table of routes. The
+// exported fields are set before Run.
 type Platform struct {
-	// Names are the header fields that callers and upstreams use.
+	// FieldNames are the header fields that callers and upstreams use.
 	FieldNames upstream.FieldNames
-	// API returns the object API, given what makes its calls.
+	// NewAPI returns the object API whose calls c makes.
 	NewAPI func(c *objectapi.JSONClient) objectapi.PollingAPI
-	// Era reads the era that an answer of the platform names, if it names one.
+	// ParseEra returns the era that a response of the platform names, if it names one.
 	ParseEra func(h http.Header) (era uint64, named bool, err error)
-	// Kind and Name are those of the object that holds the table.
+	// TableKind and TableName are the kind and the name of the object that holds the table.
 	TableKind, TableName string
-	// Table decodes that object.
+	// DecodeTable decodes that object.
 	DecodeTable func(o *objectapi.Object) (*routes.Table, error)
-	// ZoneKind is the kind of the objects by which operators evacuate zones; each is named
-	// for its zone.
+	// ZoneKind is the kind of the objects by which operators evacuate zones. Each has the name
+	// of its zone.
 	ZoneKind string
-	// RolloutKind is the kind of the objects that order a version to be rolled out, each named
-	// for its service. Rollout decodes one, and RolloutStatus returns what is written to one
-	// whose version is in a phase.
+	// RolloutKind is the kind of the objects that order the rollout of a version. Each has the
+	// name of its service. DecodeRollout decodes one, and RolloutStatus returns the status to
+	// write to one whose version is in a phase.
 	RolloutKind   string
 	DecodeRollout func(o *objectapi.Object) (rollout.StoredOrder, error)
 	RolloutStatus func(version string, p rollout.Phase) any
-	// Announce returns the handler of the calls by which the upstream announces
+	// AnnounceHandler returns the handler of the requests by which the upstream announces
 	// itself.
 	AnnounceHandler func(to *upstream.Announcements) http.Handler
 }
 
 const (
-	// peerSilence is how long a node that owes an answer may be silent, pings
-	// included, before its requests are sent elsewhere as well, and peerHandshake bounds
+	// peerSilenceTimeout is how long a node that owes a response may send nothing, not even
+	// pings, before its requests are sent to other nodes as well. peerHandshakeTimeout bounds
 	// the opening of a connection to it. A node whose instance has died is silent; callers
 	// have 400 ms and more. A node whose processor is allotted by the tenth of a second
-	// answers well within that, and so does one behind a link that loses a packet, whose
-	// first repetition comes after 200 ms.
+	// responds well within that, and so does one behind a link that loses a packet, whose
+	// first retransmission comes after 200 ms.
 	peerSilenceTimeout   = 600 * time.Millisecond
 	peerHandshakeTimeout = 400 * time.Millisecond
-	// peerLoss is how long the kernel of a node may leave what was written to it without
-	// an acknowledgement before the requests there are given up. It does so while the
-	// node's process stands still, and late while its link is full or loses packets
-	// several times in a row.
+	// peerAckTimeout is how long the kernel of a node may leave what was written to it
+	// unacknowledged before the requests there are given up. The kernel acknowledges while
+	// the node's process stalls, and acknowledges late while its link is full or loses
+	// packets several times in a row.
 	peerAckTimeout = 2 * time.Second
-	// storeTimeout bounds a call to the platform other than a watch. A store that
-	// is slowed down sixtyfold answers in a quarter of that.
+	// platformTimeout bounds a call to the platform other than a watch. A store that is
+	// slowed down sixtyfold responds in a quarter of that.
 	platformTimeout = time.Second
-	// keepAliveIdle and keepAliveEvery find a connection to the platform that a
-	// partition has silenced, within keepAliveCount tries.
+	// keepAliveIdle and keepAliveInterval detect a connection to the platform that a
+	// partition has silenced, within keepAliveCount probes.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 3
 )
 
-// storeClient returns what makes the calls to the platform.
+// newJSONClient returns the client that makes the calls to the platform.
 func (n *Node) newJSONClient() *objectapi.JSONClient {
 	dialer := tcp.Dialer(platformTimeout, platformTimeout)
 	dialer.KeepAliveConfig = net.KeepAliveConfig{
@@ -97,13 +97,13 @@
 	}
 }
 
-// objectSkipped logs why an object of the platform is left out.
+// objectSkipped logs why an object of the platform is skipped.
 func (n *Node) objectSkipped(reason error) { n.warnInvalid("object left out", reason) }
 
-// answerRefused logs why an answer of the platform is not used.
+// responseRejected logs why a response of the platform is rejected.
 func (n *Node) responseRejected(reason error) { n.warnInvalid("platform not believed", reason) }
 
-// tableFound takes in an object of the table's kind.
+// applyTable decodes and applies an object of the table's kind.
 func (n *Node) applyTable(o *objectapi.Object) {
 	if o.Metadata.Name != n.Platform.TableName {
 		return
@@ -119,7 +119,7 @@
 	n.control.ApplyTable(t)
 }
 
-// book returns the nodes' addresses as the platform holds them.
+// newContactRegistry returns the registry of the nodes' addresses on the platform.
 func (n *Node) newContactRegistry(api objectapi.Objects) *contact.PlatformRegistry {
 	return &contact.PlatformRegistry{
 		API:  api,
--- a/node/popular_test.go
+++ b/node/popularrequests_test.go
@@ -17,12 +17,12 @@
 	"sassafrasfront.example/platform/platformtest"
 )
 
-// tally counts requests and those of them that were served.
+// outcomeCounter counts requests and those of them that were served.
 type outcomeCounter struct {
 	sent, served atomic.Int64
 
 	mu             sync.Mutex
-	otherResponses map[string]int // the answers that the others got
+	otherResponses map[string]int // the bodies of the other responses
 }
 
 // add counts one request.
@@ -40,12 +40,12 @@
 	t.otherResponses[a.body]++
 }
 
-// share returns the part that was served.
+// servedFraction returns the fraction of the requests that was served.
 func (t *outcomeCounter) servedFraction() float64 {
 	return float64(t.served.Load()) / float64(t.sent.Load())
 }
 
-// popularWorld is a fatalWorld in which requests to /once/ are sent to one upstream only.
+// newPopularSystem does what newFatalSystem does. Requests to /once/ have one attempt.
 func newPopularSystem(t *testing.T, fatal func(r platformtest.Run) bool, upstreams int) (*crashingUpstreams, []*testNode) {
 	m, nodes := newFatalSystem(t, fatal, upstreams)
 	m.system.configure(2, "", route("once", "non_idempotent", "b"))
@@ -55,30 +55,30 @@
 	return m, nodes
 }
 
-// TestPopularRequests has many callers send a few harmless requests at a steady pace, while
-// other requests end the upstreams that run them: each with a body of its own, as where
-// memory runs out or a release is bad.
+// TestPopularRequests has many callers send a few harmless requests at a steady rate, while
+// other requests crash the upstreams that run them: each with a body of its own, as when
+// memory runs out or a release is faulty.
 //
-// Seen: the popular requests were at hand at every end. Two ends isolated them, so that
-// they ran one at a time at one upstream, which ended in its turn by something else; that
-// blocked them for ten minutes. With twelve upstreams that were all well again 3,257 of
-// 54,888 were served, or none of 80,859.
+// It guards against blocking the popular requests, which were in flight at every crash. Two
+// crashes isolated them, so that they ran one at a time at one upstream, which another request
+// crashed; that blocked them for ten minutes. With twelve upstreams that had all recovered,
+// 3,257 of 54,888 were served, or none of 80,859.
 //
-// What many send and upstreams answer all the time must go on: nearly all while upstreams
-// end, and all soon after. The bounds are the users': 0.99, and 0.999 from a second after
-// the last end.
+// Requests that many callers send and that upstreams complete all the time must be served:
+// nearly all of them during the crashes, and all soon after. The bounds are the users': 0.99,
+// and 0.999 from a second after the last crash.
 func TestPopularRequests(t *testing.T) {
-	// callers are as many as the upstreams have slots for while one of two is gone.
+	// callers returns as many callers as the upstreams have slots for while one of two is down.
 	callers := func(upstreams int) int { return min(40, 3*upstreams) }
 	tests := map[string]struct {
 		upstreams, kinds int
-		bugs             string // their path: those to /b/ end two upstreams each, as they are sent again
-		fatal            bool   // whether one harmful request comes again as well
+		bugs             string // path of the harmful requests: those to /b/ crash two upstreams each, as they are retried
+		fatal            bool   // whether one of them is repeated as well
 	}{
-		"one kind at two upstreams":        {upstreams: 2, kinds: 1, bugs: "/once/report"},
-		"four kinds at twelve":             {upstreams: 12, kinds: 4, bugs: "/b/report"},
-		"four kinds, and a harmful one":    {upstreams: 12, kinds: 4, bugs: "/once/report", fatal: true},
-		"two hundred kinds at six of them": {upstreams: 6, kinds: 200, bugs: "/once/report"},
+		"one kind at two upstreams":          {upstreams: 2, kinds: 1, bugs: "/once/report"},
+		"four kinds at twelve upstreams":     {upstreams: 12, kinds: 4, bugs: "/b/report"},
+		"four kinds, and a harmful one":      {upstreams: 12, kinds: 4, bugs: "/once/report", fatal: true},
+		"two hundred kinds at six upstreams": {upstreams: 6, kinds: 200, bugs: "/once/report"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -127,9 +127,9 @@
 			time.Sleep(time.Second)
 			close(done)
 			calling.Wait()
-			t.Logf("%d upstreams ended; served %d of %d during, %d of %d after; %d ended under the harmful one", m.crashCount(), during.served.Load(), during.sent.Load(), after.served.Load(), after.sent.Load(), harmful)
+			t.Logf("%d upstreams crashed; served %d of %d during, %d of %d after; %d crashed under the repeated one", m.crashCount(), during.served.Load(), during.sent.Load(), after.served.Load(), after.sent.Load(), harmful)
 			t.Logf("not served: %v %v", during.otherResponses, after.otherResponses)
-			qt.Check(t, m.crashCount() >= 5, qt.IsTrue, qt.Commentf("each of the others is new"))
+			qt.Check(t, m.crashCount() >= 5, qt.IsTrue, qt.Commentf("each of the other harmful requests is new"))
 			qt.Check(t, during.servedFraction() >= 0.99, qt.IsTrue, qt.Commentf("%f", during.servedFraction()))
 			qt.Check(t, after.servedFraction() >= 0.999, qt.IsTrue, qt.Commentf("%f", after.servedFraction()))
 			qt.Check(t, harmful <= maxCrashes, qt.IsTrue, qt.Commentf("%d", harmful))
--- a/node/ratelimit_test.go
+++ b/node/ratelimit_test.go
@@ -22,8 +22,8 @@
 	"sassafrasfront.example/platform/platformtest"
 )
 
-// limited is a system of five nodes whose route /b/ needs a key. The organisations small and
-// big have the keys k-small and k-big.
+// rateLimitedSystem is a system of five nodes whose route /b/ needs a key. The organisations small
+// and big have the keys k-small and k-big.
 type rateLimitedSystem struct {
 	*testSystem
 	sent atomic.Int64
@@ -39,14 +39,14 @@
 	return l
 }
 
-// limit writes a configuration with the limit of small.
+// limit writes a configuration with the rate limit of the organisation small.
 func (l *rateLimitedSystem) limit(version int, rate, burst float64) {
 	l.store.Put("config", "main", rawJSON(fmt.Sprintf(`{"version":"r%d","services":[{"name":"b","healthPath":"/healthz"}],
  "tenants":[{"name":"small","apiKeys":["k-small"],"ratePerS":%g,"burst":%g},{"name":"big","apiKeys":["k-big"],"ratePerS":10000,"burst":10000}],
  "virtualHosts":[{"host":"h.example","paths":[%s]}]}`, version, rate, burst, route("b", "idempotent", "b"))))
 }
 
-// as sends a request with a key to a node.
+// request sends a request with a key to a node.
 func (l *rateLimitedSystem) request(key string, n *testNode) (status int, after time.Duration) {
 	l.t.Helper()
 	id := l.sent.Add(1)
@@ -65,7 +65,7 @@
 	return response.StatusCode, time.Duration(seconds * float64(time.Second))
 }
 
-// serving waits until each node lets requests in.
+// awaitServing waits until each node admits requests.
 func (l *rateLimitedSystem) awaitServing() {
 	l.t.Helper()
 	for _, n := range l.nodes {
@@ -76,7 +76,7 @@
 	}
 }
 
-// organisations returns what a node tells of organisations.
+// organisations returns the organisations that a node reports.
 func (l *rateLimitedSystem) organisations(n *testNode) map[string]operator.Organisation {
 	r, err := http.Get("http://" + n.settings.OperatorAddress + "/v1/organisations")
 	if err != nil {
@@ -94,12 +94,12 @@
 	return found
 }
 
-// TestRateLimit has an organisation ask for far more than its limit by all nodes at once: it
-// is let in as far as that goes, and another one is served meanwhile.
+// TestRateLimit has an organisation send far more than its rate limit to all nodes at once: it is
+// admitted up to the limit, and another one is served meanwhile.
 func TestRateLimit(t *testing.T) {
 	const rate, burst = 20, 10
 	l := newLimited(t, rate, burst)
-	l.eventually("the home has all rights for long enough to say that the limit is reached", func() bool {
+	l.eventually("the coordinator has had all shares for long enough to report that the limit is reached", func() bool {
 		status, _ := l.request("k-small", l.nodes[1])
 		return status == 429
 	})
@@ -123,7 +123,7 @@
 	}
 	took := time.Since(began).Seconds()
 	most := (rate*took+burst)*(1+0.1) + 20
-	t.Logf("%d let in and %d refused in %.1f s", granted, refused, took)
+	t.Logf("%d admitted and %d refused in %.1f s", granted, refused, took)
 	qt.Check(t, float64(granted) <= most, qt.IsTrue, qt.Commentf("%d of at most %.0f", granted, most))
 	qt.Check(t, float64(granted) >= rate*took*0.8, qt.IsTrue, qt.Commentf("%d", granted))
 	qt.Check(t, refused > granted, qt.IsTrue)
@@ -135,14 +135,14 @@
 	qt.Check(t, reported["big"].RefusedOverLimit, qt.Equals, before["big"].RefusedOverLimit)
 }
 
-// TestRateLimitOverRestarts has all nodes start anew, one after the other and then all at
-// once, in a rush by all of them, and a lower limit come in its midst.
+// TestRateLimitAcrossRestarts restarts all nodes, one after the other and then all at once, during a
+// burst of requests to all of them, in the middle of which the limit is lowered.
 func TestRateLimitAcrossRestarts(t *testing.T) {
 	l := newLimited(t, 40, 40)
 	const (
 		callers = 4 // at each node
 		window  = 5 * time.Second
-		// delay is how long at most an answer may take: callers allow 900 ms.
+		// delay is the longest time that a response may take: callers allow 900 ms.
 		delay = 900 * time.Millisecond
 	)
 	var mu sync.Mutex
@@ -175,7 +175,7 @@
 		burst(time.Second)
 	}
 	l.limit(2, 10, 10)
-	burst(2 * time.Second) // in which all learn of it
+	burst(2 * time.Second) // in which all nodes receive the limit
 	lowered = time.Now()
 	for _, n := range l.nodes {
 		n.stop()
@@ -193,13 +193,13 @@
 			after++
 		}
 	}
-	t.Logf("%d let in in %.1f s, %d in the last %.1f s", len(granted), all, after, later)
+	t.Logf("%d admitted in %.1f s, %d in the last %.1f s", len(granted), all, after, later)
 	qt.Check(t, float64(len(granted)) <= (40*all+40)*1.1+20, qt.IsTrue)
 	qt.Check(t, float64(after) <= (10*later+10)*1.1+20, qt.IsTrue)
 	qt.Check(t, after > 0, qt.IsTrue)
 	most := (40*(window+delay).Seconds()+40)*1.1 + 20
 	for i, from := range granted {
 		n := sort.Search(len(granted)-i, func(k int) bool { return granted[i+k].Sub(from) > window })
-		qt.Assert(t, float64(n) <= most, qt.IsTrue, qt.Commentf("%d let in in a window, at most %.0f", n, most))
+		qt.Assert(t, float64(n) <= most, qt.IsTrue, qt.Commentf("%d admitted in a window, at most %.0f", n, most))
 	}
 }
--- a/node/reload.go
+++ b/node/reload.go
@@ -11,9 +11,9 @@
 	"sassafrasfront.example/settings"
 )
 
-// Reload takes in changed settings, already checked. Those that can change while
-// the node runs are in force at once; of the others the log says that they wait
-// for the next start. It may be called from any goroutine.
+// Reload applies changed settings, which the caller has validated. Those that can change while
+// the node runs are active at once; the log names the others, which are active after the next
+// start. Reload may be called from any goroutine.
 func (n *Node) Reload(s settings.Settings) {
 	var applied, deferred []string
 	old := n.activeSettings()
@@ -32,16 +32,17 @@
 	next.RetryRatio = s.RetryRatio
 	next.RetrySlack = s.RetrySlack
 	n.reloadedSettings.Store(&next)
-	n.Log.Info().Str("inForce", strings.Join(applied, ",")).Str("atNextStart", strings.Join(deferred, ",")).Msg("settings read again")
+	n.Log.Info().Str("inForce", strings.Join(applied, ",")).Str("atNextStart", strings.Join(deferred, ",")).Msg("settings reloaded")
 }
 
-// reloadable names the settings that are read anew each time they are used.
+// reloadable names the settings that can change while the node runs: they are read each time
+// that they are used.
 var reloadable = map[string]bool{
 	"RetryRatio": true,
 	"RetrySlack": true,
 }
 
-// live returns the settings in force.
+// activeSettings returns the active settings.
 func (n *Node) activeSettings() settings.Settings {
 	if s := n.reloadedSettings.Load(); s != nil {
 		return *s
--- a/node/restore.go
+++ b/node/restore.go
@@ -15,11 +15,11 @@
 	"sassafrasfront.example/quarantine"
 )
 
-// rewriteSpread is the time over which the nodes spread the writing again of what the
-// platform has lost. All hear of it at about the same time.
+// rewriteSpread is the time over which the nodes spread the rewriting of what the platform has
+// lost. All nodes notice the loss at about the same time.
 const rewriteSpread = 300 * time.Millisecond
 
-// era returns the platform's latest era that is known, or 0 if it has none.
+// era returns the latest known era of the platform, or 0 if it has none.
 func (n *Node) era() uint64 {
 	if n.platformClient == nil {
 		return 0
@@ -27,23 +27,23 @@
 	return n.platformClient.Era()
 }
 
-// eraChanged takes in that the platform has named a later era, here or to another node. If
-// it has come back from a copy, this node's entries are written again.
+// eraChanged records that the platform has named a later era, here or to another node. If the
+// platform was restored from a backup, this node's entries are written again.
 func (n *Node) eraChanged(e objectapi.EraChange) {
 	n.control.ObserveEra(e.New, e.Restored)
 	if !e.Restored {
-		n.Log.Info().Uint64("era", e.New).Msg("era of the platform")
+		n.Log.Info().Uint64("era", e.New).Msg("platform era changed")
 		return
 	}
-	n.Log.Warn().Uint64("oldEra", e.Old).Uint64("era", e.New).Uint64("version", n.version()).Msg("platform has come back from a copy")
+	n.Log.Warn().Uint64("oldEra", e.Old).Uint64("era", e.New).Uint64("version", n.version()).Msg("platform restored from a backup")
 	select {
 	case n.platformRestored <- struct{}{}:
 	default:
 	}
 }
 
-// keepWritten writes what this node keeps on the platform again whenever that may have been
-// lost, until ctx ends.
+// rewriteAfterRestore writes this node's entries on the platform again whenever they may have
+// been lost, until ctx ends.
 func (n *Node) rewriteAfterRestore(ctx context.Context) {
 	var writes sync.WaitGroup
 	defer writes.Wait()
@@ -55,14 +55,14 @@
 			return
 		case <-n.platformRestored:
 		}
-		cancel() // what is still being tried begins anew
+		cancel() // a rewrite in progress starts over
 		var writeCtx context.Context
 		writeCtx, cancel = context.WithCancel(ctx)
 		writes.Go(func() { n.rewriteEntries(writeCtx) })
 	}
 }
 
-// writeAgain writes what this node keeps on the platform.
+// rewriteEntries writes what this node keeps on the platform.
 func (n *Node) rewriteEntries(ctx context.Context) {
 	sleep.For(ctx, rand.N(rewriteSpread))
 	n.contactRegistry.Restore(ctx)
@@ -71,7 +71,7 @@
 	}
 }
 
-// saveBlocks writes the requests that are blocked as far as this node knows.
+// saveBlocks writes the requests that this node knows to be blocked.
 func (n *Node) saveBlocks(ctx context.Context) {
 	for _, assessment := range n.suspects.All() {
 		if assessment.State == quarantine.Blocked {
--- a/node/restore_test.go
+++ b/node/restore_test.go
@@ -24,14 +24,14 @@
 	"sassafrasfront.example/platform/platformtest"
 )
 
-// newEraWorld is a system whose store names eras.
+// newEraSystem returns a system whose store names eras.
 func newEraSystem(t *testing.T) *testSystem {
 	w := newTestSystem(t)
 	w.store.Era = 3
 	return w
 }
 
-// closable is a way to the store that can be closed.
+// switchableStore forwards requests to the store until it is switched off.
 type switchableStore struct {
 	store http.Handler
 	off   atomic.Bool
@@ -45,7 +45,7 @@
 	x.store.ServeHTTP(w, r)
 }
 
-// era returns the era that a node knows, as its metrics have it.
+// era returns the platform's era as a node's metrics have it.
 func (m *testNode) era() string {
 	r, err := http.Get("http://" + m.settings.OperatorAddress + "/metrics")
 	if err != nil {
@@ -58,7 +58,7 @@
 	return era
 }
 
-// allInEra waits until all nodes know an era.
+// awaitEra waits until all nodes know an era.
 func (z *zonedSystem) awaitEra(era string) {
 	z.t.Helper()
 	for _, n := range z.all() {
@@ -66,7 +66,7 @@
 	}
 }
 
-// newRoute waits until all nodes have a route.
+// awaitRoute waits until all nodes have a route.
 func (z *zonedSystem) awaitRoute(name string) {
 	z.t.Helper()
 	for _, n := range z.all() {
@@ -75,8 +75,8 @@
 	}
 }
 
-// newCutZoned is a system of two zones, one node of each of which reaches the store by a way
-// that can be closed.
+// newPartitionedSystem returns a system of two zones. One node of each reaches the store through a
+// switchableStore.
 func newCutZoned(t *testing.T) (*zonedSystem, *switchableStore) {
 	w := newEraSystem(t)
 	proxy := &switchableStore{store: w.store}
@@ -98,10 +98,10 @@
 	return z, proxy
 }
 
-// TestRestoredPlatform has the store be away for a moment and come back from a copy that is
-// older than a table of routes and an evacuation, twice in a row, while it turns one node of
-// each zone away. Callers see the table and the zones as they were; what the operator writes
-// then binds at once, though its revisions were given out before.
+// TestRestoredPlatform has the store be unavailable for a moment and then restored from a backup
+// that is older than a table of routes and an evacuation, twice in a row, while one node of each
+// zone can't reach it. Callers see the table and the zones as they were; what the operator writes
+// then is active at once, though its revisions were used before.
 func TestRestoredPlatform(t *testing.T) {
 	z, proxy := newCutZoned(t)
 	z.eventually("both zones are used", func() bool {
@@ -113,7 +113,7 @@
 	backup := z.store.Snapshot()
 	z.configure(2, "c")
 	z.evacuate("z", true)
-	for i := range 50 { // revisions that the next eras don't reach
+	for i := range 50 { // revisions that the next eras do not reach
 		z.store.Put("other", fmt.Sprint(i), i)
 	}
 	z.awaitEvacuated(1)
@@ -143,7 +143,7 @@
 	z.checkUnused(z.far)
 	z.configure(3, "d")
 	z.awaitRoute("d")
-	qt.Check(t, z.runCount(z.far), qt.Equals, reached, qt.Commentf("nothing reached the zone, over all of that"))
+	qt.Check(t, z.runCount(z.far), qt.Equals, reached, qt.Commentf("no request reached the zone"))
 
 	proxy.off.Store(false)
 	z.evacuate("z", false)
@@ -155,7 +155,7 @@
 }
 
 // TestRestartAfterRestore restarts nodes of an evacuated zone while the store has lost the
-// evacuation and the table: they hear of both from the others.
+// evacuation and the table: they receive both from the other nodes.
 func TestRestartAfterRestore(t *testing.T) {
 	z, proxy := newCutZoned(t)
 	backup := z.store.Snapshot()
@@ -187,8 +187,8 @@
 	z.awaitEvacuated(0)
 }
 
-// TestContactsAfterRestore has the store lose the addresses of the nodes: they are written
-// again, twice in a row.
+// TestContactsAfterRestore has the store lose the addresses of the nodes, twice in a row: the nodes
+// write them again.
 func TestContactsAfterRestore(t *testing.T) {
 	w := newEraSystem(t)
 	w.configure(1, "")
@@ -200,13 +200,13 @@
 	for _, n := range nodes {
 		w.eventually("each node serves", func() bool { return n.request("GET", "/b/x", "warm", "").status == 200 })
 	}
-	w.eventually("some stand there", func() bool { return len(w.store.Names(contact.Kind)) > 0 })
-	time.Sleep(time.Second) // for others that write themselves in at the start
+	w.eventually("some addresses are stored", func() bool { return len(w.store.Names(contact.Kind)) > 0 })
+	time.Sleep(time.Second) // for nodes that write their addresses at the start
 	for range 2 {
 		stood := w.store.Names(contact.Kind)
 		w.store.Restore(empty)
 		began := time.Now()
-		w.eventually("they are there again", func() bool {
+		w.eventually("they are stored again", func() bool {
 			for _, name := range stood {
 				if !w.store.Has(contact.Kind, name) {
 					return false
@@ -219,7 +219,7 @@
 }
 
 // TestBlocksAfterRestore has the store lose the block of a fatal request: the block is written
-// again, and the request ends no more upstreams.
+// again, and the request crashes no more upstreams.
 func TestBlocksAfterRestore(t *testing.T) {
 	w := newEraSystem(t)
 	m, nodes := newFatalSystemIn(w, func(r platformtest.Run) bool { return r.Body == "fatal" }, 3)
@@ -228,7 +228,7 @@
 		nodes[0].request("PUT", "/b/report", fmt.Sprint("fatal-", i), "fatal")
 		time.Sleep(settleTime)
 	}
-	w.eventually("the block is kept", func() bool { return len(w.store.Names(blocklist.Kind)) == 1 })
+	w.eventually("the block is stored", func() bool { return len(w.store.Names(blocklist.Kind)) == 1 })
 	crashes := m.crashCount()
 	w.store.Restore(backup)
 	w.eventually("the block is written again", func() bool { return len(w.store.Names(blocklist.Kind)) == 1 })
@@ -238,8 +238,8 @@
 	qt.Check(t, m.crashCount(), qt.Equals, crashes)
 }
 
-// TestReleaseAfterRestore has the store lose the release of a fatal request: its block is there
-// again, and counts at no node, nor at one that has started since and read it.
+// TestReleaseAfterRestore has the store lose the release of a fatal request: its block is stored
+// again, and no node applies it, not even one that has started since and read it.
 func TestReleaseAfterRestore(t *testing.T) {
 	w := newEraSystem(t)
 	_, nodes := newFatalSystemIn(w, func(r platformtest.Run) bool { return r.Body == "fatal" }, 3)
@@ -256,7 +256,7 @@
 		nodes[0].request("PUT", "/b/report", fmt.Sprint("fatal-", i), "fatal")
 		time.Sleep(settleTime)
 	}
-	w.eventually("the block is kept", func() bool { return len(w.store.Names(blocklist.Kind)) == 1 })
+	w.eventually("the block is stored", func() bool { return len(w.store.Names(blocklist.Kind)) == 1 })
 	backup := w.store.Snapshot()
 	fingerprint := suspects(nodes[0])[0].Fingerprint
 	r, err := http.NewRequest(http.MethodDelete, "http://"+nodes[0].settings.OperatorAddress+"/v1/suspects/"+fingerprint, nil)
@@ -288,8 +288,8 @@
 	w.eventually("none suspects it", none)
 }
 
-// TestDisbelievedPlatform has the store's answers name an earlier era, none, or no number, for
-// some time: the nodes serve on as they were, and believe it again afterwards.
+// TestWrongEraRejected has the store's responses name an earlier era, none, or no number, for some
+// time: the nodes serve on as before, and accept its responses again afterwards.
 func TestWrongEraRejected(t *testing.T) {
 	for name, header := range map[string]string{"earlier": "2", "none": "", "no number": "x"} {
 		t.Run(name, func(t *testing.T) {
@@ -318,13 +318,13 @@
 			wrong.Store(true)
 			server.CloseClientConnections()
 			w.configure(2, "d")
-			time.Sleep(1500 * time.Millisecond) // a node that reads by itself has read by then
+			time.Sleep(1500 * time.Millisecond) // a node that reads on its own has read by then
 			qt.Check(t, n.request("GET", "/c/x", "kept", "").status, qt.Equals, 200)
 			qt.Check(t, n.request("GET", "/d/x", "not yet", "").status, qt.Equals, 404)
 			qt.Check(t, n.era(), qt.Equals, "3")
 			wrong.Store(false)
-			w.eventually("it is believed again", func() bool { return n.request("GET", "/d/x", "new", "").status == 200 })
-			n.stop() // before its way to the store is closed
+			w.eventually("its responses are accepted again", func() bool { return n.request("GET", "/d/x", "new", "").status == 200 })
+			n.stop() // before the server in front of the store is closed
 		})
 	}
 }
--- a/node/rollout_test.go
+++ b/node/rollout_test.go
@@ -19,17 +19,17 @@
 	"sassafrasfront.example/platform/platformtest"
 )
 
-// versions is a system with upstreams of a service in two versions.
+// rolloutSystem is a system with upstreams of a service in two versions.
 type rolloutSystem struct {
 	*testSystem
 	oldNodes, newNodes []*testNode
-	sent, served       atomic.Int64 // requests that callers sent, and those served
+	sent, served       atomic.Int64 // requests that callers sent, and those that were served
 }
 
-// heartbeatEvery is the time between two heartbeats of an upstream.
+// heartbeatInterval is the time between two heartbeats of an upstream.
 const heartbeatEvery = 100 * time.Millisecond
 
-// newVersions starts three upstreams of the version v1.
+// newRolloutSystem starts three upstreams of the version v1.
 func newRolloutSystem(t *testing.T) *rolloutSystem {
 	v := &rolloutSystem{testSystem: newTestSystem(t)}
 	v.rolloutShare = 0.1
@@ -43,7 +43,7 @@
 	return v
 }
 
-// beating starts a node beside an upstream of a version that sends heartbeats.
+// addWithHeartbeats starts a node beside an upstream of a version that sends heartbeats.
 func (v *rolloutSystem) addWithHeartbeats(version string, failing func(platformtest.Run) bool) *testNode {
 	m := v.addUpstream("z", &platformtest.Upstream{Service: "b", Version: version, ShouldFail: failing})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -57,7 +57,7 @@
 	return m
 }
 
-// order has the operator order the version v2 of the service, whose upstreams then start.
+// order writes the order for the version v2 of the service, whose upstreams then start.
 func (v *rolloutSystem) order(seconds float64, failing func(platformtest.Run) bool) {
 	v.store.Put(platform.RolloutKind, "b", map[string]any{"service": "b", "targetVersion": "v2", "durationS": seconds})
 	for range 3 {
@@ -65,7 +65,7 @@
 	}
 }
 
-// callers send requests to the nodes of the former version until the returned function is
+// startCallers sends requests to the nodes of the old version until the returned function is
 // called.
 func (v *rolloutSystem) startCallers() (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
@@ -86,7 +86,7 @@
 	}
 }
 
-// state returns the state that stands on the platform.
+// state returns the state of the rollout that is stored on the platform.
 func (v *rolloutSystem) state() string {
 	var s struct{ State, TargetVersion string }
 	_ = json.Unmarshal(v.store.Status(platform.RolloutKind, "b"), &s)
@@ -102,14 +102,14 @@
 }
 
 // TestRolloutOfFaulty orders a version that fails half of its requests: it gets no more than
-// its share, is rolled back, and gets nothing from then on, also after all nodes were started
-// anew.
+// its share, is rolled back, and gets nothing from then on, also after all nodes have been
+// restarted.
 func TestRolloutOfFaulty(t *testing.T) {
 	v := newRolloutSystem(t)
 	var i atomic.Int64
 	stop := v.startCallers()
 	v.order(20, func(platformtest.Run) bool { return i.Add(1)%2 == 0 })
-	v.eventually("it is told that it runs", func() bool { return v.state() == "running" || v.state() == "rolled_back" })
+	v.eventually("it is reported as running", func() bool { return v.state() == "running" || v.state() == "rolled_back" })
 	v.eventually("it is rolled back", func() bool { return v.state() == "rolled_back" })
 	stop()
 	given := runsOf(v.newNodes)
@@ -129,8 +129,8 @@
 	qt.Check(t, runsOf(v.newNodes), qt.Equals, given)
 }
 
-// TestRolloutOfGood orders a version that is as good as the former one: all requests move
-// there before it is completed.
+// TestRolloutOfGood orders a version that is as good as the old one: all requests move there
+// before the rollout is completed.
 func TestRolloutOfGood(t *testing.T) {
 	v := newRolloutSystem(t)
 	stop := v.startCallers()
@@ -142,5 +142,5 @@
 		qt.Check(t, n.request("GET", "/b/x", fmt.Sprint("after-", v.sent.Load()), "").status, qt.Equals, 200)
 	}
 	stop()
-	qt.Check(t, runsOf(v.oldNodes)-former <= 20, qt.IsTrue, qt.Commentf("%d went to the former version", runsOf(v.oldNodes)-former))
+	qt.Check(t, runsOf(v.oldNodes)-former <= 20, qt.IsTrue, qt.Commentf("%d went to the old version", runsOf(v.oldNodes)-former))
 }
--- a/node/rollouts.go
+++ b/node/rollouts.go
@@ -23,26 +23,27 @@
 )
 
 const (
-	// judges is the number of nodes that may be judge of a roll-out.
+	// judgeCandidates is the number of nodes that may be the judge of a rollout.
 	judgeCandidates = 3
-	// leasePart is the part of rollbackWithin for which an upstream on trial runs requests
-	// after a judge has answered. The rest is for the judge to find out and for the news.
+	// leaseFraction is the fraction of rollbackWithin for which an upstream of the canary
+	// version runs requests after a judge has responded. The rest is left for the judge to
+	// detect failures and for its decision to propagate.
 	leaseFraction = 0.4
-	// confirmAfter is the mean time that a node waits for others to tell it of an order for a
-	// version that nobody runs yet, before it asks the platform.
+	// meanConfirmDelay is the mean time that a node waits for others to send it an order for
+	// a version that no upstream runs yet, before it queries the platform.
 	meanConfirmDelay = 800 * time.Millisecond
 )
 
-// versionCheck is what a node knows of its upstream's version.
+// versionCheck tracks whether the upstream's version may take requests.
 type versionCheck struct {
-	toConfirm chan string // a version to confirm
+	toConfirm chan string // versions to confirm
 
 	mu        sync.Mutex
-	confirmed string             // the platform has no order for it, or the node knows of that
-	announced rollout.LocalState // the roll-out of the service as it was announced last
+	confirmed string             // the platform has no order for it, or the node knows the order
+	announced rollout.LocalState // the rollout of the service at the last announcement
 }
 
-// buildRollouts sets up what carries out roll-outs, where they are ordered.
+// buildRollouts creates what carries out rollouts, if they are enabled.
 func (n *Node) buildRollouts() {
 	s := &n.Settings
 	if s.RolloutShare == 0 {
@@ -85,7 +86,7 @@
 	n.control.Topics[canary.Topic] = n.rollouts.Handle
 }
 
-// judgesOf returns the nodes that may be judge of a service's roll-out, in order.
+// rolloutJudges returns the candidates for the judge of a service's rollout, in order.
 func (n *Node) rolloutJudges(service string) []canary.Peer {
 	var list []canary.Peer
 	for _, r := range n.control.RendezvousTop("rollout/"+service, judgeCandidates) {
@@ -97,7 +98,7 @@
 	return list
 }
 
-// judgedUpstream returns the upstream beside the node.
+// localUpstream returns the upstream beside the node.
 func (n *Node) localUpstream() canary.Upstream {
 	a := n.announcements.Current()
 	if a == nil {
@@ -111,8 +112,8 @@
 	}
 }
 
-// software returns the version of the upstream as other nodes are told, and whether it is on
-// trial. Nothing is told where no roll-outs are ordered.
+// announcedVersion returns the version of the upstream to announce to other nodes, and whether
+// it is the canary of a rollout. No version is announced if rollouts are not enabled.
 func (n *Node) announcedVersion(a *upstream.Announcement) (version string, isCanary bool) {
 	if n.rollouts == nil {
 		return "", false
@@ -121,10 +122,11 @@
 	return a.Version, ok && a.Version != "" && state.Eligibility(a.Version) == rollout.OnTrial
 }
 
-// versionAdmitted returns whether the upstream may take requests as far as its version goes. A
-// version that an order names may, within what the order says. One that no other upstream of
-// the service runs may be ordered without this node's having heard of it, so the platform is
-// asked first. While an order is carried out, an upstream waits until its version is known.
+// versionAdmitted returns whether the upstream may take requests as far as its version is
+// concerned. A version that an order names may, within what the order permits. One that no
+// other upstream of the service runs may have been ordered without this node's knowledge, so
+// the platform is queried first. While an order is carried out, an upstream waits until its
+// version is known.
 func (n *Node) versionAdmitted(a *upstream.Announcement) bool {
 	if n.rollouts == nil {
 		return true
@@ -137,7 +139,7 @@
 		return state.Eligibility(a.Version) != rollout.Withheld
 	}
 	capacities := n.control.UpstreamsByVersion(a.Service)
-	delete(capacities, "") // not known yet
+	delete(capacities, "") // upstreams whose version is not known yet
 	if own := capacities[a.Version]; len(capacities) == 0 || own.Upstreams > own.Trial {
 		return true
 	}
@@ -153,7 +155,7 @@
 	return false
 }
 
-// confirmVersions asks the platform whether there is an order for a version, until ctx ends.
+// confirmVersions queries the platform whether there is an order for a version, until ctx ends.
 func (n *Node) confirmVersions(ctx context.Context) {
 	for {
 		var version string
@@ -168,10 +170,10 @@
 				break
 			}
 			if state, ok := n.control.Snapshot().Rollouts[n.Settings.Service]; ok && state.Order.Version == version {
-				break // heard meanwhile
+				break // the order has been received meanwhile
 			}
 			if err := n.rolloutOrders.Read(ctx); err != nil {
-				n.Log.Warn().Err(err).Str("version", version).Msg("not known whether the upstream's version is ordered; it takes no requests yet")
+				n.Log.Warn().Err(err).Str("version", version).Msg("order for the upstream's version not confirmed; the upstream takes no requests yet")
 				continue
 			}
 			n.versions.mu.Lock()
@@ -183,7 +185,7 @@
 	}
 }
 
-// rolloutsKnown takes in the roll-outs that the node knows of.
+// rolloutsChanged handles a change of the rollouts that the node knows.
 func (n *Node) rolloutsChanged(known map[string]rollout.LocalState) {
 	if n.rollouts == nil {
 		return
@@ -199,11 +201,11 @@
 	n.versions.announced = state
 	n.versions.mu.Unlock()
 	if changed {
-		go n.announce() // which waits for the goroutine that calls this
+		go n.announce() // announce waits for the goroutine that calls this
 	}
 }
 
-// rolloutsIn returns the number of roll-outs in a phase.
+// countRollouts returns the number of rollouts in a phase.
 func (n *Node) countRollouts(p rollout.Phase) (count int) {
 	for _, state := range n.control.Snapshot().Rollouts {
 		if state.Phase == p {
@@ -213,7 +215,7 @@
 	return count
 }
 
-// listRollouts answers with the roll-outs that the node knows of.
+// listRollouts responds with the rollouts that the node knows.
 func (n *Node) listRollouts(w http.ResponseWriter, _ *http.Request) {
 	known := n.control.Snapshot().Rollouts
 	list := []operator.Rollout{}
--- a/node/leave.go
+++ b/node/shutdown.go
@@ -19,34 +19,35 @@
 )
 
 const (
-	// lastAnswers bounds each of the three waits for the answers to requests that are cut. A
-	// part of settings.ExitTime is left for the rest.
+	// finalResponseTimeout bounds each of the three waits for the responses to requests that
+	// are cut. The rest of settings.ExitReserve is left for the process to end.
 	finalResponseTimeout = 100 * time.Millisecond
-	// stallMemory is how far back the stalls of this process count for its stop.
+	// stallWindow is how far back the stalls of this process count for its shutdown.
 	stallWindow = 5 * time.Second
-	// stallShare is the part of the grace period that a stop may leave to a process that stalls.
+	// maxStallFraction is the fraction of the grace period that a shutdown may reserve for
+	// stalls of the process.
 	maxStallFraction = 1.0 / 8
-	// cutIDs bounds the ids of requests in one log line.
+	// maxLoggedIDs bounds the request IDs in one log line.
 	maxLoggedIDs = 20
 )
 
-// errDrainOver is why requests are cut.
+// errNodeStopping is the reason for which requests are cut.
 var errNodeStopping = eris.New("this node had to stop")
 
-// leaving is the stop of a node's traffic.
+// shutdown is the graceful shutdown of a node's traffic.
 type shutdown struct {
 	node     *Node
 	callers  *http.Server
 	listener *caller.Listener
 	handler  *caller.Handler
-	// cut ends the contexts of callers' requests.
+	// cancelRequests cancels the contexts of callers' requests.
 	cancelRequests context.CancelCauseFunc
 }
 
-// leave stops the traffic without cutting a request: first callers are sent away,
-// then new work for the upstream is refused and others are told, and what is in
-// flight is let end. The upstream can be reached through this node alone, so its
-// room is given up as late as the end of what runs there allows.
+// run stops the traffic without cutting a request: first callers are sent to other nodes, then
+// new work for the upstream is refused and other nodes are notified, and requests in flight
+// complete. The upstream can be reached through this node only, so its capacity is withdrawn
+// as late as the completion of the requests that run there allows.
 func (l *shutdown) run() {
 	n := l.node
 	began := time.Now()
@@ -97,9 +98,9 @@
 	e.Dur("took", time.Since(began)).Msg("drained")
 }
 
-// drainWithin returns how long a node waits for requests in flight whose process has lately stood
-// still for as long as stalled says. The signal to stop may have come so much earlier than it was
-// noticed, and the end of the process may be as late.
+// drainTimeout returns how long a node waits for requests in flight, given the longest recent
+// stall of its process. The signal to stop may have been noticed that much late, and the process
+// may end that much late.
 func drainTimeout(s *settings.Settings, stalled time.Duration) time.Duration {
 	within := s.DrainDeadline()
 	if s.GracePeriod == 0 {
@@ -109,16 +110,16 @@
 	return within - min(2*stalled, max(0, maxReserve))
 }
 
-// standing is what is under way at a moment.
+// trafficCount counts the requests and calls in flight at one time.
 type trafficCount struct {
-	// requests are those of callers that are under way, and begun all so far.
+	// requests counts the callers' requests in flight, and started all of them so far.
 	requests int
 	started  uint64
-	// calls are those of nodes that are at the upstream or wait for it.
+	// calls counts the calls of nodes that run at the upstream or wait for it.
 	calls int
 }
 
-// standing returns what is under way now.
+// count returns what is in flight now.
 func (l *shutdown) count() trafficCount {
 	load := l.node.gate.Load()
 	s := trafficCount{calls: load.Running + load.Waiting}
@@ -126,20 +127,21 @@
 	return s
 }
 
-// ends returns when the requests that are under way are cut, or the zero time while all
-// requests are taken.
+// requestsEndAt returns when requests in flight are cut, or the zero time while the node accepts
+// all requests.
 func (n *Node) requestsEndAt() time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.cutAt
 }
 
-// callersLast is what is left of the drain for callers' requests once the listener is closed.
+// minCallerDrain is the time that the drain leaves for callers' requests once the listener is
+// closed.
 const minCallerDrain = time.Second
 
-// awaitRuns waits until idle is closed, or half of the time until the end of ctx, or all but
-// callersLast of it if that is more, is over. What runs at the upstream makes its calls through
-// this node's listener.
+// awaitIdleUpstream waits until idle is closed, or until half of the time to the end of ctx has
+// passed, or all but minCallerDrain of it if that is more. Requests that run at the upstream make
+// their calls through this node's listener.
 func awaitIdleUpstream(ctx context.Context, idle <-chan struct{}) {
 	end, ok := ctx.Deadline()
 	if !ok {
@@ -153,8 +155,8 @@
 	}
 }
 
-// drain waits until no request of a caller and no call of another node is under way, or
-// ctx ends. Idle is closed once nothing is at the upstream.
+// drain waits until no request of a caller and no call of another node is in flight, or ctx
+// ends. Idle is closed once nothing runs at the upstream.
 func (l *shutdown) drain(ctx context.Context, idle <-chan struct{}) error {
 	err := l.listener.Drain(ctx)
 	if err == nil {
@@ -173,26 +175,26 @@
 	return err
 }
 
-// end has what is still under way answered by the node itself, with whether the request
-// may have run, and closes the connections of those that could not be told.
+// abort makes the node itself respond to the requests that are still in flight, stating whether
+// each may have run, and closes the connections of those that could not be sent a response.
 func (l *shutdown) abort() {
-	l.node.dispatcher.Stop() // takes back what waits at gates
+	l.node.dispatcher.Stop() // revokes calls that wait at gates
 	l.awaitResponses()
-	l.node.dispatcher.Close() // ends what has been sent on
+	l.node.dispatcher.Close() // ends calls that have been sent
 	l.awaitResponses()
-	l.cancelRequests(verdict.New(verdict.NotSent, errNodeStopping).WithRetryAfter(caller.RetryElsewhereDelay)) // and what has not
+	l.cancelRequests(verdict.New(verdict.NotSent, errNodeStopping).WithRetryAfter(caller.RetryElsewhereDelay)) // cancels requests that have not been sent
 	l.awaitResponses()
 	l.listener.CloseAll()
 }
 
-// quiesce waits until the answers of requests that have been ended are written.
+// awaitResponses waits until the responses to requests that have been aborted are written.
 func (l *shutdown) awaitResponses() {
 	ctx, cancel := context.WithTimeout(context.Background(), finalResponseTimeout)
 	defer cancel()
-	_ = l.listener.AwaitClosed(ctx) // what is still open then is closed
+	_ = l.listener.AwaitClosed(ctx) // connections that are still open then are closed
 }
 
-// exit returns the context of what a node does after its drain. It ends with the grace
+// exitContext returns the context of what a node does after its drain. It ends with the grace
 // period, if that is known, less the time for the process to end.
 func (n *Node) exitContext(stopped time.Time) (context.Context, context.CancelFunc) {
 	if n.Settings.GracePeriod == 0 {
--- a/node/leave_test.go
+++ b/node/shutdown_test.go
@@ -26,12 +26,12 @@
 	"sassafrasfront.example/settings"
 )
 
-// held is a world whose upstream of the service b works on a request until it is let go on.
+// blockingSystem is a system whose upstream of the service b blocks requests until they are released.
 type blockingSystem struct {
 	*testSystem
-	entry, other *testNode // which take requests, and have the upstream beside them
+	entry, other *testNode // entry takes requests, and other is beside the upstream
 	upstream     *httptest.Server
-	started      chan string // the ids of the requests that it works on
+	started      chan string // the IDs of the requests that it runs
 	release      chan struct{}
 	unblock      func()
 	sent         int
@@ -40,7 +40,7 @@
 	lines []map[string]any // of the log
 }
 
-// Write takes a line of the nodes' log.
+// Write records a line of the nodes' log.
 func (h *blockingSystem) Write(line []byte) (int, error) {
 	fields := make(map[string]any)
 	err := json.Unmarshal(line, &fields)
@@ -50,7 +50,7 @@
 	return len(line), err
 }
 
-// logged returns the last line of an event at a node.
+// lastLine returns the last log line of an event at a node.
 func (h *blockingSystem) lastLine(m *testNode, event string) map[string]any {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -62,7 +62,8 @@
 	return nil
 }
 
-// newHeld starts the nodes with the given settings, and the upstream with so many slots.
+// newBlockingSystem starts the nodes with the given settings, and the upstream with the given
+// number of slots.
 func newBlockingSystem(t *testing.T, adjust func(s *settings.Settings), slots int) *blockingSystem {
 	h := &blockingSystem{
 		testSystem: newTestSystem(t),
@@ -105,7 +106,7 @@
 	return h
 }
 
-// work answers a request once it may, in the way that its path names.
+// serve responds to a request once it is released, in the way that its path names.
 func (h *blockingSystem) serve(w http.ResponseWriter, r *http.Request, u *platformtest.Upstream) {
 	id := r.Header.Get(platformtest.RequestID)
 	w.Header().Set(platformtest.Instance, u.ID)
@@ -132,7 +133,7 @@
 	_, _ = io.WriteString(w, kind+" "+string(body))
 }
 
-// pending is a request that has been sent, and its answer.
+// pending is a request that has been sent, and its response.
 type pending struct {
 	name string
 	done chan struct{}
@@ -140,7 +141,7 @@
 	err  error
 }
 
-// transport returns connections of its own, of HTTP/1.1 or 2.
+// transport returns a new transport for HTTP/1.1, or for HTTP/2 if streams is set.
 func (h *blockingSystem) transport(streams bool) *http.Transport {
 	t := &http.Transport{Protocols: new(http.Protocols)}
 	t.Protocols.SetHTTP1(!streams)
@@ -149,7 +150,7 @@
 	return t
 }
 
-// send sends a request to a node. What is written to it later belongs to its body.
+// send sends a request to a node. Its body may be written after the call.
 func (h *blockingSystem) send(m *testNode, transport *http.Transport, name, method, path string, body io.Reader) *pending {
 	h.sent++
 	r, err := http.NewRequest(method, "http://"+m.settings.CallerAddress+path, body)
@@ -185,11 +186,11 @@
 	return p
 }
 
-// working waits until the upstream works on so many requests.
+// awaitRunning waits until the upstream runs the given number of requests.
 func (h *blockingSystem) awaitRunning(count int) {
 	h.t.Helper()
 	begun := 0
-	h.eventually(fmt.Sprintf("the upstream works on %d requests", count), func() bool {
+	h.eventually(fmt.Sprintf("the upstream runs %d requests", count), func() bool {
 		for {
 			select {
 			case <-h.started:
@@ -201,7 +202,7 @@
 	})
 }
 
-// closed waits until a node takes no more connections of callers.
+// awaitClosed waits until a node accepts no more connections of callers.
 func (h *blockingSystem) awaitClosed(m *testNode) {
 	h.eventually("the node drains", func() bool {
 		c, err := net.Dial("tcp", m.settings.CallerAddress)
@@ -212,8 +213,8 @@
 	})
 }
 
-// leaveSoon has a node stop within a moment unless requests are under way, where it is not known
-// how long it may live.
+// stopSoon makes a node stop within a moment if no requests are in flight, and otherwise within
+// a grace period of a minute.
 func stopSoon(s *settings.Settings) {
 	s.LeaveDelay = 100 * time.Millisecond
 	s.AdmitDelay = 50 * time.Millisecond
@@ -221,12 +222,12 @@
 	s.GracePeriod = time.Minute
 }
 
-// TestLeaveWhileUpstreamWorks has nodes stop with requests of every kind under way, at which the
-// upstream works for longer than drainTimeout, and within the grace period. They were
-// answered 502 at the end of drainTimeout.
+// TestLeaveWhileUpstreamWorks stops nodes with requests of every kind in flight, which the upstream
+// runs for longer than drainTimeout and for less than the grace period. It guards against responses
+// of status 502 at the end of drainTimeout.
 func TestLeaveWhileUpstreamWorks(t *testing.T) {
 	tests := map[string]func(h *blockingSystem) []*testNode{
-		"the node that took them":      func(h *blockingSystem) []*testNode { return []*testNode{h.entry} },
+		"the node that received them":  func(h *blockingSystem) []*testNode { return []*testNode{h.entry} },
 		"the node beside the upstream": func(h *blockingSystem) []*testNode { return []*testNode{h.other} },
 		"both at once":                 func(h *blockingSystem) []*testNode { return []*testNode{h.entry, h.other} },
 		"its upstream says that it leaves": func(h *blockingSystem) []*testNode {
@@ -249,10 +250,10 @@
 				return r
 			}
 			add := func(p *pending) { all = append(all, p) }
-			add(h.send(h.entry, kept, "kept", "GET", "/i/plain", nil))
-			add(h.send(h.entry, h.transport(false), "fresh", "GET", "/i/plain", nil))
+			add(h.send(h.entry, kept, "reused connection", "GET", "/i/plain", nil))
+			add(h.send(h.entry, h.transport(false), "new connection", "GET", "/i/plain", nil))
 			add(h.send(h.entry, h.transport(false), "not idempotent", "POST", "/n/plain", strings.NewReader("body")))
-			add(h.send(h.entry, h.transport(false), "answer has begun", "GET", "/i/begun", nil))
+			add(h.send(h.entry, h.transport(false), "response has begun", "GET", "/i/begun", nil))
 			add(h.send(h.entry, h.transport(false), "informational", "GET", "/n/hints", nil))
 			add(h.send(h.entry, h.transport(true), "HTTP/2", "GET", "/n/plain", nil))
 			add(h.send(h.entry, h.transport(false), "streamed body", "POST", "/n/body", stream()))
@@ -309,13 +310,13 @@
 	}
 }
 
-// TestGracePeriodOver has requests at work at the end of the grace period. Each is told by the
-// node itself that it may have run, and that the node's stop is the cause. Callers were named as
-// the cause of requests to a node that left at the same time.
+// TestRequestsCutAtEndOfGracePeriod has requests running at the end of the grace period. The node
+// itself responds to each that it may have run, and that the node's stop is the cause. It guards
+// against naming the caller as the cause for requests to a node that left at the same time.
 func TestRequestsCutAtEndOfGracePeriod(t *testing.T) {
 	tests := map[string]func(h *blockingSystem) []*testNode{
-		"the node that took them": func(h *blockingSystem) []*testNode { return []*testNode{h.entry} },
-		"both at once":            func(h *blockingSystem) []*testNode { return []*testNode{h.other, h.entry} },
+		"the node that received them": func(h *blockingSystem) []*testNode { return []*testNode{h.entry} },
+		"both at once":                func(h *blockingSystem) []*testNode { return []*testNode{h.other, h.entry} },
 	}
 	for name, leaving := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -358,14 +359,14 @@
 	}
 }
 
-// TestWaitingAtEndOfGracePeriod has requests wait for a slot of the upstream at the end of the grace period.
-// They have not run, and were told that they may have.
+// TestQueuedAtEndOfGracePeriod has requests wait for a slot of the upstream at the end of the grace
+// period. They have not run; it guards against the response that they may have.
 func TestQueuedAtEndOfGracePeriod(t *testing.T) {
 	h := newBlockingSystem(t, func(s *settings.Settings) {
 		stopSoon(s)
 		s.GracePeriod = 1500 * time.Millisecond
 	}, 1)
-	runs := h.send(h.entry, h.transport(false), "at work", "POST", "/n/plain", nil)
+	runs := h.send(h.entry, h.transport(false), "running", "POST", "/n/plain", nil)
 	h.awaitRunning(1)
 	waits := []*pending{
 		h.send(h.entry, h.transport(false), "waits", "POST", "/n/plain", nil),
--- a/node/learning_test.go
+++ b/node/startevacuated_test.go
@@ -13,23 +13,23 @@
 	"sassafrasfront.example/platform/platformtest"
 )
 
-// TestStartInEvacuatedZone guards against callers that are refused (noUpstream) by a node of an
-// evacuated zone which has just started and has not met the nodes of the other zone: from the moment
-// at which it is ready, it serves its callers by those.
+// TestStartInEvacuatedZone guards against a node of an evacuated zone that has just started, has not
+// discovered the nodes of the other zone and refuses its callers (noUpstream): from the moment at
+// which it is ready, the nodes of the other zone serve its callers.
 func TestStartInEvacuatedZone(t *testing.T) {
 	tests := map[string]struct {
-		faults platformtest.Faults // while the nodes of the zone start again
-		alone  bool                // whether only one of them does
-		before bool                // whether the others are there before
+		faults platformtest.Faults // while the nodes of the zone restart
+		alone  bool                // whether only one of them restarts
+		before bool                // whether the nodes of the other zone run before
 	}{
-		"all nodes at once":                     {},
-		"beside others":                         {before: true},
-		"again":                                 {before: true, alone: true},
-		"again, the platform is slow":           {before: true, faults: platformtest.Faults{Delay: 200 * time.Millisecond}},
-		"again, the platform is away":           {before: true, faults: platformtest.Faults{Status: 503}},
-		"again, the platform hangs":             {before: true, faults: platformtest.Faults{Hang: true}},
-		"one of them, the platform is away":     {before: true, alone: true, faults: platformtest.Faults{Status: 503}},
-		"one of them, the platform loses calls": {before: true, alone: true, faults: platformtest.Faults{LoseWriteResponses: true}},
+		"all nodes at once":                        {},
+		"restarted":                                {before: true},
+		"one of them":                              {before: true, alone: true},
+		"restarted, the platform is slow":          {before: true, faults: platformtest.Faults{Delay: 200 * time.Millisecond}},
+		"restarted, the platform is unavailable":   {before: true, faults: platformtest.Faults{Status: 503}},
+		"restarted, the platform hangs":            {before: true, faults: platformtest.Faults{Hang: true}},
+		"one of them, the platform is unavailable": {before: true, alone: true, faults: platformtest.Faults{Status: 503}},
+		"one of them, the platform loses calls":    {before: true, alone: true, faults: platformtest.Faults{LoseWriteResponses: true}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -66,8 +66,8 @@
 	}
 }
 
-// TestAloneInEvacuatedZone has a node that nobody can be met by: it becomes ready, refuses what it
-// can't serve, and serves its callers itself once the zone is taken back.
+// TestOnlyNodeInEvacuatedZone starts a node that has no other node to discover: it becomes ready,
+// refuses what it can't serve, and serves its callers itself once the evacuation ends.
 func TestOnlyNodeInEvacuatedZone(t *testing.T) {
 	z := &zonedSystem{testSystem: newTestSystem(t)}
 	z.configure(1, "")
--- a/node/state.go
+++ b/node/state.go
@@ -16,17 +16,17 @@
 )
 
 const (
-	// silentHeartbeats is the number of heartbeats that a start of an upstream may
-	// miss before one that says it began earlier can take its place. Two are lost
+	// maxMissedHeartbeats is the number of heartbeats that a start of an upstream may
+	// miss before a start with an earlier start time can replace it. Two are lost
 	// now and then.
 	maxMissedHeartbeats = 3
-	// otherLines is the most log lines of each kind on what other writers have written
-	// and can't be used, per second.
+	// invalidLinesPerSecond bounds the log lines of each kind on what other programs
+	// have written and can't be used.
 	invalidLinesPerSecond = 5
 )
 
-// serviceKnown returns whether there is such a service, or may be: before the node
-// has a table of routes, none is known.
+// isKnownService returns whether a service exists, or may exist: before the node has
+// a table of routes, any service may.
 func (n *Node) isKnownService(service string) bool {
 	t := n.control.Snapshot().Table
 	if t == nil {
@@ -36,18 +36,18 @@
 	return ok
 }
 
-// announcementRefused logs why an announcement names no upstream to use.
+// announcementRefused logs why an announcement is refused.
 func (n *Node) announcementRefused(reason error) { n.warnInvalid("announcement refused", reason) }
 
-// warnOfOther logs why something that another program has written is not used, within
-// bounds for each kind of event.
+// warnInvalid logs why something that another program has written is not used, with a
+// bound on the lines for each kind of event.
 func (n *Node) warnInvalid(event string, reason error) {
 	if n.lineLimit.Allow(event, invalidLinesPerSecond, 1) {
 		n.Log.Warn().Err(reason).Msg(event)
 	}
 }
 
-// upstreamChanged takes in an announcement, or a withdrawal.
+// upstreamChanged applies an announcement, or a withdrawal if a is nil.
 func (n *Node) upstreamChanged(a *upstream.Announcement) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -68,7 +68,7 @@
 	go n.announce()
 }
 
-// probe watches the announced upstream.
+// startProber starts to probe the announced upstream.
 func (n *Node) startProber(a *upstream.Announcement) {
 	ctx, cancel := context.WithCancel(context.Background())
 	n.stopProber = cancel
@@ -85,8 +85,8 @@
 	go p.Run(ctx)
 }
 
-// announce tells the other nodes what the upstream is now. An upstream whose
-// service is not known here yet takes no requests.
+// announce broadcasts the upstream's current state to the other nodes. An upstream
+// whose service is not known here yet takes no requests.
 func (n *Node) announce() {
 	n.announceMu.Lock()
 	defer n.announceMu.Unlock()
@@ -109,20 +109,21 @@
 	}
 	n.control.Announce(u)
 	if n.rollouts != nil {
-		n.rollouts.Wake() // another start may be of another version
+		n.rollouts.Wake() // the new start may be of another version
 	}
 }
 
-// phase is how far a node has come on its way to its end.
+// phase is a phase in the life of a node.
 type phase string
 
-// The phases.
+// The phases of a node.
 const (
-	// phaseServing: it takes requests.
+	// phaseServing means that the node takes requests.
 	phaseServing phase = "serving"
-	// phaseLeaving: it has been told to stop, and still takes requests.
+	// phaseLeaving means that the node has been told to stop, and still takes requests.
 	phaseLeaving phase = "leaving"
-	// phaseDraining: it takes no more requests, and lets those under way end.
+	// phaseDraining means that the node takes no more requests, and completes those in
+	// flight.
 	phaseDraining phase = "draining"
 )
 
@@ -139,7 +140,7 @@
 	return phaseServing
 }
 
-// ready answers whether the node can serve callers.
+// serveReady responds whether the node can serve callers.
 func (n *Node) serveReady(w http.ResponseWriter, _ *http.Request) {
 	n.mu.Lock()
 	leaving := n.leaving
@@ -158,7 +159,7 @@
 	}
 }
 
-// View is what a node tells an operator of what it knows.
+// View is a node's view of the system, as reported to operators.
 type View struct {
 	Node           string            `json:"node"`
 	Zone           string            `json:"zone"`
@@ -169,7 +170,7 @@
 	Upstreams map[string][]string `json:"upstreams"`
 }
 
-// listNodes answers with the live nodes that the node knows.
+// listNodes responds with the live nodes that the node knows.
 func (n *Node) listNodes(w http.ResponseWriter, _ *http.Request) {
 	list := []operator.NodeAddress{}
 	for _, r := range n.control.Members() {
@@ -183,7 +184,7 @@
 	reply(w, list)
 }
 
-// view answers with what the node knows.
+// serveView responds with the node's view of the system.
 func (n *Node) serveView(w http.ResponseWriter, _ *http.Request) {
 	s := n.control.Snapshot()
 	v := View{
--- a/node/state_test.go
+++ b/node/state_test.go
@@ -22,9 +22,9 @@
 	"sassafrasfront.example/upstream"
 )
 
-// TestAnnouncementMeetsConfiguration has the upstream's announcement and the
-// service's configuration come at the same moment, again and again. In the end
-// the node must say that the upstream takes requests.
+// TestConcurrentAnnouncementAndConfiguration has the upstream's announcement and the
+// service's configuration arrive at the same moment, again and again. In the end the
+// node must announce that the upstream takes requests.
 func TestConcurrentAnnouncementAndConfiguration(t *testing.T) {
 	spec, err := json.Marshal(operator.Service{Hosts: []string{"a.example"}}.WithDefaults())
 	qt.Assert(t, err, qt.IsNil)
--- a/node/suspects.go
+++ b/node/suspects.go
@@ -11,7 +11,7 @@
 	"sassafrasfront.example/quarantine"
 )
 
-// listSuspects answers with the requests that are suspected.
+// listSuspects responds with the suspected requests.
 func (n *Node) listSuspects(w http.ResponseWriter, _ *http.Request) {
 	list := []operator.Suspect{}
 	for _, assessment := range n.suspects.All() {
@@ -31,8 +31,8 @@
 	reply(w, list)
 }
 
-// releaseSuspect lets a request run again, as if it had run to its end now. Ends of
-// upstreams before are forgotten at all nodes; those that come after count.
+// releaseSuspect lets a request run again, as if it had completed now. All nodes disregard the
+// crashes of upstreams before that; those that come after count.
 func (n *Node) releaseSuspect(w http.ResponseWriter, r *http.Request) {
 	p, err := quarantine.Parse(r.PathValue("print"))
 	if err != nil {
--- a/node/innercall_test.go
+++ b/node/upstreamcalls_test.go
@@ -14,14 +14,15 @@
 	"sassafrasfront.example/platform/platformtest"
 )
 
-// TestCallsOfARunWhileLeaving guards against the failure of runs that outlast leaveDelay at a node that
-// leaves: the calls that their upstream makes meanwhile go through that node, and need it.
+// TestUpstreamCallsWhileNodeLeaves guards against the failure of requests that run for longer than
+// leaveDelay at a node that leaves: the calls that their upstream makes meanwhile depend on that
+// node, through which they go.
 func TestUpstreamCallsWhileNodeLeaves(t *testing.T) {
 	tests := map[string]struct {
 		reused bool // whether the call goes over a connection that was open before
 	}{
-		"over a new connection":  {},
-		"over a kept connection": {reused: true},
+		"over a new connection":    {},
+		"over a reused connection": {reused: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/node/limits.go
+++ b/node/upstreamlimits.go
@@ -12,8 +12,8 @@
 	"sassafrasfront.example/operator"
 )
 
-// listLimits answers with the upstreams that name a limit or leave: the one beside the node, and
-// those that it sends requests to.
+// listLimits responds with the upstreams that advertise a limit or are leaving: the one beside
+// the node, and those that it sends requests to.
 func (n *Node) listLimits(w http.ResponseWriter, _ *http.Request) {
 	list := []operator.UpstreamLimit{}
 	if s := n.gate.NoticeState(); s.Limit.Limited || s.Leaving {
--- a/node/limit_test.go
+++ b/node/upstreamlimits_test.go
@@ -18,17 +18,17 @@
 )
 
 const (
-	// limitOverage and limitSlack are what an upstream that names a limit may get beyond it,
-	// as a factor and as a count, in any four seconds.
+	// limitOverage and limitSlack are what an upstream that advertises a limit may get beyond
+	// it, as a factor and as a count, in any four seconds.
 	limitOverage = 1.5
 	limitSlack   = 5
-	// limitKnown is how long after a node has passed on an answer that names a limit its
-	// requests count.
+	// limitDelay is how long after a node has forwarded a response that advertises a limit
+	// its requests count.
 	limitDelay = 500 * time.Millisecond
 )
 
-// callers sends requests for a path to all nodes, each after a pause, until stop is called, which
-// returns the number of answers by status.
+// startCallers sends requests for a path to all nodes, each after a pause, until stop is called,
+// which returns the number of responses by status.
 func (w *testSystem) startCallers(path string, pause time.Duration, nodes ...*testNode) (stop func() map[int]int) {
 	ended := make(chan struct{})
 	var all sync.WaitGroup
@@ -59,7 +59,8 @@
 	}
 }
 
-// since returns how much came to the upstream after the given time.
+// arrivalsSince returns how many requests and health checks reached the upstream after the given
+// time.
 func arrivalsSince(u *platformtest.Upstream, at time.Time) (count int) {
 	for _, a := range u.Arrivals() {
 		if a.At.After(at) {
@@ -69,24 +70,24 @@
 	return count
 }
 
-// TestUpstreamOverNamedLimit has upstreams name a limit in their answers.
-//
-// Seen: 119 requests in four seconds where a limit of 9.0 a second was named, which allows 59.
+// TestAdvertisedLimitExceeded has upstreams advertise a limit in their responses. It guards against
+// upstreams that get far more than that, such as 119 requests in four seconds at a limit of 9.0 a
+// second, which allows 59.
 func TestAdvertisedLimitExceeded(t *testing.T) {
 	tests := map[string]struct {
 		limit    float64
 		limited  int           // of three upstreams
 		pause    time.Duration // between the requests of a caller
-		quiet    bool          // whether the health check does not name the limit
+		quiet    bool          // whether the health check does not advertise the limit
 		restarts bool          // whether the nodes beside them are restarted
 	}{
-		"one of three":                      {limit: 4, limited: 1, pause: 20 * time.Millisecond},
-		"all":                               {limit: 4, limited: 3, pause: 20 * time.Millisecond},
-		"questions of the health check":     {limit: 0.5, limited: 3, pause: time.Hour},
-		"nodes restarted":                   {limit: 4, limited: 3, pause: 20 * time.Millisecond, restarts: true},
-		"nodes restarted, quiet in health":  {limit: 4, limited: 3, pause: 20 * time.Millisecond, restarts: true, quiet: true},
-		"zero":                              {limit: 0, limited: 1, pause: 20 * time.Millisecond},
-		"zero, not named by health answers": {limit: 0, limited: 1, pause: 20 * time.Millisecond, quiet: true},
+		"one of three":                     {limit: 4, limited: 1, pause: 20 * time.Millisecond},
+		"all":                              {limit: 4, limited: 3, pause: 20 * time.Millisecond},
+		"health checks only":               {limit: 0.5, limited: 3, pause: time.Hour},
+		"nodes restarted":                  {limit: 4, limited: 3, pause: 20 * time.Millisecond, restarts: true},
+		"nodes restarted, quiet in health": {limit: 4, limited: 3, pause: 20 * time.Millisecond, restarts: true, quiet: true},
+		"zero":                             {limit: 0, limited: 1, pause: 20 * time.Millisecond},
+		"zero, quiet in health":            {limit: 0, limited: 1, pause: 20 * time.Millisecond, quiet: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -110,7 +111,7 @@
 			for _, n := range limited {
 				n.upstream.AdvertiseLimit(fmt.Sprint(test.limit))
 			}
-			for _, n := range w.nodes { // each node passes an answer of each limited upstream on
+			for _, n := range w.nodes { // each node forwards a response of each limited upstream
 				for i := range 20 {
 					n.request("GET", "/b/x", fmt.Sprint("told-", n.settings.Node, i), "")
 				}
@@ -131,7 +132,7 @@
 			}
 			took := time.Since(began).Seconds()
 			statuses := stop()
-			t.Logf("statuses %v, came %v in %.1f s", statuses, counts, took)
+			t.Logf("statuses %v, arrivals %v in %.1f s", statuses, counts, took)
 			for _, count := range counts {
 				qt.Check(t, float64(count) <= limitOverage*test.limit*took+limitSlack, qt.IsTrue, qt.Commentf("%d in %.1f s at %v a second", count, took, test.limit))
 			}
@@ -140,14 +141,14 @@
 	}
 }
 
-// TestUpstreamLeavingInAnswers has an upstream say in its answers that it leaves, and go on
-// answering: once a node has passed that on, its requests go elsewhere.
+// TestUpstreamLeavingInResponses has an upstream say in its responses that it is leaving, and go on
+// responding: once a node has forwarded such a response, its requests go to other upstreams.
 //
-// Seen: nothing read that field, so that an upstream which did not announce its leaving got
-// requests until it was gone.
+// It guards against requests to an upstream that leaves without an announcement: nothing read that
+// header field, so that the upstream got requests until it was gone.
 func TestUpstreamLeavingInResponses(t *testing.T) {
 	tests := map[string]struct {
-		quiet    bool // whether the health check does not say so
+		quiet    bool // whether the health check does not say that it leaves
 		restarts bool // whether the node beside it is restarted
 	}{
 		"goes on":                      {},
@@ -166,7 +167,7 @@
 				leaver.upstream.SetHealthCheckSilent(true)
 			}
 			outside := w.add("b")
-			// Requests that must not run twice are sent once, so that each answer is passed on.
+			// Requests that must not run twice have one attempt, so that each response is forwarded.
 			n := 0
 			requestAll := func() (fromLeaver bool) {
 				var all sync.WaitGroup
@@ -185,13 +186,13 @@
 			}
 			w.eventually("both are known", func() bool { return requestAll() && len(w.nodes[0].upstream.Runs()) > 0 })
 			leaver.upstream.AdvertiseLeaving()
-			w.eventually("an answer says it", requestAll)
+			w.eventually("a response says that it leaves", requestAll)
 			leaver.upstream.SetHealthCheckSilent(test.quiet)
 			if test.restarts {
 				leaver.stop()
 				w.run(leaver)
 			}
-			time.Sleep(100 * time.Millisecond) // what is under way ends
+			time.Sleep(100 * time.Millisecond) // requests in flight complete
 			ran := len(leaver.upstream.Runs())
 			stop := w.startCallers("/a/x", 2*time.Millisecond, outside)
 			time.Sleep(time.Second)
--- a/node/weight.go
+++ b/node/weight.go
@@ -4,8 +4,8 @@
 
 package node
 
-// weightOf returns the part of an upstream's slots that an organisation gets beside
-// others, by the configuration in force.
+// organisationWeight returns the weight of an organisation in the division of an upstream's
+// slots, by the active configuration.
 func (n *Node) organisationWeight(organisation string) float64 {
 	t := n.control.Snapshot().Table
 	if t == nil || t.OrganisationSet() == nil {
--- a/node/zones.go
+++ b/node/zones.go
@@ -13,13 +13,13 @@
 	"sassafrasfront.example/operator"
 )
 
-// zoneLog knows since when zones have been evacuated, as far as this node has heard.
+// evacuationTimes records since when zones have been evacuated, as observed by this node.
 type evacuationTimes struct {
 	mu    sync.Mutex
 	since map[string]time.Time
 }
 
-// set takes in the zones in force.
+// update applies the set of evacuated zones.
 func (l *evacuationTimes) update(s evacuation.Set) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -34,14 +34,14 @@
 	}
 }
 
-// of returns since when a zone has been evacuated.
+// startOf returns since when a zone has been evacuated.
 func (l *evacuationTimes) startOf(zone string) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.since[zone]
 }
 
-// listZones answers with the evacuated zones, and how far their evacuation is.
+// listZones responds with the evacuated zones and the progress of their evacuation.
 func (n *Node) listZones(w http.ResponseWriter, _ *http.Request) {
 	set := n.control.Snapshot().Evacuated
 	remaining := n.control.RemainingUpstreams()
