--- a/node/build.go
+++ b/node/build.go
@@ -45,7 +45,7 @@
 	case n.Platform != nil:
 		n.buildManaged()
 	case s.PlatformURL != "":
-		n.control.API = n.newPlatformClient()
+		n.control.API = n.newObjectClient()
 		n.claims = &claim.Store{
 			API:  n.control.API,
 			Node: s.Node,
@@ -200,7 +200,7 @@
 func linkBandwidth(mbps float64) float64 { return mbps * 1e6 / 8 }
 
 // newObjectClient returns the client of the platform's object API.
-func (n *Node) newPlatformClient() *objectapi.Client {
+func (n *Node) newObjectClient() *objectapi.Client {
 	c := &objectapi.Client{
 		JSONClient: objectapi.JSONClient{
 			URL:     n.Settings.PlatformURL,
--- a/node/callrate.go
+++ b/node/callrate.go
@@ -35,16 +35,16 @@
 
 // allowedLoadAge records the number of calls so far, and returns how old the upstream's load
 // report may grow.
-func (p *callRate) allowedLoadAge(calls uint64, now time.Time) time.Duration {
-	if span := now.Sub(p.updatedAt); p.updatedAt.IsZero() {
-		p.calls, p.updatedAt = calls, now
+func (r *callRate) allowedLoadAge(calls uint64, now time.Time) time.Duration {
+	if span := now.Sub(r.updatedAt); r.updatedAt.IsZero() {
+		r.calls, r.updatedAt = calls, now
 	} else if span > 0 {
 		decay := math.Exp(-float64(span) / float64(callRateDecay))
-		p.perSecond = decay*p.perSecond + (1-decay)*float64(calls-p.calls)/span.Seconds()
-		p.calls, p.updatedAt = calls, now
+		r.perSecond = decay*r.perSecond + (1-decay)*float64(calls-r.calls)/span.Seconds()
+		r.calls, r.updatedAt = calls, now
 	}
-	if p.perSecond*reportsPerCall*maxLoadAge.Seconds() <= 1 {
+	if r.perSecond*reportsPerCall*maxLoadAge.Seconds() <= 1 {
 		return maxLoadAge
 	}
-	return max(minLoadAge, time.Duration(float64(time.Second)/(reportsPerCall*p.perSecond)))
+	return max(minLoadAge, time.Duration(float64(time.Second)/(reportsPerCall*r.perSecond)))
 }
--- a/node/discovery.go
+++ b/node/discovery.go
@@ -15,9 +15,9 @@
 	// discoveryTime is how long a node that has started may take to discover other nodes. A
 	// node that is still isolated after that waits for minLookups lookups in the contact registry:
 	// where the platform or the process is slow, fewer prove nothing.
-	discoveryTime      = 2 * time.Second
-	minLookups         = 3
-	aloneCheckInterval = 50 * time.Millisecond
+	discoveryTime          = 2 * time.Second
+	minLookups             = 3
+	isolationCheckInterval = 50 * time.Millisecond
 )
 
 // awaitDiscovery closes n.discoveryDone once the node has had the time to discover other nodes,
@@ -29,7 +29,7 @@
 	}
 	sleep.For(ctx, discoveryTime)
 	for ctx.Err() == nil && n.discovery != nil && n.control.Isolated() && n.discovery.Lookups() < minLookups {
-		sleep.For(ctx, aloneCheckInterval)
+		sleep.For(ctx, isolationCheckInterval)
 	}
 }
 
--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -25,10 +25,10 @@
 	sent      int
 }
 
-func newZoned(t *testing.T) *zonedSystem { return newZonedIn(newTestSystem(t)) }
+func newZonedSystem(t *testing.T) *zonedSystem { return newZonedSystemIn(newTestSystem(t)) }
 
 // newZonedSystemIn adds the zones to an empty system.
-func newZonedIn(w *testSystem) *zonedSystem {
+func newZonedSystemIn(w *testSystem) *zonedSystem {
 	z := &zonedSystem{testSystem: w}
 	z.configure(1, "")
 	for range 2 {
@@ -122,7 +122,7 @@
 // the callers of its nodes, also after a restart of its nodes and during an outage of the platform.
 // Once the evacuation ends, the zone serves again.
 func TestEvacuation(t *testing.T) {
-	z := newZoned(t)
+	z := newZonedSystem(t)
 	z.evacuate("z", true)
 	z.awaitEvacuated(1)
 	z.checkUnused(z.far)
@@ -165,7 +165,7 @@
 // TestEvacuateAll evacuates all zones that have a service, one by an object that can't be decoded:
 // requests that can't be served are refused at once, and do not run.
 func TestEvacuateAll(t *testing.T) {
-	z := newZoned(t)
+	z := newZonedSystem(t)
 	z.store.Put(platform.EvacuationKind, "z", rawJSON(`[7,"no object"]`))
 	z.awaitEvacuated(1)
 	z.checkUnused(z.far)
--- a/node/fatal_test.go
+++ b/node/fatal_test.go
@@ -43,15 +43,15 @@
 }
 
 // add starts a node beside a new upstream that crashes under fatal requests.
-func (m *crashingUpstreams) add(service string) *testNode {
-	n := m.system.add(service)
+func (c *crashingUpstreams) add(service string) *testNode {
+	n := c.system.add(service)
 	n.upstream.Close()
-	m.start(n, 0)
+	c.start(n, 0)
 	return n
 }
 
 // start starts the upstream of a node again.
-func (m *crashingUpstreams) start(n *testNode, generation int) {
+func (c *crashingUpstreams) start(n *testNode, generation int) {
 	u := &platformtest.Upstream{
 		ID:          fmt.Sprintf("%s-%d", n.settings.Node, generation),
 		Service:     n.settings.Service,
@@ -60,38 +60,38 @@
 		Address:     n.settings.UpstreamAddress,
 	}
 	u.ShouldCrash = func(r platformtest.Run) bool {
-		if !m.fatal(r) {
+		if !c.fatal(r) {
 			return false
 		}
 		time.Sleep(u.ServiceTime / 2) // other requests are in flight
-		m.mu.Lock()
-		m.crashes++
-		m.mu.Unlock()
+		c.mu.Lock()
+		c.crashes++
+		c.mu.Unlock()
 		go func() {
 			time.Sleep(2 * u.ServiceTime)
-			m.start(n, generation+1)
+			c.start(n, generation+1)
 		}()
 		return true
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.closed {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closed {
 		return
 	}
 	if _, err := u.Start(); err != nil {
-		m.system.t.Errorf("upstream: %v", err)
+		c.system.t.Errorf("upstream: %v", err)
 		return
 	}
-	m.all = append(m.all, u)
-	go m.announce(u, n)
+	c.all = append(c.all, u)
+	go c.announce(u, n)
 }
 
 // announce announces a start until its node has received the announcement.
-func (m *crashingUpstreams) announce(u *platformtest.Upstream, n *testNode) {
+func (c *crashingUpstreams) announce(u *platformtest.Upstream, n *testNode) {
 	for !u.SendHeartbeat(n.settings.AnnounceAddress) {
-		m.mu.Lock()
-		closed := m.closed
-		m.mu.Unlock()
+		c.mu.Lock()
+		closed := c.closed
+		c.mu.Unlock()
 		if closed {
 			return
 		}
@@ -100,18 +100,18 @@
 }
 
 // crashCount returns how many upstreams have crashed.
-func (m *crashingUpstreams) crashCount() int {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.crashes
+func (c *crashingUpstreams) crashCount() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.crashes
 }
 
 // close stops all upstreams for good.
-func (m *crashingUpstreams) close() {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.closed = true
-	for _, u := range m.all {
+func (c *crashingUpstreams) close() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.closed = true
+	for _, u := range c.all {
 		u.Close()
 	}
 }
--- a/node/handlers.go
+++ b/node/handlers.go
@@ -48,7 +48,7 @@
 }
 
 // callerTimeouts returns the timeouts for callers that the table of routes sets.
-func (n *Node) callerBounds() caller.Timeouts {
+func (n *Node) callerTimeouts() caller.Timeouts {
 	t := n.control.Snapshot().Table
 	if t == nil {
 		return caller.Timeouts{}
@@ -113,7 +113,7 @@
 }
 
 // writeJSON responds to an operator with a value as JSON.
-func reply(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v) // a client that has disconnected can't be notified of a failure
 }
--- a/node/healthcheck_test.go
+++ b/node/healthcheck_test.go
@@ -21,16 +21,16 @@
 // does not.
 func TestProbeLoad(t *testing.T) {
 	tests := map[string]struct {
-		answers  bool
+		responds bool
 		probes   int           // all at once
 		maxWait  time.Duration // of all, at most
 		received int
 		limited  bool // whether the upstream advertises a limit
 	}{
-		"answered":                          {answers: true, probes: 1, received: 1},
+		"answered":                          {responds: true, probes: 1, received: 1},
 		"not answered":                      {probes: 1, maxWait: loadProbeTimeout},
-		"more than the burst":               {answers: true, probes: 3 * loadProbeBurst, received: loadProbeBurst},
-		"the upstream advertises a limit":   {answers: true, probes: 1, limited: true},
+		"more than the burst":               {responds: true, probes: 3 * loadProbeBurst, received: loadProbeBurst},
+		"the upstream advertises a limit":   {responds: true, probes: 1, limited: true},
 		"more than the burst, not answered": {probes: 3 * loadProbeBurst, maxWait: loadProbeTimeout * (loadProbeBurst + 2)},
 	}
 	for name, test := range tests {
@@ -50,7 +50,7 @@
 				ended := make(chan struct{})
 				go func() {
 					defer close(ended)
-					for test.answers {
+					for test.responds {
 						select {
 						case done := <-n.loadProbes:
 							received++
--- a/node/keys_test.go
+++ b/node/keys_test.go
@@ -34,7 +34,7 @@
 }
 
 // newKeyedSystem returns a system in which the keys are active.
-func newKeyed(t *testing.T, keys ...string) *keyedSystem {
+func newKeyedSystem(t *testing.T, keys ...string) *keyedSystem {
 	k := &keyedSystem{testSystem: newTestSystem(t)}
 	k.revokeWithin = revokeWithin
 	k.organisations(keys...)
@@ -118,7 +118,7 @@
 // TestKeys sends requests with and without keys: the upstream receives the organisation, and
 // never the key.
 func TestKeys(t *testing.T) {
-	k := newKeyed(t, "one", "two")
+	k := newKeyedSystem(t, "one", "two")
 	for name, row := range map[string]struct {
 		path, key    string
 		status       int
@@ -154,7 +154,7 @@
 // TestKeysChange adds and removes keys by new versions of the configuration, among them one that
 // can't be decoded and a key that is added and removed at once.
 func TestKeysChange(t *testing.T) {
-	k := newKeyed(t, "one")
+	k := newKeyedSystem(t, "one")
 	k.organisations("one", "two")
 	for _, n := range []*testNode{k.near, k.far} {
 		k.eventually("the added key is accepted", func() bool { return k.request(n, "/b/x", "two").status == 200 })
@@ -179,7 +179,7 @@
 // node receives the change from the other one. Without the other, it refuses what needs a key
 // once the bound has passed, and only that, until it reaches the platform again.
 func TestKeyRevokedWithoutPlatform(t *testing.T) {
-	k := newKeyed(t, "one", "two")
+	k := newKeyedSystem(t, "one", "two")
 	k.unreachable.Store(true)
 	for deadline := time.Now().Add(2 * revokeWithin); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		k.request(k.far, "/b/x", "two")
--- a/node/managed_test.go
+++ b/node/managed_test.go
@@ -69,13 +69,13 @@
 
 // configure writes a manifest with the route /a/ to the service a, whose requests must not run
 // twice, the route /b/ to the service b, and an extra one to b and more as given.
-func (w *testSystem) configure(version int, extra string, more ...string) {
+func (s *testSystem) configure(version int, extra string, more ...string) {
 	list := []string{route("a", "non_idempotent", "a"), route("b", "idempotent", "b")}
 	if extra != "" {
 		list = append(list, route(extra, "idempotent", "b"))
 	}
 	list = append(list, more...)
-	w.store.Put("config", "main", rawJSON(fmt.Sprintf(`{"version":"r%d","services":[{"name":"a","healthPath":"/healthz"},{"name":"b","healthPath":"/healthz"}],"virtualHosts":[{"host":"h.example","paths":[%s]}]}`, version, strings.Join(list, ","))))
+	s.store.Put("config", "main", rawJSON(fmt.Sprintf(`{"version":"r%d","services":[{"name":"a","healthPath":"/healthz"},{"name":"b","healthPath":"/healthz"}],"virtualHosts":[{"host":"h.example","paths":[%s]}]}`, version, strings.Join(list, ","))))
 }
 
 // route returns a manifest's route with its name as the path.
@@ -120,47 +120,47 @@
 }
 
 // add starts a node beside a new upstream of a service.
-func (w *testSystem) add(service string, seeds ...string) *testNode {
-	return w.addIn("z", service, seeds...)
+func (s *testSystem) add(service string, seeds ...string) *testNode {
+	return s.addIn("z", service, seeds...)
 }
 
 // addIn does what add does, in an availability zone.
-func (w *testSystem) addIn(zone, service string, seeds ...string) *testNode {
-	return w.addUpstream(zone, &platformtest.Upstream{Service: service}, seeds...)
+func (s *testSystem) addIn(zone, service string, seeds ...string) *testNode {
+	return s.addUpstream(zone, &platformtest.Upstream{Service: service}, seeds...)
 }
 
 // addUpstream starts a node in an availability zone beside an upstream, whose ID, slots and service
 // time it sets.
-func (w *testSystem) addUpstream(zone string, u *platformtest.Upstream, seeds ...string) *testNode {
-	id := "i-" + strconv.Itoa(len(w.nodes))
+func (s *testSystem) addUpstream(zone string, u *platformtest.Upstream, seeds ...string) *testNode {
+	id := "i-" + strconv.Itoa(len(s.nodes))
 	service := u.Service
 	u.ID, u.Slots, u.ServiceTime = id, cmp.Or(u.Slots, 8), 5*time.Millisecond
 	m := &testNode{upstream: u}
 	addr, err := m.upstream.Start()
-	qt.Assert(w.t, err, qt.IsNil)
+	qt.Assert(s.t, err, qt.IsNil)
 	m.settings = settings.Settings{
 		Node: "n" + id, Region: "r", Zone: zone, Dialect: settings.DialectManaged,
-		CallerAddress: freeAddr(w.t), PeerAddress: freeAddr(w.t), AnnounceAddress: freeAddr(w.t), OperatorAddress: freeAddr(w.t),
-		PlatformURL: w.url, Service: service, UpstreamAddress: addr, Peers: strings.Join(seeds, ","),
-		EvacuateWithin: 2 * time.Second, ConfigWithin: 2 * time.Second, RevokeWithin: w.revokeWithin, RolloutShare: w.rolloutShare, RollbackWithin: 5 * time.Second,
+		CallerAddress: freeAddr(s.t), PeerAddress: freeAddr(s.t), AnnounceAddress: freeAddr(s.t), OperatorAddress: freeAddr(s.t),
+		PlatformURL: s.url, Service: service, UpstreamAddress: addr, Peers: strings.Join(seeds, ","),
+		EvacuateWithin: 2 * time.Second, ConfigWithin: 2 * time.Second, RevokeWithin: s.revokeWithin, RolloutShare: s.rolloutShare, RollbackWithin: 5 * time.Second,
 		QuotaWindow: 5 * time.Second, QuotaOverage: 0.1, QuotaSlack: 20,
 		RetryRatio: 0.2, RetrySlack: 60, ReportBytes: 20000, ControlBytes: 100000, PlatformCalls: 100,
 		LeaveDelay: 50 * time.Millisecond, DrainTimeout: 2 * time.Second, MaxHeaderBytes: 1 << 16,
 	}
-	if w.adjust != nil {
-		w.adjust(&m.settings)
+	if s.adjust != nil {
+		s.adjust(&m.settings)
 	}
-	w.nodes = append(w.nodes, m)
-	w.run(m)
+	s.nodes = append(s.nodes, m)
+	s.run(m)
 	return m
 }
 
 // run starts the process of a node.
-func (w *testSystem) run(m *testNode) {
+func (s *testSystem) run(m *testNode) {
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &node.Node{
 		Settings: m.settings,
-		Log:      w.log.With().Str("node", m.settings.Node).Logger(),
+		Log:      s.log.With().Str("node", m.settings.Node).Logger(),
 		Platform: &node.Platform{
 			FieldNames: platform.FieldNames(),
 			NewAPI:     func(c *objectapi.JSONClient) objectapi.PollingAPI { return &platform.Store{JSONClient: c} },
@@ -172,7 +172,7 @@
 	var done sync.WaitGroup
 	done.Go(func() {
 		if err := n.Run(ctx); err != nil {
-			w.t.Errorf("%s does not run: %v", m.settings.Node, err)
+			s.t.Errorf("%s does not run: %v", m.settings.Node, err)
 		}
 	})
 	m.stop = func() {
@@ -190,8 +190,8 @@
 }
 
 // request sends a request to a node.
-func (m *testNode) request(method, path, id, body string) callerResponse {
-	r, _ := http.NewRequest(method, "http://"+m.settings.CallerAddress+path, strings.NewReader(body))
+func (n *testNode) request(method, path, id, body string) callerResponse {
+	r, _ := http.NewRequest(method, "http://"+n.settings.CallerAddress+path, strings.NewReader(body))
 	r.Host = "h.example"
 	if id != "" {
 		r.Header.Set(platformtest.RequestID, id)
@@ -208,8 +208,8 @@
 }
 
 // ready returns whether the node reports that it is ready.
-func (m *testNode) ready() bool {
-	r, err := http.Get("http://" + m.settings.OperatorAddress + "/readyz")
+func (n *testNode) ready() bool {
+	r, err := http.Get("http://" + n.settings.OperatorAddress + "/readyz")
 	if err != nil {
 		return false
 	}
@@ -219,15 +219,15 @@
 
 // eventually polls until f returns true. The bound is not an expectation: it ends a
 // test that would never end.
-func (w *testSystem) eventually(what string, f func() bool) {
-	w.t.Helper()
+func (s *testSystem) eventually(what string, f func() bool) {
+	s.t.Helper()
 	for range 2000 {
 		if f() {
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	w.t.Fatalf("never: %s", what)
+	s.t.Fatalf("never: %s", what)
 }
 
 // TestManaged checks how a small system serves before and after it is configured, during an outage
--- a/node/node.go
+++ b/node/node.go
@@ -281,7 +281,7 @@
 	tasks.Go(func() { _ = n.peers.Run(background, l.peer) })
 	callerConns := &caller.Listener{
 		Listener: l.caller,
-		Timeouts: n.callerBounds,
+		Timeouts: n.callerTimeouts,
 	}
 	tasks.Go(func() { _ = callers.Serve(callerConns) })
 	tasks.Go(func() { _ = announce.Serve(l.announce) })
--- a/node/organisations.go
+++ b/node/organisations.go
@@ -92,5 +92,5 @@
 			})
 		}
 	}
-	reply(w, list)
+	writeJSON(w, list)
 }
--- a/node/popularrequests_test.go
+++ b/node/popularrequests_test.go
@@ -26,23 +26,23 @@
 }
 
 // add counts one request.
-func (t *outcomeCounter) add(a callerResponse) {
-	t.sent.Add(1)
+func (c *outcomeCounter) add(a callerResponse) {
+	c.sent.Add(1)
 	if a.status == 200 {
-		t.served.Add(1)
+		c.served.Add(1)
 		return
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.otherResponses == nil {
-		t.otherResponses = make(map[string]int)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.otherResponses == nil {
+		c.otherResponses = make(map[string]int)
 	}
-	t.otherResponses[a.body]++
+	c.otherResponses[a.body]++
 }
 
 // servedFraction returns the fraction of the requests that was served.
-func (t *outcomeCounter) servedFraction() float64 {
-	return float64(t.served.Load()) / float64(t.sent.Load())
+func (c *outcomeCounter) servedFraction() float64 {
+	return float64(c.served.Load()) / float64(c.sent.Load())
 }
 
 // newPopularSystem does what newFatalSystem does. Requests to /once/ have one attempt.
@@ -72,13 +72,13 @@
 	callers := func(upstreams int) int { return min(40, 3*upstreams) }
 	tests := map[string]struct {
 		upstreams, kinds int
-		bugs             string // path of the harmful requests: those to /b/ crash two upstreams each, as they are retried
-		fatal            bool   // whether one of them is repeated as well
+		harmfulPath      string // path of the harmful requests: those to /b/ crash two upstreams each, as they are retried
+		repeat           bool   // whether one of them is repeated as well
 	}{
-		"one kind at two upstreams":          {upstreams: 2, kinds: 1, bugs: "/once/report"},
-		"four kinds at twelve upstreams":     {upstreams: 12, kinds: 4, bugs: "/b/report"},
-		"four kinds, and a harmful one":      {upstreams: 12, kinds: 4, bugs: "/once/report", fatal: true},
-		"two hundred kinds at six upstreams": {upstreams: 6, kinds: 200, bugs: "/once/report"},
+		"one kind at two upstreams":          {upstreams: 2, kinds: 1, harmfulPath: "/once/report"},
+		"four kinds at twelve upstreams":     {upstreams: 12, kinds: 4, harmfulPath: "/b/report"},
+		"four kinds, and a harmful one":      {upstreams: 12, kinds: 4, harmfulPath: "/once/report", repeat: true},
+		"two hundred kinds at six upstreams": {upstreams: 6, kinds: 200, harmfulPath: "/once/report"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -112,8 +112,8 @@
 			time.Sleep(settleTime)
 			harmful := 0
 			for round := range 10 {
-				nodes[round%len(nodes)].request("PUT", test.bugs, fmt.Sprint("bug-", round), fmt.Sprint("bug-", round))
-				if test.fatal {
+				nodes[round%len(nodes)].request("PUT", test.harmfulPath, fmt.Sprint("bug-", round), fmt.Sprint("bug-", round))
+				if test.repeat {
 					time.Sleep(settleTime)
 					before := m.crashCount()
 					nodes[round%len(nodes)].request("PUT", "/b/report", fmt.Sprint("fatal-", round), "bug, always the same")
--- a/node/ratelimit_test.go
+++ b/node/ratelimit_test.go
@@ -29,7 +29,7 @@
 	sent atomic.Int64
 }
 
-func newLimited(t *testing.T, rate, burst float64) *rateLimitedSystem {
+func newRateLimitedSystem(t *testing.T, rate, burst float64) *rateLimitedSystem {
 	l := &rateLimitedSystem{testSystem: newTestSystem(t)}
 	l.limit(1, rate, burst)
 	for i := range 5 {
@@ -98,7 +98,7 @@
 // admitted up to the limit, and another one is served meanwhile.
 func TestRateLimit(t *testing.T) {
 	const rate, burst = 20, 10
-	l := newLimited(t, rate, burst)
+	l := newRateLimitedSystem(t, rate, burst)
 	l.eventually("the coordinator has had all shares for long enough to report that the limit is reached", func() bool {
 		status, _ := l.request("k-small", l.nodes[1])
 		return status == 429
@@ -138,7 +138,7 @@
 // TestRateLimitAcrossRestarts restarts all nodes, one after the other and then all at once, during a
 // burst of requests to all of them, in the middle of which the limit is lowered.
 func TestRateLimitAcrossRestarts(t *testing.T) {
-	l := newLimited(t, 40, 40)
+	l := newRateLimitedSystem(t, 40, 40)
 	const (
 		callers = 4 // at each node
 		window  = 5 * time.Second
--- a/node/restore_test.go
+++ b/node/restore_test.go
@@ -46,8 +46,8 @@
 }
 
 // era returns the platform's era as a node's metrics have it.
-func (m *testNode) era() string {
-	r, err := http.Get("http://" + m.settings.OperatorAddress + "/metrics")
+func (n *testNode) era() string {
+	r, err := http.Get("http://" + n.settings.OperatorAddress + "/metrics")
 	if err != nil {
 		return ""
 	}
@@ -77,7 +77,7 @@
 
 // newPartitionedSystem returns a system of two zones. One node of each reaches the store through a
 // switchableStore.
-func newCutZoned(t *testing.T) (*zonedSystem, *switchableStore) {
+func newPartitionedSystem(t *testing.T) (*zonedSystem, *switchableStore) {
 	w := newEraSystem(t)
 	proxy := &switchableStore{store: w.store}
 	server := httptest.NewServer(proxy)
@@ -103,7 +103,7 @@
 // zone can't reach it. Callers see the table and the zones as they were; what the operator writes
 // then is active at once, though its revisions were used before.
 func TestRestoredPlatform(t *testing.T) {
-	z, proxy := newCutZoned(t)
+	z, proxy := newPartitionedSystem(t)
 	z.eventually("both zones are used", func() bool {
 		for _, n := range z.all() {
 			z.request(n)
@@ -157,7 +157,7 @@
 // TestRestartAfterRestore restarts nodes of an evacuated zone while the store has lost the
 // evacuation and the table: they receive both from the other nodes.
 func TestRestartAfterRestore(t *testing.T) {
-	z, proxy := newCutZoned(t)
+	z, proxy := newPartitionedSystem(t)
 	backup := z.store.Snapshot()
 	z.configure(2, "c")
 	z.evacuate("z", true)
--- a/node/rollout_test.go
+++ b/node/rollout_test.go
@@ -27,7 +27,7 @@
 }
 
 // heartbeatInterval is the time between two heartbeats of an upstream.
-const heartbeatEvery = 100 * time.Millisecond
+const heartbeatInterval = 100 * time.Millisecond
 
 // newRolloutSystem starts three upstreams of the version v1.
 func newRolloutSystem(t *testing.T) *rolloutSystem {
@@ -51,7 +51,7 @@
 	go func() {
 		for ctx.Err() == nil {
 			m.upstream.SendHeartbeat(m.settings.AnnounceAddress)
-			time.Sleep(heartbeatEvery)
+			time.Sleep(heartbeatInterval)
 		}
 	}()
 	return m
@@ -112,9 +112,9 @@
 	v.eventually("it is reported as running", func() bool { return v.state() == "running" || v.state() == "rolled_back" })
 	v.eventually("it is rolled back", func() bool { return v.state() == "rolled_back" })
 	stop()
-	given := runsOf(v.newNodes)
-	qt.Check(t, given > 0, qt.IsTrue)
-	qt.Check(t, float64(given) <= 0.1*float64(v.sent.Load())+50, qt.IsTrue, qt.Commentf("%d of %d", given, v.sent.Load()))
+	received := runsOf(v.newNodes)
+	qt.Check(t, received > 0, qt.IsTrue)
+	qt.Check(t, float64(received) <= 0.1*float64(v.sent.Load())+50, qt.IsTrue, qt.Commentf("%d of %d", received, v.sent.Load()))
 	for _, n := range v.nodes {
 		n.stop()
 		v.run(n)
@@ -122,11 +122,11 @@
 	for _, n := range v.oldNodes {
 		v.eventually("each node serves", func() bool { return n.request("PUT", "/b/x", "again", "").status == 200 })
 	}
-	given = runsOf(v.newNodes)
+	received = runsOf(v.newNodes)
 	stop = v.startCallers()
 	time.Sleep(time.Second)
 	stop()
-	qt.Check(t, runsOf(v.newNodes), qt.Equals, given)
+	qt.Check(t, runsOf(v.newNodes), qt.Equals, received)
 }
 
 // TestRolloutOfGood orders a version that is as good as the old one: all requests move there
@@ -136,11 +136,11 @@
 	stop := v.startCallers()
 	v.order(8, nil)
 	v.eventually("it is completed", func() bool { return v.state() == "completed" })
-	former := runsOf(v.oldNodes)
+	before := runsOf(v.oldNodes)
 	for range 200 {
 		n := v.oldNodes[v.sent.Add(1)%3]
 		qt.Check(t, n.request("GET", "/b/x", fmt.Sprint("after-", v.sent.Load()), "").status, qt.Equals, 200)
 	}
 	stop()
-	qt.Check(t, runsOf(v.oldNodes)-former <= 20, qt.IsTrue, qt.Commentf("%d went to the old version", runsOf(v.oldNodes)-former))
+	qt.Check(t, runsOf(v.oldNodes)-before <= 20, qt.IsTrue, qt.Commentf("%d went to the old version", runsOf(v.oldNodes)-before))
 }
--- a/node/rollouts.go
+++ b/node/rollouts.go
@@ -233,5 +233,5 @@
 			Revision:  state.Order.At.Revision,
 		})
 	}
-	reply(w, list)
+	writeJSON(w, list)
 }
--- a/node/shutdown.go
+++ b/node/shutdown.go
@@ -48,17 +48,17 @@
 // new work for the upstream is refused and other nodes are notified, and requests in flight
 // complete. The upstream can be reached through this node only, so its capacity is withdrawn
 // as late as the completion of the requests that run there allows.
-func (l *shutdown) run() {
-	n := l.node
+func (s *shutdown) run() {
+	n := s.node
 	began := time.Now()
-	atStart := l.count()
+	atStart := s.count()
 	stalled := n.stalls.LongestDelay(began.Add(-stallWindow))
 	within := drainTimeout(&n.Settings, stalled)
 	n.Log.Info().Int("requests", atStart.requests).Int("calls", atStart.calls).Dur("withinMs", within).Dur("stalledMs", stalled).Msg("leaving")
 	n.mu.Lock()
 	n.leaving = true
 	n.mu.Unlock()
-	l.listener.DisableKeepAlives()
+	s.listener.DisableKeepAlives()
 	ctx, cancel := context.WithDeadline(context.Background(), began.Add(within))
 	defer cancel()
 	leaveTime := n.Settings.EffectiveLeaveDelay()
@@ -77,15 +77,15 @@
 	n.mu.Lock()
 	n.draining = true
 	n.mu.Unlock()
-	atClosing := l.count()
-	err := l.drain(ctx, idle)
-	remaining := l.count()
-	ids := l.handler.InFlightIDs(maxLoggedIDs)
+	atClosing := s.count()
+	err := s.drain(ctx, idle)
+	remaining := s.count()
+	ids := s.handler.InFlightIDs(maxLoggedIDs)
 	if err != nil && remaining.requests+remaining.calls > 0 {
 		n.Log.Warn().Err(err).Msg("requests in flight cut at the end of the drain")
 	}
 	if err != nil {
-		l.abort()
+		s.abort()
 	}
 	completed := int(remaining.started-atStart.started) + atStart.requests - remaining.requests
 	n.metrics.drained(completed, remaining)
@@ -120,11 +120,11 @@
 }
 
 // count returns what is in flight now.
-func (l *shutdown) count() trafficCount {
-	load := l.node.gate.Load()
-	s := trafficCount{calls: load.Running + load.Waiting}
-	s.requests, s.started = l.handler.RequestCounts()
-	return s
+func (s *shutdown) count() trafficCount {
+	load := s.node.gate.Load()
+	counts := trafficCount{calls: load.Running + load.Waiting}
+	counts.requests, counts.started = s.handler.RequestCounts()
+	return counts
 }
 
 // requestsEndAt returns when requests in flight are cut, or the zero time while the node accepts
@@ -157,41 +157,41 @@
 
 // drain waits until no request of a caller and no call of another node is in flight, or ctx
 // ends. Idle is closed once nothing runs at the upstream.
-func (l *shutdown) drain(ctx context.Context, idle <-chan struct{}) error {
-	err := l.listener.Drain(ctx)
+func (s *shutdown) drain(ctx context.Context, idle <-chan struct{}) error {
+	err := s.listener.Drain(ctx)
 	if err == nil {
-		err = l.callers.Shutdown(ctx)
+		err = s.callers.Shutdown(ctx)
 	}
 	if err == nil {
-		err = l.listener.AwaitClosed(ctx)
+		err = s.listener.AwaitClosed(ctx)
 	}
 	select {
 	case <-idle:
 	case <-ctx.Done():
 	}
 	if err == nil {
-		err = l.node.peers.Quiesce(ctx)
+		err = s.node.peers.Quiesce(ctx)
 	}
 	return err
 }
 
 // abort makes the node itself respond to the requests that are still in flight, stating whether
 // each may have run, and closes the connections of those that could not be sent a response.
-func (l *shutdown) abort() {
-	l.node.dispatcher.Stop() // revokes calls that wait at gates
-	l.awaitResponses()
-	l.node.dispatcher.Close() // ends calls that have been sent
-	l.awaitResponses()
-	l.cancelRequests(verdict.New(verdict.NotSent, errNodeStopping).WithRetryAfter(caller.RetryElsewhereDelay)) // cancels requests that have not been sent
-	l.awaitResponses()
-	l.listener.CloseAll()
+func (s *shutdown) abort() {
+	s.node.dispatcher.Stop() // revokes calls that wait at gates
+	s.awaitResponses()
+	s.node.dispatcher.Close() // ends calls that have been sent
+	s.awaitResponses()
+	s.cancelRequests(verdict.New(verdict.NotSent, errNodeStopping).WithRetryAfter(caller.RetryElsewhereDelay)) // cancels requests that have not been sent
+	s.awaitResponses()
+	s.listener.CloseAll()
 }
 
 // awaitResponses waits until the responses to requests that have been aborted are written.
-func (l *shutdown) awaitResponses() {
+func (s *shutdown) awaitResponses() {
 	ctx, cancel := context.WithTimeout(context.Background(), finalResponseTimeout)
 	defer cancel()
-	_ = l.listener.AwaitClosed(ctx) // connections that are still open then are closed
+	_ = s.listener.AwaitClosed(ctx) // connections that are still open then are closed
 }
 
 // exitContext returns the context of what a node does after its drain. It ends with the grace
--- a/node/shutdown_test.go
+++ b/node/shutdown_test.go
@@ -238,8 +238,8 @@
 	for name, leaving := range tests {
 		t.Run(name, func(t *testing.T) {
 			h := newBlockingSystem(t, stopSoon, 40)
-			kept := h.transport(false)
-			first := h.send(h.entry, kept, "first", "GET", "/i/warm", nil)
+			reused := h.transport(false)
+			first := h.send(h.entry, reused, "first", "GET", "/i/warm", nil)
 			<-first.done
 			var all []*pending
 			var bodies []*io.PipeWriter
@@ -250,7 +250,7 @@
 				return r
 			}
 			add := func(p *pending) { all = append(all, p) }
-			add(h.send(h.entry, kept, "reused connection", "GET", "/i/plain", nil))
+			add(h.send(h.entry, reused, "reused connection", "GET", "/i/plain", nil))
 			add(h.send(h.entry, h.transport(false), "new connection", "GET", "/i/plain", nil))
 			add(h.send(h.entry, h.transport(false), "not idempotent", "POST", "/n/plain", strings.NewReader("body")))
 			add(h.send(h.entry, h.transport(false), "response has begun", "GET", "/i/begun", nil))
@@ -366,19 +366,19 @@
 		stopSoon(s)
 		s.GracePeriod = 1500 * time.Millisecond
 	}, 1)
-	runs := h.send(h.entry, h.transport(false), "running", "POST", "/n/plain", nil)
+	running := h.send(h.entry, h.transport(false), "running", "POST", "/n/plain", nil)
 	h.awaitRunning(1)
-	waits := []*pending{
+	queued := []*pending{
 		h.send(h.entry, h.transport(false), "waits", "POST", "/n/plain", nil),
 		h.send(h.entry, h.transport(false), "waits, idempotent", "GET", "/i/plain", nil),
 	}
 	h.eventually("they wait", func() bool { return strings.Contains(h.other.metrics(), "sassafras_upstream_waiting 2") })
 	h.entry.stop()
-	<-runs.done
-	qt.Check(t, runs.err, qt.IsNil)
-	qt.Check(t, runs.got.status, qt.Equals, 502)
-	qt.Check(t, runs.got.body, qt.Contains, `"cause":"stopped"`)
-	for _, p := range waits {
+	<-running.done
+	qt.Check(t, running.err, qt.IsNil)
+	qt.Check(t, running.got.status, qt.Equals, 502)
+	qt.Check(t, running.got.body, qt.Contains, `"cause":"stopped"`)
+	for _, p := range queued {
 		<-p.done
 		qt.Check(t, p.err, qt.IsNil)
 		qt.Check(t, p.got.status, qt.Equals, 503, qt.Commentf(p.name))
@@ -388,8 +388,8 @@
 }
 
 // metrics returns the node's metrics.
-func (m *testNode) metrics() string {
-	r, err := http.Get("http://" + m.settings.OperatorAddress + "/metrics")
+func (n *testNode) metrics() string {
+	r, err := http.Get("http://" + n.settings.OperatorAddress + "/metrics")
 	if err != nil {
 		return ""
 	}
--- a/node/state.go
+++ b/node/state.go
@@ -181,7 +181,7 @@
 		})
 	}
 	slices.SortFunc(list, func(a, b operator.NodeAddress) int { return cmp.Compare(a.Node, b.Node) })
-	reply(w, list)
+	writeJSON(w, list)
 }
 
 // serveView responds with the node's view of the system.
@@ -201,5 +201,5 @@
 			v.Upstreams[name] = append(v.Upstreams[name], m.ID)
 		}
 	}
-	reply(w, v)
+	writeJSON(w, v)
 }
--- a/node/suspects.go
+++ b/node/suspects.go
@@ -28,7 +28,7 @@
 		}
 		list = append(list, suspect)
 	}
-	reply(w, list)
+	writeJSON(w, list)
 }
 
 // releaseSuspect lets a request run again, as if it had completed now. All nodes disregard the
--- a/node/upstreamlimits.go
+++ b/node/upstreamlimits.go
@@ -51,5 +51,5 @@
 		})
 	}
 	slices.SortFunc(list, func(a, b operator.UpstreamLimit) int { return cmp.Compare(a.Node, b.Node) })
-	reply(w, list)
+	writeJSON(w, list)
 }
--- a/node/upstreamlimits_test.go
+++ b/node/upstreamlimits_test.go
@@ -29,7 +29,7 @@
 
 // startCallers sends requests for a path to all nodes, each after a pause, until stop is called,
 // which returns the number of responses by status.
-func (w *testSystem) startCallers(path string, pause time.Duration, nodes ...*testNode) (stop func() map[int]int) {
+func (s *testSystem) startCallers(path string, pause time.Duration, nodes ...*testNode) (stop func() map[int]int) {
 	ended := make(chan struct{})
 	var all sync.WaitGroup
 	var mu sync.Mutex
--- a/node/zones.go
+++ b/node/zones.go
@@ -20,25 +20,25 @@
 }
 
 // update applies the set of evacuated zones.
-func (l *evacuationTimes) update(s evacuation.Set) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	old := l.since
-	l.since = make(map[string]time.Time, len(s.Zones))
+func (e *evacuationTimes) update(s evacuation.Set) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	old := e.since
+	e.since = make(map[string]time.Time, len(s.Zones))
 	for _, zone := range s.Zones {
 		at, ok := old[zone]
 		if !ok {
 			at = time.Now()
 		}
-		l.since[zone] = at
+		e.since[zone] = at
 	}
 }
 
 // startOf returns since when a zone has been evacuated.
-func (l *evacuationTimes) startOf(zone string) time.Time {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.since[zone]
+func (e *evacuationTimes) startOf(zone string) time.Time {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.since[zone]
 }
 
 // listZones responds with the evacuated zones and the progress of their evacuation.
@@ -60,5 +60,5 @@
 		}
 		list = append(list, zone)
 	}
-	reply(w, list)
+	writeJSON(w, list)
 }
