--- a/node/configsync.go
+++ b/node/configsync.go
@@ -25,8 +25,8 @@
 	clock       boottime.Clock
 	confirmRead func(sent time.Duration)
 	// isLeader returns whether this node reads on behalf of all. A node that is not the leader
-	// reads only while it hears from no other. It reads the orders at a tenth of the cost, as an
-	// order that is seconds old is late for no other node.
+	// reads only while it receives nothing from other nodes. It reads the orders at a tenth of
+	// the cost, as an order that is seconds old is late for no other node.
 	isLeader func() bool
 	// proofOverdue returns whether the platform has responded to no node for too long.
 	proofOverdue func() bool
--- a/node/keys_test.go
+++ b/node/keys_test.go
@@ -27,7 +27,7 @@
 // keyedSystem is a system whose callers need keys, except for the route /open/.
 type keyedSystem struct {
 	*testSystem
-	near, far   *testNode // far has a platform of its own that can be cut off
+	near, far   *testNode // far reaches the platform through a proxy that can be switched off
 	unreachable atomic.Bool
 	version     int
 	sent        int
--- a/node/upstreamlimits_test.go
+++ b/node/upstreamlimits_test.go
@@ -145,7 +145,7 @@
 // responding: once a node has forwarded such a response, its requests go to other upstreams.
 //
 // It guards against requests to an upstream that leaves without an announcement: nothing read that
-// header field, so that the upstream got requests until it was gone.
+// header field, so that the upstream got requests until it stopped.
 func TestUpstreamLeavingInResponses(t *testing.T) {
 	tests := map[string]struct {
 		quiet    bool // whether the health check does not say that it leaves
