--- a/node/handlers.go
+++ b/node/handlers.go
@@ -18,7 +18,7 @@
 	"sassafrasfront.example/routes"
 )
 
-// callerHandler returns what serves callers.
+// callerHandler returns the handler of callers' requests.
 func (n *Node) callerHandler() *caller.Handler {
 	h := &caller.Handler{
 		Lookup: func(host string) (*entry.Service, bool) {
@@ -31,24 +31,24 @@
 		Tracer:           n.tracer,
 		MaySuspect:       n.suspects.MaySuspect,
 		OnRequestEnd:     n.requestEnded,
-		ShutdownDeadline: n.ends,
+		ShutdownDeadline: n.requestsEndAt,
 	}
 	if n.Platform != nil {
 		h.FieldNames = n.Platform.FieldNames
 		h.Service = n.Settings.Service
 		h.LocalCallers = true
-		h.Admit = n.limits.Admit
+		h.Admit = n.rateLimiter.Admit
 		h.Resolver = &caller.RouteResolver{
 			Table:   func() *routes.Table { return n.control.Snapshot().Table },
 			Service: func(name string) *entry.Service { return n.control.Snapshot().Services[name] },
-			Keys:    n.keys(),
+			Keys:    n.keyPolicy(),
 		}
 	}
 	return h
 }
 
-// callerBounds returns how long callers may take, as the table of routes says.
-func (n *Node) callerBounds() caller.Timeouts {
+// callerTimeouts returns the timeouts for callers that the table of routes sets.
+func (n *Node) callerTimeouts() caller.Timeouts {
 	t := n.control.Snapshot().Table
 	if t == nil {
 		return caller.Timeouts{}
@@ -59,17 +59,17 @@
 	}
 }
 
-// announceHandler returns what takes in the announcements of the upstream.
+// announceHandler returns the handler of the upstream's announcements.
 func (n *Node) announceHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("/v1/upstream", n.announced)
+	mux.Handle("/v1/upstream", n.announcements)
 	if n.Platform != nil {
-		mux.Handle("/", n.Platform.AnnounceHandler(n.announced))
+		mux.Handle("/", n.Platform.AnnounceHandler(n.announcements))
 	}
 	return mux
 }
 
-// operatorHandler returns what serves operators.
+// operatorHandler returns the handler of operators' requests.
 func (n *Node) operatorHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
@@ -78,8 +78,8 @@
 		metrics.WriteFDMetrics(w)
 	})
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok\n")) })
-	mux.HandleFunc("GET /readyz", n.ready)
-	mux.HandleFunc("GET /v1/view", n.view)
+	mux.HandleFunc("GET /readyz", n.serveReady)
+	mux.HandleFunc("GET /v1/view", n.serveView)
 	mux.HandleFunc("GET /v1/nodes", n.listNodes)
 	mux.HandleFunc("GET /v1/zones", n.listZones)
 	mux.HandleFunc("GET /v1/rollouts", n.listRollouts)
@@ -95,25 +95,25 @@
 	return mux
 }
 
-// serverLog returns what takes the lines that the library's servers write of
-// themselves, so that they are lines of the node's log, and bounded like them.
-func (n *Node) serverLog() *log.Logger { return log.New(&serverLines{node: n}, "", 0) }
+// serverLog returns a logger for the HTTP servers that writes to the node's log, with a bound
+// on the rate of lines.
+func (n *Node) serverLog() *log.Logger { return log.New(&serverLogWriter{node: n}, "", 0) }
 
-// serverLines is an io.Writer of a server's log lines.
-type serverLines struct {
+// serverLogWriter writes the log lines of HTTP servers to the node's log.
+type serverLogWriter struct {
 	node *Node
 }
 
-// Write implements io.Writer, for one line at a time.
-func (l *serverLines) Write(line []byte) (int, error) {
-	if l.node.lines.Allow("server", serverLinesRate, 1) {
+// Write implements io.Writer. Each call writes one line.
+func (l *serverLogWriter) Write(line []byte) (int, error) {
+	if l.node.lineLimit.Allow("server", serverLinesPerSecond, 1) {
 		l.node.Log.Warn().Str("reason", strings.TrimSpace(string(line))).Msg("HTTP server")
 	}
 	return len(line), nil
 }
 
-// reply answers an operator with a value as JSON.
-func reply(w http.ResponseWriter, v any) {
+// writeJSON responds to an operator with a value as JSON.
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // nobody is there to be told of a failure
+	_ = json.NewEncoder(w).Encode(v) // a client that has disconnected can't be notified of a failure
 }
--- a/node/nodes_test.go
+++ b/node/nodes_test.go
@@ -16,10 +16,10 @@
 	"sassafrasfront.example/operator"
 )
 
-// TestNodesListed asks a node for the nodes that it knows, and for its metrics, by which they are
+// TestNodesListed requests the nodes that a node knows, and its metrics, by which nodes are
 // compared: those of its process are among them.
 func TestNodesListed(t *testing.T) {
-	w := newWorld(t)
+	w := newTestSystem(t)
 	w.configure(1, "")
 	a, b := w.add("b"), w.add("b")
 	get := func(path string) []byte {
@@ -36,7 +36,7 @@
 		list = nil
 		return json.Unmarshal(get("/v1/nodes"), &list) == nil && len(list) == 2
 	})
-	for i, n := range []*managed{a, b} {
+	for i, n := range []*testNode{a, b} {
 		qt.Check(t, list[i], qt.Equals, operator.NodeAddress{
 			Node:    n.settings.Node,
 			Zone:    n.settings.Zone,
--- a/node/ratelimit_test.go
+++ b/node/ratelimit_test.go
@@ -22,32 +22,32 @@
 	"sassafrasfront.example/platform/platformtest"
 )
 
-// limited is a system of five nodes whose route /b/ needs a key. The organisations small and
-// big have the keys k-small and k-big.
-type limited struct {
-	*world
+// rateLimitedSystem is a system of five nodes whose route /b/ needs a key. The organisations small
+// and big have the keys k-small and k-big.
+type rateLimitedSystem struct {
+	*testSystem
 	sent atomic.Int64
 }
 
-func newLimited(t *testing.T, rate, burst float64) *limited {
-	l := &limited{world: newWorld(t)}
+func newRateLimitedSystem(t *testing.T, rate, burst float64) *rateLimitedSystem {
+	l := &rateLimitedSystem{testSystem: newTestSystem(t)}
 	l.limit(1, rate, burst)
 	for i := range 5 {
 		l.addIn([]string{"y", "z"}[i%2], "b")
 	}
-	l.serving()
+	l.awaitServing()
 	return l
 }
 
-// limit writes a configuration with the limit of small.
-func (l *limited) limit(version int, rate, burst float64) {
+// limit writes a configuration with the rate limit of the organisation small.
+func (l *rateLimitedSystem) limit(version int, rate, burst float64) {
 	l.store.Put("config", "main", rawJSON(fmt.Sprintf(`{"version":"r%d","services":[{"name":"b","healthPath":"/healthz"}],
  "tenants":[{"name":"small","apiKeys":["k-small"],"ratePerS":%g,"burst":%g},{"name":"big","apiKeys":["k-big"],"ratePerS":10000,"burst":10000}],
  "virtualHosts":[{"host":"h.example","paths":[%s]}]}`, version, rate, burst, route("b", "idempotent", "b"))))
 }
 
-// as sends a request with a key to a node.
-func (l *limited) as(key string, n *managed) (status int, after time.Duration) {
+// request sends a request with a key to a node.
+func (l *rateLimitedSystem) request(key string, n *testNode) (status int, after time.Duration) {
 	l.t.Helper()
 	id := l.sent.Add(1)
 	r, err := http.NewRequest("PUT", "http://"+n.settings.CallerAddress+"/b/x", strings.NewReader(""))
@@ -65,19 +65,19 @@
 	return response.StatusCode, time.Duration(seconds * float64(time.Second))
 }
 
-// serving waits until each node lets requests in.
-func (l *limited) serving() {
+// awaitServing waits until each node admits requests.
+func (l *rateLimitedSystem) awaitServing() {
 	l.t.Helper()
 	for _, n := range l.nodes {
 		l.eventually("each node serves", func() bool {
-			status, _ := l.as("k-big", n)
+			status, _ := l.request("k-big", n)
 			return status == 200
 		})
 	}
 }
 
-// organisations returns what a node tells of organisations.
-func (l *limited) organisations(n *managed) map[string]operator.Organisation {
+// organisations returns the organisations that a node reports.
+func (l *rateLimitedSystem) organisations(n *testNode) map[string]operator.Organisation {
 	r, err := http.Get("http://" + n.settings.OperatorAddress + "/v1/organisations")
 	if err != nil {
 		return nil
@@ -94,13 +94,13 @@
 	return found
 }
 
-// TestRateLimit has an organisation ask for far more than its limit by all nodes at once: it
-// is let in as far as that goes, and another one is served meanwhile.
+// TestRateLimit has an organisation send far more than its rate limit to all nodes at once: it is
+// admitted up to the limit, and another one is served meanwhile.
 func TestRateLimit(t *testing.T) {
 	const rate, burst = 20, 10
-	l := newLimited(t, rate, burst)
-	l.eventually("the home has all rights for long enough to say that the limit is reached", func() bool {
-		status, _ := l.as("k-small", l.nodes[1])
+	l := newRateLimitedSystem(t, rate, burst)
+	l.eventually("the coordinator has had all shares for long enough to report that the limit is reached", func() bool {
+		status, _ := l.request("k-small", l.nodes[1])
 		return status == 429
 	})
 	before := l.organisations(l.nodes[0])
@@ -108,7 +108,7 @@
 	var granted, refused int
 	for time.Since(began) < 3*time.Second {
 		for _, n := range l.nodes {
-			switch status, after := l.as("k-small", n); status {
+			switch status, after := l.request("k-small", n); status {
 			case 200:
 				granted++
 			case 429:
@@ -118,40 +118,40 @@
 				t.Errorf("status %d", status)
 			}
 		}
-		status, _ := l.as("k-big", l.nodes[0])
+		status, _ := l.request("k-big", l.nodes[0])
 		qt.Check(t, status, qt.Equals, 200)
 	}
 	took := time.Since(began).Seconds()
 	most := (rate*took+burst)*(1+0.1) + 20
-	t.Logf("%d let in and %d refused in %.1f s", granted, refused, took)
+	t.Logf("%d admitted and %d refused in %.1f s", granted, refused, took)
 	qt.Check(t, float64(granted) <= most, qt.IsTrue, qt.Commentf("%d of at most %.0f", granted, most))
 	qt.Check(t, float64(granted) >= rate*took*0.8, qt.IsTrue, qt.Commentf("%d", granted))
 	qt.Check(t, refused > granted, qt.IsTrue)
 
-	told := l.organisations(l.nodes[0])
-	qt.Check(t, told["small"].RefusedOverLimit > 0, qt.IsTrue)
-	qt.Check(t, told["small"].TotalRate > 0, qt.IsTrue)
-	qt.Check(t, told["small"].Rate, qt.Equals, float64(rate))
-	qt.Check(t, told["big"].RefusedOverLimit, qt.Equals, before["big"].RefusedOverLimit)
+	reported := l.organisations(l.nodes[0])
+	qt.Check(t, reported["small"].RefusedOverLimit > 0, qt.IsTrue)
+	qt.Check(t, reported["small"].TotalRate > 0, qt.IsTrue)
+	qt.Check(t, reported["small"].Rate, qt.Equals, float64(rate))
+	qt.Check(t, reported["big"].RefusedOverLimit, qt.Equals, before["big"].RefusedOverLimit)
 }
 
-// TestRateLimitOverRestarts has all nodes start anew, one after the other and then all at
-// once, in a rush by all of them, and a lower limit come in its midst.
-func TestRateLimitOverRestarts(t *testing.T) {
-	l := newLimited(t, 40, 40)
+// TestRateLimitAcrossRestarts restarts all nodes, one after the other and then all at once, during a
+// burst of requests to all of them, in the middle of which the limit is lowered.
+func TestRateLimitAcrossRestarts(t *testing.T) {
+	l := newRateLimitedSystem(t, 40, 40)
 	const (
 		callers = 4 // at each node
 		window  = 5 * time.Second
-		// delay is how long at most an answer may take: callers allow 900 ms.
+		// delay is the longest time that a response may take: callers allow 900 ms.
 		delay = 900 * time.Millisecond
 	)
 	var mu sync.Mutex
 	var granted []time.Time
 	var lowered time.Time
 	began := time.Now()
-	call := func(n *managed, until time.Time) {
+	call := func(n *testNode, until time.Time) {
 		for time.Now().Before(until) {
-			if status, _ := l.as("k-small", n); status == 200 {
+			if status, _ := l.request("k-small", n); status == 200 {
 				mu.Lock()
 				granted = append(granted, time.Now())
 				mu.Unlock()
@@ -159,7 +159,7 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 	}
-	rush := func(d time.Duration) {
+	burst := func(d time.Duration) {
 		until := time.Now().Add(d)
 		var all sync.WaitGroup
 		for _, n := range l.nodes {
@@ -172,10 +172,10 @@
 	for _, n := range l.nodes {
 		n.stop()
 		l.run(n)
-		rush(time.Second)
+		burst(time.Second)
 	}
 	l.limit(2, 10, 10)
-	rush(2 * time.Second) // in which all learn of it
+	burst(2 * time.Second) // in which all nodes receive the limit
 	lowered = time.Now()
 	for _, n := range l.nodes {
 		n.stop()
@@ -183,8 +183,8 @@
 	for _, n := range l.nodes {
 		l.run(n)
 	}
-	l.serving()
-	rush(2 * time.Second)
+	l.awaitServing()
+	burst(2 * time.Second)
 	all := time.Since(began).Seconds()
 	later := time.Since(lowered).Seconds()
 	var after int
@@ -193,13 +193,13 @@
 			after++
 		}
 	}
-	t.Logf("%d let in in %.1f s, %d in the last %.1f s", len(granted), all, after, later)
+	t.Logf("%d admitted in %.1f s, %d in the last %.1f s", len(granted), all, after, later)
 	qt.Check(t, float64(len(granted)) <= (40*all+40)*1.1+20, qt.IsTrue)
 	qt.Check(t, float64(after) <= (10*later+10)*1.1+20, qt.IsTrue)
 	qt.Check(t, after > 0, qt.IsTrue)
 	most := (40*(window+delay).Seconds()+40)*1.1 + 20
 	for i, from := range granted {
 		n := sort.Search(len(granted)-i, func(k int) bool { return granted[i+k].Sub(from) > window })
-		qt.Assert(t, float64(n) <= most, qt.IsTrue, qt.Commentf("%d let in in a window, at most %.0f", n, most))
+		qt.Assert(t, float64(n) <= most, qt.IsTrue, qt.Commentf("%d admitted in a window, at most %.0f", n, most))
 	}
 }
--- a/node/reload.go
+++ b/node/reload.go
@@ -11,39 +11,40 @@
 	"sassafrasfront.example/settings"
 )
 
-// Reload takes in changed settings, already checked. Those that can change while
-// the node runs are in force at once; of the others the log says that they wait
-// for the next start. It may be called from any goroutine.
+// Reload applies changed settings, which the caller has validated. Those that can change while
+// the node runs are active at once; the log names the others, which are active after the next
+// start. Reload may be called from any goroutine.
 func (n *Node) Reload(s settings.Settings) {
-	var live, waiting []string
-	old := n.live()
-	was, now := reflect.ValueOf(old), reflect.ValueOf(s)
-	for i := range now.NumField() {
-		name := now.Type().Field(i).Name
+	var applied, deferred []string
+	old := n.activeSettings()
+	oldFields, newFields := reflect.ValueOf(old), reflect.ValueOf(s)
+	for i := range newFields.NumField() {
+		name := newFields.Type().Field(i).Name
 		switch {
-		case was.Field(i).Interface() == now.Field(i).Interface():
+		case oldFields.Field(i).Interface() == newFields.Field(i).Interface():
 		case reloadable[name]:
-			live = append(live, name)
+			applied = append(applied, name)
 		default:
-			waiting = append(waiting, name)
+			deferred = append(deferred, name)
 		}
 	}
 	next := old
 	next.RetryRatio = s.RetryRatio
 	next.RetrySlack = s.RetrySlack
-	n.reloaded.Store(&next)
-	n.Log.Info().Str("inForce", strings.Join(live, ",")).Str("atNextStart", strings.Join(waiting, ",")).Msg("settings read again")
+	n.reloadedSettings.Store(&next)
+	n.Log.Info().Str("inForce", strings.Join(applied, ",")).Str("atNextStart", strings.Join(deferred, ",")).Msg("settings reloaded")
 }
 
-// reloadable names the settings that are read anew each time they are used.
+// reloadable names the settings that can change while the node runs: they are read each time
+// that they are used.
 var reloadable = map[string]bool{
 	"RetryRatio": true,
 	"RetrySlack": true,
 }
 
-// live returns the settings in force.
-func (n *Node) live() settings.Settings {
-	if s := n.reloaded.Load(); s != nil {
+// activeSettings returns the active settings.
+func (n *Node) activeSettings() settings.Settings {
+	if s := n.reloadedSettings.Load(); s != nil {
 		return *s
 	}
 	return n.Settings
--- a/node/zones.go
+++ b/node/zones.go
@@ -13,52 +13,52 @@
 	"sassafrasfront.example/operator"
 )
 
-// zoneLog knows since when zones have been evacuated, as far as this node has heard.
-type zoneLog struct {
+// evacuationTimes records since when zones have been evacuated, as observed by this node.
+type evacuationTimes struct {
 	mu    sync.Mutex
 	since map[string]time.Time
 }
 
-// set takes in the zones in force.
-func (l *zoneLog) set(s evacuation.Set) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	old := l.since
-	l.since = make(map[string]time.Time, len(s.Zones))
+// update applies the set of evacuated zones.
+func (e *evacuationTimes) update(s evacuation.Set) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	old := e.since
+	e.since = make(map[string]time.Time, len(s.Zones))
 	for _, zone := range s.Zones {
 		at, ok := old[zone]
 		if !ok {
 			at = time.Now()
 		}
-		l.since[zone] = at
+		e.since[zone] = at
 	}
 }
 
-// of returns since when a zone has been evacuated.
-func (l *zoneLog) of(zone string) time.Time {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.since[zone]
+// startOf returns since when a zone has been evacuated.
+func (e *evacuationTimes) startOf(zone string) time.Time {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.since[zone]
 }
 
-// listZones answers with the evacuated zones, and how far their evacuation is.
+// listZones responds with the evacuated zones and the progress of their evacuation.
 func (n *Node) listZones(w http.ResponseWriter, _ *http.Request) {
 	set := n.control.Snapshot().Evacuated
-	left := n.control.RemainingUpstreams()
+	remaining := n.control.RemainingUpstreams()
 	list := []operator.EvacuatedZone{}
 	for _, name := range set.Zones {
-		z := operator.EvacuatedZone{
+		zone := operator.EvacuatedZone{
 			Zone:      name,
 			Era:       set.At.Era,
 			Revision:  set.At.Revision,
-			Since:     n.evacuated.of(name).UTC(),
-			Upstreams: left[name],
+			Since:     n.evacuated.startOf(name).UTC(),
+			Upstreams: remaining[name],
 		}
 		if name == n.Settings.Zone {
 			running := n.gate.Load().Running
-			z.InFlight = &running
+			zone.InFlight = &running
 		}
-		list = append(list, z)
+		list = append(list, zone)
 	}
-	reply(w, list)
+	writeJSON(w, list)
 }
