--- a/control/bootstrap.go
+++ b/control/bootstrap.go
@@ -16,7 +16,7 @@
 	"sassafrasfront.example/peer"
 )
 
-// bootstrap fetches the state of a first peer. It retries until one has answered or this node
+// bootstrap fetches the state of a first peer. It retries until one has responded or this node
 // has met others in another way. The first node of a system retries for a long time, so a
 // representative does so seldom. A node that is itself a first peer retries until it knows the
 // other first peers, because other nodes may have met them before.
@@ -41,7 +41,7 @@
 }
 
 // bootstrapFromLeases fetches the state of a contact of the representative of this node's zone,
-// or of another zone's, and returns whether one answered.
+// or of another zone's, and returns whether one responded.
 func (c *Control) bootstrapFromLeases(ctx context.Context) bool {
 	s, ok := c.readLease(ctx, c.Self.Zone)
 	if ok && c.FetchState(ctx, s.Contacts) {
@@ -62,8 +62,8 @@
 	return false
 }
 
-// LearnFrom tries the addresses in turn until it has fetched the state of one node, and returns
-// whether one answered.
+// FetchState tries the addresses in turn until it has fetched the state of one node, and returns
+// whether it has.
 func (c *Control) FetchState(ctx context.Context, addrs []string) bool {
 	c.init()
 	for _, addr := range addrs {
@@ -102,11 +102,11 @@
 	return s, err == nil
 }
 
-// Alone returns whether the node is isolated: it knows no other node.
-func (c *Control) Isolated() (alone bool) {
+// Isolated returns whether the node knows no other node.
+func (c *Control) Isolated() (isolated bool) {
 	c.init()
-	c.do(func() { alone = c.live <= 1 })
-	return alone
+	c.do(func() { isolated = c.live <= 1 })
+	return isolated
 }
 
 // Nodes returns the number of live nodes in the current snapshot.
--- a/control/bootstrap_test.go
+++ b/control/bootstrap_test.go
@@ -13,8 +13,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// emptyDirectory is a contact directory without entries.
-var emptyDirectory = staticDirectory(func() []string { return nil })
+// emptyRegistry is a contact registry without entries.
+var emptyRegistry = staticRegistry(func() []string { return nil })
 
 // waitKnows waits until a node knows at least the given number of live nodes.
 func (c *cluster) waitKnows(n *testNode, nodes int) {
@@ -32,7 +32,7 @@
 	}
 }
 
-// TestSimultaneousStarts starts nodes at once with an empty contact directory and with first peers
+// TestSimultaneousStarts starts nodes at once with an empty contact registry and with first peers
 // of which one does not exist. All nodes must find each other. The cost is checked in a simulation,
 // because here it depends on how busy the machine is.
 func TestSimultaneousStarts(t *testing.T) {
@@ -46,7 +46,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			c := newCluster(t)
-			c.directory = emptyDirectory
+			c.registry = emptyRegistry
 			var listeners []net.Listener
 			contacts := []string{"127.0.0.1:1"} // no node listens there
 			for i := range nodes {
@@ -72,7 +72,7 @@
 // not running. The two must find each other once the second one has started.
 func TestFirstPeersDiscoverEachOther(t *testing.T) {
 	c := newCluster(t)
-	c.directory = emptyDirectory
+	c.registry = emptyRegistry
 	late := c.listener()
 	lateAddr := late.Addr().String()
 	qt.Assert(t, late.Close(), qt.IsNil)
--- a/control/candidates.go
+++ b/control/candidates.go
@@ -15,7 +15,7 @@
 
 // zoneRank returns this node's rank among the live nodes of its zone, and their number. Suspected
 // nodes are ignored. Nodes that cannot reach the platform rank after those that can.
-func (c *Control) zoneRank() (rank, zone int) {
+func (c *Control) zoneRank() (rank, nodes int) {
 	ids := c.candidateIDs()
 	reachable := slices.DeleteFunc(slices.Clone(ids), c.platformUnreachable)
 	switch {
@@ -47,18 +47,18 @@
 }
 
 const (
-	// suspicionTimeout is how long a node that did not answer is suspected.
+	// suspicionTimeout is how long a node that did not respond is suspected.
 	suspicionTimeout = time.Minute
-	// topicCandidates tells a candidate which nodes are suspected.
+	// topicCandidates sends the list of suspected nodes to a candidate.
 	topicCandidates = "candidates"
 )
 
-// suspectList names nodes that did not answer.
+// suspectList names nodes that did not respond.
 type suspectList struct {
 	Nodes []string `msgpack:"nodes"`
 }
 
-// suspect records that some nodes did not answer.
+// suspect records that some nodes did not respond.
 func (c *Control) suspect(ids []string) {
 	for _, id := range ids {
 		if id != c.self.ID {
@@ -69,10 +69,10 @@
 	}
 }
 
-// probeCandidates probes the candidates in their order until one answers, and tells it which of
-// those before it did not. All candidates may have failed at once, and the nodes after them would
-// not know that they are to take over. Only a few nodes of each zone probe in each period, so the
-// cost does not grow with the zone.
+// probeCandidates probes the candidates in their order until one responds, and sends it the list of
+// those before it that did not. All candidates may have failed at once, and the nodes after them
+// would not know that they have to take over. Only a few nodes of each zone probe in each period, so
+// the cost does not grow with the zone.
 func (c *Control) probeCandidates(ctx context.Context) {
 	var ids []string
 	c.do(func() { ids = member.RendezvousOrder(c.self.Zone, c.candidateIDs()) })
@@ -87,7 +87,7 @@
 	c.do(func() { c.suspect(silent) })
 }
 
-// probeCandidate tells a node which nodes are suspected. An error means that it did not answer.
+// probeCandidate sends the list of suspected nodes to a node. An error means that it did not respond.
 func (c *Control) probeCandidate(ctx context.Context, id string, silent []string) error {
 	var p *peer.Client
 	c.do(func() {
--- a/control/control.go
+++ b/control/control.go
@@ -52,7 +52,7 @@
 	// ZoneDiscovery is the interval at which a representative looks for nodes of other zones
 	// that it does not know, as after a partition. The default is 60 s.
 	ZoneDiscovery time.Duration
-	// SilenceTimeout is the time without an answer after which a node is removed. The
+	// SilenceTimeout is the time without a response after which a node is removed. The
 	// default is 3 min.
 	SilenceTimeout time.Duration
 	// Sweep is the time in which all nodes of a zone are probed once. The default is 60 s.
@@ -234,7 +234,7 @@
 	return r != nil && r.HoldsLease()
 }
 
-// Run maintains the state until ctx ends. It then tells a few peers that the node
+// Run maintains the state until ctx ends. It then notifies a few peers that the node
 // has left.
 func (c *Control) Run(ctx context.Context) {
 	c.init()
@@ -285,7 +285,7 @@
 	}
 }
 
-// publishLimited calls publish, unless publishing has used up its share of the time.
+// publishLimited calls publish, unless publishing has used up its fraction of the time.
 func (c *Control) publishLimited() {
 	began := time.Now()
 	if len(c.dirty) > 0 && !c.publishLimiter.allow(began) {
@@ -405,10 +405,10 @@
 }
 
 // leaveTimeout bounds the last push of a node that stops: some of its neighbours may
-// have gone away, and the process must exit in time.
+// have failed, and the process must exit in time.
 const leaveTimeout = 400 * time.Millisecond
 
-// leave tells a few peers that the node has left.
+// leave notifies a few peers that the node has left.
 func (c *Control) leave() {
 	c.setSelf(c.self.WithState(member.Left))
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -35,8 +35,8 @@
 	store *objectapitest.Server
 	api   *objectapi.Client
 	nodes []*testNode
-	// directory, if not nil, is the contact directory of the nodes that are added.
-	directory contact.Registry
+	// registry, if not nil, is the contact registry of the nodes that are added.
+	registry contact.Registry
 }
 
 // testNode is a control state with its peer server.
@@ -116,9 +116,9 @@
 	var all, running sync.WaitGroup
 	all.Go(func() { _ = s.Run(serving, listener) })
 	running.Go(func() { n.Run(ctx) })
-	if c.directory != nil {
+	if c.registry != nil {
 		discovery := &contact.Discovery{
-			Registry:      c.directory,
+			Registry:      c.registry,
 			Node:          n.Control,
 			HasFirstPeers: len(n.Contacts) > 0,
 		}
@@ -492,9 +492,9 @@
 	})
 }
 
-// TestLateZoneHearsChangesByPush starts a zone after the nodes of other zones have filled up
+// TestLateZoneReceivesChangesByPush starts a zone after the nodes of other zones have filled up
 // their neighbours. Comparisons are disabled, so that only pushes can deliver the change.
-func TestLateZoneHearsChangesByPush(t *testing.T) {
+func TestLateZoneReceivesChangesByPush(t *testing.T) {
 	c := newCluster(t)
 	for i := range 24 {
 		c.add(fmt.Sprint("n", i), fmt.Sprint("z", i%2))
--- a/control/era.go
+++ b/control/era.go
@@ -7,7 +7,7 @@
 import "time"
 
 // ObserveEra records that the platform reports an era to this node. Restored is whether the
-// platform had answered this node before.
+// platform had responded to this node before.
 func (c *Control) ObserveEra(era uint64, restored bool) {
 	c.init()
 	c.do(func() {
--- a/control/era_test.go
+++ b/control/era_test.go
@@ -18,7 +18,7 @@
 	"sassafrasfront.example/routes"
 )
 
-// zonesAt returns the zones as read at a point.
+// zonesAt returns the zones as read at a resource version.
 func zonesAt(era, revision uint64, zones ...string) evacuation.Set {
 	return evacuation.New(objectapi.ResourceVersion{Era: era, Revision: revision}, zones...)
 }
@@ -36,7 +36,7 @@
 	return root
 }
 
-// waitZones waits until the given zones, read at the given point, are active on all nodes.
+// waitZones waits until the given zones, read at the given resource version, are active on all nodes.
 func (c *cluster) waitZones(nodes []*testNode, want evacuation.Set) {
 	c.t.Helper()
 	for _, n := range nodes {
@@ -54,14 +54,14 @@
 	c := newCluster(t)
 	list := c.tableNodes(6)
 	first := list[0].Self.Addr
-	var heard atomic.Uint64
-	list[5].do(func() { list[5].EraAdvanced = func(era uint64) { heard.Store(era) } })
+	var observed atomic.Uint64
+	list[5].do(func() { list[5].EraAdvanced = func(era uint64) { observed.Store(era) } })
 	list[2].readZones(zonesAt(1, 900, "z"))
 	c.waitZones(list, zonesAt(1, 900, "z"))
 
 	list[3].readZones(zonesAt(2, 870))
 	c.waitZones(list, zonesAt(2, 870, "z"))
-	c.eventually("the node learns of the era", func() bool { return heard.Load() == 2 })
+	c.eventually("the node learns of the era", func() bool { return observed.Load() == 2 })
 	late := c.tableNode("late", "y", func() []string { return []string{first} })
 	list = append(list, late)
 	c.waitZones(list, zonesAt(2, 870, "z"))
--- a/control/evacuation.go
+++ b/control/evacuation.go
@@ -13,8 +13,8 @@
 	"sassafrasfront.example/objectapi"
 )
 
-// ApplyEvacuation applies the evacuated zones that were read from the platform. It ignores zones
-// that are the same as before in this era, and zones from an earlier Point than the known ones.
+// ApplyEvacuation applies the evacuated zones that were read from the platform. It ignores a set
+// with the same zones as the known one in this era, and one read at an earlier resource version.
 func (c *Control) ApplyEvacuation(s evacuation.Set) {
 	c.init()
 	c.do(func() {
@@ -61,8 +61,8 @@
 	c.applyZones(now)
 }
 
-// shareSeenZones tells other nodes which zones no longer need to be retained. A node that has
-// started since, or that missed the read, would retain them otherwise.
+// shareSeenZones sends the zones that no longer need to be retained to other nodes. A node that
+// has started since, or that missed the read, would retain them otherwise.
 func (c *Control) shareSeenZones() {
 	for _, zone := range c.zoneState.SeenAgain() {
 		c.configs.Put(acceptance.FromSeenZone(zone, c.zoneState.Latest().At.Era))
--- a/control/evacuation_test.go
+++ b/control/evacuation_test.go
@@ -70,8 +70,8 @@
 	c.eventually("the evacuations are withdrawn", all(7))
 }
 
-// TestEvacuationWithoutPlatform has the platform answer only one node, which is not the leader. What
-// it reads must reach the others by read statuses.
+// TestEvacuationWithoutPlatform has the platform respond to only one node, which is not the leader.
+// What it reads must reach the others by read statuses.
 func TestEvacuationWithoutPlatform(t *testing.T) {
 	c := newCluster(t)
 	list := c.tableNodes(6)
--- a/control/exchange.go
+++ b/control/exchange.go
@@ -46,7 +46,7 @@
 	topicSequence = "have"
 )
 
-// sequenceQuery asks for the active sequence of a service.
+// sequenceQuery requests the active sequence of a service.
 type sequenceQuery struct {
 	Service string `msgpack:"service"`
 }
@@ -192,14 +192,14 @@
 	return list
 }
 
-// compareTries is the number of neighbours that are tried for one comparison.
-const compareTries = 3
+// maxComparisonAttempts is the maximum number of neighbours with which one comparison is attempted.
+const maxComparisonAttempts = 3
 
 // compare compares the state with that of one neighbour, unless a comparison is in
 // progress. A comparison that finds no difference has a small and fixed cost, so it is
 // made even while the budget is spent.
 func (c *Control) compare(ctx context.Context) {
-	targets := c.targets(neighbour.MaxNeighbours, func() []member.Record { return c.neighbours.ForComparison(compareTries, c.nodeCounts()) })
+	targets := c.targets(neighbour.MaxNeighbours, func() []member.Record { return c.neighbours.ForComparison(maxComparisonAttempts, c.nodeCounts()) })
 	if c.comparing || len(targets) == 0 {
 		return
 	}
--- a/control/freshness.go
+++ b/control/freshness.go
@@ -21,11 +21,12 @@
 	Proof freshness.Message `msgpack:"proof"`
 }
 
-// The ages of a node's proof at which it asks for a younger one, as fractions of
+// The ages of a node's proof at which it requests a younger one, as fractions of
 // MaxStaleness.
 const (
-	// At proofAskFraction a node asks others. At proofReadFraction it reads the platform even
-	// if it has received read statuses: its connection to the others may work in one direction only.
+	// At proofAskFraction a node requests the proofs of others. At proofReadFraction it reads the
+	// platform even if it has received read statuses: its connection to the others may work in one
+	// direction only.
 	proofAskFraction  = 0.45
 	proofReadFraction = 0.6
 	// proofRetryFraction is the minimum time between two such attempts.
@@ -37,8 +38,8 @@
 type tableFreshness struct {
 	*freshness.State
 	started     time.Duration   // when the node started
-	lastAttempt time.Duration   // when others or the platform were last asked because the proof was old
-	asking      map[string]bool // nodes with a request for their proof in progress
+	lastAttempt time.Duration   // when others or the platform were last queried because the proof was old
+	requesting  map[string]bool // nodes with a request for their proof in progress
 }
 
 // initFreshness sets c.freshness if there is a clock.
@@ -52,7 +53,7 @@
 		State:       freshness.New(),
 		started:     now,
 		lastAttempt: now,
-		asking:      make(map[string]bool),
+		requesting:  make(map[string]bool),
 	}
 }
 
@@ -81,7 +82,7 @@
 	return time.Duration(p * float64(c.MaxStaleness))
 }
 
-// ConfirmRead records that the platform answered a read of the table that was sent at the given
+// ConfirmRead records that the platform responded to a read of the table that was sent at the given
 // reading of the clock. The result must have been passed to ApplyTable before. The read confirms
 // nothing if the platform was restored from a backup that may lack the latest table.
 func (c *Control) ConfirmRead(sent time.Duration) {
@@ -121,7 +122,8 @@
 	}
 }
 
-// receiveProof records another node's proof. If that node's clock is not known, it asks the node.
+// receiveProof records another node's proof. If the offset of that node's clock is not known, it
+// sends a request to the node.
 func (c *Control) receiveProof(from string, p freshness.Message) {
 	if c.freshness == nil {
 		return
@@ -129,11 +131,11 @@
 	known := c.freshness.Receive(p, c.Clock())
 	c.publishProofs()
 	r, ok := c.members.Set.Get(from)
-	if known || !ok || c.freshness.asking[from] {
+	if known || !ok || c.freshness.requesting[from] {
 		return
 	}
 	client := c.client(r.Addr)
-	c.freshness.asking[from] = true
+	c.freshness.requesting[from] = true
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), readStatusTimeout)
 		defer cancel()
@@ -143,7 +145,7 @@
 			c.Log.Debug().Err(err).Str("peer", from).Msg("failed to request a freshness proof")
 		}
 		c.do(func() {
-			delete(c.freshness.asking, from)
+			delete(c.freshness.requesting, from)
 			c.applyProofReply(sent, reply.Proof)
 		})
 	}()
@@ -160,7 +162,7 @@
 }
 
 // refreshAction returns the action to take in place of waiting if the proof is getting old. A node
-// that has received no read status reads in its regular turn, as if the proof were young.
+// that has received no read status reads at its regular time, as if the proof were young.
 func (c *Control) refreshAction(action configsync.Action, now time.Time) configsync.Action {
 	if c.freshness == nil || action != configsync.Wait {
 		return action
--- a/control/freshness_test.go
+++ b/control/freshness_test.go
@@ -51,9 +51,9 @@
 	return list
 }
 
-// TestFreshnessProofsReachAllNodes has a platform that answers one of six nodes. All nodes must know
-// from its reads how fresh their table is. When the platform answers none, no node may assume a
-// younger table than the last answered read, and all must learn that the table is too old.
+// TestFreshnessProofsReachAllNodes has a platform that responds to one of six nodes. All nodes must
+// know from its reads how fresh their table is. When the platform responds to none, no node may
+// assume a younger table than the last successful read, and all must learn that the table is too old.
 func TestFreshnessProofsReachAllNodes(t *testing.T) {
 	c := newCluster(t)
 	list := c.freshNodes(6)
@@ -68,10 +68,10 @@
 	}
 	const youngEnough = maxStaleness / 2
 	check := func(n *testNode) freshness.Age {
-		asked := time.Now()
+		checkedAt := time.Now()
 		age := n.TableAge(1)
 		if age.Known {
-			least := asked.Sub(p.lastAnswered())
+			least := checkedAt.Sub(p.lastResponseTime())
 			qt.Check(t, age.Time >= least, qt.IsTrue, qt.Commentf("%s assumes an age of %v, the actual age is at least %v", n.Self.ID, age, least))
 		}
 		return age
@@ -108,7 +108,7 @@
 }
 
 // TestRefreshOfOldProof has a node receive read statuses but no usable proof. As its own proof gets
-// old, it must ask others and then read the platform, at a limited rate.
+// old, it must query others and then read the platform, at a limited rate.
 func TestRefreshOfOldProof(t *testing.T) {
 	var now time.Duration
 	c := &Control{
@@ -149,8 +149,9 @@
 	qt.Check(t, c.refreshAction(configsync.Wait, later), qt.Equals, configsync.Ask, qt.Commentf("without read statuses the node waits for its regular turn"))
 }
 
-// TestIsolatedNodeKeepsProofFresh has a node that hears from no other and that the platform always
-// answers. Its watches, which grow longer, must never let the proof come near the bound.
+// TestIsolatedNodeKeepsProofFresh has a node that receives nothing from others and to which the
+// platform always responds. Its watches, which grow longer, must never let the proof come near the
+// bound.
 func TestIsolatedNodeKeepsProofFresh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &Control{
@@ -214,7 +215,7 @@
 	})
 }
 
-// TestNoTable asks for the age of the table on a node that has none.
+// TestNoTable gets the age of the table on a node that has none.
 func TestNoTable(t *testing.T) {
 	qt.Check(t, new(Control).TableAge(1).Known, qt.IsFalse)
 }
--- a/control/introduce.go
+++ b/control/introduce.go
@@ -11,7 +11,7 @@
 	"sassafrasfront.example/peer"
 )
 
-// topicIntroduce asks a first peer for some members, and gives it the sender's record.
+// topicIntroduce requests some members from a first peer, and sends it the sender's record.
 const topicIntroduce = "introduce"
 
 const (
@@ -28,7 +28,7 @@
 	introduceAttempts = 2
 )
 
-// introduceRequest asks for members, and has the record of the sender.
+// introduceRequest requests members, and has the record of the sender.
 type introduceRequest struct {
 	Self member.Record `msgpack:"self"`
 }
--- a/control/introduce_test.go
+++ b/control/introduce_test.go
@@ -15,7 +15,7 @@
 	"sassafrasfront.example/peer"
 )
 
-// serve runs a state that answers peers until the test ends, and returns its address and the
+// serve runs a state that responds to peers until the test ends, and returns its address and the
 // counters of its traffic.
 func serve(t *testing.T, c *Control) (string, *peer.Counters) {
 	ctx, cancel := context.WithCancel(context.Background())
@@ -47,18 +47,18 @@
 
 // TestFirstPeerBytesPerStart starts nodes that all know the same first peer. Where there are many
 // nodes they must fetch the state of members of their zone, and the bytes that the first peer sends
-// to each must not grow with the members. Where it knows few members, or none of them answers, the
+// to each must not grow with the members. Where it knows few members, or none of them responds, the
 // first peer sends the whole state.
 func TestFirstPeerBytesPerStart(t *testing.T) {
 	tests := map[string]struct {
 		members int
-		silent  bool // whether the members of the zone do not answer
+		silent  bool // whether the members of the zone do not respond
 		whole   bool // whether the first peer sends the whole state
 	}{
-		"a few":                       {members: 30, whole: true},
-		"1000":                        {members: 1000},
-		"3000":                        {members: 3000},
-		"1000, none of which answers": {members: 1000, silent: true, whole: true},
+		"a few":                        {members: 30, whole: true},
+		"1000":                         {members: 1000},
+		"3000":                         {members: 3000},
+		"1000, none of which responds": {members: 1000, silent: true, whole: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/control/neighbours.go
+++ b/control/neighbours.go
@@ -12,7 +12,7 @@
 	"sassafrasfront.example/peer"
 )
 
-// maxClients is the number of control connections that are kept.
+// maxClients is the maximum number of control connections that are kept.
 const maxClients = 64
 
 // client returns the client for control requests to an address.
@@ -49,8 +49,8 @@
 
 // temporaryClient returns a client to fetch the state of the node at an address, and a function
 // that releases it. The release closes the connection at once, unless it is to a neighbour. Many
-// starting nodes connect to the same few nodes, which then hold one connection for each node that
-// is connected at that moment, and no more.
+// starting nodes connect to the same few nodes, which would otherwise keep a connection to each of
+// them after it is no longer needed.
 func (c *Control) temporaryClient(addr string) (p *peer.Client, release func()) {
 	if p := c.clients[addr]; p != nil {
 		return p, func() {}
@@ -83,8 +83,8 @@
 func (c *Control) rotateNeighbours() {
 	near, far := c.splitByZone()
 	c.neighbours.TurnOver(func(r member.Record) bool {
-		now, ok := c.members.Set.Get(r.ID)
-		return ok && now.Live() && now.Addr == r.Addr
+		current, ok := c.members.Set.Get(r.ID)
+		return ok && current.Live() && current.Addr == r.Addr
 	}, c.unsuspected(near), c.unsuspected(far))
 }
 
@@ -147,7 +147,7 @@
 	return list
 }
 
-// dropNeighbour removes a neighbour that does not answer, and suspects it for a
+// dropNeighbour removes a neighbour that does not respond, and suspects it for a
 // while.
 func (c *Control) dropNeighbour(id string) {
 	c.neighbours.Remove(id)
--- a/control/publish.go
+++ b/control/publish.go
@@ -7,10 +7,10 @@
 import "time"
 
 const (
-	// maxPublishShare is the fraction of the time that may be spent on building snapshots. The
+	// maxPublishFraction is the fraction of the time that may be spent on building snapshots. The
 	// cost of each grows with the size of the services that have changed, and while many nodes
 	// start there are changes at any moment.
-	maxPublishShare = 0.05
+	maxPublishFraction = 0.05
 	// maxPublishWait bounds the wait for the next snapshot. Gates refuse requests to an
 	// upstream that drains, so a late snapshot costs a round trip and no request.
 	maxPublishWait = time.Second
@@ -26,6 +26,6 @@
 
 // record records when the building of a snapshot began and ended.
 func (p *publishLimiter) record(began, ended time.Time) {
-	wait := time.Duration(float64(ended.Sub(began)) / maxPublishShare)
+	wait := time.Duration(float64(ended.Sub(began)) / maxPublishFraction)
 	p.next = began.Add(min(wait, maxPublishWait))
 }
--- a/control/quarantine_test.go
+++ b/control/quarantine_test.go
@@ -65,8 +65,8 @@
 	return all
 }
 
-// TestReportsAreBounded gives a node more reports than it may keep, and some invalid ones. It must
-// keep the newest and no more.
+// TestReportsAreBounded sends a node more reports than it may keep, and some invalid ones. It must
+// keep only the newest valid ones.
 func TestReportsAreBounded(t *testing.T) {
 	c := sized(60)
 	first := crashReport("first", 0)
--- a/control/reads.go
+++ b/control/reads.go
@@ -22,14 +22,14 @@
 const (
 	// topicReadStatus sends the status of the latest read, unsolicited.
 	topicReadStatus = "news"
-	// topicAskReadStatus asks for the status of the latest read known to the receiver.
+	// topicAskReadStatus requests the status of the latest read known to the receiver.
 	topicAskReadStatus = "askNews"
-	// topicTable asks for the table of routes, the evacuated zones and the active roll-outs.
+	// topicTable requests the table of routes, the evacuated zones and the active roll-outs.
 	topicTable = "table"
 )
 
 const (
-	// queriedNeighbours is the number of neighbours that a node asks if it has received no read
+	// queriedNeighbours is the number of neighbours that a node queries if it has received no read
 	// status.
 	queriedNeighbours = 2
 	// readStatusTimeout bounds the sending of a read status and the requests that follow from it.
@@ -39,8 +39,8 @@
 	roleInterval = 300 * time.Millisecond
 )
 
-// NextAction returns what the node is to do next about the platform, and after which delay. A
-// Watch is to stay open for the third result.
+// NextAction returns the node's next action on the platform, the delay before it, and, for a Watch,
+// how long it may stay open.
 func (c *Control) NextAction() (action configsync.Action, after, watchFor time.Duration) {
 	c.init()
 	c.do(func() {
@@ -67,18 +67,18 @@
 	return c.nextChanged
 }
 
-// RecordRead records the node's own read of the platform: whether the platform answered, and
-// how old the information in its answer is.
-func (c *Control) RecordRead(answered bool, age time.Duration) {
+// RecordRead records the node's own read of the platform: whether the platform responded, and
+// the age of the information in its response.
+func (c *Control) RecordRead(responded bool, age time.Duration) {
 	c.init()
 	c.do(func() {
-		c.reads.ReadDone(answered, age, time.Now())
-		c.recordPlatformAnswer(answered)
+		c.reads.ReadDone(responded, age, time.Now())
+		c.recordPlatformResponse(responded)
 		c.forwardStatus()
 	})
 }
 
-// QueryNeighbours asks a few neighbours for the status of their latest read.
+// QueryNeighbours requests the status of the latest read from a few neighbours.
 func (c *Control) QueryNeighbours(ctx context.Context) {
 	c.do(func() {
 		for _, t := range c.targets(queriedNeighbours, func() []member.Record { return c.neighbours.Sample(queriedNeighbours) }) {
--- a/control/rejoin.go
+++ b/control/rejoin.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// startSearches asks at the addresses of nodes that have left, were removed or do not answer
-// whether they have started again. A node that answers learns of this node and compares its
+// startSearches probes the last addresses of nodes that have left, were removed or do not respond,
+// to find those that have started again. A node that responds learns of this node and compares its
 // state with it.
 func (c *Control) startSearches(ctx context.Context) {
 	for _, id := range c.searches.Due(time.Now(), c.live, maxSearches-c.activeSearches) {
@@ -55,17 +55,17 @@
 	}
 }
 
-// nodeFound records that a node answers at the address of a record. The search goes on while the
+// nodeFound records that a node responds at the address of a record. The search continues while the
 // node's record says that it has left or was removed, until a newer record arrives.
 func (c *Control) nodeFound(r member.Record) {
-	now, ok := c.members.Set.Get(r.ID)
-	if !ok || !now.Live() {
+	current, ok := c.members.Set.Get(r.ID)
+	if !ok || !current.Live() {
 		return
 	}
 	c.searches.Stop(r.ID)
 	if _, suspected := c.suspects[r.ID]; suspected {
 		delete(c.suspects, r.ID)
-		c.neighbours.Consider(now, c.nodeCounts())
+		c.neighbours.Consider(current, c.nodeCounts())
 	}
 }
 
@@ -80,7 +80,7 @@
 }
 
 // probeAddress introduces this node at the address of the record, and returns whether a node
-// answers.
+// responds.
 func (c *Control) probeAddress(ctx context.Context, r member.Record) bool {
 	var p *peer.Client
 	var release func()
--- a/control/rejoin_test.go
+++ b/control/rejoin_test.go
@@ -30,7 +30,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			c := newCluster(t)
-			c.directory = emptyDirectory
+			c.registry = emptyRegistry
 			start := func(id, zone, addr string, contacts ...string) *testNode {
 				l, err := net.Listen("tcp", addr)
 				qt.Assert(t, err, qt.IsNil)
--- a/control/represent.go
+++ b/control/represent.go
@@ -56,13 +56,13 @@
 	return known
 }
 
-// LearnFrom implements representative.Node.
+// FetchState implements representative.Node.
 func (r representativeNode) FetchState(ctx context.Context, addrs []string) bool {
 	return r.c.FetchState(ctx, addrs)
 }
 
 // Addresses implements representative.Node. Neighbours come first, because a neighbour that
-// does not answer is soon replaced.
+// does not respond is soon replaced.
 func (r representativeNode) Addresses(n int) (list []string) {
 	c := r.c
 	c.do(func() {
--- a/control/rollouts.go
+++ b/control/rollouts.go
@@ -17,8 +17,8 @@
 // upstreams of the former version all stop at once, and nodes learn of each stop with a delay.
 const preferencePeriod = 30 * time.Second
 
-// ApplyOrders applies the roll-out orders that were read from the platform at a Point. Whole is
-// whether orders that are not among them have been withdrawn.
+// ApplyOrders applies the roll-out orders that were read from the platform at a resource version.
+// Whole is whether orders that are not among them have been withdrawn.
 func (c *Control) ApplyOrders(found []rollout.StoredOrder, at objectapi.ResourceVersion, whole bool) {
 	c.init()
 	c.do(func() {
@@ -49,7 +49,7 @@
 	})
 }
 
-// rolloutChanged handles the state of a roll-out. It is pushed on at once.
+// rolloutChanged handles a new state of a roll-out. Unlike a table of routes, it is pushed.
 func (c *Control) rolloutChanged(r acceptance.Config) {
 	s, err := r.Rollout()
 	if err != nil {
@@ -71,8 +71,8 @@
 	c.Log.Info().Str("service", s.Order.Service).Str("version", s.Order.Version).Stringer("phase", s.Phase).Str("reason", s.Reason).Str("decidedBy", s.Node).Uint64("era", s.Order.At.Era).Uint64("revision", s.Order.At.Revision).Msg("roll-out")
 }
 
-// endPreferences ends the preference of completed versions once the upstreams of the former
-// version are gone.
+// endPreferences ends the preference of completed versions after preferencePeriod, when the
+// upstreams of the former version have stopped.
 func (c *Control) endPreferences(now time.Time) {
 	for name, r := range c.rollouts {
 		if r.Preferred && now.Sub(r.Changed) >= preferencePeriod {
@@ -96,19 +96,19 @@
 // requests, by software version. Upstreams of unknown version are under the empty string.
 func (c *Control) UpstreamsByVersion(service string) map[string]rollout.VersionCapacity {
 	c.init()
-	sizes := make(map[string]rollout.VersionCapacity)
+	capacities := make(map[string]rollout.VersionCapacity)
 	c.do(func() {
 		for _, r := range c.byService[service] {
-			s := sizes[r.Software]
+			s := capacities[r.Software]
 			s.Upstreams++
 			s.Slots += r.Slots
 			if r.Canary {
 				s.Trial++
 			}
-			sizes[r.Software] = s
+			capacities[r.Software] = s
 		}
 	})
-	return sizes
+	return capacities
 }
 
 // canaryState is the share of a service's traffic and the upstreams of its canary version.
--- a/control/rollouts_test.go
+++ b/control/rollouts_test.go
@@ -28,21 +28,21 @@
 		known    *rollout.State
 		flagged  bool // whether the nodes of v2 mark it as a canary
 		ordinary int
-		trial    int
+		canaries int
 		share    float64
 	}{
 		"no order":                              {ordinary: 20},
-		"an order that was not received":        {flagged: true, ordinary: 10, trial: 3, share: 0.03},
-		"canary":                                {known: order("v2", rollout.Trial), flagged: true, ordinary: 10, trial: 3, share: 0.03},
-		"canary, unknown to its own nodes":      {known: order("v2", rollout.Trial), ordinary: 10, trial: 3, share: 0.03},
-		"widened":                               {known: order("v2", rollout.Widened), flagged: true, ordinary: 10, trial: 3, share: 0.175},
-		"moved":                                 {known: order("v2", rollout.Moved), flagged: true, ordinary: 10, trial: 5, share: 0.5},
-		"emptied":                               {known: order("v2", rollout.Emptied), flagged: true, ordinary: 10, trial: 10, share: 1},
+		"an order that was not received":        {flagged: true, ordinary: 10, canaries: 3, share: 0.03},
+		"canary":                                {known: order("v2", rollout.Trial), flagged: true, ordinary: 10, canaries: 3, share: 0.03},
+		"canary, unknown to its own nodes":      {known: order("v2", rollout.Trial), ordinary: 10, canaries: 3, share: 0.03},
+		"widened":                               {known: order("v2", rollout.Widened), flagged: true, ordinary: 10, canaries: 3, share: 0.175},
+		"moved":                                 {known: order("v2", rollout.Moved), flagged: true, ordinary: 10, canaries: 5, share: 0.5},
+		"emptied":                               {known: order("v2", rollout.Emptied), flagged: true, ordinary: 10, canaries: 10, share: 1},
 		"stopped":                               {known: order("v2", rollout.Stopped), flagged: true, ordinary: 10},
 		"rolled back":                           {known: order("v2", rollout.RolledBack), ordinary: 10},
-		"completed just now":                    {known: order("v2", rollout.Completed), ordinary: 10, trial: 10, share: 1},
-		"another order, the last one completed": {known: order("v1", rollout.Completed), flagged: true, ordinary: 10, trial: 3, share: 0.03},
-		"another order, the last one rolled back": {known: order("v0", rollout.RolledBack), flagged: true, ordinary: 10, trial: 3, share: 0.03},
+		"completed just now":                    {known: order("v2", rollout.Completed), ordinary: 10, canaries: 10, share: 1},
+		"another order, the last one completed": {known: order("v1", rollout.Completed), flagged: true, ordinary: 10, canaries: 3, share: 0.03},
+		"another order, the last one rolled back": {known: order("v0", rollout.RolledBack), flagged: true, ordinary: 10, canaries: 3, share: 0.03},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -60,14 +60,14 @@
 				c.configs.Put(acceptance.FromRollout(*test.known))
 			}
 			s := c.withMembers("s", operator.Service{})
-			trial := 0
+			canaries := 0
 			for _, m := range s.Members {
 				if m.Canary {
-					trial++
+					canaries++
 				}
 			}
-			qt.Check(t, trial, qt.Equals, test.trial)
-			qt.Check(t, len(s.Members)-trial, qt.Equals, test.ordinary)
+			qt.Check(t, canaries, qt.Equals, test.canaries)
+			qt.Check(t, len(s.Members)-canaries, qt.Equals, test.ordinary)
 			qt.Check(t, s.CanaryShare > test.share-1e-9 && s.CanaryShare < test.share+1e-9, qt.IsTrue, qt.Commentf("%f", s.CanaryShare))
 		})
 	}
--- a/control/sweeper.go
+++ b/control/sweeper.go
@@ -82,7 +82,7 @@
 	sleep.For(ctx, pause)
 }
 
-// probe sends a request to one node and records whether it answered.
+// probe sends a request to one node and records whether it responded.
 func (s *sweeper) probe(ctx context.Context, r member.Record) {
 	var p *peer.Client
 	s.do(func() { p = s.client(r.Addr) })
--- a/control/table.go
+++ b/control/table.go
@@ -20,20 +20,20 @@
 	return c.do(func() { rank, _ = c.zoneRank() }) && rank == 0
 }
 
-// recordPlatformAnswer records whether the platform answered this node. If it does not answer the
-// first node of a zone, or the leader of all nodes, that node tells the others, so that another
-// node takes over: a partition may separate it from the platform only. Other nodes announce
+// recordPlatformResponse records whether the platform responded to this node. If it does not respond
+// to the first node of a zone, or to the leader of all nodes, that node announces this, so that
+// another node takes over: a partition may separate it from the platform only. Other nodes announce
 // nothing, because all of them would do so at once during an outage of the platform.
-func (c *Control) recordPlatformAnswer(answered bool) {
-	if answered == !c.self.PlatformUnreachable {
+func (c *Control) recordPlatformResponse(responded bool) {
+	if responded == !c.self.PlatformUnreachable {
 		return
 	}
 	rank, _ := c.zoneRank()
-	if !answered && rank > 0 && !c.role(time.Now()).IsLeader {
+	if !responded && rank > 0 && !c.role(time.Now()).IsLeader {
 		return
 	}
-	c.Log.Info().Bool("platformAnswers", answered).Msg("platform reachability changed")
-	c.setSelf(c.self.WithPlatformUnreachable(!answered))
+	c.Log.Info().Bool("platformAnswers", responded).Msg("platform reachability changed")
+	c.setSelf(c.self.WithPlatformUnreachable(!responded))
 	c.lastRoleAt = time.Time{}
 	c.push(context.Background())
 }
--- a/control/table_test.go
+++ b/control/table_test.go
@@ -19,10 +19,10 @@
 	"sassafrasfront.example/routes"
 )
 
-// tableNode starts a node that follows a table of routes and finds others by a contact
-// directory.
+// tableNode starts a node whose configuration is a table of routes and that finds others by a
+// contact registry.
 func (c *cluster) tableNode(id, zone string, addresses func() []string) *testNode {
-	c.directory = staticDirectory(addresses)
+	c.registry = staticRegistry(addresses)
 	listener := c.listener()
 	n := c.addAtWith(listener, id, zone, func(k *Control) {
 		k.API = nil
@@ -32,19 +32,19 @@
 	return n
 }
 
-// staticDirectory is a contact directory that ignores registrations.
-type staticDirectory func() []string
+// staticRegistry is a contact registry that ignores registrations.
+type staticRegistry func() []string
 
-// Addresses implements contact.Directory.
-func (l staticDirectory) Addresses(context.Context) []string { return l() }
+// Addresses implements contact.Registry.
+func (l staticRegistry) Addresses(context.Context) []string { return l() }
 
-// Register implements contact.Directory.
-func (l staticDirectory) Register(context.Context) {}
+// Register implements contact.Registry.
+func (l staticRegistry) Register(context.Context) {}
 
-// Met implements contact.Directory.
-func (l staticDirectory) RecordReachability(context.Context, string, bool) {}
+// RecordReachability implements contact.Registry.
+func (l staticRegistry) RecordReachability(context.Context, string, bool) {}
 
-// tableNodes starts nodes a, b and so on that find each other by one contact directory, and
+// tableNodes starts nodes a, b and so on that find each other by one contact registry, and
 // waits until all have met.
 func (c *cluster) tableNodes(count int) (list []*testNode) {
 	var mu sync.Mutex // of addrs
@@ -74,15 +74,15 @@
 	return live
 }
 
-// TestNodesMeetByDirectory starts two pairs of nodes that do not know each other. They must find
-// each other once the directory lists all of them.
-func TestNodesMeetByDirectory(t *testing.T) {
+// TestNodesMeetByRegistry starts two pairs of nodes that do not know each other. They must find
+// each other once the registry lists all of them.
+func TestNodesMeetByRegistry(t *testing.T) {
 	c := newCluster(t)
 	var list []*testNode
-	books := [][]string{nil, nil, nil, nil}
+	initial := [][]string{nil, nil, nil, nil}
 	opened := make(chan struct{})
-	var mu sync.Mutex // of list and books
-	for i := range books {
+	var mu sync.Mutex // of list and initial
+	for i := range initial {
 		n := c.tableNode(string(rune('a'+i)), "z", func() []string {
 			mu.Lock()
 			defer mu.Unlock()
@@ -94,13 +94,13 @@
 				}
 				return all
 			default:
-				return append([]string(nil), books[i]...)
+				return append([]string(nil), initial[i]...)
 			}
 		})
 		mu.Lock()
 		list = append(list, n)
 		if i%2 == 1 {
-			books[i] = []string{list[i-1].Self.Addr}
+			initial[i] = []string{list[i-1].Self.Addr}
 		}
 		mu.Unlock()
 	}
@@ -151,8 +151,8 @@
 	c.eventually("three nodes are left", func() bool { return list[0].liveNodes() == 3 })
 }
 
-// TestUnreachablePlatformReplacesFirstOfZone has the platform stop answering the first node of a
-// zone, then its successor, then all nodes, and answer all of them again.
+// TestUnreachablePlatformReplacesFirstOfZone has the platform stop responding to the first node of a
+// zone, then to its successor, then to all nodes, and respond to all of them again.
 func TestUnreachablePlatformReplacesFirstOfZone(t *testing.T) {
 	c := newCluster(t)
 	list := c.tableNodes(3)
@@ -180,7 +180,7 @@
 	node(second).RecordRead(false, 0)
 	c.eventually("a third first node", func() bool { return one() && firsts()[0] != first && firsts()[0] != second })
 	node(firsts()[0]).RecordRead(false, 0)
-	c.eventually("the platform answers no node, and one of them keeps asking", one)
+	c.eventually("the platform responds to no node, and one of them keeps reading", one)
 	for _, n := range list {
 		n.RecordRead(true, 0)
 	}
@@ -190,29 +190,29 @@
 // fakePlatform is a platform with one table of routes, which it returns to all nodes except those
 // that it refuses.
 type fakePlatform struct {
-	mu      sync.Mutex
-	version uint64
-	refused map[string]bool // by node id
-	reads   int
-	last    time.Time // when a read was last answered
+	mu           sync.Mutex
+	version      uint64
+	refused      map[string]bool // by node id
+	reads        int
+	lastResponse time.Time // when a read last succeeded
 }
 
-// read returns the version, and whether the node is answered.
+// read returns the version, and whether the platform responds to the node.
 func (p *fakePlatform) read(node string) (uint64, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.reads++
 	if !p.refused[node] {
-		p.last = time.Now()
+		p.lastResponse = time.Now()
 	}
 	return p.version, !p.refused[node]
 }
 
-// lastAnswered returns when a read was last answered.
-func (p *fakePlatform) lastAnswered() time.Time {
+// lastResponseTime returns when a read last succeeded.
+func (p *fakePlatform) lastResponseTime() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.last
+	return p.lastResponse
 }
 
 // refuse makes the platform refuse a node.
