--- a/member/detector.go
+++ b/member/detector.go
@@ -14,7 +14,7 @@
 // exported fields must be set before the first call. It is not safe for concurrent
 // use.
 type FailureDetector struct {
-	// SilenceTimeout is the time without an answer after which a node may be removed.
+	// SilenceTimeout is the time without a response after which a node may be removed.
 	SilenceTimeout time.Duration
 	// RemovalWindow is the time to which MaxRemovalShare applies.
 	RemovalWindow time.Duration
@@ -26,49 +26,49 @@
 	removed []time.Time
 }
 
-// MarkAlive records that a node answered.
-func (l *FailureDetector) MarkAlive(id string) { delete(l.silent, id) }
+// MarkAlive records that a node responded to a probe.
+func (d *FailureDetector) MarkAlive(id string) { delete(d.silent, id) }
 
-// MarkSilent records that a node did not answer a probe.
-func (l *FailureDetector) MarkSilent(id string, now time.Time) {
-	if l.silent == nil {
-		l.silent = make(map[string]time.Time)
+// MarkSilent records that a node did not respond to a probe.
+func (d *FailureDetector) MarkSilent(id string, now time.Time) {
+	if d.silent == nil {
+		d.silent = make(map[string]time.Time)
 	}
-	if _, ok := l.silent[id]; !ok {
-		l.silent[id] = now
+	if _, ok := d.silent[id]; !ok {
+		d.silent[id] = now
 	}
 }
 
 // SilentCount returns the number of silent nodes.
-func (l *FailureDetector) SilentCount() int { return len(l.silent) }
+func (d *FailureDetector) SilentCount() int { return len(d.silent) }
 
 // TakeRemovals returns the nodes to remove now, those silent for longest first, given
 // the number of known nodes. They count as removed.
-func (l *FailureDetector) TakeRemovals(known int, now time.Time) []string {
-	for len(l.removed) > 0 && now.Sub(l.removed[0]) >= l.RemovalWindow {
-		l.removed = l.removed[1:]
+func (d *FailureDetector) TakeRemovals(known int, now time.Time) []string {
+	for len(d.removed) > 0 && now.Sub(d.removed[0]) >= d.RemovalWindow {
+		d.removed = d.removed[1:]
 	}
 	var list []string
-	for id, since := range l.silent {
-		if now.Sub(since) >= l.SilenceTimeout {
+	for id, since := range d.silent {
+		if now.Sub(since) >= d.SilenceTimeout {
 			list = append(list, id)
 		}
 	}
 	sort.Slice(list, func(i, j int) bool {
-		a, b := l.silent[list[i]], l.silent[list[j]]
+		a, b := d.silent[list[i]], d.silent[list[j]]
 		return a.Before(b) || a.Equal(b) && list[i] < list[j]
 	})
-	remaining := max(1, int(l.MaxRemovalShare*float64(known))) - len(l.removed)
+	remaining := max(1, int(d.MaxRemovalShare*float64(known))) - len(d.removed)
 	list = list[:max(0, min(len(list), remaining))]
 	for _, id := range list {
-		delete(l.silent, id)
-		l.removed = append(l.removed, now)
+		delete(d.silent, id)
+		d.removed = append(d.removed, now)
 	}
 	return list
 }
 
 // Forget drops the state of a node.
-func (l *FailureDetector) Forget(id string) { delete(l.silent, id) }
+func (d *FailureDetector) Forget(id string) { delete(d.silent, id) }
 
 // Reset drops the state of all nodes: a node that is no longer probed may be alive.
-func (l *FailureDetector) Reset() { clear(l.silent) }
+func (d *FailureDetector) Reset() { clear(d.silent) }
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -41,12 +41,12 @@
 	tests := map[string]struct {
 		known, silent int
 		after         time.Duration
-		heard         bool
+		responds      bool
 		want          int
 	}{
 		"before the timeout":          {known: 100, silent: 3, after: time.Minute},
 		"a few":                       {known: 100, silent: 3, after: 5 * time.Minute, want: 3},
-		"one answers again in time":   {known: 100, silent: 3, after: 5 * time.Minute, heard: true, want: 2},
+		"one responds again in time":  {known: 100, silent: 3, after: 5 * time.Minute, responds: true, want: 2},
 		"a whole zone: limited share": {known: 100, silent: 100, after: 5 * time.Minute, want: 5},
 		"few nodes: at least one":     {known: 3, silent: 3, after: 5 * time.Minute, want: 1},
 	}
@@ -57,7 +57,7 @@
 				l.MarkSilent(fmt.Sprint(i), start)
 				l.MarkSilent(fmt.Sprint(i), start.Add(time.Minute))
 			}
-			if test.heard {
+			if test.responds {
 				l.MarkAlive("0")
 			}
 			qt.Check(t, l.TakeRemovals(test.known, start.Add(test.after)), qt.HasLen, test.want)
--- a/member/record.go
+++ b/member/record.go
@@ -21,7 +21,7 @@
 	Idle State = "idle"
 	// Draining means that the upstream or the node is shutting down.
 	Draining State = "draining"
-	// Left means that the node has shut down regularly.
+	// Left means that the node has shut down gracefully.
 	Left State = "left"
 	// Removed means that the node was declared failed by a representative.
 	Removed State = "removed"
@@ -52,7 +52,7 @@
 	// Canary is whether an operator has ordered a roll-out of that version which is not
 	// completed, as far as the node itself knows.
 	Canary bool `json:"trial,omitempty"`
-	// PlatformUnreachable is whether the node was to read the platform for others but cannot
+	// PlatformUnreachable is whether the node should read the platform for others but cannot
 	// reach it.
 	PlatformUnreachable bool `json:"blind,omitempty"`
 	// WrittenAt is when the record was written, in seconds since 1970.
@@ -125,25 +125,24 @@
 
 // WithPlatformUnreachable returns the next version of r, with the given reachability of the
 // platform.
-func (r Record) WithPlatformUnreachable(blind bool) Record {
-	r.PlatformUnreachable = blind
+func (r Record) WithPlatformUnreachable(unreachable bool) Record {
+	r.PlatformUnreachable = unreachable
 	return r.WithState(r.State)
 }
 
 // NextIncarnation returns r with a new incarnation, which is the given time in nanoseconds
-// since 1970, or more if that does not exceed the incarnations of r and of the record
-// received of the node.
-func (r Record) NextIncarnation(heard Record, now time.Time) Record {
-	r.Incarnation = max(uint64(now.UnixNano()), heard.Incarnation+1, r.Incarnation+1)
+// since 1970, or more if that does not exceed the incarnations of r and of the record of the
+// node that was received from another node.
+func (r Record) NextIncarnation(received Record, now time.Time) Record {
+	r.Incarnation = max(uint64(now.UnixNano()), received.Incarnation+1, r.Incarnation+1)
 	r.Version = 1
 	r.PlatformUnreachable = false
 	r.WrittenAt = now.Unix()
 	return r
 }
 
-// Tombstone returns the record by which a representative removes the node. It orders
-// after all records of the present incarnation, and before those of the
-// next one.
+// Tombstone returns the record by which a representative removes the node. It is newer
+// than all records of the present incarnation, and older than those of the next one.
 func (r Record) Tombstone() Record {
 	r.State = Removed
 	r.WrittenAt = time.Now().Unix()
