--- a/gossip/rounds_test.go
+++ b/gossip/rounds_test.go
@@ -10,25 +10,25 @@
 	"testing"
 )
 
-// BenchmarkRounds reports how many rounds of pushes a change takes until no node
-// pushes it any more, which percentage of the nodes they reach, and how many rounds of
-// comparisons, each with one random node, it takes to reach the rest. Each node pushes
+// BenchmarkRounds reports the number of rounds until no node pushes a change any longer,
+// the percentage of the nodes that the pushes reach, and the number of rounds of
+// comparisons, each with one random node, until it has reached the rest. Each node pushes
 // a change that is new to it once, to four random nodes.
 func BenchmarkRounds(b *testing.B) {
 	const fanOut = 4
 	for _, n := range []int{1000, 6000, 18000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			var pushes, compares, reached, tries float64
+			var pushes, compares, reached, runs float64
 			for b.Loop() {
 				p, c, r := spread(n, fanOut)
 				pushes += float64(p)
 				compares += float64(c)
 				reached += float64(r) / float64(n)
-				tries++
+				runs++
 			}
-			b.ReportMetric(pushes/tries, "pushRounds")
-			b.ReportMetric(100*reached/tries, "%pushed")
-			b.ReportMetric(compares/tries, "compareRounds")
+			b.ReportMetric(pushes/runs, "pushRounds")
+			b.ReportMetric(100*reached/runs, "%pushed")
+			b.ReportMetric(compares/runs, "compareRounds")
 		})
 	}
 }
