--- a/neighbour/set.go
+++ b/neighbour/set.go
@@ -100,17 +100,17 @@
 	if own {
 		quota, total = near, known.Near
 	}
-	var places []int // indexes of the neighbours of that kind of zone
+	var indexes []int // indexes of the neighbours of that kind of zone
 	for i, o := range s.list {
 		if (o.Zone == s.Zone) == own {
-			places = append(places, i)
+			indexes = append(indexes, i)
 		}
 	}
 	switch {
-	case len(places) < quota:
+	case len(indexes) < quota:
 		s.list = append(s.list, r)
 	case s.Random.IntN(max(total, 1)) < quota:
-		s.list[places[s.Random.IntN(len(places))]] = r
+		s.list[indexes[s.Random.IntN(len(indexes))]] = r
 	}
 }
 
