--- a/representative/acceptor.go
+++ b/representative/acceptor.go
@@ -51,12 +51,12 @@
 // listed handles a list of all Service objects. Active services that are not
 // in the list have been deleted.
 func (a *acceptor) listed(l *objectapi.List) {
-	gone := a.Node.ActiveServices()
+	deleted := a.Node.ActiveServices()
 	for _, o := range l.Items {
 		a.schedule(acceptance.NewIntent(o))
-		delete(gone, o.Metadata.Name)
+		delete(deleted, o.Metadata.Name)
 	}
-	for name := range gone {
+	for name := range deleted {
 		a.schedule(acceptance.Intent{
 			Name:   name,
 			Source: objectapi.ParseRevision(l.Metadata.ResourceVersion),
@@ -215,7 +215,7 @@
 	a.sources[name] = max(a.sources[name], source)
 }
 
-// hostsTaken returns a fault for each host of an intent that belongs to another active
+// hostsTaken returns an error for each host of an intent that belongs to another active
 // service.
 func (a *acceptor) hostsTaken(in acceptance.Intent) operator.FieldErrors {
 	s, err := operator.ParseService(in.Spec)
--- a/representative/lease.go
+++ b/representative/lease.go
@@ -61,7 +61,7 @@
 }
 
 // fetchFromContacts fetches the state of a contact in the lease if this node knows no other
-// node, or does not know the holder, and returns whether one answered. Otherwise a node that
+// node, or does not know the holder, and returns whether one responded. Otherwise a node that
 // took the lease before it knew the others could remain separated from them.
 func (l *lease) fetchFromContacts(ctx context.Context) bool {
 	return !l.Node.Knows(l.spec.Holder) && l.Node.FetchState(ctx, l.spec.Contacts)
--- a/representative/reporter.go
+++ b/representative/reporter.go
@@ -20,22 +20,22 @@
 )
 
 const (
-	// sampleSize is the number of nodes of the zone that are asked whether they
-	// have a configuration. In a smaller zone all nodes are asked.
+	// sampleSize is the number of nodes of the zone that are queried whether they
+	// have a configuration. In a smaller zone all nodes are queried.
 	sampleSize = 16
-	// askTimeout bounds the wait for their replies.
-	askTimeout = time.Second
+	// queryTimeout bounds the wait for their replies.
+	queryTimeout = time.Second
 	// reportWindow is the time over which the representatives of all zones spread
 	// their writes of a status.
 	reportWindow = 500 * time.Millisecond
-	// reportTries is the maximum number of attempts to write a status while other
+	// reportAttempts is the maximum number of attempts to write a status while other
 	// representatives write it too.
-	reportTries = 8
-	// reportPeriod is how long a representative keeps asking for a configuration that
-	// some nodes do not have, or that members which join later may not have.
+	reportAttempts = 8
+	// reportPeriod is how long a representative keeps querying nodes for a configuration
+	// that some of them do not have, or that members which join later may not have.
 	reportPeriod = 30 * time.Second
-	// askInterval is the minimum interval at which it asks while some nodes do not have it.
-	askInterval = 250 * time.Millisecond
+	// queryInterval is the minimum interval of these queries while some nodes do not have it.
+	queryInterval = 250 * time.Millisecond
 	// memberInterval is the minimum interval at which it looks for new members once all have it.
 	memberInterval = time.Second
 )
@@ -63,7 +63,7 @@
 	status   *operator.ServiceStatus // of a report on a refusal
 	due      time.Time
 	until    time.Time
-	members  int // size of the zone when all nodes that were asked had it; 0 before
+	members  int // size of the zone when all nodes that were queried had it; 0 before
 }
 
 func newReporter(of *Representative) *reporter {
@@ -113,7 +113,7 @@
 
 // run writes reports when their time has come, until ctx ends.
 func (r *reporter) run(ctx context.Context) {
-	tick := time.NewTicker(askInterval / 5)
+	tick := time.NewTicker(queryInterval / 5)
 	defer tick.Stop()
 	for {
 		select {
@@ -139,8 +139,8 @@
 	return list
 }
 
-// write asks how many nodes of the zone have the configuration and writes the status. The
-// report stays pending for a while after all that were asked have it, because a
+// write queries how many nodes of the zone have the configuration and writes the status. The
+// report stays pending for a while after all nodes that were queried have it, because a
 // representative that has just started may not know all members yet.
 func (r *reporter) write(ctx context.Context, p *report) {
 	if p.members > 0 && p.members == r.Node.ZoneSize() {
@@ -151,16 +151,16 @@
 	wait := memberInterval
 	p.members = r.Node.ZoneSize()
 	if p.accepted != nil {
-		zone := r.ask(ctx, p.name, p.accepted.Sequence)
+		zone := r.queryZone(ctx, p.name, p.accepted.Sequence)
 		next = statusOf(p.accepted, r.Zone, zone)
 		if zone.UpToDate < zone.Queried {
-			wait = askInterval
+			wait = queryInterval
 			p.members = 0
 		}
 	}
 	err := r.merge(ctx, p.name, next)
 	if err != nil {
-		wait = askInterval
+		wait = queryInterval
 		p.members = 0
 	}
 	r.settle(p, err, wait)
@@ -202,7 +202,7 @@
 // merge writes a status, keeping what other zones have written about the same sequence.
 func (r *reporter) merge(ctx context.Context, name string, next *operator.ServiceStatus) error {
 	var err error
-	for range reportTries {
+	for range reportAttempts {
 		var present *objectapi.Object
 		present, err = r.API.Get(ctx, operator.KindServiceStatus, name)
 		if err != nil && !objectapi.IsNotFound(err) {
@@ -229,7 +229,7 @@
 }
 
 // mergeStatus merges two statuses, and returns whether the result differs
-// from the old one. The later intent determines phase and faults, the higher
+// from the old one. The later intent determines phase and errors, the higher
 // sequence the active configuration.
 func mergeStatus(old, next operator.ServiceStatus) (operator.ServiceStatus, bool) {
 	merged := old
@@ -257,8 +257,8 @@
 	return merged, changed
 }
 
-// ask returns how many nodes of this zone have a configuration.
-func (r *reporter) ask(ctx context.Context, name string, sequence uint64) operator.ZoneStatus {
+// queryZone returns how many nodes of this zone have a configuration.
+func (r *reporter) queryZone(ctx context.Context, name string, sequence uint64) operator.ZoneStatus {
 	near := r.Node.ZonePeers()
 	z := operator.ZoneStatus{
 		Sequence:  sequence,
@@ -272,15 +272,15 @@
 	if r.Node.Sequence(name) >= sequence {
 		z.UpToDate++
 	}
-	z.UpToDate += r.askAll(ctx, near, name, sequence)
+	z.UpToDate += r.countUpToDate(ctx, near, name, sequence)
 	return z
 }
 
-// askAll returns how many of the nodes have the sequence or a higher one.
-func (r *reporter) askAll(ctx context.Context, nodes []member.Record, name string, sequence uint64) int {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+// countUpToDate returns how many of the nodes have the sequence or a higher one.
+func (r *reporter) countUpToDate(ctx context.Context, nodes []member.Record, name string, sequence uint64) int {
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	var having atomic.Int32
+	var upToDate atomic.Int32
 	var all sync.WaitGroup
 	for _, m := range nodes {
 		all.Go(func() {
@@ -290,10 +290,10 @@
 				return
 			}
 			if theirs >= sequence {
-				having.Add(1)
+				upToDate.Add(1)
 			}
 		})
 	}
 	all.Wait()
-	return int(having.Load())
+	return int(upToDate.Load())
 }
--- a/representative/representative.go
+++ b/representative/representative.go
@@ -18,9 +18,9 @@
 	"sassafrasfront.example/objectapi"
 )
 
-// candidates is the number of nodes of a zone that compete for its lease: the first ones in
+// candidateCount is the number of nodes of a zone that compete for its lease: the first ones in
 // an order that all nodes compute alike. The other nodes make no calls to the platform.
-const candidates = 3
+const candidateCount = 3
 
 // Node is the control state of a Representative's node. Its methods are safe for
 // concurrent use.
@@ -34,7 +34,8 @@
 	ProbeCandidates(ctx context.Context)
 	// Knows returns whether the node knows any other node and, if id is not empty, that one.
 	Knows(id string) bool
-	// LearnFrom fetches the state of the first of the addresses that answers, and returns whether one did.
+	// FetchState fetches the state of the first of the addresses that responds, and returns
+	// whether one did.
 	FetchState(ctx context.Context, addrs []string) bool
 	// Addresses returns up to n peer addresses, of this node and of others in its zone.
 	Addresses(n int) []string
@@ -88,16 +89,16 @@
 	for ctx.Err() == nil {
 		rank, nodes := r.Node.Rank()
 		switch {
-		case rank < candidates:
+		case rank < candidateCount:
 			if l.acquire(ctx) {
 				l.hold(ctx)
 			}
-		case rand.IntN(nodes) < candidates:
+		case rand.IntN(nodes) < candidateCount:
 			r.Node.ProbeCandidates(ctx)
 		}
 		// The first in the order checks most often, so that the others find
 		// the lease renewed.
-		pause := r.Lease * time.Duration(1+min(rank, candidates-1))
+		pause := r.Lease * time.Duration(1+min(rank, candidateCount-1))
 		sleep.For(ctx, pause-rand.N(pause/4))
 	}
 }
--- a/representative/status_test.go
+++ b/representative/status_test.go
@@ -13,7 +13,7 @@
 )
 
 // TestMergeStatus has two representatives write the status of a service in either order: the later
-// intent determines phase and faults, and each zone its own counts.
+// intent determines phase and errors, and each zone its own counts.
 func TestMergeStatus(t *testing.T) {
 	accepted := operator.ServiceStatus{
 		Phase:           operator.PhaseAccepted,
--- a/representative/work.go
+++ b/representative/work.go
@@ -110,7 +110,8 @@
 	}
 }
 
-// discoverOnce returns the number of other zones of which a node answered.
+// discoverOnce looks for other zones once, and returns the number of those of which a node
+// responded.
 func (w *work) discoverOnce(ctx context.Context) int {
 	l, err := w.API.List(ctx, operator.KindRepresentative)
 	if err != nil {
