--- a/rejoin/doc.go
+++ b/rejoin/doc.go
@@ -2,8 +2,8 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Package rejoin decides when a node asks at the last addresses of absent nodes whether they have
-// started again.
+// Package rejoin decides when a node probes the last addresses of absent nodes to find those that
+// have started again.
 //
 // A node that starts learns of others from its first peers or from the platform. Without first
 // peers, and during an outage of the platform, it knows no address at all. Only nodes that knew it
--- a/rejoin/searches.go
+++ b/rejoin/searches.go
@@ -48,13 +48,13 @@
 }
 
 // StartRemoved starts to search for a node that left or was removed the given time ago, unless a
-// search is in progress. Only a selection of the nodes that know of it send requests.
+// search is in progress. Only some of the nodes that know this send requests (see selected).
 func (s *Searches) StartRemoved(id string, age time.Duration, now time.Time) {
 	s.start(id, true, time.Duration(ageFraction*float64(age)), now)
 }
 
-// StartUnresponsive starts to search for a node that does not answer this one, unless a search is in
-// progress.
+// StartUnresponsive starts to search for a node that does not respond to this one, unless a search
+// is in progress.
 func (s *Searches) StartUnresponsive(id string, now time.Time) { s.start(id, false, 0, now) }
 
 func (s *Searches) start(id string, shared bool, pause time.Duration, now time.Time) {
@@ -87,8 +87,8 @@
 // Len returns the number of searches.
 func (s *Searches) Len() int { return len(s.list) }
 
-// Due returns up to limit nodes to send requests to now, given the number of live nodes. Further
-// nodes remain due. It leaves out nodes for which this node is not selected.
+// Due returns up to limit nodes to send requests to now, given the number of live nodes. The next
+// call returns the others. It leaves out nodes for which this node is not selected.
 func (s *Searches) Due(now time.Time, live, limit int) (ids []string) {
 	if len(s.list) == 0 || now.Before(s.next) {
 		return nil
--- a/rejoin/searches_test.go
+++ b/rejoin/searches_test.go
@@ -13,22 +13,22 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestFoundInTime has one of many nodes leave and come back. Other nodes must ask for it soon after,
-// at a cost that does not grow with their number.
+// TestFoundInTime has one of many nodes leave and return. Other nodes must send it a request soon
+// after, at a cost that does not grow with their number.
 func TestFoundInTime(t *testing.T) {
 	tests := map[string]struct {
-		live   int
-		away   time.Duration
-		silent bool
-		within time.Duration
-		asked  int // maximum number of requests while it is away
+		live        int
+		away        time.Duration
+		silent      bool
+		within      time.Duration
+		maxRequests int // maximum number of requests while it is away
 	}{
 		"the only other, at once":     {live: 1, within: 1500 * time.Millisecond},
-		"the only other, later":       {live: 1, away: 20 * time.Second, within: 10 * time.Second, asked: 20},
+		"the only other, later":       {live: 1, away: 20 * time.Second, within: 10 * time.Second, maxRequests: 20},
 		"few, at once":                {live: 3, within: time.Second},
-		"few, after minutes":          {live: 11, away: 5 * time.Minute, within: 45 * time.Second, asked: 11 * 30},
-		"many, after seconds":         {live: 1000, away: 5 * time.Second, within: 5 * time.Second, asked: 20 * 12},
-		"many, after most of an hour": {live: 1000, away: 50 * time.Minute, within: 45 * time.Second, asked: 20 * 130},
+		"few, after minutes":          {live: 11, away: 5 * time.Minute, within: 45 * time.Second, maxRequests: 11 * 30},
+		"many, after seconds":         {live: 1000, away: 5 * time.Second, within: 5 * time.Second, maxRequests: 20 * 12},
+		"many, after most of an hour": {live: 1000, away: 50 * time.Minute, within: 45 * time.Second, maxRequests: 20 * 130},
 		"an unresponsive node":        {live: 1000, away: 5 * time.Second, silent: true, within: 5 * time.Second},
 	}
 	for name, test := range tests {
@@ -47,19 +47,19 @@
 					nodes[i].StartRemoved("gone", 0, begin)
 				}
 			}
-			asked := 0
+			requests := 0
 			for now := begin; ; now = now.Add(50 * time.Millisecond) {
 				for _, s := range nodes {
-					asked += len(s.Due(now, test.live, 4))
+					requests += len(s.Due(now, test.live, 4))
 				}
 				if now.Before(begin.Add(test.away)) {
 					continue
 				}
-				if test.away > 0 && asked > 0 && now.Equal(begin.Add(test.away)) {
-					qt.Check(t, test.silent || asked <= test.asked, qt.IsTrue, qt.Commentf("asked %d times", asked))
-					asked = 0
+				if test.away > 0 && requests > 0 && now.Equal(begin.Add(test.away)) {
+					qt.Check(t, test.silent || requests <= test.maxRequests, qt.IsTrue, qt.Commentf("%d requests", requests))
+					requests = 0
 				}
-				if asked > 0 {
+				if requests > 0 {
 					qt.Check(t, now.Sub(begin.Add(test.away)) <= test.within, qt.IsTrue, qt.Commentf("found after %v", now.Sub(begin.Add(test.away))))
 					return
 				}
