--- a/reconcile/exchange.go
+++ b/reconcile/exchange.go
@@ -76,7 +76,7 @@
 // The messages of a comparison. A request describes the records of the sender, and the
 // reply those of the receiver.
 type (
-	// leafQuery asks for the hashes of a group's leaves.
+	// leafQuery requests the hashes of a group's leaves.
 	leafQuery struct {
 		Group int `msgpack:"group"`
 	}
@@ -94,7 +94,7 @@
 		Newer  []R      `msgpack:"newer"`
 		Wanted []string `msgpack:"wanted"`
 	}
-	// bulkQuery asks for the records from a leaf on.
+	// bulkQuery requests the records from a leaf on.
 	bulkQuery struct {
 		From int `msgpack:"from"`
 	}
@@ -195,10 +195,10 @@
 // goroutine that owns the state.
 func (e *Exchange[R]) Reconcile(ctx context.Context, p *peer.Client) error {
 	var own []uint64
-	var held int
+	var size int
 	e.Do(func() {
 		own = e.Set.GroupHashes()
-		held = e.Set.Len()
+		size = e.Set.Len()
 	})
 	theirs, err := peer.SendRequest[struct{}, hashes](ctx, p, e.Topic+groupsSuffix, struct{}{})
 	if err != nil {
@@ -208,9 +208,9 @@
 	switch {
 	case len(groups) == 0:
 		return nil
-	case held < fewRecords:
+	case size < fewRecords:
 		return e.fetchAll(ctx, p)
-	case held <= maxDigests:
+	case size <= maxDigests:
 		return e.reconcileGroups(ctx, p, groups)
 	}
 	leaves, err := e.differingLeaves(ctx, p, groups)
