--- a/watch/doc.go
+++ b/watch/doc.go
@@ -7,5 +7,5 @@
 // All monitoring traffic of a node, which is load reports on responses, pings and
 // exchanges of digests, is charged to one Budget of bytes per second. The cost is
 // therefore independent of the number of callers. A message that exceeds the budget
-// is left out; nothing waits for it.
+// is not sent; nothing waits for it.
 package watch
