--- a/evacuation/evacuation_test.go
+++ b/evacuation/evacuation_test.go
@@ -42,9 +42,9 @@
 	return f.List(ctx, kind)
 }
 
-// Changes implements objectapi.Polled.
+// Changes implements objectapi.PollingAPI.
 func (f *fakeStore) Changes(context.Context, string, string, time.Duration) (*objectapi.Changes, error) {
-	return nil, errors.New("not asked for")
+	return nil, errors.New("unexpected call")
 }
 
 // TestRead checks the zones that are read from a platform.
@@ -57,7 +57,7 @@
 		"none":           {store: &fakeStore{version: "7"}, want: evacuation.New(objectapi.ResourceVersion{Revision: 7})},
 		"one":            {store: &fakeStore{version: "8", names: []string{"z"}}, want: evacuation.New(objectapi.ResourceVersion{Revision: 8}, "z")},
 		"two":            {store: &fakeStore{version: "9", names: []string{"z", "a"}}, want: evacuation.New(objectapi.ResourceVersion{Revision: 9}, "a", "z")},
-		"unavailable":    {store: &fakeStore{failure: errors.New("away")}, fails: true},
+		"unavailable":    {store: &fakeStore{failure: errors.New("unavailable")}, fails: true},
 		"not a revision": {store: &fakeStore{version: "x", names: []string{"z"}}, fails: true},
 	}
 	for name, test := range tests {
--- a/evacuation/state.go
+++ b/evacuation/state.go
@@ -6,8 +6,8 @@
 
 import "time"
 
-// RetentionPeriod is how long zones stay evacuated that the platform has lost by a restore from a
-// backup, unless their operator writes them again, or removes them. Without it, requests would
+// RetentionPeriod is how long zones that the platform has lost by a restore from a backup stay
+// evacuated, unless their operator writes them again, or removes them. Without it, requests would
 // be sent to zones that are out of service until the operator has reacted. Zones that are not
 // written again within the period are no longer evacuated.
 const RetentionPeriod = 30 * time.Second
--- a/evacuation/state_test.go
+++ b/evacuation/state_test.go
@@ -14,7 +14,7 @@
 	"sassafrasfront.example/objectapi"
 )
 
-// set returns the zones at a point.
+// set returns the zones at a resource version.
 func set(era, revision uint64, zones ...string) evacuation.Set {
 	return evacuation.New(objectapi.ResourceVersion{Era: era, Revision: revision}, zones...)
 }
