--- a/blocklist/store.go
+++ b/blocklist/store.go
@@ -69,7 +69,7 @@
 type Store struct {
 	// API is the platform.
 	API objectapi.Objects
-	// Report is called with each block that is read.
+	// Report is called with each block that is read and has not expired, as a report.
 	Report func(r quarantine.Report)
 	// FirstOfZone, if not nil, returns whether this node maintains the blocks for its zone.
 	FirstOfZone func() bool
@@ -104,7 +104,7 @@
 func (s *Store) Load(ctx context.Context) {
 	list, err := s.API.ListStale(ctx, Kind)
 	if err != nil {
-		s.Log.Warn().Err(err).Msg("reading the blocks failed")
+		s.Log.Warn().Err(err).Msg("failed to read the blocks")
 		return
 	}
 	now := time.Now()
@@ -134,24 +134,24 @@
 func (s *Store) remove(ctx context.Context, o *objectapi.Object) {
 	err := s.API.Delete(ctx, Kind, o.Metadata.Name, o.Metadata.ResourceVersion)
 	if err != nil && !objectapi.IsNotFound(err) && !objectapi.IsConflict(err) {
-		s.Log.Warn().Err(err).Str("block", o.Metadata.Name).Msg("deleting the block failed")
+		s.Log.Warn().Err(err).Str("block", o.Metadata.Name).Msg("failed to delete the block")
 	}
 }
 
 // Save writes the block of a blocked request. It returns after the block is written or all attempts have
 // failed.
-func (s *Store) Save(ctx context.Context, j quarantine.Assessment) {
+func (s *Store) Save(ctx context.Context, a quarantine.Assessment) {
 	b := Block{
-		Fingerprint: j.Fingerprint.String(),
-		Upstreams:   j.IsolatedUpstreams[max(0, len(j.IsolatedUpstreams)-quarantine.MaxUpstreams):],
-		At:          j.LastCrash.UnixMilli(),
+		Fingerprint: a.Fingerprint.String(),
+		Upstreams:   a.IsolatedUpstreams[max(0, len(a.IsolatedUpstreams)-quarantine.MaxUpstreams):],
+		At:          a.LastCrash.UnixMilli(),
 	}
 	for n := range saveAttempts {
 		err := s.write(ctx, b)
 		if err == nil || ctx.Err() != nil {
 			return
 		}
-		s.Log.Warn().Err(err).Stringer("print", j.Fingerprint).Int("try", n+1).Msg("writing the block failed")
+		s.Log.Warn().Err(err).Stringer("print", a.Fingerprint).Int("try", n+1).Msg("failed to write the block")
 		sleep.For(ctx, objectapi.Backoff(n, err))
 	}
 }
