--- a/configsync/doc.go
+++ b/configsync/doc.go
@@ -8,13 +8,13 @@
 // One node, the leader, reads continuously. It sends the status of each read, with the version that it
 // found, to a few others. These forward it, and a node with an older version fetches the later one from
 // the sender. A node that has not received a status for a while reads by itself, as does each node that
-// can't reach any other. It sends the status of its read as well, so that if the leader is gone or
+// can't reach any other. It sends the status of its read as well, so that if the leader has failed or is
 // partitioned, a read by any other node suffices. There is no election and no lock: two leaders only cost
-// reads, and without a leader the waits below bound the age of a node's configuration.
+// reads, and without a leader the nodes' waits bound the age of their configurations.
 //
 // The configuration has two parts that each read finds together: a table of routes, identified by its
-// version, and the evacuated zones, identified by the platform's Point. The status also carries the
-// platform's era, so that a node to which the platform does not respond learns of a new era.
+// version, and the evacuated zones, identified by the platform's resource version. The status also carries
+// the platform's era, so that a node to which the platform does not respond learns of a new era.
 //
-// A State is one node's part of this. It does no input or output, starts no goroutine and reads no clock.
+// A State implements this for one node. It does no input or output, starts no goroutine and reads no clock.
 package configsync
--- a/configsync/era_test.go
+++ b/configsync/era_test.go
@@ -67,20 +67,20 @@
 	}
 }
 
-// TestEraReachesAll has the store be unavailable for a moment and return restored from a backup while it
+// TestEraReachesAll has the store be unavailable for a while and then restored from a backup while it
 // refuses some nodes: all nodes learn of the new era in time, without additional reads.
 func TestEraReachesAll(t *testing.T) {
 	tests := map[string]struct {
-		nodes       int
-		unavailable time.Duration
-		share       int // of the nodes that are refused afterwards, in percent
-		calls       int // bound on the mean per seed, a quarter above the usual number
-		seeds       uint64
+		nodes          int
+		unavailable    time.Duration
+		refusedPercent int // of the nodes, refused after the restore
+		calls          int // bound on the mean per seed, a quarter above the usual number
+		seeds          uint64
 	}{
 		"9 nodes":                        {nodes: 9, seeds: 50, calls: 25},
 		"200 nodes, unavailable for 1 s": {nodes: 200, unavailable: time.Second, seeds: 50, calls: 65},
 		"200 nodes, unavailable for 5 s": {nodes: 200, unavailable: 5 * time.Second, seeds: 50, calls: 100},
-		"200 nodes, a third refused":     {nodes: 200, unavailable: time.Second, share: 33, seeds: 50, calls: 65},
+		"200 nodes, a third refused":     {nodes: 200, unavailable: time.Second, refusedPercent: 33, seeds: 50, calls: 65},
 		"1000 nodes":                     {nodes: 1000, unavailable: time.Second, seeds: 3, calls: 115},
 	}
 	for name, test := range tests {
@@ -88,7 +88,7 @@
 			var worst time.Duration
 			var calls int
 			for seed := range test.seeds {
-				took, made := restoreStore(test.nodes, seed, test.unavailable, test.share)
+				took, made := restoreStore(test.nodes, seed, test.unavailable, test.refusedPercent)
 				worst = max(worst, took)
 				calls += made
 			}
@@ -110,27 +110,27 @@
 	}
 }
 
-// restoreStore simulates a store that is unavailable for a time and returns restored from a backup, while it
-// refuses a share of the nodes, in percent. It returns the time until all nodes knew the new era, and the
-// number of calls to the store.
-func restoreStore(nodes int, seed uint64, unavailable time.Duration, share int) (took time.Duration, calls int) {
-	const begins = 10 * time.Second
+// restoreStore simulates a store that is unavailable for a time and then restored from a backup, from when on it
+// refuses a percentage of the nodes. It returns the time until all nodes knew the new era, and the number of
+// calls to the store.
+func restoreStore(nodes int, seed uint64, unavailable time.Duration, refusedPercent int) (took time.Duration, calls int) {
+	const begin = 10 * time.Second
 	s := newSystem(nodes, seed)
 	s.era = 1
-	s.run(begins)
+	s.run(begin)
 	s.down = true
 	s.run(s.now + unavailable)
 	s.down = false
 	s.era++
-	for _, i := range s.random.Perm(nodes)[:nodes*share/100] {
+	for _, i := range s.random.Perm(nodes)[:nodes*refusedPercent/100] {
 		s.nodes[i].refused = true
 	}
-	back := s.now
-	for unaware(s) && s.now < back+3*within {
+	restored := s.now
+	for unaware(s) && s.now < restored+3*within {
 		s.run(s.now + 10*time.Millisecond)
 	}
-	took = s.now - back
-	s.run(back + 3*within)
+	took = s.now - restored
+	s.run(restored + 3*within)
 	return took, s.calls
 }
 
--- a/configsync/state.go
+++ b/configsync/state.go
@@ -19,7 +19,7 @@
 	Round uint64 `msgpack:"round"`
 	// Version is the version of the configuration at the reader after that read.
 	Version uint64 `msgpack:"version"`
-	// Zones is the Point of the evacuated zones at the reader after that read.
+	// Zones is the resource version of the evacuated zones at the reader after that read.
 	Zones objectapi.ResourceVersion `msgpack:"zones"`
 	// Age is the time since that read.
 	Age time.Duration `msgpack:"age"`
@@ -38,7 +38,7 @@
 const (
 	// leaderWatchFraction is how long the leader's watches stay open.
 	leaderWatchFraction = 0.35
-	// askFraction is the age of the latest read from which a node asks two others for a later status: a
+	// askFraction is the age of the latest read at which a node requests a later status from two others: a
 	// status that each node forwards to four others does not reach one node in fifty.
 	askFraction = 0.47
 	// minReadFraction and maxReadFraction are the ages between which nodes read by themselves.
@@ -60,12 +60,12 @@
 	recheckFraction = 5.0
 )
 
-// minAloneReads is the number of a node's consecutive reads, with nothing received from others, after which
-// it watches the platform by itself. maxAloneReads is where the count stops: watches don't get longer after
-// that.
+// minIsolatedReads is the number of a node's consecutive reads, with nothing received from others, after
+// which it watches the platform by itself. maxIsolatedReads is where the count stops: watches don't get longer
+// after that.
 const (
-	minAloneReads = 2
-	maxAloneReads = 10
+	minIsolatedReads = 2
+	maxIsolatedReads = 10
 )
 
 // failureThreshold is the number of failed reads since the last successful one after which the other nodes
@@ -86,7 +86,7 @@
 const (
 	// Wait means to call Next again at the returned time, or when a status arrives.
 	Wait Action = iota
-	// Ask means to ask a few nodes for their status.
+	// Ask means to request the status from a few nodes.
 	Ask
 	// Read means to read the changes.
 	Read
@@ -104,7 +104,7 @@
 	Nodes int
 }
 
-// State is what one node knows of the reads; New returns one. It is not safe for concurrent use.
+// State is one node's knowledge of the reads. Use New to create one. It is not safe for concurrent use.
 type State struct {
 	maxDelay         time.Duration
 	started          time.Time
@@ -121,8 +121,8 @@
 	forwarded        bool      // whether the latest status was forwarded
 	lastRead         time.Time // when the node's own last read ended
 	failing          bool      // whether the node's own last read failed
-	aloneReads       int       // own reads since anything was received from others
-	askedFor         time.Time // the start of the wait for which others were asked
+	isolatedReads    int       // own reads since anything was received from others
+	askedFor         time.Time // the start of the wait for which others were queried
 	drawnFor         time.Time // the start of the wait for which draw was drawn
 	draw             float64   // uniform in (0, 1]
 
@@ -149,7 +149,7 @@
 // longer each time: the platform reports a change at once.
 func (s *State) WatchTimeout() time.Duration {
 	d := s.fraction(leaderWatchFraction)
-	for range s.aloneReads - minAloneReads {
+	for range s.isolatedReads - minIsolatedReads {
 		d = min(2*d, s.fraction(maxWatchFraction))
 	}
 	return d
@@ -161,7 +161,7 @@
 	s.updateFresh()
 }
 
-// SetZones sets the Point of the evacuated zones that are active.
+// SetZones sets the resource version of the evacuated zones that are active.
 func (s *State) SetZones(at objectapi.ResourceVersion) {
 	if s.zones.Less(at) {
 		s.zones = at
@@ -183,7 +183,7 @@
 // Receive merges the status of another node, and returns whether that node has a later configuration, which
 // then has to be fetched from it.
 func (s *State) Receive(n ReadStatus, now time.Time) (behind bool) {
-	s.aloneReads = 0
+	s.isolatedReads = 0
 	s.era.merge(n, now)
 	if n.Failure > s.failure {
 		s.recordFailure(n.Failure, now.Add(-max(0, n.FailureAge)))
@@ -210,7 +210,7 @@
 func (s *State) ReadDone(succeeded bool, age time.Duration, now time.Time) {
 	s.lastRead = now
 	s.failing = !succeeded
-	s.aloneReads = min(s.aloneReads+1, maxAloneReads)
+	s.isolatedReads = min(s.isolatedReads+1, maxIsolatedReads)
 	if succeeded {
 		s.recordSuccess(s.round+1, s.version, s.zones, now.Add(-age))
 		return
@@ -277,7 +277,7 @@
 	if role.IsLeader && !s.platformDown() {
 		return Watch, s.lastRead.Add(s.fraction(s.pauseFraction()))
 	}
-	if s.aloneReads >= minAloneReads && !s.failing {
+	if s.isolatedReads >= minIsolatedReads && !s.failing {
 		return Watch, s.lastRead.Add(s.fraction(minPauseFraction))
 	}
 	since := s.waitStart()
--- a/configsync/system_test.go
+++ b/configsync/system_test.go
@@ -22,10 +22,10 @@
 	storeTime = 4 * time.Millisecond
 	// callTimeout is the timeout of a call that gets no response.
 	callTimeout = time.Second
-	// leaderNoticed is the time until the others detect that the leader is gone.
-	leaderNoticed = 3 * time.Second
-	contacts      = 12
-	fanOut        = 4
+	// failureDetectionTime is the time until the others detect that a node has failed.
+	failureDetectionTime = 3 * time.Second
+	contacts             = 12
+	fanOut               = 4
 )
 
 // event is a function to call at a simulated time.
@@ -53,7 +53,7 @@
 	id                  int
 	others              []int
 	version             uint64
-	inEffect            map[uint64]time.Duration // when each version came into effect
+	activeAt            map[uint64]time.Duration // when each version became active
 	busy                bool                     // whether a read is in progress
 	nextAction          time.Duration            // time of its next action
 	dead                bool
@@ -61,7 +61,7 @@
 	refused             bool // the platform refuses its reads
 	noResponse          bool // the platform does not respond to it
 	platformUnreachable bool
-	goneAt              time.Duration // when it died or was partitioned
+	failedAt            time.Duration // when it was killed or partitioned
 }
 
 // system is the simulated system.
@@ -95,7 +95,7 @@
 			State:    New(within, s.clock(), s.random),
 			id:       id,
 			version:  1,
-			inEffect: map[uint64]time.Duration{1: 0},
+			activeAt: map[uint64]time.Duration{1: 0},
 		}
 		n.SetVersion(1)
 		for range min(contacts, nodes-1) {
@@ -205,16 +205,16 @@
 	}
 }
 
-func kill(n *node) { n.dead = true }
-func cut(n *node)  { n.partitioned = true }
+func kill(n *node)      { n.dead = true }
+func partition(n *node) { n.partitioned = true }
 
-// fail applies how to nodes, which the others detect after leaderNoticed.
+// fail applies how to nodes, which the others detect after failureDetectionTime.
 func (s *system) fail(nodes []*node, how func(n *node)) {
 	for _, n := range nodes {
 		how(n)
-		n.goneAt = s.now
+		n.failedAt = s.now
 	}
-	s.after(leaderNoticed, func() {
+	s.after(failureDetectionTime, func() {
 		if l := s.nodes[s.leader]; l.dead || l.partitioned {
 			s.elect()
 		}
@@ -224,16 +224,17 @@
 func (s *system) apply(n *node, version uint64) {
 	if version > n.version {
 		n.version = version
-		n.inEffect[version] = s.now
+		n.activeAt[version] = s.now
 	}
 	n.SetVersion(n.version)
 }
 
-// other returns a random contact of n. A contact that has been gone for a while is replaced.
+// other returns a random contact of n. A contact whose failure has been detected is replaced for the
+// next call.
 func (s *system) other(n *node) *node {
 	i := s.random.IntN(len(n.others))
 	o := s.nodes[n.others[i]]
-	if (o.dead || o.partitioned) && s.now > o.goneAt+leaderNoticed {
+	if (o.dead || o.partitioned) && s.now > o.failedAt+failureDetectionTime {
 		n.others[i] = s.random.IntN(len(s.nodes))
 	}
 	return o
@@ -284,7 +285,7 @@
 			continue
 		}
 		at := s.now + time.Hour
-		for v, t := range n.inEffect {
+		for v, t := range n.activeAt {
 			if v >= version {
 				at = min(at, t)
 			}
@@ -299,9 +300,9 @@
 // the number of calls has to stay that of a few readers, whatever the number of nodes.
 func TestChangesReachAll(t *testing.T) {
 	const (
-		usual  = 50
-		begins = 10 * time.Second
-		lasts  = 30 * time.Second
+		usual    = 50
+		begin    = 10 * time.Second
+		duration = 30 * time.Second
 	)
 	tests := map[string]struct {
 		nodes   int
@@ -322,8 +323,8 @@
 		}},
 		"the platform refuses the leader":              {nodes: 200, calls: 120, failure: func(s *system) { s.nodes[0].refused = true }},
 		"the platform does not respond to the leader":  {nodes: 200, calls: 120, failure: func(s *system) { s.nodes[0].noResponse = true }},
-		"the leader is partitioned":                    {nodes: 200, calls: 180, failure: func(s *system) { s.fail(s.nodes[:1], cut) }},
-		"a third of the nodes are partitioned":         {nodes: 200, calls: 1750, failure: func(s *system) { s.fail(s.nodes[1:67], cut) }},
+		"the leader is partitioned":                    {nodes: 200, calls: 180, failure: func(s *system) { s.fail(s.nodes[:1], partition) }},
+		"a third of the nodes are partitioned":         {nodes: 200, calls: 1750, failure: func(s *system) { s.fail(s.nodes[1:67], partition) }},
 		"half of the nodes die, the leader among them": {nodes: 200, calls: 300, failure: func(s *system) { s.fail(s.nodes[:100], kill) }},
 		"the platform refuses a third, the first three nodes among them": {nodes: 200, calls: 320, failure: func(s *system) {
 			for _, n := range append(s.nodes[:3:3], s.nodes[100:163]...) {
@@ -346,17 +347,17 @@
 			seeds := cmp.Or(test.seeds, usual)
 			for seed := range seeds {
 				s := newSystem(test.nodes, seed)
-				s.run(begins)
+				s.run(begin)
 				if test.failure != nil {
 					test.failure(s)
 				}
 				changes := make(map[uint64]time.Duration)
 				for i := range 10 {
-					s.run(begins + time.Duration(i)*2*time.Second + time.Duration(s.random.Int64N(int64(time.Second))))
+					s.run(begin + time.Duration(i)*2*time.Second + time.Duration(s.random.Int64N(int64(time.Second))))
 					s.version++
 					changes[s.version] = s.now
 				}
-				s.run(begins + lasts)
+				s.run(begin + duration)
 				for v, since := range changes {
 					delay := s.worstDelay(v, since)
 					worst = max(worst, delay)
@@ -371,7 +372,7 @@
 }
 
 // TestSimultaneousStart starts nodes at once. Each of them knows no other at first and so considers itself the
-// leader until it has met some. They must not read until then, and a node that stays alone must read.
+// leader until it has met some. They must not read until then, and a node that stays isolated must read.
 func TestSimultaneousStart(t *testing.T) {
 	const nodes, met = 200, 300 * time.Millisecond
 	now := time.Unix(0, 0)
@@ -400,7 +401,7 @@
 // change at a random time. The change has to be active in time at every node. It guards against waits that
 // are postponed too far after three refused reads in a row, which are not rare if one in three is refused.
 func TestPartialRefusal(t *testing.T) {
-	const begins = 10 * time.Second
+	const begin = 10 * time.Second
 	tests := map[string]struct {
 		nodes int
 		draws uint64
@@ -416,13 +417,13 @@
 			var worst time.Duration
 			for draw := range test.draws {
 				s := newSystem(test.nodes, draw)
-				s.run(begins)
+				s.run(begin)
 				order := s.random.Perm(test.nodes)
 				for _, i := range order[:test.nodes/3] {
 					s.nodes[i].refused = true
 				}
 				s.nodes[s.leader].refused = true
-				s.run(begins + time.Duration(s.random.Int64N(int64(2*within))))
+				s.run(begin + time.Duration(s.random.Int64N(int64(2*within))))
 				s.version++
 				since := s.now
 				s.run(since + 3*within)
