--- a/freshness/state.go
+++ b/freshness/state.go
@@ -94,8 +94,8 @@
 	return reading + o.at(estimate)
 }
 
-// State is what one node knows of proofs and of other clocks; New returns one. Times are readings of its
-// clock. It is not safe for concurrent use.
+// State is one node's knowledge of proofs and of other clocks. Use New to create one. Times are readings of
+// the node's clock. It is not safe for concurrent use.
 type State struct {
 	clock   uint64
 	proofs  Proofs
@@ -155,8 +155,8 @@
 	}
 }
 
-// Receive records a message of another node. It returns false if that node has to be asked because the offset
-// of its clock is unknown or outdated.
+// Receive records a message of another node. It returns false if a request has to be sent to that node because
+// the offset of its clock is unknown or outdated.
 func (s *State) Receive(t Message, now time.Duration) (known bool) {
 	if t.Clock == 0 || t.Clock == s.clock {
 		return true // a node without proofs, or this node
--- a/freshness/state_test.go
+++ b/freshness/state_test.go
@@ -45,7 +45,7 @@
 		"own read": {func(s *freshness.State) {
 			s.ObserveRead(9 * time.Second)
 		}, time.Second},
-		"an earlier read answered later": {func(s *freshness.State) {
+		"a later response to an earlier read": {func(s *freshness.State) {
 			s.ObserveRead(9 * time.Second)
 			s.ObserveRead(8 * time.Second)
 		}, time.Second},
@@ -228,8 +228,8 @@
 			"wait":    func(t *rapid.T) { d.now += rapid.Float64Range(0, 4).Draw(t, "s") },
 			"change":  func(*rapid.T) { d.acks = append(d.acks, d.now) },
 			"read":    d.read,
-			"tell":    d.tell,
-			"ask":     d.ask,
+			"tell":    d.sendMessage,
+			"ask":     d.sendRequest,
 			"restart": func(t *rapid.T) { d.nodes[d.index(t)] = d.start() },
 			"arrive": func(t *rapid.T) {
 				if len(d.inFlight) == 0 {
@@ -272,8 +272,8 @@
 	})
 }
 
-// tell makes a node send a message to another, which may fetch the table later or never.
-func (d *randomSystem) tell(t *rapid.T) {
+// sendMessage makes a node send a message to another, which may fetch the table later or never.
+func (d *randomSystem) sendMessage(t *rapid.T) {
 	n, to := d.nodes[d.index(t)], d.nodes[d.index(t)]
 	message, version := n.Message(n.clock(d.now)), n.version
 	d.inFlight = append(d.inFlight, func() { to.Receive(message, to.clock(d.now)) })
@@ -283,8 +283,8 @@
 	})
 }
 
-// ask makes a node send a request to another.
-func (d *randomSystem) ask(t *rapid.T) {
+// sendRequest makes a node send a request to another.
+func (d *randomSystem) sendRequest(t *rapid.T) {
 	n, other := d.nodes[d.index(t)], d.nodes[d.index(t)]
 	sent := n.clock(d.now)
 	d.inFlight = append(d.inFlight, func() {
