--- a/organisation/organisation.go
+++ b/organisation/organisation.go
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// Set is the set of all organisations, indexed by name and by key; NewSet returns one. It is an immutable
+// Set is the set of all organisations, indexed by name and by key. Use NewSet to create one. It is an immutable
 // value.
 type Set struct {
 	list   []Organisation
@@ -79,7 +79,7 @@
 	meanRate float64 // of the organisations with a rate limit
 }
 
-// NewSet returns the Set of the given organisations. The error is the first fault found: an invalid
+// NewSet returns the Set of the given organisations. The error is the first one found: an invalid
 // organisation, or a duplicate name or key.
 func NewSet(list []Organisation) (*Set, error) {
 	s := &Set{
--- a/organisation/organisation_test.go
+++ b/organisation/organisation_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// TestNewSetErrors checks that a list with a faulty organisation is refused.
+// TestNewSetErrors checks that a list with an invalid organisation is refused.
 func TestNewSetErrors(t *testing.T) {
 	key := []organisation.Digest{organisation.DigestOf("key")}
 	for name, list := range map[string][]organisation.Organisation{
