--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -42,8 +42,8 @@
 	return claim.Request{Service: "pledgebook", Key: "k", Parts: parts, Retention: time.Hour}
 }
 
-// TestSecondSending checks the result of a second claim of the same key, by the progress of the first one.
-func TestSecondSending(t *testing.T) {
+// TestDuplicateRequest checks the result of a second claim of the same key, by the progress of the first one.
+func TestDuplicateRequest(t *testing.T) {
 	kept := &claim.StoredResponse{Status: 201, Body: []byte("letter 7")}
 	tests := map[string]struct {
 		first       func(c *claim.Claim)
@@ -53,7 +53,7 @@
 		hasResponse bool
 	}{
 		"the first is running":              {first: func(*claim.Claim) {}, parts: []string{"a"}, want: verdict.ResendUnderway},
-		"the first was answered":            {first: func(c *claim.Claim) { c.Finish(kept) }, parts: []string{"a"}, hasResponse: true},
+		"the first has completed":           {first: func(c *claim.Claim) { c.Finish(kept) }, parts: []string{"a"}, hasResponse: true},
 		"the response is not kept":          {first: func(c *claim.Claim) { c.Finish(nil) }, parts: []string{"a"}, want: verdict.ResendNotKept},
 		"the first did not run":             {first: func(c *claim.Claim) { c.Release() }, parts: []string{"a"}, runs: true},
 		"another request, the same key":     {first: func(c *claim.Claim) { c.Finish(kept) }, parts: []string{"b"}, want: verdict.ResendMismatch},
@@ -63,14 +63,14 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			ctx := context.Background()
-			_, l := newStore(t)
-			c, _, failed := l.Begin(ctx, request("a"))
+			_, store := newStore(t)
+			c, _, failed := store.Begin(ctx, request("a"))
 			qt.Assert(t, failed == nil, qt.IsTrue)
 			test.first(c)
-			l.Wait()
-			c, a, failed := l.Begin(ctx, request(test.parts...))
+			store.Wait()
+			c, response, failed := store.Begin(ctx, request(test.parts...))
 			qt.Check(t, c != nil, qt.Equals, test.runs)
-			qt.Check(t, a != nil, qt.Equals, test.hasResponse)
+			qt.Check(t, response != nil, qt.Equals, test.hasResponse)
 			if test.want == "" {
 				qt.Assert(t, failed == nil, qt.IsTrue, qt.Commentf("%v", failed))
 			} else {
@@ -78,7 +78,7 @@
 				qt.Check(t, failed.Cause, qt.Equals, test.want)
 			}
 			if test.hasResponse {
-				qt.Check(t, a, qt.DeepEquals, kept)
+				qt.Check(t, response, qt.DeepEquals, kept)
 			}
 		})
 	}
--- a/claim/store.go
+++ b/claim/store.go
@@ -27,8 +27,8 @@
 	// the response.
 	beginTimeout  = 2 * time.Second
 	finishTimeout = 10 * time.Second
-	// retryDelay is the delay after which a caller may ask again for the outcome of a request that is still
-	// running.
+	// retryDelay is the delay after which a caller may resend a request that is still running, to get its
+	// outcome.
 	retryDelay = time.Second
 )
 
@@ -38,7 +38,7 @@
 const (
 	// Claimed means that the request may run, or may have run.
 	Claimed State = "claimed"
-	// Answered means that it has run.
+	// Completed means that it has run.
 	Completed State = "answered"
 )
 
@@ -54,11 +54,11 @@
 	// ExpiresAt is when the claim may be deleted.
 	ExpiresAt time.Time `json:"until"`
 	State     State     `json:"state"`
-	// Answer is the response, if there is one and it is kept.
+	// Response is the response, if there is one and it is kept.
 	Response *StoredResponse `json:"answer,omitempty"`
 }
 
-// Answer is a stored response.
+// StoredResponse is a response that is kept for resent requests.
 type StoredResponse struct {
 	Status int          `json:"status"`
 	Header []peer.Field `json:"header"`
@@ -177,12 +177,12 @@
 }
 
 // Finish records that the request has run, with its response, or nil if that is not kept. It returns at once; the
-// write is retried until it succeeds or finishTimeout has passed. In the latter case a resent request is told
-// that the first one may have run.
-func (c *Claim) Finish(a *StoredResponse) {
+// write is retried until it succeeds or finishTimeout has passed. In the latter case a resent request is refused
+// because the first one may have run.
+func (c *Claim) Finish(response *StoredResponse) {
 	next := c.record
 	next.State = Completed
-	next.Response = a
+	next.Response = response
 	c.store.retryAsync(func(ctx context.Context) error {
 		o := objectapi.NewObject(operator.KindClaim, c.object.Metadata.Name, next)
 		_, err := objectapi.Put(ctx, c.store.API, o.WithResourceVersion(c.object.Metadata.ResourceVersion))
