--- a/operator/limit.go
+++ b/operator/limit.go
@@ -6,11 +6,12 @@
 
 import "time"
 
-// The sources of what a node knows about an upstream.
+// The sources from which a node has an upstream's advertised limit or leaving notice.
 const (
 	// SourceUpstream means the upstream beside the node.
 	SourceUpstream = "upstream"
-	// SourceCalls means the calls of other nodes, to which the node's previous process had sent it.
+	// SourceCalls means the calls of other nodes, which had received it from the node's previous
+	// process.
 	SourceCalls = "calls"
 	// SourceResponses means the responses of the node beside the upstream.
 	SourceResponses = "answers"
@@ -21,7 +22,7 @@
 	// Node is the node beside the upstream. StartID identifies the upstream's start.
 	Node    string `json:"node"`
 	StartID string `json:"start"`
-	// Source says where the reporting node has the information from.
+	// Source is where the reporting node has this from.
 	Source string `json:"source"`
 	// Limited is whether the upstream advertises a limit. Limit is in requests per second.
 	Limited bool    `json:"limited"`
--- a/operator/organisation.go
+++ b/operator/organisation.go
@@ -8,7 +8,7 @@
 type Organisation struct {
 	// Organisation is its name.
 	Organisation string `json:"organisation"`
-	// Rate and Burst are its rate limit over all nodes.
+	// Rate, in requests per second, and Burst, in requests, are its rate limit over all nodes.
 	Rate  float64 `json:"rate"`
 	Burst float64 `json:"burst"`
 	// LocalRate and TotalRate are the recently admitted requests per second, at the reporting
--- a/operator/service.go
+++ b/operator/service.go
@@ -18,7 +18,7 @@
 	// ports.
 	Hosts []string `json:"hosts"`
 	// Classes are the classes of requests that share the service's upstreams.
-	// The first one takes the requests that match no class.
+	// The first one also has the requests that match no class.
 	Classes []Class `json:"classes,omitempty"`
 	// Queue configures the queue at an upstream.
 	Queue Queue `json:"queue"`
@@ -86,8 +86,8 @@
 	// SlotFraction is the fraction of an upstream's slots that is used, in (0, 1]. Zero
 	// means all. Upstreams that are nearly full run each request more slowly.
 	SlotFraction float64 `json:"slotShare,omitempty"`
-	// HoldWhileSlow is whether requests wait for an upstream that has just slowed down to
-	// recover, if they are expected to complete sooner that way.
+	// HoldWhileSlow is whether requests wait until an upstream that has just slowed down has
+	// recovered, if they are expected to complete sooner that way.
 	HoldWhileSlow bool `json:"hold,omitempty"`
 	// Adaptive is whether an upstream that slows down is sent fewer concurrent
 	// requests.
