--- a/objectapi/era_test.go
+++ b/objectapi/era_test.go
@@ -22,13 +22,13 @@
 func TestResourceVersionOrder(t *testing.T) {
 	versions := []string{"0", "7", "900", "1/1", "1/870", "1/900", "2/0", "2/870", "10/3"}
 	for i, a := range versions {
-		p, err := objectapi.ParseResourceVersion(a)
+		v, err := objectapi.ParseResourceVersion(a)
 		qt.Assert(t, err, qt.IsNil)
-		qt.Check(t, p.String(), qt.Equals, a)
+		qt.Check(t, v.String(), qt.Equals, a)
 		for k, b := range versions {
-			q, err := objectapi.ParseResourceVersion(b)
+			w, err := objectapi.ParseResourceVersion(b)
 			qt.Assert(t, err, qt.IsNil)
-			qt.Check(t, p.Less(q), qt.Equals, i < k, qt.Commentf("%s and %s", a, b))
+			qt.Check(t, v.Less(w), qt.Equals, i < k, qt.Commentf("%s and %s", a, b))
 		}
 	}
 	for _, bad := range []string{"", "x", "/", "1/", "/1", "1/2/3", "-1", "1/x", "x/1"} {
@@ -99,11 +99,11 @@
 				OnRejected:  func(reason error) { rejected = reason },
 			}
 			var err error
-			for i, a := range test.responses {
+			for i, r := range test.responses {
 				if i == len(test.responses)-1 && test.advanceTo > 0 {
 					c.AdvanceEra(test.advanceTo)
 				}
-				next, rejected = a, nil
+				next, rejected = r, nil
 				_, err = c.Do(context.Background(), http.MethodGet, "/", nil, nil)
 			}
 			qt.Check(t, rejected != nil, qt.Equals, test.rejected, qt.Commentf("%v", rejected))
--- a/objectapi/object.go
+++ b/objectapi/object.go
@@ -94,11 +94,11 @@
 
 // versionOrZero parses a resource version. It returns the zero value if it is invalid.
 func versionOrZero(version string) ResourceVersion {
-	p, err := ParseResourceVersion(version)
+	v, err := ParseResourceVersion(version)
 	if err != nil {
 		return ResourceVersion{}
 	}
-	return p
+	return v
 }
 
 // DecodeSpec decodes the spec of o.
--- a/objectapi/resourceversion.go
+++ b/objectapi/resourceversion.go
@@ -24,19 +24,19 @@
 // eraSeparator separates the era and the revision of a resource version.
 const eraSeparator = "/"
 
-// Less returns whether p is earlier than q.
-func (p ResourceVersion) Less(q ResourceVersion) bool {
-	return p.Era < q.Era || p.Era == q.Era && p.Revision < q.Revision
+// Less returns whether v is earlier than w.
+func (v ResourceVersion) Less(w ResourceVersion) bool {
+	return v.Era < w.Era || v.Era == w.Era && v.Revision < w.Revision
 }
 
-// String returns p as text: the revision alone in era 0, and otherwise the era, a slash and
+// String returns v as text: the revision alone in era 0, and otherwise the era, a slash and
 // the revision.
-func (p ResourceVersion) String() string {
-	revision := strconv.FormatUint(p.Revision, 10)
-	if p.Era == 0 {
+func (v ResourceVersion) String() string {
+	revision := strconv.FormatUint(v.Revision, 10)
+	if v.Era == 0 {
 		return revision
 	}
-	return strconv.FormatUint(p.Era, 10) + eraSeparator + revision
+	return strconv.FormatUint(v.Era, 10) + eraSeparator + revision
 }
 
 // ParseResourceVersion parses the text of a resource version.
