--- a/settings/settings.go
+++ b/settings/settings.go
@@ -93,10 +93,10 @@
 	LogLevel string
 	// TraceURL is the URL of the OTLP collector. Empty means no traces.
 	TraceURL string
-	// TraceSample is the fraction of the traces begun here that are sampled.
+	// TraceSample is the fraction of the traces started at this node that are sampled.
 	TraceSample float64
 	// ReportBytes is the budget for load reports on responses, and ControlBytes
-	// that for comparing and passing on the control state, in bytes per second.
+	// that for the anti-entropy and propagation of the control state, in bytes per second.
 	ReportBytes, ControlBytes int
 	// PlatformCalls is the budget of calls to the platform, per second.
 	PlatformCalls float64
@@ -165,7 +165,7 @@
 	fs.IntVar(&s.MemoryMB, "memoryMB", 0, "memory that the process may use, in MiB; 0 for no bound")
 	fs.StringVar(&s.LogLevel, "logLevel", "info", "debug, info, warn or error")
 	fs.StringVar(&s.TraceURL, "traceURL", "", "OTLP collector, such as http://10.0.0.1:4318/v1/traces; empty for none")
-	fs.Float64Var(&s.TraceSample, "traceSample", 0.01, "fraction of the traces begun here that are sampled")
+	fs.Float64Var(&s.TraceSample, "traceSample", 0.01, "fraction of the traces started at this node that are sampled")
 	fs.IntVar(&s.ReportBytes, "reportBytes", 1000, "budget for load reports, in bytes per second")
 	fs.IntVar(&s.ControlBytes, "controlBytes", 10000, "budget for the control state, in bytes per second")
 	fs.Float64Var(&s.PlatformCalls, "platformCalls", 20, "budget of calls to the platform, per second")
