--- a/routes/routes_test.go
+++ b/routes/routes_test.go
@@ -86,16 +86,17 @@
 	qt.Check(t, s.MaxConnections, qt.Equals, 5)
 }
 
-// TestSplit checks that each service's number of requests stays within one of its weight's share.
+// TestSplit checks that the number of requests of each service is at any time within one of the
+// share that its weight gives it.
 func TestSplit(t *testing.T) {
 	r := route("r", "a.example", "/", routes.WeightedService{Service: "a", Weight: 90}, routes.WeightedService{Service: "b", Weight: 10}, routes.WeightedService{Service: "c", Weight: 0})
 	var s routes.Splitter
 	counts := make(map[string]int)
 	for n := 1; n <= 1000; n++ {
 		counts[s.Choose(&r)]++
-		for _, p := range r.Services {
-			off := counts[p.Service]*100 - n*p.Weight
-			qt.Assert(t, off >= -100 && off <= 100, qt.IsTrue, qt.Commentf("service %s has %d of %d", p.Service, counts[p.Service], n))
+		for _, w := range r.Services {
+			off := counts[w.Service]*100 - n*w.Weight
+			qt.Assert(t, off >= -100 && off <= 100, qt.IsTrue, qt.Commentf("service %s has %d of %d", w.Service, counts[w.Service], n))
 		}
 	}
 }
--- a/routes/splitter.go
+++ b/routes/splitter.go
@@ -67,9 +67,9 @@
 // next returns the service with the largest credit and charges it.
 func (x *splitState) next() string {
 	best, sum := 0, 0
-	for i, p := range x.services {
-		x.credits[i] += p.Weight
-		sum += p.Weight
+	for i, w := range x.services {
+		x.credits[i] += w.Weight
+		sum += w.Weight
 		if x.credits[i] > x.credits[best] {
 			best = i
 		}
