--- a/cmd/sassafrasnode/stop_test.go
+++ b/cmd/sassafrasnode/stop_test.go
@@ -94,8 +94,8 @@
 }
 
 // TestSignalsWhileStopping sends further signals to a process that is stopping while it still
-// receives the header of a request. The request must be answered, and the process must exit
-// cleanly.
+// receives the header of a request. The request must receive a response, and the process
+// must exit cleanly.
 func TestSignalsWhileStopping(t *testing.T) {
 	tests := map[string][]syscall.Signal{
 		"none":             {},
