--- a/cmd/sassafrasctl/busiest_test.go
+++ b/cmd/sassafrasctl/busiest_test.go
@@ -83,7 +83,7 @@
 		"no time":          {args: []string{"-node", node, "-over", "0s"}, code: exitUsage, want: []string{"-over"}},
 		"none to show":     {args: []string{"-node", node, "-show", "0"}, code: exitUsage, want: []string{"-show"}},
 		"no node":          {code: exitUsage, want: []string{"-node"}},
-		"not an answering": {args: []string{"-node", "127.0.0.77:1", "-over", "20ms"}, code: exitFailed, want: []string{"127.0.0.77:1"}},
+		"unreachable node": {args: []string{"-node", "127.0.0.77:1", "-over", "20ms"}, code: exitFailed, want: []string{"127.0.0.77:1"}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
