--- a/cmd/sassafrassoak/faults.go
+++ b/cmd/sassafrassoak/faults.go
@@ -30,7 +30,7 @@
 	hangupAfter, termAfter time.Duration
 }
 
-// plannedKinds tells for each kind of fault whether it is planned work.
+// plannedKinds holds for each kind of fault whether it is planned work.
 var plannedKinds = map[string]bool{
 	"stop":          true,  // SIGTERM, then restart
 	"kill":          false, // SIGKILL, then restart
@@ -54,7 +54,7 @@
 	faultPacketLoss: false, // drawn only with -stops
 }
 
-// faultRestore restores the store from an older copy, twice in a row.
+// faultRestore restores the store from a backup, twice in a row.
 const faultRestore = "storeRestored"
 
 // defaultKinds lists the kinds that are drawn without further flags. Their order is fixed, so that a
@@ -210,8 +210,8 @@
 	c.configure(func() { c.routes = append(c.routes, fmt.Sprintf("c%d", len(c.routes))) })
 }
 
-// restore makes the store unavailable for a moment and then restores a copy that lacks the
-// operator's latest write, which the operator repeats a moment later.
+// restore makes the store unavailable for a moment and then restores it from a backup that
+// lacks the operator's latest write, which the operator repeats a moment later.
 func (c *cluster) restore(duration time.Duration) {
 	backup := c.store.Snapshot()
 	c.addRoute()
--- a/cmd/sassafrassoak/limits.go
+++ b/cmd/sassafrassoak/limits.go
@@ -117,20 +117,20 @@
 // entry had received a response stating that the upstream is leaving.
 func checkLeaving(list []outcome, runs map[string][]platformtest.Run) []string {
 	type pair struct{ node, upstream string }
-	firstTold := make(map[pair]time.Time)
+	firstReceived := make(map[pair]time.Time)
 	for _, o := range list {
 		if o.leavingUpstream == "" {
 			continue
 		}
 		p := pair{o.node, o.leavingUpstream}
-		if at, ok := firstTold[p]; !ok || o.endedAt.Before(at) {
-			firstTold[p] = o.endedAt
+		if at, ok := firstReceived[p]; !ok || o.endedAt.Before(at) {
+			firstReceived[p] = o.endedAt
 		}
 	}
 	var violations []string
 	for _, o := range list {
 		for _, r := range runs[o.id] {
-			if at, ok := firstTold[pair{o.node, r.Upstream}]; ok && o.sentAt.After(at.Add(drainBound)) {
+			if at, ok := firstReceived[pair{o.node, r.Upstream}]; ok && o.sentAt.After(at.Add(drainBound)) {
 				violations = append(violations, fmt.Sprintf("sent to a leaving upstream: request %s from %s, %v after the bound", o.id, o.node, o.sentAt.Sub(at.Add(drainBound))))
 			}
 		}
--- a/cmd/sassafrassoak/stops.go
+++ b/cmd/sassafrassoak/stops.go
@@ -150,7 +150,7 @@
 	a.to = time.Now()
 }
 
-// awaitExit waits for a process that was told to stop, and kills it after gracePeriod.
+// awaitExit waits for a process that was sent SIGTERM, and kills it after gracePeriod.
 func (c *cluster) awaitExit(n *node) {
 	if !n.waitFor(gracePeriod) {
 		c.beginAction(actionKill, n).graceExceeded = true
@@ -240,11 +240,11 @@
 func (c *cluster) endedRuns() map[string][]endedRun {
 	ran := make(map[string][]endedRun)
 	for _, n := range c.nodes {
-		runs, endings := n.upstream.Load().RunsAndEnds()
+		runs, ends := n.upstream.Load().RunsAndEnds()
 		for i, r := range runs {
 			ran[r.ID] = append(ran[r.ID], endedRun{
 				Run:      r,
-				RunEnd:   endings[i],
+				RunEnd:   ends[i],
 				nodeName: n.name,
 			})
 		}
@@ -378,7 +378,7 @@
 	return false
 }
 
-// stopping describes which of the request's two nodes had been told to stop.
+// stopping describes which of the request's two nodes were stopping before the request ended.
 func (c *cluster) stopping(o outcome, gateNode string) string {
 	var text strings.Builder
 	for _, a := range c.actions {
--- a/cmd/sassafrassoak/stops_test.go
+++ b/cmd/sassafrassoak/stops_test.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// TestRunEndings checks that an upstream reports which runs were interrupted by their callers.
-func TestRunEndings(t *testing.T) {
+// TestRunEnds checks that an upstream reports which runs were interrupted by their callers.
+func TestRunEnds(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	u := &platformtest.Upstream{
 		ID:    "i",
@@ -114,16 +114,16 @@
 	cancelled := outcome{id: "gone", route: "a"}
 	cancelled.exchange(ctx, client, n)
 	qt.Check(t, cancelled.status, qt.Equals, 0)
-	runs, endings := u.RunsAndEnds()
-	for len(endings) < 2 || endings[1].CancelledAt.IsZero() {
+	runs, ends := u.RunsAndEnds()
+	for len(ends) < 2 || ends[1].CancelledAt.IsZero() {
 		time.Sleep(time.Millisecond)
-		runs, endings = u.RunsAndEnds()
+		runs, ends = u.RunsAndEnds()
 	}
 	qt.Check(t, runs[0].Body, qt.Equals, platformtest.SummariseBody(complete.body()))
 	qt.Check(t, strings.HasPrefix(runs[0].Body, "102400 bytes"), qt.IsTrue)
-	qt.Check(t, endings[0].CancelledAt.IsZero(), qt.IsTrue)
-	qt.Check(t, endings[0].FinishedAt.IsZero(), qt.IsFalse)
-	qt.Check(t, endings[1].FinishedAt.IsZero(), qt.IsTrue)
+	qt.Check(t, ends[0].CancelledAt.IsZero(), qt.IsTrue)
+	qt.Check(t, ends[0].FinishedAt.IsZero(), qt.IsFalse)
+	qt.Check(t, ends[1].FinishedAt.IsZero(), qt.IsTrue)
 }
 
 // TestCheckStops checks runs in which no request ran while its entry or its upstream's node was stopping.
