--- a/cmd/sassafrasbench/control.go
+++ b/cmd/sassafrasbench/control.go
@@ -46,11 +46,11 @@
 		if !n.Running() {
 			continue
 		}
-		p, err := n.View()
+		view, err := n.View()
 		if err != nil {
 			return 0
 		}
-		sequence := p.Sequences[w.service]
+		sequence := view.Sequences[w.service]
 		key := fmt.Sprint(n.Name, "/", restarts[n.Name])
 		if sequence < w.last[key] {
 			w.decreases++
--- a/cmd/sassafrasbench/demo.go
+++ b/cmd/sassafrasbench/demo.go
@@ -117,11 +117,11 @@
 	fmt.Println("\nrequests through different nodes, and where each one ran:")
 	for i := range 6 {
 		entry := r.Nodes[i%len(r.Nodes)]
-		a, body, err := sendDemoRequest(ctx, entry, fmt.Sprint("demo-", i), "")
+		response, body, err := sendDemoRequest(ctx, entry, fmt.Sprint("demo-", i), "")
 		if err != nil {
 			return err
 		}
-		fmt.Printf("  demo-%d through %-14s -> %-14s %s %q\n", i, entry.Name, a.Header.Get("Sassafras-Node"), a.Status, body)
+		fmt.Printf("  demo-%d through %-14s -> %-14s %s %q\n", i, entry.Name, response.Header.Get("Sassafras-Node"), response.Status, body)
 	}
 	return nil
 }
--- a/cmd/sassafrasbench/faults_test.go
+++ b/cmd/sassafrasbench/faults_test.go
@@ -19,7 +19,7 @@
 	"sassafrasfront.example/operator"
 )
 
-// response is the part of a response that tells the caller what became of its request.
+// response is the part of a response that states the outcome of the request.
 type response struct {
 	status     int
 	verdict    string
@@ -35,15 +35,15 @@
 	}
 	r.Host = service + ".example"
 	r.Header.Set(backend.IDHeader, id)
-	a, err := http.DefaultTransport.RoundTrip(r)
+	httpResponse, err := http.DefaultTransport.RoundTrip(r)
 	if err != nil {
 		return response{}
 	}
-	defer a.Body.Close()
+	defer httpResponse.Body.Close()
 	return response{
-		status:     a.StatusCode,
-		verdict:    a.Header.Get("Sassafras-Verdict"),
-		retryAfter: a.Header.Get("Retry-After"),
+		status:     httpResponse.StatusCode,
+		verdict:    httpResponse.Header.Get("Sassafras-Verdict"),
+		retryAfter: httpResponse.Header.Get("Retry-After"),
 	}
 }
 
@@ -186,12 +186,12 @@
 				nodes = append(nodes, n)
 			}
 			known := func() bool {
-				p, err := entry.View()
-				return err == nil && len(p.Upstreams[service]) == test.upstreams
+				view, err := entry.View()
+				return err == nil && len(view.Upstreams[service]) == test.upstreams
 			}
 			if err := rig.Poll(ctx, known); err != nil {
-				p, _ := entry.View()
-				t.Fatalf("%v: the entry knows %v of %s", err, p.Upstreams[service], service)
+				view, _ := entry.View()
+				t.Fatalf("%v: the entry knows %v of %s", err, view.Upstreams[service], service)
 			}
 			if got := call(ctx, entry, service, "GET", "/", service+"-warm"); got.status != 200 {
 				t.Fatalf("warm-up: %+v", got)
--- a/cmd/sassafrasbench/load/load.go
+++ b/cmd/sassafrasbench/load/load.go
@@ -101,7 +101,7 @@
 	cause                 string
 	post                  bool
 	status                int
-	took                  time.Duration
+	duration              time.Duration
 	wrongBody, incomplete bool
 }
 
@@ -134,7 +134,7 @@
 	}
 	defer response.Body.Close()
 	data, err := io.ReadAll(response.Body)
-	o.took = time.Since(sendTime)
+	o.duration = time.Since(sendTime)
 	o.status = response.StatusCode
 	o.verdict = response.Header.Get("Sassafras-Verdict")
 	o.incomplete = err != nil
@@ -157,7 +157,7 @@
 	if o.cause != "" {
 		r.Causes[o.cause]++
 	}
-	micros := min(maxMicros, o.took.Microseconds())
+	micros := min(maxMicros, o.duration.Microseconds())
 	switch {
 	case o.incomplete:
 		r.Incomplete++
--- a/cmd/sassafrasbench/path_test.go
+++ b/cmd/sassafrasbench/path_test.go
@@ -99,12 +99,12 @@
 	ctx, r := start(t, spec(3))
 	for i := range 60 {
 		id := fmt.Sprint("request-", i)
-		a, body, err := send(ctx, r.Nodes[i%3], "POST", "/enquiries", id, "hello")
+		response, body, err := send(ctx, r.Nodes[i%3], "POST", "/enquiries", id, "hello")
 		qt.Assert(t, err, qt.IsNil)
-		qt.Check(t, a.StatusCode, qt.Equals, 200, qt.Commentf("%s", body))
+		qt.Check(t, response.StatusCode, qt.Equals, 200, qt.Commentf("%s", body))
 		qt.Check(t, strings.HasPrefix(body, id+" "), qt.IsTrue)
 		qt.Check(t, strings.HasSuffix(body, " hello"), qt.IsTrue)
-		qt.Check(t, a.Header.Get("Sassafras-Verdict"), qt.Equals, "ran")
+		qt.Check(t, response.Header.Get("Sassafras-Verdict"), qt.Equals, "ran")
 	}
 	runs := r.RunCounts()
 	qt.Check(t, len(runs), qt.Equals, 60)
--- a/cmd/sassafrasbench/restarts.go
+++ b/cmd/sassafrasbench/restarts.go
@@ -190,12 +190,12 @@
 		for ctx.Err() == nil {
 			var ready []*rig.Node
 			for _, n := range nodes {
-				a, err := http.Get(n.OperatorURL() + "/readyz")
+				response, err := http.Get(n.OperatorURL() + "/readyz")
 				if err != nil {
 					continue
 				}
-				_ = a.Body.Close()
-				if a.StatusCode == http.StatusOK {
+				_ = response.Body.Close()
+				if response.StatusCode == http.StatusOK {
 					ready = append(ready, n)
 				}
 			}
--- a/cmd/sassafrasbench/rig/node.go
+++ b/cmd/sassafrasbench/rig/node.go
@@ -84,7 +84,7 @@
 
 // PauseNode stops the node's process with SIGSTOP, and returns once all of its threads are
 // stopped. The signal takes effect asynchronously: on a busy machine a thread may run on for
-// some milliseconds and may even answer a request.
+// some milliseconds and may even respond to a request.
 func (n *Node) PauseNode() {
 	n.SignalNode(syscall.SIGSTOP)
 	for !n.paused() {
@@ -189,7 +189,7 @@
 
 // View returns the node's view of the system.
 func (n *Node) View() (node.View, error) {
-	var p node.View
-	err := get(n.OperatorURL()+"/v1/view", &p)
-	return p, err
+	var view node.View
+	err := get(n.OperatorURL()+"/v1/view", &view)
+	return view, err
 }
--- a/cmd/sassafrasbench/rig/rig.go
+++ b/cmd/sassafrasbench/rig/rig.go
@@ -238,12 +238,12 @@
 			if !n.Running() {
 				continue
 			}
-			p, err := n.View()
+			view, err := n.View()
 			if err != nil {
 				return false
 			}
 			for service, k := range want {
-				if len(p.Upstreams[service]) != k {
+				if len(view.Upstreams[service]) != k {
 					return false
 				}
 			}
--- a/cmd/sassafrasbench/traffic.go
+++ b/cmd/sassafrasbench/traffic.go
@@ -48,22 +48,22 @@
 	direct.Target = func(i int) string { return r.Nodes[i%len(r.Nodes)].BackendURL() + "/" }
 	b.load(ctx, plan, r.Nodes) // warm-up
 	var seconds float64
-	var a50, a99, a999 []float64
+	var addedP50, addedP99, addedP999 []float64
 	for range 5 {
 		d := b.load(ctx, direct, r.Nodes)
 		before := nodeSeconds(r.Nodes)
 		t := b.load(ctx, plan, r.Nodes)
 		seconds += nodeSeconds(r.Nodes) - before
-		a50 = append(a50, t.Quantile(0.5)-d.Quantile(0.5))
-		a99 = append(a99, t.Quantile(0.99)-d.Quantile(0.99))
-		a999 = append(a999, t.Quantile(0.999)-d.Quantile(0.999))
+		addedP50 = append(addedP50, t.Quantile(0.5)-d.Quantile(0.5))
+		addedP99 = append(addedP99, t.Quantile(0.99)-d.Quantile(0.99))
+		addedP999 = append(addedP999, t.Quantile(0.999)-d.Quantile(0.999))
 		fmt.Printf("direct p50=%.3g p99=%.3g p999=%.3g ms, through p50=%.3g p99=%.3g p999=%.3g ms\n",
 			d.Quantile(0.5), d.Quantile(0.99), d.Quantile(0.999), t.Quantile(0.5), t.Quantile(0.99), t.Quantile(0.999))
 	}
 	name := "processors" + processors
-	b.set(name+"AddedP50Ms", median(a50))
-	b.set(name+"AddedP99Ms", median(a99))
-	b.set(name+"AddedP999Ms", median(a999))
+	b.set(name+"AddedP50Ms", median(addedP50))
+	b.set(name+"AddedP99Ms", median(addedP99))
+	b.set(name+"AddedP999Ms", median(addedP999))
 	b.set(name+"MicrosPerCall", 1e6*seconds/(5*rate*plan.Duration.Seconds()))
 	return nil
 }
