--- a/configsync/doc.go
+++ b/configsync/doc.go
@@ -13,8 +13,9 @@
 // reads, and without a leader the waits below bound the age of a node's configuration.
 //
 // The configuration has two parts that each read finds together: a table of routes, identified by its
-// version, and the evacuated zones, identified by the platform's Point. The status also carries the
-// platform's era, so that a node to which the platform does not respond learns of a new era.
+// version, and the evacuated zones, identified by their resource version on the platform. The status
+// also carries the platform's era, so that a node to which the platform does not respond learns of a
+// new era.
 //
 // A State is one node's part of this. It does no input or output, starts no goroutine and reads no clock.
 package configsync
--- a/configsync/state.go
+++ b/configsync/state.go
@@ -19,7 +19,7 @@
 	Round uint64 `msgpack:"round"`
 	// Version is the version of the configuration at the reader after that read.
 	Version uint64 `msgpack:"version"`
-	// Zones is the Point of the evacuated zones at the reader after that read.
+	// Zones is the resource version of the evacuated zones at the reader after that read.
 	Zones objectapi.ResourceVersion `msgpack:"zones"`
 	// Age is the time since that read.
 	Age time.Duration `msgpack:"age"`
@@ -161,7 +161,7 @@
 	s.updateFresh()
 }
 
-// SetZones sets the Point of the evacuated zones that are active.
+// SetZones sets the resource version of the evacuated zones that are active.
 func (s *State) SetZones(at objectapi.ResourceVersion) {
 	if s.zones.Less(at) {
 		s.zones = at
--- a/evacuation/set.go
+++ b/evacuation/set.go
@@ -13,16 +13,16 @@
 	"sassafrasfront.example/objectapi"
 )
 
-// Set is the set of evacuated zones at one Point of the platform. It is
+// Set is the set of evacuated zones at one resource version of the platform. It is
 // immutable. The zero value means that no zone has ever been evacuated.
 type Set struct {
-	// At is the Point at which this set of zones was first read.
+	// At is the resource version at which this set of zones was first read.
 	At objectapi.ResourceVersion `json:"at"`
 	// Zones are the evacuated availability zones, sorted.
 	Zones []string `json:"zones"`
 }
 
-// FromObjects returns the zones named by objects read at a Point. Only the names of the
+// FromObjects returns the zones named by objects read at a resource version. Only the names of the
 // objects are used, so an object that can't be decoded still evacuates its zone.
 func FromObjects(items []*objectapi.Object, at objectapi.ResourceVersion) Set {
 	zones := make([]string, len(items))
@@ -32,7 +32,7 @@
 	return New(at, zones...)
 }
 
-// New returns the Set of the given zones at a Point.
+// New returns the Set of the given zones at a resource version.
 func New(at objectapi.ResourceVersion, zones ...string) Set {
 	zones = append([]string(nil), zones...)
 	slices.Sort(zones)
@@ -45,7 +45,7 @@
 // Has returns whether a zone is evacuated.
 func (s Set) Has(zone string) bool { return slices.Contains(s.Zones, zone) }
 
-// SameZones returns whether both sets have the same zones, at any Points.
+// SameZones returns whether both sets have the same zones, at any resource versions.
 func (s Set) SameZones(o Set) bool { return slices.Equal(s.Zones, o.Zones) }
 
 // Encode returns s as JSON.
