--- a/node/callrate.go
+++ b/node/callrate.go
@@ -12,8 +12,8 @@
 const (
 	// minLoadAge and maxLoadAge bound how old the upstream's last load report may grow before
 	// a health check requests a new one. Instances share their processors with others for some
-	// hundred milliseconds at a time, which responses alone would reveal late. At most 25
-	// health checks a second are under half of what the platform allows.
+	// hundred milliseconds at a time, which the upstream's responses alone would show too late.
+	// At most 25 health checks a second are under half of what the platform allows.
 	minLoadAge = 40 * time.Millisecond
 	maxLoadAge = coldCheckInterval
 	// reportsPerCall is the number of load reports that an upstream should give for each call.
--- a/node/configsync.go
+++ b/node/configsync.go
@@ -26,7 +26,7 @@
 	confirmRead func(sent time.Duration)
 	// isLeader returns whether this node reads on behalf of all. A node that is not the leader
 	// reads only while it receives nothing from other nodes. It reads the orders at a tenth of
-	// the cost, as an order that is seconds old is late for no other node.
+	// the cost: no other node depends on its orders, which may therefore be seconds old.
 	isLeader func() bool
 	// proofOverdue returns whether the platform has responded to no node for too long.
 	proofOverdue func() bool
@@ -123,7 +123,7 @@
 }
 
 // readsPerRevokeDelay is how many times a change must be able to arrive within RevokeWithin: a
-// node that has just missed one receives the next in time.
+// node that has just missed it once receives it the next time, still within the bound.
 const readsPerRevokeDelay = 2
 
 // maxConfigDelay returns the time within which a change of any part of the configuration has to
--- a/node/configsync_test.go
+++ b/node/configsync_test.go
@@ -31,8 +31,8 @@
 	return &objectapi.List{Metadata: objectapi.Metadata{ResourceVersion: "7"}}, nil
 }
 
-// TestTableReadWhenWatchesFail has watches that fail: if they are not answered and the last read
-// was long ago, the whole table is read, and its freshness counts from that read.
+// TestTableReadWhenWatchesFail has all watches fail: if they get no response and the last read was
+// long ago, the whole table is read, and its freshness counts from that read.
 func TestTableReadWhenWatchesFail(t *testing.T) {
 	silent := &objectapi.Error{Verdict: verdict.MayHaveRun}
 	refused := &objectapi.Error{Verdict: verdict.NotRun, Status: 503}
@@ -41,9 +41,9 @@
 		overdue bool
 		lists   int // after the first read
 	}{
-		"not answered, long after a read":    {silent, true, 1},
-		"not answered, shortly after a read": {silent, false, 0},
-		"refused":                            {refused, true, 0},
+		"no response, long after a read":    {silent, true, 1},
+		"no response, shortly after a read": {silent, false, 0},
+		"refused":                           {refused, true, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := &unwatchablePlatform{watches: row.watches}
--- a/node/discovery.go
+++ b/node/discovery.go
@@ -14,7 +14,7 @@
 const (
 	// discoveryTime is how long a node that has started may take to discover other nodes. A
 	// node that is still isolated after that waits for minLookups lookups in the contact registry:
-	// where the platform or the process is slow, fewer prove nothing.
+	// where the platform or the process is slow, fewer do not show that there are no others.
 	discoveryTime          = 2 * time.Second
 	minLookups             = 3
 	isolationCheckInterval = 50 * time.Millisecond
--- a/node/draintimeout_test.go
+++ b/node/draintimeout_test.go
@@ -13,8 +13,8 @@
 	"sassafrasfront.example/settings"
 )
 
-// TestDrainTimeout guards against a process that outlives its grace period because it stalled when it
-// was told to stop or at its end.
+// TestDrainTimeout guards against a process that outlives its grace period because it stalled when
+// the signal to stop arrived, or at its end.
 func TestDrainTimeout(t *testing.T) {
 	tests := map[string]struct {
 		grace, stalled time.Duration
--- a/node/events.go
+++ b/node/events.go
@@ -148,10 +148,10 @@
 }
 
 // noticeInvalid counts and logs a notice of the upstream that can't be parsed.
-func (n *Node) noticeInvalid(start string, reason error) {
+func (n *Node) noticeInvalid(startID string, reason error) {
 	n.metrics.set.GetOrCreateCounter(`sassafras_upstream_notices_unreadable_total`).Inc()
 	if n.lineLimit.Allow("unreadable", noticeLinesPerSecond, 1) {
-		n.Log.Warn().Str("start", start).Err(reason).Msg("upstream notice not used")
+		n.Log.Warn().Str("start", startID).Err(reason).Msg("upstream notice not used")
 	}
 }
 
--- a/node/healthcheck.go
+++ b/node/healthcheck.go
@@ -164,8 +164,8 @@
 	loadProbeBurst      = 10
 )
 
-// probeLoad has a load report requested from the upstream at once, and waits for it. Requests
-// that call it at the same time share one health check.
+// probeLoad makes pollLoad send a health check to the upstream at once, and waits for its load
+// report. Requests that call it at the same time share one health check.
 func (n *Node) probeLoad(ctx context.Context) {
 	if n.gate.LimitAdvertised() || !n.loadProbeLimit.Allow() {
 		return // the capacity of a limited upstream is left to requests
@@ -188,7 +188,7 @@
 }
 
 // pollLoad requests the upstream's load whenever the last report is too old for the current rate
-// of calls, and whenever probeLoad asks for it, until ctx ends.
+// of calls, and whenever probeLoad demands it, until ctx ends.
 func (n *Node) pollLoad(ctx context.Context) {
 	poller := &upstream.Poller{
 		Names:          n.Platform.FieldNames,
--- a/node/keys.go
+++ b/node/keys.go
@@ -15,11 +15,11 @@
 
 // keysStaleRetryAfter is the time after which a caller with a key may retry at a node that does
 // not know which keys are valid. If the platform responds to any node that this one can reach,
-// this one knows again after the next read.
+// this one can validate keys again after the next read.
 const keysStaleRetryAfter = 500 * time.Millisecond
 
-// enableFreshness makes the nodes exchange how fresh the table of routes is, if keys have to be
-// known as revoked within a time.
+// enableFreshness makes the nodes exchange how fresh the table of routes is, if the settings bound
+// the time after which a revoked key must be refused.
 func (n *Node) enableFreshness() {
 	if n.Settings.RevokeWithin == 0 {
 		return
--- a/node/managed_test.go
+++ b/node/managed_test.go
@@ -102,7 +102,7 @@
 // has one may not listen yet, and would find its port taken.
 var usedPorts sync.Map
 
-// freeAddr returns an address that is free now and that nobody else gets.
+// freeAddr returns an address that is free now and that no other call returns.
 func freeAddr(t *testing.T) string {
 	for {
 		port := firstPort + rand.IntN(portCount)
--- a/node/node.go
+++ b/node/node.go
@@ -226,7 +226,7 @@
 }
 
 // serve runs the components until ctx ends, and then stops them in order. It returns the
-// context of what is left to do.
+// context for the steps that remain before the process ends.
 func (n *Node) serve(ctx context.Context, l *listeners) (exit context.Context, cancel context.CancelFunc) {
 	background, stop := context.WithCancel(context.Background())
 	defer stop()
--- a/node/nodes_test.go
+++ b/node/nodes_test.go
@@ -16,8 +16,8 @@
 	"sassafrasfront.example/operator"
 )
 
-// TestNodesListed requests the nodes that a node knows, and its metrics, by which nodes are
-// compared: those of its process are among them.
+// TestNodesListed checks the list of the nodes that a node knows, and that the metrics by which
+// nodes are compared, those of the process among them, are there.
 func TestNodesListed(t *testing.T) {
 	w := newTestSystem(t)
 	w.configure(1, "")
--- a/node/popularrequests_test.go
+++ b/node/popularrequests_test.go
@@ -26,9 +26,9 @@
 }
 
 // add counts one request.
-func (c *outcomeCounter) add(a callerResponse) {
+func (c *outcomeCounter) add(response callerResponse) {
 	c.sent.Add(1)
-	if a.status == 200 {
+	if response.status == 200 {
 		c.served.Add(1)
 		return
 	}
@@ -37,7 +37,7 @@
 	if c.otherResponses == nil {
 		c.otherResponses = make(map[string]int)
 	}
-	c.otherResponses[a.body]++
+	c.otherResponses[response.body]++
 }
 
 // servedFraction returns the fraction of the requests that was served.
@@ -110,14 +110,14 @@
 				})
 			}
 			time.Sleep(settleTime)
-			harmful := 0
+			repeatCrashes := 0
 			for round := range 10 {
 				nodes[round%len(nodes)].request("PUT", test.harmfulPath, fmt.Sprint("bug-", round), fmt.Sprint("bug-", round))
 				if test.repeat {
 					time.Sleep(settleTime)
 					before := m.crashCount()
 					nodes[round%len(nodes)].request("PUT", "/b/report", fmt.Sprint("fatal-", round), "bug, always the same")
-					harmful += m.crashCount() - before
+					repeatCrashes += m.crashCount() - before
 				}
 				time.Sleep(settleTime)
 			}
@@ -127,12 +127,12 @@
 			time.Sleep(time.Second)
 			close(done)
 			calling.Wait()
-			t.Logf("%d upstreams crashed; served %d of %d during, %d of %d after; %d crashed under the repeated one", m.crashCount(), during.served.Load(), during.sent.Load(), after.served.Load(), after.sent.Load(), harmful)
+			t.Logf("%d upstreams crashed; served %d of %d during, %d of %d after; %d crashed under the repeated request", m.crashCount(), during.served.Load(), during.sent.Load(), after.served.Load(), after.sent.Load(), repeatCrashes)
 			t.Logf("not served: %v %v", during.otherResponses, after.otherResponses)
-			qt.Check(t, m.crashCount() >= 5, qt.IsTrue, qt.Commentf("each of the other harmful requests is new"))
+			qt.Check(t, m.crashCount() >= 5, qt.IsTrue, qt.Commentf("each harmful request that is not repeated is new, so that it crashes an upstream"))
 			qt.Check(t, during.servedFraction() >= 0.99, qt.IsTrue, qt.Commentf("%f", during.servedFraction()))
 			qt.Check(t, after.servedFraction() >= 0.999, qt.IsTrue, qt.Commentf("%f", after.servedFraction()))
-			qt.Check(t, harmful <= maxCrashes, qt.IsTrue, qt.Commentf("%d", harmful))
+			qt.Check(t, repeatCrashes <= maxCrashes, qt.IsTrue, qt.Commentf("%d", repeatCrashes))
 		})
 	}
 }
--- a/node/ratelimit_test.go
+++ b/node/ratelimit_test.go
@@ -105,12 +105,12 @@
 	})
 	before := l.organisations(l.nodes[0])
 	began := time.Now()
-	var granted, refused int
+	var admitted, refused int
 	for time.Since(began) < 3*time.Second {
 		for _, n := range l.nodes {
 			switch status, after := l.request("k-small", n); status {
 			case 200:
-				granted++
+				admitted++
 			case 429:
 				refused++
 				qt.Check(t, after > 0, qt.IsTrue)
@@ -123,10 +123,10 @@
 	}
 	took := time.Since(began).Seconds()
 	most := (rate*took+burst)*(1+0.1) + 20
-	t.Logf("%d admitted and %d refused in %.1f s", granted, refused, took)
-	qt.Check(t, float64(granted) <= most, qt.IsTrue, qt.Commentf("%d of at most %.0f", granted, most))
-	qt.Check(t, float64(granted) >= rate*took*0.8, qt.IsTrue, qt.Commentf("%d", granted))
-	qt.Check(t, refused > granted, qt.IsTrue)
+	t.Logf("%d admitted and %d refused in %.1f s", admitted, refused, took)
+	qt.Check(t, float64(admitted) <= most, qt.IsTrue, qt.Commentf("%d of at most %.0f", admitted, most))
+	qt.Check(t, float64(admitted) >= rate*took*0.8, qt.IsTrue, qt.Commentf("%d", admitted))
+	qt.Check(t, refused > admitted, qt.IsTrue)
 
 	reported := l.organisations(l.nodes[0])
 	qt.Check(t, reported["small"].RefusedOverLimit > 0, qt.IsTrue)
@@ -146,14 +146,14 @@
 		delay = 900 * time.Millisecond
 	)
 	var mu sync.Mutex
-	var granted []time.Time
+	var admitted []time.Time
 	var lowered time.Time
 	began := time.Now()
 	call := func(n *testNode, until time.Time) {
 		for time.Now().Before(until) {
 			if status, _ := l.request("k-small", n); status == 200 {
 				mu.Lock()
-				granted = append(granted, time.Now())
+				admitted = append(admitted, time.Now())
 				mu.Unlock()
 			}
 			time.Sleep(5 * time.Millisecond)
@@ -185,21 +185,21 @@
 	}
 	l.awaitServing()
 	burst(2 * time.Second)
-	all := time.Since(began).Seconds()
-	later := time.Since(lowered).Seconds()
+	totalSeconds := time.Since(began).Seconds()
+	loweredSeconds := time.Since(lowered).Seconds()
 	var after int
-	for _, at := range granted {
+	for _, at := range admitted {
 		if at.After(lowered) {
 			after++
 		}
 	}
-	t.Logf("%d admitted in %.1f s, %d in the last %.1f s", len(granted), all, after, later)
-	qt.Check(t, float64(len(granted)) <= (40*all+40)*1.1+20, qt.IsTrue)
-	qt.Check(t, float64(after) <= (10*later+10)*1.1+20, qt.IsTrue)
+	t.Logf("%d admitted in %.1f s, %d in the last %.1f s", len(admitted), totalSeconds, after, loweredSeconds)
+	qt.Check(t, float64(len(admitted)) <= (40*totalSeconds+40)*1.1+20, qt.IsTrue)
+	qt.Check(t, float64(after) <= (10*loweredSeconds+10)*1.1+20, qt.IsTrue)
 	qt.Check(t, after > 0, qt.IsTrue)
 	most := (40*(window+delay).Seconds()+40)*1.1 + 20
-	for i, from := range granted {
-		n := sort.Search(len(granted)-i, func(k int) bool { return granted[i+k].Sub(from) > window })
+	for i, from := range admitted {
+		n := sort.Search(len(admitted)-i, func(k int) bool { return admitted[i+k].Sub(from) > window })
 		qt.Assert(t, float64(n) <= most, qt.IsTrue, qt.Commentf("%d admitted in a window, at most %.0f", n, most))
 	}
 }
--- a/node/restore.go
+++ b/node/restore.go
@@ -27,7 +27,7 @@
 	return n.platformClient.Era()
 }
 
-// eraChanged records that the platform has named a later era, here or to another node. If the
+// eraChanged records that the platform has named a later era, to this node or to another. If the
 // platform was restored from a backup, this node's entries are written again.
 func (n *Node) eraChanged(e objectapi.EraChange) {
 	n.control.ObserveEra(e.New, e.Restored)
--- a/node/restore_test.go
+++ b/node/restore_test.go
@@ -45,7 +45,7 @@
 	x.store.ServeHTTP(w, r)
 }
 
-// era returns the platform's era as a node's metrics have it.
+// era returns the platform's era according to the node's metrics.
 func (n *testNode) era() string {
 	r, err := http.Get("http://" + n.settings.OperatorAddress + "/metrics")
 	if err != nil {
@@ -201,20 +201,20 @@
 		w.eventually("each node serves", func() bool { return n.request("GET", "/b/x", "warm", "").status == 200 })
 	}
 	w.eventually("some addresses are stored", func() bool { return len(w.store.Names(contact.Kind)) > 0 })
-	time.Sleep(time.Second) // for nodes that write their addresses at the start
+	time.Sleep(time.Second) // in which some nodes write their addresses at their start
 	for range 2 {
-		stood := w.store.Names(contact.Kind)
+		stored := w.store.Names(contact.Kind)
 		w.store.Restore(empty)
 		began := time.Now()
 		w.eventually("they are stored again", func() bool {
-			for _, name := range stood {
+			for _, name := range stored {
 				if !w.store.Has(contact.Kind, name) {
 					return false
 				}
 			}
 			return true
 		})
-		t.Logf("%d entries were back after %v", len(stood), time.Since(began))
+		t.Logf("%d entries were stored again after %v", len(stored), time.Since(began))
 	}
 }
 
@@ -273,7 +273,7 @@
 		}
 		return true
 	}
-	w.eventually("all nodes know of the release", none)
+	w.eventually("all nodes have received the release", none)
 	qt.Check(t, w.store.Names(blocklist.Kind), qt.HasLen, 0)
 
 	w.store.Restore(backup)
--- a/node/rollouts.go
+++ b/node/rollouts.go
@@ -43,7 +43,7 @@
 	announced rollout.LocalState // the rollout of the service at the last announcement
 }
 
-// buildRollouts creates what carries out rollouts, if they are enabled.
+// buildRollouts creates the components that carry out rollouts, if rollouts are enabled.
 func (n *Node) buildRollouts() {
 	s := &n.Settings
 	if s.RolloutShare == 0 {
--- a/node/shutdown_test.go
+++ b/node/shutdown_test.go
@@ -298,12 +298,12 @@
 			stopping.Wait()
 			for _, m := range nodes {
 				line := h.lastLine(m, "drained")
-				taken := 0.0
+				extra := 0.0
 				if m == h.other {
-					taken = 1 // the call that the upstream made meanwhile
+					extra = 1 // the call that the upstream made meanwhile
 				}
 				qt.Check(t, line["cut"], qt.Equals, 0.0)
-				qt.Check(t, line["ended"], qt.Equals, line["requests"].(float64)+taken)
+				qt.Check(t, line["ended"], qt.Equals, line["requests"].(float64)+extra)
 				qt.Check(t, line["callsCut"], qt.Equals, 0.0)
 			}
 		})
--- a/node/startevacuated_test.go
+++ b/node/startevacuated_test.go
@@ -18,18 +18,18 @@
 // which it is ready, the nodes of the other zone serve its callers.
 func TestStartInEvacuatedZone(t *testing.T) {
 	tests := map[string]struct {
-		faults platformtest.Faults // while the nodes of the zone restart
-		alone  bool                // whether only one of them restarts
-		before bool                // whether the nodes of the other zone run before
+		faults  platformtest.Faults // while nodes of the evacuated zone restart
+		onlyOne bool                // whether only one of them restarts
+		before  bool                // whether all nodes have run and served before
 	}{
-		"all nodes at once":                        {},
-		"restarted":                                {before: true},
-		"one of them":                              {before: true, alone: true},
-		"restarted, the platform is slow":          {before: true, faults: platformtest.Faults{Delay: 200 * time.Millisecond}},
-		"restarted, the platform is unavailable":   {before: true, faults: platformtest.Faults{Status: 503}},
-		"restarted, the platform hangs":            {before: true, faults: platformtest.Faults{Hang: true}},
-		"one of them, the platform is unavailable": {before: true, alone: true, faults: platformtest.Faults{Status: 503}},
-		"one of them, the platform loses calls":    {before: true, alone: true, faults: platformtest.Faults{LoseWriteResponses: true}},
+		"all nodes at once":                         {},
+		"restarted":                                 {before: true},
+		"one of them":                               {before: true, onlyOne: true},
+		"restarted, the platform is slow":           {before: true, faults: platformtest.Faults{Delay: 200 * time.Millisecond}},
+		"restarted, the platform is unavailable":    {before: true, faults: platformtest.Faults{Status: 503}},
+		"restarted, the platform hangs":             {before: true, faults: platformtest.Faults{Hang: true}},
+		"one of them, the platform is unavailable":  {before: true, onlyOne: true, faults: platformtest.Faults{Status: 503}},
+		"one of them, the platform loses responses": {before: true, onlyOne: true, faults: platformtest.Faults{LoseWriteResponses: true}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -45,7 +45,7 @@
 			if test.before {
 				z.awaitEvacuated(1)
 				z.awaitServing()
-				if test.alone {
+				if test.onlyOne {
 					starting = z.far[:1]
 				}
 				for _, n := range starting {
--- a/node/state.go
+++ b/node/state.go
@@ -120,7 +120,7 @@
 const (
 	// phaseServing means that the node takes requests.
 	phaseServing phase = "serving"
-	// phaseLeaving means that the node has been told to stop, and still takes requests.
+	// phaseLeaving means that the node has received the signal to stop, and still takes requests.
 	phaseLeaving phase = "leaving"
 	// phaseDraining means that the node takes no more requests, and completes those in
 	// flight.
--- a/node/state_test.go
+++ b/node/state_test.go
@@ -60,6 +60,6 @@
 		n.announcements.Set(nil)
 		cancel()
 		<-done
-		qt.Assert(t, up, qt.IsTrue, qt.Commentf("try %d", i))
+		qt.Assert(t, up, qt.IsTrue, qt.Commentf("iteration %d", i))
 	}
 }
--- a/node/suspects.go
+++ b/node/suspects.go
@@ -34,22 +34,22 @@
 // releaseSuspect lets a request run again, as if it had completed now. All nodes disregard the
 // crashes of upstreams before that; those that come after count.
 func (n *Node) releaseSuspect(w http.ResponseWriter, r *http.Request) {
-	p, err := quarantine.Parse(r.PathValue("print"))
+	fingerprint, err := quarantine.Parse(r.PathValue("print"))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if n.suspects.Assess(p).State == quarantine.Unsuspected {
+	if n.suspects.Assess(fingerprint).State == quarantine.Unsuspected {
 		http.Error(w, "not suspected", http.StatusNotFound)
 		return
 	}
 	if n.blocklist != nil {
-		if err := n.blocklist.Release(r.Context(), p); err != nil {
+		if err := n.blocklist.Release(r.Context(), fingerprint); err != nil {
 			http.Error(w, "the platform keeps the block: "+err.Error(), http.StatusBadGateway)
 			return
 		}
 	}
-	n.Log.Info().Stringer("print", p).Msg("request released")
-	n.control.Report(quarantine.NewCompletionReport(p))
+	n.Log.Info().Stringer("print", fingerprint).Msg("request released")
+	n.control.Report(quarantine.NewCompletionReport(fingerprint))
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/node/upstreamcalls_test.go
+++ b/node/upstreamcalls_test.go
@@ -15,8 +15,8 @@
 )
 
 // TestUpstreamCallsWhileNodeLeaves guards against the failure of requests that run for longer than
-// leaveDelay at a node that leaves: the calls that their upstream makes meanwhile depend on that
-// node, through which they go.
+// leaveDelay at a node that leaves: the calls that their upstream makes meanwhile go through that
+// node.
 func TestUpstreamCallsWhileNodeLeaves(t *testing.T) {
 	tests := map[string]struct {
 		reused bool // whether the call goes over a connection that was open before
--- a/node/upstreamlimits.go
+++ b/node/upstreamlimits.go
@@ -36,18 +36,18 @@
 		}
 		list = append(list, l)
 	}
-	for _, h := range n.dispatcher.Notices() {
-		if h.Node == n.Settings.Node {
+	for _, received := range n.dispatcher.Notices() {
+		if received.Node == n.Settings.Node {
 			continue
 		}
 		list = append(list, operator.UpstreamLimit{
-			Node:    h.Node,
-			StartID: h.Notice.StartID,
+			Node:    received.Node,
+			StartID: received.Notice.StartID,
 			Source:  operator.SourceResponses,
-			Limited: h.Notice.Limited,
-			Limit:   h.Notice.Limit,
-			Leaving: h.Notice.Leaving,
-			Since:   h.ReceivedAt,
+			Limited: received.Notice.Limited,
+			Limit:   received.Notice.Limit,
+			Leaving: received.Notice.Leaving,
+			Since:   received.ReceivedAt,
 		})
 	}
 	slices.SortFunc(list, func(a, b operator.UpstreamLimit) int { return cmp.Compare(a.Node, b.Node) })
--- a/node/upstreamlimits_test.go
+++ b/node/upstreamlimits_test.go
@@ -22,8 +22,8 @@
 	// it, as a factor and as a count, in any four seconds.
 	limitOverage = 1.5
 	limitSlack   = 5
-	// limitDelay is how long after a node has forwarded a response that advertises a limit
-	// its requests count.
+	// limitDelay is the time after which the requests of a node that has forwarded a response
+	// with a limit must respect that limit.
 	limitDelay = 500 * time.Millisecond
 )
 
@@ -44,10 +44,10 @@
 				case <-time.After(pause):
 				}
 				all.Go(func() {
-					a := n.request("GET", path, fmt.Sprint("c-", ids.Add(1)), "")
+					response := n.request("GET", path, fmt.Sprint("c-", ids.Add(1)), "")
 					mu.Lock()
 					defer mu.Unlock()
-					statuses[a.status]++
+					statuses[response.status]++
 				})
 			}
 		})
@@ -75,19 +75,19 @@
 // second, which allows 59.
 func TestAdvertisedLimitExceeded(t *testing.T) {
 	tests := map[string]struct {
-		limit    float64
-		limited  int           // of three upstreams
-		pause    time.Duration // between the requests of a caller
-		quiet    bool          // whether the health check does not advertise the limit
-		restarts bool          // whether the nodes beside them are restarted
+		limit        float64
+		limited      int           // of three upstreams
+		pause        time.Duration // between the requests of a caller
+		healthSilent bool          // whether responses to health checks do not advertise the limit
+		restarts     bool          // whether the nodes beside them are restarted
 	}{
-		"one of three":                     {limit: 4, limited: 1, pause: 20 * time.Millisecond},
-		"all":                              {limit: 4, limited: 3, pause: 20 * time.Millisecond},
-		"health checks only":               {limit: 0.5, limited: 3, pause: time.Hour},
-		"nodes restarted":                  {limit: 4, limited: 3, pause: 20 * time.Millisecond, restarts: true},
-		"nodes restarted, quiet in health": {limit: 4, limited: 3, pause: 20 * time.Millisecond, restarts: true, quiet: true},
-		"zero":                             {limit: 0, limited: 1, pause: 20 * time.Millisecond},
-		"zero, quiet in health":            {limit: 0, limited: 1, pause: 20 * time.Millisecond, quiet: true},
+		"one of three":                         {limit: 4, limited: 1, pause: 20 * time.Millisecond},
+		"all":                                  {limit: 4, limited: 3, pause: 20 * time.Millisecond},
+		"health checks only":                   {limit: 0.5, limited: 3, pause: time.Hour},
+		"nodes restarted":                      {limit: 4, limited: 3, pause: 20 * time.Millisecond, restarts: true},
+		"nodes restarted, health check silent": {limit: 4, limited: 3, pause: 20 * time.Millisecond, restarts: true, healthSilent: true},
+		"zero":                                 {limit: 0, limited: 1, pause: 20 * time.Millisecond},
+		"zero, health check silent":            {limit: 0, limited: 1, pause: 20 * time.Millisecond, healthSilent: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -95,7 +95,7 @@
 			w := newTestSystem(t)
 			w.configure(1, "")
 			for range 3 {
-				w.add("b").upstream.SetHealthCheckSilent(test.quiet)
+				w.add("b").upstream.SetHealthCheckSilent(test.healthSilent)
 			}
 			outside := w.add("a")
 			w.eventually("all are known", func() bool {
@@ -141,20 +141,20 @@
 	}
 }
 
-// TestUpstreamLeavingInResponses has an upstream say in its responses that it is leaving, and go on
-// responding: once a node has forwarded such a response, its requests go to other upstreams.
+// TestUpstreamLeavingInResponses has an upstream say in its responses that it is leaving, and continue
+// to respond: once a node has forwarded such a response, its requests go to other upstreams.
 //
-// It guards against requests to an upstream that leaves without an announcement: nothing read that
+// It guards against requests to an upstream that leaves without an announcement: no node read that
 // header field, so that the upstream got requests until it stopped.
 func TestUpstreamLeavingInResponses(t *testing.T) {
 	tests := map[string]struct {
-		quiet    bool // whether the health check does not say that it leaves
-		restarts bool // whether the node beside it is restarted
+		healthSilent bool // whether responses to health checks do not say that it leaves
+		restarts     bool // whether the node beside it is restarted
 	}{
-		"goes on":                      {},
-		"goes on, quiet in health":     {quiet: true},
-		"node restarted":               {restarts: true},
-		"node restarted, quiet health": {restarts: true, quiet: true},
+		"continues":                           {},
+		"continues, health check silent":      {healthSilent: true},
+		"node restarted":                      {restarts: true},
+		"node restarted, health check silent": {restarts: true, healthSilent: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -187,7 +187,7 @@
 			w.eventually("both are known", func() bool { return requestAll() && len(w.nodes[0].upstream.Runs()) > 0 })
 			leaver.upstream.AdvertiseLeaving()
 			w.eventually("a response says that it leaves", requestAll)
-			leaver.upstream.SetHealthCheckSilent(test.quiet)
+			leaver.upstream.SetHealthCheckSilent(test.healthSilent)
 			if test.restarts {
 				leaver.stop()
 				w.run(leaver)
