--- a/blocklist/store.go
+++ b/blocklist/store.go
@@ -71,8 +71,8 @@
 	API objectapi.Objects
 	// Report is called with each block that is read and has not expired, as a report.
 	Report func(r quarantine.Report)
-	// FirstOfZone, if not nil, returns whether this node maintains the blocks for its zone.
-	FirstOfZone func() bool
+	// IsFirstInZone, if not nil, returns whether this node maintains the blocks for its zone.
+	IsFirstInZone func() bool
 	// Nodes, if not nil, returns the number of nodes.
 	Nodes func() int
 	// Log receives the failures.
@@ -89,7 +89,7 @@
 	}
 	for ctx.Err() == nil {
 		sleep.For(ctx, sweepInterval/2+rand.N(sweepInterval))
-		if ctx.Err() == nil && s.FirstOfZone != nil && s.FirstOfZone() {
+		if ctx.Err() == nil && s.IsFirstInZone != nil && s.IsFirstInZone() {
 			s.Load(ctx)
 		}
 	}
--- a/caller/request.go
+++ b/caller/request.go
@@ -36,7 +36,7 @@
 // than maxHeaderBytes can't, unless maxHeaderBytes is 0.
 func checkSupported(r *http.Request, maxHeaderBytes int) *verdict.Error {
 	if n := headerSize(r); maxHeaderBytes > 0 && n > maxHeaderBytes {
-		return verdict.New(verdict.HeadTooLarge, eris.Errorf("a header of %d bytes exceeds the limit of %d", n, maxHeaderBytes))
+		return verdict.New(verdict.HeaderTooLarge, eris.Errorf("a header of %d bytes exceeds the limit of %d", n, maxHeaderBytes))
 	}
 	if r.Method == http.MethodConnect {
 		return verdict.New(verdict.NotSupported, eris.New("CONNECT is not supported"))
--- a/canary/judgement.go
+++ b/canary/judgement.go
@@ -40,7 +40,7 @@
 // judgementOf returns the judgement of an order, and creates it if necessary. The lock is held.
 func (r *Runner) judgementOf(k rollout.LocalState) *judgement {
 	j := r.judges[k.Order.Service]
-	if j == nil || j.judge.Order.At != k.Order.At {
+	if j == nil || j.judge.Order.ResourceVersion != k.Order.ResourceVersion {
 		j = &judgement{judge: rollout.Judge{
 			Order:     k.Order,
 			StartedAt: k.Received,
@@ -154,7 +154,7 @@
 		return s, eris.Errorf("another order has replaced the one for version %s", s.Order.Version)
 	}
 	if found.Outcome.Settled() {
-		return s.WithPhase(found.Outcome, "recorded on the platform", s.Node, s.When).WithRecorded(found.Order.At), nil
+		return s.WithPhase(found.Outcome, "recorded on the platform", s.Node, s.When).WithRecorded(found.Order.ResourceVersion), nil
 	}
 	if !s.Phase.Settled() && len(o.Status) > 0 && string(o.Status) != "null" {
 		return s, nil // the platform has already recorded that the order is being carried out
--- a/canary/report.go
+++ b/canary/report.go
@@ -84,7 +84,7 @@
 func (r *Runner) reportInterval(u Upstream, k rollout.LocalState) time.Duration {
 	n := r.Capacities(u.Service)[u.Version].Upstreams
 	interval := stepInterval * time.Duration(max(1, n/reportsPerStep))
-	if k.Eligibility(u.Version) == rollout.OnTrial {
+	if k.Eligibility(u.Version) == rollout.Canary {
 		interval = min(interval, r.Lease/reportsPerLease)
 	}
 	return interval - stepInterval/2 // tolerates steps that come early
--- a/canary/runner.go
+++ b/canary/runner.go
@@ -174,7 +174,7 @@
 	switch k.Eligibility(u.Version) {
 	case rollout.Withheld:
 		return true
-	case rollout.OnTrial:
+	case rollout.Canary:
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		return now.Sub(r.reportAcceptedAt) > r.Lease
--- a/canary/runner_test.go
+++ b/canary/runner_test.go
@@ -75,16 +75,16 @@
 }
 
 var order = rollout.Order{
-	Service:  "s",
-	Version:  "v2",
-	Duration: 10 * time.Second,
-	At:       objectapi.ResourceVersion{Revision: 1},
+	Service:         "s",
+	Version:         "v2",
+	Duration:        10 * time.Second,
+	ResourceVersion: objectapi.ResourceVersion{Revision: 1},
 }
 
 // decode decodes the order of the store.
 func decode(o *objectapi.Object) (rollout.StoredOrder, error) {
 	f := rollout.StoredOrder{Order: order}
-	f.Order.At, _ = objectapi.ParseResourceVersion(o.Metadata.ResourceVersion)
+	f.Order.ResourceVersion, _ = objectapi.ParseResourceVersion(o.Metadata.ResourceVersion)
 	switch string(o.Status) {
 	case `"completed"`:
 		f.Outcome = rollout.Completed
--- a/cmd/sassafrasbench/chain_test.go
+++ b/cmd/sassafrasbench/chain_test.go
@@ -29,11 +29,11 @@
 	for i := range depth {
 		names = append(names, fmt.Sprint("chain", i))
 		specs = append(specs, rig.Spec{
-			Service:   names[i],
-			Upstreams: 2,
-			Slots:     20,
-			Knobs:     backend.Parameters{MeanMillis: 1},
-			Config:    operator.Service{Retry: operator.Retry{Ratio: 0.1, Burst: burst}},
+			Service:    names[i],
+			Upstreams:  2,
+			Slots:      20,
+			Parameters: backend.Parameters{MeanMillis: 1},
+			Config:     operator.Service{Retry: operator.Retry{Ratio: 0.1, Burst: burst}},
 		})
 	}
 	ctx, r := start(t, specs...)
--- a/cmd/sassafrasbench/control.go
+++ b/cmd/sassafrasbench/control.go
@@ -23,10 +23,10 @@
 // smallService returns a service for measurements of the control state.
 func smallService(upstreams int) rig.Spec {
 	return rig.Spec{
-		Service:   "pledgebook",
-		Upstreams: upstreams,
-		Slots:     10,
-		Knobs:     backend.Parameters{MeanMillis: 2},
+		Service:    "pledgebook",
+		Upstreams:  upstreams,
+		Slots:      10,
+		Parameters: backend.Parameters{MeanMillis: 2},
 	}
 }
 
--- a/cmd/sassafrasbench/demo.go
+++ b/cmd/sassafrasbench/demo.go
@@ -84,7 +84,7 @@
 	defer cancel()
 	fmt.Println("starting a fake platform, and three upstreams with a node beside each, in three zones")
 	spec := smallService(3)
-	spec.Knobs = backend.Parameters{MeanMillis: 5}
+	spec.Parameters = backend.Parameters{MeanMillis: 5}
 	r, err := b.start(ctx, []string{"-traceURL", "http://" + l.Addr().String() + "/v1/traces"}, spec)
 	if err != nil {
 		return err
--- a/cmd/sassafrasbench/experiments.go
+++ b/cmd/sassafrasbench/experiments.go
@@ -172,7 +172,7 @@
 		Service:   "pledgebook",
 		Upstreams: 10,
 		Slots:     10,
-		Knobs: backend.Parameters{
+		Parameters: backend.Parameters{
 			MeanMillis: 20,
 			Sigma:      0.8,
 		},
@@ -184,7 +184,7 @@
 
 // capacity returns the number of requests per second that a service can run.
 func capacity(s rig.Spec) float64 {
-	return float64(s.Upstreams*s.Slots) * 1000 / s.Knobs.MeanMillis
+	return float64(s.Upstreams*s.Slots) * 1000 / s.Parameters.MeanMillis
 }
 
 // list prints the experiments.
--- a/cmd/sassafrasbench/faults_test.go
+++ b/cmd/sassafrasbench/faults_test.go
@@ -174,7 +174,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			service := fmt.Sprintf("s%x", fnv(name))
-			s := rig.Spec{Service: service, Upstreams: test.upstreams, Slots: 10, Knobs: backend.Parameters{MeanMillis: 1}}
+			s := rig.Spec{Service: service, Upstreams: test.upstreams, Slots: 10, Parameters: backend.Parameters{MeanMillis: 1}}
 			s.Config.Timeout = operator.Duration(test.timeout)
 			qt.Assert(t, r.Configure(ctx, service, s.Config), qt.IsNil)
 			entry, err := r.Add(rig.Spec{Service: service + "-entry", Slots: 1}, zones[0])
--- a/cmd/sassafrasbench/path_test.go
+++ b/cmd/sassafrasbench/path_test.go
@@ -69,10 +69,10 @@
 // spec returns a small service with fast upstreams.
 func spec(upstreams int) rig.Spec {
 	return rig.Spec{
-		Service:   "pledgebook",
-		Upstreams: upstreams,
-		Slots:     10,
-		Knobs:     backend.Parameters{MeanMillis: 1},
+		Service:    "pledgebook",
+		Upstreams:  upstreams,
+		Slots:      10,
+		Parameters: backend.Parameters{MeanMillis: 1},
 	}
 }
 
--- a/cmd/sassafrasbench/rig/node.go
+++ b/cmd/sassafrasbench/rig/node.go
@@ -70,11 +70,11 @@
 
 // StartUpstream starts the upstream's process, which announces itself to the node.
 func (n *Node) StartUpstream() error {
-	knobs, err := json.Marshal(n.Spec.Knobs)
+	parameters, err := json.Marshal(n.Spec.Parameters)
 	if err != nil {
 		return err
 	}
-	p, err := n.rig.spawn(n.Name+"-upstream", "sassafrasbench", "upstream", n.addr(backendPort), n.addr(announcePort), n.Service, fmt.Sprint(n.Spec.Slots), string(knobs), n.requestLog())
+	p, err := n.rig.spawn(n.Name+"-upstream", "sassafrasbench", "upstream", n.addr(backendPort), n.addr(announcePort), n.Service, fmt.Sprint(n.Spec.Slots), string(parameters), n.requestLog())
 	n.upstream = p
 	return err
 }
@@ -144,8 +144,10 @@
 	return true
 }
 
-// SetKnobs sets the behaviour of the upstream.
-func (n *Node) SetKnobs(k backend.Parameters) error { return put(n.BackendURL()+"/stand/knobs", k) }
+// SetParameters sets the behaviour of the upstream.
+func (n *Node) SetParameters(p backend.Parameters) error {
+	return put(n.BackendURL()+"/stand/knobs", p)
+}
 
 // Record returns the requests that the upstream has run.
 func (n *Node) Record() (backend.Record, error) {
--- a/cmd/sassafrasbench/rig/rig.go
+++ b/cmd/sassafrasbench/rig/rig.go
@@ -44,8 +44,8 @@
 	Upstreams int
 	// Slots is the number of requests that each upstream runs concurrently.
 	Slots int
-	// Knobs set the behaviour of the upstreams.
-	Knobs backend.Parameters
+	// Parameters set the behaviour of the upstreams.
+	Parameters backend.Parameters
 	// Config is the configuration of the service. Empty hosts are replaced by the service's host.
 	Config operator.Service
 }
--- a/cmd/sassafrasbench/traffic.go
+++ b/cmd/sassafrasbench/traffic.go
@@ -33,7 +33,7 @@
 	spec := pledgebookService()
 	spec.Upstreams = 3
 	spec.Slots = 64
-	spec.Knobs = backend.Parameters{}
+	spec.Parameters = backend.Parameters{}
 	r, err := b.start(ctx, []string{"-processors", processors}, spec)
 	if err != nil {
 		return err
@@ -105,9 +105,9 @@
 	}
 	b.load(ctx, plan, r.Nodes)
 	before := b.load(ctx, plan, r.Nodes)
-	knobs := spec.Knobs
-	knobs.SlowFactor = 10
-	if err := r.Nodes[0].SetKnobs(knobs); err != nil {
+	parameters := spec.Parameters
+	parameters.SlowFactor = 10
+	if err := r.Nodes[0].SetParameters(parameters); err != nil {
 		return err
 	}
 	during := b.load(ctx, plan, r.Nodes)
@@ -240,7 +240,7 @@
 func hedge(ctx context.Context, b *bench) error {
 	for _, share := range []float64{0, 0.05} {
 		spec := pledgebookService()
-		spec.Knobs.Sigma = 1.2
+		spec.Parameters.Sigma = 1.2
 		spec.Config.Hedge.Ratio = share
 		r, err := b.start(ctx, nil, spec)
 		if err != nil {
--- a/configsync/state.go
+++ b/configsync/state.go
@@ -86,8 +86,8 @@
 const (
 	// Wait means to call Next again at the returned time, or when a status arrives.
 	Wait Action = iota
-	// Ask means to request the status from a few nodes.
-	Ask
+	// Query means to request the status from a few nodes.
+	Query
 	// Read means to read the changes.
 	Read
 	// Watch means to read the changes as soon as there are any, waiting for WatchTimeout at most.
@@ -269,7 +269,7 @@
 		return Wait, ask
 	}
 	s.askedFor = since
-	return Ask, now
+	return Query, now
 }
 
 // ownRead returns the node's own next read, and its time.
--- a/configsync/system_test.go
+++ b/configsync/system_test.go
@@ -135,7 +135,7 @@
 			}
 		})
 		return
-	case Ask:
+	case Query:
 		for range 2 {
 			other := s.other(n)
 			s.send(n, other, func() {
--- a/control/freshness.go
+++ b/control/freshness.go
@@ -179,7 +179,7 @@
 	if age.Time > c.stalenessFraction(proofReadFraction) && c.reads.HasRecentRead(now) {
 		return configsync.Read
 	}
-	return configsync.Ask
+	return configsync.Query
 }
 
 // proofWatchFraction is the maximum duration of a watch of the platform, as a fraction of
--- a/control/freshness_test.go
+++ b/control/freshness_test.go
@@ -124,12 +124,12 @@
 		want    configsync.Action
 	}{
 		{at: 50 * time.Millisecond, want: configsync.Wait},
-		{at: 200 * time.Millisecond, want: configsync.Ask},
+		{at: 200 * time.Millisecond, want: configsync.Query},
 		{at: 250 * time.Millisecond, want: configsync.Wait},
 		{at: 700 * time.Millisecond, want: configsync.Read},
 		{at: 800 * time.Millisecond, confirm: true, want: configsync.Wait},
 		{at: 1200 * time.Millisecond, want: configsync.Wait},
-		{at: 1300 * time.Millisecond, want: configsync.Ask},
+		{at: 1300 * time.Millisecond, want: configsync.Query},
 		{at: 1350 * time.Millisecond, want: configsync.Wait},
 		{at: 1450 * time.Millisecond, want: configsync.Read},
 		{at: 1500 * time.Millisecond, want: configsync.Wait},
@@ -146,7 +146,7 @@
 	}
 	now = time.Minute
 	later := time.Now().Add(2 * time.Hour)
-	qt.Check(t, c.refreshAction(configsync.Wait, later), qt.Equals, configsync.Ask, qt.Commentf("without read statuses the node waits for its regular turn"))
+	qt.Check(t, c.refreshAction(configsync.Wait, later), qt.Equals, configsync.Query, qt.Commentf("without read statuses the node waits for its regular turn"))
 }
 
 // TestIsolatedNodeKeepsProofFresh has a node that receives nothing from others and to which the
--- a/control/rollouts.go
+++ b/control/rollouts.go
@@ -32,7 +32,7 @@
 			}
 		}
 		for name, known := range c.rollouts {
-			if whole && !listed[name] && known.Phase < rollout.Stopped && known.Order.At.Era == at.Era && known.Order.At.Less(at) {
+			if whole && !listed[name] && known.Phase < rollout.Stopped && known.Order.ResourceVersion.Era == at.Era && known.Order.ResourceVersion.Less(at) {
 				c.configs.Put(acceptance.FromRollout(known.WithPhase(rollout.Stopped, "the order was withdrawn", c.self.ID, now)))
 			}
 		}
@@ -63,12 +63,12 @@
 		Changed:   now,
 		Preferred: s.Phase == rollout.Completed,
 	}
-	if before, ok := c.rollouts[s.Order.Service]; ok && before.Order.At == s.Order.At {
+	if before, ok := c.rollouts[s.Order.Service]; ok && before.Order.ResourceVersion == s.Order.ResourceVersion {
 		next.Received = before.Received
 	}
 	c.rollouts[s.Order.Service] = next
 	c.dirty[s.Order.Service] = true
-	c.Log.Info().Str("service", s.Order.Service).Str("version", s.Order.Version).Stringer("phase", s.Phase).Str("reason", s.Reason).Str("decidedBy", s.Node).Uint64("era", s.Order.At.Era).Uint64("revision", s.Order.At.Revision).Msg("roll-out")
+	c.Log.Info().Str("service", s.Order.Service).Str("version", s.Order.Version).Stringer("phase", s.Phase).Str("reason", s.Reason).Str("decidedBy", s.Node).Uint64("era", s.Order.ResourceVersion.Era).Uint64("revision", s.Order.ResourceVersion.Revision).Msg("roll-out")
 }
 
 // endPreferences ends the preference of completed versions after preferencePeriod, when the
@@ -103,7 +103,7 @@
 			s.Upstreams++
 			s.Slots += r.Slots
 			if r.Canary {
-				s.Trial++
+				s.Canaries++
 			}
 			capacities[r.Software] = s
 		}
@@ -130,11 +130,11 @@
 	s := rollout.Unrestricted
 	switch {
 	case t.unknownOrder(r):
-		s = rollout.OnTrial
+		s = rollout.Canary
 	case t.known:
 		s = t.state.Eligibility(r.Software)
 	}
-	if s == rollout.OnTrial && !t.selected[r.ID] {
+	if s == rollout.Canary && !t.selected[r.ID] {
 		return rollout.Withheld
 	}
 	return s
@@ -154,7 +154,7 @@
 		case c.evacuated.Has(r.Zone):
 		case t.unknownOrder(r):
 			unknown = append(unknown, id)
-		case t.known && (t.state.Eligibility(r.Software) == rollout.OnTrial || t.state.Preferred && r.Software == t.state.Order.Version):
+		case t.known && (t.state.Eligibility(r.Software) == rollout.Canary || t.state.Preferred && r.Software == t.state.Order.Version):
 			ids = append(ids, id)
 		}
 	}
--- a/control/rollouts_test.go
+++ b/control/rollouts_test.go
@@ -20,7 +20,7 @@
 // mark as canaries or not, on a node that has received an order or not.
 func TestCanaryMembers(t *testing.T) {
 	order := func(version string, p rollout.Phase) *rollout.State {
-		s := rollout.State{Order: rollout.Order{Service: "s", Version: version, Duration: time.Second, At: objectapi.ResourceVersion{Revision: 5}}}
+		s := rollout.State{Order: rollout.Order{Service: "s", Version: version, Duration: time.Second, ResourceVersion: objectapi.ResourceVersion{Revision: 5}}}
 		s = s.WithPhase(p, "", "n", time.Now())
 		return &s
 	}
--- a/control/table_test.go
+++ b/control/table_test.go
@@ -243,7 +243,7 @@
 			case <-time.After(min(after, 50*time.Millisecond)):
 			}
 			continue
-		case configsync.Ask:
+		case configsync.Query:
 			n.QueryNeighbours(ctx)
 			continue
 		case configsync.Watch:
--- a/entry/dispatcher.go
+++ b/entry/dispatcher.go
@@ -67,8 +67,8 @@
 	Quarantine *quarantine.Index
 	// Policy, if not empty, overrides the routing policy of all services.
 	Policy string
-	// LinkRate is the capacity of this node's link in bytes per second, or 0 if unknown.
-	LinkRate float64
+	// LinkBandwidth is the capacity of this node's link in bytes per second, or 0 if unknown.
+	LinkBandwidth float64
 	// OnEvent, if not nil, is called for each of the events below.
 	OnEvent func(service string, e Event)
 
@@ -163,7 +163,7 @@
 		n.pool = &route.Pool[string]{
 			Policy:              policy,
 			ExpectedServiceTime: s.Config.ServiceTime.Std(),
-			LinkBandwidth:       d.LinkRate,
+			LinkBandwidth:       d.LinkBandwidth,
 		}
 	}
 	ordinary, canaries := splitCanaries(s.Members)
--- a/node/build.go
+++ b/node/build.go
@@ -63,11 +63,11 @@
 		OnClosed:      n.peerClosed,
 	}
 	n.announcements = &upstream.Announcements{
-		Changed:        n.upstreamChanged,
+		OnChange:       n.upstreamChanged,
 		StaleAfter:     maxMissedHeartbeats * s.Heartbeat,
 		IsKnownService: n.isKnownService,
 		ColdReported:   n.gate.ExtendColdStart,
-		Refused:        n.announcementRefused,
+		OnRejected:     n.announcementRefused,
 	}
 }
 
@@ -106,7 +106,7 @@
 		Started:       time.Now(),
 		Counters:      &n.metrics.traffic,
 		Policy:        s.Policy,
-		LinkRate:      linkBandwidth(s.LinkMbps),
+		LinkBandwidth: linkBandwidth(s.LinkMbps),
 		Quarantine:    &n.suspects,
 		OnEvent:       n.metrics.dispatcherEvent,
 		DiscoveryDone: n.discoveryDone,
@@ -182,11 +182,11 @@
 // newBlocklist returns the store of the blocked requests that a platform keeps.
 func (n *Node) newBlocklist(api objectapi.Objects) *blocklist.Store {
 	return &blocklist.Store{
-		API:         api,
-		Report:      n.control.Report,
-		FirstOfZone: n.control.IsFirstInZone,
-		Nodes:       n.control.Nodes,
-		Log:         n.Log,
+		API:           api,
+		Report:        n.control.Report,
+		IsFirstInZone: n.control.IsFirstInZone,
+		Nodes:         n.control.Nodes,
+		Log:           n.Log,
 	}
 }
 
--- a/node/configsync.go
+++ b/node/configsync.go
@@ -151,7 +151,7 @@
 		switch action {
 		case configsync.Wait:
 			n.waitForAction(ctx, after)
-		case configsync.Ask:
+		case configsync.Query:
 			n.control.QueryNeighbours(ctx)
 		case configsync.Read:
 			n.readConfig(ctx, r, 0)
--- a/node/rollouts.go
+++ b/node/rollouts.go
@@ -119,7 +119,7 @@
 		return "", false
 	}
 	state, ok := n.control.Snapshot().Rollouts[a.Service]
-	return a.Version, ok && a.Version != "" && state.Eligibility(a.Version) == rollout.OnTrial
+	return a.Version, ok && a.Version != "" && state.Eligibility(a.Version) == rollout.Canary
 }
 
 // versionAdmitted returns whether the upstream may take requests as far as its version is
@@ -140,7 +140,7 @@
 	}
 	capacities := n.control.UpstreamsByVersion(a.Service)
 	delete(capacities, "") // upstreams whose version is not known yet
-	if own := capacities[a.Version]; len(capacities) == 0 || own.Upstreams > own.Trial {
+	if own := capacities[a.Version]; len(capacities) == 0 || own.Upstreams > own.Canaries {
 		return true
 	}
 	n.versions.mu.Lock()
@@ -229,8 +229,8 @@
 			Reason:    state.Reason,
 			Node:      state.Node,
 			ChangedAt: state.Changed.UTC(),
-			Era:       state.Order.At.Era,
-			Revision:  state.Order.At.Revision,
+			Era:       state.Order.ResourceVersion.Era,
+			Revision:  state.Order.ResourceVersion.Revision,
 		})
 	}
 	writeJSON(w, list)
--- a/rollout/merge.go
+++ b/rollout/merge.go
@@ -8,7 +8,7 @@
 
 // StoredOrder is an order as read from the platform.
 type StoredOrder struct {
-	// Order is the order. Its At is the resource version of the object's last change.
+	// Order is the order. Its ResourceVersion is that of the object's last change.
 	Order Order
 	// Outcome is the recorded outcome: Completed, RolledBack, or Trial if there is none.
 	Outcome Phase
@@ -30,21 +30,21 @@
 	if f.Outcome.Settled() {
 		fresh.Phase = f.Outcome
 		fresh.Reason = "recorded on the platform"
-		fresh.Recorded = f.Order.At
+		fresh.Recorded = f.Order.ResourceVersion
 	}
 	switch {
 	case !ok:
 		return fresh, true
-	case !known.Order.Same(f.Order) && known.Order.At.Less(f.Order.At):
+	case !known.Order.Same(f.Order) && known.Order.ResourceVersion.Less(f.Order.ResourceVersion):
 		return fresh, true
 	case !known.Order.Same(f.Order):
 		return known, false
-	case known.Order.At.Era < f.Order.At.Era:
+	case known.Order.ResourceVersion.Era < f.Order.ResourceVersion.Era:
 		return inLaterEra(known, f, fresh, now), true
 	case f.Outcome.Settled() && !known.Phase.Settled():
 		fresh.Order = known.Order
 		return fresh, true
-	case known.Phase.Settled() && !f.Outcome.Settled() && known.Recorded.Less(f.Order.At):
+	case known.Phase.Settled() && !f.Outcome.Settled() && known.Recorded.Less(f.Order.ResourceVersion):
 		return fresh, true
 	}
 	return known, false
--- a/rollout/merge_test.go
+++ b/rollout/merge_test.go
@@ -18,10 +18,10 @@
 func found(version string, era, revision uint64, outcome rollout.Phase) rollout.StoredOrder {
 	return rollout.StoredOrder{
 		Order: rollout.Order{
-			Service:  "s",
-			Version:  version,
-			Duration: 10 * time.Second,
-			At:       objectapi.ResourceVersion{Era: era, Revision: revision},
+			Service:         "s",
+			Version:         version,
+			Duration:        10 * time.Second,
+			ResourceVersion: objectapi.ResourceVersion{Era: era, Revision: revision},
 		},
 		Outcome: outcome,
 	}
@@ -33,7 +33,7 @@
 	in := func(f rollout.StoredOrder, p rollout.Phase, recorded uint64) *rollout.State {
 		s := rollout.State{Order: f.Order}.WithPhase(p, "", "n", now)
 		if recorded > 0 {
-			s = s.WithRecorded(objectapi.ResourceVersion{Era: f.Order.At.Era, Revision: recorded})
+			s = s.WithRecorded(objectapi.ResourceVersion{Era: f.Order.ResourceVersion.Era, Revision: recorded})
 		}
 		return &s
 	}
--- a/rollout/order.go
+++ b/rollout/order.go
@@ -26,8 +26,8 @@
 	Version string `json:"version"`
 	// Duration is the time in which the version is to be judged.
 	Duration time.Duration `json:"duration"`
-	// At is the resource version at which the order was first read.
-	At objectapi.ResourceVersion `json:"at"`
+	// ResourceVersion is the version at which the order was first read.
+	ResourceVersion objectapi.ResourceVersion `json:"at"`
 }
 
 // Check returns the validation faults of o.
--- a/rollout/state.go
+++ b/rollout/state.go
@@ -80,7 +80,7 @@
 
 // Rank orders the states of a service by Order, and then by phase.
 func (s State) Rank() (era, sequence uint64) {
-	return s.Order.At.Era, s.Order.At.Revision<<phaseBits | uint64(s.Phase)
+	return s.Order.ResourceVersion.Era, s.Order.ResourceVersion.Revision<<phaseBits | uint64(s.Phase)
 }
 
 // Eligibility is whether upstreams of a version may get requests.
@@ -89,8 +89,8 @@
 const (
 	// Unrestricted upstreams get requests according to their capacity only.
 	Unrestricted Eligibility = iota
-	// OnTrial upstreams get the share of the requests that belongs to the phase.
-	OnTrial
+	// Canary upstreams get the share of the requests that belongs to the phase.
+	Canary
 	// Withheld upstreams get no requests.
 	Withheld
 )
@@ -106,7 +106,7 @@
 	case Stopped, RolledBack:
 		return Withheld
 	}
-	return OnTrial
+	return Canary
 }
 
 // LocalState is a State as known to one node. It is an immutable value.
@@ -121,9 +121,9 @@
 
 // VersionCapacity is the number of upstreams of a version and of their slots.
 type VersionCapacity struct {
-	// Upstreams is the number that accept requests, Trial the number of canaries, and Slots
+	// Upstreams is the number that accept requests, Canaries the number of canaries, and Slots
 	// the number of requests that they run concurrently.
-	Upstreams, Trial, Slots int
+	Upstreams, Canaries, Slots int
 }
 
 // Encode returns s as JSON.
--- a/upstream/announcement.go
+++ b/upstream/announcement.go
@@ -83,8 +83,8 @@
 // /v1/upstream: PUT sets the announcement, GET returns the current one, and DELETE
 // withdraws it. The exported fields are set before the first request.
 type Announcements struct {
-	// Changed is called with each changed announcement, and with nil after a withdrawal.
-	Changed func(*Announcement)
+	// OnChange is called with each changed announcement, and with nil after a withdrawal.
+	OnChange func(*Announcement)
 	// StaleAfter is the time without an announcement after which the current start may have
 	// ended. From then on an announcement with an earlier start time is accepted: the
 	// upstream's clock may have been set back between the two starts. Zero means never.
@@ -95,9 +95,9 @@
 	// ColdReported, if not nil, is called with the remaining cold time of each announcement
 	// that has one.
 	ColdReported func(remaining time.Duration)
-	// Refused, if not nil, is called with the reason why an announcement describes no usable
+	// OnRejected, if not nil, is called with the reason why an announcement describes no usable
 	// upstream.
-	Refused func(reason error)
+	OnRejected func(reason error)
 
 	mu           sync.Mutex
 	current      *Announcement
@@ -169,7 +169,7 @@
 
 // Set replaces the announcement as a PUT does, or withdraws it if a is nil. An announcement has
 // no effect if it is older than the current one, or if its start has left or was superseded by
-// another: a heartbeat may arrive long after its sender has crashed. Changed is not called if
+// another: a heartbeat may arrive long after its sender has crashed. OnChange is not called if
 // the announcement is the same as before.
 func (h *Announcements) Set(a *Announcement) {
 	h.mu.Lock()
@@ -193,7 +193,7 @@
 	h.current = a
 	h.lastReceived = time.Now()
 	if old == nil || a == nil || !old.same(a) {
-		h.Changed(a)
+		h.OnChange(a)
 	}
 	if a != nil && a.ColdRemaining > 0 && h.ColdReported != nil {
 		h.ColdReported(a.ColdRemaining)
@@ -236,7 +236,7 @@
 	h.pastStarts.add(c.StartID, c.StartMillis)
 	h.current = a
 	h.lastReceived = time.Now()
-	h.Changed(a)
+	h.OnChange(a)
 	return true
 }
 
@@ -290,7 +290,7 @@
 	a := *c
 	a.Draining = true
 	h.current = &a
-	h.Changed(&a)
+	h.OnChange(&a)
 }
 
 // startSet is the set of starts that have left or were superseded. The zero value is an empty set.
--- a/upstream/transport_test.go
+++ b/upstream/transport_test.go
@@ -372,7 +372,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			var got *upstream.Announcement
-			h := &upstream.Announcements{Changed: func(a *upstream.Announcement) { got = a }}
+			h := &upstream.Announcements{OnChange: func(a *upstream.Announcement) { got = a }}
 			w := httptest.NewRecorder()
 			h.ServeHTTP(w, httptest.NewRequest(test.method, "/v1/upstream", strings.NewReader(test.body)))
 			qt.Check(t, w.Code, qt.Equals, test.status)
--- a/verdict/cause.go
+++ b/verdict/cause.go
@@ -20,8 +20,8 @@
 	// TooLarge: a header or body exceeds its limit, before any upstream was
 	// contacted.
 	TooLarge Cause = "tooLarge"
-	// HeadTooLarge: the head of the request exceeds its limit.
-	HeadTooLarge Cause = "headTooLarge"
+	// HeaderTooLarge: the header of the request exceeds its limit.
+	HeaderTooLarge Cause = "headTooLarge"
 	// NotReady: the node has no accepted configuration yet.
 	NotReady Cause = "notReady"
 	// Unauthorized: the request lacks a key of an organisation where one is required.
@@ -139,7 +139,7 @@
 	BadRequest:         {Verdict: NotRun, Status: http.StatusBadRequest, EndedBy: ByCaller},
 	NotSupported:       {Verdict: NotRun, Status: http.StatusNotImplemented, EndedBy: ByCaller},
 	TooLarge:           {Verdict: NotRun, Status: http.StatusRequestEntityTooLarge, EndedBy: ByCaller},
-	HeadTooLarge:       {Verdict: NotRun, Status: http.StatusRequestHeaderFieldsTooLarge, EndedBy: ByCaller},
+	HeaderTooLarge:     {Verdict: NotRun, Status: http.StatusRequestHeaderFieldsTooLarge, EndedBy: ByCaller},
 	NotReady:           {Verdict: NotRun, Status: http.StatusServiceUnavailable, EndedBy: ByEntry},
 	Unauthorized:       {Verdict: NotRun, Status: http.StatusUnauthorized, EndedBy: ByCaller},
 	KeysStale:          {Verdict: NotRun, Status: http.StatusServiceUnavailable, EndedBy: ByEntry},
