--- a/caller/listener.go
+++ b/caller/listener.go
@@ -21,7 +21,7 @@
 )
 
 // Timeouts limit how long a caller may take. A zero field leaves the server's own
-// timeout as it is.
+// timeout unchanged.
 type Timeouts struct {
 	// Header bounds the time in which the header of a request has to be received.
 	Header time.Duration
--- a/claim/doc.go
+++ b/claim/doc.go
@@ -7,7 +7,7 @@
 // Before a non-idempotent request with an Idempotency-Key runs, a Claim object whose name is derived from the
 // service and the key is created on the platform. If the request is sent several times, one of the copies
 // creates the object and runs; the others find it and get their response from its content. The response is
-// written to the object afterwards. If the node crashes in between, the object stays as it is, and a resent
+// written to the object afterwards. If the node crashes in between, the object stays unchanged, and a resent
 // request is refused because the first one may have run.
 //
 // This is the run-once ledger of the paper on resumable long-running tasks in the project's reading list, with
--- a/configsync/era_test.go
+++ b/configsync/era_test.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// restoreStore simulates a store that is unavailable for a time and then restored from a backup, from when on it
-// refuses a percentage of the nodes. It returns the time until all nodes knew the new era, and the number of
+// restoreStore simulates a store that is unavailable for a time and is then restored from a backup. From then on
+// the store refuses a percentage of the nodes. It returns the time until all nodes knew the new era, and the number of
 // calls to the store.
 func restoreStore(nodes int, seed uint64, unavailable time.Duration, refusedPercent int) (took time.Duration, calls int) {
 	const begin = 10 * time.Second
--- a/configsync/state.go
+++ b/configsync/state.go
@@ -38,9 +38,9 @@
 const (
 	// leaderWatchFraction is how long the leader's watches stay open.
 	leaderWatchFraction = 0.35
-	// askFraction is the age of the latest read at which a node requests a later status from two others: a
+	// queryFraction is the age of the latest read at which a node requests a later status from two others: a
 	// status that each node forwards to four others does not reach one node in fifty.
-	askFraction = 0.47
+	queryFraction = 0.47
 	// minReadFraction and maxReadFraction are the ages between which nodes read by themselves.
 	minReadFraction = 0.55
 	maxReadFraction = 0.75
@@ -122,7 +122,7 @@
 	lastRead         time.Time // when the node's own last read ended
 	failing          bool      // whether the node's own last read failed
 	isolatedReads    int       // own reads since anything was received from others
-	askedFor         time.Time // the start of the wait for which others were queried
+	queriedFor       time.Time // the start of the wait for which others were queried
 	drawnFor         time.Time // the start of the wait for which draw was drawn
 	draw             float64   // uniform in (0, 1]
 
@@ -216,7 +216,7 @@
 		return
 	}
 	s.recordFailure(s.failure+1, now)
-	s.askedFor = time.Time{} // the reads of others may have succeeded since
+	s.queriedFor = time.Time{} // the reads of others may have succeeded since
 }
 
 // recordFailure records a failed read.
@@ -261,14 +261,14 @@
 		return action, now
 	}
 	since := s.waitStart()
-	ask := since.Add(s.fraction(askFraction))
+	queryAt := since.Add(s.fraction(queryFraction))
 	switch {
-	case role.IsLeader || role.Nodes < 2 || s.askedFor.Equal(since) || !ask.Before(due):
+	case role.IsLeader || role.Nodes < 2 || s.queriedFor.Equal(since) || !queryAt.Before(due):
 		return Wait, due
-	case now.Before(ask):
-		return Wait, ask
+	case now.Before(queryAt):
+		return Wait, queryAt
 	}
-	s.askedFor = since
+	s.queriedFor = since
 	return Query, now
 }
 
--- a/control/freshness.go
+++ b/control/freshness.go
@@ -24,11 +24,11 @@
 // The ages of a node's proof at which it requests a younger one, as fractions of
 // MaxStaleness.
 const (
-	// At proofAskFraction a node requests the proofs of others. At proofReadFraction it reads the
+	// At proofRequestFraction a node requests the proofs of others. At proofReadFraction it reads the
 	// platform even if it has received read statuses: its connection to the others may work in one
 	// direction only.
-	proofAskFraction  = 0.45
-	proofReadFraction = 0.6
+	proofRequestFraction = 0.45
+	proofReadFraction    = 0.6
 	// proofRetryFraction is the minimum time between two such attempts.
 	proofRetryFraction = 0.1
 )
@@ -74,7 +74,7 @@
 // ProofOverdue returns whether the freshness proof is so old that a younger one is needed.
 func (c *Control) ProofOverdue() bool {
 	age := c.TableAge(c.snapshotVersion())
-	return !age.Known || age.Time >= c.stalenessFraction(proofAskFraction)
+	return !age.Known || age.Time >= c.stalenessFraction(proofRequestFraction)
 }
 
 // stalenessFraction returns a fraction of MaxStaleness.
@@ -172,7 +172,7 @@
 	if !age.Known {
 		age.Time = reading - c.freshness.started
 	}
-	if age.Known && age.Time < c.stalenessFraction(proofAskFraction) || reading-c.freshness.lastAttempt < c.stalenessFraction(proofRetryFraction) {
+	if age.Known && age.Time < c.stalenessFraction(proofRequestFraction) || reading-c.freshness.lastAttempt < c.stalenessFraction(proofRetryFraction) {
 		return action
 	}
 	c.freshness.lastAttempt = reading
--- a/entry/deadnode_test.go
+++ b/entry/deadnode_test.go
@@ -113,7 +113,7 @@
 						time.Sleep(test.powerOffAfter)
 						w.Host(node).PowerOff()
 						offAt = time.Now()
-						time.Sleep(time.Minute) // its process is gone and does not respond
+						time.Sleep(time.Minute) // its process has ended and does not respond
 						return
 					}
 					respondAfter(100*time.Millisecond)(node, in)
--- a/entry/replacedlink_test.go
+++ b/entry/replacedlink_test.go
@@ -300,7 +300,7 @@
 }
 
 // TestSilenceWithinAnswer guards against responses that are cut off or given up because the link
-// falls silent after they, or informational responses, have begun to arrive.
+// falls silent after they, or informational responses, have started to arrive.
 func TestSilenceWithinAnswer(t *testing.T) {
 	const (
 		size    = 200 << 10
--- a/freshness/state_test.go
+++ b/freshness/state_test.go
@@ -34,7 +34,7 @@
 
 const ms = time.Millisecond
 
-// TestAge checks which delays make a proof older, and what must not be taken for a proof.
+// TestAge checks which delays make a proof older, and what must not be mistaken for a proof.
 func TestAge(t *testing.T) {
 	const ahead = time.Hour
 	for name, row := range map[string]struct {
--- a/gate/admission.go
+++ b/gate/admission.go
@@ -43,7 +43,7 @@
 	return nil, nil, err
 }
 
-// checkSlowed returns a failure if an admitted call is to be sent to another node after all, because
+// checkSlowed returns a failure if an admitted call must be sent to another node after all, because
 // the upstream has just slowed down and the sender could not know that yet. Only the first attempt of
 // a request is checked; a later one is accepted.
 func (g *Gate) checkSlowed(ctx context.Context, in *peer.InboundCall) *verdict.Error {
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -39,9 +39,9 @@
 	// several.
 	Weight func(organisation string) float64
 	// UpstreamUnreachable, if not nil, is called when a call shows that the announced upstream
-	// is not there: it can't be reached, or another upstream has its address.
+	// is not running there: it can't be reached, or another upstream has its address.
 	UpstreamUnreachable func(a *upstream.Announcement, failure *verdict.Error)
-	// ProbeLoad, if not nil, asks the upstream for its present speed. It returns when the
+	// ProbeLoad, if not nil, requests the upstream's current speed. It returns when the
 	// upstream has responded, or after a short timeout.
 	ProbeLoad func(ctx context.Context)
 	// BroadcastReport, if not nil, sends a report to all nodes that send calls here. It is
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -153,7 +153,7 @@
 	return b.Tracer.Start(ctx, name, options...)
 }
 
-// TestCallerLeavesBeforeSend guards against an upstream being taken for unreachable because the
+// TestCallerLeavesBeforeSend guards against an upstream being mistaken for unreachable because the
 // caller cancelled at the moment at which the call was about to be written. A healthy upstream
 // then got no requests for 300 ms, and with one of two upstreams just ended, every request was
 // refused meanwhile. An upstream that can't be reached does count as unreachable.
--- a/gate/running_test.go
+++ b/gate/running_test.go
@@ -52,21 +52,21 @@
 		"it becomes cold": func(g *gate.Gate, _ upstream.Announcement) { g.ExtendColdStart(time.Minute) },
 	}
 	for name, event := range events {
-		for _, begun := range []bool{false, true} {
+		for _, responding := range []bool{false, true} {
 			stage := "before its response"
-			if begun {
+			if responding {
 				stage = "within its response"
 			}
 			t.Run(name+"/"+stage, func(t *testing.T) {
 				inside, goOn := make(chan struct{}), make(chan struct{})
 				r := newFixture(t, 4, func(w http.ResponseWriter, _ *http.Request) {
-					if begun {
+					if responding {
 						_, _ = io.WriteString(w, "be")
 						w.(http.Flusher).Flush()
 					}
 					close(inside)
 					<-goOn
-					if !begun {
+					if !responding {
 						_, _ = io.WriteString(w, "be")
 					}
 					_, _ = io.WriteString(w, "gun")
--- a/internal/logfmt/formatter.go
+++ b/internal/logfmt/formatter.go
@@ -150,7 +150,7 @@
 	return len(text)
 }
 
-// appendValue appends a JSON value, quoted if it could otherwise be taken for more than one
+// appendValue appends a JSON value, quoted if it could otherwise be mistaken for more than one
 // value.
 func appendValue(line, value []byte) []byte {
 	text := string(value)
--- a/internal/stall/doc.go
+++ b/internal/stall/doc.go
@@ -5,5 +5,5 @@
 // Package stall measures for how long a process was not scheduled.
 //
 // A process that is paused or gets no processor time finds that its deadlines have passed and
-// that its peers have been silent. The measured delay tells its own stalls from theirs.
+// that its peers have been silent. The measured delay distinguishes its own stalls from theirs.
 package stall
--- a/internal/tcp/socket.go
+++ b/internal/tcp/socket.go
@@ -16,7 +16,7 @@
 // SetUserTimeout changes the time for which written data of a connection may be
 // unacknowledged. Zero means the kernel's default. Data for which the receiver has no room
 // counts as unacknowledged, although its kernel responds: a receiver that reads late is then
-// taken for an unreachable one. A connection that is not a socket is left as it is.
+// mistaken for an unreachable one. A connection that is not a socket is left unchanged.
 func SetUserTimeout(c net.Conn, userTimeout time.Duration) error {
 	s, ok := c.(syscall.Conn)
 	if !ok {
@@ -105,7 +105,7 @@
 // EnableKeepAlive makes the kernel probe the peer of an idle connection at the given interval,
 // and end the connection after count probes in a row without a response. The kernel of a
 // terminated process responds with a reset, and that of a running process acknowledges, however
-// long the process sends nothing. A connection that is not a TCP socket is left as it is.
+// long the process sends nothing. A connection that is not a TCP socket is left unchanged.
 func EnableKeepAlive(c net.Conn, interval time.Duration, count int) error {
 	t, ok := c.(*net.TCPConn)
 	if !ok {
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -26,7 +26,7 @@
 type Config struct {
 	// URL is the URL of the OTLP collector, such as http://10.0.0.1:4318/v1/traces.
 	URL string
-	// SampleRatio is the fraction of the traces begun here that are sampled. Traces begun
+	// SampleRatio is the fraction of the traces started here that are sampled. Traces started
 	// by a caller keep the caller's decision.
 	SampleRatio float64
 	// Node and Zone identify this process in its spans.
--- a/node/managed_test.go
+++ b/node/managed_test.go
@@ -83,7 +83,7 @@
 	return fmt.Sprintf(`{"name":"%[1]s","pathPrefix":"/%[1]s/","kind":"%[2]s","timeoutS":1,"targetLatencyS":0.3,"priority":1,"service":"%[3]s","maxAttempts":2}`, name, kind, service)
 }
 
-// rawJSON is JSON that is encoded as it is.
+// rawJSON is JSON that is encoded unchanged.
 type rawJSON string
 
 func (r rawJSON) MarshalJSON() ([]byte, error) { return []byte(r), nil }
--- a/node/restore_test.go
+++ b/node/restore_test.go
@@ -289,7 +289,7 @@
 }
 
 // TestWrongEraRejected has the store's responses name an earlier era, none, or no number, for some
-// time: the nodes serve on as before, and accept its responses again afterwards.
+// time: the nodes continue to serve, and accept its responses again afterwards.
 func TestWrongEraRejected(t *testing.T) {
 	for name, header := range map[string]string{"earlier": "2", "none": "", "no number": "x"} {
 		t.Run(name, func(t *testing.T) {
--- a/objectapi/reader.go
+++ b/objectapi/reader.go
@@ -17,7 +17,7 @@
 	ResourceVersion string
 }
 
-// PollingAPI is an API in which changes are polled, each time by a call of its own.
+// PollingAPI is an API in which changes are polled, each time by a separate call.
 type PollingAPI interface {
 	Objects
 	// UpdateStatus replaces the status of an object if its resource version is still that of
--- a/quarantine/responses.go
+++ b/quarantine/responses.go
@@ -59,7 +59,7 @@
 }
 
 // Suspects returns those of the requests in flight at a crash of the upstream that may have caused
-// it, and the isolated one if it is to be blocked for the crash. For each of the others it subtracts
+// it, and the isolated one if it must be blocked for the crash. For each of the others it subtracts
 // responsesPerCrash from the counted responses, so that a request that is in flight at too many crashes
 // for its number of responses is suspected as well.
 //
--- a/quota/message.go
+++ b/quota/message.go
@@ -37,7 +37,7 @@
 	Returned []TokenCount `msgpack:"r,omitempty"`
 }
 
-// Unchanged is the value of Nodes in a Request that leaves the node's share as it is.
+// Unchanged is the value of Nodes in a Request that leaves the node's share unchanged.
 const Unchanged = -1
 
 // Grant is a coordinator's response to a TokenCount that was requested.
--- a/rejoin/searches.go
+++ b/rejoin/searches.go
@@ -36,7 +36,7 @@
 	Random *rand.Rand
 
 	list map[string]*search // by node id
-	next time.Time          // no search is due before this time
+	next time.Time          // no search runs before this time
 }
 
 // search is the search for one node.
--- a/retry/account_test.go
+++ b/retry/account_test.go
@@ -19,9 +19,10 @@
 
 // answeredFraction simulates a node for a minute. Twenty organisations send two requests a
 // second each, one in ten of which fails at the first upstream. Another organisation sends the
-// given number, which all fail at each upstream because of abuse or of a fault of its own. It
-// returns the fraction of the twenty organisations' requests that are answered by the first or
-// the second upstream. If named is false, the budget does not know the organisations.
+// given number, which all fail at each upstream because of abuse or of its own fault. It
+// returns the fraction of the twenty organisations' requests that get a response
+// from the first or the second upstream. If named is false, the budget does not know the
+// organisations.
 func answeredFraction(t *testing.T, perSecond int, named bool) (share float64) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -250,7 +250,7 @@
 }
 
 // sharedEvidence returns the evidence in a class without that of the upstream with the most, so that a single
-// faulty instance is not taken for a faulty version.
+// faulty instance is not mistaken for a faulty version.
 func (j *Judge) sharedEvidence(class string, all evidenceByClass, of func(u *upstream) evidenceByClass) float64 {
 	var most evidence
 	reporting := 0
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -104,7 +104,7 @@
 	Lease time.Duration
 	// Patience is the silence timeout: the time of silence after which a node is removed.
 	Patience time.Duration
-	// GracePeriod is how long the process may live after it was told to stop. Zero
+	// GracePeriod is how long the process may run after it was signalled to stop. Zero
 	// means that this is unknown.
 	GracePeriod time.Duration
 	// DrainTimeout bounds the wait for requests in flight at a planned stop, counted from
@@ -193,7 +193,7 @@
 // requests, for the last log lines, and for the process to exit.
 const ExitReserve = 500 * time.Millisecond
 
-// DrainDeadline returns how long after it was told to stop a node waits for requests in flight.
+// DrainDeadline returns how long a node waits for requests in flight, counted from the signal to stop.
 func (s *Settings) DrainDeadline() time.Duration {
 	if s.GracePeriod > 0 {
 		return s.GracePeriod - ExitReserve
@@ -201,8 +201,8 @@
 	return s.LeaveDelay + s.DrainTimeout
 }
 
-// EffectiveLeaveDelay returns how long after it was told to stop a node accepts callers' requests:
-// LeaveDelay, but at most half of DrainDeadline if GracePeriod is set.
+// EffectiveLeaveDelay returns how long a node accepts callers' requests, counted from the signal to
+// stop: LeaveDelay, but at most half of DrainDeadline if GracePeriod is set.
 func (s *Settings) EffectiveLeaveDelay() time.Duration {
 	if s.GracePeriod > 0 {
 		return min(s.LeaveDelay, s.DrainDeadline()/2)
--- a/upstream/transport_test.go
+++ b/upstream/transport_test.go
@@ -249,8 +249,8 @@
 }
 
 // TestKeepAliveOfUpstream guards against requests that are lost because the upstream closes an idle
-// connection as it is reused: a connection that was idle for nearly as long as the upstream's
-// Keep-Alive field allows is not reused.
+// connection at the moment it is reused: a connection that was idle for nearly as long as the
+// upstream's Keep-Alive field allows is not reused.
 func TestKeepAliveOfUpstream(t *testing.T) {
 	tests := map[string]struct {
 		field       string
