--- a/upstream/transport_test.go
+++ b/upstream/transport_test.go
@@ -249,8 +249,8 @@
 }
 
 // TestKeepAliveOfUpstream guards against requests that are lost because the upstream closes an idle
-// connection as it is reused: a connection that was idle for nearly as long as the upstream's
-// Keep-Alive field allows is not reused.
+// connection at the moment it is reused: a connection that was idle for nearly as long as the
+// upstream's Keep-Alive field allows is not reused.
 func TestKeepAliveOfUpstream(t *testing.T) {
 	tests := map[string]struct {
 		field       string
@@ -372,7 +372,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			var got *upstream.Announcement
-			h := &upstream.Announcements{Changed: func(a *upstream.Announcement) { got = a }}
+			h := &upstream.Announcements{OnChange: func(a *upstream.Announcement) { got = a }}
 			w := httptest.NewRecorder()
 			h.ServeHTTP(w, httptest.NewRequest(test.method, "/v1/upstream", strings.NewReader(test.body)))
 			qt.Check(t, w.Code, qt.Equals, test.status)
